--- a/internal/compatibility/approved_test.go
+++ b/internal/compatibility/approved_test.go
@@ -44,3 +44,18 @@
 	}
 	return "(no line)"
 }
+
+// requireOneApproved compares a text with several approved files, one of which it must equal. It never writes them.
+func requireOneApproved(t *testing.T, names []string, text string) {
+	t.Helper()
+	for _, name := range names {
+		content, err := os.ReadFile(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if string(content) == text {
+			return
+		}
+	}
+	t.Errorf("neither of %v is\n%s", names, text)
+}
--- /dev/null
+++ b/internal/compatibility/cluster_test.go
@@ -0,0 +1,194 @@
+package compatibility
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"snowflow/internal/configstore"
+	"snowflow/internal/discovery"
+	"snowflow/internal/host"
+	"snowflow/internal/mailround/world"
+	"snowflow/internal/parcel/wire"
+	"snowflow/internal/postmark"
+	"snowflow/internal/registry"
+	"snowflow/internal/replication"
+	"snowflow/internal/wal"
+)
+
+// The members of a group are called so in the stored registers.
+var memberNames = []string{"member-1", "member-2", "member-3"}
+
+// A folder holds a member's files by name. The reserve, a megabyte without content, is not among them.
+type folder map[string][]byte
+
+// storedGroup is a core group: its files, and how its processes are opened.
+type storedGroup struct {
+	title       string // of the approved files
+	name        string // by which the processes find one another
+	files       []string
+	compactFrom int64 // while the folders are written, so that they hold a snapshot and entries behind it
+	open        func(process *process, config openConfig) (*replication.Member, error)
+}
+
+// openConfig is what the programs of both groups are opened with.
+type openConfig struct {
+	place  host.Host
+	book   *discovery.Book
+	table  host.Table
+	name   string
+	adjust func(*replication.Env)
+}
+
+var registryGroup = storedGroup{title: "registry", name: registry.Group, files: []string{"sorter.register", "sorter.journal", "addresses"}, compactFrom: 1500, open: openRegistry}
+
+var configStoreGroup = storedGroup{title: "configstore", name: configstore.Group, files: []string{"postmaster.register", "postmaster.journal", "addresses"}, compactFrom: 900, open: openConfigStore}
+
+func openRegistry(process *process, config openConfig) (*replication.Member, error) {
+	opened, err := registry.Open(registry.Env{Place: config.place, Book: config.book, Name: config.name, Voters: memberNames, Genesis: true, Adjust: config.adjust})
+	if err != nil {
+		return nil, err
+	}
+	process.registry = opened
+	opened.Register(config.table)
+	opened.Start()
+	return opened.Member, nil
+}
+
+func openConfigStore(process *process, config openConfig) (*replication.Member, error) {
+	opened, err := configstore.Open(configstore.Env{Place: config.place, Book: config.book, Name: config.name, Voters: memberNames, Genesis: true, Adjust: config.adjust})
+	if err != nil {
+		return nil, err
+	}
+	process.configStore = opened
+	opened.Register(config.table)
+	opened.Start()
+	return opened.Member, nil
+}
+
+// process is one member's process; registry or configStore is nil.
+type process struct {
+	node        *world.Node
+	place       *world.Place
+	member      *replication.Member
+	registry    *registry.Sorter
+	configStore *configstore.Postmaster
+}
+
+// cluster is a group's three members in a simulated world, which is at the mercy of the test alone.
+type cluster struct {
+	world     *world.World
+	processes []*process
+	stopped   []string // why processes ended by themselves
+}
+
+// startCluster starts a group's members on copies of folders, or on empty disks for nil.
+func startCluster(t *testing.T, group storedGroup, folders []folder, compactFrom int64) *cluster {
+	t.Helper()
+	started := &cluster{world: world.New(1)}
+	started.world.Stopped = func(node *world.Node, why string) { started.stopped = append(started.stopped, node.Name+": "+why) }
+	for index, name := range memberNames {
+		one := &process{}
+		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Place) (host.Table, error) {
+			config := openConfig{place: place, name: name, table: host.Table{}, adjust: func(env *replication.Env) { env.CompactFrom = compactFrom }}
+			one.place = place
+			config.book = discovery.New(place, &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group.name}, seedAddresses(group))
+			config.book.Remember(place.Disk())
+			config.book.Register(config.table)
+			place.Go(func() { config.book.Roam(postmark.Second) })
+			member, err := group.open(one, config)
+			one.member = member
+			return config.table, err
+		})
+		if folders != nil {
+			fillDisk(t, one.node.Disk, folders[index])
+		}
+		started.processes = append(started.processes, one)
+	}
+	for _, one := range started.processes {
+		started.world.Start(one.node)
+	}
+	t.Cleanup(started.world.Close)
+	return started
+}
+
+func seedAddresses(group storedGroup) (seeds []string) {
+	for _, name := range memberNames {
+		seeds = append(seeds, name+":"+group.name)
+	}
+	return seeds
+}
+
+func fillDisk(t *testing.T, disk wal.Disk, files folder) {
+	t.Helper()
+	for name, content := range files {
+		file, err := disk.Open(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := errors.Join(file.WriteAt(content, 0), file.Sync(), disk.SyncFolder()); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// readDisk gives the group's files of a member's disk.
+func readDisk(t *testing.T, group storedGroup, disk wal.Disk) folder {
+	t.Helper()
+	files := folder{}
+	for _, name := range group.files {
+		file, err := disk.Open(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		content, err := file.ReadAll()
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[name] = content
+	}
+	return files
+}
+
+// pass lets simulated time pass.
+func (cluster *cluster) pass(span postmark.Micros) { cluster.world.Run(cluster.world.Now() + span) }
+
+// leader gives the process that answers as its group's leader, or nil.
+func (cluster *cluster) leader() *process {
+	index := slices.IndexFunc(cluster.processes, func(one *process) bool {
+		return one.node.Up() && one.member != nil && one.member.Answering()
+	})
+	if index < 0 {
+		return nil
+	}
+	return cluster.processes[index]
+}
+
+const (
+	// leaderWithin bounds how long a group may take to have a leader that answers.
+	leaderWithin = 30 * postmark.Second
+	// workWithin bounds how long a task on the leader may take.
+	workWithin = 30 * postmark.Second
+)
+
+// onLeader runs a task on the leader, in simulated time, and stops the world within a millisecond after it ended.
+func (cluster *cluster) onLeader(t *testing.T, work func(leader *process) error) {
+	t.Helper()
+	for waited := postmark.Micros(0); cluster.leader() == nil; waited += 50 * postmark.Millisecond {
+		if waited > leaderWithin {
+			t.Fatalf("no leader answers; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
+		}
+		cluster.pass(50 * postmark.Millisecond)
+	}
+	leader, err, ended := cluster.leader(), error(nil), false
+	leader.place.Go(func() { err, ended = work(leader), true })
+	for began := cluster.world.Now(); !ended; cluster.pass(postmark.Millisecond) {
+		if cluster.world.Now()-began > workWithin || cluster.world.Panicked != nil {
+			t.Fatalf("the task does not end; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
+		}
+	}
+	if err != nil {
+		t.Fatal(fmt.Errorf("%s: %w", leader.node.Name, err))
+	}
+}
