--- a/internal/compatibility/values_test.go
+++ b/internal/compatibility/values_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"snowflow/internal/bulletin"
+	"snowflow/internal/carrier/delivery"
 	"snowflow/internal/carrier/hutch"
 	"snowflow/internal/carrier/wicket"
 	"snowflow/internal/clerk/doctor"
@@ -54,6 +55,7 @@
 	{"control metrics only", wicket.ControlMetricsOnly},
 	{"verdict not run", string(seal.NotRun)},
 	{"verdict may have run", string(seal.MayHaveRun)},
+	{"path of a backend's identity", delivery.IdentityPath},
 	{"query expected", api.ExpectedQuery},
 	{"query request", api.RequestQuery},
 	{"query from", api.FromQuery},
