--- a/cmd/postmaster/main.go
+++ b/cmd/configstore/main.go
@@ -6,23 +6,23 @@
 	"slices"
 	"snowflow/internal/replication"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
 	"snowflow/internal/configstore/archive"
-	"snowflow/internal/env"
-	"snowflow/internal/franking"
-	"snowflow/internal/house"
+	"snowflow/internal/daemon"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/settings"
 )
 
 func main() {
-	house.Main(house.Command("postmaster", "the store of desired states and the operators' door", env.Core(), configstore.Group, build))
+	daemon.Main(daemon.Command("postmaster", "the store of desired states and the operators' door", settings.Core(), configstore.Group, build))
 }
 
-func build(home *house.House) error {
+func build(home *daemon.House) error {
 	// Best effort by design: the record file decides, and the archive is written anew from it.
 	objects := archive.Open(filepath.Join(home.Values["data"], "desired.git"), func(err error) {
-		home.Place.Report(bulletin.ObjectStoreTrouble, map[string]any{"error": err.Error()})
+		home.Place.Report(eventlog.ObjectStoreTrouble, map[string]any{"error": err.Error()})
 	})
 	store, err := configstore.Open(configstore.Env{Place: home.Place, Book: home.Book, Name: home.Values["name"], Voters: home.Values.List("voters"),
 		Genesis: slices.Contains(home.Values.List("voters"), home.Values["name"]),
@@ -32,7 +32,7 @@
 	}
 	store.Register(home.Table)
 	home.CoreGauges(store.Member)
-	pages := api.New(home.Place, home.Book, home.Metrics(), func() any { return store.Status() }, franking.Parse)
+	pages := api.New(home.Place, home.Book, home.Metrics(), func() any { return store.Status() }, config.Parse)
 	if err := home.HTTP(home.Values["desk"], api.Server(pages)); err != nil {
 		return err
 	}
--- a/cmd/carrier/main.go
+++ b/cmd/proxy/main.go
@@ -4,35 +4,35 @@
 import (
 	"context"
 
-	"snowflow/internal/carrier"
-	"snowflow/internal/carrier/backdoor"
-	"snowflow/internal/carrier/counter"
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/env"
-	"snowflow/internal/house"
-	"snowflow/internal/postmark"
+	"snowflow/internal/daemon"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/proxy/backendapi"
+	"snowflow/internal/proxy/ingress"
+	"snowflow/internal/proxy/upstream"
+	"snowflow/internal/settings"
 )
 
 func main() {
-	house.Main(house.Command("carrier", "the proxy beside each caller and each server", env.Carrier(), "", build))
+	daemon.Main(daemon.Command("carrier", "the proxy beside each caller and each server", settings.Carrier(), "", build))
 }
 
-func build(home *house.House) error {
-	tally := house.NewTally(home.Registry)
-	mover := carrier.New(carrier.Env{Place: home.Place, Book: home.Book, Name: home.Values["name"], Domain: home.Values["domain"],
-		Address: home.Values["advertise"], Blind: home.Values["choice"] == "blind", FarPenalty: postmark.Micros(home.Values.Number("far-penalty")), Delivery: delivery.New(home.Place, delivery.Own()), Finished: tally.Finished})
+func build(home *daemon.House) error {
+	tally := daemon.NewTally(home.Registry)
+	mover := proxy.New(proxy.Env{Place: home.Place, Book: home.Book, Name: home.Values["name"], Domain: home.Values["domain"],
+		Address: home.Values["advertise"], Blind: home.Values["choice"] == "blind", FarPenalty: monotonic.Micros(home.Values.Number("far-penalty")), Delivery: upstream.New(home.Place, upstream.Own()), Finished: tally.Finished})
 	mover.Register(home.Table)
-	home.Gauges([]house.Gauge{
+	home.Gauges([]daemon.Gauge{
 		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(mover.Passage.Running()) }},
 		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(mover.Gate.Running()) }},
 		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: mover.Hutch.Ejected},
 		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { serial, _ := mover.Desk.Serial(); return float64(serial) }},
 	})
-	backDoor := backdoor.New(home.Place, mover, home.Metrics(), home.Stop)
-	if err := home.HTTP(home.Values["desk"], counter.Server(backDoor)); err != nil {
+	backDoor := backendapi.New(home.Place, mover, home.Metrics(), home.Stop)
+	if err := home.HTTP(home.Values["desk"], ingress.Server(backDoor)); err != nil {
 		return err
 	}
-	callers := counter.Server(counter.New(mover, home.Place))
+	callers := ingress.Server(ingress.New(mover, home.Place))
 	if err := home.HTTP(home.Values["callers"], callers); err != nil {
 		return err
 	}
--- a/cmd/sorter/main.go
+++ b/cmd/registry/main.go
@@ -7,16 +7,16 @@
 	"snowflow/internal/replication"
 
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/env"
-	"snowflow/internal/house"
+	"snowflow/internal/daemon"
 	"snowflow/internal/registry"
+	"snowflow/internal/settings"
 )
 
 func main() {
-	house.Main(house.Command("sorter", "the registry of carriers, backends and guards", env.Core(), registry.Group, build))
+	daemon.Main(daemon.Command("sorter", "the registry of carriers, backends and guards", settings.Core(), registry.Group, build))
 }
 
-func build(home *house.House) error {
+func build(home *daemon.House) error {
 	registry, err := registry.Open(registry.Env{Place: home.Place, Book: home.Book, Name: home.Values["name"], Voters: home.Values.List("voters"),
 		Genesis: slices.Contains(home.Values.List("voters"), home.Values["name"])})
 	if err != nil {
@@ -26,8 +26,8 @@
 	home.CoreGauges(registry.Member)
 	pages := http.NewServeMux()
 	pages.Handle("/metrics", home.Metrics())
-	pages.Handle("/local", house.Page(func() any { return registry.Status() }))
-	pages.Handle("/live", house.Page(func() any { return map[string]bool{"live": true} }))
+	pages.Handle("/local", daemon.Page(func() any { return registry.Status() }))
+	pages.Handle("/live", daemon.Page(func() any { return map[string]bool{"live": true} }))
 	if err := home.HTTP(home.Values["desk"], api.Server(pages)); err != nil {
 		return err
 	}
--- a/cmd/depot/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -6,9 +6,9 @@
 
 	"github.com/spf13/cobra"
 
-	"snowflow/internal/depot/capacity"
-	"snowflow/internal/depot/sweep"
-	"snowflow/internal/house"
+	"snowflow/internal/daemon"
+	"snowflow/internal/rehearse/capacity"
+	"snowflow/internal/rehearse/sweep"
 )
 
 // writing writes the page's tables and plots anew from the records.
@@ -17,15 +17,15 @@
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		points, err := sweep.Results(results)
 		if err != nil {
-			return house.Misused(err)
+			return daemon.Misused(err)
 		}
 		content, err := os.ReadFile(page)
 		if err != nil {
-			return house.Misused(err)
+			return daemon.Misused(err)
 		}
 		text, err := capacity.Render(string(content), points)
 		if err != nil {
-			return house.Misused(err)
+			return daemon.Misused(err)
 		}
 		if err := capacity.Plots(points, filepath.Clean(results)); err != nil {
 			return err
--- a/cmd/depot/sweep_test.go
+++ b/cmd/rehearse/sweep_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/house"
+	"snowflow/internal/daemon"
 )
 
 // TestSweepMisused: what can't be swept is the starter's fault, which ends with exit code 2, and nothing is started.
@@ -24,7 +24,7 @@
 		command.SilenceUsage, command.SilenceErrors = true, true
 		command.SetArgs(strings.Fields(course.arguments))
 		err := command.Execute()
-		if use := new(house.BadUse); !errors.As(err, &use) || !strings.Contains(err.Error(), course.want) {
+		if use := new(daemon.BadUse); !errors.As(err, &use) || !strings.Contains(err.Error(), course.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- /dev/null
+++ b/cmd/snowctl/main.go
@@ -0,0 +1,9 @@
+// Clerk is the operators' command line.
+package main
+
+import (
+	"snowflow/internal/daemon"
+	"snowflow/internal/snowctl"
+)
+
+func main() { daemon.Main(snowctl.Root()) }
--- a/internal/seal/causes.go
+++ b/internal/apierror/causes.go
@@ -1,6 +1,6 @@
-package seal
+package apierror
 
-import "snowflow/internal/postmark"
+import "snowflow/internal/monotonic"
 
 // The causes. Numbers are never reused.
 const (
@@ -44,11 +44,11 @@
 type causeEntry struct {
 	name       string
 	status     int
-	retryAfter postmark.Micros
+	retryAfter monotonic.Micros
 	backend    bool
 }
 
-const soon = postmark.Second
+const soon = monotonic.Second
 
 var catalogue = map[Cause]causeEntry{
 	NoKey:            {"no_reference_key", 400, 0, false},
--- a/internal/seal/seal.go
+++ b/internal/apierror/seal.go
@@ -1,12 +1,12 @@
-// Package seal holds the errors of a request's way. Each says whether the request may have run.
-package seal
+// Package apierror holds the errors of a request's way. Each says whether the request may have run.
+package apierror
 
 import (
 	"fmt"
 
 	"github.com/joomcode/errorx"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Verdict says what is known about a request that did not end with the backend's own answer.
@@ -39,7 +39,7 @@
 type Fault struct {
 	Cause      Cause
 	Verdict    Verdict
-	RetryAfter postmark.Micros
+	RetryAfter monotonic.Micros
 	Detail     string
 	// Backend is true when the fault is the backend's, and so counts against its guard.
 	Backend bool
--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/go-git/go-git/v5"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/archive"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // storedArchive is the stored archive of configurations.
@@ -22,7 +22,7 @@
 // archivedStates are the accepted configurations in the archive, without the last so many.
 func archivedStates(without int) (states []*wire.DesiredKept) {
 	for _, version := range acceptedVersions[:len(acceptedVersions)-without] {
-		states = append(states, &wire.DesiredKept{Serial: version, Content: configurationOf(version), Digest: franking.Digest(configurationOf(version)), Request: requestOf(version)})
+		states = append(states, &wire.DesiredKept{Serial: version, Content: configurationOf(version), Digest: config.Digest(configurationOf(version)), Request: requestOf(version)})
 	}
 	return states
 }
--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -9,11 +9,11 @@
 	"snowflow/internal/configstore"
 	"snowflow/internal/discovery"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry"
 	"snowflow/internal/replication"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 )
 
@@ -96,7 +96,7 @@
 			config.book = discovery.New(place, &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group.name}, seedAddresses(group))
 			config.book.Remember(place.Disk())
 			config.book.Register(config.table)
-			place.Go(func() { config.book.Roam(postmark.Second) })
+			place.Go(func() { config.book.Roam(monotonic.Second) })
 			member, err := group.open(one, config)
 			one.member = member
 			return config.table, err
@@ -152,7 +152,7 @@
 }
 
 // pass lets simulated time pass.
-func (cluster *cluster) pass(span postmark.Micros) { cluster.world.Run(cluster.world.Now() + span) }
+func (cluster *cluster) pass(span monotonic.Micros) { cluster.world.Run(cluster.world.Now() + span) }
 
 // leader gives the process that answers as its group's leader, or nil.
 func (cluster *cluster) leader() *process {
@@ -167,23 +167,23 @@
 
 const (
 	// leaderWithin bounds how long a group may take to have a leader that answers.
-	leaderWithin = 30 * postmark.Second
+	leaderWithin = 30 * monotonic.Second
 	// workWithin bounds how long a task on the leader may take.
-	workWithin = 30 * postmark.Second
+	workWithin = 30 * monotonic.Second
 )
 
 // onLeader runs a task on the leader, in simulated time, and stops the world within a millisecond after it ended.
 func (cluster *cluster) onLeader(t *testing.T, work func(leader *process) error) {
 	t.Helper()
-	for waited := postmark.Micros(0); cluster.leader() == nil; waited += 50 * postmark.Millisecond {
+	for waited := monotonic.Micros(0); cluster.leader() == nil; waited += 50 * monotonic.Millisecond {
 		if waited > leaderWithin {
 			t.Fatalf("no leader answers; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
-		cluster.pass(50 * postmark.Millisecond)
+		cluster.pass(50 * monotonic.Millisecond)
 	}
 	leader, err, ended := cluster.leader(), error(nil), false
 	leader.place.Go(func() { err, ended = work(leader), true })
-	for began := cluster.world.Now(); !ended; cluster.pass(postmark.Millisecond) {
+	for began := cluster.world.Now(); !ended; cluster.pass(monotonic.Millisecond) {
 		if cluster.world.Now()-began > workWithin || cluster.world.Panicked != nil {
 			t.Fatalf("the task does not end; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
--- a/internal/compatibility/messages_test.go
+++ b/internal/compatibility/messages_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	_ "snowflow/internal/parcel/wire" // registers the messages
+	_ "snowflow/internal/transport/wire" // registers the messages
 )
 
 // projectFiles lists the project's own protobuf files by path. They are all files that are registered and aren't protobuf's own.
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 	"snowflow/internal/wal/memory"
 )
@@ -101,8 +101,8 @@
 		ReadAt: &wire.HolderMoment{Epoch: 1 << 40, Time: 1 << 50}}}
 }
 
-var breakerTerms = &wire.GuardTerms{WaitOpen: int64(100 * postmark.Second), Permitted: 4, FailureRate: 0.5, ProbeTenure: int64(10 * postmark.Second),
-	StateTtl: int64(600 * postmark.Second), MinimumReporters: 2}
+var breakerTerms = &wire.GuardTerms{WaitOpen: int64(100 * monotonic.Second), Permitted: 4, FailureRate: 0.5, ProbeTenure: int64(10 * monotonic.Second),
+	StateTtl: int64(600 * monotonic.Second), MinimumReporters: 2}
 
 func tripOf(service, proxy string) *wire.SorterCommand {
 	return &wire.SorterCommand{Guard: &wire.GuardWriteAsk{Service: service, Verb: "trip", ExpectedSerial: 1, Carrier: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Terms: breakerTerms}}
@@ -123,9 +123,9 @@
 		return err
 	})
 	started.onLeader(t, func(leader *process) error { leader.member.HandOver("a planned change of leader"); return nil })
-	started.pass(3 * postmark.Second)
+	started.pass(3 * monotonic.Second)
 	started.onLeader(t, func(leader *process) error {
-		return submitAll(leader, &wire.SorterCommand{Duty: &wire.DutyAsk{Duty: "nightly", Carrier: "proxy-3", Instance: "instance-1", Length: int64(30 * postmark.Second)}},
+		return submitAll(leader, &wire.SorterCommand{Duty: &wire.DutyAsk{Duty: "nightly", Carrier: "proxy-3", Instance: "instance-1", Length: int64(30 * monotonic.Second)}},
 			claimOf("late-1", "attempt-1", "proxy-1"), claimOf("late-2", "attempt-1", "proxy-2"), claimOf("last", "attempt-1", "proxy-1"))
 	})
 }
@@ -193,7 +193,7 @@
 }
 
 func writeConfigurations(t *testing.T, started *cluster) {
-	started.pass(10 * postmark.Second)
+	started.pass(10 * monotonic.Second)
 	for index, version := range acceptedVersions[:len(acceptedVersions)-1] {
 		ask := &wire.DesiredApplyAsk{Content: configurationOf(version), Request: requestOf(version), Version: version}
 		if index == 2 {
@@ -202,12 +202,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ask.Content, ask.Delta, ask.Base = nil, difference, franking.Digest(base)
+			ask.Content, ask.Delta, ask.Base = nil, difference, config.Digest(base)
 		}
 		started.onLeader(t, func(leader *process) error { return applyVersion(leader, ask) })
 		if index == 3 {
 			started.onLeader(t, func(leader *process) error { leader.member.HandOver("a planned change of leader"); return nil })
-			started.pass(3 * postmark.Second)
+			started.pass(3 * monotonic.Second)
 		}
 	}
 	last := acceptedVersions[len(acceptedVersions)-1]
--- a/internal/compatibility/values_test.go
+++ b/internal/compatibility/values_test.go
@@ -5,21 +5,21 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/wicket"
-	"snowflow/internal/clerk/doctor"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/parcel/frame"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/upstream"
 	"snowflow/internal/registry"
 	"snowflow/internal/registry/breakerstore"
-	"snowflow/internal/registry/claims"
-	"snowflow/internal/seal"
+	"snowflow/internal/registry/idempotency"
+	"snowflow/internal/snowctl/doctor"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
 )
 
 // Labels in this file are part of the approved files and stay as they are, whatever the constants beside them are called.
@@ -37,25 +37,25 @@
 	{"apply conflict", versions.Conflict},
 	{"apply invalid", versions.Invalid},
 	{"apply base unknown", versions.BaseUnknown},
-	{"key granted", claims.Granted},
-	{"key held", claims.Held},
-	{"key with another body", claims.OtherBody},
-	{"key voided", claims.Voided},
-	{"key fenced", claims.Fenced},
-	{"key claimed", claims.Claimed},
+	{"key granted", idempotency.Granted},
+	{"key held", idempotency.Held},
+	{"key with another body", idempotency.OtherBody},
+	{"key voided", idempotency.Voided},
+	{"key fenced", idempotency.Fenced},
+	{"key claimed", idempotency.Claimed},
 	{"breaker closed", breakerstore.Closed},
 	{"breaker open", breakerstore.Open},
 	{"breaker half open", breakerstore.HalfOpen},
-	{"backend alive", hutch.Alive},
-	{"backend working", hutch.Working},
-	{"backend leaving", hutch.Leaving},
-	{"control none", wicket.ControlNone},
-	{"control force open", wicket.ControlForceOpen},
-	{"control disable", wicket.ControlDisable},
-	{"control metrics only", wicket.ControlMetricsOnly},
-	{"verdict not run", string(seal.NotRun)},
-	{"verdict may have run", string(seal.MayHaveRun)},
-	{"path of a backend's identity", delivery.IdentityPath},
+	{"backend alive", localbackends.Alive},
+	{"backend working", localbackends.Working},
+	{"backend leaving", localbackends.Leaving},
+	{"control none", breaker.ControlNone},
+	{"control force open", breaker.ControlForceOpen},
+	{"control disable", breaker.ControlDisable},
+	{"control metrics only", breaker.ControlMetricsOnly},
+	{"verdict not run", string(apierror.NotRun)},
+	{"verdict may have run", string(apierror.MayHaveRun)},
+	{"path of a backend's identity", upstream.IdentityPath},
 	{"query expected", api.ExpectedQuery},
 	{"query request", api.RequestQuery},
 	{"query from", api.FromQuery},
@@ -101,100 +101,100 @@
 }
 
 // causes of refusals, which callers are told.
-var refusalCauses = []labelled[seal.Cause]{
-	{"no key", seal.NoKey},
-	{"unknown path", seal.UnknownPath},
-	{"body too large", seal.BodyTooLarge},
-	{"other body", seal.OtherBody},
-	{"unreadable", seal.Unreadable},
-	{"not ready", seal.NotReady},
-	{"tenure ended", seal.TenureEnded},
-	{"draining", seal.Draining},
-	{"stopped under way", seal.StoppedUnderWay},
-	{"guard open", seal.GuardOpen},
-	{"no probe", seal.NoProbe},
-	{"no backend", seal.NoBackend},
-	{"overloaded", seal.Overloaded},
-	{"budget spent", seal.BudgetSpent},
-	{"cutoff reached", seal.CutoffReached},
-	{"pass unreachable", seal.PassUnreachable},
-	{"pass lost", seal.PassLost},
-	{"serial older", seal.SerialOlder},
-	{"serial behind", seal.SerialBehind},
-	{"backend leaving", seal.BackendLeaving},
-	{"backend unknown", seal.BackendUnknown},
-	{"backend dial", seal.BackendDial},
-	{"backend identity", seal.BackendIdentity},
-	{"backend ailing", seal.BackendAiling},
-	{"answer broken", seal.AnswerBroken},
-	{"answer too large", seal.AnswerTooLarge},
-	{"answer late", seal.AnswerLate},
-	{"not executed", seal.NotExecuted},
-	{"answer unmatched", seal.AnswerUnmatched},
-	{"key held", seal.KeyHeld},
-	{"claim unreachable", seal.ClaimUnreachable},
-	{"key fenced", seal.KeyFenced},
-	{"claim late", seal.ClaimLate},
-	{"answer gone", seal.AnswerGone},
-	{"caller left", seal.CallerLeft},
+var refusalCauses = []labelled[apierror.Cause]{
+	{"no key", apierror.NoKey},
+	{"unknown path", apierror.UnknownPath},
+	{"body too large", apierror.BodyTooLarge},
+	{"other body", apierror.OtherBody},
+	{"unreadable", apierror.Unreadable},
+	{"not ready", apierror.NotReady},
+	{"tenure ended", apierror.TenureEnded},
+	{"draining", apierror.Draining},
+	{"stopped under way", apierror.StoppedUnderWay},
+	{"guard open", apierror.GuardOpen},
+	{"no probe", apierror.NoProbe},
+	{"no backend", apierror.NoBackend},
+	{"overloaded", apierror.Overloaded},
+	{"budget spent", apierror.BudgetSpent},
+	{"cutoff reached", apierror.CutoffReached},
+	{"pass unreachable", apierror.PassUnreachable},
+	{"pass lost", apierror.PassLost},
+	{"serial older", apierror.SerialOlder},
+	{"serial behind", apierror.SerialBehind},
+	{"backend leaving", apierror.BackendLeaving},
+	{"backend unknown", apierror.BackendUnknown},
+	{"backend dial", apierror.BackendDial},
+	{"backend identity", apierror.BackendIdentity},
+	{"backend ailing", apierror.BackendAiling},
+	{"answer broken", apierror.AnswerBroken},
+	{"answer too large", apierror.AnswerTooLarge},
+	{"answer late", apierror.AnswerLate},
+	{"not executed", apierror.NotExecuted},
+	{"answer unmatched", apierror.AnswerUnmatched},
+	{"key held", apierror.KeyHeld},
+	{"claim unreachable", apierror.ClaimUnreachable},
+	{"key fenced", apierror.KeyFenced},
+	{"claim late", apierror.ClaimLate},
+	{"answer gone", apierror.AnswerGone},
+	{"caller left", apierror.CallerLeft},
 }
 
 // numbers of events, which operators' alarms and queries of logs go by.
 var eventNumbers = []labelled[int]{
-	{"process started", bulletin.ProcessStarted},
-	{"process stopped", bulletin.ProcessStopped},
-	{"process draining", bulletin.ProcessDraining},
-	{"process drained", bulletin.ProcessDrained},
-	{"malformed frame", bulletin.MalformedFrame},
-	{"connection lost", bulletin.ConnectionLost},
-	{"frozen", bulletin.Frozen},
-	{"clock stepped", bulletin.ClockStepped},
-	{"took over", bulletin.TookOver},
-	{"settled", bulletin.Settled},
-	{"stepped down", bulletin.SteppedDown},
-	{"backup lost", bulletin.BackupLost},
-	{"voter joined", bulletin.VoterJoined},
-	{"genesis", bulletin.Genesis},
-	{"copy installed", bulletin.CopyInstalled},
-	{"handed over", bulletin.HandedOver},
-	{"holder time bound", bulletin.HolderTimeBound},
-	{"voters differ", bulletin.VotersDiffer},
-	{"roster changed", bulletin.RosterChanged},
-	{"enrolled", bulletin.Enrolled},
-	{"member released", bulletin.MemberReleased},
-	{"member not released", bulletin.MemberNotReleased},
-	{"copy caught up", bulletin.CopyCaughtUp},
-	{"session opened", bulletin.SessionOpened},
-	{"session ended", bulletin.SessionEnded},
-	{"directory refused", bulletin.DirectoryRefused},
-	{"backend registered", bulletin.BackendRegistered},
-	{"backend left", bulletin.BackendLeft},
-	{"backend overdue", bulletin.BackendOverdue},
-	{"backend ejected", bulletin.BackendEjected},
-	{"backend returned", bulletin.BackendReturned},
-	{"desired accepted", bulletin.DesiredAccepted},
-	{"desired refused", bulletin.DesiredRefused},
-	{"desired adopted", bulletin.DesiredAdopted},
-	{"desired tenure lost", bulletin.DesiredTenureLost},
-	{"desired spread", bulletin.DesiredSpread},
-	{"difference refused", bulletin.DifferenceRefused},
-	{"guard local trip", bulletin.GuardLocalTrip},
-	{"guard changed", bulletin.GuardChanged},
-	{"guard degraded", bulletin.GuardDegraded},
-	{"guard recovered", bulletin.GuardRecovered},
-	{"guard write dropped", bulletin.GuardWriteDropped},
-	{"guard reported", bulletin.GuardReported},
-	{"guard control", bulletin.GuardControl},
-	{"request refused", bulletin.RequestRefused},
-	{"answer broken seen", bulletin.AnswerBrokenSeen},
-	{"identity mismatch", bulletin.IdentityMismatch},
-	{"carrier quiet", bulletin.CarrierQuiet},
-	{"disk torn tail", bulletin.DiskTornTail},
-	{"disk damaged", bulletin.DiskDamaged},
-	{"disk full", bulletin.DiskFull},
-	{"disk sync failed", bulletin.DiskSyncFailed},
-	{"disk slow", bulletin.DiskSlow},
-	{"object store trouble", bulletin.ObjectStoreTrouble},
+	{"process started", eventlog.ProcessStarted},
+	{"process stopped", eventlog.ProcessStopped},
+	{"process draining", eventlog.ProcessDraining},
+	{"process drained", eventlog.ProcessDrained},
+	{"malformed frame", eventlog.MalformedFrame},
+	{"connection lost", eventlog.ConnectionLost},
+	{"frozen", eventlog.Frozen},
+	{"clock stepped", eventlog.ClockStepped},
+	{"took over", eventlog.TookOver},
+	{"settled", eventlog.Settled},
+	{"stepped down", eventlog.SteppedDown},
+	{"backup lost", eventlog.BackupLost},
+	{"voter joined", eventlog.VoterJoined},
+	{"genesis", eventlog.Genesis},
+	{"copy installed", eventlog.CopyInstalled},
+	{"handed over", eventlog.HandedOver},
+	{"holder time bound", eventlog.HolderTimeBound},
+	{"voters differ", eventlog.VotersDiffer},
+	{"roster changed", eventlog.RosterChanged},
+	{"enrolled", eventlog.Enrolled},
+	{"member released", eventlog.MemberReleased},
+	{"member not released", eventlog.MemberNotReleased},
+	{"copy caught up", eventlog.CopyCaughtUp},
+	{"session opened", eventlog.SessionOpened},
+	{"session ended", eventlog.SessionEnded},
+	{"directory refused", eventlog.DirectoryRefused},
+	{"backend registered", eventlog.BackendRegistered},
+	{"backend left", eventlog.BackendLeft},
+	{"backend overdue", eventlog.BackendOverdue},
+	{"backend ejected", eventlog.BackendEjected},
+	{"backend returned", eventlog.BackendReturned},
+	{"desired accepted", eventlog.DesiredAccepted},
+	{"desired refused", eventlog.DesiredRefused},
+	{"desired adopted", eventlog.DesiredAdopted},
+	{"desired tenure lost", eventlog.DesiredTenureLost},
+	{"desired spread", eventlog.DesiredSpread},
+	{"difference refused", eventlog.DifferenceRefused},
+	{"guard local trip", eventlog.GuardLocalTrip},
+	{"guard changed", eventlog.GuardChanged},
+	{"guard degraded", eventlog.GuardDegraded},
+	{"guard recovered", eventlog.GuardRecovered},
+	{"guard write dropped", eventlog.GuardWriteDropped},
+	{"guard reported", eventlog.GuardReported},
+	{"guard control", eventlog.GuardControl},
+	{"request refused", eventlog.RequestRefused},
+	{"answer broken seen", eventlog.AnswerBrokenSeen},
+	{"identity mismatch", eventlog.IdentityMismatch},
+	{"carrier quiet", eventlog.CarrierQuiet},
+	{"disk torn tail", eventlog.DiskTornTail},
+	{"disk damaged", eventlog.DiskDamaged},
+	{"disk full", eventlog.DiskFull},
+	{"disk sync failed", eventlog.DiskSyncFailed},
+	{"disk slow", eventlog.DiskSlow},
+	{"object store trouble", eventlog.ObjectStoreTrouble},
 }
 
 // TestSentStrings: strings and flags that are stored or sent are as approved.
@@ -223,10 +223,10 @@
 func TestRefusalCauses(t *testing.T) {
 	text := &strings.Builder{}
 	for _, one := range refusalCauses {
-		fault := seal.New(one.value, seal.NotRun, "")
+		fault := apierror.New(one.value, apierror.NotRun, "")
 		fmt.Fprintf(text, "%s = %d %s status %d, retry after %d us, backend's %v\n", one.label, one.value, one.value.Name(), fault.Status(), fault.RetryAfter, fault.Backend)
 	}
-	if declared := len(seal.Causes()); declared != len(refusalCauses) {
+	if declared := len(apierror.Causes()); declared != len(refusalCauses) {
 		t.Errorf("%d causes are declared and %d listed", declared, len(refusalCauses))
 	}
 	requireApproved(t, "causes", text.String())
@@ -236,9 +236,9 @@
 func TestEventNumbers(t *testing.T) {
 	text := &strings.Builder{}
 	for _, one := range eventNumbers {
-		fmt.Fprintf(text, "%s = %d %s\n", one.label, one.value, bulletin.Catalogue[one.value].Level)
+		fmt.Fprintf(text, "%s = %d %s\n", one.label, one.value, eventlog.Catalogue[one.value].Level)
 	}
-	if declared := len(bulletin.Catalogue); declared != len(eventNumbers) {
+	if declared := len(eventlog.Catalogue); declared != len(eventNumbers) {
 		t.Errorf("%d events are declared and %d listed", declared, len(eventNumbers))
 	}
 	requireApproved(t, "events", text.String())
--- a/internal/franking/change.go
+++ b/internal/config/change.go
@@ -1,4 +1,4 @@
-package franking
+package config
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // Change is what turns a view into the next one. Gone are the paths and routes that the next one has no more, and the former
--- a/internal/franking/changes/changes.go
+++ b/internal/config/changes/changes.go
@@ -11,9 +11,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/config"
 	"snowflow/internal/resource"
+	"snowflow/internal/transport/wire"
 )
 
 // A version is a set of resources.
@@ -69,7 +69,7 @@
 	}
 	for _, group := range state.Groups {
 		for _, service := range group.Services {
-			inForce := franking.InForce(group, service)
+			inForce := config.InForce(group, service)
 			services[service.Name] = true
 			note(serviceResource(&wire.ServiceInForce{Name: inForce.Name, Group: inForce.Group, Guard: inForce.Guard, Retry: inForce.Retry, Limits: inForce.Limits}))
 			for _, path := range service.Paths {
@@ -120,24 +120,24 @@
 // isn't gone: the view finds its former self by its name.
 var kinds = map[string]struct {
 	tell func(told *wire.Difference, message proto.Message)
-	gone func(change *franking.Change, message proto.Message, removed bool)
+	gone func(change *config.Change, message proto.Message, removed bool)
 }{
 	Route: {func(told *wire.Difference, message proto.Message) {
 		told.Routes = append(told.Routes, message.(*wire.Route))
 	},
-		func(change *franking.Change, message proto.Message, _ bool) {
+		func(change *config.Change, message proto.Message, _ bool) {
 			change.GoneRoutes = append(change.GoneRoutes, message.(*wire.Route))
 		}},
 	Path: {func(told *wire.Difference, message proto.Message) {
 		told.Paths = append(told.Paths, message.(*wire.ServicePath))
 	},
-		func(change *franking.Change, message proto.Message, _ bool) {
+		func(change *config.Change, message proto.Message, _ bool) {
 			change.GonePaths = append(change.GonePaths, message.(*wire.ServicePath))
 		}},
 	Service: {func(told *wire.Difference, message proto.Message) {
 		told.Services = append(told.Services, message.(*wire.ServiceInForce))
 	},
-		func(change *franking.Change, message proto.Message, removed bool) {
+		func(change *config.Change, message proto.Message, removed bool) {
 			if removed {
 				change.RemovedServices = append(change.RemovedServices, message.(*wire.ServiceInForce).Name)
 			}
@@ -161,8 +161,8 @@
 }
 
 // Change is what a base's view has to change for a difference from that base.
-func Change(base *Set, difference *Difference) *franking.Change {
-	change := &franking.Change{}
+func Change(base *Set, difference *Difference) *config.Change {
+	change := &config.Change{}
 	put := &wire.Difference{}
 	for _, one := range slices.Concat(difference.Added, difference.Changed) {
 		kinds[one.Kind()].tell(put, one.Message)
@@ -202,7 +202,7 @@
 	Version       uint64
 	ContentDigest string
 	Resources     int // in which the two versions differ
-	Change        *franking.Change
+	Change        *config.Change
 }
 
 // Apply makes the next version of a base and a difference as it was sent, or refuses it whole.
--- a/internal/franking/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -11,9 +11,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
+	"snowflow/internal/transport/wire"
 )
 
 // made is a random valid state of few names, so that two of them have much in common.
@@ -117,7 +117,7 @@
 // and the view before answers as it did.
 func TestApplyGivesTheNewState(t *testing.T) {
 	chance := rand.New(rand.NewPCG(5, 6))
-	if faults := franking.Check(made(chance)); len(faults) > 0 {
+	if faults := config.Check(made(chance)); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	shared, compiled := 0, 0
@@ -134,12 +134,12 @@
 		if !same(step.Set, wanted) || step.Version != 2 || step.ContentDigest != "content" || !same(base, read(t, before)) {
 			t.Fatal("the base and the difference don't come to the new state")
 		}
-		view := franking.Compile(before, 1, "")
+		view := config.Compile(before, 1, "")
 		next, err := view.With(step.Change, 2, "content")
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole, former := franking.Compile(after, 2, "content"), franking.Compile(before, 1, "")
+		whole, former := config.Compile(after, 2, "content"), config.Compile(before, 1, "")
 		if !reflect.DeepEqual(names(next), names(whole)) || next.Serial != 2 || next.Digest != "content" {
 			t.Fatal(names(next), names(whole))
 		}
@@ -187,7 +187,7 @@
 	}
 }
 
-func names(view *franking.View) (names []string) {
+func names(view *config.View) (names []string) {
 	for name := range view.Services {
 		names = append(names, name)
 	}
@@ -195,15 +195,15 @@
 	return names
 }
 
-func alike(one, other *franking.Service) bool {
+func alike(one, other *config.Service) bool {
 	return one != nil && other != nil && one.Name == other.Name && one.Group == other.Group && proto.Equal(one.Guard, other.Guard) && proto.Equal(one.Retry, other.Retry) && proto.Equal(one.Limits, other.Limits)
 }
 
-func entryAlike(one, other *franking.Path) bool {
+func entryAlike(one, other *config.Path) bool {
 	if one == nil || other == nil {
 		return one == other
 	}
-	if !alike(one.Service, other.Service) || !slices.EqualFunc(one.Split, other.Split, func(one, other franking.Share) bool {
+	if !alike(one.Service, other.Service) || !slices.EqualFunc(one.Split, other.Split, func(one, other config.Share) bool {
 		return one.UpTo == other.UpTo && alike(one.Service, other.Service)
 	}) {
 		return false
@@ -295,7 +295,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := franking.Compile(other, 1, "").With(step.Change, 2, ""); err != nil {
+		if _, err := config.Compile(other, 1, "").With(step.Change, 2, ""); err != nil {
 			refused++
 		}
 	}
--- a/internal/franking/changes/cost_test.go
+++ b/internal/config/changes/cost_test.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
+	"snowflow/internal/transport/wire"
 )
 
 // sized is a state of so many routes on a hundred hosts, some of which lead elsewhere.
@@ -47,7 +47,7 @@
 	for _, routes := range []int{10, 100, 1000, 10000} {
 		base, next := sized(routes, 0), sized(routes, 1)
 		from, to := read(t, base), read(t, next)
-		content, view := encode(t, from, to), franking.Compile(base, 1, "")
+		content, view := encode(t, from, to), config.Compile(base, 1, "")
 		lengths[routes] = len(content)
 		objects[routes] = testing.AllocsPerRun(20, func() {
 			step, err := changes.Apply(from, content)
@@ -83,30 +83,30 @@
 	for _, routes := range []int{10, 100, 1000, 10000} {
 		base, next := sized(routes, 0), sized(routes, 1)
 		from := read(b, base)
-		difference, whole, view := encode(b, from, read(b, next)), written(b, next), franking.Compile(base, 1, "")
+		difference, whole, view := encode(b, from, read(b, next)), written(b, next), config.Compile(base, 1, "")
 		for _, way := range []struct {
 			name    string
 			content []byte
-			take    func() (*franking.View, error)
+			take    func() (*config.View, error)
 		}{
-			{"difference", difference, func() (*franking.View, error) {
+			{"difference", difference, func() (*config.View, error) {
 				step, err := changes.Apply(from, difference)
 				if err != nil {
 					return nil, err
 				}
 				return view.With(step.Change, 2, "")
 			}},
-			{"whole", whole, func() (*franking.View, error) {
-				state, _ := franking.Accepted(whole)
+			{"whole", whole, func() (*config.View, error) {
+				state, _ := config.Accepted(whole)
 				set, err := changes.Read(state)
 				if err != nil {
 					return nil, err
 				}
-				return view.With(changes.Change(from, changes.Diff(from, set)), 2, franking.Digest(whole))
+				return view.With(changes.Change(from, changes.Diff(from, set)), 2, config.Digest(whole))
 			}},
-			{"before", whole, func() (*franking.View, error) {
-				state, _ := franking.Accepted(whole)
-				return franking.Compile(state, 2, franking.Digest(whole)), nil
+			{"before", whole, func() (*config.View, error) {
+				state, _ := config.Accepted(whole)
+				return config.Compile(state, 2, config.Digest(whole)), nil
 			}},
 		} {
 			b.Run(fmt.Sprintf("%s/%d", way.name, routes), func(b *testing.B) {
--- a/internal/franking/franking.go
+++ b/internal/config/franking.go
@@ -1,5 +1,5 @@
-// Package franking reads and checks desired states, and works out what each service gets from its group.
-package franking
+// Package config reads and checks desired states, and works out what each service gets from its group.
+package config
 
 import (
 	"crypto/sha256"
@@ -10,10 +10,10 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/env"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postcode"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/resourcepath"
+	"snowflow/internal/settings"
+	"snowflow/internal/transport/wire"
 )
 
 // Fault is one thing wrong with a desired state, at its place in the tree.
@@ -66,8 +66,8 @@
 }
 
 // span checks a span of time in whole microseconds.
-func (checker *checker) span(place string, value *int64, least, most postmark.Micros) {
-	if value != nil && (postmark.Micros(*value) < least || postmark.Micros(*value) > most) {
+func (checker *checker) span(place string, value *int64, least, most monotonic.Micros) {
+	if value != nil && (monotonic.Micros(*value) < least || monotonic.Micros(*value) > most) {
 		checker.fault(place, "%d is not between %d and %d microseconds", *value, least, most)
 	}
 }
@@ -141,8 +141,8 @@
 		}
 		checker.way(place, route.Host, methodOf(route.Method), route.Prefix, route.Class, paths)
 		checker.split(place+".split", route.Split, services)
-		checker.span(place+".cutoffMicros", route.CutoffMicros, 1, 10*postmark.Minute)
-		checker.span(place+".aimMicros", route.AimMicros, 1, 10*postmark.Minute)
+		checker.span(place+".cutoffMicros", route.CutoffMicros, 1, 10*monotonic.Minute)
+		checker.span(place+".aimMicros", route.AimMicros, 1, 10*monotonic.Minute)
 		checker.count(place+".mostTries", route.MostTries, 1, 10)
 	}
 }
@@ -165,7 +165,7 @@
 }
 
 func (checker *checker) name(place, name string, seen map[string]string) {
-	if env.Name(name) != nil {
+	if settings.Name(name) != nil {
 		checker.fault(place+".name", "%q must be a lower-case letter, then up to 62 letters, digits or hyphens", name)
 	}
 	if other, twice := seen[name]; twice {
@@ -186,7 +186,7 @@
 	if !strings.HasPrefix(prefix, "/") || strings.ContainsAny(prefix, "?# ") || len(prefix) > 500 {
 		checker.fault(place+".prefix", "%q must start with / and hold no ?, # or space", prefix)
 	}
-	if spelled, err := postcode.Parse(prefix); strings.HasPrefix(prefix, "/") && (err != nil || spelled.Path != prefix) {
+	if spelled, err := resourcepath.Parse(prefix); strings.HasPrefix(prefix, "/") && (err != nil || spelled.Path != prefix) {
 		checker.fault(place+".prefix", "%q must be spelled as requests are resolved: no escapes, doubled slashes or dot segments", prefix)
 	}
 	if strings.HasPrefix(prefix, "/.snowflow") {
@@ -196,7 +196,7 @@
 		checker.fault(place+".class", "must be read, once or single")
 	}
 	// With and without a slash at the end it's the same resources: they must not be of two classes.
-	key := method + " " + host + postcode.Resource(prefix)
+	key := method + " " + host + resourcepath.Resource(prefix)
 	if other, twice := seen[key]; twice {
 		checker.fault(place, "%s is already at %s", key, other)
 	}
@@ -210,21 +210,21 @@
 		checker.count(place+".minimumCalls", guard.MinimumCalls, 1, 10000)
 		checker.ratio(place+".failureRate", guard.FailureRate, 0.01, 1)
 		checker.ratio(place+".slowRate", guard.SlowRate, 0.01, 1)
-		checker.span(place+".slowMicros", guard.SlowMicros, postmark.Millisecond, 10*postmark.Minute)
-		checker.span(place+".waitOpenMicros", guard.WaitOpenMicros, 100*postmark.Millisecond, 2*postmark.Minute)
+		checker.span(place+".slowMicros", guard.SlowMicros, monotonic.Millisecond, 10*monotonic.Minute)
+		checker.span(place+".waitOpenMicros", guard.WaitOpenMicros, 100*monotonic.Millisecond, 2*monotonic.Minute)
 		checker.count(place+".permittedHalfOpen", guard.PermittedHalfOpen, 1, 1000)
-		checker.span(place+".probeTenureMicros", guard.ProbeTenureMicros, 100*postmark.Millisecond, 2*postmark.Minute)
+		checker.span(place+".probeTenureMicros", guard.ProbeTenureMicros, 100*monotonic.Millisecond, 2*monotonic.Minute)
 	}
 	if retry != nil {
 		place := place + ".retry"
 		checker.count(place+".mostTries", retry.MostTries, 1, 10)
 		checker.ratio(place+".budgetRatio", retry.BudgetRatio, 0, 0.2)
 		checker.count(place+".allowance", retry.Allowance, 0, 1000)
-		checker.span(place+".backoffMicros", retry.BackoffMicros, 0, 10*postmark.Second)
+		checker.span(place+".backoffMicros", retry.BackoffMicros, 0, 10*monotonic.Second)
 	}
 	if limits != nil {
 		place := place + ".limits"
-		checker.span(place+".cutoffMicros", limits.CutoffMicros, 10*postmark.Millisecond, 30*postmark.Second)
+		checker.span(place+".cutoffMicros", limits.CutoffMicros, 10*monotonic.Millisecond, 30*monotonic.Second)
 		checker.count(place+".inFlightPerBackend", limits.InFlightPerBackend, 1, 100000)
 		checker.bytes(place+".bodyBytes", limits.BodyBytes, 1, 32<<20)
 		checker.bytes(place+".answerBytes", limits.AnswerBytes, 1, 32<<20)
@@ -250,18 +250,18 @@
 
 func defaultGuard() *wire.Guard {
 	return &wire.Guard{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20), FailureRate: proto.Float64(0.5),
-		SlowRate: proto.Float64(1), SlowMicros: proto.Int64(int64(10 * postmark.Second)),
-		WaitOpenMicros: proto.Int64(int64(5 * postmark.Second)), PermittedHalfOpen: proto.Uint32(10),
-		ProbeTenureMicros: proto.Int64(int64(5 * postmark.Second)), Disabled: proto.Bool(false)}
+		SlowRate: proto.Float64(1), SlowMicros: proto.Int64(int64(10 * monotonic.Second)),
+		WaitOpenMicros: proto.Int64(int64(5 * monotonic.Second)), PermittedHalfOpen: proto.Uint32(10),
+		ProbeTenureMicros: proto.Int64(int64(5 * monotonic.Second)), Disabled: proto.Bool(false)}
 }
 
 func defaultRetry() *wire.Retry {
 	return &wire.Retry{MostTries: proto.Uint32(3), BudgetRatio: proto.Float64(0.2), Allowance: proto.Uint32(20),
-		BackoffMicros: proto.Int64(int64(20 * postmark.Millisecond))}
+		BackoffMicros: proto.Int64(int64(20 * monotonic.Millisecond))}
 }
 
 func defaultLimits() *wire.Limits {
-	return &wire.Limits{CutoffMicros: proto.Int64(int64(5 * postmark.Second)), InFlightPerBackend: proto.Uint32(64),
+	return &wire.Limits{CutoffMicros: proto.Int64(int64(5 * monotonic.Second)), InFlightPerBackend: proto.Uint32(64),
 		BodyBytes: proto.Uint64(1 << 20), AnswerBytes: proto.Uint64(8 << 20)}
 }
 
@@ -304,7 +304,7 @@
 // Terms are the guard's figures as the shared record keeps them.
 func (service *Service) Terms() *wire.GuardTerms {
 	return &wire.GuardTerms{WaitOpen: service.Guard.GetWaitOpenMicros(), Permitted: service.Guard.GetPermittedHalfOpen(),
-		FailureRate: service.Guard.GetFailureRate(), ProbeTenure: service.Guard.GetProbeTenureMicros(), StateTtl: int64(300 * postmark.Second)}
+		FailureRate: service.Guard.GetFailureRate(), ProbeTenure: service.Guard.GetProbeTenureMicros(), StateTtl: int64(300 * monotonic.Second)}
 }
 
 // View is one adopted desired state. Invariant: it never changes once made; what two versions have in common they may share.
--- a/internal/franking/franking_test.go
+++ b/internal/config/franking_test.go
@@ -1,4 +1,4 @@
-package franking_test
+package config_test
 
 import (
 	"fmt"
@@ -10,14 +10,14 @@
 	"github.com/cockroachdb/datadriven"
 
 	"snowflow/examples"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/config"
+	"snowflow/internal/transport/wire"
 )
 
 // TestDesiredStates keeps transcripts of what is read and refused, and of what services inherit.
 func TestDesiredStates(t *testing.T) {
 	datadriven.RunTest(t, "testdata/desired", func(t *testing.T, data *datadriven.TestData) string {
-		state, faults := franking.Parse([]byte(data.Input))
+		state, faults := config.Parse([]byte(data.Input))
 		var text strings.Builder
 		for _, fault := range faults {
 			// The JSON library varies its white space on purpose.
@@ -25,13 +25,13 @@
 		}
 		if data.Cmd == "adopt" || data.Cmd == "adopted-resolve" {
 			text.Reset()
-			if state, faults = franking.Accepted([]byte(data.Input)); len(faults) > 0 {
+			if state, faults = config.Accepted([]byte(data.Input)); len(faults) > 0 {
 				t.Fatal(faults)
 			}
 		} else if len(faults) > 0 {
 			return text.String()
 		}
-		view := franking.Compile(state, 7, "")
+		view := config.Compile(state, 7, "")
 		if data.Cmd == "resolve" || data.Cmd == "adopted-resolve" {
 			method := "GET"
 			for _, argument := range data.CmdArgs {
@@ -86,7 +86,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, faults := franking.Parse(content); len(faults) > 0 {
+		if _, faults := config.Parse(content); len(faults) > 0 {
 			t.Errorf("%s: %v", name, faults)
 		}
 	}
@@ -135,7 +135,7 @@
 					Class: wire.Path_read, Split: []*wire.Share{{Service: "one", Weight: 1}}})
 			}
 		}
-		view := franking.Compile(state, 1, "")
+		view := config.Compile(state, 1, "")
 		for range 200 {
 			host, method, path := pick("", "x", "y", "z"), pick("GET", "POST", "PUT"), "/"+strings.TrimPrefix(made(), "/")
 			found, is := view.Resolve(host, method, path)
@@ -155,12 +155,12 @@
 
 // TestPicksByWeight counts whom a split leads to.
 func TestPicksByWeight(t *testing.T) {
-	state, faults := franking.Parse([]byte(`{"groups":[{"name":"field","services":[{"name":"one"},{"name":"two"},{"name":"three"}]}],
+	state, faults := config.Parse([]byte(`{"groups":[{"name":"field","services":[{"name":"one"},{"name":"two"},{"name":"three"}]}],
 "routes":[{"name":"r","prefix":"/","class":"read","split":[{"service":"one","weight":90},{"service":"two","weight":0},{"service":"three","weight":10}]}]}`))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	path, _ := franking.Compile(state, 1, "").Resolve("", "GET", "/")
+	path, _ := config.Compile(state, 1, "").Resolve("", "GET", "/")
 	chance, counts := rand.New(rand.NewPCG(3, 4)), map[string]int{}
 	for range 100000 {
 		counts[path.Pick(chance.Uint64()).Name]++
@@ -178,7 +178,7 @@
 			state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprint("r-", number), Host: fmt.Sprintf("h%d.example", number%100), Prefix: fmt.Sprintf("/lepu%d/", number),
 				Class: wire.Path_read, Split: []*wire.Share{{Service: "one", Weight: 1}}})
 		}
-		view := franking.Compile(state, 1, "")
+		view := config.Compile(state, 1, "")
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
--- a/internal/franking/route.go
+++ b/internal/config/route.go
@@ -1,12 +1,12 @@
-package franking
+package config
 
 import (
 	"sort"
 	"strings"
 
-	"snowflow/internal/franking/shared"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/config/shared"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Share is one service's part of a split.
@@ -28,8 +28,8 @@
 	Once bool
 	// Single: it may run at most once, and has no key: it's never tried again unless it's certain that it has not run.
 	Single    bool
-	Cutoff    postmark.Micros
-	Aim       postmark.Micros
+	Cutoff    monotonic.Micros
+	Aim       monotonic.Micros
 	Priority  uint32
 	MostTries uint32
 	Service   *Service
@@ -186,7 +186,7 @@
 // only a state that a build which checked less has accepted can have it.
 func compileRoute(route *wire.Route, services map[string]*Service) *Path {
 	path := &Path{Name: route.Name, Host: route.Host, Method: methodOf(route.Method), Prefix: route.Prefix, Once: route.Class == wire.Path_once,
-		Single: route.Class == wire.Path_single, Cutoff: postmark.Micros(route.GetCutoffMicros()), Aim: postmark.Micros(route.GetAimMicros()),
+		Single: route.Class == wire.Path_single, Cutoff: monotonic.Micros(route.GetCutoffMicros()), Aim: monotonic.Micros(route.GetAimMicros()),
 		Priority: route.GetPriority(), MostTries: route.GetMostTries()}
 	sum := uint64(0)
 	for _, share := range route.Split {
--- a/internal/franking/shape.go
+++ b/internal/config/shape.go
@@ -1,4 +1,4 @@
-package franking
+package config
 
 import (
 	"bytes"
--- a/internal/franking/shared/shared_test.go
+++ b/internal/config/shared/shared_test.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"testing"
 
-	"snowflow/internal/franking/shared"
+	"snowflow/internal/config/shared"
 )
 
 // TestVersions compares a row of versions with plain maps: each holds what it should, and still does after the next was made.
--- a/internal/configstore/api/api.go
+++ b/internal/configstore/api/api.go
@@ -12,13 +12,13 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/google/uuid"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/versions"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Names of the headers and query words that operators use.
@@ -32,7 +32,7 @@
 	place host.Host
 	book  *discovery.Book
 	// reads reads contents in the dialect that they are stored in, with all their faults.
-	reads franking.Reader
+	reads config.Reader
 }
 
 // Applied is the answer to an apply.
@@ -62,7 +62,7 @@
 }
 
 // New makes the handler. read reads contents in the dialect that they are stored in, with all their faults.
-func New(place host.Host, book *discovery.Book, metrics http.Handler, status func() any, read franking.Reader) http.Handler {
+func New(place host.Host, book *discovery.Book, metrics http.Handler, status func() any, read config.Reader) http.Handler {
 	door := &door{store: &forwarding{place: place, book: book}, place: place, book: book, reads: read}
 	router := chi.NewRouter()
 	router.Put("/desired-state", door.apply)
@@ -99,12 +99,12 @@
 const Unreached = "unreached"
 
 // applyPatience is how long an apply may take: reaching the primary, and being in force everywhere.
-const applyPatience = 24 * postmark.Second
+const applyPatience = 24 * monotonic.Second
 
 var statuses = map[string]int{versions.Accepted: http.StatusOK, versions.Conflict: http.StatusPreconditionFailed, versions.Invalid: http.StatusBadRequest}
 
 func (door *door) apply(writer http.ResponseWriter, incoming *http.Request) {
-	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, franking.Longest))
+	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, config.Longest))
 	if err != nil {
 		write(writer, http.StatusRequestEntityTooLarge, Applied{Outcome: versions.Invalid, Faults: []string{err.Error()}})
 		return
@@ -142,19 +142,19 @@
 }
 
 func (door *door) check(writer http.ResponseWriter, incoming *http.Request) {
-	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, franking.Longest))
+	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, config.Longest))
 	if err != nil {
 		write(writer, http.StatusRequestEntityTooLarge, Applied{Outcome: versions.Invalid, Faults: []string{err.Error()}})
 		return
 	}
 	if !invalid(writer, content, "") {
-		write(writer, http.StatusOK, Applied{Outcome: "valid", Digest: franking.Digest(content)})
+		write(writer, http.StatusOK, Applied{Outcome: "valid", Digest: config.Digest(content)})
 	}
 }
 
 // invalid turns a content down that has faults, and tells whether it did.
 func invalid(writer http.ResponseWriter, content []byte, request string) bool {
-	_, faults := franking.Parse(content)
+	_, faults := config.Parse(content)
 	if len(faults) == 0 {
 		return false
 	}
@@ -168,7 +168,7 @@
 
 func (door *door) read(writer http.ResponseWriter, serial uint64) {
 	tell := &wire.DesiredReadTell{}
-	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: serial}, tell, 5*postmark.Second); err != nil {
+	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: serial}, tell, 5*monotonic.Second); err != nil {
 		write(writer, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
@@ -182,7 +182,7 @@
 
 func (door *door) history(writer http.ResponseWriter, _ *http.Request) {
 	tell := &wire.DesiredReadTell{}
-	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, tell, 5*postmark.Second); err != nil {
+	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, tell, 5*monotonic.Second); err != nil {
 		write(writer, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
@@ -211,9 +211,9 @@
 	}{{"postmaster", wire.Kind_postmaster_status, overview.Postmasters}, {"sorter", wire.Kind_sorter_status, overview.Sorters}}
 	for _, asked := range kinds {
 		members := door.book.Members(asked.group)
-		replies := host.Gather(door.place, members, 2*postmark.Second, func(name string) (*wire.StatusTell, error) {
+		replies := host.Gather(door.place, members, 2*monotonic.Second, func(name string) (*wire.StatusTell, error) {
 			tell := &wire.StatusTell{}
-			return tell, door.book.Call(name, asked.kind, &wire.StatusAsk{}, tell, 1500*postmark.Millisecond)
+			return tell, door.book.Call(name, asked.kind, &wire.StatusAsk{}, tell, 1500*monotonic.Millisecond)
 		}, func(map[string]*wire.StatusTell, int) bool { return false })
 		for _, name := range members {
 			if reply := replies[name]; reply != nil {
--- a/internal/configstore/api/changes.go
+++ b/internal/configstore/api/changes.go
@@ -9,11 +9,11 @@
 	"strconv"
 	"strings"
 
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Names of the query words of a comparison: serials, the newest if left out.
@@ -37,7 +37,7 @@
 // version reads an accepted state back and takes it apart.
 func (door *door) version(serial uint64) (*wire.DesiredKept, *changes.Set, error) {
 	tell := &wire.DesiredReadTell{}
-	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: serial}, tell, 5*postmark.Second); err != nil {
+	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: serial}, tell, 5*monotonic.Second); err != nil {
 		return nil, nil, err
 	}
 	if !tell.Found {
@@ -52,7 +52,7 @@
 }
 
 // Set reads a content that must have no faults, and takes it apart.
-func Set(read franking.Reader, content []byte) (*changes.Set, error) {
+func Set(read config.Reader, content []byte) (*changes.Set, error) {
 	state, faults := read(content)
 	if len(faults) > 0 {
 		texts := make([]string, len(faults))
@@ -91,7 +91,7 @@
 
 // preview compares a content that isn't applied with the newest state.
 func (door *door) preview(writer http.ResponseWriter, incoming *http.Request) {
-	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, franking.Longest))
+	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, config.Longest))
 	if err != nil {
 		write(writer, http.StatusRequestEntityTooLarge, map[string]string{"error": err.Error()})
 		return
@@ -126,7 +126,7 @@
 func (door *door) compared(base, next *changes.Set, told Changes) Changes {
 	difference := changes.Diff(base, next)
 	told.Summary = changes.Summarize(base, difference)
-	if content, err := changes.Encode(difference, told.To, franking.Digest(nil)); err == nil {
+	if content, err := changes.Encode(difference, told.To, config.Digest(nil)); err == nil {
 		told.Bytes = len(content)
 	}
 	for _, content := range door.status().Postmasters {
--- a/internal/configstore/api/recent.go
+++ b/internal/configstore/api/recent.go
@@ -4,9 +4,9 @@
 	"errors"
 	"sync"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // errNotAsTold: a primary's answer isn't what its digest says.
@@ -62,11 +62,11 @@
 			base = nil
 		}
 		var err error
-		if content, err = delta.Decode(base, kept.Delta, franking.Longest); err != nil {
+		if content, err = delta.Decode(base, kept.Delta, config.Longest); err != nil {
 			return nil
 		}
 	}
-	if franking.Digest(content) != kept.Digest {
+	if config.Digest(content) != kept.Digest {
 		return nil
 	}
 	store.recent.keep(kept.Digest, content)
--- a/internal/configstore/api/store.go
+++ b/internal/configstore/api/store.go
@@ -7,14 +7,14 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/versions"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 var (
@@ -28,9 +28,9 @@
 type Store interface {
 	// Apply gives the primary's answer, or ErrNotTaken or ErrUnknown, within patience. A content that names its version, or has
 	// a request id, is taken once however often it's sent; one that has neither is given an id for this call.
-	Apply(patience postmark.Micros, ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error)
+	Apply(patience monotonic.Micros, ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error)
 	// Newest gives the newest state, nothing before the first, within patience.
-	Newest(patience postmark.Micros) (*wire.DesiredKept, error)
+	Newest(patience monotonic.Micros) (*wire.DesiredKept, error)
 }
 
 // forwarding is a store that any postmaster's process has: it passes everything on to the primary.
@@ -48,15 +48,15 @@
 }
 
 // pause passes the time until it makes sense to ask again. Meanwhile somebody is asked who leads; a silent one isn't waited for.
-func (store *forwarding) pause(cutoff postmark.Micros) {
+func (store *forwarding) pause(cutoff monotonic.Micros) {
 	store.place.Go(store.book.Ask)
-	store.place.Sleep(max(0, min(100*postmark.Millisecond, cutoff-store.place.Now())))
+	store.place.Sleep(max(0, min(100*monotonic.Millisecond, cutoff-store.place.Now())))
 }
 
 // primary asks the primary postmaster, again after a failover. Only asks that may be repeated go this way.
-func (store *forwarding) primary(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (store *forwarding) primary(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	cutoff := store.place.Now() + patience
-	var err error = seal.Unreachable.New("no primary postmaster is known")
+	var err error = apierror.Unreachable.New("no primary postmaster is known")
 	for store.place.Now() < cutoff {
 		if leader := store.book.Leader(configstore.Group); leader != "" {
 			if err = store.book.Call(leader, kind, ask, tell, cutoff-store.place.Now()); err == nil {
@@ -69,15 +69,15 @@
 }
 
 // reachPatience is how long a door looks for a primary before it turns an apply down: time for a failover.
-const reachPatience = 4 * postmark.Second
+const reachPatience = 4 * monotonic.Second
 
 // reaches tells whether a process that answers as primary does so to this one. The state it's asked for isn't there: only
 // whether it would look counts.
-func (store *forwarding) reaches(patience postmark.Micros) bool {
+func (store *forwarding) reaches(patience monotonic.Micros) bool {
 	cutoff := store.place.Now() + patience
 	for {
 		leader := store.book.Leader(configstore.Group)
-		limit := max(postmark.Millisecond, min(500*postmark.Millisecond, cutoff-store.place.Now()))
+		limit := max(monotonic.Millisecond, min(500*monotonic.Millisecond, cutoff-store.place.Now()))
 		if leader != "" && store.book.Call(leader, wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: math.MaxUint64}, &wire.DesiredReadTell{}, limit) == nil {
 			return true
 		}
@@ -88,7 +88,7 @@
 	}
 }
 
-func (store *forwarding) Apply(patience postmark.Micros, ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error) {
+func (store *forwarding) Apply(patience monotonic.Micros, ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error) {
 	place := store.place
 	cutoff := place.Now() + patience
 	if ask.Version == 0 && ask.Request == "" {
@@ -100,23 +100,23 @@
 		return nil, ErrNotTaken
 	}
 	sent, whole := false, false
-	var err error = seal.Unreachable.New("no time was left")
+	var err error = apierror.Unreachable.New("no time was left")
 	for place.Now() < cutoff {
 		if leader := store.book.Leader(configstore.Group); leader != "" {
 			tell, short := &wire.DesiredApplyTell{}, store.short(leader, ask, whole)
 			// A primary that falls silent is left time for another to take over.
 			remaining := cutoff - place.Now()
-			if err = store.book.Call(leader, wire.Kind_desired_apply, short, tell, max(remaining/2, min(remaining, postmark.Second))); err == nil {
+			if err = store.book.Call(leader, wire.Kind_desired_apply, short, tell, max(remaining/2, min(remaining, monotonic.Second))); err == nil {
 				if tell.Outcome == versions.BaseUnknown && !whole {
 					whole = true
 					continue
 				}
 				if tell.Outcome == versions.Accepted {
-					store.recent.keep(franking.Digest(ask.Content), ask.Content)
+					store.recent.keep(config.Digest(ask.Content), ask.Content)
 				}
 				return tell, nil
 			}
-			sent = sent || !seal.IsUnreachable(err)
+			sent = sent || !apierror.IsUnreachable(err)
 		}
 		store.pause(cutoff)
 	}
@@ -126,7 +126,7 @@
 	return nil, fmt.Errorf("%w: %v", ErrUnknown, err)
 }
 
-func (store *forwarding) Newest(patience postmark.Micros) (*wire.DesiredKept, error) {
+func (store *forwarding) Newest(patience monotonic.Micros) (*wire.DesiredKept, error) {
 	have, base := store.recent.get()
 	ask, cutoff := &wire.DesiredReadAsk{Have: have, Deltas: true}, store.place.Now()+patience
 	for {
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -3,12 +3,12 @@
 import (
 	"errors"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/apierror"
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/replication"
-	"snowflow/internal/seal"
+	"snowflow/internal/transport/wire"
 )
 
 // ErrUnacknowledged: the desired state may have been accepted. Asking again with the same request id is harmless.
@@ -29,7 +29,7 @@
 		for _, fault := range faults {
 			tell.Faults = append(tell.Faults, fault.String())
 		}
-		master.env.Place.Report(bulletin.DesiredRefused, map[string]any{"faults": tell.Faults})
+		master.env.Place.Report(eventlog.DesiredRefused, map[string]any{"faults": tell.Faults})
 		return tell, nil
 	}
 	master.versions.Know(ask.Content, state)
@@ -48,7 +48,7 @@
 	if ask.Version > 0 && tell.Serial != ask.Version {
 		return master.inForce(tell) // a higher one stands
 	}
-	master.env.Place.Report(bulletin.DesiredAccepted, map[string]any{"serial": tell.Serial, "digest": tell.Digest})
+	master.env.Place.Report(eventlog.DesiredAccepted, map[string]any{"serial": tell.Serial, "digest": tell.Digest})
 	return master.inForce(tell)
 }
 
@@ -72,7 +72,7 @@
 
 // waitFrom is the moment from which an apply of a serial waits to be in force everywhere. Where carriers serve on, that is the
 // commit of the newest, as far as this process knows, so that asking again doesn't wait again.
-func (master *Postmaster) waitFrom(serial uint64) postmark.Micros {
+func (master *Postmaster) waitFrom(serial uint64) monotonic.Micros {
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	now := master.env.Place.Now()
@@ -92,16 +92,16 @@
 	started, cutoff := place.Now(), master.waitFrom(serial)+master.env.Bounds.patience()
 	master.news.wake()
 	for {
-		wait := 100 * postmark.Millisecond
+		wait := 100 * monotonic.Millisecond
 		word := master.words.join()
 		if master.Member.Answering() {
 			names, behind := master.behind(serial)
 			if len(names) == 0 && master.Member.Answering() {
 				master.words.leave(word)
-				place.Report(bulletin.DesiredSpread, map[string]any{"serial": serial, "micros": int64(place.Now() - started)})
+				place.Report(eventlog.DesiredSpread, map[string]any{"serial": serial, "micros": int64(place.Now() - started)})
 				return true
 			}
-			wait = min(max(behind, postmark.Millisecond), 250*postmark.Millisecond)
+			wait = min(max(behind, monotonic.Millisecond), 250*monotonic.Millisecond)
 		}
 		remaining := cutoff - place.Now()
 		if remaining > 0 {
@@ -118,7 +118,7 @@
 func (master *Postmaster) ReadBack(ask *wire.DesiredReadAsk) (*wire.DesiredReadTell, error) {
 	tell := &wire.DesiredReadTell{}
 	var base *wire.DesiredKept
-	done := master.Member.Read(func(uint64, postmark.Micros) {
+	done := master.Member.Read(func(uint64, monotonic.Micros) {
 		if ask.List {
 			tell.Found = true
 			for _, kept := range master.store.All() {
@@ -136,7 +136,7 @@
 		}
 	})
 	if !done {
-		return nil, seal.Refused.New("not the primary")
+		return nil, apierror.Refused.New("not the primary")
 	}
 	if ask.Deltas && len(tell.States) == 1 && !ask.List {
 		tell.States[0] = shortened(tell.States[0], base)
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -17,7 +17,7 @@
 	"github.com/go-git/go-git/v5/plumbing/filemode"
 	"github.com/go-git/go-git/v5/plumbing/object"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 const (
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-git/go-git/v5"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 func states(count int) (all []*wire.DesiredKept) {
--- a/internal/configstore/bounds.go
+++ b/internal/configstore/bounds.go
@@ -3,29 +3,29 @@
 import (
 	"errors"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Bounds are the spans that a postmaster goes by; what is left zero is as Defaults has it.
 type Bounds struct {
 	// Lease is how long a carrier may serve by what it last heard, counted from before its poll.
-	Lease postmark.Micros
+	Lease monotonic.Micros
 	// Slack is what may be left of an unheard carrier's lease when a desired state is acknowledged.
-	Slack postmark.Micros
+	Slack monotonic.Micros
 	// PollHold is how long a poll is held open for news.
-	PollHold postmark.Micros
+	PollHold monotonic.Micros
 	// Wait is how long after its commit a state is acknowledged at the latest where carriers serve on. Carriers that were
 	// heard within the last Lease are waited for until then.
-	Wait postmark.Micros
+	Wait monotonic.Micros
 	// ServeOn: carriers serve on while out of touch, so their leases' ends aren't waited for. The carriers' must be set too.
 	ServeOn bool
 }
 
 // Defaults are the bounds that hold for what isn't set.
-var Defaults = Bounds{Lease: Tenure, Slack: Slack, PollHold: postmark.Second, Wait: 1200 * postmark.Millisecond}
+var Defaults = Bounds{Lease: Tenure, Slack: Slack, PollHold: monotonic.Second, Wait: 1200 * monotonic.Millisecond}
 
 func (bounds Bounds) filled() Bounds {
-	for _, one := range []struct{ set, otherwise *postmark.Micros }{{&bounds.Lease, &Defaults.Lease}, {&bounds.Slack, &Defaults.Slack},
+	for _, one := range []struct{ set, otherwise *monotonic.Micros }{{&bounds.Lease, &Defaults.Lease}, {&bounds.Slack, &Defaults.Slack},
 		{&bounds.PollHold, &Defaults.PollHold}, {&bounds.Wait, &Defaults.Wait}} {
 		if *one.set == 0 {
 			*one.set = *one.otherwise
@@ -39,25 +39,25 @@
 	if bounds.Slack < 0 || bounds.PollHold < 0 || bounds.Wait < 0 || bounds.Slack >= bounds.Lease {
 		return errors.New("postmaster: no bound may be below zero, and the slack must be less than the lease")
 	}
-	if bounds.Lease < bounds.PollHold+postmark.Second {
+	if bounds.Lease < bounds.PollHold+monotonic.Second {
 		return errors.New("postmaster: the lease must outlast the poll's hold by a second at least")
 	}
 	return nil
 }
 
 // patience is how long an apply waits to be in force everywhere before it's answered otherwise.
-func (bounds Bounds) patience() postmark.Micros {
+func (bounds Bounds) patience() monotonic.Micros {
 	if bounds.ServeOn {
 		return bounds.Wait
 	}
-	return bounds.Lease + 9*postmark.Second
+	return bounds.Lease + 9*monotonic.Second
 }
 
 // unknown is how long a new primary doesn't know who serves: until the leases that others gave are nearly over.
-func (bounds Bounds) unknown() postmark.Micros { return bounds.Lease - bounds.Slack }
+func (bounds Bounds) unknown() monotonic.Micros { return bounds.Lease - bounds.Slack }
 
 // slack is what may be left of the lease of a carrier that isn't waited for.
-func (bounds Bounds) slack() postmark.Micros {
+func (bounds Bounds) slack() monotonic.Micros {
 	if bounds.ServeOn {
 		return 0
 	}
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -6,14 +6,14 @@
 	"encoding/json"
 	"sync"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/differences"
 	"snowflow/internal/configstore/versions"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
 )
 
 // Group is the postmasters' name as a group.
@@ -21,10 +21,10 @@
 
 const (
 	// Tenure is how long a carrier may serve by what it last heard, counted from before its poll.
-	Tenure = 6 * postmark.Second
+	Tenure = 6 * monotonic.Second
 	// Slack is what may be left of an unheard carrier's tenure when a desired state is acknowledged: less than the
 	// 2 s that are promised.
-	Slack = 1500 * postmark.Millisecond
+	Slack = 1500 * monotonic.Millisecond
 )
 
 // Env is what a postmaster is made of.
@@ -38,7 +38,7 @@
 	Adjust  func(*replication.Env)
 	Bounds  Bounds
 	// Read reads contents as they are applied and stored, franking.Parse if left out.
-	Read franking.Reader
+	Read config.Reader
 	// History is how many accepted states are kept at most, all for zero. It must be the same at every postmaster.
 	History int
 	// Versions bounds what is kept to tell carriers differences; what is left zero is as differences.Defaults has it.
@@ -46,7 +46,7 @@
 	// AnyContent has the store confirm several contents under one number. Only rehearsals of the checkers set it.
 	AnyContent bool
 	// Adopted is told how long after its commit a carrier gave its word that it has adopted a version; it must not block.
-	Adopted func(carrier string, serial uint64, took postmark.Micros)
+	Adopted func(carrier string, serial uint64, took monotonic.Micros)
 	// Kept is told all accepted states that are kept, oldest first, whenever this process as primary accepts one or starts to answer;
 	// it must not block.
 	Kept func(states []*wire.DesiredKept)
@@ -66,14 +66,14 @@
 	news    *crowd // polls that wait for a new state
 	words   *crowd // applies that wait for carriers' word of adoption
 	// ackFrom is the moment from which no tenure that an earlier primary gave has more than Slack left.
-	ackFrom postmark.Micros
+	ackFrom monotonic.Micros
 	epoch   uint64
 	// committedAt is when this process first knew that committed, the highest such serial, was accepted.
 	committed   uint64
-	committedAt postmark.Micros
+	committedAt monotonic.Micros
 	// newestAt is when this process first knew of newest, by whichever way.
 	newest   uint64
-	newestAt postmark.Micros
+	newestAt monotonic.Micros
 	// handed is what the primary of handedEpoch knew of tenures when it handed over, after it had given its last one.
 	handed      map[string]*holder
 	handedEpoch uint64
@@ -82,7 +82,7 @@
 // Open reads the disk.
 func Open(env Env) (*Postmaster, error) {
 	if env.Read == nil {
-		env.Read = franking.Parse
+		env.Read = config.Parse
 	}
 	env.Bounds = env.Bounds.filled()
 	if err := env.Bounds.check(); err != nil {
@@ -99,7 +99,7 @@
 	member, err := replication.Open(core)
 	master.Member = member
 	if err == nil {
-		member.Vigil.OnLeap(func(postmark.Micros) { master.doubt() })
+		member.Vigil.OnLeap(func(monotonic.Micros) { master.doubt() })
 	}
 	return master, err
 }
@@ -111,7 +111,7 @@
 	if master.env.Kept == nil {
 		return
 	}
-	master.Member.Read(func(uint64, postmark.Micros) {
+	master.Member.Read(func(uint64, monotonic.Micros) {
 		if states := master.store.All(); len(states) > 0 {
 			master.env.Kept(states)
 		}
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // allTakeDeltas tells whether every voter is known to take contents as differences: copies of an earlier build don't.
@@ -27,16 +27,16 @@
 	}
 	whole = &wire.DesiredApplyAsk{ExpectedSerial: ask.ExpectedSerial, Request: ask.Request, AnySerial: ask.AnySerial, Version: ask.Version}
 	var base []byte
-	done := master.Member.Read(func(uint64, postmark.Micros) {
+	done := master.Member.Read(func(uint64, monotonic.Micros) {
 		if kept := master.store.WithDigest(ask.Base); kept != nil || ask.Base == "" {
 			base, known = kept.GetContent(), true
 		}
 	})
 	if !done {
-		return nil, false, seal.Refused.New("not the primary")
+		return nil, false, apierror.Refused.New("not the primary")
 	}
 	if known {
-		whole.Content, err = delta.Decode(base, ask.Delta, franking.Longest)
+		whole.Content, err = delta.Decode(base, ask.Delta, config.Longest)
 		known = err == nil
 	}
 	return whole, known, nil
@@ -61,7 +61,7 @@
 		return nil
 	}
 	var newest *wire.DesiredKept
-	master.Member.Read(func(uint64, postmark.Micros) { newest = master.store.Newest() })
+	master.Member.Read(func(uint64, monotonic.Micros) { newest = master.store.Newest() })
 	encoded, err := delta.Encode(newest.GetContent(), ask.Content)
 	if err != nil {
 		return nil
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -7,9 +7,9 @@
 	"slices"
 	"sync"
 
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
+	"snowflow/internal/transport/wire"
 )
 
 // Bounds on what is kept. The newest set that was asked for always is.
@@ -38,7 +38,7 @@
 // Invariants: read holds each content once, the one used last at the end, and no more than the bounds allow unless it's one alone;
 // differences all lead to the content named by newest, and each is from a content in read.
 type Versions struct {
-	read   franking.Reader
+	read   config.Reader
 	bounds Bounds
 
 	lock        sync.Mutex
@@ -49,7 +49,7 @@
 }
 
 // New makes an empty store; read reads accepted contents.
-func New(read franking.Reader, bounds Bounds) *Versions {
+func New(read config.Reader, bounds Bounds) *Versions {
 	if bounds.Count == 0 {
 		bounds.Count = Defaults.Count
 	}
@@ -63,7 +63,7 @@
 func (versions *Versions) Know(content []byte, state *wire.DesiredState) {
 	versions.lock.Lock()
 	defer versions.lock.Unlock()
-	versions.know(franking.Digest(content), len(content), state)
+	versions.know(config.Digest(content), len(content), state)
 }
 
 func (versions *Versions) know(digest string, length int, state *wire.DesiredState) *changes.Set {
--- a/internal/configstore/differences/differences_test.go
+++ b/internal/configstore/differences/differences_test.go
@@ -7,10 +7,10 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore/differences"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // scene is a store and the contents that were accepted, with how often contents were read.
@@ -22,9 +22,9 @@
 
 func begin(t *testing.T, bounds differences.Bounds) *scene {
 	made := &scene{t: t}
-	made.store = differences.New(func(content []byte) (*wire.DesiredState, []franking.Fault) {
+	made.store = differences.New(func(content []byte) (*wire.DesiredState, []config.Fault) {
 		made.reads++
-		return franking.Accepted(content)
+		return config.Accepted(content)
 	}, bounds)
 	return made
 }
@@ -41,12 +41,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &wire.DesiredKept{Serial: serial, Content: content, Digest: franking.Digest(content)}
+	return &wire.DesiredKept{Serial: serial, Content: content, Digest: config.Digest(content)}
 }
 
 func set(t *testing.T, one *wire.DesiredKept) *changes.Set {
 	t.Helper()
-	state, _ := franking.Accepted(one.Content)
+	state, _ := config.Accepted(one.Content)
 	made, err := changes.Read(state)
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 func TestKnownStatesArentReadAgain(t *testing.T) {
 	scene := begin(t, differences.Bounds{})
 	for serial := uint64(1); serial <= 4; serial++ {
-		state, _ := franking.Accepted(kept(t, serial).Content)
+		state, _ := config.Accepted(kept(t, serial).Content)
 		scene.store.Know(kept(t, serial).Content, state)
 	}
 	for serial := uint64(1); serial < 4; serial++ {
@@ -93,7 +93,7 @@
 	one, two := kept(t, 1), kept(t, 2)
 	damaged := &wire.DesiredKept{Serial: 1, Content: []byte("{"), Digest: "d"}
 	tiny := func(serial uint64, text string) *wire.DesiredKept {
-		return &wire.DesiredKept{Serial: serial, Content: []byte(text), Digest: franking.Digest([]byte(text))}
+		return &wire.DesiredKept{Serial: serial, Content: []byte(text), Digest: config.Digest([]byte(text))}
 	}
 	small, other := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"}]}]}`), tiny(2, `{"groups":[{"name":"g","services":[{"name":"b"}]}]}`)
 	doubtful := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"},{"name":"a"}]}]}`)
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // holder is one carrier's tenure. Invariants: until is no earlier than the end the carrier itself counts with; one that was
@@ -17,14 +17,14 @@
 type holder struct {
 	name     string
 	adopted  uint64
-	since    postmark.Micros // when this process first heard that
-	took     postmark.Micros // from the commit until then, zero if this process doesn't know
-	until    postmark.Micros
+	since    monotonic.Micros // when this process first heard that
+	took     monotonic.Micros // from the commit until then, zero if this process doesn't know
+	until    monotonic.Micros
 	released bool
 }
 
 // settled is called when this process starts answering. Only after a takeover may strangers hold tenures.
-func (master *Postmaster) settled(epoch uint64, _ postmark.Micros) {
+func (master *Postmaster) settled(epoch uint64, _ monotonic.Micros) {
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	// Between a handover's epoch and this one lies only this process's own takeover, in which nobody answered: then the
@@ -36,7 +36,7 @@
 	}
 	master.epoch, master.handed = epoch, nil
 	master.env.Place.Go(func() {
-		master.env.Place.Sleep(postmark.Second) // it isn't answering yet
+		master.env.Place.Sleep(monotonic.Second) // it isn't answering yet
 		master.tellKept()
 	})
 }
@@ -78,7 +78,7 @@
 	defer master.lock.Unlock()
 	master.handed, master.handedEpoch = map[string]*holder{}, epoch
 	for _, present := range holders.Holders {
-		master.handed[present.Key] = &holder{name: present.Carrier, adopted: present.Adopted, since: master.env.Place.Now(), until: master.env.Place.Now() + postmark.Micros(present.Left)}
+		master.handed[present.Key] = &holder{name: present.Carrier, adopted: present.Adopted, since: master.env.Place.Now(), until: master.env.Place.Now() + monotonic.Micros(present.Left)}
 	}
 }
 
@@ -88,7 +88,7 @@
 
 func (master *Postmaster) adopted(ask *wire.DesiredPollAsk) {
 	master.lock.Lock()
-	now, took := master.env.Place.Now(), postmark.Micros(-1)
+	now, took := master.env.Place.Now(), monotonic.Micros(-1)
 	if present := master.holders[holderKey(ask)]; present != nil {
 		if present.adopted < ask.Have {
 			present.adopted, present.since, present.took = ask.Have, now, 0
@@ -151,12 +151,12 @@
 
 // behind names the carriers that may still serve by an older serial for longer than Slack. Where carriers serve on, these are
 // those heard within the last Lease that haven't adopted.
-func (master *Postmaster) behind(serial uint64) (names []string, wait postmark.Micros) {
+func (master *Postmaster) behind(serial uint64) (names []string, wait monotonic.Micros) {
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	now, slack := master.env.Place.Now(), master.env.Bounds.slack()
 	if !master.Member.Vigil.Steady() {
-		return []string{"(the clock may have leapt)"}, 100 * postmark.Millisecond
+		return []string{"(the clock may have leapt)"}, 100 * monotonic.Millisecond
 	}
 	for key, present := range master.holders {
 		if now >= present.until {
--- a/internal/configstore/packing.go
+++ b/internal/configstore/packing.go
@@ -5,7 +5,7 @@
 	"compress/flate"
 	"sync"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // packFrom is the length from which a content is packed, in bytes.
--- a/internal/configstore/packing_test.go
+++ b/internal/configstore/packing_test.go
@@ -7,7 +7,7 @@
 	"io"
 	"testing"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // TestPacking: a content of many routes goes out deflated, once for all, to whom takes it so, and plain to others; and what is
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -1,8 +1,8 @@
 package configstore
 
 import (
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Poll renews a carrier's tenure, with the newest desired state if the carrier hasn't got it. It waits a while for news.
@@ -17,7 +17,7 @@
 		news := master.news.join()
 		tell := &wire.DesiredPollTell{Primaries: master.env.Book.Primaries(), Tenure: int64(master.env.Bounds.Lease), Hold: int64(master.env.Bounds.PollHold)}
 		var base, newest *wire.DesiredKept
-		tell.Primary = master.Member.Read(func(epoch uint64, _ postmark.Micros) {
+		tell.Primary = master.Member.Read(func(epoch uint64, _ monotonic.Micros) {
 			tell.Epoch, tell.Serial = epoch, master.store.Serial()
 			master.seen(tell.Serial)
 			if kept := master.store.Newest(); kept != nil && kept.Serial != ask.Have {
--- a/internal/configstore/status.go
+++ b/internal/configstore/status.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/replication"
 )
 
@@ -28,7 +28,7 @@
 // Status tells how this postmaster stands.
 func (master *Postmaster) Status() Status {
 	status := Status{Core: master.Member.Status(), Computed: master.Computed()}
-	master.Member.Read(func(uint64, postmark.Micros) { status.Serial = master.store.Serial() })
+	master.Member.Read(func(uint64, monotonic.Micros) { status.Serial = master.store.Serial() })
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	now := master.env.Place.Now()
--- a/internal/configstore/versions/packed.go
+++ b/internal/configstore/versions/packed.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // packed has each state told by its difference from the one before, the first from nothing. A state whose difference can't be made
@@ -36,13 +36,13 @@
 			if kept.Base != before.GetDigest() {
 				return nil, fmt.Errorf("store: state %d is told by another than the one before", kept.Serial)
 			}
-			content, err := delta.Decode(before.GetContent(), kept.Delta, franking.Longest)
+			content, err := delta.Decode(before.GetContent(), kept.Delta, config.Longest)
 			if err != nil {
 				return nil, fmt.Errorf("store: state %d: %w", kept.Serial, err)
 			}
 			whole = &wire.DesiredKept{Serial: kept.Serial, Content: content, Digest: kept.Digest, Request: kept.Request}
 		}
-		if franking.Digest(whole.Content) != whole.Digest {
+		if config.Digest(whole.Content) != whole.Digest {
 			return nil, fmt.Errorf("store: state %d isn't what its digest says", kept.Serial)
 		}
 		all, before = append(all, whole), whole
--- a/internal/configstore/versions/taken.go
+++ b/internal/configstore/versions/taken.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/hex"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 const (
--- a/internal/configstore/versions/versions.go
+++ b/internal/configstore/versions/versions.go
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // The outcomes of an apply.
@@ -47,7 +47,7 @@
 }
 
 // Apply carries out a command. A request that was accepted before gets its first answer again.
-func (store *Store) Apply(_ uint64, _ postmark.Micros, content []byte) []byte {
+func (store *Store) Apply(_ uint64, _ monotonic.Micros, content []byte) []byte {
 	command := &wire.DesiredCommand{}
 	tell := &wire.DesiredApplyTell{Outcome: Invalid}
 	if err := proto.Unmarshal(content, command); err == nil && command.Apply != nil {
@@ -82,7 +82,7 @@
 		}
 		base = kept.Content
 	}
-	content, err := delta.Decode(base, ask.Delta, franking.Longest)
+	content, err := delta.Decode(base, ask.Delta, config.Longest)
 	return content, err == nil
 }
 
@@ -97,7 +97,7 @@
 }
 
 func (store *Store) accept(ask *wire.DesiredApplyAsk) *wire.DesiredApplyTell {
-	digest := franking.Digest(ask.Content)
+	digest := config.Digest(ask.Content)
 	if ask.Version > 0 {
 		return store.raise(ask, digest)
 	}
--- a/internal/configstore/versions/versions_test.go
+++ b/internal/configstore/versions/versions_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // TestLedger keeps transcripts of applies. Each line goes to two copies: one lives on, the other is given the whole state anew
--- a/internal/house/governor.go
+++ b/internal/daemon/governor.go
@@ -1,14 +1,14 @@
-package house
+package daemon
 
 import (
 	"runtime"
 	"syscall"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 const (
-	governEvery = 100 * postmark.Millisecond
+	governEvery = 100 * monotonic.Millisecond
 	// busy is the share of the processors in use from which more are taken at once.
 	busy = 0.6
 	// calm is the share under which half of them would do, and calmSpans how many spans in a row it takes to believe it.
@@ -61,10 +61,10 @@
 }
 
 // processorTime is what this process has used so far.
-func processorTime() postmark.Micros {
+func processorTime() monotonic.Micros {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return postmark.Micros((usage.Utime.Nano() + usage.Stime.Nano()) / 1000)
+	return monotonic.Micros((usage.Utime.Nano() + usage.Stime.Nano()) / 1000)
 }
--- a/internal/house/house.go
+++ b/internal/daemon/house.go
@@ -1,5 +1,5 @@
-// Package house puts a daemon together: settings, events, host, listeners under a supervisor, and a planned stop.
-package house
+// Package daemon puts a daemon together: settings, events, host, listeners under a supervisor, and a planned stop.
+package daemon
 
 import (
 	"context"
@@ -19,16 +19,16 @@
 	"github.com/spf13/cobra"
 	"github.com/thejerf/suture/v4"
 
-	"snowflow/internal/bulletin"
 	"snowflow/internal/discovery"
-	"snowflow/internal/env"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
 	"snowflow/internal/host/machine"
 	"snowflow/internal/host/machine/socket"
-	"snowflow/internal/parcel/frame"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/release"
+	"snowflow/internal/settings"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 	"snowflow/internal/wal/folder"
 )
@@ -36,8 +36,8 @@
 // House is a daemon being put together. Invariant: cleanups unwind last first, once.
 type House struct {
 	Program  string
-	Values   env.Values
-	Board    *bulletin.Board
+	Values   settings.Values
+	Board    *eventlog.Board
 	Place    *machine.Machine
 	Book     *discovery.Book
 	Table    host.Table
@@ -63,14 +63,14 @@
 }
 
 // Command makes a daemon's command line. Bad settings end with exit code 2, a failed start with 1.
-func Command(program, short string, fields []env.Field, group string, build func(house *House) error) *cobra.Command {
+func Command(program, short string, fields []settings.Field, group string, build func(house *House) error) *cobra.Command {
 	command := &cobra.Command{
 		Use: program, Short: short, Args: cobra.NoArgs, Version: fmt.Sprintf("%s (wire version %d)", release.Version, frame.Version),
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	env.Flags(command.Flags(), fields)
+	settings.Flags(command.Flags(), fields)
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		values, err := env.Load(command.Flags(), fields)
+		values, err := settings.Load(command.Flags(), fields)
 		if err != nil {
 			return &BadUse{err}
 		}
@@ -100,8 +100,8 @@
 }
 
 // Run is a daemon's life from checked settings to its planned stop. group is empty for a process that isn't of the core.
-func Run(program, group string, values env.Values, build func(house *House) error) error {
-	board, err := bulletin.NewBoard(program, values["name"], values["log"])
+func Run(program, group string, values settings.Values, build func(house *House) error) error {
+	board, err := eventlog.NewBoard(program, values["name"], values["log"])
 	if err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 		}
 		return suture.ErrDoNotRestart
 	})
-	house.Add(func() error { house.Book.Roam(postmark.Second); return nil })
+	house.Add(func() error { house.Book.Roam(monotonic.Second); return nil })
 	if house.Values.Number("processors") == 1 {
 		runtime.GOMAXPROCS(1) // said so, the runtime doesn't ask the system every second
 	} else {
@@ -212,7 +212,7 @@
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	house.supervisor.ServeBackground(running)
-	house.Place.Report(bulletin.ProcessStarted, map[string]any{"release": release.Version, "wire": frame.Version, "listen": house.Values["listen"], "process": os.Getpid()})
+	house.Place.Report(eventlog.ProcessStarted, map[string]any{"release": release.Version, "wire": frame.Version, "listen": house.Values["listen"], "process": os.Getpid()})
 	signal.Notify(house.stops, syscall.SIGTERM, syscall.SIGINT)
 	select {
 	case <-house.stops:
@@ -220,7 +220,7 @@
 		if house.Drain != nil {
 			house.Drain()
 		}
-		house.Place.Settle(200 * postmark.Millisecond)
+		house.Place.Settle(200 * monotonic.Millisecond)
 		return nil
 	case why := <-house.faults:
 		return errors.New(why)
@@ -239,7 +239,7 @@
 				_, err = fmt.Sscan(string(content), &span)
 			}
 			if err == nil {
-				house.Place.Leap(postmark.Micros(span))
+				house.Place.Leap(monotonic.Micros(span))
 			}
 		}
 	}()
--- a/internal/house/metrics.go
+++ b/internal/daemon/metrics.go
@@ -1,4 +1,4 @@
-package house
+package daemon
 
 import (
 	"strconv"
@@ -6,14 +6,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host/machine"
 )
 
 var processOptions = collectors.ProcessCollectorOpts{}
 
 // eventCounter shows how often each numbered event happened.
-type eventCounter struct{ board *bulletin.Board }
+type eventCounter struct{ board *eventlog.Board }
 
 var eventsDescription = prometheus.NewDesc("snowflow_events_total", "Events by their number in the catalogue.", []string{"event"}, nil)
 
--- a/internal/house/pages.go
+++ b/internal/daemon/pages.go
@@ -1,4 +1,4 @@
-package house
+package daemon
 
 import (
 	"encoding/json"
@@ -7,11 +7,11 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/carrier/passage"
-	"snowflow/internal/postmark"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/forward"
+	"snowflow/internal/proxy/request"
 	"snowflow/internal/replication"
-	"snowflow/internal/seal"
 )
 
 // Page shows a status as JSON.
@@ -38,11 +38,11 @@
 }
 
 // TakeUp shows how long after its commit each carrier gave its word that it has adopted a version.
-func (house *House) TakeUp() func(carrier string, serial uint64, took postmark.Micros) {
+func (house *House) TakeUp() func(carrier string, serial uint64, took monotonic.Micros) {
 	histogram := prometheus.NewHistogram(prometheus.HistogramOpts{Name: "snowflow_desired_take_up_micros",
 		Help: "Microseconds from the commit of a version to each carrier's word that it has adopted it.", Buckets: prometheus.ExponentialBuckets(500, 2, 17)})
 	house.Registry.MustRegister(histogram)
-	return func(_ string, _ uint64, took postmark.Micros) { histogram.Observe(float64(took)) }
+	return func(_ string, _ uint64, took monotonic.Micros) { histogram.Observe(float64(took)) }
 }
 
 // Tally counts requests by service and outcome.
@@ -62,7 +62,7 @@
 }
 
 // Finished counts one outcome.
-func (tally *Tally) Finished(trip *passage.Trip, _ *letter.Answer, fault *seal.Fault) {
+func (tally *Tally) Finished(trip *forward.Trip, _ *request.Answer, fault *apierror.Fault) {
 	service, cause, verdict := "", "0", ""
 	if trip.Service != nil {
 		service = trip.Service.Name
--- a/internal/discovery/book.go
+++ b/internal/discovery/book.go
@@ -11,10 +11,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 )
 
@@ -35,14 +35,14 @@
 	primaries map[string]*wire.Primary
 	seeds     []string
 	turn      int
-	asked     postmark.Micros
+	asked     monotonic.Micros
 	waiting   map[string]bool // targets that haven't answered yet
 	kept      *wal.Log        // addresses on disk, nil where there is no disk or it failed
 	written   string
 }
 
 // askEvery bounds how often one process asks who the core is, however many of its tasks want to know.
-const askEvery = 100 * postmark.Millisecond
+const askEvery = 100 * monotonic.Millisecond
 
 // New makes a book. own is nil for a process that is not of the core.
 func New(place host.Host, own *wire.PeerAddress, seeds []string) *Book {
@@ -239,10 +239,10 @@
 }
 
 // Call sends to a name. When its address turns out not to be it, the next address is taken for the next call.
-func (book *Book) Call(name string, kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (book *Book) Call(name string, kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	address := book.Address(name)
 	if address == "" {
-		return seal.Unreachable.New("no address known for %s", name)
+		return apierror.Unreachable.New("no address known for %s", name)
 	}
 	err := book.place.Call(address, kind, ask, tell, patience)
 	if err != nil {
@@ -267,11 +267,11 @@
 }
 
 // Roam keeps asking seeds and known processes who the core is. It never returns.
-func (book *Book) Roam(pause postmark.Micros) {
+func (book *Book) Roam(pause monotonic.Micros) {
 	for {
 		book.Ask()
 		book.note()
-		book.place.Sleep(pause + postmark.Micros(book.place.Random()%uint64(pause/4+1)))
+		book.place.Sleep(pause + monotonic.Micros(book.place.Random()%uint64(pause/4+1)))
 	}
 }
 
@@ -323,7 +323,7 @@
 		own = []*wire.PeerAddress{book.own}
 	}
 	tell := &wire.WhoisTell{}
-	if book.place.Call(target, wire.Kind_whois, &wire.WhoisAsk{Known: own}, tell, 500*postmark.Millisecond) == nil {
+	if book.place.Call(target, wire.Kind_whois, &wire.WhoisAsk{Known: own}, tell, 500*monotonic.Millisecond) == nil {
 		book.Learn(tell.Known)
 		book.Hint(tell.Primaries)
 	}
--- a/internal/discovery/book_test.go
+++ b/internal/discovery/book_test.go
@@ -6,9 +6,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // TestSignOfLife: who only asks for a sign of life gets no list of the core, which goes to and fro between zones for each long
@@ -30,7 +30,7 @@
 				ask  *wire.WhoisAsk
 				tell *wire.WhoisTell
 			}{{&wire.WhoisAsk{Sign: true}, sign}, {&wire.WhoisAsk{}, whole}} {
-				if err := place.Call("asked", wire.Kind_whois, call.ask, call.tell, postmark.Second); err != nil {
+				if err := place.Call("asked", wire.Kind_whois, call.ask, call.tell, monotonic.Second); err != nil {
 					t.Error(err)
 				}
 			}
@@ -39,7 +39,7 @@
 	})
 	simulated.Start(asked)
 	simulated.Start(asker)
-	simulated.Run(simulated.Now() + 5*postmark.Second)
+	simulated.Run(simulated.Now() + 5*monotonic.Second)
 	if simulated.Panicked != nil {
 		t.Fatal(simulated.Panicked)
 	}
--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -10,12 +10,12 @@
 	"testing"
 
 	"github.com/spf13/pflag"
-	"snowflow/internal/bulletin"
-	"snowflow/internal/depot/scenario"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/rehearse/scenario"
 
-	"snowflow/internal/env"
-	"snowflow/internal/mailround/round"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/settings"
+	simulated "snowflow/internal/simulation/scenario"
 )
 
 func read(t *testing.T, name string) string {
@@ -29,7 +29,7 @@
 
 func TestEventsAreListed(t *testing.T) {
 	page := read(t, "events.md")
-	for number, listed := range bulletin.Catalogue {
+	for number, listed := range eventlog.Catalogue {
 		if !strings.Contains(page, fmt.Sprintf("| %d | %s | %s |", number, listed.Level, listed.Text)) {
 			t.Errorf("event %d (%s) is not in docs/events.md as it is in the code", number, listed.Text)
 		}
@@ -38,8 +38,8 @@
 
 func TestCausesAreListed(t *testing.T) {
 	page := read(t, "interfaces.md")
-	for cause, name := range seal.Causes() {
-		if !strings.Contains(page, fmt.Sprintf("| %d | %s | %d |", cause, name, seal.New(cause, seal.NotRun, "").Status())) {
+	for cause, name := range apierror.Causes() {
+		if !strings.Contains(page, fmt.Sprintf("| %d | %s | %d |", cause, name, apierror.New(cause, apierror.NotRun, "").Status())) {
 			t.Errorf("cause %d (%s) is not in docs/interfaces.md as it is in the code", cause, name)
 		}
 	}
@@ -47,7 +47,7 @@
 
 func TestSettingsAreListed(t *testing.T) {
 	page := read(t, "settings.md")
-	for _, field := range append(env.Core(), env.Carrier()...) {
+	for _, field := range append(settings.Core(), settings.Carrier()...) {
 		if !strings.Contains(page, "`"+field.Name+"`") {
 			t.Errorf("setting %s is not in docs/settings.md", field.Name)
 		}
@@ -56,13 +56,13 @@
 
 // TestExampleSettings: what operators are shown to start from is taken.
 func TestExampleSettings(t *testing.T) {
-	for program, fields := range map[string][]env.Field{"sorter": env.Core(), "postmaster": env.Core(), "carrier": env.Carrier()} {
+	for program, fields := range map[string][]settings.Field{"sorter": settings.Core(), "postmaster": settings.Core(), "carrier": settings.Carrier()} {
 		flags := pflag.NewFlagSet(program, pflag.ContinueOnError)
-		env.Flags(flags, fields)
+		settings.Flags(flags, fields)
 		if err := flags.Set("env", "../../examples/env/"+program+"-1.json"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := env.Load(flags, fields); err != nil {
+		if _, err := settings.Load(flags, fields); err != nil {
 			t.Errorf("%s: %v", program, err)
 		}
 	}
@@ -75,7 +75,7 @@
 			t.Errorf("scenario %s is not in docs/rules.md", name)
 		}
 	}
-	for name := range round.Courses {
+	for name := range simulated.Courses {
 		if !strings.Contains(page, "`"+name+"`") {
 			t.Errorf("course %s is not in docs/rules.md", name)
 		}
@@ -104,8 +104,8 @@
 }
 
 // wallReaders may read the wall clock or the machine's own: for network cutoffs, for measuring, for people.
-var wallReaders = []string{"internal/host/machine/", "internal/postmark/", "internal/carrier/delivery/", "internal/wal/folder/",
-	"internal/replication/status.go", "internal/depot/", "internal/clerk/", "cmd/depot/"}
+var wallReaders = []string{"internal/host/machine/", "internal/monotonic/", "internal/proxy/upstream/", "internal/wal/folder/",
+	"internal/replication/status.go", "internal/rehearse/", "internal/snowctl/", "cmd/rehearse/"}
 
 // TestNothingElseReadsTheWallClock: what decides goes through the host, so a clock that jumps decides nothing. What
 // the listed places read is either compared with another reading of the same process, which Go does on the
--- a/internal/bulletin/bulletin.go
+++ b/internal/eventlog/bulletin.go
@@ -1,5 +1,5 @@
-// Package bulletin carries numbered events from where they happen to the log and the counters, over watermill.
-package bulletin
+// Package eventlog carries numbered events from where they happen to the log and the counters, over watermill.
+package eventlog
 
 import (
 	"context"
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/eventlog/bulletin_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package eventlog
 
 import (
 	"bytes"
--- a/internal/host/vigil/vigil.go
+++ b/internal/host/clockwatch/vigil.go
@@ -1,23 +1,23 @@
-// Package vigil watches a process's clock against its own sleeps. A decision clock ought never to step; where one does, what
+// Package clockwatch watches a process's clock against its own sleeps. A decision clock ought never to step; where one does, what
 // was measured on it may end too early or too late, and must not be acted on.
-package vigil
+package clockwatch
 
 import (
 	"sync"
 
 	"go.uber.org/atomic"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 const (
 	// beat is how often the clock is looked at.
-	beat = 100 * postmark.Millisecond
+	beat = 100 * monotonic.Millisecond
 	// gap is what may lie between two looks before the clock counts as leapt, or this process as having stood still: the two
 	// can't be told apart from inside.
-	gap = 700 * postmark.Millisecond
+	gap = 700 * monotonic.Millisecond
 )
 
 // Vigil is one process's watch.
@@ -27,7 +27,7 @@
 	place host.Host
 	pulse atomic.Int64
 	lock  sync.Mutex
-	leapt []func(span postmark.Micros)
+	leapt []func(span monotonic.Micros)
 	// rounds are the tasks done beside the looks. They don't change once Watch runs.
 	rounds []round
 	// trusting takes whatever the clock shows; only rehearsals of the checkers set it.
@@ -52,7 +52,7 @@
 
 // OnLeap has a function called with what the clock went ahead by more than it should have. It's called before Steady is
 // true again.
-func (vigil *Vigil) OnLeap(tell func(span postmark.Micros)) {
+func (vigil *Vigil) OnLeap(tell func(span monotonic.Micros)) {
 	vigil.lock.Lock()
 	defer vigil.lock.Unlock()
 	vigil.leapt = append(vigil.leapt, tell)
@@ -60,18 +60,18 @@
 
 // Every has a task done after each so many looks as come nearest to a span, one at least. It's called before Watch, and the task
 // must not wait: it comes in the wake-up that the look needs anyway.
-func (vigil *Vigil) Every(span postmark.Micros, task func()) {
+func (vigil *Vigil) Every(span monotonic.Micros, task func()) {
 	vigil.rounds = append(vigil.rounds, round{every: max(1, int((span+beat/2)/beat)), task: task})
 }
 
 // Behind tells whether the clock shows less than it did before.
 func (vigil *Vigil) Behind() bool {
-	return !vigil.trusting && vigil.place.Now() < postmark.Micros(vigil.pulse.Load())
+	return !vigil.trusting && vigil.place.Now() < monotonic.Micros(vigil.pulse.Load())
 }
 
 // Steady tells whether the clock can be trusted to have gone on as time did.
 func (vigil *Vigil) Steady() bool {
-	ahead := vigil.place.Now() - postmark.Micros(vigil.pulse.Load())
+	ahead := vigil.place.Now() - monotonic.Micros(vigil.pulse.Load())
 	return vigil.trusting || ahead >= 0 && ahead < gap
 }
 
@@ -96,16 +96,16 @@
 }
 
 // judge looks at what passed between two looks. It tells whether the process goes on.
-func (vigil *Vigil) judge(passed postmark.Micros) bool {
+func (vigil *Vigil) judge(passed monotonic.Micros) bool {
 	if vigil.trusting || passed >= beat/2 && passed < gap {
 		return true
 	}
 	if passed < beat/2 {
-		vigil.place.Report(bulletin.ClockStepped, map[string]any{"micros": int64(passed - beat)})
+		vigil.place.Report(eventlog.ClockStepped, map[string]any{"micros": int64(passed - beat)})
 		vigil.place.Stop("the clock stepped back")
 		return false
 	}
-	vigil.place.Report(bulletin.Frozen, map[string]any{"micros": int64(passed - beat)})
+	vigil.place.Report(eventlog.Frozen, map[string]any{"micros": int64(passed - beat)})
 	vigil.lock.Lock()
 	leapt := vigil.leapt
 	vigil.lock.Unlock()
--- a/internal/host/vigil/vigil_test.go
+++ b/internal/host/clockwatch/vigil_test.go
@@ -1,16 +1,16 @@
-package vigil
+package clockwatch
 
 import (
 	"slices"
 	"testing"
 
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
 )
 
 // watched runs a watch in a simulated process for a span.
-func watched(t *testing.T, span postmark.Micros, prepare func(watch *Vigil)) {
+func watched(t *testing.T, span monotonic.Micros, prepare func(watch *Vigil)) {
 	t.Helper()
 	simulated := world.New(1)
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
@@ -26,8 +26,8 @@
 // TestTasksComeWithTheLooks: a task is done at whole beats, as near to its span as they allow, and never less often.
 func TestTasksComeWithTheLooks(t *testing.T) {
 	counts := make([]int, 3)
-	watched(t, 10*postmark.Second, func(watch *Vigil) {
-		for index, span := range []postmark.Micros{10 * postmark.Millisecond, 200 * postmark.Millisecond, 500 * postmark.Millisecond} {
+	watched(t, 10*monotonic.Second, func(watch *Vigil) {
+		for index, span := range []monotonic.Micros{10 * monotonic.Millisecond, 200 * monotonic.Millisecond, 500 * monotonic.Millisecond} {
 			watch.Every(span, func() { counts[index]++ })
 		}
 	})
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -9,21 +9,21 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 )
 
 // Host is one process's way to the world.
 // Invariant: no lock is held across Sleep, Call, Wait or a disk's Sync; the simulator runs one task at a time.
 type Host interface {
-	postmark.Clock
-	Sleep(span postmark.Micros)
+	monotonic.Clock
+	Sleep(span monotonic.Micros)
 	Go(task func())
 	// Call sends a request and waits for its reply. Its errors are seal.Unreachable (certainly not delivered),
 	// seal.Lost (may have been delivered) and seal.Refused (delivered and turned down).
-	Call(address string, kind wire.Kind, request, reply proto.Message, patience postmark.Micros) error
+	Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error
 	NewSignal() Signal
 	Random() uint64
 	Disk() wal.Disk
@@ -36,7 +36,7 @@
 // Signal wakes one waiter. A Fire with nobody waiting is kept for the next Wait.
 type Signal interface {
 	Fire()
-	Wait(patience postmark.Micros) bool
+	Wait(patience monotonic.Micros) bool
 }
 
 // Handler answers one kind of request.
@@ -53,7 +53,7 @@
 	table[kind] = func(content []byte) (proto.Message, error) {
 		request := RequestPointer(new(Request))
 		if err := proto.Unmarshal(content, request); err != nil {
-			return nil, seal.Invalid.Wrap(err, "unreadable %s", kind)
+			return nil, apierror.Invalid.Wrap(err, "unreadable %s", kind)
 		}
 		reply, err := answer(request)
 		if err != nil {
@@ -82,7 +82,7 @@
 }
 
 // Take removes everything, waiting up to patience for a first item. It may return nothing.
-func (inbox *Inbox[Item]) Take(patience postmark.Micros) []Item {
+func (inbox *Inbox[Item]) Take(patience monotonic.Micros) []Item {
 	if items := inbox.grab(); len(items) > 0 {
 		return items
 	}
@@ -109,7 +109,7 @@
 	owner := &Owner{place: place, inbox: NewInbox[func()](place)}
 	place.Go(func() {
 		for {
-			for _, command := range owner.inbox.Take(postmark.Forever) {
+			for _, command := range owner.inbox.Take(monotonic.Forever) {
 				command()
 			}
 		}
@@ -121,13 +121,13 @@
 func (owner *Owner) Do(command func()) {
 	done := owner.place.NewSignal()
 	owner.inbox.Put(func() { command(); done.Fire() })
-	for !done.Wait(postmark.Forever) {
+	for !done.Wait(monotonic.Forever) {
 	}
 }
 
 // Gather runs one task per name at once and waits until enough says so, all are done, or patience runs out.
 // Answers that come later are ignored. Names are visited in sorted order, so that simulated runs repeat.
-func Gather[Reply any](place Host, names []string, patience postmark.Micros, ask func(name string) (Reply, error),
+func Gather[Reply any](place Host, names []string, patience monotonic.Micros, ask func(name string) (Reply, error),
 	enough func(replies map[string]Reply, failures int) bool) map[string]Reply {
 	ordered := slices.Sorted(slices.Values(names))
 	var lock sync.Mutex
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -6,31 +6,31 @@
 	"os"
 	"time"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/wal"
 )
 
 // Machine is the real host of one process.
 type Machine struct {
-	*postmark.Machine
+	*monotonic.Machine
 	*Peers
 	disk     wal.Disk
-	bulletin *bulletin.Board
+	bulletin *eventlog.Board
 	stop     func(why string)
 	crew     crew
 }
 
 // New makes an host. disk may be nil where a process keeps nothing.
-func New(disk wal.Disk, board *bulletin.Board, stop func(why string)) *Machine {
-	machine := &Machine{Machine: postmark.NewMachine(), disk: disk, bulletin: board, stop: stop}
+func New(disk wal.Disk, board *eventlog.Board, stop func(why string)) *Machine {
+	machine := &Machine{Machine: monotonic.NewMachine(), disk: disk, bulletin: board, stop: stop}
 	machine.Peers = newPeers(machine)
 	return machine
 }
 
 // Sleep waits.
-func (machine *Machine) Sleep(span postmark.Micros) { time.Sleep(span.Duration()) }
+func (machine *Machine) Sleep(span monotonic.Micros) { time.Sleep(span.Duration()) }
 
 // Go starts a task.
 func (machine *Machine) Go(task func()) { machine.crew.start(task) }
@@ -48,7 +48,7 @@
 
 // Stop ends the process.
 func (machine *Machine) Stop(why string) {
-	machine.Report(bulletin.ProcessStopped, map[string]any{"why": why})
+	machine.Report(eventlog.ProcessStopped, map[string]any{"why": why})
 	if machine.stop != nil {
 		machine.stop(why)
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-func (signal *signal) Wait(patience postmark.Micros) bool {
+func (signal *signal) Wait(patience monotonic.Micros) bool {
 	select {
 	case <-signal.channel:
 		return true
@@ -77,7 +77,7 @@
 	if patience <= 0 {
 		return false
 	}
-	if patience >= postmark.Forever {
+	if patience >= monotonic.Forever {
 		<-signal.channel
 		return true
 	}
--- a/internal/host/machine/peers.go
+++ b/internal/host/machine/peers.go
@@ -11,13 +11,13 @@
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
 	"snowflow/internal/host/machine/socket"
-	"snowflow/internal/parcel/frame"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
 )
 
 // frameLimit bounds one message between processes.
@@ -76,7 +76,7 @@
 }
 
 // DialWithin bounds what a dial may take: where the ways are short, a machine that doesn't answer one soon isn't there.
-func (peers *Peers) DialWithin(most postmark.Micros) { peers.dialFor = most.Duration() }
+func (peers *Peers) DialWithin(most monotonic.Micros) { peers.dialFor = most.Duration() }
 
 // Traffic tells the bytes exchanged with each address this process called.
 func (peers *Peers) Traffic() map[string][2]uint64 {
@@ -125,7 +125,7 @@
 		incoming, err := frame.Read(reader, frameLimit)
 		if err != nil {
 			if errors.Is(err, frame.ErrMalformed) {
-				peers.machine.Report(bulletin.MalformedFrame, map[string]any{"address": link.address, "error": err.Error()})
+				peers.machine.Report(eventlog.MalformedFrame, map[string]any{"address": link.address, "error": err.Error()})
 			}
 			peers.drop(link)
 			return
@@ -145,7 +145,7 @@
 // ear reads a link's connection and notes when it heard something: a part of a long frame is a sign of life too.
 type ear struct {
 	link  *link
-	clock postmark.Clock
+	clock monotonic.Clock
 }
 
 func (ear *ear) Read(into []byte) (int, error) {
@@ -179,9 +179,9 @@
 }
 
 // Call sends a request and waits for its reply.
-func (peers *Peers) Call(address string, kind wire.Kind, request, reply proto.Message, patience postmark.Micros) error {
+func (peers *Peers) Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error {
 	if address == "" {
-		return seal.Unreachable.New("no address")
+		return apierror.Unreachable.New("no address")
 	}
 	started := peers.machine.Now()
 	timer := time.NewTimer(patience.Duration())
@@ -193,16 +193,16 @@
 	select {
 	case <-link.dialled:
 	case <-timer.C:
-		return seal.Unreachable.New("dialling %s took too long", address)
+		return apierror.Unreachable.New("dialling %s took too long", address)
 	}
 	if link.dialError != nil {
-		return seal.Unreachable.Wrap(link.dialError, "dialling %s", address)
+		return apierror.Unreachable.Wrap(link.dialError, "dialling %s", address)
 	}
 	waiter := make(chan frame.Frame, 1)
 	link.lock.Lock()
 	if link.closed {
 		link.lock.Unlock()
-		return seal.Unreachable.New("connection to %s had ended", address)
+		return apierror.Unreachable.New("connection to %s had ended", address)
 	}
 	link.next++
 	number := link.next
@@ -211,7 +211,7 @@
 	encoded, err := frame.AppendMessage(nil, frame.Frame{Kind: kind, Number: number}, request)
 	if err != nil {
 		link.forget(number)
-		return seal.Invalid.Wrap(err, "encoding %s", kind)
+		return apierror.Invalid.Wrap(err, "encoding %s", kind)
 	}
 	link.writing.Lock()
 	err = socket.WriteWithin(link.connection, encoded, patience.Duration())
@@ -220,22 +220,22 @@
 	peers.tallies.sent(kind, len(encoded))
 	if err != nil {
 		peers.drop(link)
-		return seal.Lost.Wrap(err, "writing to %s", address)
+		return apierror.Lost.Wrap(err, "writing to %s", address)
 	}
 	select {
 	case incoming, open := <-waiter:
 		if !open {
-			return seal.Lost.New("connection to %s ended", address)
+			return apierror.Lost.New("connection to %s ended", address)
 		}
 		if incoming.Flags&frame.Fault != 0 {
-			return seal.Refused.New("%s: %s", address, incoming.Content)
+			return apierror.Refused.New("%s: %s", address, incoming.Content)
 		}
 		if incoming.Kind != kind {
 			peers.drop(link)
-			return seal.Lost.New("%s answered %s with %s", address, kind, incoming.Kind)
+			return apierror.Lost.New("%s answered %s with %s", address, kind, incoming.Kind)
 		}
 		if err := proto.Unmarshal(incoming.Content, reply); err != nil {
-			return seal.Lost.Wrap(err, "decoding %s", kind)
+			return apierror.Lost.Wrap(err, "decoding %s", kind)
 		}
 		return nil
 	case <-timer.C:
@@ -244,7 +244,7 @@
 		if link.heard.Load() < int64(started) {
 			peers.drop(link)
 		}
-		return seal.Lost.New("no answer from %s within %v", address, patience.Duration())
+		return apierror.Lost.New("no answer from %s within %v", address, patience.Duration())
 	}
 }
 
@@ -256,9 +256,9 @@
 }
 
 // Settle waits, at most patience, until every request of others has its reply written.
-func (peers *Peers) Settle(patience postmark.Micros) {
+func (peers *Peers) Settle(patience monotonic.Micros) {
 	for cutoff := peers.machine.Now() + patience; peers.busy.Load() > 0 && peers.machine.Now() < cutoff; {
-		peers.machine.Sleep(2 * postmark.Millisecond)
+		peers.machine.Sleep(2 * monotonic.Millisecond)
 	}
 }
 
@@ -288,9 +288,9 @@
 		}
 		if err != nil {
 			if errors.Is(err, frame.ErrMalformed) {
-				peers.machine.Report(bulletin.MalformedFrame, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error(), "kind": int(incoming.Kind)})
+				peers.machine.Report(eventlog.MalformedFrame, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error(), "kind": int(incoming.Kind)})
 			} else if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				peers.machine.Report(bulletin.ConnectionLost, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error()})
+				peers.machine.Report(eventlog.ConnectionLost, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error()})
 			}
 			return
 		}
--- a/internal/host/machine/peers_test.go
+++ b/internal/host/machine/peers_test.go
@@ -9,17 +9,17 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/frame"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
 )
 
-func served(t *testing.T, table host.Table) (*Machine, string, *bulletin.Board) {
+func served(t *testing.T, table host.Table) (*Machine, string, *eventlog.Board) {
 	t.Helper()
-	board, err := bulletin.NewBoard("test", "test", "error")
+	board, err := eventlog.NewBoard("test", "test", "error")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	distant[5] = byte(frame.Version + 2)
 	for name, content := range map[string][]byte{"no frame": []byte("GET / HTTP/1.1\r\nHost: somebody\r\n\r\n"), "a flipped bit": flipped,
 		"an unknown kind": good, "a distant version": distant} {
-		before := board.Counts()[bulletin.MalformedFrame]
+		before := board.Counts()[eventlog.MalformedFrame]
 		connection, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 			t.Errorf("%s: the connection stays open: %v", name, err)
 		}
 		_ = connection.Close()
-		if board.Counts()[bulletin.MalformedFrame] != before+1 {
+		if board.Counts()[eventlog.MalformedFrame] != before+1 {
 			t.Errorf("%s: no event", name)
 		}
 	}
@@ -75,13 +75,13 @@
 	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) { return &wire.ClaimTell{Outcome: ask.Scope}, nil })
 	machine, address, _ := served(t, table)
 	defer close(held)
-	if err := machine.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, postmark.Second); !seal.IsRefused(err) {
+	if err := machine.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, monotonic.Second); !apierror.IsRefused(err) {
 		t.Errorf("refused: %v", err)
 	}
-	if err := machine.Call(address, wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, 20*postmark.Millisecond); err == nil || seal.IsRefused(err) || seal.IsUnreachable(err) {
+	if err := machine.Call(address, wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, 20*monotonic.Millisecond); err == nil || apierror.IsRefused(err) || apierror.IsUnreachable(err) {
 		t.Errorf("lost: %v", err)
 	}
-	if err := machine.Call("127.0.0.1:1", wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, postmark.Second); !seal.IsUnreachable(err) {
+	if err := machine.Call("127.0.0.1:1", wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, monotonic.Second); !apierror.IsUnreachable(err) {
 		t.Errorf("unreachable: %v", err)
 	}
 	// Answers find their own asks, whatever else waits on the connection.
@@ -89,7 +89,7 @@
 	for number := range 50 {
 		go func() {
 			tell, scope := &wire.ClaimTell{}, string(rune('a'+number))
-			err := machine.Call(address, wire.Kind_claim, &wire.ClaimAsk{Scope: scope}, tell, 10*postmark.Second)
+			err := machine.Call(address, wire.Kind_claim, &wire.ClaimAsk{Scope: scope}, tell, 10*monotonic.Second)
 			done <- err == nil && tell.Outcome == scope
 		}()
 	}
@@ -103,7 +103,7 @@
 // TestLongAnswerOutlivesShortAsk: while a long answer comes in, a short ask on the same connection runs out of patience.
 // The connection is alive, so the long answer must still arrive.
 func TestLongAnswerOutlivesShortAsk(t *testing.T) {
-	board, err := bulletin.NewBoard("test", "test", "error")
+	board, err := eventlog.NewBoard("test", "test", "error")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,9 +142,9 @@
 	}()
 	machine, address, tell := New(nil, board, nil), listener.Addr().String(), &wire.PassTell{}
 	long := make(chan error, 1)
-	go func() { long <- machine.Call(address, wire.Kind_pass, &wire.PassAsk{}, tell, postmark.Minute) }()
+	go func() { long <- machine.Call(address, wire.Kind_pass, &wire.PassAsk{}, tell, monotonic.Minute) }()
 	<-coming
-	if err := machine.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 100*postmark.Millisecond); !seal.IsLost(err) {
+	if err := machine.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 100*monotonic.Millisecond); !apierror.IsLost(err) {
 		t.Errorf("the short ask: %v", err)
 	}
 	close(ranOut)
--- a/internal/host/machine/tally.go
+++ b/internal/host/machine/tally.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/atomic"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // kinds bounds the kinds that are counted. It's above every kind there is.
--- a/internal/host/machine/tally_test.go
+++ b/internal/host/machine/tally_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/frame"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
 )
 
 // TestKindsAreCounted: each message counts once at each end, under its own kind, with the bytes of its whole frame.
@@ -16,15 +16,15 @@
 	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
 		return &wire.ClaimTell{Outcome: ask.Scope}, nil
 	})
-	host.Handle(table, wire.Kind_whois, func(*wire.WhoisAsk) (*wire.WhoisTell, error) { return nil, seal.Invalid.New("no") })
+	host.Handle(table, wire.Kind_whois, func(*wire.WhoisAsk) (*wire.WhoisTell, error) { return nil, apierror.Invalid.New("no") })
 	called, address, _ := served(t, table)
 	caller := New(nil, nil, nil)
 	for range 3 {
-		if err := caller.Call(address, wire.Kind_claim, &wire.ClaimAsk{Scope: "ab"}, &wire.ClaimTell{}, 10*postmark.Second); err != nil {
+		if err := caller.Call(address, wire.Kind_claim, &wire.ClaimAsk{Scope: "ab"}, &wire.ClaimTell{}, 10*monotonic.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := caller.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 10*postmark.Second); !seal.IsRefused(err) {
+	if err := caller.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 10*monotonic.Second); !apierror.IsRefused(err) {
 		t.Fatal(err)
 	}
 	const claim = frame.HeaderLength + 4 // one field: its number, its length and two letters
@@ -60,14 +60,14 @@
 	defer close(held)
 	caller, lost := New(nil, nil, nil), make(chan error, 1)
 	go func() {
-		lost <- caller.Call(address, wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, postmark.Minute)
+		lost <- caller.Call(address, wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, monotonic.Minute)
 	}()
 	<-came
 	caller.HangUp()
-	if err := <-lost; !seal.IsLost(err) {
+	if err := <-lost; !apierror.IsLost(err) {
 		t.Errorf("the call ended with %v", err)
 	}
-	if err := caller.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 10*postmark.Second); err != nil {
+	if err := caller.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 10*monotonic.Second); err != nil {
 		t.Errorf("the next call: %v", err)
 	}
 }
--- a/internal/inspector/changes.go
+++ b/internal/invariants/changes.go
@@ -1,11 +1,11 @@
-package inspector
+package invariants
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Check looks at something beyond the rules that a change of routes must keep. Seen counts what it had to look at.
@@ -143,7 +143,7 @@
 }
 
 // Share is how many of a kind's first attempts were served within a span, of how many.
-func Share(history *History, kind string, from, until postmark.Micros) (served, sent int) {
+func Share(history *History, kind string, from, until monotonic.Micros) (served, sent int) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	for _, attempt := range history.Attempts {
--- a/internal/inspector/guards.go
+++ b/internal/invariants/guards.go
@@ -1,17 +1,17 @@
-package inspector
+package invariants
 
 import (
 	"slices"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // The figures by which the checkers of guards allow for what observers can't see at once.
 const (
-	observed   = 400 * postmark.Millisecond  // between two readings of a record, at the most, to speak of what was between
-	writing    = 1200 * postmark.Millisecond // from the moment a write is stamped with until its effect is seen
-	sweepSlack = 3 * postmark.Second         // a tenure's end is noticed by a sweep, and holder time may stand still at a failover
-	recovery   = 12 * postmark.Second        // from a service's recovery on, callers are served again within this
+	observed   = 400 * monotonic.Millisecond  // between two readings of a record, at the most, to speak of what was between
+	writing    = 1200 * monotonic.Millisecond // from the moment a write is stamped with until its effect is seen
+	sweepSlack = 3 * monotonic.Second         // a tenure's end is noticed by a sweep, and holder time may stand still at a failover
+	recovery   = 12 * monotonic.Second        // from a service's recovery on, callers are served again within this
 )
 
 const (
@@ -24,7 +24,7 @@
 type round struct {
 	GuardSeen // the first reading
 	last      GuardSeen
-	before    postmark.Micros // the last reading before it, zero if there was none
+	before    monotonic.Micros // the last reading before it, zero if there was none
 	returned  int
 	whole     bool // read without a gap, nobody astray
 }
@@ -122,8 +122,8 @@
 
 // clinging finds probes that stay out longer than their tenure, while readings came without a gap.
 func clinging(readings []GuardSeen) (findings []Finding) {
-	first := map[string]postmark.Micros{}
-	last := postmark.Micros(0)
+	first := map[string]monotonic.Micros{}
+	last := monotonic.Micros(0)
 	for _, record := range readings {
 		if record.At-last > observed {
 			clear(first)
@@ -153,7 +153,7 @@
 
 // trouble is a span in which only some callers' networks are in trouble.
 type trouble struct {
-	from, until postmark.Micros
+	from, until monotonic.Micros
 	callers     []string
 }
 
@@ -200,7 +200,7 @@
 
 // The figures by which service counts as back.
 const (
-	goingOn      = 3 * postmark.Second // how long after returnTime service is looked at
+	goingOn      = 3 * monotonic.Second // how long after returnTime service is looked at
 	mostServed   = 0.9
 	leastToJudge = 10
 )
@@ -208,7 +208,7 @@
 // backInTime: within 15 s of a noted return each kind of traffic that is sent has a success, and from then on nine in ten of
 // those first sent then are served. Who asks again with a key isn't counted: such a key may rightly be held.
 func backInTime(history *History) (findings []Finding, seen int) {
-	begun := map[string]postmark.Micros{}
+	begun := map[string]monotonic.Micros{}
 	for _, attempt := range history.Attempts {
 		if since, known := begun[attempt.Key]; attempt.Key != "" && (!known || attempt.Sent < since) {
 			begun[attempt.Key] = attempt.Sent
@@ -219,7 +219,7 @@
 			continue
 		}
 		type count struct {
-			first        postmark.Micros
+			first        monotonic.Micros
 			sent, served int
 			asked        bool
 		}
--- a/internal/inspector/history.go
+++ b/internal/invariants/history.go
@@ -1,12 +1,12 @@
-// Package inspector checks what callers sent, backends ran and operators were told against the rules of what must never
+// Package invariants checks what callers sent, backends ran and operators were told against the rules of what must never
 // happen. It knows nothing of the mesh's insides. The simulator and the fleet both write its history.
-package inspector
+package invariants
 
 import (
 	"sync"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Attempt is one request as its caller saw it. All times are the observer's one clock.
@@ -17,10 +17,10 @@
 	Caller    string // where it was sent: the carrier's name
 	Method    string
 	Path      string
-	Sent      postmark.Micros
-	Ended     postmark.Micros // zero while open
-	Status    int             // zero without an answer
-	Mesh      bool            // the answer is the mesh's own refusal
+	Sent      monotonic.Micros
+	Ended     monotonic.Micros // zero while open
+	Status    int              // zero without an answer
+	Mesh      bool             // the answer is the mesh's own refusal
 	Cause     int
 	NotRun    bool // the refusal said not run
 	Serial    uint64
@@ -44,7 +44,7 @@
 	Instance string
 	Method   string
 	Path     string
-	At       postmark.Micros
+	At       monotonic.Micros
 	Executed bool   // false when the backend said it did not execute it
 	Sum      string // of the answer's content, empty when it gave none whole
 }
@@ -52,7 +52,7 @@
 // Left is a backend's word that it is leaving.
 type Left struct {
 	Instance string
-	At       postmark.Micros
+	At       monotonic.Micros
 }
 
 // Applied is one apply as its operator saw it.
@@ -61,7 +61,7 @@
 	Digest  string
 	Valid   bool // whether what was sent was valid
 	Outcome string
-	At      postmark.Micros
+	At      monotonic.Micros
 	Sum     string // over what it means, as the observer reads it; empty if nobody did
 }
 
@@ -75,7 +75,7 @@
 type Adopted struct {
 	Carrier string
 	Serial  uint64
-	At      postmark.Micros
+	At      monotonic.Micros
 	Sum     string // over what it does there; empty if nobody looked
 }
 
@@ -87,19 +87,19 @@
 	Verdict string // whatever may rightly begin a new window
 	Calls   uint64
 	Window  int // calls in the window
-	At      postmark.Micros
+	At      monotonic.Micros
 }
 
 // Planned is a span in which some process stops as planned or a configuration changes. Until is zero while it lasts.
 type Planned struct {
 	What        string
-	From, Until postmark.Micros
+	From, Until monotonic.Micros
 }
 
 // Note is a moment that a scenario marks, for instance the machines' return.
 type Note struct {
 	What string
-	At   postmark.Micros
+	At   monotonic.Micros
 }
 
 // GuardSeen is a shared guard record as an observer read it.
@@ -113,22 +113,22 @@
 	Granted   int // in this round, and how many of them went back
 	Returned  int
 	Permitted int
-	Entered   postmark.Micros // holder time
-	Expires   postmark.Micros // holder time
-	Wait      postmark.Micros
-	Tenure    postmark.Micros
-	At        postmark.Micros
+	Entered   monotonic.Micros // holder time
+	Expires   monotonic.Micros // holder time
+	Wait      monotonic.Micros
+	Tenure    monotonic.Micros
+	At        monotonic.Micros
 	Source    string
 	// Astray is true while some carrier may go by a verdict of its own: out of reach, frozen or just started.
 	Astray bool
 }
 
 // Look makes of a record what an observer notes of it.
-func Look(record *wire.GuardRecord, at postmark.Micros, source string, astray bool) GuardSeen {
+func Look(record *wire.GuardRecord, at monotonic.Micros, source string, astray bool) GuardSeen {
 	terms := record.Terms
 	seen := GuardSeen{Service: record.Service, State: record.State, Serial: record.Serial, Budget: int(record.Budget), Tallies: len(record.Tallies),
-		Permitted: int(max(1, terms.GetPermitted())), Entered: postmark.Micros(record.Entered), Expires: postmark.Micros(record.Expires), Wait: postmark.Micros(terms.GetWaitOpen()),
-		Tenure: postmark.Micros(terms.GetProbeTenure()), At: at, Source: source, Astray: astray}
+		Permitted: int(max(1, terms.GetPermitted())), Entered: monotonic.Micros(record.Entered), Expires: monotonic.Micros(record.Expires), Wait: monotonic.Micros(terms.GetWaitOpen()),
+		Tenure: monotonic.Micros(terms.GetProbeTenure()), At: at, Source: source, Astray: astray}
 	for _, probe := range record.Probes {
 		seen.Probes = append(seen.Probes, probe.Id)
 	}
@@ -157,7 +157,7 @@
 	Keeps int
 	// Allowed tells since when a kind of traffic may run on a service: from when a configuration that sends it there was
 	// first handed in.
-	Allowed map[string]map[string]postmark.Micros
+	Allowed map[string]map[string]monotonic.Micros
 	// Allowance is the sum of what a service's further tries may come to beyond the ratio.
 	Allowance int
 }
@@ -184,7 +184,7 @@
 }
 
 // Leave notes a leaving.
-func (history *History) Leave(instance string, at postmark.Micros) {
+func (history *History) Leave(instance string, at monotonic.Micros) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.Lefts = append(history.Lefts, Left{instance, at})
@@ -198,7 +198,7 @@
 }
 
 // Mark notes a moment.
-func (history *History) Mark(what string, at postmark.Micros) {
+func (history *History) Mark(what string, at monotonic.Micros) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.Notes = append(history.Notes, Note{what, at})
@@ -212,7 +212,7 @@
 }
 
 // Adopt notes the desired state that a carrier serves by.
-func (history *History) Adopt(carrier string, serial uint64, at postmark.Micros) {
+func (history *History) Adopt(carrier string, serial uint64, at monotonic.Micros) {
 	history.Serves(Adopted{Carrier: carrier, Serial: serial, At: at})
 }
 
@@ -231,12 +231,12 @@
 }
 
 // Plan notes that something planned begins; what it gives ends it.
-func (history *History) Plan(what string, from postmark.Micros) func(until postmark.Micros) {
+func (history *History) Plan(what string, from monotonic.Micros) func(until monotonic.Micros) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	fresh := &Planned{What: what, From: from}
 	history.Plans = append(history.Plans, fresh)
-	return func(until postmark.Micros) {
+	return func(until monotonic.Micros) {
 		history.lock.Lock()
 		defer history.lock.Unlock()
 		fresh.Until = until
@@ -244,14 +244,14 @@
 }
 
 // Allow notes that a configuration handed in at a moment sends a kind of traffic to a service.
-func (history *History) Allow(kind, service string, at postmark.Micros) {
+func (history *History) Allow(kind, service string, at monotonic.Micros) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	if history.Allowed == nil {
-		history.Allowed = map[string]map[string]postmark.Micros{}
+		history.Allowed = map[string]map[string]monotonic.Micros{}
 	}
 	if history.Allowed[kind] == nil {
-		history.Allowed[kind] = map[string]postmark.Micros{}
+		history.Allowed[kind] = map[string]monotonic.Micros{}
 	}
 	if since, known := history.Allowed[kind][service]; !known || at < since {
 		history.Allowed[kind][service] = at
--- a/internal/inspector/orders.go
+++ b/internal/invariants/orders.go
@@ -1,9 +1,9 @@
-package inspector
+package invariants
 
 import (
 	"slices"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // OrderOutcome is what an operator was told of an order.
@@ -23,8 +23,8 @@
 	Read    bool
 	Version uint64 // sent, or read
 	Digest  string
-	Sent    postmark.Micros
-	Ended   postmark.Micros
+	Sent    monotonic.Micros
+	Ended   monotonic.Micros
 	Outcome OrderOutcome // of a read: Confirmed if it gave a content
 }
 
--- a/internal/inspector/orders_test.go
+++ b/internal/invariants/orders_test.go
@@ -1,16 +1,16 @@
-package inspector
+package invariants
 
 import (
 	"strings"
 	"testing"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // TestOrdersKept shows the check short histories: it finds nothing where all is as one copy would tell it, and each fault that it's for.
 func TestOrdersKept(t *testing.T) {
 	sent := func(version uint64, digest string, from, until int64, outcome OrderOutcome) Order {
-		return Order{Door: "a", Version: version, Digest: digest, Sent: postmark.Micros(from), Ended: postmark.Micros(until), Outcome: outcome}
+		return Order{Door: "a", Version: version, Digest: digest, Sent: monotonic.Micros(from), Ended: monotonic.Micros(until), Outcome: outcome}
 	}
 	read := func(version uint64, digest string, from, until int64) Order {
 		order := sent(version, digest, from, until, Confirmed)
--- a/internal/inspector/rules.go
+++ b/internal/invariants/rules.go
@@ -1,4 +1,4 @@
-package inspector
+package invariants
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Finding is one breach of a rule.
@@ -34,10 +34,10 @@
 }
 
 const (
-	minute       = 60 * postmark.Second
-	promise      = 2 * postmark.Second
-	returnTime   = 15 * postmark.Second
-	tryWindow    = 10 * postmark.Second
+	minute       = 60 * monotonic.Second
+	promise      = 2 * monotonic.Second
+	returnTime   = 15 * monotonic.Second
+	tryWindow    = 10 * monotonic.Second
 	furtherRatio = 0.2
 )
 
@@ -168,7 +168,7 @@
 
 // nothingAfterLeaving: no request reaches a backend more than 2 s after it said it was leaving.
 func nothingAfterLeaving(history *History) (findings []Finding, seen int) {
-	lefts := map[string]postmark.Micros{}
+	lefts := map[string]monotonic.Micros{}
 	for _, left := range history.Lefts {
 		if at, known := lefts[left.Instance]; !known || left.At < at {
 			lefts[left.Instance] = left.At
@@ -213,7 +213,7 @@
 		}
 	}
 	sort.SliceStable(acks, func(one, other int) bool { return acks[one].At < acks[other].At })
-	inForce := func(sent postmark.Micros) (serial uint64) {
+	inForce := func(sent monotonic.Micros) (serial uint64) {
 		for _, ack := range acks {
 			if ack.At+promise < sent {
 				serial = max(serial, ack.Serial)
--- a/internal/postmark/postmark.go
+++ b/internal/monotonic/postmark.go
@@ -1,6 +1,6 @@
-// Package postmark holds time as snowflow counts it: whole microseconds on one process's monotonic clock.
+// Package monotonic holds time as snowflow counts it: whole microseconds on one process's monotonic clock.
 // Nothing compares the readings of two machines.
-package postmark
+package monotonic
 
 import (
 	"syscall"
--- a/internal/postmark/postmark_test.go
+++ b/internal/monotonic/postmark_test.go
@@ -1,4 +1,4 @@
-package postmark
+package monotonic
 
 import (
 	"testing"
--- a/internal/carrier/gate/cancel.go
+++ b/internal/proxy/admission/cancel.go
@@ -1,9 +1,9 @@
-package gate
+package admission
 
 import (
 	"sync"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // cancels are the passes under way that end when their callers leave. Run-once passes are not among them: their answers are kept for
--- a/internal/carrier/gate/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -1,82 +1,82 @@
-package gate
+package admission
 
 import (
 	"fmt"
 	"strings"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/registry/claims"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/registry/idempotency"
+	"snowflow/internal/transport/wire"
 )
 
 // claimFaults are what the outcomes of a claim other than granted and held come to.
-var claimFaults = map[string]func(ask *wire.PassAsk) *seal.Fault{
-	claims.OtherBody: func(ask *wire.PassAsk) *seal.Fault {
-		return seal.New(seal.OtherBody, seal.MayHaveRun, "the key was used with another body")
+var claimFaults = map[string]func(ask *wire.PassAsk) *apierror.Fault{
+	idempotency.OtherBody: func(ask *wire.PassAsk) *apierror.Fault {
+		return apierror.New(apierror.OtherBody, apierror.MayHaveRun, "the key was used with another body")
 	},
-	claims.Voided: func(ask *wire.PassAsk) *seal.Fault {
-		return seal.New(seal.KeyFenced, seal.NotRun, "try %s is void", ask.Try)
+	idempotency.Voided: func(ask *wire.PassAsk) *apierror.Fault {
+		return apierror.New(apierror.KeyFenced, apierror.NotRun, "try %s is void", ask.Try)
 	},
-	claims.Fenced: func(ask *wire.PassAsk) *seal.Fault {
-		return seal.New(seal.KeyFenced, seal.NotRun, "the key was refused since this request was read")
+	idempotency.Fenced: func(ask *wire.PassAsk) *apierror.Fault {
+		return apierror.New(apierror.KeyFenced, apierror.NotRun, "the key was refused since this request was read")
 	},
 }
 
 // claim asks for the right to run, right before the hand-over, until some moment. It gives the moment by which the request
 // must start, or the recorded answer of an earlier run. It may be asked again for the same try. letGo is called once it's known
 // that nothing is granted, before an earlier answer is looked for. unheard is set once a sorter may have granted it unheard.
-func (gate *Gate) claim(ask *wire.PassAsk, until, cutoff postmark.Micros, unheard *bool, letGo func()) (startBy postmark.Micros, earlier *letter.Answer, fault *seal.Fault) {
+func (gate *Gate) claim(ask *wire.PassAsk, until, cutoff monotonic.Micros, unheard *bool, letGo func()) (startBy monotonic.Micros, earlier *request.Answer, fault *apierror.Fault) {
 	place := gate.env.Place
 	for {
 		asked := place.Now()
-		remaining := min(until-asked, 700*postmark.Millisecond)
+		remaining := min(until-asked, 700*monotonic.Millisecond)
 		if remaining <= 0 {
 			// An ask may have been granted unheard, but this carrier won't use it and nobody else can.
-			return 0, nil, seal.New(seal.ClaimUnreachable, seal.NotRun, "the sorter did not answer in time")
+			return 0, nil, apierror.New(apierror.ClaimUnreachable, apierror.NotRun, "the sorter did not answer in time")
 		}
 		tell := &wire.ClaimTell{}
 		err := gate.env.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: ask.Scope, Digest: ask.Digest, Try: ask.Try,
 			Carrier: gate.env.Carrier, Incarnation: gate.env.Incarnation, ReadAt: ask.ReadAt}, tell, remaining)
 		if err != nil {
-			*unheard = *unheard || seal.IsLost(err)
+			*unheard = *unheard || apierror.IsLost(err)
 			continue
 		}
-		if tell.Outcome == claims.Granted {
+		if tell.Outcome == idempotency.Granted {
 			return min(asked+claimLife, cutoff), nil, nil
 		}
 		letGo()
-		if tell.Outcome == claims.Held {
+		if tell.Outcome == idempotency.Held {
 			answer, cause := gate.recall(ask, tell, cutoff)
 			if answer != nil {
 				return 0, answer, nil
 			}
-			return 0, nil, seal.New(cause, seal.MayHaveRun, "the key is held by try %s at %s", tell.Try, tell.Holder)
+			return 0, nil, apierror.New(cause, apierror.MayHaveRun, "the key is held by try %s at %s", tell.Try, tell.Holder)
 		}
 		if find := claimFaults[tell.Outcome]; find != nil {
 			return 0, nil, find(ask)
 		}
-		return 0, nil, seal.New(seal.ClaimUnreachable, seal.MayHaveRun, "claim outcome %q", tell.Outcome)
+		return 0, nil, apierror.New(apierror.ClaimUnreachable, apierror.MayHaveRun, "claim outcome %q", tell.Outcome)
 	}
 }
 
 // recallPatience is how long a repeat waits for the answer of a run that is still at work.
-const recallPatience = 500 * postmark.Millisecond
+const recallPatience = 500 * monotonic.Millisecond
 
 // recall finds the answer of an earlier run, here or at the carrier that holds the key, or tells why there's none: the key is
 // at work, or nobody has its answer any more.
-func (gate *Gate) recall(ask *wire.PassAsk, held *wire.ClaimTell, cutoff postmark.Micros) (*letter.Answer, seal.Cause) {
+func (gate *Gate) recall(ask *wire.PassAsk, held *wire.ClaimTell, cutoff monotonic.Micros) (*request.Answer, apierror.Cause) {
 	until := min(cutoff, gate.env.Place.Now()+recallPatience)
 	answer, cause := gate.recallFrom(held.Holder, ask, held.Try, until-gate.env.Place.Now())
-	if answer != nil || cause == seal.KeyHeld {
+	if answer != nil || cause == apierror.KeyHeld {
 		return answer, cause
 	}
 	// The carrier that passed the request on keeps the answer too.
 	if sender := senderOf(held.Try); sender != "" && sender != held.Holder && gate.env.Place.Now() < until {
 		answer, _ = gate.recallFrom(sender, ask, held.Try, until-gate.env.Place.Now())
 	}
-	return answer, seal.AnswerGone
+	return answer, apierror.AnswerGone
 }
 
 // TryOf names a try of a carrier's; senderOf tells whose it is.
@@ -90,27 +90,27 @@
 }
 
 // recallFrom asks one carrier, or this one, for a key's recorded answer.
-func (gate *Gate) recallFrom(carrier string, ask *wire.PassAsk, try string, patience postmark.Micros) (*letter.Answer, seal.Cause) {
+func (gate *Gate) recallFrom(carrier string, ask *wire.PassAsk, try string, patience monotonic.Micros) (*request.Answer, apierror.Cause) {
 	if carrier == gate.env.Carrier {
 		answer, busy := gate.recorded(ask.Scope, ask.Digest, patience)
 		if busy {
-			return answer, seal.KeyHeld
+			return answer, apierror.KeyHeld
 		}
-		return answer, seal.AnswerGone
+		return answer, apierror.AnswerGone
 	}
 	tell := &wire.PassTell{}
 	err := gate.env.CallCarrier(carrier, wire.Kind_recall, &wire.RecallAsk{Scope: ask.Scope, Digest: ask.Digest, Try: try}, tell, patience)
-	if err == nil && tell.Refused && seal.Cause(tell.Cause) == seal.KeyHeld {
-		return nil, seal.KeyHeld
+	if err == nil && tell.Refused && apierror.Cause(tell.Cause) == apierror.KeyHeld {
+		return nil, apierror.KeyHeld
 	}
 	if err != nil || tell.Refused || !Whole(tell) {
-		return nil, seal.AnswerGone
+		return nil, apierror.AnswerGone
 	}
-	return &letter.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance}, 0
+	return &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance}, 0
 }
 
 // free gives a key back after the backend, or this carrier, was certain that nothing ran. If the sorter can't be told,
 // the key stays held: safe, but the caller has to wait.
 func (gate *Gate) free(ask *wire.PassAsk) {
-	_ = gate.env.CallPrimary(wire.Kind_claim_settle, &wire.SettleAsk{Scope: ask.Scope, Try: ask.Try}, &wire.SettleTell{}, postmark.Second)
+	_ = gate.env.CallPrimary(wire.Kind_claim_settle, &wire.SettleAsk{Scope: ask.Scope, Try: ask.Try}, &wire.SettleTell{}, monotonic.Second)
 }
--- a/internal/carrier/gate/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -1,50 +1,50 @@
-// Package gate is the server side of a carrier: the last check before a backend, and the one that claims run-once keys.
-package gate
+// Package admission is the server side of a carrier: the last check before a backend, and the one that claims run-once keys.
+package admission
 
 import (
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/desk"
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/carrier/gate/uplink"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/lastpost"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/carrier/outlier"
-	"snowflow/internal/carrier/restante"
-	"snowflow/internal/franking"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/frame"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/proxy/admission/uplink"
+	"snowflow/internal/proxy/configclient"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/proxy/replay"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/proxy/shutdown"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// claimLife is how long a claim permits starting, counted from before the ask.
-	claimLife = postmark.Second
+	claimLife = monotonic.Second
 	// olderGrace is how long after an adoption passes that were resolved by the serial before are still let in. The
 	// sender's own tenure is what keeps the 2 s rule; this bounds a sender that froze with a request in hand.
-	olderGrace = postmark.Second
+	olderGrace = monotonic.Second
 	// catchUp is how long a pass of a newer serial waits for this carrier to adopt it.
-	catchUp = 500 * postmark.Millisecond
+	catchUp = 500 * monotonic.Millisecond
 )
 
 // Order is one request for a backend.
 type Order struct {
 	ID          string
-	Backend     hutch.Backend
+	Backend     localbackends.Backend
 	Method      string
 	Target      string
 	Headers     []*wire.Header
 	Body        []byte
 	Fresh       bool // take a connection that nothing was sent on before
-	Cutoff      postmark.Micros
+	Cutoff      monotonic.Micros
 	AnswerLimit uint64
 	// Still is asked right before the first byte of the request is written; a fault stops it.
-	Still func() *seal.Fault
+	Still func() *apierror.Fault
 	// Cancelled has something happen once when the caller has left, at once if it has already; stop ends that. Nil where the request is to be
 	// ended by nobody.
 	Cancelled func(happen func()) (stop func())
@@ -52,7 +52,7 @@
 
 // Delivery hands a request to a backend and reads its whole answer. Its faults say whether the request may have run.
 type Delivery interface {
-	Deliver(order Order) (*letter.Answer, *seal.Fault)
+	Deliver(order Order) (*request.Answer, *apierror.Fault)
 }
 
 // Env is what a gate is made of.
@@ -60,18 +60,18 @@
 	Place       host.Host
 	Carrier     string
 	Incarnation uint64
-	Desk        *desk.Desk
-	Hutch       *hutch.Hutch
-	Shelf       *restante.Shelf
+	Desk        *configclient.Desk
+	Hutch       *localbackends.Hutch
+	Shelf       *replay.Shelf
 	Delivery    Delivery
 	// Link is what this machine's link carries, in megabits a second; zero for one that isn't counted.
 	Link float64
 	// ServeOn: passes are taken whatever desired state they were resolved by, and whether or not this carrier has a tenure.
 	ServeOn bool
 	// CallPrimary asks the primary sorter until patience ends.
-	CallPrimary func(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error
+	CallPrimary func(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error
 	// CallCarrier asks another carrier by name.
-	CallCarrier func(name string, kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error
+	CallCarrier func(name string, kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error
 }
 
 // Gate answers passes. Invariant: running counts the passes between being read and being answered.
@@ -80,7 +80,7 @@
 	running atomic.Int64
 	closed  atomic.Bool
 	idle    host.Signal
-	last    *lastpost.Post
+	last    *shutdown.Post
 	work    *work
 	cancels *cancels
 	link    *uplink.Uplink
@@ -92,7 +92,7 @@
 
 // New makes a gate.
 func New(env Env) *Gate {
-	return &Gate{env: env, idle: env.Place.NewSignal(), last: lastpost.New(env.Place), work: newWork(env.Place), cancels: newCancels(), link: uplink.New(env.Link)}
+	return &Gate{env: env, idle: env.Place.NewSignal(), last: shutdown.New(env.Place), work: newWork(env.Place), cancels: newCancels(), link: uplink.New(env.Link)}
 }
 
 // Register adds the handlers.
@@ -107,11 +107,11 @@
 		if answer != nil {
 			return answered("", answer), nil
 		}
-		cause := seal.AnswerGone
+		cause := apierror.AnswerGone
 		if busy {
-			cause = seal.KeyHeld
+			cause = apierror.KeyHeld
 		}
-		return &wire.PassTell{Refused: true, Cause: uint32(cause), Verdict: string(seal.MayHaveRun)}, nil
+		return &wire.PassTell{Refused: true, Cause: uint32(cause), Verdict: string(apierror.MayHaveRun)}, nil
 	})
 }
 
@@ -131,57 +131,57 @@
 }
 
 // checks are made in order before anything is claimed. Each refusal here is certain: nothing ran.
-var checks = []func(gate *Gate, ask *wire.PassAsk) *seal.Fault{
-	func(gate *Gate, ask *wire.PassAsk) *seal.Fault {
+var checks = []func(gate *Gate, ask *wire.PassAsk) *apierror.Fault{
+	func(gate *Gate, ask *wire.PassAsk) *apierror.Fault {
 		if gate.closed.Load() {
-			return seal.New(seal.Draining, seal.NotRun, "carrier %s is stopping", gate.env.Carrier)
+			return apierror.New(apierror.Draining, apierror.NotRun, "carrier %s is stopping", gate.env.Carrier)
 		}
 		return nil
 	},
-	func(gate *Gate, ask *wire.PassAsk) *seal.Fault {
+	func(gate *Gate, ask *wire.PassAsk) *apierror.Fault {
 		if ask.ToIncarnation != gate.env.Incarnation {
-			return seal.New(seal.BackendUnknown, seal.NotRun, "addressed to another life of this carrier")
+			return apierror.New(apierror.BackendUnknown, apierror.NotRun, "addressed to another life of this carrier")
 		}
 		return nil
 	},
-	func(gate *Gate, _ *wire.PassAsk) *seal.Fault { return gate.leased() },
-	func(gate *Gate, ask *wire.PassAsk) *seal.Fault {
+	func(gate *Gate, _ *wire.PassAsk) *apierror.Fault { return gate.leased() },
+	func(gate *Gate, ask *wire.PassAsk) *apierror.Fault {
 		if gate.env.ServeOn {
 			return nil
 		}
 		serial, age := gate.env.Desk.Serial()
 		if ask.Serial < serial && (ask.Serial+1 < serial || age > olderGrace) {
-			return seal.New(seal.SerialOlder, seal.NotRun, "resolved by serial %d, %d is in force", ask.Serial, serial)
+			return apierror.New(apierror.SerialOlder, apierror.NotRun, "resolved by serial %d, %d is in force", ask.Serial, serial)
 		}
-		if ask.Serial > serial && !gate.env.Desk.Renew(ask.Serial, min(catchUp, postmark.Micros(ask.Remaining))) {
-			return seal.New(seal.SerialBehind, seal.NotRun, "resolved by serial %d, this carrier has %d", ask.Serial, serial)
+		if ask.Serial > serial && !gate.env.Desk.Renew(ask.Serial, min(catchUp, monotonic.Micros(ask.Remaining))) {
+			return apierror.New(apierror.SerialBehind, apierror.NotRun, "resolved by serial %d, this carrier has %d", ask.Serial, serial)
 		}
 		return nil
 	},
 }
 
 // leased refuses without a tenure, where one is needed.
-func (gate *Gate) leased() *seal.Fault {
+func (gate *Gate) leased() *apierror.Fault {
 	if _, live := gate.env.Desk.Current(); !live && !gate.env.ServeOn {
-		return seal.New(seal.TenureEnded, seal.NotRun, "carrier %s has no tenure to serve", gate.env.Carrier)
+		return apierror.New(apierror.TenureEnded, apierror.NotRun, "carrier %s has no tenure to serve", gate.env.Carrier)
 	}
 	return nil
 }
 
 // service finds a pass's service in the view that counts from here on: it may have changed since the checks.
-func (gate *Gate) service(ask *wire.PassAsk) (*franking.Service, *seal.Fault) {
+func (gate *Gate) service(ask *wire.PassAsk) (*config.Service, *apierror.Fault) {
 	view, _ := gate.env.Desk.Current()
 	if view != nil && view.Services[ask.Service] != nil {
 		return view.Services[ask.Service], nil
 	}
 	if gate.env.ServeOn {
-		return franking.Unlisted(ask.Service), nil // whoever resolved it has another view
+		return config.Unlisted(ask.Service), nil // whoever resolved it has another view
 	}
-	return nil, seal.New(seal.SerialOlder, seal.NotRun, "service %s is not in serial %d", ask.Service, view.Serial)
+	return nil, apierror.New(apierror.SerialOlder, apierror.NotRun, "service %s is not in serial %d", ask.Service, view.Serial)
 }
 
 // telling are the events of faults that operators should hear of, beyond the caller's refusal.
-var telling = map[seal.Cause]int{seal.AnswerBroken: bulletin.AnswerBrokenSeen, seal.BackendIdentity: bulletin.IdentityMismatch}
+var telling = map[apierror.Cause]int{apierror.AnswerBroken: eventlog.AnswerBrokenSeen, apierror.BackendIdentity: eventlog.IdentityMismatch}
 
 // Pass handles one request from another carrier, or from this one.
 func (gate *Gate) Pass(ask *wire.PassAsk) (*wire.PassTell, error) {
@@ -192,23 +192,23 @@
 		}
 	}()
 	var tell *wire.PassTell
-	outcome := gate.last.Run(func(errand *lastpost.Errand) { tell = gate.pass(ask, errand) })
-	if outcome == lastpost.Done {
+	outcome := gate.last.Run(func(errand *shutdown.Errand) { tell = gate.pass(ask, errand) })
+	if outcome == shutdown.Done {
 		tell.Load = gate.load(ask)
 		return tell, nil
 	}
-	verdict := seal.MayHaveRun
-	if outcome == lastpost.Unstarted && !ask.Once {
-		verdict = seal.NotRun
+	verdict := apierror.MayHaveRun
+	if outcome == shutdown.Unstarted && !ask.Once {
+		verdict = apierror.NotRun
 	}
-	return gate.refused(ask, seal.New(seal.StoppedUnderWay, verdict, "carrier %s stops, and can't wait any longer", gate.env.Carrier)), nil
+	return gate.refused(ask, apierror.New(apierror.StoppedUnderWay, verdict, "carrier %s stops, and can't wait any longer", gate.env.Carrier)), nil
 }
 
 // GiveUp answers every pass still under way now.
 func (gate *Gate) GiveUp() { gate.last.GiveUp() }
 
-func (gate *Gate) pass(ask *wire.PassAsk, errand *lastpost.Errand) (tell *wire.PassTell) {
-	cutoff := gate.env.Place.Now() + postmark.Micros(ask.Remaining)
+func (gate *Gate) pass(ask *wire.PassAsk, errand *shutdown.Errand) (tell *wire.PassTell) {
+	cutoff := gate.env.Place.Now() + monotonic.Micros(ask.Remaining)
 	if gate.byService {
 		ask = proto.CloneOf(ask)
 		ask.Scope = ask.Service + "\n" + ask.Scope
@@ -255,12 +255,12 @@
 	if !ask.Once && !ask.Single {
 		order.Cancelled = cancel.then
 	}
-	order.Still = func() *seal.Fault {
+	order.Still = func() *apierror.Fault {
 		if cancel.cancelled() {
-			return seal.New(seal.CallerLeft, seal.NotRun, "its caller left before it was handed over")
+			return apierror.New(apierror.CallerLeft, apierror.NotRun, "its caller left before it was handed over")
 		}
 		if gate.env.Place.Now() >= startBy {
-			return seal.New(seal.ClaimLate, seal.NotRun, "too late to start")
+			return apierror.New(apierror.ClaimLate, apierror.NotRun, "too late to start")
 		}
 		if fault := gate.leased(); fault != nil {
 			return fault
@@ -269,20 +269,20 @@
 			return fault
 		}
 		if !errand.Start() {
-			return seal.New(seal.StoppedUnderWay, seal.NotRun, "given up before the hand-over")
+			return apierror.New(apierror.StoppedUnderWay, apierror.NotRun, "given up before the hand-over")
 		}
 		return nil
 	}
 	visit.Start()
 	answer, fault := gate.env.Delivery.Deliver(order)
 	if fault != nil && !fault.NotRun() && order.Cancelled != nil && cancel.cancelled() {
-		fault = seal.New(seal.CallerLeft, seal.MayHaveRun, "its caller left while the backend was at work")
+		fault = apierror.New(apierror.CallerLeft, apierror.MayHaveRun, "its caller left while the backend was at work")
 		fault.Local = true // that it was broken off says nothing of the backend
 	}
 	visit.Close(worth(answer, fault))
 	stay.Leave(ended(answer, fault))
 	if fault == nil && answer.NotRun {
-		fault = seal.New(seal.NotExecuted, seal.NotRun, "backend %s answered %d, not executed", backend.Instance, answer.Status)
+		fault = apierror.New(apierror.NotExecuted, apierror.NotRun, "backend %s answered %d, not executed", backend.Instance, answer.Status)
 	}
 	if fault != nil {
 		if ask.Once && fault.NotRun() {
@@ -301,10 +301,10 @@
 }
 
 // knownOver are the causes of faults after which the backend has answered, though not as it should.
-var knownOver = map[seal.Cause]bool{seal.AnswerTooLarge: true, seal.AnswerUnmatched: true}
+var knownOver = map[apierror.Cause]bool{apierror.AnswerTooLarge: true, apierror.AnswerUnmatched: true}
 
 // ended tells what a delivery's end says of its slot. Errors are no measure: what fails at once would look quick.
-func ended(answer *letter.Answer, fault *seal.Fault) slots.End {
+func ended(answer *request.Answer, fault *apierror.Fault) slots.End {
 	switch {
 	case fault == nil && answer.Status < 500:
 		return slots.Worked
@@ -319,7 +319,7 @@
 
 // sendable tells whether this machine's link can carry the answer in time, as far as the route's answers usually go. Nothing ran
 // where it can't.
-func (gate *Gate) sendable(ask *wire.PassAsk) (size float64, fault *seal.Fault) {
+func (gate *Gate) sendable(ask *wire.PassAsk) (size float64, fault *apierror.Fault) {
 	if ask.From == gate.env.Carrier {
 		return 0, nil
 	}
@@ -327,22 +327,22 @@
 	if ask.Aim > 0 && !ask.Patient {
 		limit = ask.Aim
 	}
-	size, wait, admitted := gate.link.Admit(gate.env.Place.Now(), ask.Route, postmark.Micros(linkShare*float64(limit)))
+	size, wait, admitted := gate.link.Admit(gate.env.Place.Now(), ask.Route, monotonic.Micros(linkShare*float64(limit)))
 	if admitted {
 		return size, nil
 	}
-	fault = seal.New(seal.Overloaded, seal.NotRun, "the link of %s is taken for %d ms", gate.env.Carrier, wait/postmark.Millisecond)
-	fault.RetryAfter = max(wait, postmark.Millisecond)
+	fault = apierror.New(apierror.Overloaded, apierror.NotRun, "the link of %s is taken for %d ms", gate.env.Carrier, wait/monotonic.Millisecond)
+	fault.RetryAfter = max(wait, monotonic.Millisecond)
 	return 0, fault
 }
 
-func (gate *Gate) refused(ask *wire.PassAsk, fault *seal.Fault) *wire.PassTell {
+func (gate *Gate) refused(ask *wire.PassAsk, fault *apierror.Fault) *wire.PassTell {
 	serial, _ := gate.env.Desk.Serial()
 	return &wire.PassTell{Id: ask.Id, Refused: true, Cause: uint32(fault.Cause), Verdict: string(fault.Verdict), RetryAfter: int64(fault.RetryAfter),
 		BackendFault: fault.Backend, Serial: serial, Detail: fault.Detail}
 }
 
-func answered(id string, answer *letter.Answer) *wire.PassTell {
+func answered(id string, answer *request.Answer) *wire.PassTell {
 	return &wire.PassTell{Id: id, Status: answer.Status, Headers: answer.Headers, Body: answer.Body, Length: uint64(len(answer.Body)),
 		Checksum: frame.Checksum(answer.Body), Instance: answer.Instance}
 }
@@ -353,14 +353,14 @@
 }
 
 // Drain waits until every pass under way is answered, at most for patience.
-func (gate *Gate) Drain(patience postmark.Micros) bool {
+func (gate *Gate) Drain(patience monotonic.Micros) bool {
 	cutoff := gate.env.Place.Now() + patience
 	for gate.running.Load() > 0 {
 		remaining := cutoff - gate.env.Place.Now()
 		if remaining <= 0 {
 			return false
 		}
-		gate.idle.Wait(min(remaining, 100*postmark.Millisecond))
+		gate.idle.Wait(min(remaining, 100*monotonic.Millisecond))
 	}
 	return true
 }
--- a/internal/carrier/gate/slots/slots.go
+++ b/internal/proxy/admission/slots/slots.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Terms bound the waiting.
@@ -13,7 +13,7 @@
 	// WaitingPerSlot bounds the queue's length.
 	WaitingPerSlot int
 	// FirstWork is taken for the mean work time before any was measured.
-	FirstWork postmark.Micros
+	FirstWork monotonic.Micros
 	// AimShare is the part of the aim that a request may be expected to wait; RemainingShare is that of its remaining
 	// time where it has no aim. A patient request may wait as long as it still ends before its cutoff.
 	AimShare, RemainingShare float64
@@ -21,29 +21,29 @@
 	LatePerSlot float64
 	// MostLinger bounds how long a slot stays taken after a delivery of which it isn't known whether the backend still
 	// works on it. Zero: until the request's cutoff, at which backends stop working.
-	MostLinger postmark.Micros
+	MostLinger monotonic.Micros
 }
 
 // Default are the terms that nobody set.
 func Default() Terms {
-	return Terms{WaitingPerSlot: 8, FirstWork: 50 * postmark.Millisecond, AimShare: 0.5, RemainingShare: 0.25, LatePerSlot: 0.5}
+	return Terms{WaitingPerSlot: 8, FirstWork: 50 * monotonic.Millisecond, AimShare: 0.5, RemainingShare: 0.25, LatePerSlot: 0.5}
 }
 
 const (
 	// lingerMargin is what a backend may be late to notice a cutoff.
-	lingerMargin = 5 * postmark.Millisecond
+	lingerMargin = 5 * monotonic.Millisecond
 	// memory is the number of requests over which the mean work time is taken, the newest weighing most.
 	memory = 16
 	// least is the shortest time that a refusal names; zero would say not to come back.
-	least = postmark.Millisecond
+	least = monotonic.Millisecond
 )
 
 // Ask is what a request brings along. Moments are on the owner's clock.
 type Ask struct {
-	Priority uint32          // zero goes first
-	Aim      postmark.Micros // the moment up to which the answer has its full worth; zero if not known
-	Cutoff   postmark.Micros
-	StartBy  postmark.Micros // the moment by which it must have its slot; zero if only the cutoff bounds that
+	Priority uint32           // zero goes first
+	Aim      monotonic.Micros // the moment up to which the answer has its full worth; zero if not known
+	Cutoff   monotonic.Micros
+	StartBy  monotonic.Micros // the moment by which it must have its slot; zero if only the cutoff bounds that
 	Patient  bool
 	Kind     string // requests of one kind take about as long
 }
@@ -75,21 +75,21 @@
 	// Wake is called when a waiting ticket has to look at its state and its wake-up again. The owner sets it.
 	Wake       func()
 	ask        Ask
-	arrived    postmark.Micros
-	due        postmark.Micros // the latest moment at which its answer is of full worth, as far as known
-	started    postmark.Micros
-	work       postmark.Micros // what its work is expected to take
-	behind     bool            // it was let wait though it would be late
-	alarm      postmark.Micros // when a lingering slot comes free, for the one waiter that sees to it
+	arrived    monotonic.Micros
+	due        monotonic.Micros // the latest moment at which its answer is of full worth, as far as known
+	started    monotonic.Micros
+	work       monotonic.Micros // what its work is expected to take
+	behind     bool             // it was let wait though it would be late
+	alarm      monotonic.Micros // when a lingering slot comes free, for the one waiter that sees to it
 	state      State
-	retryAfter postmark.Micros
+	retryAfter monotonic.Micros
 }
 
 // State tells how far the ticket has come.
 func (ticket *Ticket) State() State { return ticket.state }
 
 // RetryAfter is the wait that a refused ticket had to expect.
-func (ticket *Ticket) RetryAfter() postmark.Micros { return ticket.retryAfter }
+func (ticket *Ticket) RetryAfter() monotonic.Micros { return ticket.retryAfter }
 
 // before is the order of the queue: by priority, then by who must start first; who came earlier goes before its like.
 func (ticket *Ticket) before(other *Ticket) bool {
@@ -100,7 +100,7 @@
 }
 
 // late tells that the answer can't come within the aim any more, as far as can be expected.
-func (ticket *Ticket) late(now postmark.Micros) bool {
+func (ticket *Ticket) late(now monotonic.Micros) bool {
 	return ticket.behind || ticket.ask.Aim > 0 && now+ticket.work > ticket.ask.Aim
 }
 
@@ -110,7 +110,7 @@
 	measured int
 }
 
-func (mean *mean) take(work postmark.Micros) {
+func (mean *mean) take(work monotonic.Micros) {
 	mean.measured = min(mean.measured+1, memory)
 	mean.work += (float64(work) - mean.work) / float64(mean.measured)
 }
@@ -124,7 +124,7 @@
 	terms     Terms
 	count     int // zero: unknown, and then unbounded
 	running   int
-	lingering []postmark.Micros // until when each is kept
+	lingering []monotonic.Micros // until when each is kept
 	queue     []*Ticket
 	keeper    *Ticket
 	work      mean
@@ -142,7 +142,7 @@
 func New(terms Terms) *Slots { return &Slots{terms: terms, kinds: map[string]*mean{}} }
 
 // SetCount takes the number of slots that the backend says it has.
-func (slots *Slots) SetCount(now postmark.Micros, count uint32) {
+func (slots *Slots) SetCount(now monotonic.Micros, count uint32) {
 	slots.count = int(count)
 	slots.Advance(now)
 }
@@ -160,15 +160,15 @@
 func (slots *Slots) Waiting() int { return len(slots.queue) }
 
 // Work is the mean time for which a request holds its slot.
-func (slots *Slots) Work() postmark.Micros {
+func (slots *Slots) Work() monotonic.Micros {
 	if slots.work.measured == 0 {
 		return slots.terms.FirstWork
 	}
-	return postmark.Micros(slots.work.work)
+	return monotonic.Micros(slots.work.work)
 }
 
 // workOf is the mean for a kind, or for all while too few of it were measured.
-func (slots *Slots) workOf(kind string) postmark.Micros {
+func (slots *Slots) workOf(kind string) monotonic.Micros {
 	if work := slots.WorkOf(kind); work > 0 {
 		return work
 	}
@@ -176,9 +176,9 @@
 }
 
 // WorkOf is the mean time for which a request of a kind holds its slot; zero while too few of it were measured.
-func (slots *Slots) WorkOf(kind string) postmark.Micros {
+func (slots *Slots) WorkOf(kind string) monotonic.Micros {
 	if known := slots.kinds[kind]; known != nil && known.measured >= enough {
-		return postmark.Micros(known.work)
+		return monotonic.Micros(known.work)
 	}
 	return 0
 }
@@ -197,7 +197,7 @@
 func (slots *Slots) free() bool { return slots.count == 0 || slots.Taken() < slots.count }
 
 // Enter brings a request. Its ticket is running, waiting or refused.
-func (slots *Slots) Enter(now postmark.Micros, ask Ask) *Ticket {
+func (slots *Slots) Enter(now monotonic.Micros, ask Ask) *Ticket {
 	slots.Advance(now)
 	ticket := &Ticket{ask: ask, arrived: now, due: ask.Aim, work: slots.workOf(ask.Kind)}
 	if slots.free() {
@@ -234,7 +234,7 @@
 // welcome tells whether a request may wait at a place of the queue, and what wait it has to expect. It may where it will be
 // answered within its aim and, if it has another backend to go to, without waiting for long. One that has none left may also
 // wait to be answered late, behind all who can be answered in time, while few others do.
-func (slots *Slots) welcome(now postmark.Micros, ticket *Ticket, place int) (wait postmark.Micros, welcome bool) {
+func (slots *Slots) welcome(now monotonic.Micros, ticket *Ticket, place int) (wait monotonic.Micros, welcome bool) {
 	ask := ticket.ask
 	wait = slots.wait(now, slots.ahead(slots.queue[:place], func(other *Ticket) bool { return !other.late(now) }))
 	if ask.Aim <= now || wait+ticket.work <= ask.Aim-now {
@@ -254,7 +254,7 @@
 }
 
 // ahead sums the work of those that count.
-func (slots *Slots) ahead(queue []*Ticket, counts func(ticket *Ticket) bool) (work postmark.Micros) {
+func (slots *Slots) ahead(queue []*Ticket, counts func(ticket *Ticket) bool) (work monotonic.Micros) {
 	for _, ticket := range queue {
 		if counts(ticket) {
 			work += ticket.work
@@ -264,18 +264,18 @@
 }
 
 // Force lets a request in whatever the count, for backends whose count isn't known.
-func (slots *Slots) Force(now postmark.Micros, ask Ask) *Ticket {
+func (slots *Slots) Force(now monotonic.Micros, ask Ask) *Ticket {
 	slots.Advance(now)
 	ticket := &Ticket{ask: ask, arrived: now, work: slots.workOf(ask.Kind)}
 	slots.run(now, ticket)
 	return ticket
 }
 
-func share(span postmark.Micros, part float64) postmark.Micros {
-	return postmark.Micros(float64(span) * part)
+func share(span monotonic.Micros, part float64) monotonic.Micros {
+	return monotonic.Micros(float64(span) * part)
 }
 
-func (slots *Slots) mostWait(now postmark.Micros, ask Ask) postmark.Micros {
+func (slots *Slots) mostWait(now monotonic.Micros, ask Ask) monotonic.Micros {
 	if ask.Aim > now {
 		return share(ask.Aim-now, slots.terms.AimShare)
 	}
@@ -284,24 +284,24 @@
 
 // wait is what a request with so much work ahead of it has to expect: slots come free one by one, each after the mean work
 // time over their number. Lingering slots give nobody way before their end.
-func (slots *Slots) wait(now, ahead postmark.Micros) postmark.Micros {
+func (slots *Slots) wait(now, ahead monotonic.Micros) monotonic.Micros {
 	if slots.count == 0 {
 		return 0
 	}
 	working := slots.count - len(slots.lingering)
 	if working > 0 {
-		return (slots.Work() + ahead) / postmark.Micros(working)
+		return (slots.Work() + ahead) / monotonic.Micros(working)
 	}
 	first := slices.Min(slots.lingering)
-	return first - now + ahead/postmark.Micros(max(1, slots.count))
+	return first - now + ahead/monotonic.Micros(max(1, slots.count))
 }
 
-func (slots *Slots) run(now postmark.Micros, ticket *Ticket) {
+func (slots *Slots) run(now monotonic.Micros, ticket *Ticket) {
 	ticket.state, ticket.started = Running, now
 	slots.running++
 }
 
-func (slots *Slots) refuse(ticket *Ticket, wait postmark.Micros) {
+func (slots *Slots) refuse(ticket *Ticket, wait monotonic.Micros) {
 	ticket.state, ticket.retryAfter = Refused, max(wait, least)
 	ticket.wake()
 }
@@ -313,7 +313,7 @@
 }
 
 // tooLate is the moment from which a waiter is no longer worth starting, or may not be.
-func (slots *Slots) tooLate(ticket *Ticket) postmark.Micros {
+func (slots *Slots) tooLate(ticket *Ticket) monotonic.Micros {
 	moment := ticket.ask.Cutoff - slots.Work()/2
 	if ticket.ask.StartBy > 0 {
 		moment = min(moment, ticket.ask.StartBy)
@@ -322,8 +322,8 @@
 }
 
 // Advance lets time pass: lingering slots come free, waiters that are too late are refused, and free slots are given out.
-func (slots *Slots) Advance(now postmark.Micros) {
-	slots.lingering = slices.DeleteFunc(slots.lingering, func(until postmark.Micros) bool { return now >= until })
+func (slots *Slots) Advance(now monotonic.Micros) {
+	slots.lingering = slices.DeleteFunc(slots.lingering, func(until monotonic.Micros) bool { return now >= until })
 	kept := slots.queue[:0]
 	for _, ticket := range slots.queue {
 		if now >= slots.tooLate(ticket) {
@@ -363,7 +363,7 @@
 }
 
 // WakeAt is the moment at which a waiter has to call Advance by itself, if it isn't woken before.
-func (slots *Slots) WakeAt(ticket *Ticket) postmark.Micros {
+func (slots *Slots) WakeAt(ticket *Ticket) monotonic.Micros {
 	moment := slots.tooLate(ticket)
 	if ticket == slots.keeper {
 		moment = min(moment, ticket.alarm)
@@ -372,7 +372,7 @@
 }
 
 // Leave gives a slot back.
-func (slots *Slots) Leave(now postmark.Micros, ticket *Ticket, end End) {
+func (slots *Slots) Leave(now monotonic.Micros, ticket *Ticket, end End) {
 	if ticket.state != Running {
 		return
 	}
@@ -402,7 +402,7 @@
 }
 
 // Flush refuses all who wait.
-func (slots *Slots) Flush(now postmark.Micros) {
+func (slots *Slots) Flush(now monotonic.Micros) {
 	flushed := slots.queue
 	slots.queue = nil
 	for place, ticket := range flushed {
--- a/internal/carrier/gate/slots/slots_test.go
+++ b/internal/proxy/admission/slots/slots_test.go
@@ -5,28 +5,28 @@
 	"slices"
 	"testing"
 
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
 )
 
-const ms = postmark.Millisecond
+const ms = monotonic.Millisecond
 
 // door is an admission with its clock, and what its tickets were woken for.
 type door struct {
 	*slots.Slots
 	t    *testing.T
-	now  postmark.Micros
+	now  monotonic.Micros
 	woke map[*slots.Ticket]int
 }
 
 func newDoor(t *testing.T, count uint32, terms slots.Terms) *door {
-	one := &door{Slots: slots.New(terms), t: t, now: postmark.Minute, woke: map[*slots.Ticket]int{}}
+	one := &door{Slots: slots.New(terms), t: t, now: monotonic.Minute, woke: map[*slots.Ticket]int{}}
 	one.SetCount(one.now, count)
 	return one
 }
 
 // ask enters with spans in place of moments; an aim of zero is none.
-func (door *door) ask(priority uint32, aim, remaining postmark.Micros, patient bool) *slots.Ticket {
+func (door *door) ask(priority uint32, aim, remaining monotonic.Micros, patient bool) *slots.Ticket {
 	ask := slots.Ask{Priority: priority, Cutoff: door.now + remaining, Patient: patient}
 	if aim > 0 {
 		ask.Aim = door.now + aim
@@ -37,12 +37,12 @@
 }
 
 func (door *door) patient(priority uint32) *slots.Ticket {
-	return door.ask(priority, 0, 10*postmark.Second, true)
+	return door.ask(priority, 0, 10*monotonic.Second, true)
 }
 
 func (door *door) leave(ticket *slots.Ticket, end slots.End) { door.Leave(door.now, ticket, end) }
 
-func (door *door) pass(span postmark.Micros) {
+func (door *door) pass(span monotonic.Micros) {
 	door.now += span
 	door.Advance(door.now)
 }
@@ -55,7 +55,7 @@
 }
 
 // measured lets one request through that took so long.
-func (door *door) measured(span postmark.Micros) *door {
+func (door *door) measured(span monotonic.Micros) *door {
 	ticket := door.patient(0)
 	door.now += span
 	door.leave(ticket, slots.Worked)
@@ -108,12 +108,12 @@
 func TestOrder(t *testing.T) {
 	one := newDoor(t, 1, slots.Default())
 	one.fill()
-	late := one.ask(1, 900*ms, 5*postmark.Second, true)
-	soon := one.ask(1, 600*ms, 5*postmark.Second, true)
-	same := one.ask(1, 600*ms, 5*postmark.Second, true)
-	aimless := one.ask(1, 0, 2*postmark.Second, true) // taken as due within a quarter of its time
-	low := one.ask(2, 100*ms, 5*postmark.Second, true)
-	high := one.ask(0, 5*postmark.Second, 5*postmark.Second, true)
+	late := one.ask(1, 900*ms, 5*monotonic.Second, true)
+	soon := one.ask(1, 600*ms, 5*monotonic.Second, true)
+	same := one.ask(1, 600*ms, 5*monotonic.Second, true)
+	aimless := one.ask(1, 0, 2*monotonic.Second, true) // taken as due within a quarter of its time
+	low := one.ask(2, 100*ms, 5*monotonic.Second, true)
+	high := one.ask(0, 5*monotonic.Second, 5*monotonic.Second, true)
 	all, order := []*slots.Ticket{low, late, same, soon, aimless, high}, []*slots.Ticket{}
 	for range all {
 		one.SetCount(one.now, one.Count()+1)
@@ -131,15 +131,15 @@
 func TestRefusalsByExpectedWait(t *testing.T) {
 	type row struct {
 		what           string
-		aim, remaining postmark.Micros
+		aim, remaining monotonic.Micros
 		patient        bool
 		state          slots.State
 	}
 	// Two slots of 100 ms each: the first waiter expects 50 ms, and 150 ms with its work.
 	for _, row := range []row{
-		{"it ends within its aim", 151 * ms, 5 * postmark.Second, false, slots.Waiting},
-		{"it ends after its aim", 149 * ms, 5 * postmark.Second, false, slots.Refused},
-		{"it ends after its aim, but is patient", 149 * ms, 5 * postmark.Second, true, slots.Waiting},
+		{"it ends within its aim", 151 * ms, 5 * monotonic.Second, false, slots.Waiting},
+		{"it ends after its aim", 149 * ms, 5 * monotonic.Second, false, slots.Refused},
+		{"it ends after its aim, but is patient", 149 * ms, 5 * monotonic.Second, true, slots.Waiting},
 		{"no aim, within a quarter of its time", 0, 201 * ms, false, slots.Waiting},
 		{"no aim, beyond a quarter of its time", 0, 199 * ms, false, slots.Refused},
 		{"patient, and it still ends in time", 0, 151 * ms, true, slots.Waiting},
@@ -156,9 +156,9 @@
 	one := newDoor(t, 2, slots.Default()).measured(100 * ms)
 	one.fill()
 	for range 3 {
-		one.ask(0, 500*ms, postmark.Second, true)
+		one.ask(0, 500*ms, monotonic.Second, true)
 	}
-	if ticket := one.ask(0, 100*ms, postmark.Second, false); ticket.State() != slots.Refused || ticket.RetryAfter() != 200*ms {
+	if ticket := one.ask(0, 100*ms, monotonic.Second, false); ticket.State() != slots.Refused || ticket.RetryAfter() != 200*ms {
 		t.Errorf("with three ahead at two slots: state %d, told %d", ticket.State(), ticket.RetryAfter())
 	}
 	// Whoever has a better priority has only its like ahead.
@@ -167,7 +167,7 @@
 	for range 3 {
 		one.patient(1)
 	}
-	one.is("first of its priority", one.ask(0, 160*ms, postmark.Second, false), slots.Waiting)
+	one.is("first of its priority", one.ask(0, 160*ms, monotonic.Second, false), slots.Waiting)
 }
 
 // TestLateGoLast: under a rush those who can be answered within their aim go before those who can't any more, whose number is
@@ -175,11 +175,11 @@
 func TestLateGoLast(t *testing.T) {
 	one := newDoor(t, 2, slots.Default()).measured(100 * ms)
 	holders := one.fill()
-	late := one.ask(0, 120*ms, 5*postmark.Second, true)
+	late := one.ask(0, 120*ms, 5*monotonic.Second, true)
 	one.is("late, with nobody like it", late, slots.Waiting)
-	one.is("late, with another one there", one.ask(0, 120*ms, 5*postmark.Second, true), slots.Refused)
-	becomes := one.ask(0, 200*ms, 5*postmark.Second, true)
-	inTime := one.ask(1, 800*ms, 5*postmark.Second, false)
+	one.is("late, with another one there", one.ask(0, 120*ms, 5*monotonic.Second, true), slots.Refused)
+	becomes := one.ask(0, 200*ms, 5*monotonic.Second, true)
+	inTime := one.ask(1, 800*ms, 5*monotonic.Second, false)
 	one.is("in time, though of a lower priority", inTime, slots.Waiting)
 	one.now += 150 * ms
 	one.leave(holders[0], slots.Over)
@@ -192,8 +192,8 @@
 // TestKinds: what a request is expected to take goes by its kind, once enough of it were measured.
 func TestKinds(t *testing.T) {
 	one := newDoor(t, 1, slots.Default())
-	run := func(kind string, span postmark.Micros) {
-		ticket := one.Enter(one.now, slots.Ask{Cutoff: one.now + 10*postmark.Second, Kind: kind})
+	run := func(kind string, span monotonic.Micros) {
+		ticket := one.Enter(one.now, slots.Ask{Cutoff: one.now + 10*monotonic.Second, Kind: kind})
 		one.now += span
 		one.leave(ticket, slots.Worked)
 	}
@@ -203,7 +203,7 @@
 	}
 	one.fill()
 	ask := func(kind string) *slots.Ticket {
-		return one.Enter(one.now, slots.Ask{Aim: one.now + 320*ms, Cutoff: one.now + 5*postmark.Second, Kind: kind, Patient: true})
+		return one.Enter(one.now, slots.Ask{Aim: one.now + 320*ms, Cutoff: one.now + 5*monotonic.Second, Kind: kind, Patient: true})
 	}
 	one.is("a lookup ends in time", ask("lookup"), slots.Waiting)
 	if form := ask("form"); form.State() != slots.Waiting || one.Waiting() != 2 {
@@ -258,7 +258,7 @@
 func TestStartBy(t *testing.T) {
 	one := newDoor(t, 2, slots.Default()).measured(100 * ms)
 	one.fill()
-	ask := slots.Ask{Cutoff: one.now + 5*postmark.Second, StartBy: one.now + 60*ms, Patient: true}
+	ask := slots.Ask{Cutoff: one.now + 5*monotonic.Second, StartBy: one.now + 60*ms, Patient: true}
 	ticket := one.Enter(one.now, ask)
 	one.is("the first", ticket, slots.Waiting)
 	if one.WakeAt(ticket) != ask.StartBy {
@@ -283,7 +283,7 @@
 		t.Errorf("%d taken, %d running", one.Taken(), one.Running())
 	}
 	// A better one doesn't take the duty over; if the one that has it goes, another gets it.
-	better := one.ask(0, 900*ms, postmark.Second, true)
+	better := one.ask(0, 900*ms, monotonic.Second, true)
 	one.is("better", better, slots.Waiting)
 	if one.WakeAt(better) != one.now+950*ms {
 		t.Errorf("two see to it")
@@ -293,14 +293,14 @@
 	one.pass(ms)
 	one.is("after it", better, slots.Running)
 	one.is("the other", waiting, slots.Waiting)
-	if one.WakeAt(waiting) < one.now+5*postmark.Second {
+	if one.WakeAt(waiting) < one.now+5*monotonic.Second {
 		t.Errorf("nothing lingers, and it wakes after %d", one.WakeAt(waiting)-one.now)
 	}
 }
 
 func TestLingeringDutyIsHandedOn(t *testing.T) {
 	one := newDoor(t, 1, slots.Default()).measured(10 * ms)
-	held := one.ask(0, 0, postmark.Second, false)
+	held := one.ask(0, 0, monotonic.Second, false)
 	keeper, other := one.ask(0, 0, 1100*ms, true), one.patient(1)
 	one.leave(held, slots.Unsure)
 	if one.WakeAt(keeper) != one.now+1005*ms {
@@ -309,11 +309,11 @@
 	one.Flush(one.now)
 	one.is("flushed", keeper, slots.Refused)
 	one.is("flushed", other, slots.Refused)
-	next := one.ask(0, 0, 3*postmark.Second, true)
+	next := one.ask(0, 0, 3*monotonic.Second, true)
 	if one.WakeAt(next) != one.now+1005*ms {
 		t.Errorf("nobody sees to the slot's end")
 	}
-	one.is("all linger: refused until then", one.ask(0, 900*ms, 3*postmark.Second, false), slots.Refused)
+	one.is("all linger: refused until then", one.ask(0, 900*ms, 3*monotonic.Second, false), slots.Refused)
 }
 
 func TestSetLinger(t *testing.T) {
@@ -361,7 +361,7 @@
 		t.Errorf("%d after two", one.Work())
 	}
 	ticket := one.patient(0)
-	one.now += postmark.Minute
+	one.now += monotonic.Minute
 	one.leave(ticket, slots.Over)
 	if one.Work() != 150*ms {
 		t.Errorf("what was no work counted")
@@ -385,7 +385,7 @@
 		shrunk := false
 		var live []*slots.Ticket
 		for range 400 {
-			one.now += postmark.Micros(chance.IntN(20000))
+			one.now += monotonic.Micros(chance.IntN(20000))
 			for _, ticket := range live { // those whose moment came call, as their owner would
 				if ticket.State() == slots.Waiting && one.now >= one.WakeAt(ticket) {
 					one.Advance(one.now)
@@ -393,7 +393,7 @@
 			}
 			switch pick := chance.IntN(20); {
 			case pick < 11:
-				live = append(live, one.ask(uint32(chance.IntN(3)), postmark.Micros(chance.IntN(300000)), postmark.Micros(1+chance.IntN(600000)), chance.IntN(2) == 0))
+				live = append(live, one.ask(uint32(chance.IntN(3)), monotonic.Micros(chance.IntN(300000)), monotonic.Micros(1+chance.IntN(600000)), chance.IntN(2) == 0))
 			case pick < 18 && len(live) > 0:
 				one.leave(live[chance.IntN(len(live))], slots.End(chance.IntN(3)))
 			case pick == 18:
--- a/internal/carrier/gate/standing.go
+++ b/internal/proxy/admission/standing.go
@@ -1,18 +1,18 @@
-package gate
+package admission
 
 import (
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/carrier/outlier"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/transport/wire"
 )
 
 // visit asks the backend's standing for a request. A caller that has no other backend to go to is let in always.
-func (gate *Gate) visit(ask *wire.PassAsk) (*hutch.Visit, *seal.Fault) {
+func (gate *Gate) visit(ask *wire.PassAsk) (*localbackends.Visit, *apierror.Fault) {
 	peers := ask.Peers
-	return gate.env.Hutch.Visit(ask.Instance, outlier.Ask{Domain: ask.Domain, Kind: ask.Route, Aim: postmark.Micros(ask.Aim),
+	return gate.env.Hutch.Visit(ask.Instance, outlier.Ask{Domain: ask.Domain, Kind: ask.Route, Aim: monotonic.Micros(ask.Aim),
 		Repeatable: !ask.Once && !ask.Single, Insists: ask.Patient,
 		Peers: outlier.Peers{Known: int(peers.GetKnown()), Ejected: int(peers.GetEjected()), Faults: float64(peers.GetFaults()) / 1000, Pace: float64(peers.GetPace()) / 1000}})
 }
@@ -26,11 +26,11 @@
 
 // silent are the causes of faults that say nothing of the backend: it was never asked, or the request had too little time; what
 // takes far longer than usual is counted as it happens.
-var silent = map[seal.Cause]bool{seal.AnswerLate: true, seal.AnswerTooLarge: true, seal.AnswerUnmatched: true, seal.ClaimLate: true,
-	seal.StoppedUnderWay: true, seal.TenureEnded: true, seal.BackendLeaving: true, seal.BackendUnknown: true}
+var silent = map[apierror.Cause]bool{apierror.AnswerLate: true, apierror.AnswerTooLarge: true, apierror.AnswerUnmatched: true, apierror.ClaimLate: true,
+	apierror.StoppedUnderWay: true, apierror.TenureEnded: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true}
 
 // worth is what a delivery's end says of its backend. Errors and requests it turned down count like answers it lost.
-func worth(answer *letter.Answer, fault *seal.Fault) outlier.Outcome {
+func worth(answer *request.Answer, fault *apierror.Fault) outlier.Outcome {
 	switch {
 	case fault != nil && (fault.Local || silent[fault.Cause]):
 		return outlier.Unknown
--- a/internal/carrier/gate/stay.go
+++ b/internal/proxy/admission/stay.go
@@ -1,19 +1,19 @@
-package gate
+package admission
 
 import (
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/transport/wire"
 )
 
 // stay is a request's right to be handed to its backend: a slot, and for a run-once request its claim.
 type stay struct {
-	*hutch.Pass
-	startBy postmark.Micros
+	*localbackends.Pass
+	startBy monotonic.Micros
 }
 
 // guardShare is the part of the guard's wait in open, as a divisor, that a request may wait for a slot. It was let in
@@ -21,10 +21,10 @@
 const guardShare = 2
 
 // stay gets a request its place, or the recorded answer of an earlier run. On a fault neither slot nor claim is left behind.
-func (gate *Gate) stay(ask *wire.PassAsk, service *franking.Service, cutoff postmark.Micros) (*stay, *letter.Answer, *seal.Fault) {
-	admission := hutch.Admission{Instance: ask.Instance, Service: ask.Service, Once: ask.Once,
+func (gate *Gate) stay(ask *wire.PassAsk, service *config.Service, cutoff monotonic.Micros) (*stay, *request.Answer, *apierror.Fault) {
+	admission := localbackends.Admission{Instance: ask.Instance, Service: ask.Service, Once: ask.Once,
 		Ask: slots.Ask{Priority: ask.Priority, Aim: gate.env.Hutch.Remaining(ask.Aim), Cutoff: cutoff, Patient: ask.Patient, Kind: ask.Route}}
-	admission.StartBy = min(cutoff, gate.env.Place.Now()+postmark.Micros(service.Guard.GetWaitOpenMicros())/guardShare)
+	admission.StartBy = min(cutoff, gate.env.Place.Now()+monotonic.Micros(service.Guard.GetWaitOpenMicros())/guardShare)
 	claims := ask.Once && !gate.unclaimed
 	if !gate.env.Hutch.Counted(ask.Instance) {
 		return gate.placed(ask, admission, claims, service.Limits.GetInFlightPerBackend())
@@ -37,13 +37,13 @@
 }
 
 // claimHold is how long a slot is held for a claim that isn't answered. It's well above what one takes.
-const claimHold = 100 * postmark.Millisecond
+const claimHold = 100 * monotonic.Millisecond
 
 // claimed claims while the slot is held: a claim takes one replicated write of some milliseconds, whereas a key claimed for
 // a request that the queue then refuses costs a second such write to free it, and meanwhile nobody else may use
 // it. When the sorters fail over claims take seconds; then the slot is given back and asked for again once the
 // claim is there, or lookups would find every slot held by requests that can't start.
-func (gate *Gate) claimed(ask *wire.PassAsk, admission hutch.Admission, pass *hutch.Pass) (*stay, *letter.Answer, *seal.Fault) {
+func (gate *Gate) claimed(ask *wire.PassAsk, admission localbackends.Admission, pass *localbackends.Pass) (*stay, *request.Answer, *apierror.Fault) {
 	cutoff := admission.Cutoff
 	unheard := false
 	startBy, earlier, fault := gate.claim(ask, min(cutoff, gate.env.Place.Now()+claimHold), cutoff, &unheard, func() { pass.Leave(slots.Over) })
@@ -51,7 +51,7 @@
 		return &stay{Pass: pass, startBy: startBy}, nil, nil
 	}
 	pass.Leave(slots.Over)
-	if earlier != nil || fault.Cause != seal.ClaimUnreachable || !fault.NotRun() {
+	if earlier != nil || fault.Cause != apierror.ClaimUnreachable || !fault.NotRun() {
 		return nil, earlier, fault
 	}
 	if startBy, earlier, fault = gate.settled(ask, cutoff, unheard); fault != nil || earlier != nil {
@@ -66,9 +66,9 @@
 }
 
 // settled claims until the cutoff; a claim that may have been granted unheard, now or before, is freed.
-func (gate *Gate) settled(ask *wire.PassAsk, cutoff postmark.Micros, unheard bool) (startBy postmark.Micros, earlier *letter.Answer, fault *seal.Fault) {
+func (gate *Gate) settled(ask *wire.PassAsk, cutoff monotonic.Micros, unheard bool) (startBy monotonic.Micros, earlier *request.Answer, fault *apierror.Fault) {
 	startBy, earlier, fault = gate.claim(ask, cutoff, cutoff, &unheard, func() {})
-	if fault != nil && fault.Cause == seal.ClaimUnreachable && unheard {
+	if fault != nil && fault.Cause == apierror.ClaimUnreachable && unheard {
 		gate.env.Place.Go(func() { gate.free(ask) })
 	}
 	return startBy, earlier, fault
@@ -76,14 +76,14 @@
 
 // placed is the way in to a backend of unknown slots. A claim may take long; no place is held meanwhile. Whom there is no place
 // for now isn't claimed for.
-func (gate *Gate) placed(ask *wire.PassAsk, admission hutch.Admission, claims bool, limit uint32) (*stay, *letter.Answer, *seal.Fault) {
+func (gate *Gate) placed(ask *wire.PassAsk, admission localbackends.Admission, claims bool, limit uint32) (*stay, *request.Answer, *apierror.Fault) {
 	startBy := admission.Cutoff
 	if fault := gate.env.Hutch.Room(ask.Instance, ask.Service, limit, ask.Once); fault != nil {
 		return nil, nil, fault
 	}
 	if claims {
-		var earlier *letter.Answer
-		var fault *seal.Fault
+		var earlier *request.Answer
+		var fault *apierror.Fault
 		if startBy, earlier, fault = gate.settled(ask, startBy, false); fault != nil || earlier != nil {
 			return nil, earlier, fault
 		}
@@ -100,17 +100,17 @@
 
 // placePatience is how long a request whose claim was granted waits for a place: when the sorters come back, many are
 // granted at once, more than there are places, though each needs its place for milliseconds only.
-const placePatience = 300 * postmark.Millisecond
+const placePatience = 300 * monotonic.Millisecond
 
 // enter takes a place at the backend. Only who has a claim waits for one.
-func (gate *Gate) enter(admission hutch.Admission, limit uint32, startBy postmark.Micros) (*hutch.Pass, *seal.Fault) {
+func (gate *Gate) enter(admission localbackends.Admission, limit uint32, startBy monotonic.Micros) (*localbackends.Pass, *apierror.Fault) {
 	place := gate.env.Place
 	cutoff := min(startBy, place.Now()+placePatience)
 	for {
 		pass, fault := gate.env.Hutch.Place(admission, limit)
-		if fault == nil || fault.Cause != seal.Overloaded || !admission.Once || place.Now() >= cutoff {
+		if fault == nil || fault.Cause != apierror.Overloaded || !admission.Once || place.Now() >= cutoff {
 			return pass, fault
 		}
-		place.Sleep(5 * postmark.Millisecond)
+		place.Sleep(5 * monotonic.Millisecond)
 	}
 }
--- a/internal/carrier/gate/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -5,7 +5,7 @@
 import (
 	"sync"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 const (
@@ -26,7 +26,7 @@
 type Uplink struct {
 	rate     float64 // bytes a microsecond; zero for a link that isn't counted
 	lock     sync.Mutex
-	free     postmark.Micros
+	free     monotonic.Micros
 	promised float64
 	sizes    map[string]float64
 }
@@ -36,7 +36,7 @@
 
 // Admit takes a request whose answer is to be on its way within a limit, or tells how long the link is taken. size must be given
 // back to Done.
-func (uplink *Uplink) Admit(now postmark.Micros, route string, limit postmark.Micros) (size float64, wait postmark.Micros, admitted bool) {
+func (uplink *Uplink) Admit(now monotonic.Micros, route string, limit monotonic.Micros) (size float64, wait monotonic.Micros, admitted bool) {
 	if uplink.rate == 0 {
 		return 0, 0, true
 	}
@@ -52,7 +52,7 @@
 }
 
 // Done notes that an answer of so many bytes goes out, none for a request that had no answer.
-func (uplink *Uplink) Done(now postmark.Micros, route string, size float64, bytes int) {
+func (uplink *Uplink) Done(now monotonic.Micros, route string, size float64, bytes int) {
 	if uplink.rate == 0 {
 		return
 	}
@@ -73,6 +73,6 @@
 	uplink.sizes[route] = known + (float64(bytes)-known)/memory
 }
 
-func (uplink *Uplink) time(bytes float64) postmark.Micros {
-	return postmark.Micros(bytes * overhead / uplink.rate)
+func (uplink *Uplink) time(bytes float64) monotonic.Micros {
+	return monotonic.Micros(bytes * overhead / uplink.rate)
 }
--- a/internal/carrier/gate/uplink/uplink_test.go
+++ b/internal/proxy/admission/uplink/uplink_test.go
@@ -3,15 +3,15 @@
 import (
 	"testing"
 
-	"snowflow/internal/carrier/gate/uplink"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/uplink"
 )
 
 // TestUplink: large answers are admitted as far as the link carries them in time, small ones always, and a link whose rate isn't
 // known carries all.
 func TestUplink(t *testing.T) {
-	const ms = postmark.Millisecond
-	now := postmark.Minute
+	const ms = monotonic.Millisecond
+	now := monotonic.Minute
 	narrow := uplink.New(8) // a megabyte a second
 	size, _, admitted := narrow.Admit(now, "packs", 100*ms)
 	if !admitted || size != 0 {
--- a/internal/carrier/gate/work.go
+++ b/internal/proxy/admission/work.go
@@ -1,11 +1,11 @@
-package gate
+package admission
 
 import (
 	"sync"
 
-	"snowflow/internal/carrier/letter"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
 )
 
 // work knows which keys are being run here now, so that a repeat is told so, or waits for the answer.
@@ -37,7 +37,7 @@
 }
 
 // await waits, at most patience, until a scope isn't at work here. It tells whether it still is.
-func (work *work) await(scope string, patience postmark.Micros) bool {
+func (work *work) await(scope string, patience monotonic.Micros) bool {
 	work.lock.Lock()
 	waiters, busy := work.open[scope]
 	if !busy {
@@ -51,7 +51,7 @@
 }
 
 // recorded is the answer that a scope's run left here, waited for while it's at work.
-func (gate *Gate) recorded(scope string, digest []byte, patience postmark.Micros) (answer *letter.Answer, busy bool) {
+func (gate *Gate) recorded(scope string, digest []byte, patience monotonic.Micros) (answer *request.Answer, busy bool) {
 	busy = gate.work.await(scope, patience)
 	return gate.env.Shelf.Find(scope, digest), busy
 }
