--- a/internal/carrier/backdoor/backdoor.go
+++ b/internal/proxy/backendapi/backdoor.go
@@ -1,6 +1,6 @@
-// Package backdoor is the HTTP door for the machine's own backends and for the platform: registration, beats, leaving,
+// Package backendapi is the HTTP door for the machine's own backends and for the platform: registration, beats, leaving,
 // readiness, status, metrics and the guards' manual controls.
-package backdoor
+package backendapi
 
 import (
 	"encoding/json"
@@ -9,11 +9,11 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/go-chi/chi/v5/middleware"
 
-	"snowflow/internal/carrier"
-	"snowflow/internal/carrier/hutch"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/proxy/localbackends"
 )
 
 type registration struct {
@@ -47,9 +47,9 @@
 // Complain answers with an error's text.
 func Complain(writer http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if seal.IsRefused(err) {
+	if apierror.IsRefused(err) {
 		status = http.StatusNotFound
-	} else if seal.IsLost(err) {
+	} else if apierror.IsLost(err) {
 		status = http.StatusServiceUnavailable
 	}
 	Write(writer, status, map[string]string{"error": err.Error()})
@@ -60,31 +60,31 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, incoming.Body, 64<<10))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return seal.Invalid.Wrap(err, "unreadable body")
+		return apierror.Invalid.Wrap(err, "unreadable body")
 	}
 	return nil
 }
 
 // New makes the door's handler. stop begins a planned stop.
-func New(place host.Host, carrier *carrier.Carrier, metrics http.Handler, stop func()) http.Handler {
+func New(place host.Host, carrier *proxy.Carrier, metrics http.Handler, stop func()) http.Handler {
 	router := chi.NewRouter()
 	router.Post("/backends", func(writer http.ResponseWriter, incoming *http.Request) {
-		told := registration{Condition: hutch.Alive}
+		told := registration{Condition: localbackends.Alive}
 		if err := Read(writer, incoming, &told); err != nil {
 			Complain(writer, err)
 			return
 		}
 		if told.Instance == "" {
-			told.Instance = hutch.NewInstance(place)
+			told.Instance = localbackends.NewInstance(place)
 		}
-		if err := carrier.Hutch.Register(hutch.Backend{Service: told.Service, Instance: told.Instance, Address: told.Address}, told.Condition); err != nil {
+		if err := carrier.Hutch.Register(localbackends.Backend{Service: told.Service, Instance: told.Instance, Address: told.Address}, told.Condition); err != nil {
 			Complain(writer, err)
 			return
 		}
-		Write(writer, http.StatusCreated, registered{Instance: told.Instance, BeatMicros: int64(hutch.BeatEvery)})
+		Write(writer, http.StatusCreated, registered{Instance: told.Instance, BeatMicros: int64(localbackends.BeatEvery)})
 	})
 	router.Post("/backends/{instance}/beat", func(writer http.ResponseWriter, incoming *http.Request) {
-		told := beat{Condition: hutch.Alive}
+		told := beat{Condition: localbackends.Alive}
 		if incoming.ContentLength != 0 {
 			if err := Read(writer, incoming, &told); err != nil {
 				Complain(writer, err)
@@ -94,7 +94,7 @@
 		answerBeat(writer, carrier.Hutch.Beat(chi.URLParam(incoming, "instance"), told.Condition))
 	})
 	router.Post("/backends/{instance}/leave", func(writer http.ResponseWriter, incoming *http.Request) {
-		answerBeat(writer, carrier.Hutch.Beat(chi.URLParam(incoming, "instance"), hutch.Leaving))
+		answerBeat(writer, carrier.Hutch.Beat(chi.URLParam(incoming, "instance"), localbackends.Leaving))
 	})
 	router.Post("/duties/{duty}", func(writer http.ResponseWriter, incoming *http.Request) {
 		ask := dutyAsk{}
@@ -102,7 +102,7 @@
 			Complain(writer, err)
 			return
 		}
-		told, err := carrier.Rota.Ask(chi.URLParam(incoming, "duty"), ask.Instance, postmark.Micros(ask.Length))
+		told, err := carrier.Rota.Ask(chi.URLParam(incoming, "duty"), ask.Instance, monotonic.Micros(ask.Length))
 		if err != nil {
 			Complain(writer, err)
 			return
--- a/internal/carrier/wicket/wicket.go
+++ b/internal/proxy/breaker/wicket.go
@@ -1,7 +1,7 @@
-// Package wicket is the guard at the caller's side: one breaker per service, with its own window for detecting trips and
+// Package breaker is the guard at the caller's side: one breaker per service, with its own window for detecting trips and
 // a cached read of the shared record for the verdict. Nothing is asked inline while the record is closed or open; half
 // open, each try leases one probe from the budget that all callers share.
-package wicket
+package breaker
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/franking"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/breakerstore"
-	"snowflow/internal/seal"
+	"snowflow/internal/transport/wire"
 )
 
 // Env is what a guard is made of.
@@ -26,12 +26,12 @@
 	Carrier     string
 	Incarnation uint64
 	// Call asks the primary sorter once.
-	Call func(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error
+	Call func(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error
 	// LaneLength bounds the lane of writes.
 	LaneLength int
 	// RetryBackoff is how long writes are dropped after a failure, growing by RetryMultiplier up to RetryBackoffMax,
 	// with up to RetryJitter of it added.
-	RetryBackoff, RetryBackoffMax postmark.Micros
+	RetryBackoff, RetryBackoffMax monotonic.Micros
 	RetryMultiplier, RetryJitter  float64
 }
 
@@ -52,7 +52,7 @@
 	breakers map[string]*breaker
 	degraded bool
 	failures int
-	retryAt  postmark.Micros
+	retryAt  monotonic.Micros
 	queued   int
 	closed   bool
 	idle     host.Signal
@@ -85,11 +85,11 @@
 type Ticket struct {
 	wicket  *Wicket
 	breaker *breaker
-	service *franking.Service
+	service *config.Service
 	probe   string
 	serial  uint64
 	local   bool
-	started postmark.Micros
+	started monotonic.Micros
 	ignored bool
 }
 
@@ -99,7 +99,7 @@
 		env.LaneLength = 128
 	}
 	if env.RetryBackoff == 0 {
-		env.RetryBackoff = 5 * postmark.Second
+		env.RetryBackoff = 5 * monotonic.Second
 	}
 	if env.RetryMultiplier < 1 {
 		env.RetryMultiplier = 1
@@ -137,14 +137,14 @@
 }
 
 // admissions decide by the shared verdict.
-var admissions = map[string]func(wicket *Wicket, breaker *breaker, ticket *Ticket) *seal.Fault{
+var admissions = map[string]func(wicket *Wicket, breaker *breaker, ticket *Ticket) *apierror.Fault{
 	breakerstore.Closed:   (*Wicket).admitLocal,
 	breakerstore.Open:     (*Wicket).admitOpen,
 	breakerstore.HalfOpen: (*Wicket).admitProbe,
 }
 
 // Admit grants one try entry, or refuses it.
-func (wicket *Wicket) Admit(service *franking.Service) (*Ticket, *seal.Fault) {
+func (wicket *Wicket) Admit(service *config.Service) (*Ticket, *apierror.Fault) {
 	breaker := wicket.breaker(service.Name)
 	ticket := &Ticket{wicket: wicket, breaker: breaker, service: service, started: wicket.env.Place.Now()}
 	breaker.lock.Lock()
@@ -158,7 +158,7 @@
 	}
 	breaker.lock.Unlock()
 	if control == ControlForceOpen {
-		return nil, seal.New(seal.GuardOpen, seal.NotRun, "guard of %s is forced open on this node", service.Name)
+		return nil, apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is forced open on this node", service.Name)
 	}
 	if control != ControlNone || service.Guard.GetDisabled() {
 		ticket.ignored = control != ControlMetricsOnly
@@ -173,14 +173,14 @@
 	return ticket, nil
 }
 
-func (wicket *Wicket) admitOpen(breaker *breaker, ticket *Ticket) *seal.Fault {
-	fault := seal.New(seal.GuardOpen, seal.NotRun, "guard of %s is open", breaker.service)
-	fault.RetryAfter = min(max(postmark.Micros(ticket.service.Guard.GetWaitOpenMicros()), postmark.Second), 5*postmark.Second)
+func (wicket *Wicket) admitOpen(breaker *breaker, ticket *Ticket) *apierror.Fault {
+	fault := apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is open", breaker.service)
+	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Guard.GetWaitOpenMicros()), monotonic.Second), 5*monotonic.Second)
 	return fault
 }
 
 // admitProbe is the one inline call.
-func (wicket *Wicket) admitProbe(breaker *breaker, ticket *Ticket) *seal.Fault {
+func (wicket *Wicket) admitProbe(breaker *breaker, ticket *Ticket) *apierror.Fault {
 	if wicket.unleased {
 		return nil
 	}
@@ -202,11 +202,11 @@
 		ticket.probe, ticket.serial = "", tell.Record.Serial
 		return wicket.admitLocal(breaker, ticket)
 	}
-	return seal.New(seal.NoProbe, seal.NotRun, "guard of %s has no probe left", breaker.service)
+	return apierror.New(apierror.NoProbe, apierror.NotRun, "guard of %s has no probe left", breaker.service)
 }
 
 // admitLocal decides by this node's own breaker.
-func (wicket *Wicket) admitLocal(breaker *breaker, ticket *Ticket) *seal.Fault {
+func (wicket *Wicket) admitLocal(breaker *breaker, ticket *Ticket) *apierror.Fault {
 	breaker.lock.Lock()
 	defer breaker.lock.Unlock()
 	own := &breaker.local
@@ -214,7 +214,7 @@
 		return nil
 	}
 	now := wicket.env.Place.Now()
-	if own.state == breakerstore.Open && now-own.entered >= postmark.Micros(ticket.service.Guard.GetWaitOpenMicros()) {
+	if own.state == breakerstore.Open && now-own.entered >= monotonic.Micros(ticket.service.Guard.GetWaitOpenMicros()) {
 		*own = local{state: breakerstore.HalfOpen, entered: now, left: int(ticket.service.Guard.GetPermittedHalfOpen())}
 	}
 	if own.state == breakerstore.HalfOpen && own.left > 0 {
@@ -223,8 +223,8 @@
 		ticket.local = true
 		return nil
 	}
-	fault := seal.New(seal.GuardOpen, seal.NotRun, "guard of %s is open on this node", breaker.service)
-	fault.RetryAfter = min(max(postmark.Micros(ticket.service.Guard.GetWaitOpenMicros())-(now-own.entered), postmark.Second), 5*postmark.Second)
+	fault := apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is open on this node", breaker.service)
+	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Guard.GetWaitOpenMicros())-(now-own.entered), monotonic.Second), 5*monotonic.Second)
 	return fault
 }
 
@@ -243,7 +243,7 @@
 	wicket, breaker := ticket.wicket, ticket.breaker
 	took := wicket.env.Place.Now() - ticket.started
 	guard := ticket.service.Guard
-	slow := took > postmark.Micros(guard.GetSlowMicros())
+	slow := took > monotonic.Micros(guard.GetSlowMicros())
 	if ticket.probe != "" {
 		// Trouble of this node's own tells nothing, so its probe goes back.
 		verb := "probe"
@@ -283,7 +283,7 @@
 	if breaker.shared != nil {
 		serial = breaker.shared.Serial
 	}
-	wicket.env.Place.Report(bulletin.GuardLocalTrip, map[string]any{"service": breaker.service})
+	wicket.env.Place.Report(eventlog.GuardLocalTrip, map[string]any{"service": breaker.service})
 	wicket.write(&wire.GuardWriteAsk{Service: breaker.service, Verb: "trip", ExpectedSerial: serial, Terms: breaker.terms})
 }
 
@@ -329,13 +329,13 @@
 	}
 	breaker.window = newWindow(len(breaker.window.ring))
 	breaker.local = local{state: breakerstore.Closed}
-	wicket.env.Place.Report(bulletin.GuardChanged, map[string]any{"service": breaker.service, "state": record.State, "serial": record.Serial})
+	wicket.env.Place.Report(eventlog.GuardChanged, map[string]any{"service": breaker.service, "state": record.State, "serial": record.Serial})
 }
 
 // Polled takes the poll's records, or nothing when the primary wasn't reached.
 func (wicket *Wicket) Polled(records []*wire.GuardRecord, reached bool) {
 	if !reached {
-		wicket.degrade(seal.Unreachable.New("poll"))
+		wicket.degrade(apierror.Unreachable.New("poll"))
 		return
 	}
 	wicket.recover()
@@ -356,11 +356,11 @@
 		}
 		delay += delay * wicket.env.RetryJitter * float64(wicket.env.Place.Random()%1000) / 1000
 		wicket.failures++
-		wicket.retryAt = wicket.env.Place.Now() + postmark.Micros(delay)
+		wicket.retryAt = wicket.env.Place.Now() + monotonic.Micros(delay)
 	}
 	wicket.lock.Unlock()
 	if first {
-		wicket.env.Place.Report(bulletin.GuardDegraded, map[string]any{"error": cause.Error()})
+		wicket.env.Place.Report(eventlog.GuardDegraded, map[string]any{"error": cause.Error()})
 	}
 }
 
@@ -370,7 +370,7 @@
 	wicket.degraded, wicket.failures = false, 0
 	wicket.lock.Unlock()
 	if was {
-		wicket.env.Place.Report(bulletin.GuardRecovered, map[string]any{})
+		wicket.env.Place.Report(eventlog.GuardRecovered, map[string]any{})
 	}
 }
 
@@ -385,7 +385,7 @@
 	}
 	wicket.lock.Unlock()
 	if gated || full {
-		wicket.env.Place.Report(bulletin.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": gated})
+		wicket.env.Place.Report(eventlog.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": gated})
 		return
 	}
 	wicket.lane.Put(ask)
@@ -394,7 +394,7 @@
 // Lane sends the writes, in order, for ever.
 func (wicket *Wicket) Lane() {
 	for {
-		for _, ask := range wicket.lane.Take(postmark.Second) {
+		for _, ask := range wicket.lane.Take(monotonic.Second) {
 			wicket.send(ask)
 			wicket.lock.Lock()
 			wicket.queued--
@@ -410,13 +410,13 @@
 // writePatience is how long a write may take, which nobody waits for, and leasePatience how long a probe's lease may,
 // which one caller does. Both outlast a batch that a slow disk syncs.
 const (
-	writePatience = 1500 * postmark.Millisecond
-	leasePatience = postmark.Second
+	writePatience = 1500 * monotonic.Millisecond
+	leasePatience = monotonic.Second
 )
 
 func (wicket *Wicket) send(ask *wire.GuardWriteAsk) {
 	if wicket.Degraded() {
-		wicket.env.Place.Report(bulletin.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": true})
+		wicket.env.Place.Report(eventlog.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": true})
 		return
 	}
 	tell := &wire.GuardWriteTell{}
@@ -426,7 +426,7 @@
 	}
 	wicket.learn(wicket.breaker(ask.Service), tell.Record)
 	if ask.Verb == "trip" && tell.Applied && tell.Record.State == breakerstore.Closed {
-		wicket.env.Place.Report(bulletin.GuardReported, map[string]any{"service": ask.Service, "reports": len(tell.Record.Reports)})
+		wicket.env.Place.Report(eventlog.GuardReported, map[string]any{"service": ask.Service, "reports": len(tell.Record.Reports)})
 	}
 	if ask.Verb != "probe" || !tell.Applied || !tell.RoundComplete {
 		return
@@ -443,7 +443,7 @@
 }
 
 // Close drains the lane, at most for patience. Afterwards writes are dropped and the cached verdicts are forgotten.
-func (wicket *Wicket) Close(patience postmark.Micros) {
+func (wicket *Wicket) Close(patience monotonic.Micros) {
 	cutoff := wicket.env.Place.Now() + patience
 	for wicket.env.Place.Now() < cutoff {
 		wicket.lock.Lock()
@@ -452,7 +452,7 @@
 		if empty {
 			break
 		}
-		wicket.idle.Wait(min(cutoff-wicket.env.Place.Now(), 100*postmark.Millisecond))
+		wicket.idle.Wait(min(cutoff-wicket.env.Place.Now(), 100*monotonic.Millisecond))
 	}
 	wicket.lock.Lock()
 	wicket.closed, wicket.degraded = true, true
@@ -466,7 +466,7 @@
 func (wicket *Wicket) Control(service, verb string) error {
 	control, known := controls[verb]
 	if !known {
-		return seal.Invalid.New("%q is not force_open, disable, metrics_only or reset", verb)
+		return apierror.Invalid.New("%q is not force_open, disable, metrics_only or reset", verb)
 	}
 	breaker := wicket.breaker(service)
 	breaker.lock.Lock()
@@ -475,7 +475,7 @@
 		breaker.window, breaker.local = newWindow(len(breaker.window.ring)), local{state: breakerstore.Closed}
 	}
 	breaker.lock.Unlock()
-	wicket.env.Place.Report(bulletin.GuardControl, map[string]any{"service": service, "control": verb})
+	wicket.env.Place.Report(eventlog.GuardControl, map[string]any{"service": service, "control": verb})
 	return nil
 }
 
--- a/internal/carrier/wicket/wicket_test.go
+++ b/internal/proxy/breaker/wicket_test.go
@@ -1,4 +1,4 @@
-package wicket_test
+package breaker_test
 
 import (
 	"errors"
@@ -6,22 +6,22 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/wicket"
-	"snowflow/internal/franking"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // played runs a guard alone in a simulated place, with a sorter that answers as told.
 type played struct {
 	t       *testing.T
-	guard   *wicket.Wicket
+	guard   *breaker.Wicket
 	place   *world.Place
-	service *franking.Service
+	service *config.Service
 	calls   []wire.Kind
 	answer  func(kind wire.Kind, tell proto.Message) error
 	events  map[int]int
@@ -31,17 +31,17 @@
 	t.Helper()
 	simulated := world.New(1)
 	scene := &played{t: t, events: map[int]int{}, answer: func(wire.Kind, proto.Message) error { return nil }}
-	simulated.Trace = func(_ postmark.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
-	state, faults := franking.Parse([]byte(`{"groups":[{"name":"field","guard":{"windowCalls":10,"minimumCalls":5,"waitOpenMicros":2000000,"permittedHalfOpen":2},
+	simulated.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
+	state, faults := config.Parse([]byte(`{"groups":[{"name":"field","guard":{"windowCalls":10,"minimumCalls":5,"waitOpenMicros":2000000,"permittedHalfOpen":2},
 "services":[{"name":"forms","paths":[{"method":"GET","prefix":"/forms","class":"read"}]}]}]}`))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	scene.service = franking.Compile(state, 1, "").Services["forms"]
+	scene.service = config.Compile(state, 1, "").Services["forms"]
 	played := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		scene.place = place
-		scene.guard = wicket.New(wicket.Env{Place: place, Carrier: "one", Incarnation: 1, Call: func(kind wire.Kind, _, tell proto.Message, _ postmark.Micros) error {
+		scene.guard = breaker.New(breaker.Env{Place: place, Carrier: "one", Incarnation: 1, Call: func(kind wire.Kind, _, tell proto.Message, _ monotonic.Micros) error {
 			scene.calls = append(scene.calls, kind)
 			return scene.answer(kind, tell)
 		}})
@@ -49,7 +49,7 @@
 		played = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Minute)
+	simulated.Run(simulated.Now() + monotonic.Minute)
 	defer simulated.Close()
 	if !played {
 		t.Fatalf("the course did not end: %v", simulated.Panicked)
@@ -57,7 +57,7 @@
 }
 
 // try makes one call with an outcome, and tells its refusal's cause, or zero.
-func (scene *played) try(outcome wicket.Outcome) seal.Cause {
+func (scene *played) try(outcome breaker.Outcome) apierror.Cause {
 	ticket, fault := scene.guard.Admit(scene.service)
 	if fault != nil {
 		return fault.Cause
@@ -80,11 +80,11 @@
 func TestNoInlineCallWhileClosedOrOpen(t *testing.T) {
 	play(t, func(scene *played) {
 		for range 20 {
-			scene.expect("closed", scene.try(wicket.Success), seal.Cause(0))
+			scene.expect("closed", scene.try(breaker.Success), apierror.Cause(0))
 		}
 		scene.guard.Polled(record("open", 2), true)
 		for range 20 {
-			scene.expect("open", scene.try(wicket.Success), seal.GuardOpen)
+			scene.expect("open", scene.try(breaker.Success), apierror.GuardOpen)
 		}
 		scene.expect("calls", len(scene.calls), 0)
 		scene.guard.Polled(record("half_open", 3), true)
@@ -92,28 +92,28 @@
 			tell.(*wire.ProbeLeaseTell).Record = record("half_open", 3)[0]
 			return nil
 		}
-		scene.expect("no probe left", scene.try(wicket.Success), seal.NoProbe)
+		scene.expect("no probe left", scene.try(breaker.Success), apierror.NoProbe)
 		scene.expect("one call for one try", len(scene.calls), 1)
 		scene.guard.Polled(record("open", 2), true)
-		scene.expect("an older record is not taken", scene.try(wicket.Success), seal.NoProbe)
+		scene.expect("an older record is not taken", scene.try(breaker.Success), apierror.NoProbe)
 	})
 }
 
 func TestLocalTripAndItsOwnRecovery(t *testing.T) {
 	play(t, func(scene *played) {
 		for range 4 {
-			scene.expect("before the minimum", scene.try(wicket.Failure), seal.Cause(0))
+			scene.expect("before the minimum", scene.try(breaker.Failure), apierror.Cause(0))
 		}
 		for range 30 {
-			scene.expect("neutral outcomes say nothing", scene.try(wicket.Neutral), seal.Cause(0))
+			scene.expect("neutral outcomes say nothing", scene.try(breaker.Neutral), apierror.Cause(0))
 		}
-		scene.expect("the fifth failure", scene.try(wicket.Failure), seal.Cause(0))
-		scene.expect("open by itself", scene.try(wicket.Success), seal.GuardOpen)
-		scene.place.Sleep(2100 * postmark.Millisecond)
-		scene.expect("first local probe", scene.try(wicket.Success), seal.Cause(0))
-		scene.expect("second local probe", scene.try(wicket.Success), seal.Cause(0))
+		scene.expect("the fifth failure", scene.try(breaker.Failure), apierror.Cause(0))
+		scene.expect("open by itself", scene.try(breaker.Success), apierror.GuardOpen)
+		scene.place.Sleep(2100 * monotonic.Millisecond)
+		scene.expect("first local probe", scene.try(breaker.Success), apierror.Cause(0))
+		scene.expect("second local probe", scene.try(breaker.Success), apierror.Cause(0))
 		scene.expect("closed again", scene.guard.Show()[0].Local, "closed")
-		scene.expect("reported once", scene.events[bulletin.GuardLocalTrip], 1)
+		scene.expect("reported once", scene.events[eventlog.GuardLocalTrip], 1)
 	})
 }
 
@@ -125,19 +125,19 @@
 			}
 		}
 		control("force_open")
-		scene.expect("forced open", scene.try(wicket.Success), seal.GuardOpen)
+		scene.expect("forced open", scene.try(breaker.Success), apierror.GuardOpen)
 		scene.guard.Polled(record("half_open", 2), true)
 		for _, verb := range []string{"disable", "metrics_only"} {
 			control(verb)
 			for range 30 {
-				scene.expect(verb, scene.try(wicket.Failure), seal.Cause(0))
+				scene.expect(verb, scene.try(breaker.Failure), apierror.Cause(0))
 			}
 		}
 		scene.expect("no probe was taken", len(scene.calls), 0)
 		scene.expect("counted by metrics_only alone", scene.guard.Show()[0].Calls, uint64(30))
 		control("reset")
 		scene.guard.Polled(record("open", 3), true)
-		scene.expect("reset goes back to the shared verdict", scene.try(wicket.Success), seal.GuardOpen)
+		scene.expect("reset goes back to the shared verdict", scene.try(breaker.Success), apierror.GuardOpen)
 		if scene.guard.Control("forms", "smash") == nil {
 			scene.t.Error("an unknown control was taken")
 		}
@@ -148,16 +148,16 @@
 	play(t, func(scene *played) {
 		scene.guard.Polled(record("half_open", 2), true)
 		scene.answer = func(wire.Kind, proto.Message) error { return errors.New("cut off") }
-		scene.expect("a failed lease falls back to the local window", scene.try(wicket.Success), seal.Cause(0))
-		scene.expect("and later ones don't ask", scene.try(wicket.Success), seal.Cause(0))
+		scene.expect("a failed lease falls back to the local window", scene.try(breaker.Success), apierror.Cause(0))
+		scene.expect("and later ones don't ask", scene.try(breaker.Success), apierror.Cause(0))
 		scene.expect("calls", len(scene.calls), 1)
 		for range 10 {
-			scene.try(wicket.Failure)
+			scene.try(breaker.Failure)
 		}
-		scene.expect("writes are dropped and told", scene.events[bulletin.GuardWriteDropped], 1)
+		scene.expect("writes are dropped and told", scene.events[eventlog.GuardWriteDropped], 1)
 		scene.guard.Polled(record("open", 3), true)
-		scene.expect("recovered", scene.events[bulletin.GuardRecovered], 1)
-		scene.expect("the shared verdict counts again", scene.try(wicket.Success), seal.GuardOpen)
+		scene.expect("recovered", scene.events[eventlog.GuardRecovered], 1)
+		scene.expect("the shared verdict counts again", scene.try(breaker.Success), apierror.GuardOpen)
 	})
 }
 
@@ -174,11 +174,11 @@
 			return nil
 		}
 		for range 200 { // nothing drains the lane yet
-			scene.try(wicket.Success)
+			scene.try(breaker.Success)
 		}
-		scene.expect("dropped beyond 128", scene.events[bulletin.GuardWriteDropped], 72)
+		scene.expect("dropped beyond 128", scene.events[eventlog.GuardWriteDropped], 72)
 		scene.place.Go(scene.guard.Lane)
-		scene.guard.Close(5 * postmark.Second)
+		scene.guard.Close(5 * monotonic.Second)
 		written := 0
 		for _, kind := range scene.calls {
 			if kind == wire.Kind_guard_write {
@@ -186,7 +186,7 @@
 			}
 		}
 		scene.expect("written before closing", written, 128)
-		scene.try(wicket.Failure)
+		scene.try(breaker.Failure)
 		scene.expect("nothing after", len(scene.calls), 200+128)
 	})
 }
@@ -194,26 +194,26 @@
 // TestWindowsOutlastChanges: what a guard has counted of a service stands when a version comes that changes a route, or the service's
 // own window. Four failures under one version and one under the next trip it.
 func TestWindowsOutlastChanges(t *testing.T) {
-	for name, change := range map[string]func(service *wire.ServiceInForce) *franking.Change{
-		"a route": func(*wire.ServiceInForce) *franking.Change {
-			return &franking.Change{Routes: []*wire.Route{{Name: "r", Prefix: "/r/", Class: wire.Path_read, Split: []*wire.Share{{Service: "forms", Weight: 1}}}}}
+	for name, change := range map[string]func(service *wire.ServiceInForce) *config.Change{
+		"a route": func(*wire.ServiceInForce) *config.Change {
+			return &config.Change{Routes: []*wire.Route{{Name: "r", Prefix: "/r/", Class: wire.Path_read, Split: []*wire.Share{{Service: "forms", Weight: 1}}}}}
 		},
-		"a larger window": func(service *wire.ServiceInForce) *franking.Change {
+		"a larger window": func(service *wire.ServiceInForce) *config.Change {
 			service.Guard.WindowCalls = proto.Uint32(40)
-			return &franking.Change{Services: []*wire.ServiceInForce{service}}
+			return &config.Change{Services: []*wire.ServiceInForce{service}}
 		},
-		"a smaller window": func(service *wire.ServiceInForce) *franking.Change {
+		"a smaller window": func(service *wire.ServiceInForce) *config.Change {
 			service.Guard.WindowCalls = proto.Uint32(6)
-			return &franking.Change{Services: []*wire.ServiceInForce{service}}
+			return &config.Change{Services: []*wire.ServiceInForce{service}}
 		},
 	} {
 		play(t, func(scene *played) {
-			view := franking.Compile(&wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}},
+			view := config.Compile(&wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}},
 				Guard: &wire.Guard{WindowCalls: proto.Uint32(10), MinimumCalls: proto.Uint32(5)}}}}, 1, "")
 			scene.service = view.Services["forms"]
 			under, _ := scene.guard.Admit(scene.service)
 			for range 4 {
-				scene.try(wicket.Failure)
+				scene.try(breaker.Failure)
 			}
 			former := scene.service
 			next, err := view.With(change(&wire.ServiceInForce{Name: "forms", Group: "field", Guard: proto.CloneOf(former.Guard), Retry: former.Retry, Limits: former.Limits}), 2, "")
@@ -222,11 +222,11 @@
 			}
 			scene.service = next.Services["forms"]
 			scene.expect(name+": the same service", scene.service == former, name == "a route")
-			scene.expect(name+": trips before", scene.events[bulletin.GuardLocalTrip], 0)
-			scene.try(wicket.Failure)
-			scene.expect(name+": trips after", scene.events[bulletin.GuardLocalTrip], 1)
+			scene.expect(name+": trips before", scene.events[eventlog.GuardLocalTrip], 0)
+			scene.try(breaker.Failure)
+			scene.expect(name+": trips after", scene.events[eventlog.GuardLocalTrip], 1)
 			scene.expect(name+": calls", scene.guard.Show()[0].Calls, uint64(5))
-			under.Done(wicket.Success) // it ends under the version it began with
+			under.Done(breaker.Success) // it ends under the version it began with
 			scene.expect(name+": calls with the one under way", scene.guard.Show()[0].Calls, uint64(6))
 		})
 	}
--- a/internal/carrier/wicket/window.go
+++ b/internal/proxy/breaker/window.go
@@ -1,6 +1,6 @@
-package wicket
+package breaker
 
-import "snowflow/internal/postmark"
+import "snowflow/internal/monotonic"
 
 // window is a sliding window over the last calls.
 // Invariant: failed and slow count the marks in ring's filled part.
@@ -63,7 +63,7 @@
 // local is this node's own breaker, which judges while the shared record is closed or out of reach.
 type local struct {
 	state   string
-	entered postmark.Micros
+	entered monotonic.Micros
 	out     int // probes under way
 	left    int // probes that may still start
 	tallied int
--- a/internal/carrier/carrier.go
+++ b/internal/proxy/carrier.go
@@ -1,28 +1,28 @@
-// Package carrier is the proxy that stands beside each caller and each server.
-package carrier
+// Package proxy is the proxy that stands beside each caller and each server.
+package proxy
 
 import (
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/desk"
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/carrier/passage"
-	"snowflow/internal/carrier/purse"
-	"snowflow/internal/carrier/restante"
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/carrier/rota"
-	"snowflow/internal/carrier/wicket"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/host/vigil"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/host/clockwatch"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/proxy/configclient"
+	"snowflow/internal/proxy/forward"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/replay"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/proxy/retry"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/proxy/singleton"
 	"snowflow/internal/release"
-	"snowflow/internal/seal"
+	"snowflow/internal/transport/wire"
 
 	"go.uber.org/atomic"
 )
@@ -36,63 +36,63 @@
 	Address string
 	Blind   bool // choose backends without looking at zones
 	// FarPenalty is what the way to another zone counts for, in the choice among backends that tell their slots.
-	FarPenalty postmark.Micros
-	Delivery   gate.Delivery
+	FarPenalty monotonic.Micros
+	Delivery   admission.Delivery
 	// Read reads accepted desired states, franking.Accepted if left out.
-	Read franking.Reader
+	Read config.Reader
 	// ServeOn: this carrier serves on while out of touch, by the newest desired state it has heard of. The postmasters must know.
 	ServeOn  bool
-	Finished func(trip *passage.Trip, answer *letter.Answer, fault *seal.Fault)
+	Finished func(trip *forward.Trip, answer *request.Answer, fault *apierror.Fault)
 	// ClaimLife is how long answers to run-once requests are kept, two minutes if left out. It's as long as the sorters keep claims.
-	ClaimLife postmark.Micros
+	ClaimLife monotonic.Micros
 	// Linger is how long a stopping carrier still takes callers' requests, where whoever sends them needs that time to stay away.
-	Linger postmark.Micros
+	Linger monotonic.Micros
 	// Link is what this machine's link carries, in megabits a second; zero for one that isn't counted.
 	Link float64
 	// Silence is how long a carrier may owe answers before it's asked for a sign of life, 700 ms if left out.
-	Silence postmark.Micros
+	Silence monotonic.Micros
 }
 
 // Carrier puts the parts together. Invariant: incarnation is new in every life of the process.
 type Carrier struct {
 	env         Env
 	incarnation uint64
-	Desk        *desk.Desk
-	Roll        *roll.Roll
-	Hutch       *hutch.Hutch
-	Wicket      *wicket.Wicket
-	Purse       *purse.Purse
-	Rota        *rota.Rota
-	Gate        *gate.Gate
-	Passage     *passage.Passage
+	Desk        *configclient.Desk
+	Roll        *session.Roll
+	Hutch       *localbackends.Hutch
+	Wicket      *breaker.Wicket
+	Purse       *retry.Purse
+	Rota        *singleton.Rota
+	Gate        *admission.Gate
+	Passage     *forward.Passage
 	draining    atomic.Bool // it's to be sent no more callers
 	leaving     atomic.Bool // and its backends are to be chosen no more
-	vigil       *vigil.Vigil
+	vigil       *clockwatch.Vigil
 }
 
 // New makes a carrier.
 func New(env Env) *Carrier {
-	carrier := &Carrier{env: env, incarnation: env.Place.Random() | 1, vigil: vigil.New(env.Place)}
-	carrier.Desk = desk.New(desk.Env{Place: env.Place, Book: env.Book, Carrier: env.Name, Incarnation: carrier.incarnation, Vigil: carrier.vigil, Read: env.Read, ServeOn: env.ServeOn})
-	carrier.Roll = roll.New(env.Place, env.Book, carrier.session, carrier.vigil)
-	carrier.Hutch = hutch.New(env.Place, carrier.Roll.Soon)
-	carrier.Wicket = wicket.New(wicket.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Call: carrier.callPrimaryOnce})
+	carrier := &Carrier{env: env, incarnation: env.Place.Random() | 1, vigil: clockwatch.New(env.Place)}
+	carrier.Desk = configclient.New(configclient.Env{Place: env.Place, Book: env.Book, Carrier: env.Name, Incarnation: carrier.incarnation, Vigil: carrier.vigil, Read: env.Read, ServeOn: env.ServeOn})
+	carrier.Roll = session.New(env.Place, env.Book, carrier.session, carrier.vigil)
+	carrier.Hutch = localbackends.New(env.Place, carrier.Roll.Soon)
+	carrier.Wicket = breaker.New(breaker.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Call: carrier.callPrimaryOnce})
 	carrier.Roll.Activity = carrier.Wicket.Activity
 	carrier.Roll.Guards = func(records []*wire.GuardRecord, reached bool) { carrier.Wicket.Polled(records, reached) }
-	carrier.Rota = rota.New(rota.Env{Place: env.Place, Carrier: env.Name, Present: carrier.Hutch.Present, CallPrimary: carrier.Roll.CallPrimary})
-	carrier.Purse = purse.New(env.Place, carrier.Roll.Share)
-	shelf := restante.New(env.Place)
+	carrier.Rota = singleton.New(singleton.Env{Place: env.Place, Carrier: env.Name, Present: carrier.Hutch.Present, CallPrimary: carrier.Roll.CallPrimary})
+	carrier.Purse = retry.New(env.Place, carrier.Roll.Share)
+	shelf := replay.New(env.Place)
 	if env.ClaimLife > 0 {
 		shelf.Life = env.ClaimLife
 	}
-	carrier.Gate = gate.New(gate.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Desk: carrier.Desk, ServeOn: env.ServeOn,
+	carrier.Gate = admission.New(admission.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Desk: carrier.Desk, ServeOn: env.ServeOn,
 		Hutch: carrier.Hutch, Shelf: shelf, Delivery: env.Delivery, Link: env.Link, CallPrimary: carrier.Roll.CallPrimary, CallCarrier: carrier.callCarrier})
-	carrier.Passage = passage.New(passage.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Address: env.Address,
+	carrier.Passage = forward.New(forward.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Address: env.Address,
 		Domain: env.Domain, Blind: env.Blind, FarPenalty: env.FarPenalty, Desk: carrier.Desk, Roll: carrier.Roll, Wicket: carrier.Wicket, Purse: carrier.Purse, Gate: carrier.Gate,
 		CallPrimary: carrier.Roll.CallPrimary, Keep: shelf.Put, Finished: env.Finished, Silence: env.Silence})
 	carrier.vigil.OnLeap(carrier.Hutch.Forgive)
-	carrier.vigil.OnLeap(func(postmark.Micros) { carrier.Purse.Forfeit() })
-	carrier.vigil.OnLeap(func(postmark.Micros) { carrier.Roll.Doubt() })
+	carrier.vigil.OnLeap(func(monotonic.Micros) { carrier.Purse.Forfeit() })
+	carrier.vigil.OnLeap(func(monotonic.Micros) { carrier.Roll.Doubt() })
 	return carrier
 }
 
@@ -100,7 +100,7 @@
 func (carrier *Carrier) TrustClock(broken bool) { carrier.vigil.Trusting(broken) }
 
 // sweepEvery is how often silent backends are looked for.
-const sweepEvery = 500 * postmark.Millisecond
+const sweepEvery = 500 * monotonic.Millisecond
 
 // Start begins work.
 func (carrier *Carrier) Start() {
@@ -120,15 +120,15 @@
 		Backends: carrier.Hutch.Told(), Leaving: carrier.leaving.Load(), DesiredSerial: serial, Release: release.Version}
 }
 
-func (carrier *Carrier) callPrimaryOnce(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (carrier *Carrier) callPrimaryOnce(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	name := carrier.env.Book.Leader("sorter")
 	if name == "" {
-		return seal.Unreachable.New("no primary sorter is known")
+		return apierror.Unreachable.New("no primary sorter is known")
 	}
 	return carrier.env.Book.Call(name, kind, ask, tell, patience)
 }
 
-func (carrier *Carrier) callCarrier(name string, kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (carrier *Carrier) callCarrier(name string, kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	return carrier.env.Place.Call(carrier.Roll.Directory().Addresses[name], kind, ask, tell, patience)
 }
 
@@ -154,33 +154,33 @@
 func (carrier *Carrier) Moment() *wire.HolderMoment { return carrier.Roll.Moment() }
 
 // Now reads this carrier's clock.
-func (carrier *Carrier) Now() postmark.Micros { return carrier.env.Place.Now() }
+func (carrier *Carrier) Now() monotonic.Micros { return carrier.env.Place.Now() }
 
 // Incarnation names this life.
 func (carrier *Carrier) Incarnation() uint64 { return carrier.incarnation }
 
 // Grace is how long a planned stop may take unless it's set otherwise: half a second less than the least that platforms
 // wait between their warning and the kill.
-const Grace = 2500 * postmark.Millisecond
+const Grace = 2500 * monotonic.Millisecond
 
 // The parts of a drain: others are told at once, and are given spreadTime to stop choosing this carrier.
-const spreadTime = 1500 * postmark.Millisecond
+const spreadTime = 1500 * monotonic.Millisecond
 
 // lingerSpread is that of a carrier that lingered: its callers are gone, and who hasn't heard yet is only moved on.
-const lingerSpread = 300 * postmark.Millisecond
+const lingerSpread = 300 * monotonic.Millisecond
 
 // lastWords is the end of the grace, in which whatever is still under way is given up and told so.
-const lastWords = 300 * postmark.Millisecond
+const lastWords = 300 * monotonic.Millisecond
 
 // Drain stops taking callers' requests, answers everything that was read, and drains the lane. It ends within grace. While it
 // lingers only the platform hears of it; others go on choosing the backends beside it, which are as good as before.
 // shut closes the callers' door, once they have had time to go elsewhere; what was read before, refusals too, is
 // answered after it.
-func (carrier *Carrier) Drain(grace postmark.Micros, shut func()) bool {
+func (carrier *Carrier) Drain(grace monotonic.Micros, shut func()) bool {
 	place := carrier.env.Place
 	cutoff := place.Now() + grace
 	last := cutoff - min(grace/5, lastWords)
-	place.Report(bulletin.ProcessDraining, map[string]any{"running": carrier.Passage.Running() + carrier.Gate.Running()})
+	place.Report(eventlog.ProcessDraining, map[string]any{"running": carrier.Passage.Running() + carrier.Gate.Running()})
 	carrier.draining.Store(true)
 	spread := spreadTime
 	if linger := min(carrier.env.Linger, last-place.Now()); linger > 0 {
@@ -202,31 +202,31 @@
 	carrier.Gate.GiveUp()
 	answered := carrier.Passage.Drain(cutoff - place.Now())
 	answered = carrier.Gate.Drain(cutoff-place.Now()) && answered
-	carrier.Desk.Release(min(max(cutoff-place.Now(), 50*postmark.Millisecond), 300*postmark.Millisecond))
-	carrier.Wicket.Close(min(max(cutoff-place.Now(), 0), postmark.Second))
-	place.Report(bulletin.ProcessDrained, map[string]any{"answered": answered, "whole": whole})
+	carrier.Desk.Release(min(max(cutoff-place.Now(), 50*monotonic.Millisecond), 300*monotonic.Millisecond))
+	carrier.Wicket.Close(min(max(cutoff-place.Now(), 0), monotonic.Second))
+	place.Report(eventlog.ProcessDrained, map[string]any{"answered": answered, "whole": whole})
 	return answered
 }
 
 // Status is what operators are shown of a carrier.
 type Status struct {
-	Name        string           `json:"name"`
-	Domain      string           `json:"domain"`
-	Incarnation uint64           `json:"incarnation"`
-	Ready       bool             `json:"ready"`
-	Why         string           `json:"why,omitempty"`
-	Serial      uint64           `json:"desired_serial"`
-	Check       string           `json:"desired_check,omitempty"` // digest of the resources in force
-	Age         int64            `json:"desired_age_micros"`      // since it was taken up
-	Taken       desk.Taken       `json:"desired_taken"`
-	Running     int64            `json:"requests_running"`
-	Passes      int64            `json:"passes_running"`
-	Backends    []*wire.Backend  `json:"backends"`
-	Standings   []hutch.Standing `json:"standings"` // how they do, as their gate sees it
-	Guards      []wicket.Shown   `json:"guards"`
-	Degraded    bool             `json:"guards_degraded"` // it goes by its own windows
-	Members     int              `json:"members_seen"`
-	Directory   roll.Taken       `json:"directory_taken"`
+	Name        string                   `json:"name"`
+	Domain      string                   `json:"domain"`
+	Incarnation uint64                   `json:"incarnation"`
+	Ready       bool                     `json:"ready"`
+	Why         string                   `json:"why,omitempty"`
+	Serial      uint64                   `json:"desired_serial"`
+	Check       string                   `json:"desired_check,omitempty"` // digest of the resources in force
+	Age         int64                    `json:"desired_age_micros"`      // since it was taken up
+	Taken       configclient.Taken       `json:"desired_taken"`
+	Running     int64                    `json:"requests_running"`
+	Passes      int64                    `json:"passes_running"`
+	Backends    []*wire.Backend          `json:"backends"`
+	Standings   []localbackends.Standing `json:"standings"` // how they do, as their gate sees it
+	Guards      []breaker.Shown          `json:"guards"`
+	Degraded    bool                     `json:"guards_degraded"` // it goes by its own windows
+	Members     int                      `json:"members_seen"`
+	Directory   session.Taken            `json:"directory_taken"`
 }
 
 // Status tells how this carrier stands.
--- a/internal/carrier/desk/desk.go
+++ b/internal/proxy/configclient/desk.go
@@ -1,5 +1,5 @@
-// Package desk keeps the adopted desired state and the tenure to serve by it.
-package desk
+// Package configclient keeps the adopted desired state and the tenure to serve by it.
+package configclient
 
 import (
 	"bytes"
@@ -10,14 +10,14 @@
 	"io"
 	"sync"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/host/vigil"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/host/clockwatch"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 const postmasters = "postmaster"
@@ -28,9 +28,9 @@
 	Book        *discovery.Book
 	Carrier     string
 	Incarnation uint64
-	Vigil       *vigil.Vigil
+	Vigil       *clockwatch.Vigil
 	// Read reads accepted contents, franking.Accepted if left out.
-	Read franking.Reader
+	Read config.Reader
 	// ServeOn: a view is served by for as long as none newer is heard of, tenure or not.
 	ServeOn bool
 }
@@ -44,20 +44,20 @@
 	book  *discovery.Book
 
 	lock    sync.Mutex
-	view    *franking.View
-	until   postmark.Micros
-	adopted postmark.Micros
+	view    *config.View
+	until   monotonic.Micros
+	adopted monotonic.Micros
 	lapsed  bool
 	waiters []host.Signal
 	// hold is how long the postmasters hold a poll open, as they last told.
-	hold postmark.Micros
+	hold monotonic.Micros
 	// released is set once it serves no more and takes no tenure.
 	released bool
 	// set is what the view was made of, nothing if that is no set of resources. Only the task that follows sets it and whole.
 	set *changes.Set
 	// heard is when what's held was taken from a postmaster that isn't the primary; zero once a primary gave something. Only the task that
 	// follows sets it.
-	heard postmark.Micros
+	heard monotonic.Micros
 	// whole is set from a difference that was refused until the next adoption: none is asked for meanwhile.
 	whole bool
 	taken Taken
@@ -87,20 +87,20 @@
 // New makes a desk.
 func New(env Env) *Desk {
 	if env.Read == nil {
-		env.Read = franking.Accepted
+		env.Read = config.Accepted
 	}
 	return &Desk{env: env, place: env.Place, book: env.Book}
 }
 
 // Current is the view to serve by; live tells whether it may be: the tenure still stands, or none is needed.
-func (desk *Desk) Current() (view *franking.View, live bool) {
+func (desk *Desk) Current() (view *config.View, live bool) {
 	desk.lock.Lock()
 	defer desk.lock.Unlock()
 	return desk.view, desk.view != nil && (desk.untenured || desk.env.ServeOn && !desk.released && !desk.doubted() || desk.place.Now() < desk.until && !desk.env.Vigil.Behind())
 }
 
 // Serial is the adopted serial and how long ago it was adopted.
-func (desk *Desk) Serial() (serial uint64, age postmark.Micros) {
+func (desk *Desk) Serial() (serial uint64, age monotonic.Micros) {
 	desk.lock.Lock()
 	defer desk.lock.Unlock()
 	if desk.view == nil {
@@ -110,7 +110,7 @@
 }
 
 // hearsayPatience is how long a primary is looked for before a version that only some copy told of is served by.
-const hearsayPatience = 1500 * postmark.Millisecond
+const hearsayPatience = 1500 * monotonic.Millisecond
 
 // doubted tells whether what's held is a copy's word, which may be long out of date, while a primary may still be found.
 func (desk *Desk) doubted() bool {
@@ -119,7 +119,7 @@
 
 // InForce is the adopted serial, how long ago it was adopted, and the digest of its resources, by which two carriers can be seen to serve by
 // the same; that is empty where there are none.
-func (desk *Desk) InForce() (serial uint64, age postmark.Micros, check string) {
+func (desk *Desk) InForce() (serial uint64, age monotonic.Micros, check string) {
 	desk.lock.Lock()
 	defer desk.lock.Unlock()
 	if desk.view == nil {
@@ -132,7 +132,7 @@
 }
 
 // Renew waits, at most patience, until the desk has adopted at least this serial.
-func (desk *Desk) Renew(serial uint64, patience postmark.Micros) bool {
+func (desk *Desk) Renew(serial uint64, patience monotonic.Micros) bool {
 	cutoff := desk.place.Now() + patience
 	for {
 		signal := desk.place.NewSignal()
@@ -157,7 +157,7 @@
 	for {
 		if !desk.poll(first) {
 			first = true
-			desk.place.Sleep(100*postmark.Millisecond + postmark.Micros(desk.place.Random()%uint64(100*postmark.Millisecond)))
+			desk.place.Sleep(100*monotonic.Millisecond + monotonic.Micros(desk.place.Random()%uint64(100*monotonic.Millisecond)))
 			desk.noteLapse()
 			continue
 		}
@@ -181,7 +181,7 @@
 		return false
 	}
 	desk.lock.Lock()
-	patience := max(desk.hold, postmark.Second) + contentPatience
+	patience := max(desk.hold, monotonic.Second) + contentPatience
 	desk.lock.Unlock()
 	asked := desk.place.Now()
 	tell := &wire.DesiredPollTell{}
@@ -196,7 +196,7 @@
 	}
 	desk.book.Hint(tell.Primaries)
 	if err := unpack(tell); err != nil {
-		desk.place.Report(bulletin.DesiredRefused, map[string]any{"serial": tell.Serial, "error": err.Error()})
+		desk.place.Report(eventlog.DesiredRefused, map[string]any{"serial": tell.Serial, "error": err.Error()})
 		return false
 	}
 	if !tell.Primary {
@@ -206,11 +206,11 @@
 		desk.book.Ask()
 		return false
 	}
-	return desk.adopt(tell, asked+postmark.Micros(tell.Tenure))
+	return desk.adopt(tell, asked+monotonic.Micros(tell.Tenure))
 }
 
 // knockPatience is how long a postmaster that wasn't reached may take to answer that it's there.
-const knockPatience = 500 * postmark.Millisecond
+const knockPatience = 500 * monotonic.Millisecond
 
 // knock asks a postmaster that wasn't reached, or didn't lead, whether it's there, before it's polled again. A poll is waited for as long as
 // a large content may take; who is cut off would come back that much later.
@@ -224,15 +224,15 @@
 }
 
 // contentPatience is what an answer may take beyond its hold: a large content on a narrow link.
-const contentPatience = 1500 * postmark.Millisecond
+const contentPatience = 1500 * monotonic.Millisecond
 
 // unpack restores a content that came packed. No content is longer than what a postmaster takes.
 func unpack(tell *wire.DesiredPollTell) error {
 	if len(tell.Packed) == 0 {
 		return nil
 	}
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(tell.Packed)), franking.Longest+1))
-	if err == nil && len(content) > franking.Longest {
+	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(tell.Packed)), config.Longest+1))
+	if err == nil && len(content) > config.Longest {
 		err = errors.New("longer than any content that is taken")
 	}
 	tell.Content, tell.Packed = content, nil
@@ -257,7 +257,7 @@
 
 // adoption is a version that was read and isn't in force yet.
 type adoption struct {
-	view      *franking.View
+	view      *config.View
 	set       *changes.Set
 	resources int
 	taken     func(taken *Taken)
@@ -285,7 +285,7 @@
 // anew makes the next version of a whole content. What doesn't differ from the version in force keeps its objects all the same.
 func (desk *Desk) anew(state *wire.DesiredState, tell *wire.DesiredPollTell) *adoption {
 	fresh := &adoption{taken: func(taken *Taken) { taken.Wholes++ }}
-	digest := franking.Digest(tell.Content)
+	digest := config.Digest(tell.Content)
 	fresh.set, _ = changes.Read(state) // one that is no set is taken as it is, and differences aren't asked for
 	if fresh.set != nil && desk.set != nil {
 		difference := changes.Diff(desk.set, fresh.set)
@@ -293,12 +293,12 @@
 		fresh.view, _ = desk.view.With(changes.Change(desk.set, difference), tell.Serial, digest)
 	}
 	if fresh.view == nil {
-		fresh.view = franking.Compile(state, tell.Serial, digest)
+		fresh.view = config.Compile(state, tell.Serial, digest)
 	}
 	return fresh
 }
 
-func (desk *Desk) adopt(tell *wire.DesiredPollTell, until postmark.Micros) bool {
+func (desk *Desk) adopt(tell *wire.DesiredPollTell, until monotonic.Micros) bool {
 	var fresh *adoption
 	serial, _ := desk.Serial()
 	if tell.Primary && desk.heard > 0 {
@@ -314,20 +314,20 @@
 			desk.lock.Lock()
 			desk.taken.Refused++
 			desk.lock.Unlock()
-			desk.place.Report(bulletin.DifferenceRefused, map[string]any{"serial": tell.Serial, "have": serial, "bytes": len(tell.Difference), "error": err.Error()})
+			desk.place.Report(eventlog.DifferenceRefused, map[string]any{"serial": tell.Serial, "have": serial, "bytes": len(tell.Difference), "error": err.Error()})
 			return true // the next poll, at once, asks for the whole; nothing is renewed until then
 		}
 		fresh = next
 	} else if tell.Serial > serial {
 		state, faults := desk.env.Read(tell.Content)
 		if len(faults) > 0 {
-			desk.place.Report(bulletin.DesiredRefused, map[string]any{"serial": tell.Serial, "error": faults[0].String(), "faults": len(faults)})
+			desk.place.Report(eventlog.DesiredRefused, map[string]any{"serial": tell.Serial, "error": faults[0].String(), "faults": len(faults)})
 			return false
 		}
 		fresh = desk.anew(state, tell)
 	}
 	desk.lock.Lock()
-	desk.hold = postmark.Micros(tell.Hold)
+	desk.hold = monotonic.Micros(tell.Hold)
 	if fresh != nil {
 		desk.view, desk.adopted, desk.set, desk.whole = fresh.view, desk.place.Now(), fresh.set, false
 		if tell.Primary {
@@ -351,14 +351,14 @@
 		for _, waiter := range waiters {
 			waiter.Fire()
 		}
-		desk.place.Report(bulletin.DesiredAdopted, map[string]any{"serial": fresh.view.Serial, "difference": len(tell.Difference) > 0, "bytes": max(len(tell.Difference), len(tell.Content)), "resources": fresh.resources})
+		desk.place.Report(eventlog.DesiredAdopted, map[string]any{"serial": fresh.view.Serial, "difference": len(tell.Difference) > 0, "bytes": max(len(tell.Difference), len(tell.Content)), "resources": fresh.resources})
 	}
 	return true
 }
 
 // Release ends the tenure for good and tells the primary, so that nobody waits for its end. Where that can't be told the
 // tenure runs out there.
-func (desk *Desk) Release(patience postmark.Micros) {
+func (desk *Desk) Release(patience monotonic.Micros) {
 	desk.lock.Lock()
 	desk.released, desk.until = true, 0
 	desk.lock.Unlock()
@@ -373,6 +373,6 @@
 	desk.lapsed = desk.lapsed || lapsed
 	desk.lock.Unlock()
 	if lapsed {
-		desk.place.Report(bulletin.DesiredTenureLost, map[string]any{})
+		desk.place.Report(eventlog.DesiredTenureLost, map[string]any{})
 	}
 }
--- a/internal/carrier/passage/ailing_test.go
+++ b/internal/proxy/forward/ailing_test.go
@@ -1,23 +1,23 @@
-package passage
+package forward
 
 import (
 	"fmt"
 	"testing"
 
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/outlier"
-	"snowflow/internal/carrier/roll"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/simulation/world"
 )
 
 // ailing is a run of many callers at a service of which one backend falls ill for a while: the real chooser at each caller, the
 // real slots and standing at each backend's gate. A request that fails is tried at one more backend.
 type ailing struct {
-	illness func(place *world.Place, chance float64, left postmark.Micros, domain string) (fails bool, took postmark.Micros)
+	illness func(place *world.Place, chance float64, left monotonic.Micros, domain string) (fails bool, took monotonic.Micros)
 	without bool // nobody is left out, for comparison
 	share   int  // how many backends fall ill
 	callers int
@@ -25,7 +25,7 @@
 
 const (
 	ailingBackends   = 12
-	illFrom, illTill = 10 * postmark.Second, 16 * postmark.Second
+	illFrom, illTill = 10 * monotonic.Second, 16 * monotonic.Second
 	ailingCutoff     = 800 * ms
 )
 
@@ -41,22 +41,22 @@
 	defer simulated.Close()
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		began := place.Now()
-		keeper := hutch.New(place, func() {})
-		directory := &roll.Directory{Candidates: map[string][]roll.Candidate{}, Carriers: map[string]int{}, Live: ailing.callers}
+		keeper := localbackends.New(place, func() {})
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, Carriers: map[string]int{}, Live: ailing.callers}
 		beat := func(sequence uint64) {
 			for index := range ailingBackends {
 				name := fmt.Sprintf("backend-%02d", index)
-				_, _ = keeper.Tell(hutch.Report{Backend: hutch.Backend{Service: "forms", Instance: name, Address: name}, Slots: 4, Condition: hutch.Alive, Sequence: sequence})
+				_, _ = keeper.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: 4, Condition: localbackends.Alive, Sequence: sequence})
 			}
 		}
 		beat(1)
 		for index := range ailingBackends {
 			name := fmt.Sprintf("backend-%02d", index)
-			directory.Candidates["forms"] = append(directory.Candidates["forms"], roll.Candidate{Carrier: "carrier-" + name, Domain: fmt.Sprint("zone-", index%3), Service: "forms", Instance: name, Slots: 4})
+			directory.Candidates["forms"] = append(directory.Candidates["forms"], session.Candidate{Carrier: "carrier-" + name, Domain: fmt.Sprint("zone-", index%3), Service: "forms", Instance: name, Slots: 4})
 		}
 		place.Go(func() {
 			for sequence := uint64(2); ; sequence++ {
-				place.Sleep(2 * postmark.Second)
+				place.Sleep(2 * monotonic.Second)
 				beat(sequence)
 			}
 		})
@@ -69,9 +69,9 @@
 			choices := newChooser(place, domain, false, ms)
 			place.Go(func() {
 				for {
-					place.Sleep(postmark.Micros(chance.ExpFloat64() * float64(ailing.callers) / rate))
+					place.Sleep(monotonic.Micros(chance.ExpFloat64() * float64(ailing.callers) / rate))
 					place.Go(func() {
-						work := postmark.Micros(20000 + chance.IntN(100000))
+						work := monotonic.Micros(20000 + chance.IntN(100000))
 						ailing.request(place, keeper, choices, directory, place.Now()-began, work, chance.Float64(), &result)
 					})
 				}
@@ -79,7 +79,7 @@
 		}
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + 30*postmark.Second)
+	simulated.Run(simulated.Now() + 30*monotonic.Second)
 	if simulated.Panicked != nil {
 		t.Fatal(simulated.Panicked)
 	}
@@ -93,7 +93,7 @@
 }
 
 // request plays one request; at is its moment in the run.
-func (ailing ailing) request(place *world.Place, keeper *hutch.Hutch, choices *chooser, directory *roll.Directory, at, work postmark.Micros, chance float64, result *toll) {
+func (ailing ailing) request(place *world.Place, keeper *localbackends.Hutch, choices *chooser, directory *session.Directory, at, work monotonic.Micros, chance float64, result *toll) {
 	began, avoid := place.Now(), map[string]bool{}
 	during := at >= illFrom && at < illTill
 	if during {
@@ -113,7 +113,7 @@
 			if ill {
 				result.visits++
 			}
-			if at >= illTill+5*postmark.Second {
+			if at >= illTill+5*monotonic.Second {
 				result.after++
 				if ailing.ill(candidate.Instance) {
 					result.afterIll++
@@ -128,7 +128,7 @@
 }
 
 // visit plays what a gate does with a request.
-func (ailing ailing) visit(place *world.Place, keeper *hutch.Hutch, choices *chooser, directory *roll.Directory, candidate roll.Candidate, began, work postmark.Micros, chance float64, last, ill bool) (reached, fine bool) {
+func (ailing ailing) visit(place *world.Place, keeper *localbackends.Hutch, choices *chooser, directory *session.Directory, candidate session.Candidate, began, work monotonic.Micros, chance float64, last, ill bool) (reached, fine bool) {
 	left := began + ailingCutoff - place.Now()
 	peers := choices.beside(directory, "forms", candidate.Instance)
 	defer func() {
@@ -141,13 +141,13 @@
 	visit, fault := keeper.Visit(candidate.Instance, outlier.Ask{Domain: choices.domain, Kind: "forms", Aim: began + 400*ms - place.Now(), Repeatable: true, Insists: last || ailing.without,
 		Peers: outlier.Peers{Known: int(peers.Known), Ejected: int(peers.Ejected), Faults: float64(peers.Faults) / 1000, Pace: float64(peers.Pace) / 1000}})
 	if fault != nil {
-		if fault.Cause == seal.BackendAiling {
+		if fault.Cause == apierror.BackendAiling {
 			choices.shun(candidate.Instance)
 		}
 		return false, false
 	}
 	defer visit.Close(outlier.Unknown)
-	pass, fault := keeper.Admit(hutch.Admission{Instance: candidate.Instance, Service: "forms", Ask: slots.Ask{Aim: began + 400*ms, Cutoff: began + ailingCutoff, Patient: last}})
+	pass, fault := keeper.Admit(localbackends.Admission{Instance: candidate.Instance, Service: "forms", Ask: slots.Ask{Aim: began + 400*ms, Cutoff: began + ailingCutoff, Patient: last}})
 	if fault != nil {
 		return false, false
 	}
@@ -175,22 +175,22 @@
 }
 
 // illnesses are the ways in which a backend may be ill while it says that it's well. A negative time is a multiple of the usual one.
-var illnesses = map[string]func(place *world.Place, chance float64, left postmark.Micros, domain string) (bool, postmark.Micros){
-	"errors": func(*world.Place, float64, postmark.Micros, string) (bool, postmark.Micros) { return true, ms },
-	"four errors in ten": func(_ *world.Place, chance float64, _ postmark.Micros, _ string) (bool, postmark.Micros) {
+var illnesses = map[string]func(place *world.Place, chance float64, left monotonic.Micros, domain string) (bool, monotonic.Micros){
+	"errors": func(*world.Place, float64, monotonic.Micros, string) (bool, monotonic.Micros) { return true, ms },
+	"four errors in ten": func(_ *world.Place, chance float64, _ monotonic.Micros, _ string) (bool, monotonic.Micros) {
 		return chance < 0.4, 0
 	},
-	"a third hangs": func(_ *world.Place, chance float64, left postmark.Micros, _ string) (bool, postmark.Micros) {
+	"a third hangs": func(_ *world.Place, chance float64, left monotonic.Micros, _ string) (bool, monotonic.Micros) {
 		if chance < 0.34 {
 			return true, left
 		}
 		return false, 0
 	},
-	"all hangs": func(_ *world.Place, _ float64, left postmark.Micros, _ string) (bool, postmark.Micros) {
+	"all hangs": func(_ *world.Place, _ float64, left monotonic.Micros, _ string) (bool, monotonic.Micros) {
 		return true, left
 	},
-	"eight times slower": func(*world.Place, float64, postmark.Micros, string) (bool, postmark.Micros) { return false, -8 },
-	"errors for one zone": func(_ *world.Place, _ float64, _ postmark.Micros, domain string) (bool, postmark.Micros) {
+	"eight times slower": func(*world.Place, float64, monotonic.Micros, string) (bool, monotonic.Micros) { return false, -8 },
+	"errors for one zone": func(_ *world.Place, _ float64, _ monotonic.Micros, domain string) (bool, monotonic.Micros) {
 		if domain == "zone-0" {
 			return true, ms
 		}
--- a/internal/carrier/passage/chooser.go
+++ b/internal/proxy/forward/chooser.go
@@ -1,24 +1,24 @@
-package passage
+package forward
 
 import (
 	"maps"
 	"slices"
 	"sync"
 
-	"snowflow/internal/carrier/roll"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/session"
 )
 
 const (
 	// shunned is how long a carrier or backend that just failed is only chosen when nothing else is left.
-	shunned = 2 * postmark.Second
+	shunned = 2 * monotonic.Second
 	// faultsInRow shun a backend whose answers are broken, late or errors, while others of its service do well.
 	faultsInRow = 3
 	// usualSilence is how long a carrier may owe answers without giving any before others are chosen first and it's asked for a
 	// sign of life, where nothing else is set.
-	usualSilence = 700 * postmark.Millisecond
+	usualSilence = 700 * monotonic.Millisecond
 )
 
 // chooser picks backends: in the own domain first, and beyond it for the part of the load that the own domain's share
@@ -31,29 +31,29 @@
 	blind     bool
 	lock      sync.Mutex
 	inFlight  map[string]int
-	avoided   map[string]postmark.Micros
+	avoided   map[string]monotonic.Micros
 	owing     map[string]*debt
 	faults    map[string]int
-	far       postmark.Micros
-	silence   postmark.Micros
+	far       monotonic.Micros
+	silence   monotonic.Micros
 	sizes     map[string]float64 // mean bytes of a route's requests with their answers
 	readings  map[string]*reading
 	standings map[string]*standing
 	peers     map[string]*peers
-	fit       []roll.Candidate // room for choose
-	worse     []roll.Candidate
+	fit       []session.Candidate // room for choose
+	worse     []session.Candidate
 	scores    []float64
 }
 
 type debt struct {
 	passes  int
-	since   postmark.Micros
+	since   monotonic.Micros
 	address string
 	asked   bool // a sign of life was asked for and has not come
 }
 
-func newChooser(place host.Host, domain string, blind bool, far postmark.Micros) *chooser {
-	return &chooser{place: place, silence: usualSilence, domain: domain, blind: blind, far: far, sizes: map[string]float64{}, readings: map[string]*reading{}, standings: map[string]*standing{}, peers: map[string]*peers{}, inFlight: map[string]int{}, avoided: map[string]postmark.Micros{}, owing: map[string]*debt{}, faults: map[string]int{}}
+func newChooser(place host.Host, domain string, blind bool, far monotonic.Micros) *chooser {
+	return &chooser{place: place, silence: usualSilence, domain: domain, blind: blind, far: far, sizes: map[string]float64{}, readings: map[string]*reading{}, standings: map[string]*standing{}, peers: map[string]*peers{}, inFlight: map[string]int{}, avoided: map[string]monotonic.Micros{}, owing: map[string]*debt{}, faults: map[string]int{}}
 }
 
 func (chooser *chooser) shun(name string) {
@@ -78,21 +78,21 @@
 }
 
 // lookEvery is how often carriers that owe answers are looked at.
-func (chooser *chooser) lookEvery() postmark.Micros {
-	return min(200*postmark.Millisecond, chooser.silence/2)
+func (chooser *chooser) lookEvery() monotonic.Micros {
+	return min(200*monotonic.Millisecond, chooser.silence/2)
 }
 
 // signTime is what a carrier that lives needs for its sign of life.
-const signTime = 50 * postmark.Millisecond
+const signTime = 50 * monotonic.Millisecond
 
 // mute tells whether a carrier was asked for a sign of life and should have given it by now. One that only has long work isn't.
-func (chooser *chooser) mute(carrier string, now postmark.Micros) bool {
+func (chooser *chooser) mute(carrier string, now monotonic.Micros) bool {
 	owed := chooser.owing[carrier]
 	return owed != nil && now-owed.since >= chooser.silence+chooser.lookEvery()+signTime
 }
 
 // silent tells whether a carrier owes answers for long enough to be asked for a sign of life.
-func (chooser *chooser) silent(carrier string, now postmark.Micros) bool {
+func (chooser *chooser) silent(carrier string, now monotonic.Micros) bool {
 	owed := chooser.owing[carrier]
 	return owed != nil && now-owed.since >= chooser.silence
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-func (chooser *chooser) shuns(name string, now postmark.Micros) bool {
+func (chooser *chooser) shuns(name string, now monotonic.Micros) bool {
 	until, present := chooser.avoided[name]
 	if present && now >= until {
 		delete(chooser.avoided, name)
@@ -132,11 +132,11 @@
 
 const (
 	// farPerKilobyte is what each kilobyte of a route's usual request and answer adds to the way to another zone.
-	farPerKilobyte = 5 * postmark.Millisecond
+	farPerKilobyte = 5 * monotonic.Millisecond
 	// farAimShare is the least that the way counts for, as a part of the time in which the route's answers are wanted.
 	farAimShare = 0.1
 	// heavy is the count from which a route keeps to its own zone as long as a backend is left there.
-	heavy = 100 * postmark.Millisecond
+	heavy = 100 * monotonic.Millisecond
 	// sizeMemory is the number of answers over which a route's size is taken.
 	sizeMemory = 16
 )
@@ -163,14 +163,14 @@
 }
 
 // distance is what the way to another zone counts for on a route. The lock is held.
-func (chooser *chooser) distance(route string, aim postmark.Micros) postmark.Micros {
-	least := max(chooser.far, postmark.Micros(farAimShare*float64(aim)))
-	return least + postmark.Micros(chooser.sizes[route]/1024*float64(farPerKilobyte))
+func (chooser *chooser) distance(route string, aim monotonic.Micros) monotonic.Micros {
+	least := max(chooser.far, monotonic.Micros(farAimShare*float64(aim)))
+	return least + monotonic.Micros(chooser.sizes[route]/1024*float64(farPerKilobyte))
 }
 
 // atHome leaves only the own zone's candidates where there are any.
-func (chooser *chooser) atHome(fit []roll.Candidate) []roll.Candidate {
-	home := slices.DeleteFunc(slices.Clone(fit), func(candidate roll.Candidate) bool { return candidate.Domain != chooser.domain })
+func (chooser *chooser) atHome(fit []session.Candidate) []session.Candidate {
+	home := slices.DeleteFunc(slices.Clone(fit), func(candidate session.Candidate) bool { return candidate.Domain != chooser.domain })
 	if len(home) == 0 {
 		return fit
 	}
@@ -180,23 +180,23 @@
 // wish is what is asked of a choice: a backend of a service for a route, none of those to be avoided if another one is left.
 type wish struct {
 	service, route string
-	aim            postmark.Micros
+	aim            monotonic.Micros
 	avoid          map[string]bool
 }
 
 // choose picks a backend of a service; last tells that no other one is left that is fit and not to be avoided. leave must be
 // called once the pass is over.
-func (chooser *chooser) choose(directory *roll.Directory, wish wish) (chosen roll.Candidate, last bool, leave func(), fault *seal.Fault) {
+func (chooser *chooser) choose(directory *session.Directory, wish wish) (chosen session.Candidate, last bool, leave func(), fault *apierror.Fault) {
 	chooser.lock.Lock()
 	defer chooser.lock.Unlock()
 	now := chooser.place.Now()
 	all := directory.Candidates[wish.service]
 	if len(all) == 0 {
-		return roll.Candidate{}, true, nil, seal.New(seal.NoBackend, seal.NotRun, "no backend of %s is known", wish.service)
+		return session.Candidate{}, true, nil, apierror.New(apierror.NoBackend, apierror.NotRun, "no backend of %s is known", wish.service)
 	}
 	distance := chooser.distance(wish.route, wish.aim)
 	if distance >= heavy && !chooser.blind {
-		all = chooser.atHome(slices.DeleteFunc(slices.Clone(all), func(candidate roll.Candidate) bool { return chooser.unfit(candidate, now) }))
+		all = chooser.atHome(slices.DeleteFunc(slices.Clone(all), func(candidate session.Candidate) bool { return chooser.unfit(candidate, now) }))
 		if len(all) == 0 {
 			all = directory.Candidates[wish.service]
 		}
@@ -240,14 +240,14 @@
 }
 
 // unfit tells whether a backend failed lately or its carrier is silent.
-func (chooser *chooser) unfit(candidate roll.Candidate, now postmark.Micros) bool {
+func (chooser *chooser) unfit(candidate session.Candidate, now monotonic.Micros) bool {
 	return chooser.shuns(candidate.Instance, now) || chooser.shuns(candidate.Carrier, now) || chooser.mute(candidate.Carrier, now)
 }
 
 // near keeps to the own domain with the probability that makes every backend's load the same: the domain's share of the
 // backends over its share of the carriers. The rest goes to domains that have backends to spare.
-func (chooser *chooser) near(directory *roll.Directory, fit []roll.Candidate) []roll.Candidate {
-	byDomain := map[string][]roll.Candidate{}
+func (chooser *chooser) near(directory *session.Directory, fit []session.Candidate) []session.Candidate {
+	byDomain := map[string][]session.Candidate{}
 	for _, candidate := range fit {
 		byDomain[candidate.Domain] = append(byDomain[candidate.Domain], candidate)
 	}
@@ -265,7 +265,7 @@
 		return own
 	}
 	// Beyond the own domain, each candidate weighs what its domain has to spare.
-	var far []roll.Candidate
+	var far []session.Candidate
 	var weights []float64
 	total := 0.0
 	for _, candidate := range fit {
@@ -278,7 +278,7 @@
 	if len(far) == 0 {
 		return fit
 	}
-	picks := make([]roll.Candidate, 0, 2)
+	picks := make([]session.Candidate, 0, 2)
 	for len(picks) < 2 {
 		point := total * float64(chooser.place.Random()%1000000) / 1000000
 		index := 0
@@ -292,7 +292,7 @@
 }
 
 // lighter is the better of two picks.
-func (chooser *chooser) lighter(fit []roll.Candidate) roll.Candidate {
+func (chooser *chooser) lighter(fit []session.Candidate) session.Candidate {
 	one := fit[chooser.place.Random()%uint64(len(fit))]
 	other := fit[chooser.place.Random()%uint64(len(fit))]
 	if chooser.inFlight[other.Instance] < chooser.inFlight[one.Instance] {
--- a/internal/carrier/passage/later.go
+++ b/internal/proxy/forward/later.go
@@ -1,18 +1,18 @@
-package passage
+package forward
 
 import (
 	"sync"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
 )
 
 const (
 	// farthest is the most that a refusal's time to come back is put off by.
-	farthest = 10 * postmark.Second
+	farthest = 10 * monotonic.Second
 	// quietFor ends a series of refusals.
-	quietFor = 15 * postmark.Second
+	quietFor = 15 * monotonic.Second
 )
 
 // later spreads the return of callers that are refused for the same cause, the wider the longer it lasts: those who
@@ -22,19 +22,19 @@
 type later struct {
 	place  host.Host
 	lock   sync.Mutex
-	series map[seal.Cause]*series
+	series map[apierror.Cause]*series
 	// together leaves the spreading out; only measurements set it.
 	together bool
 }
 
-type series struct{ since, last postmark.Micros }
+type series struct{ since, last monotonic.Micros }
 
 func newLater(place host.Host) *later {
-	return &later{place: place, series: map[seal.Cause]*series{}}
+	return &later{place: place, series: map[apierror.Cause]*series{}}
 }
 
 // put gives a refusal the time after which its caller should come back, if coming back helps at all.
-func (later *later) put(fault *seal.Fault) {
+func (later *later) put(fault *apierror.Fault) {
 	if fault.RetryAfter == 0 || fault.Measured || later.together {
 		return
 	}
@@ -47,5 +47,5 @@
 	present.last = now
 	spread := min(now-present.since, farthest)
 	later.lock.Unlock()
-	fault.RetryAfter += postmark.Micros(later.place.Random() % uint64(spread+1))
+	fault.RetryAfter += monotonic.Micros(later.place.Random() % uint64(spread+1))
 }
--- a/internal/carrier/passage/left.go
+++ b/internal/proxy/forward/left.go
@@ -1,16 +1,16 @@
-package passage
+package forward
 
 import (
 	"sync"
 
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/transport/wire"
 )
 
 // cancelPatience is how long another carrier may take to hear that a caller has left.
-const cancelPatience = 500 * postmark.Millisecond
+const cancelPatience = 500 * monotonic.Millisecond
 
 // leaving is what becomes of a request whose caller leaves: the try under way is called off, and no further one is made. Run-once requests
 // go on, since whoever asks again is owed their answer.
@@ -22,7 +22,7 @@
 }
 
 type underWay struct {
-	candidate roll.Candidate
+	candidate session.Candidate
 	id        string
 }
 
@@ -53,11 +53,11 @@
 }
 
 // sending notes that a pass is under way, unless the caller has left already.
-func (trip *Trip) sending(candidate roll.Candidate, id string) *seal.Fault {
+func (trip *Trip) sending(candidate session.Candidate, id string) *apierror.Fault {
 	trip.leaving.lock.Lock()
 	defer trip.leaving.lock.Unlock()
 	if trip.leaving.left && !trip.Once {
-		return seal.New(seal.CallerLeft, seal.NotRun, "its caller left")
+		return apierror.New(apierror.CallerLeft, apierror.NotRun, "its caller left")
 	}
 	trip.leaving.under = &underWay{candidate, id}
 	return nil
--- a/internal/carrier/passage/moves.go
+++ b/internal/proxy/forward/moves.go
@@ -1,9 +1,9 @@
-package passage
+package forward
 
 import (
-	"snowflow/internal/carrier/purse"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/retry"
 )
 
 // mostMoves is how many further backends one request may be brought to, within one try, because a gate turned it down. Each move costs two
@@ -12,7 +12,7 @@
 
 // movable are the causes of refusals after which another backend is asked at once: nothing of the request came as far as a
 // backend, and another one may well take it.
-var movable = map[seal.Cause]bool{seal.Overloaded: true, seal.BackendLeaving: true, seal.BackendUnknown: true, seal.Draining: true, seal.PassUnreachable: true, seal.BackendAiling: true}
+var movable = map[apierror.Cause]bool{apierror.Overloaded: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true, apierror.Draining: true, apierror.PassUnreachable: true, apierror.BackendAiling: true}
 
 // moves keeps account of a request's tries. The first one is free, a further one is paid for out of the retry budget, and a move
 // is part of the try that was turned down: whatever that one cost stays spent, and nothing is added.
@@ -22,15 +22,15 @@
 	made    int
 	moving  bool // what comes next is no try of its own
 	paid    bool
-	refused postmark.Micros // the least time to come back that a full gate named
+	refused monotonic.Micros // the least time to come back that a full gate named
 }
 
 // ended settles a try, of which last tells that its backend was the only one left to ask, with the budget. It tells
 // whether the request moves on to another backend.
-func (moves *moves) ended(budget *purse.Purse, trip *Trip, fault *seal.Fault, retriable, last bool) bool {
+func (moves *moves) ended(budget *retry.Purse, trip *Trip, fault *apierror.Fault, retriable, last bool) bool {
 	service, retry := trip.Service.Name, trip.Service.Retry
 	moves.moving = false
-	reached := fault == nil || !fault.NotRun() || fault.Cause == seal.NotExecuted
+	reached := fault == nil || !fault.NotRun() || fault.Cause == apierror.NotExecuted
 	if reached {
 		if !moves.paid {
 			budget.First(service, retry.GetBudgetRatio(), retry.GetAllowance())
@@ -38,7 +38,7 @@
 		moves.paid = false
 		return false
 	}
-	if fault.Cause == seal.Overloaded && fault.RetryAfter > 0 && (moves.refused == 0 || fault.RetryAfter < moves.refused) {
+	if fault.Cause == apierror.Overloaded && fault.RetryAfter > 0 && (moves.refused == 0 || fault.RetryAfter < moves.refused) {
 		moves.refused = fault.RetryAfter
 	}
 	if retriable && !last && movable[fault.Cause] && moves.made < mostMoves {
--- a/internal/carrier/passage/moves_test.go
+++ b/internal/proxy/forward/moves_test.go
@@ -1,4 +1,4 @@
-package passage
+package forward
 
 import (
 	"fmt"
@@ -6,22 +6,22 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/carrier/purse"
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/franking"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/retry"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
-type clock struct{ now postmark.Micros }
+type clock struct{ now monotonic.Micros }
 
-func (clock *clock) Now() postmark.Micros { return clock.now }
+func (clock *clock) Now() monotonic.Micros { return clock.now }
 
-func overloaded(wait postmark.Micros) *seal.Fault {
-	fault := seal.New(seal.Overloaded, seal.NotRun, "full")
+func overloaded(wait monotonic.Micros) *apierror.Fault {
+	fault := apierror.New(apierror.Overloaded, apierror.NotRun, "full")
 	fault.RetryAfter = wait
 	return fault
 }
@@ -29,10 +29,10 @@
 // TestMoves: a request that no backend has seen moves on without cost, at most so often, and only while another backend is
 // left. What may have reached one never does, and whatever a further try cost stays spent unless none was reached.
 func TestMoves(t *testing.T) {
-	unreached, lost := seal.New(seal.PassUnreachable, seal.NotRun, ""), seal.New(seal.PassLost, seal.MayHaveRun, "")
-	declined, older := seal.New(seal.NotExecuted, seal.NotRun, ""), seal.New(seal.SerialOlder, seal.NotRun, "")
+	unreached, lost := apierror.New(apierror.PassUnreachable, apierror.NotRun, ""), apierror.New(apierror.PassLost, apierror.MayHaveRun, "")
+	declined, older := apierror.New(apierror.NotExecuted, apierror.NotRun, ""), apierror.New(apierror.SerialOlder, apierror.NotRun, "")
 	type try struct {
-		fault *seal.Fault
+		fault *apierror.Fault
 		last  bool
 		moves bool
 	}
@@ -41,7 +41,7 @@
 		paid    bool
 		tries   []try
 		left    int // further tries that the budget still allows
-		refused postmark.Micros
+		refused monotonic.Micros
 	}{
 		{"full, full, taken: a first try", false, []try{{overloaded(30), false, true}, {overloaded(20), false, true}, {nil, false, false}}, 3, 20},
 		{"two moves at most", false, []try{{overloaded(40), false, true}, {unreached, false, true}, {overloaded(30), false, false}}, 2, 30},
@@ -53,9 +53,9 @@
 		{"a paid try that ends unreached is given back", true, []try{{overloaded(10), false, true}, {overloaded(20), true, false}}, 2, 10},
 		{"a paid try that was lost", true, []try{{lost, false, false}}, 1, 0},
 	} {
-		time := &clock{now: postmark.Minute}
-		budget := purse.New(time, func(uint32) float64 { return 4 })
-		trip := &Trip{Service: &franking.Service{Name: "forms", Retry: &wire.Retry{BudgetRatio: proto.Float64(1), Allowance: proto.Uint32(4)}}}
+		time := &clock{now: monotonic.Minute}
+		budget := retry.New(time, func(uint32) float64 { return 4 })
+		trip := &Trip{Service: &config.Service{Name: "forms", Retry: &wire.Retry{BudgetRatio: proto.Float64(1), Allowance: proto.Uint32(4)}}}
 		for range 2 { // two are left of the four that it begins with
 			if !budget.Spend("forms", 4) {
 				t.Fatal("nothing to spend")
@@ -97,12 +97,12 @@
 			if measured.RetryAfter != 70*ms {
 				t.Errorf("told %d", measured.RetryAfter)
 			}
-			place.Sleep(postmark.Second)
+			place.Sleep(monotonic.Second)
 		}
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Minute)
+	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
@@ -115,9 +115,9 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		choices := newChooser(place, "a", false, 0)
-		directory := &roll.Directory{Candidates: map[string][]roll.Candidate{}}
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{}}
 		for index := range 4 {
-			directory.Candidates["forms"] = append(directory.Candidates["forms"], roll.Candidate{Carrier: fmt.Sprint("carrier-", index), Instance: fmt.Sprint(index), Service: "forms", Slots: 2})
+			directory.Candidates["forms"] = append(directory.Candidates["forms"], session.Candidate{Carrier: fmt.Sprint("carrier-", index), Instance: fmt.Sprint(index), Service: "forms", Slots: 2})
 		}
 		choices.shun("3")
 		avoid := map[string]bool{}
@@ -135,7 +135,7 @@
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Second)
+	simulated.Run(simulated.Now() + monotonic.Second)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
@@ -149,11 +149,11 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		choices := newChooser(place, "a", false, 20*ms)
-		near, far := roll.Candidate{Instance: "near", Domain: "a", Slots: 6}, roll.Candidate{Instance: "far", Domain: "b", Slots: 6}
+		near, far := session.Candidate{Instance: "near", Domain: "a", Slots: 6}, session.Candidate{Instance: "far", Domain: "b", Slots: 6}
 		pick := func() string {
-			return choices.soonest([]roll.Candidate{near, far}, "", place.Now(), choices.far).Instance
+			return choices.soonest([]session.Candidate{near, far}, "", place.Now(), choices.far).Instance
 		}
-		tell := func(instance string, running, waiting uint32, work postmark.Micros) {
+		tell := func(instance string, running, waiting uint32, work monotonic.Micros) {
 			choices.inFlight[instance] = 1 // the pass that brings it
 			choices.heard(instance, "", &wire.Load{Slots: 6, Running: running, Waiting: waiting, WorkMicros: int64(work)})
 			delete(choices.inFlight, instance)
@@ -181,7 +181,7 @@
 			t.Error("slow and full as a rule, and it was chosen")
 		}
 		for range 50 { // the other one is heard of on and on
-			place.Sleep(postmark.Second)
+			place.Sleep(monotonic.Second)
 			tell("far", 1, 0, 100*ms)
 		}
 		if pick() != "near" {
@@ -190,7 +190,7 @@
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + 2*postmark.Minute)
+	simulated.Run(simulated.Now() + 2*monotonic.Minute)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
@@ -204,11 +204,11 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		choices := newChooser(place, "a", false, 20*ms)
-		near, far := roll.Candidate{Instance: "near", Domain: "a", Slots: 6}, roll.Candidate{Instance: "far", Domain: "b", Slots: 6}
+		near, far := session.Candidate{Instance: "near", Domain: "a", Slots: 6}, session.Candidate{Instance: "far", Domain: "b", Slots: 6}
 		pick := func(route string) string {
-			return choices.soonest([]roll.Candidate{near, far}, route, place.Now(), choices.far).Instance
+			return choices.soonest([]session.Candidate{near, far}, route, place.Now(), choices.far).Instance
 		}
-		tell := func(instance, route string, work, own postmark.Micros) {
+		tell := func(instance, route string, work, own monotonic.Micros) {
 			choices.inFlight[instance] = 1 // the pass that brings it
 			choices.heard(instance, route, &wire.Load{Slots: 6, Running: 1, WorkMicros: int64(work), RouteMicros: int64(own)})
 			delete(choices.inFlight, instance)
@@ -231,7 +231,7 @@
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Second)
+	simulated.Run(simulated.Now() + monotonic.Second)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
@@ -245,7 +245,7 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		choices := newChooser(place, "a", false, 20*ms)
-		directory := &roll.Directory{Candidates: map[string][]roll.Candidate{"packs": {{Carrier: "home", Instance: "home", Domain: "a", Slots: 2}, {Carrier: "away", Instance: "away", Domain: "b", Slots: 2}}}}
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{"packs": {{Carrier: "home", Instance: "home", Domain: "a", Slots: 2}, {Carrier: "away", Instance: "away", Domain: "b", Slots: 2}}}}
 		choices.inFlight["home"] = 1
 		choices.heard("home", "", &wire.Load{Slots: 2, Running: 2, Waiting: 12, WorkMicros: int64(100 * ms)})
 		choices.heard("away", "", &wire.Load{Slots: 2, WorkMicros: int64(100 * ms)})
@@ -269,7 +269,7 @@
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Second)
+	simulated.Run(simulated.Now() + monotonic.Second)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
--- a/internal/carrier/passage/passage.go
+++ b/internal/proxy/forward/passage.go
@@ -1,6 +1,6 @@
-// Package passage is the caller's side of a carrier: it resolves a request, grants it entry, carries it to a backend's
+// Package forward is the caller's side of a carrier: it resolves a request, grants it entry, carries it to a backend's
 // carrier, tries again within its budget, and gives one final outcome.
-package passage
+package forward
 
 import (
 	"strconv"
@@ -10,24 +10,24 @@
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/desk"
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/lastpost"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/carrier/purse"
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/carrier/wicket"
-	"snowflow/internal/franking"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postcode"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/proxy/configclient"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/proxy/retry"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/proxy/shutdown"
+	"snowflow/internal/resourcepath"
+	"snowflow/internal/transport/wire"
 )
 
 // voidPatience is how long a lost pass may take to be voided, beyond which the outcome stays open.
-const voidPatience = 1500 * postmark.Millisecond
+const voidPatience = 1500 * monotonic.Millisecond
 
 // Env is what a passage is made of.
 type Env struct {
@@ -37,19 +37,19 @@
 	Address     string
 	Domain      string
 	Blind       bool
-	FarPenalty  postmark.Micros // what the way to another zone counts for
-	Desk        *desk.Desk
-	Roll        *roll.Roll
-	Wicket      *wicket.Wicket
-	Purse       *purse.Purse
-	Gate        *gate.Gate
+	FarPenalty  monotonic.Micros // what the way to another zone counts for
+	Desk        *configclient.Desk
+	Roll        *session.Roll
+	Wicket      *breaker.Wicket
+	Purse       *retry.Purse
+	Gate        *admission.Gate
 	// Silence is how long a carrier may owe answers before it's asked for a sign of life, 700 ms if left out.
-	Silence     postmark.Micros
-	CallPrimary func(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error
+	Silence     monotonic.Micros
+	CallPrimary func(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error
 	// Keep is given the answer of each run-once request, so that it outlives the carrier beside the backend. It may be left out.
-	Keep func(scope string, digest []byte, answer *letter.Answer)
+	Keep func(scope string, digest []byte, answer *request.Answer)
 	// Finished is told every outcome, for counting; it must not block.
-	Finished func(trip *Trip, answer *letter.Answer, fault *seal.Fault)
+	Finished func(trip *Trip, answer *request.Answer, fault *apierror.Fault)
 }
 
 // Passage carries requests.
@@ -59,7 +59,7 @@
 	draining atomic.Bool
 	running  atomic.Int64
 	idle     host.Signal
-	last     *lastpost.Post
+	last     *shutdown.Post
 	later    *later
 	counts   sync.Map // service name to *atomic.Int64
 	choices  *chooser
@@ -70,15 +70,15 @@
 // resolve policy, and only a repin changes them; Once and Single never change once resolved, and are never both set; Service
 // is of the Path's split.
 type Trip struct {
-	Request *letter.Request
+	Request *request.Request
 	Host    string
 	Method  string
-	Address postcode.Address
-	Began   postmark.Micros
-	Cutoff  postmark.Micros
-	View    *franking.View
-	Path    franking.Path
-	Service *franking.Service
+	Address resourcepath.Address
+	Began   monotonic.Micros
+	Cutoff  monotonic.Micros
+	View    *config.View
+	Path    config.Path
+	Service *config.Service
 	Once    bool
 	// Single: it may run at most once and nothing is claimed for it, so it's only tried again when certain that it has not run.
 	Single bool
@@ -87,7 +87,7 @@
 	Tries  int
 	// Doubt is set once some try may have run; from then on no refusal says not run.
 	Doubt   bool
-	errand  *lastpost.Errand
+	errand  *shutdown.Errand
 	moves   moves
 	last    bool // the backend of this try is the last one it may be brought to
 	leaving leaving
@@ -97,7 +97,7 @@
 
 // New makes a passage.
 func New(env Env) *Passage {
-	passage := &Passage{env: env, idle: env.Place.NewSignal(), last: lastpost.New(env.Place), later: newLater(env.Place), choices: newChooser(env.Place, env.Domain, env.Blind, env.FarPenalty)}
+	passage := &Passage{env: env, idle: env.Place.NewSignal(), last: shutdown.New(env.Place), later: newLater(env.Place), choices: newChooser(env.Place, env.Domain, env.Blind, env.FarPenalty)}
 	if env.Silence > 0 {
 		passage.choices.silence = env.Silence
 	}
@@ -106,7 +106,7 @@
 }
 
 // leastSign is the least that a quiet carrier is given for a sign of life.
-const leastSign = 150 * postmark.Millisecond
+const leastSign = 150 * monotonic.Millisecond
 
 // Look asks carriers that owe answers and give none for a sign of life. An ask that hears nothing ends its connection, and with
 // it the passes that wait there, so they are settled and tried elsewhere long before their cutoff.
@@ -116,7 +116,7 @@
 		place.Go(func() {
 			err := place.Call(owed.address, wire.Kind_whois, &wire.WhoisAsk{Sign: true}, &wire.WhoisTell{}, max(leastSign, passage.choices.silence*5/7))
 			if err != nil {
-				place.Report(bulletin.CarrierQuiet, map[string]any{"address": owed.address, "error": err.Error()})
+				place.Report(eventlog.CarrierQuiet, map[string]any{"address": owed.address, "error": err.Error()})
 			}
 			passage.choices.lives(owed, err == nil)
 		})
@@ -124,7 +124,7 @@
 }
 
 // LookEvery is how often Look is to be called.
-func (passage *Passage) LookEvery() postmark.Micros { return passage.choices.lookEvery() }
+func (passage *Passage) LookEvery() monotonic.Micros { return passage.choices.lookEvery() }
 
 func (passage *Passage) count(service string) *atomic.Int64 {
 	if present, found := passage.counts.Load(service); found {
@@ -141,14 +141,14 @@
 func (passage *Passage) Refuse() { passage.draining.Store(true) }
 
 // Drain waits until every request under way has its outcome, at most for patience.
-func (passage *Passage) Drain(patience postmark.Micros) bool {
+func (passage *Passage) Drain(patience monotonic.Micros) bool {
 	cutoff := passage.env.Place.Now() + patience
 	for passage.running.Load() > 0 {
 		remaining := cutoff - passage.env.Place.Now()
 		if remaining <= 0 {
 			return false
 		}
-		passage.idle.Wait(min(remaining, 100*postmark.Millisecond))
+		passage.idle.Wait(min(remaining, 100*monotonic.Millisecond))
 	}
 	return true
 }
@@ -160,44 +160,44 @@
 func (passage *Passage) GiveUp() { passage.last.GiveUp() }
 
 // Carry gives a request its one outcome: the backend's own complete answer, or a fault.
-func (passage *Passage) Carry(request *letter.Request) (answer *letter.Answer, fault *seal.Fault) {
+func (passage *Passage) Carry(req *request.Request) (answer *request.Answer, fault *apierror.Fault) {
 	passage.running.Inc()
 	defer func() {
 		if fault != nil {
 			passage.later.put(fault)
-			passage.env.Place.Report(bulletin.RequestRefused, map[string]any{"request": request.ID, "cause": int(fault.Cause), "verdict": string(fault.Verdict), "detail": fault.Detail})
+			passage.env.Place.Report(eventlog.RequestRefused, map[string]any{"request": req.ID, "cause": int(fault.Cause), "verdict": string(fault.Verdict), "detail": fault.Detail})
 		}
 		if passage.running.Dec() == 0 {
 			passage.idle.Fire()
 		}
 	}()
-	var carried *letter.Answer
-	var failed *seal.Fault
-	outcome := passage.last.Run(func(errand *lastpost.Errand) { carried, failed = passage.carry(request, errand) })
-	if outcome == lastpost.Done {
+	var carried *request.Answer
+	var failed *apierror.Fault
+	outcome := passage.last.Run(func(errand *shutdown.Errand) { carried, failed = passage.carry(req, errand) })
+	if outcome == shutdown.Done {
 		return carried, failed
 	}
-	fault = seal.New(seal.StoppedUnderWay, seal.MayHaveRun, "carrier %s stops, and can't wait any longer", passage.env.Carrier)
-	if outcome == lastpost.Unstarted && request.Key == "" {
-		fault.Verdict = seal.NotRun
+	fault = apierror.New(apierror.StoppedUnderWay, apierror.MayHaveRun, "carrier %s stops, and can't wait any longer", passage.env.Carrier)
+	if outcome == shutdown.Unstarted && req.Key == "" {
+		fault.Verdict = apierror.NotRun
 	}
 	return nil, fault
 }
 
-func (passage *Passage) carry(request *letter.Request, errand *lastpost.Errand) (answer *letter.Answer, fault *seal.Fault) {
-	trip := &Trip{Request: request, errand: errand, Began: passage.env.Place.Now(), Host: franking.Host(request.Host), Method: strings.ToUpper(request.Method)}
+func (passage *Passage) carry(req *request.Request, errand *shutdown.Errand) (answer *request.Answer, fault *apierror.Fault) {
+	trip := &Trip{Request: req, errand: errand, Began: passage.env.Place.Now(), Host: config.Host(req.Host), Method: strings.ToUpper(req.Method)}
 	trip.Cutoff = trip.Began + voidPatience // until the path's own limit is known
 	defer func() {
 		if passage.env.Finished != nil {
 			passage.env.Finished(trip, answer, fault)
 		}
 	}()
-	if request.Address != nil {
-		trip.Address = *request.Address
+	if req.Address != nil {
+		trip.Address = *req.Address
 	} else {
 		var err error
-		if trip.Address, err = postcode.Parse(request.Target); err != nil {
-			return nil, seal.New(seal.Unreadable, seal.NotRun, "%v", err)
+		if trip.Address, err = resourcepath.Parse(req.Target); err != nil {
+			return nil, apierror.New(apierror.Unreadable, apierror.NotRun, "%v", err)
 		}
 	}
 	trip.Scope = scope(trip)
@@ -225,7 +225,7 @@
 }
 
 // attempts makes the first try and, while it's safe, allowed and in time, further ones.
-func (passage *Passage) attempts(trip *Trip) (*letter.Answer, *seal.Fault) {
+func (passage *Passage) attempts(trip *Trip) (*request.Answer, *apierror.Fault) {
 	place := passage.env.Place
 	avoid := map[string]bool{}
 	for {
@@ -238,7 +238,7 @@
 		if moved {
 			continue
 		}
-		if fault.Cause == seal.Overloaded {
+		if fault.Cause == apierror.Overloaded {
 			// Each backend that could be asked is full: its caller hears so at once, and the least of the waits.
 			fault.RetryAfter = trip.moves.refused
 			return nil, fault
@@ -247,17 +247,17 @@
 		if !retriable || trip.Tries >= trip.mostTries() {
 			return nil, fault
 		}
-		backoff := postmark.Micros(retry.GetBackoffMicros())
-		backoff += postmark.Micros(place.Random() % uint64(backoff+1))
-		if place.Now()+backoff+50*postmark.Millisecond >= trip.Cutoff {
+		backoff := monotonic.Micros(retry.GetBackoffMicros())
+		backoff += monotonic.Micros(place.Random() % uint64(backoff+1))
+		if place.Now()+backoff+50*monotonic.Millisecond >= trip.Cutoff {
 			return nil, fault
 		}
 		if !passage.env.Purse.Spend(trip.Service.Name, retry.GetAllowance()) {
-			spent := seal.New(seal.BudgetSpent, fault.Verdict, "no further try is left; the last said: %s", fault.Detail)
+			spent := apierror.New(apierror.BudgetSpent, fault.Verdict, "no further try is left; the last said: %s", fault.Detail)
 			return nil, spent
 		}
 		trip.moves.paid = true
-		if fault.Cause == seal.SerialOlder || fault.Cause == seal.SerialBehind {
+		if fault.Cause == apierror.SerialOlder || fault.Cause == apierror.SerialBehind {
 			passage.repin(trip)
 		}
 		place.Sleep(backoff)
@@ -266,7 +266,7 @@
 
 // repin resolves a trip anew after a refusal for its serial; only the newest view may be used from then on.
 func (passage *Passage) repin(trip *Trip) {
-	passage.env.Desk.Renew(trip.View.Serial+1, 300*postmark.Millisecond)
+	passage.env.Desk.Renew(trip.View.Serial+1, 300*monotonic.Millisecond)
 	view, live := passage.env.Desk.Current()
 	if !live {
 		return
@@ -281,12 +281,12 @@
 }
 
 // try makes one try. retriable tells that another one can't make the request run twice.
-func (passage *Passage) try(trip *Trip, avoid map[string]bool) (answer *letter.Answer, fault *seal.Fault, retriable bool) {
+func (passage *Passage) try(trip *Trip, avoid map[string]bool) (answer *request.Answer, fault *apierror.Fault, retriable bool) {
 	place := passage.env.Place
 	trip.last = true
 	view, live := passage.env.Desk.Current()
 	if !live {
-		return nil, seal.New(seal.TenureEnded, seal.NotRun, "the tenure to serve by serial %d has ended", view.Serial), false
+		return nil, apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Serial), false
 	}
 	if view.Serial != trip.View.Serial {
 		passage.repin(trip)
@@ -298,7 +298,7 @@
 	candidate, last, leave, fault := passage.choices.choose(passage.env.Roll.Directory(),
 		wish{service: trip.Service.Name, route: trip.Path.Name, aim: trip.Path.Aim, avoid: avoid})
 	if fault != nil {
-		ticket.Done(wicket.Neutral)
+		ticket.Done(breaker.Neutral)
 		return nil, fault, false
 	}
 	defer leave()
@@ -309,8 +309,8 @@
 	trip.last = last || trip.moves.made == mostMoves
 	remaining := trip.Cutoff - place.Now()
 	if remaining <= 0 {
-		ticket.Done(wicket.Neutral)
-		return nil, seal.New(seal.CutoffReached, seal.NotRun, "the cutoff was reached before the pass"), false
+		ticket.Done(breaker.Neutral)
+		return nil, apierror.New(apierror.CutoffReached, apierror.NotRun, "the cutoff was reached before the pass"), false
 	}
 	ask := &wire.PassAsk{Id: trip.Request.ID + "." + strconv.Itoa(trip.Tries), Serial: trip.View.Serial, Service: trip.Service.Name,
 		Instance: candidate.Instance, Method: trip.Method, Target: trip.Address.Target, Headers: trip.Request.Headers,
@@ -319,42 +319,42 @@
 		AnswerLimit: trip.Service.Limits.GetAnswerBytes(), Priority: trip.Path.Priority, Aim: trip.aim(place.Now()), Single: trip.Single, Patient: trip.last, Route: trip.Path.Name,
 		Domain: passage.env.Domain, Peers: passage.choices.beside(passage.env.Roll.Directory(), trip.Service.Name, candidate.Instance)}
 	if trip.Once {
-		ask.Try = gate.TryOf(passage.env.Carrier, place.Random())
+		ask.Try = admission.TryOf(passage.env.Carrier, place.Random())
 	}
 	if !trip.errand.Start() {
-		ticket.Done(wicket.Neutral)
-		return nil, seal.New(seal.StoppedUnderWay, seal.NotRun, "given up before the pass"), false
+		ticket.Done(breaker.Neutral)
+		return nil, apierror.New(apierror.StoppedUnderWay, apierror.NotRun, "given up before the pass"), false
 	}
 	if fault := trip.sending(candidate, ask.Id); fault != nil {
-		ticket.Done(wicket.Neutral)
+		ticket.Done(breaker.Neutral)
 		return nil, fault, false
 	}
 	tell, err := passage.send(candidate, ask, remaining)
 	if trip.sent() {
 		// How it ended says nothing of the backend, and nobody wants to know.
-		ticket.Done(wicket.Neutral)
-		return nil, seal.New(seal.CallerLeft, seal.MayHaveRun, "its caller left"), false
+		ticket.Done(breaker.Neutral)
+		return nil, apierror.New(apierror.CallerLeft, apierror.MayHaveRun, "its caller left"), false
 	}
 	if err != nil {
 		return passage.lost(trip, ticket, candidate, ask, err)
 	}
 	passage.choices.heard(candidate.Instance, trip.Path.Name, tell.Load)
 	own := passage.choices.stands(passage.env.Roll.Directory(), trip.Service.Name, candidate.Instance, tell.Load)
-	if tell.Id != ask.Id || !tell.Refused && !gate.Whole(tell) {
-		ticket.Done(wicket.Neutral)
-		return nil, seal.New(seal.AnswerUnmatched, seal.MayHaveRun, "the answer to pass %s is not whole or not its own", ask.Id), !trip.Once && !trip.Single
+	if tell.Id != ask.Id || !tell.Refused && !admission.Whole(tell) {
+		ticket.Done(breaker.Neutral)
+		return nil, apierror.New(apierror.AnswerUnmatched, apierror.MayHaveRun, "the answer to pass %s is not whole or not its own", ask.Id), !trip.Once && !trip.Single
 	}
 	if tell.Refused {
 		return passage.turnedDown(trip, ticket, candidate, tell, own)
 	}
 	passage.choices.sized(trip.Path.Name, len(ask.Body)+len(tell.Body))
-	outcome := wicket.Success
+	outcome := breaker.Success
 	if tell.Status >= 500 && !own {
-		outcome = wicket.Failure
+		outcome = breaker.Failure
 	}
 	ticket.Done(outcome)
-	passage.choices.judge(candidate.Instance, outcome == wicket.Failure)
-	answer = &letter.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance, Serial: trip.View.Serial}
+	passage.choices.judge(candidate.Instance, outcome == breaker.Failure)
+	answer = &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance, Serial: trip.View.Serial}
 	if trip.Once && passage.env.Keep != nil {
 		passage.env.Keep(trip.Scope, trip.Digest, answer)
 	}
@@ -362,7 +362,7 @@
 }
 
 // send passes a request on; to this carrier's own gate without a connection.
-func (passage *Passage) send(candidate roll.Candidate, ask *wire.PassAsk, patience postmark.Micros) (*wire.PassTell, error) {
+func (passage *Passage) send(candidate session.Candidate, ask *wire.PassAsk, patience monotonic.Micros) (*wire.PassTell, error) {
 	if candidate.Carrier == passage.env.Carrier && candidate.Incarnation == passage.env.Incarnation {
 		return passage.env.Gate.Pass(ask)
 	}
@@ -375,7 +375,7 @@
 }
 
 // aim is what is left of the time that the route wants its answers in; at least a microsecond, for zero says that it has none.
-func (trip *Trip) aim(now postmark.Micros) int64 {
+func (trip *Trip) aim(now monotonic.Micros) int64 {
 	if trip.Path.Aim == 0 {
 		return 0
 	}
--- a/internal/carrier/passage/peers.go
+++ b/internal/proxy/forward/peers.go
@@ -1,37 +1,37 @@
-package passage
+package forward
 
 import (
 	"slices"
 
-	"snowflow/internal/carrier/outlier"
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// peersFor is how long what a service's backends are like is told as it was taken.
-	peersFor = 200 * postmark.Millisecond
+	peersFor = 200 * monotonic.Millisecond
 	// standingFor is how long a told standing counts.
-	standingFor = 10 * postmark.Second
+	standingFor = 10 * monotonic.Second
 )
 
 // standing is what a backend's gate last told of it.
 type standing struct {
 	faults, pace uint32
 	ejected      bool
-	at           postmark.Micros
+	at           monotonic.Micros
 }
 
 // peers is what a service's backends are like, for the gates to judge their own by. Invariant: neither message changes once made.
 type peers struct {
-	at            postmark.Micros
+	at            monotonic.Micros
 	beside, among *wire.Peers // as a backend that isn't ejected, and as one that is, should hear of the others
 }
 
 // stands takes a told standing. It tells whether what comes of a request there is that backend's own trouble, of which its gate sees
 // to it that few requests have it: it's ejected, and no more of its service are than may be. Else it's the service's guard's business.
-func (chooser *chooser) stands(directory *roll.Directory, service, instance string, load *wire.Load) (own bool) {
+func (chooser *chooser) stands(directory *session.Directory, service, instance string, load *wire.Load) (own bool) {
 	if load == nil || load.Pace == 0 {
 		return false
 	}
@@ -42,7 +42,7 @@
 		present = &standing{}
 		now := chooser.place.Now()
 		for other, known := range chooser.standings {
-			if now-known.at >= postmark.Minute {
+			if now-known.at >= monotonic.Minute {
 				delete(chooser.standings, other)
 			}
 		}
@@ -61,7 +61,7 @@
 }
 
 // beside is what the other backends of a service are like.
-func (chooser *chooser) beside(directory *roll.Directory, service, instance string) *wire.Peers {
+func (chooser *chooser) beside(directory *session.Directory, service, instance string) *wire.Peers {
 	chooser.lock.Lock()
 	defer chooser.lock.Unlock()
 	known := chooser.others(directory, service)
@@ -72,7 +72,7 @@
 }
 
 // others is what the backends of a service are like, taken anew now and then. The lock is held.
-func (chooser *chooser) others(directory *roll.Directory, service string) *peers {
+func (chooser *chooser) others(directory *session.Directory, service string) *peers {
 	now := chooser.place.Now()
 	known := chooser.peers[service]
 	if known == nil || now-known.at >= peersFor {
@@ -83,7 +83,7 @@
 }
 
 // taken takes the middle ones of what is known. The lock is held.
-func (chooser *chooser) taken(candidates []roll.Candidate, now postmark.Micros) *peers {
+func (chooser *chooser) taken(candidates []session.Candidate, now monotonic.Micros) *peers {
 	var faults, paces []uint32
 	ejected := uint32(0)
 	for index := range candidates {
--- a/internal/carrier/passage/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -1,30 +1,30 @@
-package passage
+package forward
 
 import (
 	"crypto/sha256"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
 )
 
 // Policy is one step that a request takes before it's carried. Leave is called for each policy entered, last first,
 // once the request has its outcome.
 type Policy interface {
 	Name() string
-	Enter(trip *Trip) *seal.Fault
+	Enter(trip *Trip) *apierror.Fault
 	Leave(trip *Trip)
 }
 
 // step makes a policy of functions.
 type step struct {
 	name  string
-	enter func(trip *Trip) *seal.Fault
+	enter func(trip *Trip) *apierror.Fault
 	leave func(trip *Trip)
 }
 
-func (step step) Name() string                 { return step.name }
-func (step step) Enter(trip *Trip) *seal.Fault { return step.enter(trip) }
+func (step step) Name() string                     { return step.name }
+func (step step) Enter(trip *Trip) *apierror.Fault { return step.enter(trip) }
 func (step step) Leave(trip *Trip) {
 	if step.leave != nil {
 		step.leave(trip)
@@ -42,25 +42,25 @@
 	}
 }
 
-func (passage *Passage) notDraining(trip *Trip) *seal.Fault {
+func (passage *Passage) notDraining(trip *Trip) *apierror.Fault {
 	if passage.draining.Load() {
-		return seal.New(seal.Draining, seal.NotRun, "this carrier is stopping")
+		return apierror.New(apierror.Draining, apierror.NotRun, "this carrier is stopping")
 	}
 	return nil
 }
 
 // resolve pins the trip to one view of the desired state.
-func (passage *Passage) resolve(trip *Trip) *seal.Fault {
+func (passage *Passage) resolve(trip *Trip) *apierror.Fault {
 	view, live := passage.env.Desk.Current()
 	if view == nil {
-		return seal.New(seal.NotReady, seal.NotRun, "no desired state is adopted yet")
+		return apierror.New(apierror.NotReady, apierror.NotRun, "no desired state is adopted yet")
 	}
 	if !live {
-		return seal.New(seal.TenureEnded, seal.NotRun, "the tenure to serve by serial %d has ended", view.Serial)
+		return apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Serial)
 	}
 	path, found := view.Resolve(trip.Host, trip.Method, trip.Address.Path)
 	if !found {
-		return seal.New(seal.UnknownPath, seal.NotRun, "no service has %s %s", trip.Method, trip.Address.Path)
+		return apierror.New(apierror.UnknownPath, apierror.NotRun, "no service has %s %s", trip.Method, trip.Address.Path)
 	}
 	trip.View, trip.Path, trip.Service = view, path, path.Service
 	if len(path.Split) > 1 {
@@ -68,7 +68,7 @@
 	}
 	trip.Once = once(path, trip)
 	trip.Single = path.Single && !trip.Once
-	trip.Cutoff = trip.Began + postmark.Micros(trip.Service.Limits.GetCutoffMicros())
+	trip.Cutoff = trip.Began + monotonic.Micros(trip.Service.Limits.GetCutoffMicros())
 	if path.Cutoff > 0 {
 		trip.Cutoff = min(trip.Cutoff, trip.Began+path.Cutoff)
 	}
@@ -79,12 +79,12 @@
 }
 
 // key asks a run-once request for its reference key and takes its digest.
-func (passage *Passage) key(trip *Trip) *seal.Fault {
+func (passage *Passage) key(trip *Trip) *apierror.Fault {
 	if !trip.Once {
 		return nil
 	}
 	if trip.Request.Key == "" || len(trip.Request.Key) > 200 {
-		return seal.New(seal.NoKey, seal.NotRun, "%s needs a reference key of at most 200 bytes in %s", trip.Address.Path, letter.KeyHeader)
+		return apierror.New(apierror.NoKey, apierror.NotRun, "%s needs a reference key of at most 200 bytes in %s", trip.Address.Path, request.KeyHeader)
 	}
 	sum := sha256.New()
 	sum.Write([]byte(trip.Method + " " + trip.Address.Target + "\n"))
@@ -93,16 +93,16 @@
 	return nil
 }
 
-func (passage *Passage) size(trip *Trip) *seal.Fault {
+func (passage *Passage) size(trip *Trip) *apierror.Fault {
 	if limit := trip.Service.Limits.GetBodyBytes(); uint64(len(trip.Request.Body)) > limit {
-		return seal.New(seal.BodyTooLarge, seal.NotRun, "%d bytes, %s takes %d", len(trip.Request.Body), trip.Service.Name, limit)
+		return apierror.New(apierror.BodyTooLarge, apierror.NotRun, "%d bytes, %s takes %d", len(trip.Request.Body), trip.Service.Name, limit)
 	}
 	return nil
 }
 
 // crowd refuses early what couldn't be served in time: more requests under way than all backends may have at once. Where
 // each backend says how many slots it has, their gates know better.
-func (passage *Passage) crowd(trip *Trip) *seal.Fault {
+func (passage *Passage) crowd(trip *Trip) *apierror.Fault {
 	candidates := passage.env.Roll.Directory().Candidates[trip.Service.Name]
 	backends := len(candidates)
 	if backends > 0 && counted(candidates) {
@@ -113,7 +113,7 @@
 	count := passage.count(trip.Service.Name)
 	if count.Inc() > limit {
 		count.Dec()
-		return passage.final(trip, seal.New(seal.Overloaded, seal.NotRun, "%d requests for %s are under way here", limit, trip.Service.Name))
+		return passage.final(trip, apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are under way here", limit, trip.Service.Name))
 	}
 	return nil
 }
--- a/internal/carrier/passage/readings.go
+++ b/internal/proxy/forward/readings.go
@@ -1,25 +1,25 @@
-package passage
+package forward
 
 import (
 	"maps"
 	"math"
 
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// loadHalves is the least time in which what was told of others' load loses half its weight against the backend's usual load;
 	// where work takes longer that is it, for a queue lasts as long as the work in it.
-	loadHalves = 100 * postmark.Millisecond
+	loadHalves = 100 * monotonic.Millisecond
 	// usualHalves is that in which the usual load and the work time lose half their weight against those of its siblings, so that one
 	// that was slow, or full, is tried again.
-	usualHalves = 5 * postmark.Second
+	usualHalves = 5 * monotonic.Second
 	// usualMemory is the number of readings over which the usual load is taken.
 	usualMemory = 5
 	// firstWork is taken for the work time while none of the service is known, as the gates do.
-	firstWork = float64(50 * postmark.Millisecond)
+	firstWork = float64(50 * monotonic.Millisecond)
 	// warmingFactor is what an unmeasured backend that is warming up counts as slower.
 	warmingFactor = 1.5
 	// workWeight is what the work time counts for beside the wait. By its whole, a quick backend is filled before any other gets
@@ -41,7 +41,7 @@
 	routes map[string]float64 // the work of one route's requests
 	others float64
 	usual  float64
-	at     postmark.Micros
+	at     monotonic.Micros
 }
 
 // heard takes a told load. The pass whose answer told it is still counted as in flight here, and no longer there.
@@ -68,11 +68,11 @@
 // forget leaves out readings of backends that were not heard of for long: most of them are gone.
 func (chooser *chooser) forget() {
 	now := chooser.place.Now()
-	maps.DeleteFunc(chooser.readings, func(_ string, known *reading) bool { return now-known.at >= postmark.Minute })
+	maps.DeleteFunc(chooser.readings, func(_ string, known *reading) bool { return now-known.at >= monotonic.Minute })
 }
 
 // counted tells whether each of the candidates has told its slots.
-func counted(candidates []roll.Candidate) bool {
+func counted(candidates []session.Candidate) bool {
 	for index := range candidates {
 		if candidates[index].Slots == 0 {
 			return false
@@ -81,10 +81,10 @@
 	return true
 }
 
-func halved(age, half postmark.Micros) float64 { return math.Exp2(-float64(age) / float64(half)) }
+func halved(age, half monotonic.Micros) float64 { return math.Exp2(-float64(age) / float64(half)) }
 
 // siblings is what a service's backends are like, those heard of lately above all.
-func (chooser *chooser) siblings(fit []roll.Candidate, route string, now postmark.Micros) sibling {
+func (chooser *chooser) siblings(fit []session.Candidate, route string, now monotonic.Micros) sibling {
 	var works, measured, loads, slots, own, ownMeasured float64
 	for index := range fit {
 		known := chooser.readings[fit[index].Instance]
@@ -115,7 +115,7 @@
 }
 
 // soonest is one of the candidates that are expected to answer first.
-func (chooser *chooser) soonest(fit []roll.Candidate, route string, now, distance postmark.Micros) roll.Candidate {
+func (chooser *chooser) soonest(fit []session.Candidate, route string, now, distance monotonic.Micros) session.Candidate {
 	siblings := chooser.siblings(fit, route, now)
 	chooser.scores = chooser.scores[:0]
 	best := math.Inf(1)
@@ -141,7 +141,7 @@
 type sibling struct{ work, own, load float64 }
 
 // expected is the time in microseconds after which a backend may be expected to answer.
-func (chooser *chooser) expected(candidate *roll.Candidate, siblings sibling, route string, now, distance postmark.Micros) float64 {
+func (chooser *chooser) expected(candidate *session.Candidate, siblings sibling, route string, now, distance monotonic.Micros) float64 {
 	slots, work, own := float64(candidate.Slots), siblings.work, siblings.own
 	others := siblings.load * slots
 	if known := chooser.readings[candidate.Instance]; known != nil {
@@ -155,7 +155,7 @@
 		} else if siblings.own == siblings.work {
 			own = work // nothing is known of the route anywhere
 		}
-		others += (known.others - known.usual) * halved(now-known.at, max(loadHalves, postmark.Micros(work)))
+		others += (known.others - known.usual) * halved(now-known.at, max(loadHalves, monotonic.Micros(work)))
 	} else if candidate.Warming {
 		work, own = work*warmingFactor, own*warmingFactor
 	}
--- a/internal/carrier/passage/spread_test.go
+++ b/internal/proxy/forward/spread_test.go
@@ -1,18 +1,18 @@
-package passage
+package forward
 
 import (
 	"fmt"
 	"testing"
 
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/carrier/roll"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/simulation/world"
 )
 
-const ms = postmark.Millisecond
+const ms = monotonic.Millisecond
 
 // queueing is a run of callers at backends, in simulated time: the real chooser at each caller, the real gate's slots at
 // each backend. Only the way between them is a pause.
@@ -23,14 +23,14 @@
 	zones       int
 	unequal     bool    // a zone's callers bring three times as much as the next one's
 	utilisation float64 // of all slots
-	aim, cutoff postmark.Micros
-	length      postmark.Micros
+	aim, cutoff monotonic.Micros
+	length      monotonic.Micros
 	today       bool // by the own requests in flight alone, as where slots aren't known
 }
 
 type outcome struct {
 	asked, refused, late, far, moves int
-	total                            postmark.Micros
+	total                            monotonic.Micros
 	by                               map[string]int
 }
 
@@ -40,7 +40,7 @@
 
 func (outcome outcome) String() string {
 	return fmt.Sprintf("%d asked, %.2f %% refused, %.2f %% late, mean %d ms, %.2f %% to another zone, %d moves, by backend %v", outcome.asked, 100*float64(outcome.refused)/float64(outcome.asked),
-		100*float64(outcome.late)/float64(outcome.asked), outcome.total/postmark.Micros(max(1, outcome.asked-outcome.refused))/ms, 100*float64(outcome.far)/float64(outcome.asked), outcome.moves, outcome.by)
+		100*float64(outcome.late)/float64(outcome.asked), outcome.total/monotonic.Micros(max(1, outcome.asked-outcome.refused))/ms, 100*float64(outcome.far)/float64(outcome.asked), outcome.moves, outcome.by)
 }
 
 func (queueing queueing) run(t *testing.T, seed uint64) (result outcome) {
@@ -48,15 +48,15 @@
 	defer simulated.Close()
 	result.by = map[string]int{}
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
-		keeper := hutch.New(place, func() {})
-		directory := &roll.Directory{Candidates: map[string][]roll.Candidate{}, Carriers: map[string]int{}, Live: queueing.callers}
+		keeper := localbackends.New(place, func() {})
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, Carriers: map[string]int{}, Live: queueing.callers}
 		speeds := map[string]float64{}
 		total := 0.0
 		for index, speed := range queueing.speeds {
 			name := fmt.Sprintf("backend-%d", index)
 			speeds[name], total = speed, total+speed
-			_, _ = keeper.Tell(hutch.Report{Backend: hutch.Backend{Service: "forms", Instance: name, Address: name}, Slots: queueing.slots, Condition: hutch.Alive, Sequence: 1})
-			candidate := roll.Candidate{Carrier: "carrier-" + name, Domain: fmt.Sprint("zone-", index%queueing.zones), Service: "forms", Instance: name, Slots: queueing.slots}
+			_, _ = keeper.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: queueing.slots, Condition: localbackends.Alive, Sequence: 1})
+			candidate := session.Candidate{Carrier: "carrier-" + name, Domain: fmt.Sprint("zone-", index%queueing.zones), Service: "forms", Instance: name, Slots: queueing.slots}
 			if queueing.today {
 				candidate.Slots = 0
 			}
@@ -64,9 +64,9 @@
 		}
 		place.Go(func() { // their beats
 			for sequence := uint64(2); ; sequence++ {
-				place.Sleep(2 * postmark.Second)
+				place.Sleep(2 * monotonic.Second)
 				for name := range speeds {
-					_, _ = keeper.Tell(hutch.Report{Backend: hutch.Backend{Service: "forms", Instance: name, Address: name}, Slots: queueing.slots, Condition: hutch.Alive, Sequence: sequence})
+					_, _ = keeper.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: queueing.slots, Condition: localbackends.Alive, Sequence: sequence})
 				}
 			}
 		})
@@ -87,9 +87,9 @@
 			choices := newChooser(place, domain, false, 20*ms)
 			place.Go(func() {
 				for {
-					place.Sleep(postmark.Micros(chance.ExpFloat64() * sum / (rate * weights[index])))
+					place.Sleep(monotonic.Micros(chance.ExpFloat64() * sum / (rate * weights[index])))
 					place.Go(func() {
-						if work := postmark.Micros(15000 + chance.IntN(285000)); result.asked >= 0 {
+						if work := monotonic.Micros(15000 + chance.IntN(285000)); result.asked >= 0 {
 							queueing.request(place, keeper, choices, directory, speeds, work, &result)
 						}
 					})
@@ -105,7 +105,7 @@
 	return result
 }
 
-func (queueing queueing) request(place *world.Place, keeper *hutch.Hutch, choices *chooser, directory *roll.Directory, speeds map[string]float64, work postmark.Micros, result *outcome) {
+func (queueing queueing) request(place *world.Place, keeper *localbackends.Hutch, choices *chooser, directory *session.Directory, speeds map[string]float64, work monotonic.Micros, result *outcome) {
 	began, avoid := place.Now(), map[string]bool{}
 	result.asked++
 	for made := 0; ; made++ {
@@ -117,9 +117,9 @@
 			way = 2 * ms
 		}
 		place.Sleep(way)
-		pass, fault := keeper.Admit(hutch.Admission{Instance: candidate.Instance, Service: "forms", Ask: slots.Ask{Aim: began + queueing.aim, Cutoff: began + queueing.cutoff, Patient: last}})
+		pass, fault := keeper.Admit(localbackends.Admission{Instance: candidate.Instance, Service: "forms", Ask: slots.Ask{Aim: began + queueing.aim, Cutoff: began + queueing.cutoff, Patient: last}})
 		if fault == nil {
-			place.Sleep(postmark.Micros(float64(work) / speeds[candidate.Instance]))
+			place.Sleep(monotonic.Micros(float64(work) / speeds[candidate.Instance]))
 			pass.Leave(slots.Worked)
 		}
 		load := keeper.Load(candidate.Instance, "")
@@ -165,7 +165,7 @@
 		{"two zones, one brings three times as much", 2, true, 0.95},
 		{"two zones, half loaded", 2, false, 0.5},
 	} {
-		terms := queueing{speeds: []float64{0.5, 1, 1, 1.5}, slots: 6, callers: 12, zones: row.zones, unequal: row.unequal, utilisation: row.load, aim: 600 * ms, cutoff: 2 * postmark.Second, length: 60 * postmark.Second}
+		terms := queueing{speeds: []float64{0.5, 1, 1, 1.5}, slots: 6, callers: 12, zones: row.zones, unequal: row.unequal, utilisation: row.load, aim: 600 * ms, cutoff: 2 * monotonic.Second, length: 60 * monotonic.Second}
 		var bad, badToday float64
 		for seed := range uint64(3) {
 			terms.today = false
--- a/internal/carrier/passage/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -1,52 +1,52 @@
-package passage
+package forward
 
 import (
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/carrier/wicket"
-	"snowflow/internal/franking"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postcode"
-	"snowflow/internal/postmark"
-	"snowflow/internal/registry/claims"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/registry/idempotency"
+	"snowflow/internal/resourcepath"
+	"snowflow/internal/transport/wire"
 )
 
 // lost handles a pass without an answer. A run-once pass is voided first: void means proof that it has not run and won't.
-func (passage *Passage) lost(trip *Trip, ticket *wicket.Ticket, candidate roll.Candidate, ask *wire.PassAsk, cause error) (*letter.Answer, *seal.Fault, bool) {
+func (passage *Passage) lost(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, ask *wire.PassAsk, cause error) (*request.Answer, *apierror.Fault, bool) {
 	passage.choices.shun(candidate.Carrier)
-	ticket.Done(wicket.Neutral)
-	if seal.IsUnreachable(cause) {
-		return nil, seal.New(seal.PassUnreachable, seal.NotRun, "%s: %v", candidate.Carrier, cause), true
+	ticket.Done(breaker.Neutral)
+	if apierror.IsUnreachable(cause) {
+		return nil, apierror.New(apierror.PassUnreachable, apierror.NotRun, "%s: %v", candidate.Carrier, cause), true
 	}
 	if !trip.Once {
-		fault := seal.New(seal.PassLost, seal.MayHaveRun, "%s: %v", candidate.Carrier, cause)
+		fault := apierror.New(apierror.PassLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause)
 		if passage.env.Place.Now() >= trip.Cutoff {
-			fault = seal.New(seal.CutoffReached, seal.MayHaveRun, "%s gave no answer before the cutoff", candidate.Carrier)
+			fault = apierror.New(apierror.CutoffReached, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Carrier)
 		}
 		return nil, fault, !trip.Single
 	}
-	if passage.void(trip, ask.Try, false) == claims.Voided {
-		return nil, seal.New(seal.PassLost, seal.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
+	if passage.void(trip, ask.Try, false) == idempotency.Voided {
+		return nil, apierror.New(apierror.PassLost, apierror.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
 	}
-	return nil, seal.New(seal.PassLost, seal.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
+	return nil, apierror.New(apierror.PassLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
 }
 
 // turnedDown handles a refusal by the server's side.
-func (passage *Passage) turnedDown(trip *Trip, ticket *wicket.Ticket, candidate roll.Candidate, tell *wire.PassTell, own bool) (*letter.Answer, *seal.Fault, bool) {
-	fault := &seal.Fault{Cause: seal.Cause(tell.Cause), Verdict: seal.Verdict(tell.Verdict), RetryAfter: postmark.Micros(tell.RetryAfter),
-		Detail: tell.Detail, Backend: tell.BackendFault, Measured: seal.Cause(tell.Cause) == seal.Overloaded && tell.Load.GetSlots() > 0}
-	outcome := wicket.Neutral
+func (passage *Passage) turnedDown(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, tell *wire.PassTell, own bool) (*request.Answer, *apierror.Fault, bool) {
+	fault := &apierror.Fault{Cause: apierror.Cause(tell.Cause), Verdict: apierror.Verdict(tell.Verdict), RetryAfter: monotonic.Micros(tell.RetryAfter),
+		Detail: tell.Detail, Backend: tell.BackendFault, Measured: apierror.Cause(tell.Cause) == apierror.Overloaded && tell.Load.GetSlots() > 0}
+	outcome := breaker.Neutral
 	if fault.Backend && !own {
-		outcome = wicket.Failure
+		outcome = breaker.Failure
 	}
 	ticket.Done(outcome)
 	passage.choices.judge(candidate.Instance, fault.Backend)
-	if fault.Cause == seal.BackendDial || fault.Cause == seal.BackendIdentity || fault.Cause == seal.BackendLeaving || fault.Cause == seal.BackendUnknown || fault.Cause == seal.BackendAiling {
+	if fault.Cause == apierror.BackendDial || fault.Cause == apierror.BackendIdentity || fault.Cause == apierror.BackendLeaving || fault.Cause == apierror.BackendUnknown || fault.Cause == apierror.BackendAiling {
 		passage.choices.shun(candidate.Instance)
 	}
 	retriable := fault.NotRun() || !trip.Once && !trip.Single
-	if fault.Cause == seal.KeyFenced || fault.Cause == seal.ClaimUnreachable {
+	if fault.Cause == apierror.KeyFenced || fault.Cause == apierror.ClaimUnreachable {
 		retriable = false
 	}
 	return nil, fault, retriable
@@ -55,7 +55,7 @@
 // void asks the sorter to make sure a try never runs. With fence it closes the key to every request read before now.
 func (passage *Passage) void(trip *Trip, try string, fence bool) string {
 	tell := &wire.VoidTell{}
-	patience := min(max(trip.Cutoff-passage.env.Place.Now(), 300*postmark.Millisecond), voidPatience)
+	patience := min(max(trip.Cutoff-passage.env.Place.Now(), 300*monotonic.Millisecond), voidPatience)
 	err := passage.env.CallPrimary(wire.Kind_void, &wire.VoidAsk{Scope: trip.Scope, Digest: trip.Digest, Try: try, Fence: fence}, tell, patience)
 	if err != nil {
 		return ""
@@ -77,7 +77,7 @@
 	if trip.Request.Scope != "" {
 		return trip.Request.Scope
 	}
-	return postcode.Resource(trip.Address.Path) + "\n" + trip.Request.Key
+	return resourcepath.Resource(trip.Address.Path) + "\n" + trip.Request.Key
 }
 
 // harmless are the methods that promise to change nothing.
@@ -86,20 +86,20 @@
 // once tells whether a request may run only once: on a path of that class, and on any path when it carries a key and its
 // method may change something. The second keeps a key that ran under one desired state from running again under
 // another that has the path as read.
-func once(path franking.Path, trip *Trip) bool {
+func once(path config.Path, trip *Trip) bool {
 	return path.Once || trip.Request.Key != "" && !harmless[trip.Method]
 }
 
 // doubtful is a fault that no longer says not run.
-func doubtful(fault *seal.Fault) *seal.Fault {
+func doubtful(fault *apierror.Fault) *apierror.Fault {
 	weaker := *fault
-	weaker.Verdict = seal.MayHaveRun
+	weaker.Verdict = apierror.MayHaveRun
 	return &weaker
 }
 
 // final makes sure a verdict speaks of the key, not of one try: not run is only said of a run-once request once the
 // claims say the same and are fenced, so that nothing read before can run under the key later.
-func (passage *Passage) final(trip *Trip, fault *seal.Fault) *seal.Fault {
+func (passage *Passage) final(trip *Trip, fault *apierror.Fault) *apierror.Fault {
 	if trip.Doubt && fault.NotRun() {
 		return doubtful(fault)
 	}
@@ -107,7 +107,7 @@
 		return fault
 	}
 	trip.Final = true
-	if passage.void(trip, "", true) != claims.Voided {
+	if passage.void(trip, "", true) != idempotency.Voided {
 		return doubtful(fault)
 	}
 	return fault
--- a/internal/carrier/counter/counter.go
+++ b/internal/proxy/ingress/counter.go
@@ -1,5 +1,5 @@
-// Package counter is the HTTP door at which callers hand in their requests.
-package counter
+// Package ingress is the HTTP door at which callers hand in their requests.
+package ingress
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/google/uuid"
 
-	"snowflow/internal/carrier"
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/proxy/upstream"
 )
 
 // longestBody bounds what is read into memory for one request; services may take less.
@@ -24,12 +24,12 @@
 
 // Counter is the door.
 type Counter struct {
-	carrier *carrier.Carrier
-	clock   postmark.Clock
+	carrier *proxy.Carrier
+	clock   monotonic.Clock
 }
 
 // New makes the door's handler.
-func New(carrier *carrier.Carrier, clock postmark.Clock) http.Handler {
+func New(carrier *proxy.Carrier, clock monotonic.Clock) http.Handler {
 	counter := &Counter{carrier: carrier, clock: clock}
 	router := chi.NewRouter()
 	router.HandleFunc("/*", counter.take)
@@ -38,42 +38,42 @@
 }
 
 func (counter *Counter) take(writer http.ResponseWriter, incoming *http.Request) {
-	request := &letter.Request{Left: func(happen func()) (stop func() bool) { return context.AfterFunc(incoming.Context(), happen) }, ID: incoming.Header.Get(letter.RequestHeader), Method: incoming.Method, Host: incoming.Host,
-		Target: incoming.URL.RequestURI(), Key: incoming.Header.Get(letter.KeyHeader)}
-	if request.ID == "" || len(request.ID) > 100 {
-		request.ID = uuid.NewString()
+	req := &request.Request{Left: func(happen func()) (stop func() bool) { return context.AfterFunc(incoming.Context(), happen) }, ID: incoming.Header.Get(request.RequestHeader), Method: incoming.Method, Host: incoming.Host,
+		Target: incoming.URL.RequestURI(), Key: incoming.Header.Get(request.KeyHeader)}
+	if req.ID == "" || len(req.ID) > 100 {
+		req.ID = uuid.NewString()
 	}
-	body, err := delivery.Whole(http.MaxBytesReader(writer, incoming.Body, longestBody), incoming.ContentLength)
+	body, err := upstream.Whole(http.MaxBytesReader(writer, incoming.Body, longestBody), incoming.ContentLength)
 	if err != nil {
-		cause := seal.Unreadable
+		cause := apierror.Unreadable
 		if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
-			cause = seal.BodyTooLarge
+			cause = apierror.BodyTooLarge
 		}
-		Refuse(writer, request.ID, seal.New(cause, seal.NotRun, "%v", err))
+		Refuse(writer, req.ID, apierror.New(cause, apierror.NotRun, "%v", err))
 		return
 	}
 	// From here on the request counts as read, and gets an answer.
-	request.Body, request.Headers, request.ReadAt = body, delivery.Kept(withoutOwn(incoming.Header)), counter.carrier.Moment()
-	if limit := incoming.Header.Get(letter.CutoffHeader); limit != "" {
+	req.Body, req.Headers, req.ReadAt = body, upstream.Kept(withoutOwn(incoming.Header)), counter.carrier.Moment()
+	if limit := incoming.Header.Get(request.CutoffHeader); limit != "" {
 		span, err := strconv.ParseInt(limit, 10, 64)
 		if err != nil || span <= 0 {
-			Refuse(writer, request.ID, seal.New(seal.Unreadable, seal.NotRun, "%s is not a span in microseconds", letter.CutoffHeader))
+			Refuse(writer, req.ID, apierror.New(apierror.Unreadable, apierror.NotRun, "%s is not a span in microseconds", request.CutoffHeader))
 			return
 		}
-		request.Cutoff = counter.clock.Now() + postmark.Micros(span)
+		req.Cutoff = counter.clock.Now() + monotonic.Micros(span)
 	}
-	answer, fault := counter.carrier.Passage.Carry(request)
+	answer, fault := counter.carrier.Passage.Carry(req)
 	if fault != nil {
-		Refuse(writer, request.ID, fault)
+		Refuse(writer, req.ID, fault)
 		return
 	}
 	headers := writer.Header()
 	for _, header := range answer.Headers {
 		headers.Add(header.Name, header.Value)
 	}
-	headers.Set(letter.RequestHeader, request.ID)
+	headers.Set(request.RequestHeader, req.ID)
 	if answer.Serial > 0 {
-		headers.Set(letter.SerialHeader, strconv.FormatUint(answer.Serial, 10))
+		headers.Set(request.SerialHeader, strconv.FormatUint(answer.Serial, 10))
 	}
 	if incoming.Method != http.MethodHead && answer.Status != http.StatusNoContent && answer.Status != http.StatusNotModified {
 		headers.Set("Content-Length", strconv.Itoa(len(answer.Body)))
@@ -84,7 +84,7 @@
 
 func withoutOwn(headers http.Header) http.Header {
 	kept := headers.Clone()
-	kept.Del(letter.RequestHeader)
+	kept.Del(request.RequestHeader)
 	return kept
 }
 
@@ -99,17 +99,17 @@
 }
 
 // Refuse writes a fault as the mesh's own answer.
-func Refuse(writer http.ResponseWriter, id string, fault *seal.Fault) {
+func Refuse(writer http.ResponseWriter, id string, fault *apierror.Fault) {
 	headers := writer.Header()
 	headers.Set("Content-Type", "application/json")
-	headers.Set(letter.RequestHeader, id)
+	headers.Set(request.RequestHeader, id)
 	if fault.RetryAfter > 0 {
-		headers.Set("Retry-After", strconv.FormatInt(int64((fault.RetryAfter+postmark.Second-1)/postmark.Second), 10))
+		headers.Set("Retry-After", strconv.FormatInt(int64((fault.RetryAfter+monotonic.Second-1)/monotonic.Second), 10))
 	}
 	if fault.NotRun() {
-		headers.Set(letter.NotExecutedHeader, "1")
+		headers.Set(request.NotExecutedHeader, "1")
 	}
-	if fault.Cause == seal.Draining {
+	if fault.Cause == apierror.Draining {
 		headers.Set("Connection", "close")
 	}
 	writer.WriteHeader(fault.Status())
--- a/internal/carrier/hutch/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -1,11 +1,11 @@
-package hutch
+package localbackends
 
 import (
-	"snowflow/internal/carrier/gate/slots"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/transport/wire"
 )
 
 // Admission is a request for a slot. Its moments are on this carrier's clock.
@@ -49,7 +49,7 @@
 }
 
 // Place lets a request in to a backend of unknown slots while fewer than limit are there.
-func (hutch *Hutch) Place(ask Admission, limit uint32) (*Pass, *seal.Fault) {
+func (hutch *Hutch) Place(ask Admission, limit uint32) (*Pass, *apierror.Fault) {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	present := hutch.entries[ask.Instance]
@@ -60,7 +60,7 @@
 }
 
 // Admit gives a request a slot, waits for one, or refuses. A refusal is certain: nothing ran.
-func (hutch *Hutch) Admit(ask Admission) (*Pass, *seal.Fault) {
+func (hutch *Hutch) Admit(ask Admission) (*Pass, *apierror.Fault) {
 	present, ticket, signal, fault := hutch.queue(ask)
 	if fault != nil {
 		return nil, fault
@@ -76,7 +76,7 @@
 }
 
 // queue brings a request to its backend's slots. There is a signal for it if it has to wait.
-func (hutch *Hutch) queue(ask Admission) (*entry, *slots.Ticket, host.Signal, *seal.Fault) {
+func (hutch *Hutch) queue(ask Admission) (*entry, *slots.Ticket, host.Signal, *apierror.Fault) {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	present := hutch.entries[ask.Instance]
@@ -93,7 +93,7 @@
 }
 
 // patience is how long a waiter may sleep.
-func (hutch *Hutch) patience(present *entry, ticket *slots.Ticket) (span postmark.Micros, waits bool) {
+func (hutch *Hutch) patience(present *entry, ticket *slots.Ticket) (span monotonic.Micros, waits bool) {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	now := hutch.place.Now()
@@ -102,29 +102,29 @@
 }
 
 // admitted gives a request whose ticket waits no more its pass, or tells why it gets none.
-func (hutch *Hutch) admitted(present *entry, ticket *slots.Ticket, ask Admission) (*Pass, *seal.Fault) {
+func (hutch *Hutch) admitted(present *entry, ticket *slots.Ticket, ask Admission) (*Pass, *apierror.Fault) {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	// Who is at the address, and whether it may be sent to, may have changed meanwhile.
 	fault := hutch.barred(hutch.entries[ask.Instance], ask)
 	if fault == nil && hutch.entries[ask.Instance] != present {
-		fault = seal.New(seal.BackendUnknown, seal.NotRun, "instance %s was registered anew", ask.Instance)
+		fault = apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s was registered anew", ask.Instance)
 	}
 	if fault != nil {
 		present.slots.Leave(hutch.place.Now(), ticket, slots.Over)
 		return nil, fault
 	}
 	if ticket.State() == slots.Refused {
-		fault = seal.New(seal.Overloaded, seal.NotRun, "%d of %d slots taken at %s, %d wait", present.slots.Taken(), present.slots.Count(), ask.Instance, present.slots.Waiting())
+		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait", present.slots.Taken(), present.slots.Count(), ask.Instance, present.slots.Waiting())
 		fault.RetryAfter = ticket.RetryAfter()
 		return nil, fault
 	}
 	return hutch.pass(present, ticket, ask.Once), nil
 }
 
-func (hutch *Hutch) barred(present *entry, ask Admission) *seal.Fault {
+func (hutch *Hutch) barred(present *entry, ask Admission) *apierror.Fault {
 	if hutch.closed {
-		return seal.New(seal.Draining, seal.NotRun, "this carrier is stopping")
+		return apierror.New(apierror.Draining, apierror.NotRun, "this carrier is stopping")
 	}
 	return hutch.objection(present, ask.Instance, ask.Service)
 }
@@ -156,9 +156,9 @@
 }
 
 // Remaining turns a span that a message told into a moment of this carrier's clock; none stays none.
-func (hutch *Hutch) Remaining(span int64) postmark.Micros {
+func (hutch *Hutch) Remaining(span int64) monotonic.Micros {
 	if span <= 0 {
 		return 0
 	}
-	return hutch.place.Now() + postmark.Micros(span)
+	return hutch.place.Now() + monotonic.Micros(span)
 }
--- a/internal/carrier/hutch/hutch.go
+++ b/internal/proxy/localbackends/hutch.go
@@ -1,5 +1,5 @@
-// Package hutch keeps the backends on this carrier's own machine. It's the last word on whether one may be sent to.
-package hutch
+// Package localbackends keeps the backends on this carrier's own machine. It's the last word on whether one may be sent to.
+package localbackends
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"slices"
 	"sync"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/carrier/outlier"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/transport/wire"
 )
 
 // The conditions a backend tells.
@@ -27,9 +27,9 @@
 
 // BeatEvery is what backends are asked to beat at; Overdue is when they are no longer sent to; forget when they go.
 const (
-	BeatEvery = 2 * postmark.Second
-	Overdue   = 7 * postmark.Second
-	forget    = 60 * postmark.Second
+	BeatEvery = 2 * monotonic.Second
+	Overdue   = 7 * monotonic.Second
+	forget    = 60 * monotonic.Second
 )
 
 // Backend is one registered instance.
@@ -42,7 +42,7 @@
 type entry struct {
 	Backend
 	condition string
-	beat      postmark.Micros
+	beat      monotonic.Micros
 	slots     *slots.Slots
 	standing  *outlier.Detector
 	classes   map[bool]uint32 // requests in flight, by whether they run once
@@ -50,7 +50,7 @@
 	gone      bool
 	reported  bool // by Tell; then sequence is its last report's
 	sequence  uint64
-	warmUntil postmark.Micros
+	warmUntil monotonic.Micros
 }
 
 // Hutch holds them.
@@ -76,27 +76,27 @@
 // Whoever was at its address before is gone.
 func (hutch *Hutch) Register(backend Backend, condition string) error {
 	if !conditions[condition] {
-		return seal.Invalid.New("condition %q is not alive, working or leaving", condition)
+		return apierror.Invalid.New("condition %q is not alive, working or leaving", condition)
 	}
 	if backend.Service == "" || backend.Instance == "" || backend.Address == "" {
-		return seal.Invalid.New("a backend needs service, instance and address")
+		return apierror.Invalid.New("a backend needs service, instance and address")
 	}
 	hutch.lock.Lock()
 	present := hutch.entries[backend.Instance]
 	if present != nil && (present.Backend != backend || present.condition == Leaving && condition != Leaving) {
 		hutch.lock.Unlock()
-		return seal.Invalid.New("instance %s is registered otherwise or leaving; take a new instance id", backend.Instance)
+		return apierror.Invalid.New("instance %s is registered otherwise or leaving; take a new instance id", backend.Instance)
 	}
 	if present != nil && present.gone || hutch.ended[backend.Instance].gone {
 		hutch.lock.Unlock()
-		return seal.Invalid.New("instance %s said goodbye; take a new instance id", backend.Instance)
+		return apierror.Invalid.New("instance %s said goodbye; take a new instance id", backend.Instance)
 	}
 	if present == nil {
 		present = hutch.admit(backend)
 	}
 	present.condition, present.beat, present.overdue = condition, hutch.place.Now(), false
 	hutch.lock.Unlock()
-	hutch.place.Report(bulletin.BackendRegistered, map[string]any{"service": backend.Service, "instance": backend.Instance, "address": backend.Address})
+	hutch.place.Report(eventlog.BackendRegistered, map[string]any{"service": backend.Service, "instance": backend.Instance, "address": backend.Address})
 	hutch.changed()
 	return nil
 }
@@ -104,13 +104,13 @@
 // Beat notes a sign of life. An unknown instance has to register anew.
 func (hutch *Hutch) Beat(instance, condition string) error {
 	if !conditions[condition] {
-		return seal.Invalid.New("condition %q is not alive, working or leaving", condition)
+		return apierror.Invalid.New("condition %q is not alive, working or leaving", condition)
 	}
 	hutch.lock.Lock()
 	present := hutch.entries[instance]
 	if present == nil {
 		hutch.lock.Unlock()
-		return seal.Refused.New("instance %s is not registered here", instance)
+		return apierror.Refused.New("instance %s is not registered here", instance)
 	}
 	if present.gone {
 		hutch.lock.Unlock()
@@ -119,7 +119,7 @@
 	shown := hutch.beat(present, condition)
 	hutch.lock.Unlock()
 	if shown {
-		hutch.place.Report(bulletin.BackendLeft, map[string]any{"instance": instance, "condition": condition})
+		hutch.place.Report(eventlog.BackendLeft, map[string]any{"instance": instance, "condition": condition})
 		hutch.changed()
 	}
 	return nil
@@ -140,7 +140,7 @@
 }
 
 // Forgive takes a span that didn't pass, or in which no beat could be heard, off every backend's silence.
-func (hutch *Hutch) Forgive(span postmark.Micros) {
+func (hutch *Hutch) Forgive(span monotonic.Micros) {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	now := hutch.place.Now()
@@ -172,7 +172,7 @@
 	maps.DeleteFunc(hutch.ended, func(_ string, stone tombstone) bool { return now >= stone.until })
 	hutch.lock.Unlock()
 	for _, instance := range overdue {
-		hutch.place.Report(bulletin.BackendOverdue, map[string]any{"instance": instance})
+		hutch.place.Report(eventlog.BackendOverdue, map[string]any{"instance": instance})
 	}
 	if len(overdue) > 0 {
 		hutch.changed()
@@ -186,25 +186,25 @@
 const classShare = 0.75
 
 // Room tells whether a backend may be sent to and has a place left now. It takes none.
-func (hutch *Hutch) Room(instance, service string, limit uint32, once bool) *seal.Fault {
+func (hutch *Hutch) Room(instance, service string, limit uint32, once bool) *apierror.Fault {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	return hutch.room(hutch.entries[instance], instance, service, limit, once)
 }
 
-func (hutch *Hutch) room(present *entry, instance, service string, limit uint32, once bool) *seal.Fault {
+func (hutch *Hutch) room(present *entry, instance, service string, limit uint32, once bool) *apierror.Fault {
 	if fault := hutch.objection(present, instance, service); fault != nil {
 		return fault
 	}
 	total := present.classes[true] + present.classes[false]
 	if total >= limit || limit > 1 && float64(present.classes[once]) >= classShare*float64(limit) {
-		return seal.New(seal.Overloaded, seal.NotRun, "%d requests at %s", total, instance)
+		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests at %s", total, instance)
 	}
 	return nil
 }
 
 // Enter lets one request in to a backend, or tells why not. leave must be called once it's over.
-func (hutch *Hutch) Enter(instance, service string, limit uint32, once bool) (backend Backend, leave func(), fault *seal.Fault) {
+func (hutch *Hutch) Enter(instance, service string, limit uint32, once bool) (backend Backend, leave func(), fault *apierror.Fault) {
 	pass, fault := hutch.Place(Admission{Instance: instance, Service: service, Once: once}, limit)
 	if fault != nil {
 		return Backend{}, nil, fault
@@ -212,21 +212,21 @@
 	return pass.Backend, func() { pass.Leave(slots.Over) }, nil
 }
 
-func (hutch *Hutch) objection(present *entry, instance, service string) *seal.Fault {
+func (hutch *Hutch) objection(present *entry, instance, service string) *apierror.Fault {
 	if present == nil || present.Service != service {
-		return seal.New(seal.BackendUnknown, seal.NotRun, "no instance %s of %s here", instance, service)
+		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s of %s here", instance, service)
 	}
 	if present.condition == Leaving {
-		return seal.New(seal.BackendLeaving, seal.NotRun, "instance %s is leaving", instance)
+		return apierror.New(apierror.BackendLeaving, apierror.NotRun, "instance %s is leaving", instance)
 	}
 	if hutch.place.Now()-present.beat >= Overdue {
-		return seal.New(seal.BackendUnknown, seal.NotRun, "instance %s has not beaten", instance)
+		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s has not beaten", instance)
 	}
 	return nil
 }
 
 // Still is the check right before a request is handed over.
-func (hutch *Hutch) Still(instance, service string) *seal.Fault {
+func (hutch *Hutch) Still(instance, service string) *apierror.Fault {
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	return hutch.objection(hutch.entries[instance], instance, service)
--- a/internal/carrier/hutch/hutch_test.go
+++ b/internal/proxy/localbackends/hutch_test.go
@@ -1,13 +1,13 @@
-package hutch_test
+package localbackends_test
 
 import (
 	"testing"
 
-	"snowflow/internal/carrier/hutch"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/simulation/world"
 )
 
 // TestPlacesOutliveRegistration: a backend that registers again under its instance, as after its carrier was slow to
@@ -17,20 +17,20 @@
 	defer simulated.Close()
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
-		backends := hutch.New(place, func() {})
-		backend := hutch.Backend{Service: "forms", Instance: "first", Address: "127.0.0.1:8000"}
+		backends := localbackends.New(place, func() {})
+		backend := localbackends.Backend{Service: "forms", Instance: "first", Address: "127.0.0.1:8000"}
 		register := func() {
-			if err := backends.Register(backend, hutch.Alive); err != nil {
+			if err := backends.Register(backend, localbackends.Alive); err != nil {
 				t.Error(err)
 			}
 		}
-		enter := func() (func(), *seal.Fault) {
+		enter := func() (func(), *apierror.Fault) {
 			_, leave, fault := backends.Enter("first", "forms", 4, false)
 			return leave, fault
 		}
 		register()
 		var leaves []func()
-		for fault := (*seal.Fault)(nil); fault == nil; {
+		for fault := (*apierror.Fault)(nil); fault == nil; {
 			var leave func()
 			if leave, fault = enter(); fault == nil {
 				leaves = append(leaves, leave)
@@ -40,7 +40,7 @@
 			t.Errorf("%d reads were let in to 4 places, of which a quarter is kept for run-once requests", len(leaves))
 		}
 		register()
-		if _, fault := enter(); fault == nil || fault.Cause != seal.Overloaded {
+		if _, fault := enter(); fault == nil || fault.Cause != apierror.Overloaded {
 			t.Errorf("registered again, it was let in beyond its bound: %v", fault)
 		}
 		for _, leave := range leaves {
@@ -52,7 +52,7 @@
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Minute)
+	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
--- a/internal/carrier/hutch/report.go
+++ b/internal/proxy/localbackends/report.go
@@ -1,18 +1,18 @@
-package hutch
+package localbackends
 
 import (
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/gate/slots"
-	"snowflow/internal/carrier/outlier"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
+	"snowflow/internal/proxy/outlier"
 )
 
 // Report is one whole word of a backend about itself. Saying it again changes nothing.
 type Report struct {
 	Backend
-	Slots     uint32          // how many requests it runs at once; zero if it doesn't say
-	Warmup    postmark.Micros // how long it will still be slower
+	Slots     uint32           // how many requests it runs at once; zero if it doesn't say
+	Warmup    monotonic.Micros // how long it will still be slower
 	Condition string
 	Sequence  uint64 // rises with every report of an instance
 }
@@ -20,7 +20,7 @@
 // tombstone keeps late reports of an instance from bringing it back. One that said goodbye doesn't come back by
 // registering either; one that only lost its address to another may register.
 type tombstone struct {
-	until postmark.Micros
+	until monotonic.Micros
 	gone  bool
 }
 
@@ -28,10 +28,10 @@
 // instance, or of an instance that ended, is ignored. changed tells whether others should hear of it; they are told.
 func (hutch *Hutch) Tell(report Report) (changed bool, err error) {
 	if !conditions[report.Condition] {
-		return false, seal.Invalid.New("condition %q is not alive, working or leaving", report.Condition)
+		return false, apierror.Invalid.New("condition %q is not alive, working or leaving", report.Condition)
 	}
 	if report.Service == "" || report.Instance == "" || report.Address == "" {
-		return false, seal.Invalid.New("a backend needs service, instance and address")
+		return false, apierror.Invalid.New("a backend needs service, instance and address")
 	}
 	hutch.lock.Lock()
 	now, present := hutch.place.Now(), hutch.entries[report.Instance]
@@ -46,7 +46,7 @@
 	}
 	if !fresh && present.Backend != report.Backend {
 		hutch.lock.Unlock()
-		return false, seal.Invalid.New("instance %s is registered otherwise; take a new instance id", report.Instance)
+		return false, apierror.Invalid.New("instance %s is registered otherwise; take a new instance id", report.Instance)
 	}
 	if fresh {
 		present = hutch.admit(report.Backend)
@@ -59,10 +59,10 @@
 	changed = hutch.beat(present, report.Condition) || changed
 	hutch.lock.Unlock()
 	if fresh {
-		hutch.place.Report(bulletin.BackendRegistered, map[string]any{"service": report.Service, "instance": report.Instance, "address": report.Address})
+		hutch.place.Report(eventlog.BackendRegistered, map[string]any{"service": report.Service, "instance": report.Instance, "address": report.Address})
 	}
 	if changed && !fresh && report.Condition == Leaving {
-		hutch.place.Report(bulletin.BackendLeft, map[string]any{"instance": report.Instance, "condition": report.Condition})
+		hutch.place.Report(eventlog.BackendLeft, map[string]any{"instance": report.Instance, "condition": report.Condition})
 	}
 	if changed {
 		hutch.changed()
@@ -87,7 +87,7 @@
 	present.slots.Flush(now)
 	hutch.lock.Unlock()
 	if changed {
-		hutch.place.Report(bulletin.BackendLeft, map[string]any{"instance": instance, "condition": Leaving})
+		hutch.place.Report(eventlog.BackendLeft, map[string]any{"instance": instance, "condition": Leaving})
 		hutch.changed()
 	}
 }
@@ -108,6 +108,6 @@
 	return present
 }
 
-func (hutch *Hutch) warm(present *entry) postmark.Micros {
+func (hutch *Hutch) warm(present *entry) monotonic.Micros {
 	return max(present.warmUntil-hutch.place.Now(), 0)
 }
--- a/internal/carrier/hutch/standing.go
+++ b/internal/proxy/localbackends/standing.go
@@ -1,11 +1,11 @@
-package hutch
+package localbackends
 
 import (
-	"snowflow/internal/bulletin"
-	"snowflow/internal/carrier/outlier"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/transport/wire"
 )
 
 // Visit is a request that its backend's standing lets in. Its owner closes it once, whatever becomes of the request.
@@ -16,18 +16,18 @@
 }
 
 // Visit asks a backend's standing for a request. A refusal is certain: nothing ran.
-func (hutch *Hutch) Visit(instance string, ask outlier.Ask) (*Visit, *seal.Fault) {
+func (hutch *Hutch) Visit(instance string, ask outlier.Ask) (*Visit, *apierror.Fault) {
 	hutch.lock.Lock()
 	present := hutch.entries[instance]
 	if present == nil {
 		hutch.lock.Unlock()
-		return nil, seal.New(seal.BackendUnknown, seal.NotRun, "no instance %s here", instance)
+		return nil, apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s here", instance)
 	}
 	visit, wait := present.standing.Enter(hutch.place.Now(), ask)
 	defer hutch.settle(present)
 	if visit == nil {
-		fault := seal.New(seal.BackendAiling, seal.NotRun, "instance %s does worse than its like, only probes are let in", instance)
-		fault.RetryAfter = max(wait, postmark.Millisecond)
+		fault := apierror.New(apierror.BackendAiling, apierror.NotRun, "instance %s does worse than its like, only probes are let in", instance)
+		fault.RetryAfter = max(wait, monotonic.Millisecond)
 		return nil, fault
 	}
 	return &Visit{hutch: hutch, present: present, visit: visit}, nil
@@ -60,9 +60,9 @@
 	}
 	hutch.lock.Unlock()
 	for _, change := range changes {
-		number := bulletin.BackendReturned
+		number := eventlog.BackendReturned
 		if change.Ejected {
-			number = bulletin.BackendEjected
+			number = eventlog.BackendEjected
 		}
 		hutch.place.Report(number, map[string]any{"service": present.Service, "instance": present.Instance, "callers": change.Domain, "faults": change.Faults, "times": change.Times})
 	}
--- a/internal/carrier/outlier/outlier.go
+++ b/internal/proxy/outlier/outlier.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 const (
@@ -23,9 +23,9 @@
 	mostEjected = 0.5
 	// overdueFactor is how many times its usual time a request may take before that counts as a fault, though it's still under way.
 	overdueFactor = 6
-	leastOverdue  = 150 * postmark.Millisecond
+	leastOverdue  = 150 * monotonic.Millisecond
 	// unknownOverdue holds for requests of a kind that too few were seen of.
-	unknownOverdue = postmark.Second
+	unknownOverdue = monotonic.Second
 	// slowFactor is how much slower than its peers a backend must have become for it to be left out by those it can't serve in time.
 	slowFactor = 2
 	// quickFactor is that below which one that was slow is as quick as its peers again.
@@ -37,8 +37,8 @@
 	quicker = 3
 	// firstGap is the pause between two probes of an ejected backend; it doubles with each that fails, and with each ejection
 	// within flapMemory.
-	firstGap, mostGap = 500 * postmark.Millisecond, 2 * postmark.Second
-	flapMemory        = 20 * postmark.Second
+	firstGap, mostGap = 500 * monotonic.Millisecond, 2 * monotonic.Second
+	flapMemory        = 20 * monotonic.Second
 	// wellAfter is the number of good answers in a row after which an ejected backend is taken for well.
 	wellAfter = 8
 )
@@ -55,7 +55,7 @@
 type Ask struct {
 	Domain     string // its caller's
 	Kind       string
-	Aim        postmark.Micros // what is left of the time in which its answer is wanted; zero if not known
+	Aim        monotonic.Micros // what is left of the time in which its answer is wanted; zero if not known
 	Repeatable bool
 	Insists    bool // it has no other backend left to go to
 	Peers      Peers
@@ -94,7 +94,7 @@
 	quick   bool  // it has become so since Quickened was asked
 	peers   Peers
 	started []*Visit
-	probed  postmark.Micros // when a request that can't be served in time was last let in, to measure
+	probed  monotonic.Micros // when a request that can't be served in time was last let in, to measure
 	changes []Change
 	// answers and failures are whose the last few were, so that one domain's trouble isn't taken for everybody's.
 	answers, failures recent
@@ -108,10 +108,10 @@
 	ejected bool
 	row     int // good answers in a row to those let in since
 	inside  int
-	gap     postmark.Micros
-	next    postmark.Micros // when the next probe may go
+	gap     monotonic.Micros
+	next    monotonic.Micros // when the next probe may go
 	times   int
-	last    postmark.Micros // when it was last ejected
+	last    monotonic.Micros // when it was last ejected
 }
 
 type usual struct {
@@ -147,7 +147,7 @@
 	lanes    [2]*lane // that let it in while not well
 	domain   string
 	kind     string
-	began    postmark.Micros
+	began    monotonic.Micros
 	started  bool
 	overdue  bool
 	closed   bool
@@ -159,7 +159,7 @@
 }
 
 // Enter lets a request in, or tells how long it's of no use to come back.
-func (detector *Detector) Enter(now postmark.Micros, ask Ask) (visit *Visit, wait postmark.Micros) {
+func (detector *Detector) Enter(now monotonic.Micros, ask Ask) (visit *Visit, wait monotonic.Micros) {
 	detector.peers = ask.Peers
 	detector.peers.Pace = max(1, ask.Peers.Pace)
 	detector.look(now)
@@ -208,7 +208,7 @@
 }
 
 // closed is how long no request may come; zero if one may now.
-func (lane *lane) closed(now postmark.Micros, repeatable bool) postmark.Micros {
+func (lane *lane) closed(now monotonic.Micros, repeatable bool) monotonic.Micros {
 	if !lane.ejected || lane.row > 0 && lane.inside < lane.row {
 		return 0
 	}
@@ -230,13 +230,13 @@
 }
 
 // Start notes that the request is being handed over.
-func (visit *Visit) Start(now postmark.Micros) {
+func (visit *Visit) Start(now monotonic.Micros) {
 	visit.began, visit.started = now, true
 	visit.detector.started = append(visit.detector.started, visit)
 }
 
 // Close notes the request's end. One that was never handed over says nothing.
-func (visit *Visit) Close(now postmark.Micros, outcome Outcome) {
+func (visit *Visit) Close(now monotonic.Micros, outcome Outcome) {
 	if visit.closed {
 		return
 	}
@@ -268,7 +268,7 @@
 }
 
 // look counts those under way that take far longer than usual as faults.
-func (detector *Detector) look(now postmark.Micros) {
+func (detector *Detector) look(now monotonic.Micros) {
 	for _, visit := range detector.started {
 		if !visit.overdue && now-visit.began >= detector.patience(visit.kind) {
 			visit.overdue = true
@@ -277,16 +277,16 @@
 	}
 }
 
-func (detector *Detector) patience(kind string) postmark.Micros {
+func (detector *Detector) patience(kind string) monotonic.Micros {
 	known := detector.kinds[kind]
 	if known == nil || known.seen < kindEnough {
 		return unknownOverdue
 	}
-	return max(leastOverdue, postmark.Micros(overdueFactor*known.time*detector.peers.Pace))
+	return max(leastOverdue, monotonic.Micros(overdueFactor*known.time*detector.peers.Pace))
 }
 
 // measure takes the time that a good answer took. A kind's usual time learns little from what is far above it.
-func (detector *Detector) measure(kind string, took postmark.Micros) {
+func (detector *Detector) measure(kind string, took monotonic.Micros) {
 	known := detector.kinds[kind]
 	if known == nil {
 		if len(detector.kinds) >= mostKinds {
@@ -326,10 +326,10 @@
 }
 
 // Usual is the time that its requests usually take; zero if not known.
-func (detector *Detector) Usual() postmark.Micros { return postmark.Micros(detector.usual.time) }
+func (detector *Detector) Usual() monotonic.Micros { return monotonic.Micros(detector.usual.time) }
 
 // judge settles what one request says.
-func (detector *Detector) judge(now postmark.Micros, visit *Visit, outcome Outcome) {
+func (detector *Detector) judge(now monotonic.Micros, visit *Visit, outcome Outcome) {
 	lanes := visit.lanes
 	visit.leave()
 	if outcome == Unknown {
@@ -372,7 +372,7 @@
 	}
 }
 
-func (lane *lane) eject(now postmark.Micros) {
+func (lane *lane) eject(now monotonic.Micros) {
 	if lane.times > 0 && now-lane.last >= flapMemory {
 		lane.times = 0
 	}
@@ -406,12 +406,12 @@
 }
 
 // UsualOf is that of one kind; zero while too few of it were seen.
-func (detector *Detector) UsualOf(kind string) postmark.Micros {
+func (detector *Detector) UsualOf(kind string) monotonic.Micros {
 	known := detector.kinds[kind]
 	if known == nil || known.seen < kindEnough {
 		return 0
 	}
-	return postmark.Micros(known.time)
+	return monotonic.Micros(known.time)
 }
 
 // Apart are the domains whose callers alone are kept from it.
--- a/internal/carrier/outlier/outlier_test.go
+++ b/internal/proxy/outlier/outlier_test.go
@@ -4,21 +4,21 @@
 	"math/rand/v2"
 	"testing"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
-const ms = postmark.Millisecond
+const ms = monotonic.Millisecond
 
 // bench plays requests at one backend, one after the other or side by side.
 type bench struct {
 	t        *testing.T
-	now      postmark.Micros
+	now      monotonic.Micros
 	detector *Detector
 	peers    Peers
 }
 
 func newBench(t *testing.T) *bench {
-	return &bench{t: t, now: postmark.Minute, detector: New(), peers: Peers{Known: 9, Pace: 1}}
+	return &bench{t: t, now: monotonic.Minute, detector: New(), peers: Peers{Known: 9, Pace: 1}}
 }
 
 func (bench *bench) ask(domain string) Ask {
@@ -26,7 +26,7 @@
 }
 
 // one plays a request; it tells whether it was let in.
-func (bench *bench) one(domain string, took postmark.Micros, outcome Outcome) bool {
+func (bench *bench) one(domain string, took monotonic.Micros, outcome Outcome) bool {
 	visit, wait := bench.detector.Enter(bench.now, bench.ask(domain))
 	if visit == nil {
 		if wait <= 0 {
@@ -102,7 +102,7 @@
 		bench.well("a", "b")
 		random := rand.New(rand.NewPCG(seed, 1))
 		offered, taken := 0, 0
-		for began := bench.now; bench.now < began+6*postmark.Second; offered++ {
+		for began := bench.now; bench.now < began+6*monotonic.Second; offered++ {
 			outcome := Good
 			if random.Float64() < 0.4 {
 				outcome = Faulty
@@ -230,7 +230,7 @@
 func TestFlapping(t *testing.T) {
 	bench := newBench(t)
 	bench.well("a")
-	first := postmark.Micros(0)
+	first := monotonic.Micros(0)
 	for round := range 4 {
 		for !bench.ejected("a") {
 			bench.one("a", ms, Faulty)
@@ -254,7 +254,7 @@
 		bench.one("a", ms, Faulty)
 	}
 	probes := 0
-	for began := bench.now; bench.now < began+20*postmark.Second; bench.now += 10 * ms {
+	for began := bench.now; bench.now < began+20*monotonic.Second; bench.now += 10 * ms {
 		if bench.one("a", ms, Faulty) {
 			probes++
 		}
@@ -284,12 +284,12 @@
 	bench := newBench(t)
 	bench.well("a")
 	taken, quick := 0, 0
-	play := func(took postmark.Micros) {
+	play := func(took monotonic.Micros) {
 		if bench.one("a", took, Good) {
 			taken++
 		}
 		ask := bench.ask("a")
-		ask.Aim = 2 * postmark.Second
+		ask.Aim = 2 * monotonic.Second
 		if visit, _ := bench.detector.Enter(bench.now, ask); visit != nil {
 			visit.Start(bench.now)
 			bench.now += took
@@ -317,7 +317,7 @@
 func TestTooSlow(t *testing.T) {
 	bench := newBench(t)
 	bench.well("a")
-	short := func(took postmark.Micros) bool {
+	short := func(took monotonic.Micros) bool {
 		ask := bench.ask("a")
 		ask.Aim = 120 * ms
 		visit, _ := bench.detector.Enter(bench.now, ask)
--- a/internal/carrier/restante/restante.go
+++ b/internal/proxy/replay/restante.go
@@ -1,18 +1,18 @@
-// Package restante keeps backends' complete answers to run-once requests for a while, for callers that ask again.
-package restante
+// Package replay keeps backends' complete answers to run-once requests for a while, for callers that ask again.
+package replay
 
 import (
 	"bytes"
 	"slices"
 	"sync"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
 )
 
 const (
 	// life is how long an answer is kept unless the shelf has another: as long as its claim.
-	life      = 120 * postmark.Second
+	life      = 120 * monotonic.Second
 	mostBytes = 16 << 20
 )
 
@@ -20,8 +20,8 @@
 // kept scopes, oldest first.
 type Shelf struct {
 	// Life is how long answers are kept. It's set before the first one comes.
-	Life  postmark.Micros
-	clock postmark.Clock
+	Life  monotonic.Micros
+	clock monotonic.Clock
 	lock  sync.Mutex
 	kept  map[string]*parcel
 	order []string
@@ -30,17 +30,17 @@
 
 type parcel struct {
 	digest []byte
-	answer *letter.Answer
-	at     postmark.Micros
+	answer *request.Answer
+	at     monotonic.Micros
 }
 
 // New makes a shelf.
-func New(clock postmark.Clock) *Shelf {
+func New(clock monotonic.Clock) *Shelf {
 	return &Shelf{Life: life, clock: clock, kept: map[string]*parcel{}}
 }
 
 // Put keeps an answer.
-func (shelf *Shelf) Put(scope string, digest []byte, answer *letter.Answer) {
+func (shelf *Shelf) Put(scope string, digest []byte, answer *request.Answer) {
 	shelf.lock.Lock()
 	defer shelf.lock.Unlock()
 	if len(answer.Body) > mostBytes/16 {
@@ -69,7 +69,7 @@
 }
 
 // Find gives the answer kept for a scope and digest, or nothing.
-func (shelf *Shelf) Find(scope string, digest []byte) *letter.Answer {
+func (shelf *Shelf) Find(scope string, digest []byte) *request.Answer {
 	shelf.lock.Lock()
 	defer shelf.lock.Unlock()
 	kept := shelf.kept[scope]
--- a/internal/carrier/restante/restante_test.go
+++ b/internal/proxy/replay/restante_test.go
@@ -1,22 +1,22 @@
-package restante
+package replay
 
 import (
 	"testing"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
 )
 
-type still struct{ now postmark.Micros }
+type still struct{ now monotonic.Micros }
 
-func (still *still) Now() postmark.Micros { return still.now }
+func (still *still) Now() monotonic.Micros { return still.now }
 
 // TestKeyThatRunsAnew: the shelf gives the answer of a key's last run, not one that has outlived its claim.
 func TestKeyThatRunsAnew(t *testing.T) {
-	clock := &still{now: postmark.Minute}
+	clock := &still{now: monotonic.Minute}
 	shelf := New(clock)
 	put := func(body string) {
-		shelf.Put("key", []byte("digest"), &letter.Answer{Body: []byte(body)})
+		shelf.Put("key", []byte("digest"), &request.Answer{Body: []byte(body)})
 	}
 	put("first")
 	put("second")
@@ -33,15 +33,15 @@
 
 // TestSetLife: a shelf with another life keeps answers for that long.
 func TestSetLife(t *testing.T) {
-	clock := &still{now: postmark.Minute}
+	clock := &still{now: monotonic.Minute}
 	shelf := New(clock)
-	shelf.Life = 200 * postmark.Second
-	shelf.Put("one", []byte("d"), &letter.Answer{Status: 200})
-	clock.now += 199 * postmark.Second
+	shelf.Life = 200 * monotonic.Second
+	shelf.Put("one", []byte("d"), &request.Answer{Status: 200})
+	clock.now += 199 * monotonic.Second
 	if shelf.Find("one", []byte("d")) == nil {
 		t.Error("it's gone before its end")
 	}
-	clock.now += postmark.Second
+	clock.now += monotonic.Second
 	if shelf.Find("one", []byte("d")) != nil {
 		t.Error("it's there after its end")
 	}
--- a/internal/carrier/letter/letter.go
+++ b/internal/proxy/request/letter.go
@@ -1,10 +1,10 @@
-// Package letter is a request on its way through a carrier, and what came of it.
-package letter
+// Package request is a request on its way through a carrier, and what came of it.
+package request
 
 import (
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postcode"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/resourcepath"
+	"snowflow/internal/transport/wire"
 )
 
 // Names of the headers that snowflow gives meaning to.
@@ -27,9 +27,9 @@
 	Body    []byte
 	Key     string
 	// Cutoff is this process's clock at which the caller gives up; zero leaves it to the service's limit.
-	Cutoff postmark.Micros
+	Cutoff monotonic.Micros
 	// Address is the request's own spelling where that must not be changed; nil has it spelled in the one way of the mesh.
-	Address *postcode.Address
+	Address *resourcepath.Address
 	// Scope names what may run once where the key alone does; empty has it made of resource and key.
 	Scope string
 	// Alone has a refusal speak of this request only, not of its key: a later request with the key may still run.
--- a/internal/carrier/purse/purse.go
+++ b/internal/proxy/retry/purse.go
@@ -1,16 +1,16 @@
-// Package purse keeps the budget for further tries. It's a bucket for each service: each first try that reached the
+// Package retry keeps the budget for further tries. It's a bucket for each service: each first try that reached the
 // service puts a share of a token in, a further try takes a whole one out, and the bucket holds no more than this
 // carrier's part of one small allowance for the whole mesh.
-package purse
+package retry
 
 import (
 	"sync"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // window is the time in which further tries are bounded.
-const window = 10 * postmark.Second
+const window = 10 * monotonic.Second
 
 // Purse is the budget for all services.
 //
@@ -18,7 +18,7 @@
 // window + depth. A count over the last 10 s alone would not do: first tries that are about to leave the window
 // would pay for a burst of further ones that stays in it.
 type Purse struct {
-	clock postmark.Clock
+	clock monotonic.Clock
 	lock  sync.Mutex
 	funds map[string]*fund
 	share func(allowance uint32) float64
@@ -31,11 +31,11 @@
 
 type fund struct {
 	tokens float64
-	last   postmark.Micros // of the last further try
+	last   monotonic.Micros // of the last further try
 }
 
 // New makes a purse; share tells this carrier's part of an allowance, zero while unknown.
-func New(clock postmark.Clock, share func(allowance uint32) float64) *Purse {
+func New(clock monotonic.Clock, share func(allowance uint32) float64) *Purse {
 	return &Purse{clock: clock, funds: map[string]*fund{}, share: share}
 }
 
--- a/internal/carrier/roll/batch.go
+++ b/internal/proxy/session/batch.go
@@ -1,4 +1,4 @@
-package roll
+package session
 
 import (
 	"slices"
@@ -6,28 +6,28 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// firstPause and nextPause are how long after a first, and a further, message in vain the next one goes out.
-	firstPause, nextPause = 50 * postmark.Millisecond, 100 * postmark.Millisecond
+	firstPause, nextPause = 50 * monotonic.Millisecond, 100 * monotonic.Millisecond
 	// slowAnswer is how long a message must have waited in vain to say that the primary takes asks, and is slow.
-	slowAnswer = 500 * postmark.Millisecond
+	slowAnswer = 500 * monotonic.Millisecond
 	// messagePatience is how long one message waits for its answer. An ask may have more, and is then sent again.
-	messagePatience = 700 * postmark.Millisecond
+	messagePatience = 700 * monotonic.Millisecond
 	// mostBatch bounds the asks of one message, usualFlights the messages that leave at once, so that asks wait only where the primary
 	// is slower than they come. Then one more leaves each flightPause, up to mostFlights: a primary that is slow because it has much to
 	// do is sent little, and one whose disk is slow has its asks in few syncs.
 	mostBatch, usualFlights, mostFlights = 64, 4, 16
-	flightPause                          = 50 * postmark.Millisecond
+	flightPause                          = 50 * monotonic.Millisecond
 	// mostAlone is mostFlights for a primary that takes no batches.
 	mostAlone = 64
 	// aloneFor is how long asks go alone after a batch was lost: the primary may be of a build that knows none.
-	aloneFor = postmark.Second
+	aloneFor = monotonic.Second
 )
 
 // pending is one ask of the primary. Invariants: all but kind, ask, cutoff and done belong to the lock of its batches; once over, tell is
@@ -36,7 +36,7 @@
 	kind   wire.Kind
 	ask    proto.Message
 	tell   proto.Message
-	cutoff postmark.Micros
+	cutoff monotonic.Micros
 	done   host.Signal
 	over   bool
 	flying bool // it's on its way
@@ -53,10 +53,10 @@
 	lock    sync.Mutex
 	waiting []*pending
 	flights int
-	left    postmark.Micros // when the last flight was started
+	left    monotonic.Micros // when the last flight was started
 	failing bool
-	alone   string          // the primary to which asks go alone
-	until   postmark.Micros // and until when
+	alone   string           // the primary to which asks go alone
+	until   monotonic.Micros // and until when
 }
 
 // parts give the part of a batch's command, and of its result, that is of a kind. Kinds without one go alone.
@@ -73,7 +73,7 @@
 }
 
 // call has an ask answered by the primary, within patience. An error that is lost says that a primary may have taken it.
-func (batches *batches) call(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (batches *batches) call(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	place := batches.roll.place
 	pending := &pending{kind: kind, ask: ask, tell: tell, cutoff: place.Now() + patience, done: place.NewSignal()}
 	batches.lock.Lock()
@@ -101,11 +101,11 @@
 	}
 	switch {
 	case pending.flying || pending.taken:
-		return seal.Lost.New("no answer of a primary sorter in time")
+		return apierror.Lost.New("no answer of a primary sorter in time")
 	case pending.err != nil:
 		return pending.err
 	}
-	return seal.Unreachable.New("no primary sorter was asked in time")
+	return apierror.Unreachable.New("no primary sorter was asked in time")
 }
 
 // depart starts up to so many flights. The lock is held.
@@ -207,7 +207,7 @@
 		err := batches.roll.callWhileLeading(name, only.kind, only.ask, tell, messagePatience)
 		if err == nil {
 			batches.end(only, tell)
-		} else if seal.IsRefused(err) {
+		} else if apierror.IsRefused(err) {
 			batches.lock.Lock()
 			only.taken = true // such a refusal may say that the outcome isn't known
 			batches.lock.Unlock()
@@ -221,7 +221,7 @@
 	tell, began := &wire.SorterBatchTell{}, batches.roll.place.Now()
 	if err := batches.roll.callWhileLeading(name, wire.Kind_sorter_batch, ask, tell, messagePatience); err != nil {
 		now := batches.roll.place.Now()
-		if name == batches.roll.book.Leader(sorters) && now-began < slowAnswer && !seal.IsUnreachable(err) {
+		if name == batches.roll.book.Leader(sorters) && now-began < slowAnswer && !apierror.IsUnreachable(err) {
 			batches.lock.Lock()
 			batches.alone, batches.until = name, now+aloneFor
 			batches.lock.Unlock()
@@ -238,7 +238,7 @@
 			batches.end(pending, answer)
 			continue
 		}
-		refusal = seal.Refused.New("%s: %s", name, outcome.Fault)
+		refusal = apierror.Refused.New("%s: %s", name, outcome.Fault)
 		batches.lock.Lock()
 		pending.err, pending.taken = refusal, pending.taken || !outcome.Untaken
 		batches.lock.Unlock()
@@ -260,10 +260,10 @@
 
 // back puts calls that were not answered before those that wait, and tells whether theirs is the first message in vain. Only a primary that
 // turns asks down or isn't there is left to one flight: one that takes them and is slow, as its disk may be, does best with all of them.
-func (batches *batches) back(calls []*pending, err error, waited postmark.Micros) (first bool) {
+func (batches *batches) back(calls []*pending, err error, waited monotonic.Micros) (first bool) {
 	batches.lock.Lock()
 	defer batches.lock.Unlock()
-	lost := seal.IsLost(err)
+	lost := apierror.IsLost(err)
 	first = !batches.failing
 	batches.failing = err != nil && !(lost && waited >= slowAnswer)
 	var again []*pending
--- a/internal/carrier/roll/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -1,16 +1,16 @@
-package roll
+package session
 
 import (
 	"errors"
 	"fmt"
 	"testing"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/discovery"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // TestOneAsksForAll: while the primary turns asks down, as between its take-over and its copies being in step, few of a carrier's
@@ -22,8 +22,8 @@
 			simulated := world.New(1)
 			defer simulated.Close()
 			began := simulated.Now()
-			asks, answered, late := 0, 0, postmark.Micros(0)
-			well := func() bool { return simulated.Now()-began >= 3*postmark.Second }
+			asks, answered, late := 0, 0, monotonic.Micros(0)
+			well := func() bool { return simulated.Now()-began >= 3*monotonic.Second }
 			primary := func(name string, answers func() bool) func(place *world.Place) (host.Table, error) {
 				return func(place *world.Place) (host.Table, error) {
 					table := host.Table{}
@@ -45,29 +45,29 @@
 				known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 				for range waiters {
 					place.Go(func() {
-						if known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{}, &wire.ClaimTell{}, 5*postmark.Second) == nil {
+						if known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{}, &wire.ClaimTell{}, 5*monotonic.Second) == nil {
 							answered++
-							late = max(late, simulated.Now()-began-3*postmark.Second)
+							late = max(late, simulated.Now()-began-3*monotonic.Second)
 						}
 					})
 				}
 				if moves {
 					place.Go(func() {
-						place.Sleep(3 * postmark.Second)
+						place.Sleep(3 * monotonic.Second)
 						book.Hint([]*wire.Primary{{Group: sorters, Epoch: 2, Name: "second"}})
 					})
 				}
 				return host.Table{}, nil
 			}))
-			simulated.Run(began + 6*postmark.Second)
+			simulated.Run(began + 6*monotonic.Second)
 			if simulated.Panicked != nil {
 				t.Fatal(simulated.Panicked)
 			}
 			if most := 2*waiters + 3*20; asks > most {
 				t.Errorf("%d asks by %d requests in 3 s", asks, waiters)
 			}
-			if answered != waiters || late > 400*postmark.Millisecond {
-				t.Errorf("%d of %d are answered, the last one %d ms after the primary answers", answered, waiters, late/postmark.Millisecond)
+			if answered != waiters || late > 400*monotonic.Millisecond {
+				t.Errorf("%d of %d are answered, the last one %d ms after the primary answers", answered, waiters, late/monotonic.Millisecond)
 			}
 		})
 	}
@@ -77,28 +77,28 @@
 // one that waited for long does, as at a slow disk, where all asks are best in one batch.
 func TestHastyMessage(t *testing.T) {
 	for _, row := range []struct {
-		waited postmark.Micros
+		waited monotonic.Micros
 		goes   bool
-	}{{50 * postmark.Millisecond, false}, {600 * postmark.Millisecond, true}} {
+	}{{50 * monotonic.Millisecond, false}, {600 * monotonic.Millisecond, true}} {
 		simulated := world.New(1)
 		ended := false
 		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 			book := discovery.New(place, nil, nil)
 			book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
 			batches := &batches{roll: New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))}
-			if first := batches.back(nil, seal.Refused.New("not the primary"), postmark.Millisecond); !first || batches.most() != 1 {
+			if first := batches.back(nil, apierror.Refused.New("not the primary"), monotonic.Millisecond); !first || batches.most() != 1 {
 				t.Errorf("%d messages go at once after a refusal, the first: %v", batches.most(), first)
 			}
-			if first := batches.back(nil, seal.Lost.New("no answer"), row.waited); first {
+			if first := batches.back(nil, apierror.Lost.New("no answer"), row.waited); first {
 				t.Error("a second message in vain is the first")
 			}
 			if goes := batches.most() > 1; goes != row.goes {
-				t.Errorf("after a wait of %d ms in vain all go: %v", row.waited/postmark.Millisecond, goes)
+				t.Errorf("after a wait of %d ms in vain all go: %v", row.waited/monotonic.Millisecond, goes)
 			}
 			ended = true
 			return host.Table{}, nil
 		}))
-		simulated.Run(simulated.Now() + postmark.Second)
+		simulated.Run(simulated.Now() + monotonic.Second)
 		simulated.Close()
 		if !ended {
 			t.Fatal(simulated.Panicked)
@@ -109,7 +109,7 @@
 // TestBatches: asks that come faster than the primary answers go together, and what is on its way is bounded however many wait; an ask
 // whose asker gave up isn't sent. A primary of a build that takes no batches gets each ask alone.
 func TestBatches(t *testing.T) {
-	const waiters, patience = 300, 2 * postmark.Second
+	const waiters, patience = 300, 2 * monotonic.Second
 	for name, takes := range map[string]bool{"batches": true, "none known": false} {
 		t.Run(name, func(t *testing.T) {
 			simulated := world.New(1)
@@ -120,7 +120,7 @@
 				serve := func(count int) {
 					messages, asks, present = messages+1, asks+count, present+1
 					most = max(most, present)
-					place.Sleep(20 * postmark.Millisecond)
+					place.Sleep(20 * monotonic.Millisecond)
 					present--
 				}
 				host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
@@ -141,7 +141,7 @@
 				book := discovery.New(place, nil, nil)
 				book.Learn([]*wire.PeerAddress{{Name: "first", Address: "first", Group: sorters, Batches: takes}})
 				known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
-				ask := func(scope string, patience postmark.Micros, ended func(tell *wire.ClaimTell, err error)) {
+				ask := func(scope string, patience monotonic.Micros, ended func(tell *wire.ClaimTell, err error)) {
 					place.Go(func() {
 						tell := &wire.ClaimTell{}
 						err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: scope}, tell, patience)
@@ -149,14 +149,14 @@
 					})
 				}
 				for range 20 {
-					ask("gone", 100*postmark.Millisecond, func(_ *wire.ClaimTell, err error) {
-						if seal.IsUnreachable(err) {
+					ask("gone", 100*monotonic.Millisecond, func(_ *wire.ClaimTell, err error) {
+						if apierror.IsUnreachable(err) {
 							gone++
 						}
 					})
 				}
 				place.Go(func() {
-					place.Sleep(500 * postmark.Millisecond)
+					place.Sleep(500 * monotonic.Millisecond)
 					for index := range waiters {
 						scope := fmt.Sprint(index)
 						ask(scope, patience, func(tell *wire.ClaimTell, err error) {
@@ -165,12 +165,12 @@
 							}
 						})
 					}
-					place.Sleep(postmark.Millisecond)
+					place.Sleep(monotonic.Millisecond)
 					book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
 				})
 				return host.Table{}, nil
 			}))
-			simulated.Run(simulated.Now() + 4*postmark.Second)
+			simulated.Run(simulated.Now() + 4*monotonic.Second)
 			if simulated.Panicked != nil {
 				t.Fatal(simulated.Panicked)
 			}
@@ -197,7 +197,7 @@
 	simulated.Start(simulated.Add("first", "first", "first", func(place *world.Place) (host.Table, error) {
 		table := host.Table{}
 		host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
-			place.Sleep(5 * postmark.Millisecond)
+			place.Sleep(5 * monotonic.Millisecond)
 			return &wire.ClaimTell{Outcome: ask.Scope}, nil
 		})
 		return table, nil
@@ -222,23 +222,23 @@
 			for index := range 20 {
 				place.Go(func() {
 					tell := &wire.ClaimTell{}
-					err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: fmt.Sprint(index)}, tell, postmark.Second)
+					err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: fmt.Sprint(index)}, tell, monotonic.Second)
 					if err == nil && tell.Outcome == fmt.Sprint(index) {
 						answered++
 					}
-					if primary == "second" && err != nil && !seal.IsLost(err) {
+					if primary == "second" && err != nil && !apierror.IsLost(err) {
 						untaken++
 					}
 				})
 			}
 			place.Go(func() {
-				place.Sleep(postmark.Millisecond)
+				place.Sleep(monotonic.Millisecond)
 				book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: primary}})
 			})
 		}
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + 3*postmark.Second)
+	simulated.Run(simulated.Now() + 3*monotonic.Second)
 	if simulated.Panicked != nil {
 		t.Fatal(simulated.Panicked)
 	}
--- a/internal/carrier/roll/held.go
+++ b/internal/proxy/session/held.go
@@ -1,12 +1,12 @@
-package roll
+package session
 
 import (
 	"bytes"
 	"errors"
 	"fmt"
 
-	"snowflow/internal/parcel/wire"
 	"snowflow/internal/resource"
+	"snowflow/internal/transport/wire"
 )
 
 // held is the directory as it's held. Invariants: it doesn't change once made; with sure, the set is what the sorter's life source showed
--- a/internal/carrier/roll/held_test.go
+++ b/internal/proxy/session/held_test.go
@@ -1,4 +1,4 @@
-package roll
+package session
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 
 	"snowflow/internal/discovery"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/directory"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // within runs a test's body at a place of a simulated world.
@@ -29,7 +29,7 @@
 		})
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + 10*postmark.Minute)
+	simulated.Run(simulated.Now() + 10*monotonic.Minute)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
@@ -143,7 +143,7 @@
 			pairs = append(pairs, start())
 		}
 		for step := range 400 {
-			place.Sleep(postmark.Micros(chance.Uint64N(uint64(300 * postmark.Millisecond))))
+			place.Sleep(monotonic.Micros(chance.Uint64N(uint64(300 * monotonic.Millisecond))))
 			name := fmt.Sprint("carrier-", chance.IntN(12))
 			session := sessions[name]
 			switch chance.IntN(8) {
--- a/internal/carrier/roll/roll.go
+++ b/internal/proxy/session/roll.go
@@ -1,5 +1,5 @@
-// Package roll keeps this carrier's membership: its session with a sorter, and the directory it's shown in return.
-package roll
+// Package session keeps this carrier's membership: its session with a sorter, and the directory it's shown in return.
+package session
 
 import (
 	"sort"
@@ -7,24 +7,24 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/apierror"
 	"snowflow/internal/discovery"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/host/vigil"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/host/clockwatch"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/directory"
 	"snowflow/internal/resource"
-	"snowflow/internal/seal"
+	"snowflow/internal/transport/wire"
 )
 
 const sorters = "sorter"
 
 // PollEvery is the cadence of polls: the session's beat, the directory's and the guards' cached read in one.
-const PollEvery = postmark.Second
+const PollEvery = monotonic.Second
 
 // shareMemory is the window in which further tries are counted.
-const shareMemory = 10 * postmark.Second
+const shareMemory = 10 * monotonic.Second
 
 // grownUp is the age from which a sorter's directory is taken as whole: every carrier has polled, or its session has ended.
 const grownUp = directory.SessionLife
@@ -64,7 +64,7 @@
 	place   host.Host
 	book    *discovery.Book
 	session func() *wire.Session
-	vigil   *vigil.Vigil
+	vigil   *clockwatch.Vigil
 	// Activity gives what this carrier called since the last poll.
 	Activity func() []*wire.Activity
 	// Guards takes the guards' records from the primary, those that changed since it last took some, or nothing when it couldn't be reached.
@@ -80,11 +80,11 @@
 	taken     Taken
 	beat      uint64
 	live      uint32 // the most carriers told of within shareMemory, so that parts don't grow while views differ
-	liveAt    postmark.Micros
-	born      postmark.Micros
+	liveAt    monotonic.Micros
+	born      monotonic.Micros
 	moment    *wire.HolderMoment
-	momentAt  postmark.Micros
-	polled    postmark.Micros
+	momentAt  monotonic.Micros
+	polled    monotonic.Micros
 	reached   bool // the last poll reached a sorter
 	// of the guards' records that were last taken
 	guardsSource, guardsVersion uint64
@@ -92,9 +92,9 @@
 }
 
 // New makes a roll; session gives this carrier's session as it is now.
-func New(place host.Host, book *discovery.Book, session func() *wire.Session, vigil *vigil.Vigil) *Roll {
+func New(place host.Host, book *discovery.Book, session func() *wire.Session, vigil *clockwatch.Vigil) *Roll {
 	roll := &Roll{place: place, book: book, session: session, vigil: vigil, soon: place.NewSignal(), directory: index(resource.Empty), held: nothing,
-		polled: -postmark.Minute, born: place.Now()}
+		polled: -monotonic.Minute, born: place.Now()}
 	roll.batches.roll = roll
 	return roll
 }
@@ -114,14 +114,14 @@
 }
 
 // soonAgain is the cadence of polls while nobody was reached, or a sorter that has only just started is being told who is there.
-const soonAgain = 200 * postmark.Millisecond
+const soonAgain = 200 * monotonic.Millisecond
 
 // pause is how long after the start of a poll the next one starts.
-func (roll *Roll) pause() postmark.Micros {
+func (roll *Roll) pause() monotonic.Micros {
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
 	if !roll.reached || roll.young {
-		return soonAgain + postmark.Micros(roll.place.Random()%uint64(soonAgain/4))
+		return soonAgain + monotonic.Micros(roll.place.Random()%uint64(soonAgain/4))
 	}
 	return PollEvery
 }
@@ -174,7 +174,7 @@
 	}
 }
 
-func (roll *Roll) ask(name string) (*wire.SorterPollTell, postmark.Micros, error) {
+func (roll *Roll) ask(name string) (*wire.SorterPollTell, monotonic.Micros, error) {
 	session := roll.session()
 	roll.lock.Lock()
 	roll.beat++
@@ -185,11 +185,11 @@
 	ask.Activity = roll.Activity()
 	asked := roll.place.Now()
 	tell := &wire.SorterPollTell{}
-	return tell, asked, roll.book.Call(name, wire.Kind_sorter_poll, ask, tell, 600*postmark.Millisecond)
+	return tell, asked, roll.book.Call(name, wire.Kind_sorter_poll, ask, tell, 600*monotonic.Millisecond)
 }
 
 // take takes an answer in. An error is told if the directory's changes in it were refused; the rest of it is taken all the same.
-func (roll *Roll) take(tell *wire.SorterPollTell, asked postmark.Micros) error {
+func (roll *Roll) take(tell *wire.SorterPollTell, asked monotonic.Micros) error {
 	roll.book.Hint(tell.Primaries)
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
@@ -204,7 +204,7 @@
 		}
 	}
 	// A sorter that has only just begun to be told may not know all; who is known stays known until it does.
-	young := tell.DirectoryAge > 0 && postmark.Micros(tell.DirectoryAge) < grownUp
+	young := tell.DirectoryAge > 0 && monotonic.Micros(tell.DirectoryAge) < grownUp
 	roll.young = young
 	other := tell.DirectorySource != roll.held.source
 	if !other && !young {
@@ -217,7 +217,7 @@
 	if err != nil {
 		roll.taken.Refused++
 		roll.held.doubt()
-		roll.place.Report(bulletin.DirectoryRefused, map[string]any{"serial": tell.DirectorySerial, "have": roll.held.serial, "error": err.Error()})
+		roll.place.Report(eventlog.DirectoryRefused, map[string]any{"serial": tell.DirectorySerial, "have": roll.held.serial, "error": err.Error()})
 		return err
 	}
 	roll.grown = !young
@@ -315,7 +315,7 @@
 func (roll *Roll) Member() bool {
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
-	return roll.place.Now()-roll.polled < 3*postmark.Second
+	return roll.place.Now()-roll.polled < 3*monotonic.Second
 }
 
 // Known tells whether a sorter has ever shown this carrier who is there.
@@ -362,13 +362,13 @@
 
 const (
 	// lookAround is how long an ask waits at a primary before others are asked who leads: well above what an answer takes.
-	lookAround = 100 * postmark.Millisecond
+	lookAround = 100 * monotonic.Millisecond
 	// lookAgain is how often it's seen then whether another one leads.
-	lookAgain = 50 * postmark.Millisecond
+	lookAgain = 50 * monotonic.Millisecond
 )
 
 // callWhileLeading asks a primary until patience ends, or another is known to lead: one that is gone says nothing.
-func (roll *Roll) callWhileLeading(name string, kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (roll *Roll) callWhileLeading(name string, kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	var lock sync.Mutex
 	var err error
 	ended, over, reply := roll.place.NewSignal(), false, tell.ProtoReflect().New().Interface()
@@ -381,7 +381,7 @@
 		ended.Fire()
 	})
 	for pause := lookAround; ; pause = lookAgain {
-		ended.Wait(min(pause, max(cutoff-roll.place.Now(), 0)+postmark.Millisecond))
+		ended.Wait(min(pause, max(cutoff-roll.place.Now(), 0)+monotonic.Millisecond))
 		lock.Lock()
 		done, failed := over, err
 		lock.Unlock()
@@ -392,7 +392,7 @@
 		case done:
 			return failed
 		case name != roll.book.Leader(sorters):
-			return seal.Lost.New("%s doesn't lead any more", name)
+			return apierror.Lost.New("%s doesn't lead any more", name)
 		}
 		roll.place.Go(roll.book.Ask)
 	}
@@ -400,7 +400,7 @@
 
 // CallPrimary asks the primary sorter, again after a failover, until patience ends. Only asks that may be repeated
 // go this way. An error that is not lost tells that no primary took the ask.
-func (roll *Roll) CallPrimary(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error {
+func (roll *Roll) CallPrimary(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
 	if _, found := parts[kind]; found {
 		return roll.batches.call(kind, ask, tell, patience)
 	}
@@ -410,10 +410,10 @@
 		remaining := cutoff - roll.place.Now()
 		if remaining <= 0 {
 			switch {
-			case taken && !seal.IsLost(last):
-				return seal.Lost.New("no answer of a primary sorter in time")
+			case taken && !apierror.IsLost(last):
+				return apierror.Lost.New("no answer of a primary sorter in time")
 			case last == nil:
-				return seal.Unreachable.New("no primary sorter is known") // made here alone: an error carries its stack, which costs
+				return apierror.Unreachable.New("no primary sorter is known") // made here alone: an error carries its stack, which costs
 			}
 			return last
 		}
@@ -422,7 +422,7 @@
 			if last = roll.callWhileLeading(name, kind, ask, tell, min(remaining, messagePatience)); last == nil {
 				return nil
 			}
-			taken = taken || seal.IsLost(last)
+			taken = taken || apierror.IsLost(last)
 			if name != roll.book.Leader(sorters) {
 				continue
 			}
