--- a/internal/carrier/roll/roll_test.go
+++ b/internal/proxy/session/roll_test.go
@@ -1,14 +1,14 @@
-package roll
+package session
 
 import (
 	"testing"
 
 	"snowflow/internal/discovery"
 	"snowflow/internal/host"
-	"snowflow/internal/host/vigil"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/host/clockwatch"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // TestMomentHasPassed: a carrier that was long cut off from the holder, with a clock that runs faster than the holder's,
@@ -22,7 +22,7 @@
 			known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, steady(place))
 			began, own := simulated.Now(), place.Now()
 			known.take(&wire.SorterPollTell{Primary: true, Epoch: 1, HolderTime: int64(began)}, own)
-			place.Sleep(postmark.Minute)
+			place.Sleep(monotonic.Minute)
 			ahead = ahead || place.Now()-own > simulated.Now()-began
 			if moment := known.Moment(); moment.Time > int64(simulated.Now()) {
 				t.Errorf("seed %d: the moment is %d microseconds ahead of the holder", seed, moment.Time-int64(simulated.Now()))
@@ -30,7 +30,7 @@
 			ended = true
 			return host.Table{}, nil
 		}))
-		simulated.Run(simulated.Now() + 2*postmark.Minute)
+		simulated.Run(simulated.Now() + 2*monotonic.Minute)
 		simulated.Close()
 		if !ended {
 			t.Fatal(simulated.Panicked)
@@ -50,8 +50,8 @@
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, steady(place))
 		known.take(&wire.SorterPollTell{Primary: true, Epoch: 1, HolderTime: 1000}, place.Now())
-		place.Sleep(postmark.Second)
-		fence := &wire.HolderMoment{Epoch: 1, Time: int64(1000 + 2*postmark.Second)}
+		place.Sleep(monotonic.Second)
+		fence := &wire.HolderMoment{Epoch: 1, Time: int64(1000 + 2*monotonic.Second)}
 		known.Learn(fence)
 		if moment := known.Moment(); moment.Time < fence.Time {
 			t.Errorf("the moment is %d, the fence was at %d", moment.Time, fence.Time)
@@ -63,14 +63,14 @@
 		ended = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Minute)
+	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !ended {
 		t.Fatal(simulated.Panicked)
 	}
 }
 
-func steady(place *world.Place) *vigil.Vigil {
-	watch := vigil.New(place)
+func steady(place *world.Place) *clockwatch.Vigil {
+	watch := clockwatch.New(place)
 	place.Go(watch.Watch)
 	return watch
 }
@@ -80,7 +80,7 @@
 func TestAskTurnsToTheNextPrimary(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		simulated := world.New(seed)
-		succeeded := simulated.Now() + 300*postmark.Millisecond
+		succeeded := simulated.Now() + 300*monotonic.Millisecond
 		sorter := func(name string) {
 			simulated.Start(simulated.Add(name, name, name, func(place *world.Place) (host.Table, error) {
 				table := host.Table{}
@@ -98,8 +98,8 @@
 		}
 		sorter("gone")
 		sorter("next")
-		simulated.Run(simulated.Now() + postmark.Millisecond)
-		simulated.Freeze(simulated.Node("gone"), postmark.Minute)
+		simulated.Run(simulated.Now() + monotonic.Millisecond)
+		simulated.Freeze(simulated.Node("gone"), monotonic.Minute)
 		ended := false
 		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 			book := discovery.New(place, nil, []string{"gone", "next"})
@@ -107,14 +107,14 @@
 			book.Hint([]*wire.Primary{{Group: "sorter", Epoch: 1, Name: "gone"}})
 			known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 			tell, began := &wire.ClaimTell{}, place.Now()
-			err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: "key"}, tell, 600*postmark.Millisecond)
-			if took := place.Now() - began; err != nil || tell.Outcome != "key" || took > 550*postmark.Millisecond {
+			err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: "key"}, tell, 600*monotonic.Millisecond)
+			if took := place.Now() - began; err != nil || tell.Outcome != "key" || took > 550*monotonic.Millisecond {
 				t.Errorf("seed %d: %v, %q after %d microseconds", seed, err, tell.Outcome, took)
 			}
 			ended = true
 			return host.Table{}, nil
 		}))
-		simulated.Run(simulated.Now() + postmark.Minute)
+		simulated.Run(simulated.Now() + monotonic.Minute)
 		simulated.Close()
 		if !ended {
 			t.Fatal(simulated.Panicked)
--- a/internal/carrier/lastpost/lastpost.go
+++ b/internal/proxy/shutdown/lastpost.go
@@ -1,6 +1,6 @@
-// Package lastpost lets work be given up at one moment: when a planned stop's grace is over, whatever is still under way gets
+// Package shutdown lets work be given up at one moment: when a planned stop's grace is over, whatever is still under way gets
 // its answer at once, and a true one.
-package lastpost
+package shutdown
 
 import (
 	"sync"
@@ -8,7 +8,7 @@
 	"go.uber.org/atomic"
 
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Post keeps the errands under way.
@@ -69,7 +69,7 @@
 		errand.done.Store(true)
 		errand.wakeup.Fire()
 	})
-	for !errand.wakeup.Wait(postmark.Forever) {
+	for !errand.wakeup.Wait(monotonic.Forever) {
 	}
 	post.lock.Lock()
 	delete(post.open, errand)
--- a/internal/carrier/rota/rota.go
+++ b/internal/proxy/singleton/rota.go
@@ -1,19 +1,19 @@
-// Package rota holds the duties of this machine's backends: work that one backend of the whole mesh does at a time.
-package rota
+// Package singleton holds the duties of this machine's backends: work that one backend of the whole mesh does at a time.
+package singleton
 
 import (
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/env"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/settings"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// patience is how long one ask may take, over a failover of the sorters.
-	patience = 3 * postmark.Second
+	patience = 3 * monotonic.Second
 	// drift is the part of a tenure by which a doer stops early: no two clocks run alike.
 	drift = 50
 )
@@ -25,7 +25,7 @@
 	// Present tells whether an instance is registered here, alive and not leaving.
 	Present func(instance string) bool
 	// CallPrimary asks the primary sorter until patience ends.
-	CallPrimary func(kind wire.Kind, ask, tell proto.Message, patience postmark.Micros) error
+	CallPrimary func(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error
 }
 
 // Rota asks for duties. It keeps nothing: a tenure is told to its doer, which stops by it.
@@ -39,10 +39,10 @@
 
 // Told is what a backend hears about a duty.
 type Told struct {
-	Granted bool            `json:"granted"`
-	Left    postmark.Micros `json:"left_micros"`
-	Holder  string          `json:"holder,omitempty"`   // the carrier beside the doer
-	Doer    string          `json:"instance,omitempty"` // the doer
+	Granted bool             `json:"granted"`
+	Left    monotonic.Micros `json:"left_micros"`
+	Holder  string           `json:"holder,omitempty"`   // the carrier beside the doer
+	Doer    string           `json:"instance,omitempty"` // the doer
 }
 
 // New makes a rota.
@@ -52,23 +52,23 @@
 func (rota *Rota) Stubborn(broken bool) { rota.stubborn = broken }
 
 // Ask asks for a duty, or for more time in it. An error leaves what was granted before as it was.
-func (rota *Rota) Ask(duty, instance string, length postmark.Micros) (Told, error) {
-	if env.Name(duty) != nil {
-		return Told{}, seal.Invalid.New("a duty's name is a lower-case letter, then up to 62 letters, digits or hyphens")
+func (rota *Rota) Ask(duty, instance string, length monotonic.Micros) (Told, error) {
+	if settings.Name(duty) != nil {
+		return Told{}, apierror.Invalid.New("a duty's name is a lower-case letter, then up to 62 letters, digits or hyphens")
 	}
 	if !rota.env.Present(instance) {
-		return Told{}, seal.Refused.New("instance %q is not registered here, silent or leaving", instance)
+		return Told{}, apierror.Refused.New("instance %q is not registered here, silent or leaving", instance)
 	}
 	asked := rota.env.Place.Now()
 	tell := &wire.DutyTell{}
 	err := rota.env.CallPrimary(wire.Kind_duty, &wire.DutyAsk{Duty: duty, Carrier: rota.env.Carrier, Instance: instance, Length: int64(length)}, tell, patience)
 	if err != nil {
-		return Told{}, seal.Lost.Wrap(err, "whether the duty was granted is not known")
+		return Told{}, apierror.Lost.Wrap(err, "whether the duty was granted is not known")
 	}
 	if !tell.Granted {
 		return Told{Holder: tell.Holder, Doer: tell.Instance}, nil
 	}
-	granted := postmark.Micros(tell.Length)
+	granted := monotonic.Micros(tell.Length)
 	if rota.stubborn {
 		granted *= 2
 	}
@@ -80,7 +80,7 @@
 func (rota *Rota) Release(duty, instance string) error {
 	err := rota.env.CallPrimary(wire.Kind_duty, &wire.DutyAsk{Duty: duty, Carrier: rota.env.Carrier, Instance: instance, Release: true}, &wire.DutyTell{}, patience)
 	if err != nil {
-		return seal.Lost.Wrap(err, "whether the duty was given up is not known")
+		return apierror.Lost.Wrap(err, "whether the duty was given up is not known")
 	}
 	return nil
 }
--- a/internal/carrier/delivery/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -1,4 +1,4 @@
-package delivery_test
+package upstream_test
 
 import (
 	"bufio"
@@ -7,12 +7,12 @@
 	"net/http"
 	"testing"
 
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/hutch"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host/machine"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/upstream"
 )
 
 // TestCancelled: a request whose caller leaves while its backend is at work ends with its connection, at once.
@@ -39,11 +39,11 @@
 		_, err = reader.ReadByte()
 		ended <- err
 	}()
-	dialect := delivery.Own()
+	dialect := upstream.Own()
 	dialect.Greets = false
 	clock := machine.New(nil, nil, nil)
-	order := gate.Order{ID: "a.1", Backend: hutch.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "GET", Target: "/a",
-		Cutoff: clock.Now() + postmark.Minute, AnswerLimit: 1 << 20, Still: func() *seal.Fault { return nil }}
+	order := admission.Order{ID: "a.1", Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "GET", Target: "/a",
+		Cutoff: clock.Now() + monotonic.Minute, AnswerLimit: 1 << 20, Still: func() *apierror.Fault { return nil }}
 	stopped := false
 	order.Cancelled = func(happen func()) (stop func()) {
 		go func() {
@@ -52,7 +52,7 @@
 		}()
 		return func() { stopped = true }
 	}
-	answer, fault := delivery.New(clock, dialect).Deliver(order)
+	answer, fault := upstream.New(clock, dialect).Deliver(order)
 	if answer != nil || fault == nil || fault.NotRun() || !stopped {
 		t.Errorf("%v %v, stopped: %v", answer, fault, stopped)
 	}
--- a/internal/carrier/delivery/delivery.go
+++ b/internal/proxy/upstream/delivery.go
@@ -1,5 +1,5 @@
-// Package delivery hands requests to backends over HTTP/1.1 and only takes whole, well-formed answers for answers.
-package delivery
+// Package upstream hands requests to backends over HTTP/1.1 and only takes whole, well-formed answers for answers.
+package upstream
 
 import (
 	"bufio"
@@ -17,12 +17,12 @@
 	"syscall"
 	"time"
 
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/letter"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host/machine/socket"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/transport/wire"
 )
 
 const (
@@ -37,7 +37,7 @@
 // Courier keeps connections to backends, by instance.
 // Invariant: every kept connection had its instance's identity checked when it was dialled, and nothing unread on it.
 type Courier struct {
-	clock   postmark.Clock
+	clock   monotonic.Clock
 	dialect Dialect
 	lock    sync.Mutex
 	idle    map[string][]*line
@@ -50,10 +50,10 @@
 	// Greets has every freshly dialled connection asked for the identity page; without it Head must name the instance.
 	Greets bool
 	// Head lists the headers of a request, with what is left until its cutoff; a "Host" among them names whom it's for.
-	Head func(order gate.Order, left postmark.Micros) []*wire.Header
+	Head func(order admission.Order, left monotonic.Micros) []*wire.Header
 	// Judge looks at a whole answer: notRun tells that the backend certainly did not run the request, an error that the bytes
 	// aren't the backend's own whole answer to it.
-	Judge func(order gate.Order, response *http.Response) (notRun bool, err error)
+	Judge func(order admission.Order, response *http.Response) (notRun bool, err error)
 	// Surplus lets a whole answer count though more bytes came behind it; the connection isn't used again.
 	Surplus bool
 	// ReuseOnce is how long a kept connection may have been idle to carry a run-once request, which can't be sent again when
@@ -64,14 +64,14 @@
 // Own is the product's own dialect.
 func Own() Dialect {
 	return Dialect{Greets: true,
-		Head: func(order gate.Order, _ postmark.Micros) []*wire.Header {
-			return append(order.Headers[:len(order.Headers):len(order.Headers)], &wire.Header{Name: letter.RequestHeader, Value: order.ID})
+		Head: func(order admission.Order, _ monotonic.Micros) []*wire.Header {
+			return append(order.Headers[:len(order.Headers):len(order.Headers)], &wire.Header{Name: request.RequestHeader, Value: order.ID})
 		},
-		Judge: func(order gate.Order, response *http.Response) (bool, error) {
-			if echoed := response.Header.Get(letter.RequestHeader); echoed != "" && echoed != order.ID {
+		Judge: func(order admission.Order, response *http.Response) (bool, error) {
+			if echoed := response.Header.Get(request.RequestHeader); echoed != "" && echoed != order.ID {
 				return false, fmt.Errorf("answered request %s, not %s", echoed, order.ID)
 			}
-			return response.Header.Get(letter.NotExecutedHeader) != "", nil
+			return response.Header.Get(request.NotExecutedHeader) != "", nil
 		}}
 }
 
@@ -87,12 +87,12 @@
 }
 
 // New makes a courier.
-func New(clock postmark.Clock, dialect Dialect) *Courier {
+func New(clock monotonic.Clock, dialect Dialect) *Courier {
 	return &Courier{clock: clock, dialect: dialect, idle: map[string][]*line{}, rests: rests{}}
 }
 
 // Deliver hands one request over and reads the whole answer.
-func (courier *Courier) Deliver(order gate.Order) (*letter.Answer, *seal.Fault) {
+func (courier *Courier) Deliver(order admission.Order) (*request.Answer, *apierror.Fault) {
 	cutoff := time.Now().Add((order.Cutoff - courier.clock.Now()).Duration())
 	connection, fault := courier.line(order, cutoff)
 	if fault != nil {
@@ -116,24 +116,24 @@
 	}
 	_ = connection.connection.SetDeadline(cutoff)
 	if written, err := connection.connection.Write(courier.encode(connection, order)); err != nil {
-		verdict := seal.MayHaveRun
+		verdict := apierror.MayHaveRun
 		if written == 0 {
-			verdict = seal.NotRun
+			verdict = apierror.NotRun
 		}
-		fault := seal.New(seal.AnswerBroken, verdict, "sending to %s: %v", order.Backend.Instance, err)
+		fault := apierror.New(apierror.AnswerBroken, verdict, "sending to %s: %v", order.Backend.Instance, err)
 		fault.Local = courier.forgot(order.Backend.Instance, connection.rested)
 		return nil, fault
 	}
 	answer, reusable, fault := connection.read(order, courier.dialect)
 	keep = reusable && fault == nil
-	if fault != nil && fault.Cause == seal.AnswerBroken && connection.limited.N == connection.allowed {
+	if fault != nil && fault.Cause == apierror.AnswerBroken && connection.limited.N == connection.allowed {
 		fault.Local = courier.forgot(order.Backend.Instance, connection.rested)
 	}
 	return answer, fault
 }
 
 // line takes a kept connection or dials one and checks who answers there.
-func (courier *Courier) line(order gate.Order, cutoff time.Time) (*line, *seal.Fault) {
+func (courier *Courier) line(order admission.Order, cutoff time.Time) (*line, *apierror.Fault) {
 	if reuse := courier.dialect.ReuseOnce; !order.Fresh || reuse > 0 {
 		for kept := courier.take(order.Backend.Instance); kept != nil; kept = courier.take(order.Backend.Instance) {
 			kept.rested = time.Since(kept.since)
@@ -147,7 +147,7 @@
 	dialer := net.Dialer{Timeout: min(dialPatience, time.Until(cutoff)), KeepAlive: -1}
 	connection, err := dialer.Dial("tcp", order.Backend.Address)
 	if err != nil {
-		return nil, seal.New(seal.BackendDial, seal.NotRun, "%v", err)
+		return nil, apierror.New(apierror.BackendDial, apierror.NotRun, "%v", err)
 	}
 	connection = socket.Wrap(connection)
 	limited := &io.LimitedReader{R: connection, N: headRoom}
@@ -158,7 +158,7 @@
 	_ = connection.SetDeadline(minTime(cutoff, time.Now().Add(dialPatience)))
 	if err := fresh.identify(order); err != nil {
 		_ = connection.Close()
-		return nil, seal.New(seal.BackendIdentity, seal.NotRun, "%s: %v", order.Backend.Address, err)
+		return nil, apierror.New(apierror.BackendIdentity, apierror.NotRun, "%s: %v", order.Backend.Address, err)
 	}
 	return fresh, nil
 }
@@ -224,9 +224,9 @@
 	Instance string `json:"instance"`
 }
 
-func (line *line) identify(order gate.Order) error {
-	request := "GET " + IdentityPath + " HTTP/1.1\r\nHost: " + order.Backend.Address + "\r\n\r\n"
-	if _, err := io.WriteString(line.connection, request); err != nil {
+func (line *line) identify(order admission.Order) error {
+	req := "GET " + IdentityPath + " HTTP/1.1\r\nHost: " + order.Backend.Address + "\r\n\r\n"
+	if _, err := io.WriteString(line.connection, req); err != nil {
 		return err
 	}
 	line.limited.N = headRoom
@@ -251,7 +251,7 @@
 	return nil
 }
 
-func (courier *Courier) encode(line *line, order gate.Order) []byte {
+func (courier *Courier) encode(line *line, order admission.Order) []byte {
 	buffer := &line.buffer
 	buffer.Reset()
 	headers, host := courier.dialect.Head(order, order.Cutoff-courier.clock.Now()), order.Backend.Address
@@ -282,19 +282,19 @@
 }
 
 // read takes the answer off the connection. Whatever isn't whole, or says more than it announced, is no answer.
-func (line *line) read(order gate.Order, dialect Dialect) (answer *letter.Answer, reusable bool, fault *seal.Fault) {
-	broken := func(format string, arguments ...any) (*letter.Answer, bool, *seal.Fault) {
-		return nil, false, seal.New(seal.AnswerBroken, seal.MayHaveRun, "%s: %s", order.Backend.Instance, fmt.Sprintf(format, arguments...))
+func (line *line) read(order admission.Order, dialect Dialect) (answer *request.Answer, reusable bool, fault *apierror.Fault) {
+	broken := func(format string, arguments ...any) (*request.Answer, bool, *apierror.Fault) {
+		return nil, false, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "%s: %s", order.Backend.Instance, fmt.Sprintf(format, arguments...))
 	}
 	line.allowed = int64(order.AnswerLimit) + headRoom
 	line.limited.N = line.allowed
-	request := &http.Request{Method: order.Method}
+	req := &http.Request{Method: order.Method}
 	var response *http.Response
 	for interim := 0; ; interim++ {
 		var err error
-		if response, err = http.ReadResponse(line.reader, request); err != nil {
+		if response, err = http.ReadResponse(line.reader, req); err != nil {
 			if late(err) {
-				return nil, false, seal.New(seal.AnswerLate, seal.MayHaveRun, "%s gave no answer before the cutoff", order.Backend.Instance)
+				return nil, false, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "%s gave no answer before the cutoff", order.Backend.Instance)
 			}
 			return broken("%v", err)
 		}
@@ -310,17 +310,17 @@
 		return broken("the answer's end can't be told from a broken connection")
 	}
 	if response.ContentLength > int64(order.AnswerLimit) {
-		return nil, false, seal.New(seal.AnswerTooLarge, seal.MayHaveRun, "%s announced %d bytes, limit %d", order.Backend.Instance, response.ContentLength, order.AnswerLimit)
+		return nil, false, apierror.New(apierror.AnswerTooLarge, apierror.MayHaveRun, "%s announced %d bytes, limit %d", order.Backend.Instance, response.ContentLength, order.AnswerLimit)
 	}
 	body, err := Whole(io.LimitReader(response.Body, int64(order.AnswerLimit)+1), response.ContentLength)
 	if err != nil {
 		if late(err) {
-			return nil, false, seal.New(seal.AnswerLate, seal.MayHaveRun, "%s did not finish its answer before the cutoff", order.Backend.Instance)
+			return nil, false, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "%s did not finish its answer before the cutoff", order.Backend.Instance)
 		}
 		return broken("%v", err)
 	}
 	if uint64(len(body)) > order.AnswerLimit {
-		return nil, false, seal.New(seal.AnswerTooLarge, seal.MayHaveRun, "%s sent more than %d bytes", order.Backend.Instance, order.AnswerLimit)
+		return nil, false, apierror.New(apierror.AnswerTooLarge, apierror.MayHaveRun, "%s sent more than %d bytes", order.Backend.Instance, order.AnswerLimit)
 	}
 	line.since = time.Now()
 	surplus := line.reader.Buffered()
@@ -329,7 +329,7 @@
 	}
 	notRun, err := dialect.Judge(order, response)
 	if err != nil {
-		return nil, false, seal.New(seal.AnswerUnmatched, seal.MayHaveRun, "%s: %v", order.Backend.Instance, err)
+		return nil, false, apierror.New(apierror.AnswerUnmatched, apierror.MayHaveRun, "%s: %v", order.Backend.Instance, err)
 	}
 	if seconds, told := strings.CutPrefix(response.Header.Get("Keep-Alive"), "timeout="); told {
 		seconds, _, _ = strings.Cut(seconds, ",")
@@ -337,7 +337,7 @@
 			line.life = min(idleLife, time.Duration(count)*time.Second-idleMargin)
 		}
 	}
-	return &letter.Answer{Status: uint32(response.StatusCode), Headers: Kept(response.Header), Body: body, NotRun: notRun},
+	return &request.Answer{Status: uint32(response.StatusCode), Headers: Kept(response.Header), Body: body, NotRun: notRun},
 		!response.Close && !bodyless && surplus == 0, nil
 }
 
@@ -363,7 +363,7 @@
 // hopByHop are the headers that belong to one connection, or that this mesh writes itself.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Host": true, "Expect": true,
-	"Proxy-Connection": true, letter.CutoffHeader: true}
+	"Proxy-Connection": true, request.CutoffHeader: true}
 
 // Kept lists the headers that are passed on.
 func Kept(headers http.Header) (kept []*wire.Header) {
--- a/internal/carrier/delivery/delivery_test.go
+++ b/internal/proxy/upstream/delivery_test.go
@@ -1,14 +1,14 @@
-package delivery_test
+package upstream_test
 
 import (
 	"testing"
 
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/carrier/delivery/transcript"
+	"snowflow/internal/proxy/upstream"
+	"snowflow/internal/proxy/upstream/transcript"
 )
 
 func suite() *transcript.Suite {
-	return &transcript.Suite{Dialect: delivery.Own(), Other: "X-Snowflow-Request: other.1\r\n"}
+	return &transcript.Suite{Dialect: upstream.Own(), Other: "X-Snowflow-Request: other.1\r\n"}
 }
 
 // TestAnswers keeps transcripts of what means the same in every dialect.
--- a/internal/carrier/delivery/early_test.go
+++ b/internal/proxy/upstream/early_test.go
@@ -1,4 +1,4 @@
-package delivery_test
+package upstream_test
 
 import (
 	"bufio"
@@ -9,12 +9,12 @@
 	"net/http"
 	"testing"
 
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/hutch"
+	"snowflow/internal/apierror"
 	"snowflow/internal/host/machine"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/upstream"
 )
 
 // TestEarlyAnswer: a backend answers before it has read a long body, keeps the connection and reads on. What it reads is that body to its end, and
@@ -37,12 +37,12 @@
 				defer connection.Close()
 				reader := bufio.NewReader(connection)
 				for {
-					request, err := http.ReadRequest(reader)
+					req, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					fmt.Fprintf(connection, "HTTP/1.1 413 Too Large\r\nX-Snowflow-Request: %s\r\nContent-Length: 2\r\n\r\nno", request.Header.Get("X-Snowflow-Request"))
-					content, err := io.ReadAll(request.Body)
+					fmt.Fprintf(connection, "HTTP/1.1 413 Too Large\r\nX-Snowflow-Request: %s\r\nContent-Length: 2\r\n\r\nno", req.Header.Get("X-Snowflow-Request"))
+					content, err := io.ReadAll(req.Body)
 					if err == nil && !bytes.Equal(content, body) {
 						err = fmt.Errorf("%d other bytes", len(content))
 					}
@@ -51,13 +51,13 @@
 			}()
 		}
 	}()
-	dialect := delivery.Own()
+	dialect := upstream.Own()
 	dialect.Greets = false
 	clock := machine.New(nil, nil, nil)
-	courier := delivery.New(clock, dialect)
+	courier := upstream.New(clock, dialect)
 	for turn := range 3 {
-		order := gate.Order{ID: fmt.Sprintf("a-%d.1", turn), Backend: hutch.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "POST", Target: "/a", Body: body,
-			Cutoff: clock.Now() + postmark.Minute, AnswerLimit: 1 << 20, Still: func() *seal.Fault { return nil }}
+		order := admission.Order{ID: fmt.Sprintf("a-%d.1", turn), Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "POST", Target: "/a", Body: body,
+			Cutoff: clock.Now() + monotonic.Minute, AnswerLimit: 1 << 20, Still: func() *apierror.Fault { return nil }}
 		answer, fault := courier.Deliver(order)
 		if fault != nil || answer.Status != http.StatusRequestEntityTooLarge {
 			t.Fatalf("turn %d: %v %v", turn, answer, fault)
--- a/internal/carrier/delivery/rests_test.go
+++ b/internal/proxy/upstream/rests_test.go
@@ -1,4 +1,4 @@
-package delivery
+package upstream
 
 import (
 	"testing"
--- a/internal/carrier/delivery/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -14,17 +14,17 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"snowflow/internal/carrier/delivery"
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/hutch"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/upstream"
+	"snowflow/internal/transport/wire"
 )
 
 // Suite is a dialect under test.
 type Suite struct {
-	Dialect delivery.Dialect
+	Dialect upstream.Dialect
 	// Marks are the header lines that a backend of the dialect writes into every answer to the request, each with its end of
 	// line; they stand where a transcript says {marks}. In them {id} is the request's own id.
 	Marks string
@@ -64,7 +64,7 @@
 			return
 		}
 		body, _ := io.ReadAll(request.Body)
-		if request.URL.Path == delivery.IdentityPath {
+		if request.URL.Path == upstream.IdentityPath {
 			fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(script.identity), script.identity)
 			continue
 		}
@@ -133,16 +133,16 @@
 		if data.Cmd == "gone" {
 			_ = listener.Close()
 		}
-		clock := postmark.NewMachine()
-		courier := delivery.New(clock, dialect)
+		clock := monotonic.NewMachine()
+		courier := upstream.New(clock, dialect)
 		var text strings.Builder
 		for number := range times {
-			answer, fault := courier.Deliver(gate.Order{ID: fmt.Sprintf("ask.%d", number+1), Method: method, Target: "/forms/7?page=2", Body: []byte(body),
-				Headers: []*wire.Header{{Name: "Host", Value: "forms.example"}, {Name: "Accept", Value: "*/*"}}, Cutoff: clock.Now() + 300*postmark.Millisecond,
-				AnswerLimit: 64, Fresh: once, Backend: hutch.Backend{Service: "forms", Instance: "one", Address: listener.Addr().String()},
-				Still: func() *seal.Fault {
+			answer, fault := courier.Deliver(admission.Order{ID: fmt.Sprintf("ask.%d", number+1), Method: method, Target: "/forms/7?page=2", Body: []byte(body),
+				Headers: []*wire.Header{{Name: "Host", Value: "forms.example"}, {Name: "Accept", Value: "*/*"}}, Cutoff: clock.Now() + 300*monotonic.Millisecond,
+				AnswerLimit: 64, Fresh: once, Backend: localbackends.Backend{Service: "forms", Instance: "one", Address: listener.Addr().String()},
+				Still: func() *apierror.Fault {
 					if leaving {
-						return seal.New(seal.BackendLeaving, seal.NotRun, "leaving")
+						return apierror.New(apierror.BackendLeaving, apierror.NotRun, "leaving")
 					}
 					return nil
 				}})
--- a/internal/registry/batch.go
+++ b/internal/registry/batch.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
 	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
 )
 
 // batched tells whether a command may come in a batch: those that carriers make for requests, in numbers.
--- a/internal/registry/breakerstore/breakerstore.go
+++ b/internal/registry/breakerstore/breakerstore.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // The states of a record.
@@ -21,11 +21,11 @@
 
 const (
 	// reportLife is how long a local trip counts towards opening the shared record.
-	reportLife = 10 * postmark.Second
+	reportLife = 10 * monotonic.Second
 	// decisionLife is how long a complete round waits for its last prober's decision before the holder decides itself.
-	decisionLife = 2 * postmark.Second
+	decisionLife = 2 * monotonic.Second
 	// leftOver is how old a round must be before callers may take what others of their share left.
-	leftOver = postmark.Second
+	leftOver = monotonic.Second
 )
 
 // Table holds the records.
@@ -91,7 +91,7 @@
 	return false
 }
 
-func (table *Table) record(service string, terms *wire.GuardTerms, now postmark.Micros) *wire.GuardRecord {
+func (table *Table) record(service string, terms *wire.GuardTerms, now monotonic.Micros) *wire.GuardRecord {
 	record := table.records[service]
 	if record == nil {
 		record = &wire.GuardRecord{Service: service, State: Closed, Serial: 1, Entered: int64(now)}
@@ -104,14 +104,14 @@
 }
 
 // touch refreshes the record's life, as every write does.
-func touch(record *wire.GuardRecord, now postmark.Micros) {
+func touch(record *wire.GuardRecord, now monotonic.Micros) {
 	if record.Terms != nil {
 		record.Expires = int64(now) + record.Terms.StateTtl
 	}
 }
 
 // enter changes the state. Whose probes failed a round are its suspects until the next one is over.
-func enter(record *wire.GuardRecord, state string, now postmark.Micros) {
+func enter(record *wire.GuardRecord, state string, now monotonic.Micros) {
 	if record.State != Open {
 		record.Suspects = nil
 	}
@@ -145,12 +145,12 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-type verb func(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now postmark.Micros) bool
+type verb func(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool
 
 var verbs = map[string]verb{"trip": trip, "probe": tally, "return": giveBack, "decide": decide}
 
 // Write carries out a fenced write. A serial that doesn't match changes nothing; either way the present record comes back.
-func (table *Table) Write(ask *wire.GuardWriteAsk, now postmark.Micros) *wire.GuardWriteTell {
+func (table *Table) Write(ask *wire.GuardWriteAsk, now monotonic.Micros) *wire.GuardWriteTell {
 	table.touched++
 	record := table.record(ask.Service, ask.Terms, now)
 	tell := &wire.GuardWriteTell{}
@@ -174,13 +174,13 @@
 }
 
 // trip notes a carrier's report, and opens the record once enough of the active carriers report.
-func trip(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now postmark.Micros) bool {
+func trip(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool {
 	if record.State != Closed || record.Terms == nil {
 		return false
 	}
 	kept := []*wire.TripReport{}
 	for _, report := range record.Reports {
-		if report.Carrier != ask.Carrier && now-postmark.Micros(report.At) < reportLife {
+		if report.Carrier != ask.Carrier && now-monotonic.Micros(report.At) < reportLife {
 			kept = append(kept, report)
 		}
 	}
@@ -202,7 +202,7 @@
 }
 
 // tally counts a leased probe's outcome, once.
-func tally(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now postmark.Micros) bool {
+func tally(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool {
 	if !takeBack(record, ask) {
 		return false
 	}
@@ -214,7 +214,7 @@
 }
 
 // giveBack returns a leased probe that told nothing of the service.
-func giveBack(record *wire.GuardRecord, ask *wire.GuardWriteAsk, _ postmark.Micros) bool {
+func giveBack(record *wire.GuardRecord, ask *wire.GuardWriteAsk, _ monotonic.Micros) bool {
 	if !takeBack(record, ask) {
 		return false
 	}
@@ -254,7 +254,7 @@
 	return fresh
 }
 
-func decide(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now postmark.Micros) bool {
+func decide(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool {
 	if record.State != HalfOpen || record.RoundComplete == 0 || (ask.Decision != Closed && ask.Decision != Open) {
 		return false
 	}
@@ -281,7 +281,7 @@
 }
 
 // Lease takes one probe out of the budget. Asking again with the same id gives the same probe, not another.
-func (table *Table) Lease(ask *wire.ProbeLeaseAsk, now postmark.Micros) *wire.ProbeLeaseTell {
+func (table *Table) Lease(ask *wire.ProbeLeaseAsk, now monotonic.Micros) *wire.ProbeLeaseTell {
 	table.touched++
 	record := table.records[ask.Service]
 	tell := &wire.ProbeLeaseTell{}
@@ -305,7 +305,7 @@
 
 // Denied answers an ask for a probe that the present record can't grant, so that nothing has to be written for it. It gives
 // nothing where one might be granted.
-func (table *Table) Denied(ask *wire.ProbeLeaseAsk, now postmark.Micros) *wire.ProbeLeaseTell {
+func (table *Table) Denied(ask *wire.ProbeLeaseAsk, now monotonic.Micros) *wire.ProbeLeaseTell {
 	record := table.records[ask.Service]
 	if record == nil {
 		return &wire.ProbeLeaseTell{}
@@ -319,7 +319,7 @@
 // mayLease tells whether a carrier may have a probe. While others want entry too, it has a share of the round. What is left
 // of others' shares goes, after a while, to those whose own probes told something; and if nobody ends the round, to all. Those
 // whose probes failed the round before let the others go first: what is true of the service the others will see too.
-func mayLease(record *wire.GuardRecord, ask *wire.ProbeLeaseAsk, now postmark.Micros) bool {
+func mayLease(record *wire.GuardRecord, ask *wire.ProbeLeaseAsk, now monotonic.Micros) bool {
 	if record.State != HalfOpen || record.Budget == 0 {
 		return false
 	}
@@ -349,7 +349,7 @@
 
 // Sweep lets time do its part: waits end, probes whose tenure ran out or whose holder is gone go back, complete rounds
 // that nobody decided are decided, and untouched records expire.
-func (table *Table) Sweep(ended []*wire.Holder, now postmark.Micros) {
+func (table *Table) Sweep(ended []*wire.Holder, now monotonic.Micros) {
 	table.touched++
 	gone := map[string]uint64{}
 	for _, holder := range ended {
@@ -368,28 +368,28 @@
 	}
 }
 
-type sweepTable map[string]func(record *wire.GuardRecord, gone map[string]uint64, now postmark.Micros)
+type sweepTable map[string]func(record *wire.GuardRecord, gone map[string]uint64, now monotonic.Micros)
 
 // brokenSweeps are what rehearsals of the checkers put in place of sweeps.
 var brokenSweeps = map[string]sweepTable{
-	Hasty: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.GuardRecord, _ map[string]uint64, now postmark.Micros) {
+	Hasty: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.GuardRecord, _ map[string]uint64, now monotonic.Micros) {
 		if int64(now)-record.Entered >= record.Terms.WaitOpen {
 			enter(record, Closed, now)
 		}
 	}},
-	Impatient: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.GuardRecord, gone map[string]uint64, now postmark.Micros) {
-		sweepOpen(record, gone, now+postmark.Micros(record.Terms.WaitOpen*3/4))
+	Impatient: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.GuardRecord, gone map[string]uint64, now monotonic.Micros) {
+		sweepOpen(record, gone, now+monotonic.Micros(record.Terms.WaitOpen*3/4))
 	}},
 	Clinging: {Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepClosed},
 }
 
-func sweep(record *wire.GuardRecord, sweeps sweepTable, gone map[string]uint64, now postmark.Micros) {
+func sweep(record *wire.GuardRecord, sweeps sweepTable, gone map[string]uint64, now monotonic.Micros) {
 	if record.Terms == nil {
 		return
 	}
 	reports := []*wire.TripReport{}
 	for _, report := range record.Reports {
-		if now-postmark.Micros(report.At) < reportLife {
+		if now-monotonic.Micros(report.At) < reportLife {
 			reports = append(reports, report)
 		}
 	}
@@ -403,16 +403,16 @@
 
 var sweeps = sweepTable{Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepHalfOpen}
 
-func sweepClosed(*wire.GuardRecord, map[string]uint64, postmark.Micros) {}
+func sweepClosed(*wire.GuardRecord, map[string]uint64, monotonic.Micros) {}
 
-func sweepOpen(record *wire.GuardRecord, _ map[string]uint64, now postmark.Micros) {
+func sweepOpen(record *wire.GuardRecord, _ map[string]uint64, now monotonic.Micros) {
 	if int64(now)-record.Entered >= record.Terms.WaitOpen {
 		enter(record, HalfOpen, now)
 		touch(record, now)
 	}
 }
 
-func sweepHalfOpen(record *wire.GuardRecord, gone map[string]uint64, now postmark.Micros) {
+func sweepHalfOpen(record *wire.GuardRecord, gone map[string]uint64, now monotonic.Micros) {
 	held := []*wire.ProbeTenure{}
 	for _, probe := range record.Probes {
 		if incarnation, ended := gone[probe.Carrier]; int64(now) >= probe.Until || (ended && incarnation == probe.Incarnation) {
--- a/internal/registry/breakerstore/shown.go
+++ b/internal/registry/breakerstore/shown.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // Shown numbers the records as they are shown to carriers, so that each is told only what changed since it last asked. Nothing of it is
--- a/internal/registry/breakerstore/shown_test.go
+++ b/internal/registry/breakerstore/shown_test.go
@@ -8,9 +8,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/breakerstore"
+	"snowflow/internal/transport/wire"
 )
 
 // asker is a carrier as far as guards' records go.
@@ -50,9 +50,9 @@
 		tables := []*breakerstore.Table{breakerstore.New(), breakerstore.New()}
 		shown := []*breakerstore.Shown{breakerstore.NewShown(1), breakerstore.NewShown(2)}
 		askers := []*asker{{}, {}, {}}
-		leader, now, saved, quiet := 0, postmark.Micros(0), 0, 0
+		leader, now, saved, quiet := 0, monotonic.Micros(0), 0, 0
 		for step := range 600 {
-			now += postmark.Micros(random.IntN(8))
+			now += monotonic.Micros(random.IntN(8))
 			table := tables[leader]
 			service, carrier := fmt.Sprintf("service-%d", random.IntN(12)), fmt.Sprintf("carrier-%d", random.IntN(3))
 			switch random.IntN(8) {
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -10,22 +10,22 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/resource"
+	"snowflow/internal/transport/wire"
 )
 
 // SessionLife is how long a carrier stays a member without being heard.
-const SessionLife = 3 * postmark.Second
+const SessionLife = 3 * monotonic.Second
 
 // keepEnded is how long an ended session is remembered, so that old hearsay doesn't bring it back.
-const keepEnded = 30 * postmark.Second
+const keepEnded = 30 * monotonic.Second
 
 // Directory is one sorter's table of sessions.
 // Invariants: of two tellings of one incarnation the one with the higher beat stands; of two incarnations the one
 // heard last; shown has what carriers see of each session that stands, and its last change made the newest version.
 type Directory struct {
-	clock    postmark.Clock
+	clock    monotonic.Clock
 	source   uint64
 	lock     sync.Mutex
 	sessions map[string]*entry
@@ -34,7 +34,7 @@
 	shown    *resource.Set
 	versions []version // the newest last; there is always one
 	forgot   uint64    // the versions before them
-	born     postmark.Micros
+	born     monotonic.Micros
 }
 
 // version is one change of what carriers are shown. Its serial is one more than the one's before it.
@@ -47,16 +47,16 @@
 const keptVersions = 4096
 
 // lately holds, by service, when a carrier last did something.
-type lately map[string]map[string]postmark.Micros
+type lately map[string]map[string]monotonic.Micros
 
-func (lately lately) note(service, carrier string, now postmark.Micros) {
+func (lately lately) note(service, carrier string, now monotonic.Micros) {
 	if lately[service] == nil {
-		lately[service] = map[string]postmark.Micros{}
+		lately[service] = map[string]monotonic.Micros{}
 	}
 	lately[service][carrier] = now
 }
 
-func (lately lately) list(service string, now postmark.Micros) (carriers []string) {
+func (lately lately) list(service string, now monotonic.Micros) (carriers []string) {
 	for carrier, called := range lately[service] {
 		if now-called >= activeLife {
 			delete(lately[service], carrier)
@@ -70,13 +70,13 @@
 
 type entry struct {
 	session *wire.Session
-	heard   postmark.Micros
+	heard   monotonic.Micros
 	direct  bool
 	ended   bool
 }
 
 // New makes a directory; source tells its serials from those of another life.
-func New(clock postmark.Clock, source uint64) *Directory {
+func New(clock monotonic.Clock, source uint64) *Directory {
 	return &Directory{clock: clock, source: source, born: clock.Now(), sessions: map[string]*entry{}, activity: lately{}, demand: lately{},
 		shown: resource.Empty, versions: []version{{check: resource.Empty.Sum().Check()}}}
 }
@@ -85,7 +85,7 @@
 func (directory *Directory) Tell(session *wire.Session, direct bool) bool {
 	directory.lock.Lock()
 	defer directory.lock.Unlock()
-	heard := directory.clock.Now() - postmark.Micros(session.Age)
+	heard := directory.clock.Now() - monotonic.Micros(session.Age)
 	present := directory.sessions[session.Carrier]
 	if present != nil {
 		same := present.session.Incarnation == session.Incarnation
@@ -157,7 +157,7 @@
 }
 
 // Forgive takes a span that didn't pass, or in which nobody could be heard, off every session's silence.
-func (directory *Directory) Forgive(span postmark.Micros) {
+func (directory *Directory) Forgive(span monotonic.Micros) {
 	directory.lock.Lock()
 	defer directory.lock.Unlock()
 	now := directory.clock.Now()
@@ -285,7 +285,7 @@
 }
 
 // Age is how long this directory has been told of sessions; it's above zero.
-func (directory *Directory) Age() postmark.Micros {
+func (directory *Directory) Age() monotonic.Micros {
 	return max(1, directory.clock.Now()-directory.born)
 }
 
@@ -302,7 +302,7 @@
 }
 
 // activeLife is how long a call keeps its carrier counted as active on a service.
-const activeLife = 10 * postmark.Second
+const activeLife = 10 * monotonic.Second
 
 // Called notes that a carrier called services, or wanted to.
 func (directory *Directory) Called(carrier string, services []*wire.Activity) {
--- a/internal/registry/directory/directory_test.go
+++ b/internal/registry/directory/directory_test.go
@@ -3,23 +3,23 @@
 import (
 	"testing"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/directory"
+	"snowflow/internal/transport/wire"
 )
 
-type clock struct{ now postmark.Micros }
+type clock struct{ now monotonic.Micros }
 
-func (clock *clock) Now() postmark.Micros { return clock.now }
+func (clock *clock) Now() monotonic.Micros { return clock.now }
 
 // TestShownSlots: carriers hear of a backend's slots and whether it's warming up, but not of every beat of its warm-up.
 func TestShownSlots(t *testing.T) {
-	time := &clock{now: postmark.Minute}
+	time := &clock{now: monotonic.Minute}
 	sessions := directory.New(time, 1)
 	serial, beat := uint64(0), uint64(0)
 	tell := func(slots uint32, warm int64, inFlight uint32) (backend *wire.Backend, changed bool) {
 		beat++
-		time.now += postmark.Second
+		time.now += monotonic.Second
 		sessions.Tell(&wire.Session{Carrier: "one", Incarnation: 1, Beat: beat, Backends: []*wire.Backend{{Service: "forms", Instance: "first", Condition: "alive", Slots: slots, Warm: warm, InFlight: inFlight}}}, true)
 		view := sessions.View(directory.Base{})
 		changed, serial = view.Serial != serial, view.Serial
--- a/internal/registry/claims/claims.go
+++ b/internal/registry/idempotency/claims.go
@@ -1,19 +1,19 @@
-// Package claims keeps the claims of run-once requests: which try holds a key, which tries are void, and from
+// Package idempotency keeps the claims of run-once requests: which try holds a key, which tries are void, and from
 // which moment on a key was refused. It's a pure state machine on holder time.
-package claims
+package idempotency
 
 import (
 	"bytes"
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Life is how long a claim, a void or a fence lasts after it was last written unless the table has another: twice the minute
 // that is promised.
-const Life = 120 * postmark.Second
+const Life = 120 * monotonic.Second
 
 // The outcomes of an ask.
 const (
@@ -38,7 +38,7 @@
 //   - a held record leaves only by its holder's word that nothing ran, or by the end of its life.
 type Table struct {
 	// Life is how long records last. It's set before the first command, the same at every copy.
-	Life postmark.Micros
+	Life monotonic.Micros
 	kept kept
 }
 
@@ -80,7 +80,7 @@
 }
 
 // record is the scope's, or a new one, its life begun anew.
-func (table *Table) record(scope string, now postmark.Micros) *wire.ClaimRecord {
+func (table *Table) record(scope string, now monotonic.Micros) *wire.ClaimRecord {
 	record := table.find(scope)
 	if record == nil {
 		record = &wire.ClaimRecord{Scope: scope, State: free}
@@ -121,7 +121,7 @@
 }
 
 // Claim asks for the right to run.
-func (table *Table) Claim(ask *wire.ClaimAsk, now postmark.Micros) *wire.ClaimTell {
+func (table *Table) Claim(ask *wire.ClaimAsk, now monotonic.Micros) *wire.ClaimTell {
 	present := table.find(ask.Scope)
 	if present != nil {
 		switch {
@@ -147,7 +147,7 @@
 
 // Void makes sure that a try never runs, or tells that the key is claimed. With a fence, no request read before now
 // will run under the key either.
-func (table *Table) Void(ask *wire.VoidAsk, epoch uint64, now postmark.Micros) *wire.VoidTell {
+func (table *Table) Void(ask *wire.VoidAsk, epoch uint64, now monotonic.Micros) *wire.VoidTell {
 	if present := table.find(ask.Scope); present != nil && present.State == held {
 		if ask.Try != "" && present.Try != ask.Try && !voided(present, ask.Try) {
 			present.Voided = append(present.Voided, ask.Try)
@@ -168,7 +168,7 @@
 }
 
 // Settle frees a key whose holder is certain that nothing ran. The try stays void.
-func (table *Table) Settle(ask *wire.SettleAsk, now postmark.Micros) *wire.SettleTell {
+func (table *Table) Settle(ask *wire.SettleAsk, now monotonic.Micros) *wire.SettleTell {
 	present := table.find(ask.Scope)
 	if present == nil || present.State != held || present.Try != ask.Try || ask.Ran {
 		return &wire.SettleTell{}
@@ -182,7 +182,7 @@
 }
 
 // Sweep forgets what has outlived its promise.
-func (table *Table) Sweep(now postmark.Micros) {
+func (table *Table) Sweep(now monotonic.Micros) {
 	for first := table.kept.first; first != nil && now >= first.expires; first = table.kept.first {
 		table.kept.drop(first)
 	}
--- a/internal/registry/claims/claims_test.go
+++ b/internal/registry/idempotency/claims_test.go
@@ -1,4 +1,4 @@
-package claims_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -9,37 +9,37 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/registry/claims"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/registry/idempotency"
+	"snowflow/internal/transport/wire"
 )
 
 // TestSetLife: a claim is held for as long as its table's life, a restored one too.
 func TestSetLife(t *testing.T) {
-	for _, life := range []postmark.Micros{claims.Life, 270 * postmark.Second} {
-		table := claims.New()
+	for _, life := range []monotonic.Micros{idempotency.Life, 270 * monotonic.Second} {
+		table := idempotency.New()
 		table.Life = life
-		ask := func(try string, now postmark.Micros) string {
+		ask := func(try string, now monotonic.Micros) string {
 			return table.Claim(&wire.ClaimAsk{Scope: "one", Try: try, Carrier: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome
 		}
-		start := postmark.Minute
-		if told := ask("first", start); told != claims.Granted {
+		start := monotonic.Minute
+		if told := ask("first", start); told != idempotency.Granted {
 			t.Fatal(told)
 		}
 		restored(t, table)
 		table.Sweep(start + life - 1)
-		if told := ask("second", start+life-1); told != claims.Held {
+		if told := ask("second", start+life-1); told != idempotency.Held {
 			t.Errorf("life %d: %s before its end", life, told)
 		}
 		table.Sweep(start + life)
-		if told := ask("third", start+life); told != claims.Granted {
+		if told := ask("third", start+life); told != idempotency.Granted {
 			t.Errorf("life %d: %s after its end", life, told)
 		}
 	}
 }
 
 // restored takes a table through a view and back.
-func restored(t *testing.T, table *claims.Table) {
+func restored(t *testing.T, table *idempotency.Table) {
 	t.Helper()
 	if err := table.Restore(contents(t, table.AppendView(nil, 2))); err != nil {
 		t.Fatal(err)
@@ -62,11 +62,11 @@
 
 // model is the table as plain as can be: records by scope, and a sweep that looks at each.
 type model struct {
-	life    postmark.Micros
+	life    monotonic.Micros
 	records map[string]*wire.ClaimRecord
 }
 
-func (model *model) record(scope string, now postmark.Micros) *wire.ClaimRecord {
+func (model *model) record(scope string, now monotonic.Micros) *wire.ClaimRecord {
 	if model.records[scope] == nil {
 		model.records[scope] = &wire.ClaimRecord{Scope: scope, State: "free"}
 	}
@@ -79,23 +79,23 @@
 func TestKeptAgainstModel(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		table, plain := claims.New(), &model{life: 50, records: map[string]*wire.ClaimRecord{}}
+		table, plain := idempotency.New(), &model{life: 50, records: map[string]*wire.ClaimRecord{}}
 		table.Life = plain.life
-		now := postmark.Micros(0)
+		now := monotonic.Micros(0)
 		for step := range 400 {
-			now += postmark.Micros(random.IntN(4))
+			now += monotonic.Micros(random.IntN(4))
 			scope, try := fmt.Sprintf("key-%d", random.IntN(30)), fmt.Sprintf("try-%d", random.IntN(4))
 			present := plain.records[scope]
 			held := present != nil && present.State == "held"
 			void := present != nil && slices.Contains(present.Voided, try)
 			switch random.IntN(5) {
 			case 0, 1:
-				outcome := claims.Granted
+				outcome := idempotency.Granted
 				switch {
 				case void:
-					outcome = claims.Voided
+					outcome = idempotency.Voided
 				case held && present.Try != try:
-					outcome = claims.Held
+					outcome = idempotency.Held
 				case !held:
 					record := plain.record(scope, now)
 					record.State, record.Try, record.Carrier, record.Incarnation, record.Digest = "held", try, "c", 1, []byte("d")
@@ -104,9 +104,9 @@
 					t.Fatalf("seed %d, step %d: claim %s, not %s", seed, step, told, outcome)
 				}
 			case 2:
-				outcome := claims.Voided
+				outcome := idempotency.Voided
 				if held {
-					outcome = claims.Claimed
+					outcome = idempotency.Claimed
 					if present.Try != try && !void {
 						present.Voided = append(present.Voided, try)
 					}
@@ -173,7 +173,7 @@
 	good := encoded(&wire.ClaimRecord{Scope: "one", State: "held", Try: "t", Fence: &wire.HolderMoment{Epoch: 1, Time: 2}, Expires: 9})
 	fence := protowire.AppendBytes(protowire.AppendTag(nil, 9, protowire.BytesType), []byte{0xff})
 	text := protowire.AppendBytes(protowire.AppendTag(nil, 4, protowire.BytesType), []byte{0xff})
-	table := claims.New()
+	table := idempotency.New()
 	if err := table.Restore([][]byte{good}); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if told := table.Claim(&wire.ClaimAsk{Scope: "one", Try: "other"}, 1).Outcome; table.Length() != 1 || told != claims.Held {
+	if told := table.Claim(&wire.ClaimAsk{Scope: "one", Try: "other"}, 1).Outcome; table.Length() != 1 || told != idempotency.Held {
 		t.Errorf("%d claims, and a second try is %s", table.Length(), told)
 	}
 }
--- a/internal/registry/claims/kept.go
+++ b/internal/registry/idempotency/kept.go
@@ -1,4 +1,4 @@
-package claims
+package idempotency
 
 import (
 	"cmp"
@@ -10,15 +10,15 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // record is one claim as it is kept: encoded. Most are written once and never looked at again, while a view needs all of them at once.
 type record struct {
 	scope         string
 	content       []byte // an encoded wire.ClaimRecord; never changed, only replaced
-	expires       postmark.Micros
+	expires       monotonic.Micros
 	before, after *record
 }
 
@@ -103,7 +103,7 @@
 		}
 		if kind == protowire.VarintType && number == expiresField {
 			expires, _ := protowire.ConsumeVarint(value)
-			record.expires = postmark.Micros(expires)
+			record.expires = monotonic.Micros(expires)
 		}
 		rest = value[size:]
 	}
@@ -117,7 +117,7 @@
 		panic(err) // it was decoded or built here
 	}
 	present := kept.byScope[message.Scope]
-	if present != nil && present.expires == postmark.Micros(message.Expires) {
+	if present != nil && present.expires == monotonic.Micros(message.Expires) {
 		kept.size += len(content) - len(present.content)
 		present.content = content
 		return
@@ -125,7 +125,7 @@
 	if present != nil {
 		kept.drop(present)
 	}
-	kept.add(&record{scope: message.Scope, content: content, expires: postmark.Micros(message.Expires)})
+	kept.add(&record{scope: message.Scope, content: content, expires: monotonic.Micros(message.Expires)})
 }
 
 // add puts a record behind all that end no later. Holder time only rises, so that is nearly always the end of the list.
--- a/internal/registry/duty/duty.go
+++ b/internal/registry/leases/duty.go
@@ -1,17 +1,17 @@
-// Package duty keeps the tenures of duties that one node does at a time.
-package duty
+// Package leases keeps the tenures of duties that one node does at a time.
+package leases
 
 import (
 	"sort"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // A duty's tenure is no shorter and no longer, so that it outlasts a failover and a lost node can't hold it for ever.
 const (
-	shortest = 3 * postmark.Second
-	longest  = 30 * postmark.Second
+	shortest = 3 * monotonic.Second
+	longest  = 30 * monotonic.Second
 )
 
 // Table holds the duties. Invariant: a duty has one holder until its tenure ends on holder time or the holder gives it up.
@@ -39,7 +39,7 @@
 }
 
 // Ask grants, renews or gives up a duty.
-func (table *Table) Ask(ask *wire.DutyAsk, now postmark.Micros) *wire.DutyTell {
+func (table *Table) Ask(ask *wire.DutyAsk, now monotonic.Micros) *wire.DutyTell {
 	present := table.records[ask.Duty]
 	if present != nil && int64(now) < present.Until && present.Instance != ask.Instance {
 		return &wire.DutyTell{Holder: present.Carrier, Instance: present.Instance}
@@ -48,7 +48,7 @@
 		delete(table.records, ask.Duty)
 		return &wire.DutyTell{}
 	}
-	length := min(max(postmark.Micros(ask.Length), shortest), longest)
+	length := min(max(monotonic.Micros(ask.Length), shortest), longest)
 	until := int64(now + length)
 	if present != nil && present.Instance == ask.Instance {
 		until = max(until, present.Until) // an older ask that comes late takes nothing back
@@ -58,7 +58,7 @@
 }
 
 // Sweep forgets duties whose tenure ended.
-func (table *Table) Sweep(now postmark.Micros) {
+func (table *Table) Sweep(now monotonic.Micros) {
 	for name, record := range table.records {
 		if int64(now) >= record.Until {
 			delete(table.records, name)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -6,16 +6,16 @@
 
 	"go.uber.org/atomic"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/apierror"
 	"snowflow/internal/discovery"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/breakerstore"
 	"snowflow/internal/registry/directory"
 	"snowflow/internal/registry/statemachine"
 	"snowflow/internal/replication"
-	"snowflow/internal/seal"
+	"snowflow/internal/transport/wire"
 )
 
 // Group is the sorters' name as a group.
@@ -30,7 +30,7 @@
 	// Genesis tells that this process may take part in a first start.
 	Genesis bool
 	// ClaimLife is how long run-once claims are kept, claims.Life if left out. It's the same at every sorter.
-	ClaimLife postmark.Micros
+	ClaimLife monotonic.Micros
 	// Adjust lets tests and the simulator change the core's figures.
 	Adjust func(*replication.Env)
 	// Prepare lets rehearsals of the checkers change the replicated state's manner.
@@ -58,7 +58,7 @@
 		env.Prepare(sorter.machine)
 	}
 	core := replication.Env{Place: env.Place, Book: env.Book, Group: Group, Name: env.Name, Voters: env.Voters, Genesis: env.Genesis, Machine: sorter.machine,
-		Settled: func(uint64, postmark.Micros) { sorter.led.Store(int64(env.Place.Now())) }}
+		Settled: func(uint64, monotonic.Micros) { sorter.led.Store(int64(env.Place.Now())) }}
 	if env.Adjust != nil {
 		env.Adjust(&core)
 	}
@@ -128,20 +128,20 @@
 // granted tells a carrier that asks again what it was granted before. Where disks are slow, an ask may outlast its
 // asker's patience; the next one must not wait for a sync of its own.
 func (sorter *Sorter) granted(ask *wire.ClaimAsk) (tell *wire.ClaimTell) {
-	if !sorter.Member.Read(func(uint64, postmark.Micros) { tell = sorter.machine.Claims.Granted(ask) }) {
+	if !sorter.Member.Read(func(uint64, monotonic.Micros) { tell = sorter.machine.Claims.Granted(ask) }) {
 		return nil
 	}
 	return tell
 }
 
 // heardAll is how long after its start as primary a sorter has heard from every carrier: a poll and a half.
-const heardAll = 1500 * postmark.Millisecond
+const heardAll = 1500 * monotonic.Millisecond
 
 // wanting lists the carriers among which a round of probes is shared. A primary that has only just begun counts every
 // member, since it hasn't heard yet who calls what.
 func (sorter *Sorter) wanting(service string) []string {
 	carriers := sorter.directory.Demand(service)
-	if sorter.env.Place.Now()-postmark.Micros(sorter.led.Load()) < heardAll {
+	if sorter.env.Place.Now()-monotonic.Micros(sorter.led.Load()) < heardAll {
 		carriers = append(carriers, sorter.directory.Members()...)
 	}
 	return carriers
@@ -149,7 +149,7 @@
 
 // denied turns an ask for a probe down without a write, if the record as it stands can't grant one.
 func (sorter *Sorter) denied(ask *wire.ProbeLeaseAsk) (tell *wire.ProbeLeaseTell) {
-	if !sorter.Member.Read(func(_ uint64, now postmark.Micros) { tell = sorter.machine.Guards.Denied(ask, now) }) {
+	if !sorter.Member.Read(func(_ uint64, now monotonic.Micros) { tell = sorter.machine.Guards.Denied(ask, now) }) {
 		return nil
 	}
 	return tell
@@ -183,11 +183,11 @@
 // poll takes a carrier's session and gives what it may have missed.
 func (sorter *Sorter) poll(ask *wire.SorterPollAsk) (*wire.SorterPollTell, error) {
 	if ask.Session == nil || ask.Session.Carrier == "" {
-		return nil, seal.Invalid.New("a poll without a session")
+		return nil, apierror.Invalid.New("a poll without a session")
 	}
 	ask.Session.Age = 0
 	if sorter.directory.Tell(ask.Session, true) {
-		sorter.env.Place.Report(bulletin.SessionOpened, map[string]any{"carrier": ask.Session.Carrier, "incarnation": ask.Session.Incarnation})
+		sorter.env.Place.Report(eventlog.SessionOpened, map[string]any{"carrier": ask.Session.Carrier, "incarnation": ask.Session.Incarnation})
 	}
 	sorter.directory.Called(ask.Session.Carrier, ask.Activity)
 	tell := &wire.SorterPollTell{Carriers: uint32(sorter.directory.Live()), Primaries: sorter.env.Book.Primaries()}
@@ -198,7 +198,7 @@
 		tell.DirectoryBaseSource, tell.DirectoryBaseSerial = ask.DirectorySource, ask.DirectorySerial
 	}
 	tell.DirectoryAge = int64(sorter.directory.Age())
-	tell.Primary = sorter.Member.Read(func(epoch uint64, now postmark.Micros) {
+	tell.Primary = sorter.Member.Read(func(epoch uint64, now monotonic.Micros) {
 		tell.Epoch, tell.HolderTime = epoch, int64(now)
 		sorter.shown.Look(sorter.machine.Guards)
 	})
@@ -222,7 +222,7 @@
 // gossip tells the other sorters the sessions that were opened here.
 func (sorter *Sorter) gossip() {
 	for {
-		sorter.env.Place.Sleep(500 * postmark.Millisecond)
+		sorter.env.Place.Sleep(500 * monotonic.Millisecond)
 		for _, name := range sorter.Member.Voters() {
 			if name == sorter.env.Name {
 				continue
@@ -230,7 +230,7 @@
 			sorter.env.Place.Go(func() {
 				tell := &wire.SessionsTell{}
 				ask := &wire.SessionsAsk{From: sorter.env.Name, Sessions: sorter.directory.Heard()}
-				if sorter.env.Book.Call(name, wire.Kind_sessions_tell, ask, tell, 500*postmark.Millisecond) != nil {
+				if sorter.env.Book.Call(name, wire.Kind_sessions_tell, ask, tell, 500*monotonic.Millisecond) != nil {
 					return
 				}
 				for _, session := range tell.Sessions {
@@ -244,13 +244,13 @@
 // expire ends silent sessions; the primary gives their probes back.
 func (sorter *Sorter) expire() {
 	for {
-		sorter.env.Place.Sleep(250 * postmark.Millisecond)
+		sorter.env.Place.Sleep(250 * monotonic.Millisecond)
 		if !sorter.Member.Vigil.Steady() {
 			continue // nobody is silent only because this clock leapt
 		}
 		ended := sorter.directory.Expire()
 		for _, holder := range ended {
-			sorter.env.Place.Report(bulletin.SessionEnded, map[string]any{"carrier": holder.Name, "incarnation": holder.Incarnation})
+			sorter.env.Place.Report(eventlog.SessionEnded, map[string]any{"carrier": holder.Name, "incarnation": holder.Incarnation})
 		}
 		if len(ended) > 0 && sorter.Member.Answering() {
 			sorter.env.Place.Go(func() {
@@ -263,7 +263,7 @@
 
 // Guards gives the shared records while this sorter answers, or nothing.
 func (sorter *Sorter) Guards() (records []*wire.GuardRecord) {
-	if !sorter.Member.Read(func(uint64, postmark.Micros) { records = sorter.machine.Guards.Records() }) {
+	if !sorter.Member.Read(func(uint64, monotonic.Micros) { records = sorter.machine.Guards.Records() }) {
 		return nil
 	}
 	return records
@@ -282,7 +282,7 @@
 // Status tells how this sorter stands.
 func (sorter *Sorter) Status() Status {
 	status := Status{Core: sorter.Member.Status(), Carriers: sorter.directory.Sessions()}
-	sorter.Member.Read(func(_ uint64, now postmark.Micros) {
+	sorter.Member.Read(func(_ uint64, now monotonic.Micros) {
 		status.Guards, status.Claims, status.Duties = sorter.machine.Guards.Records(), sorter.machine.Claims.Length(), sorter.machine.Duties.Records()
 		status.Now = int64(now)
 	})
--- a/internal/registry/statemachine/bench_test.go
+++ b/internal/registry/statemachine/bench_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // full is a machine with as many claims as half a minute of a busy day leaves.
@@ -16,7 +16,7 @@
 	made := New()
 	for index := range count {
 		content, _ := proto.Marshal(&wire.SorterCommand{Claim: claimOf(index)})
-		made.Apply(3, postmark.Micros(index)*1500, content)
+		made.Apply(3, monotonic.Micros(index)*1500, content)
 	}
 	return made
 }
@@ -69,6 +69,6 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for index, content := range contents {
-		made.Apply(3, postmark.Micros(index), content)
+		made.Apply(3, monotonic.Micros(index), content)
 	}
 }
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -5,31 +5,31 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/breakerstore"
-	"snowflow/internal/registry/claims"
-	"snowflow/internal/registry/duty"
+	"snowflow/internal/registry/idempotency"
+	"snowflow/internal/registry/leases"
+	"snowflow/internal/transport/wire"
 )
 
 // sweepEvery is how far holder time moves between two sweeps. Sweeps happen inside Apply, so both copies make the same.
-const sweepEvery = 250 * postmark.Millisecond
+const sweepEvery = 250 * monotonic.Millisecond
 
 // Machine is the machine. Invariant: it changes only in Apply and Restore, and only by what they are given.
 type Machine struct {
 	Guards *breakerstore.Table
-	Claims *claims.Table
-	Duties *duty.Table
-	swept  postmark.Micros
+	Claims *idempotency.Table
+	Duties *leases.Table
+	swept  monotonic.Micros
 }
 
 // New makes an empty machine.
 func New() *Machine {
-	return &Machine{Guards: breakerstore.New(), Claims: claims.New(), Duties: duty.New()}
+	return &Machine{Guards: breakerstore.New(), Claims: idempotency.New(), Duties: leases.New()}
 }
 
 // Apply carries out a command. An empty command is a tick.
-func (machine *Machine) Apply(epoch uint64, now postmark.Micros, content []byte) []byte {
+func (machine *Machine) Apply(epoch uint64, now monotonic.Micros, content []byte) []byte {
 	command := &wire.SorterCommand{}
 	if err := proto.Unmarshal(content, command); err != nil {
 		return nil
@@ -52,33 +52,33 @@
 }
 
 // steps carry out the part of a command that is present.
-var steps = []func(machine *Machine, epoch uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult){
-	func(machine *Machine, _ uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+var steps = []func(machine *Machine, epoch uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult){
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
 		if command.Claim != nil {
 			result.Claim = machine.Claims.Claim(command.Claim, now)
 		}
 	},
-	func(machine *Machine, epoch uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+	func(machine *Machine, epoch uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
 		if command.Void != nil {
 			result.Void = machine.Claims.Void(command.Void, epoch, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
 		if command.Settle != nil {
 			result.Settle = machine.Claims.Settle(command.Settle, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
 		if command.Lease != nil {
 			result.Lease = machine.Guards.Lease(command.Lease, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
 		if command.Guard != nil {
 			result.Guard = machine.Guards.Write(command.Guard, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now postmark.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
 		if command.Duty != nil {
 			result.Duty = machine.Duties.Ask(command.Duty, now)
 		}
@@ -115,7 +115,7 @@
 	}
 	machine.Guards.Restore(view.Guards)
 	machine.Duties.Restore(view.Duties)
-	machine.swept = postmark.Micros(view.Swept)
+	machine.swept = monotonic.Micros(view.Swept)
 	return nil
 }
 
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/datadriven"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/statemachine"
+	"snowflow/internal/transport/wire"
 )
 
 // TestRack keeps transcripts of commands to the sorters' replicated state. Each line is one command at a second of holder
@@ -33,7 +33,7 @@
 	})
 }
 
-var terms = &wire.GuardTerms{WaitOpen: int64(5 * postmark.Second), Permitted: 2, FailureRate: 0.5, ProbeTenure: int64(3 * postmark.Second), StateTtl: int64(300 * postmark.Second)}
+var terms = &wire.GuardTerms{WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeTenure: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second)}
 
 // play carries out "SECOND VERB ARGUMENTS...".
 func play(t *testing.T, state *statemachine.Machine, words []string) (text string) {
@@ -46,7 +46,7 @@
 	switch words[1] {
 	case "claim": // key body try carrier epoch read-second
 		command.Claim = &wire.ClaimAsk{Scope: words[2], Digest: []byte(words[3]), Try: words[4], Carrier: words[5],
-			ReadAt: &wire.HolderMoment{Epoch: number(6), Time: int64(number(7)) * int64(postmark.Second)}}
+			ReadAt: &wire.HolderMoment{Epoch: number(6), Time: int64(number(7)) * int64(monotonic.Second)}}
 	case "void": // key try
 		command.Void = &wire.VoidAsk{Scope: words[2], Try: words[3]}
 	case "refuse": // key
@@ -58,7 +58,7 @@
 	case "lease": // carrier id active...
 		command.Lease = &wire.ProbeLeaseAsk{Service: "forms", Carrier: words[2], Id: words[3], Active: words[4:]}
 		// A primary that turns an ask down without a write must not turn down what the write would grant, nor the reverse.
-		denied := state.Guards.Denied(command.Lease, postmark.Micros(second*1e6))
+		denied := state.Guards.Denied(command.Lease, monotonic.Micros(second*1e6))
 		defer func() {
 			if granted := strings.Contains(text, "granted true"); granted == (denied != nil) {
 				t.Errorf("%v: granted %v, denied beforehand %v", words, granted, denied != nil)
@@ -73,7 +73,7 @@
 	case "ended": // carrier
 		command.Tick = &wire.Tick{Ended: []*wire.Holder{{Name: words[2]}}}
 	case "duty": // duty carrier instance seconds
-		command.Duty = &wire.DutyAsk{Duty: words[2], Carrier: words[3], Instance: words[4], Length: int64(number(5)) * int64(postmark.Second)}
+		command.Duty = &wire.DutyAsk{Duty: words[2], Carrier: words[3], Instance: words[4], Length: int64(number(5)) * int64(monotonic.Second)}
 	case "stop": // duty instance
 		command.Duty = &wire.DutyAsk{Duty: words[2], Instance: words[3], Release: true}
 	case "wait":
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	result := &wire.SorterResult{}
-	if err := proto.Unmarshal(state.Apply(7, postmark.Micros(second*1e6), content), result); err != nil {
+	if err := proto.Unmarshal(state.Apply(7, monotonic.Micros(second*1e6), content), result); err != nil {
 		t.Fatal(err)
 	}
 	text = strings.Join(words, " ") + " ->"
--- a/internal/depot/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/depot/sweep"
+	"snowflow/internal/rehearse/sweep"
 )
 
 var docs = filepath.Join("..", "..", "..", "docs")
--- a/internal/depot/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -7,7 +7,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"snowflow/internal/depot/sweep"
+	"snowflow/internal/rehearse/sweep"
 )
 
 // Line is a straight line by least squares.
--- a/internal/depot/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"snowflow/internal/depot/sweep"
+	"snowflow/internal/rehearse/sweep"
 )
 
 // The size to design for. Routes and the share of calls that claim aren't part of it: they are this page's assumptions.
--- a/internal/depot/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"snowflow/internal/depot/sweep"
+	"snowflow/internal/rehearse/sweep"
 )
 
 // tables are the page's generated parts by name.
--- a/internal/depot/capacity/plot.go
+++ b/internal/rehearse/capacity/plot.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"snowflow/internal/depot/sweep"
+	"snowflow/internal/rehearse/sweep"
 )
 
 // Shown are the figures that are drawn, by dimension.
--- a/internal/depot/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -16,8 +16,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"snowflow/internal/depot/layout"
-	"snowflow/internal/depot/relay"
+	"snowflow/internal/rehearse/layout"
+	"snowflow/internal/rehearse/relay"
 )
 
 // Process is one daemon and its place.
--- a/internal/depot/hollow/crowd.go
+++ b/internal/rehearse/hollow/crowd.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"snowflow/internal/carrier"
-	"snowflow/internal/carrier/hutch"
+	"snowflow/internal/config"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
 	"snowflow/internal/host/machine"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/transport/wire"
 )
 
 // Settings are a crowd's.
@@ -40,7 +40,7 @@
 type member struct {
 	life    *life
 	name    string
-	carrier *carrier.Carrier
+	carrier *proxy.Carrier
 	book    *discovery.Book
 }
 
@@ -87,18 +87,18 @@
 	// Nobody passes a request to a hollow carrier, so nothing listens at its address; it only has to be its own.
 	address := fmt.Sprintf("10.%d.%d.%d:7300", index>>16, index>>8&255, index&255)
 	book := discovery.New(place, nil, crowd.settings.Seeds)
-	made := carrier.New(carrier.Env{Place: place, Book: book, Name: name, Domain: crowd.settings.Zones[index%len(crowd.settings.Zones)], Address: address})
+	made := proxy.New(proxy.Env{Place: place, Book: book, Name: name, Domain: crowd.settings.Zones[index%len(crowd.settings.Zones)], Address: address})
 	made.Roll.Activity = func() []*wire.Activity { return crowd.activity(index) }
 	instance := fmt.Sprintf("%016x", place.Random())
-	err := made.Hutch.Register(hutch.Backend{Service: Service(index % crowd.settings.Services), Instance: instance, Address: address}, hutch.Working)
+	err := made.Hutch.Register(localbackends.Backend{Service: Service(index % crowd.settings.Services), Instance: instance, Address: address}, localbackends.Working)
 	if err != nil {
 		return nil, err
 	}
-	place.Go(func() { book.Roam(postmark.Second) })
+	place.Go(func() { book.Roam(monotonic.Second) })
 	place.Go(func() {
 		for {
-			place.Sleep(hutch.BeatEvery)
-			_ = made.Hutch.Beat(instance, hutch.Working) // it's registered for as long as its carrier lives
+			place.Sleep(localbackends.BeatEvery)
+			_ = made.Hutch.Beat(instance, localbackends.Working) // it's registered for as long as its carrier lives
 		}
 	})
 	made.Start()
@@ -166,7 +166,7 @@
 }
 
 // Claim has a carrier claim a key, as for a request that it's about to hand to its backend.
-func (crowd *Crowd) Claim(index int, scope string, patience postmark.Micros) (granted bool, err error) {
+func (crowd *Crowd) Claim(index int, scope string, patience monotonic.Micros) (granted bool, err error) {
 	present := crowd.present()[index]
 	tell := &wire.ClaimTell{}
 	ask := &wire.ClaimAsk{Scope: scope, Digest: make([]byte, 32), Try: scope + "/1", Carrier: present.name, Incarnation: present.carrier.Incarnation(), ReadAt: present.carrier.Moment()}
@@ -177,8 +177,8 @@
 // Trip has a carrier report trouble with a service, after which the service's guard has a shared record.
 func (crowd *Crowd) Trip(index, service int) error {
 	present := crowd.present()[index]
-	ask := &wire.GuardWriteAsk{Service: Service(service), Verb: "trip", Carrier: present.name, Incarnation: present.carrier.Incarnation(), Terms: franking.Unlisted(Service(service)).Terms()}
-	return present.carrier.Roll.CallPrimary(wire.Kind_guard_write, ask, &wire.GuardWriteTell{}, 5*postmark.Second)
+	ask := &wire.GuardWriteAsk{Service: Service(service), Verb: "trip", Carrier: present.name, Incarnation: present.carrier.Incarnation(), Terms: config.Unlisted(Service(service)).Terms()}
+	return present.carrier.Roll.CallPrimary(wire.Kind_guard_write, ask, &wire.GuardWriteTell{}, 5*monotonic.Second)
 }
 
 // Guarded counts the guards' records that a carrier was told of.
--- a/internal/depot/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -4,9 +4,9 @@
 	"sync"
 	"testing"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // TestLifeEnds: tasks that sleep, wait or call when their life ends don't go on, and their deferred work is done.
@@ -16,10 +16,10 @@
 	place.end()
 	place.end() // an end is final, and may come twice
 	for name, wait := range map[string]func(){
-		"sleep":  func() { place.Sleep(postmark.Micros(1)) },
-		"signal": func() { signal.Fire(); signal.Wait(postmark.Minute) },
+		"sleep":  func() { place.Sleep(monotonic.Micros(1)) },
+		"signal": func() { signal.Fire(); signal.Wait(monotonic.Minute) },
 		"call": func() {
-			_ = place.Call("127.0.0.1:1", wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, postmark.Minute)
+			_ = place.Call("127.0.0.1:1", wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, monotonic.Minute)
 		},
 	} {
 		var done sync.WaitGroup
@@ -36,8 +36,8 @@
 // TestAdoptionsAreNoted: when a serial was adopted is known, and of nothing else.
 func TestAdoptionsAreNoted(t *testing.T) {
 	place := newLife()
-	place.Report(bulletin.DesiredAdopted, map[string]any{"serial": uint64(3)})
-	place.Report(bulletin.ClockStepped, map[string]any{"serial": uint64(4)})
+	place.Report(eventlog.DesiredAdopted, map[string]any{"serial": uint64(3)})
+	place.Report(eventlog.ClockStepped, map[string]any{"serial": uint64(4)})
 	if _, known := place.when(3); !known {
 		t.Error("an adoption isn't known")
 	}
--- a/internal/depot/hollow/life.go
+++ b/internal/rehearse/hollow/life.go
@@ -10,11 +10,11 @@
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
 	"snowflow/internal/host/machine"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // life is the host of one carrier's life.
@@ -37,13 +37,13 @@
 }
 
 // Sleep waits, and ends the task if its life ended.
-func (life *life) Sleep(span postmark.Micros) {
+func (life *life) Sleep(span monotonic.Micros) {
 	life.Machine.Sleep(span)
 	life.wait()
 }
 
 // Call calls, and ends the task if its life ended.
-func (life *life) Call(address string, kind wire.Kind, request, reply proto.Message, patience postmark.Micros) error {
+func (life *life) Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error {
 	life.wait()
 	err := life.Machine.Call(address, kind, request, reply, patience)
 	life.wait()
@@ -56,7 +56,7 @@
 }
 
 // Wait waits, and ends the task if its life ended.
-func (signal *signal) Wait(patience postmark.Micros) bool {
+func (signal *signal) Wait(patience monotonic.Micros) bool {
 	fired := signal.Signal.Wait(patience)
 	signal.life.wait()
 	return fired
@@ -69,7 +69,7 @@
 
 // Report notes when a desired state was adopted. Nothing else is kept: thousands of carriers share one log.
 func (life *life) Report(number int, fields map[string]any) {
-	if number != bulletin.DesiredAdopted {
+	if number != eventlog.DesiredAdopted {
 		return
 	}
 	serial, _ := fields["serial"].(uint64)
--- a/internal/depot/scenario/faults.go
+++ b/internal/rehearse/scenario/faults.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"snowflow/examples"
-	"snowflow/internal/bulletin"
-	"snowflow/internal/clerk/doctor"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/standin"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/registry/breakerstore"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/standin"
+	"snowflow/internal/snowctl/doctor"
 )
 
 // part is a piece of a scenario's length.
@@ -160,7 +160,7 @@
 			stage.Say("%s finds a byte of its records damaged", victim.Name)
 			stage.restart(victim, 2*time.Second)
 			stage.Wait(stage.part(0.2))
-			told, err := stage.logged(victim, bulletin.DiskDamaged)
+			told, err := stage.logged(victim, eventlog.DiskDamaged)
 			if err != nil || !told {
 				return fmt.Errorf("%s didn't tell that it discarded its damaged copy: %v", victim.Name, err)
 			}
--- a/internal/depot/scenario/fleet_test.go
+++ b/internal/rehearse/scenario/fleet_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/depot/standin"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/rehearse/standin"
 )
 
 // raced tells whether these tests look for data races; then the daemons do too.
@@ -260,16 +260,16 @@
 		}
 		t.Fatalf("event %d never came: %v", event, lines.Err())
 	}
-	await(bulletin.ProcessStarted)
+	await(eventlog.ProcessStarted)
 	for range 2 {
 		_ = first.Process.Signal(syscall.SIGTERM)
 	}
-	await(bulletin.ProcessDraining)
+	await(eventlog.ProcessDraining)
 	output, err := exec.Command(filepath.Join(folder, "carrier"), arguments...).CombinedOutput()
 	if failed, isExit := err.(*exec.ExitError); !isExit || failed.ExitCode() != 1 || !strings.Contains(string(output), "address already in use") {
 		t.Errorf("the successor: %v\n%s", err, output)
 	}
-	await(bulletin.ProcessDrained)
+	await(eventlog.ProcessDrained)
 	for lines.Scan() {
 		continue
 	}
--- a/internal/depot/scenario/friday.go
+++ b/internal/rehearse/scenario/friday.go
@@ -13,12 +13,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/examples"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/layout"
-	"snowflow/internal/franking"
-	"snowflow/internal/friday"
-	"snowflow/internal/inspector"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/config"
+	"snowflow/internal/invariants"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/layout"
+	"snowflow/internal/transport/wire"
+	"snowflow/internal/workload"
 )
 
 // changing are the kinds of traffic whose routes change on a Friday: submissions, corrections and downloads of batches or packs.
@@ -32,10 +32,10 @@
 const fridayPatience = 45 * time.Second
 
 // families are a layout's kinds whose routes change. Each may go to a service of its own besides.
-func families(chosen layout.Layout) (found []friday.Family) {
+func families(chosen layout.Layout) (found []workload.Family) {
 	for _, kind := range chosen.Kinds {
 		if slices.Contains(changing, kind.Name) {
-			found = append(found, friday.Family{Kind: kind.Name, Method: kind.Method, Prefix: kind.Path, Service: kind.Service, Other: kind.Service + "-next"})
+			found = append(found, workload.Family{Kind: kind.Name, Method: kind.Method, Prefix: kind.Path, Service: kind.Service, Other: kind.Service + "-next"})
 		}
 	}
 	return found
@@ -43,7 +43,7 @@
 
 // morning is the day's first state: the layout's own, with a route for each family in place of its service's path, the other services, and the
 // archive.
-func morning(state *wire.DesiredState, families []friday.Family) *wire.DesiredState {
+func morning(state *wire.DesiredState, families []workload.Family) *wire.DesiredState {
 	state = proto.CloneOf(state)
 	for _, one := range families {
 		for _, group := range state.Groups {
@@ -70,7 +70,7 @@
 	if !slices.Contains(changing, kind.Name) {
 		return fmt.Sprint(kind.Path, number)
 	}
-	return fmt.Sprintf("%s%d/%d", kind.Path, number%friday.Regions, number)
+	return fmt.Sprintf("%s%d/%d", kind.Path, number%workload.Regions, number)
 }
 
 // prepareFriday starts the other services' backends and has the morning's state taken up.
@@ -80,12 +80,12 @@
 	if err != nil {
 		return err
 	}
-	state, faults := franking.Parse(content)
+	state, faults := config.Parse(content)
 	if len(faults) > 0 {
 		return fmt.Errorf("%v", faults)
 	}
 	of := families(chosen)
-	stage.friday = friday.New(morning(state, of), of, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	stage.friday = workload.New(morning(state, of), of, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	stage.Callers.Place, stage.Callers.Again, stage.Callers.Patience = region, math.MaxInt, fridayPatience
 	for _, one := range of {
 		index := slices.IndexFunc(chosen.Services, func(service layout.Service) bool { return service.Name == one.Service })
@@ -115,7 +115,7 @@
 	Serial  uint64
 	Outcome string
 }, err error) {
-	told, err := stage.Operator.Apply(friday.Content(state), expected, 40*time.Second)
+	told, err := stage.Operator.Apply(workload.Content(state), expected, 40*time.Second)
 	applied.Serial, applied.Outcome = told.Serial, told.Outcome
 	return applied, err
 }
@@ -129,9 +129,9 @@
 
 // killed kills a process and has it start again.
 func (stage *Stage) killed(victim *fleet.Process, away time.Duration) {
-	stage.History.Mark(inspector.Killed+victim.Name, stage.Clock.Now())
+	stage.History.Mark(invariants.Killed+victim.Name, stage.Clock.Now())
 	victim.Kill()
-	stage.History.Mark(inspector.Killed+victim.Name, stage.Clock.Now())
+	stage.History.Mark(invariants.Killed+victim.Name, stage.Clock.Now())
 	stage.restart(victim, away)
 }
 
@@ -255,7 +255,7 @@
 func Lookup(kind string) bool { return strings.HasPrefix(kind, "lookup") }
 
 func init() {
-	checks := []inspector.Check{inspector.KeysKept, inspector.TakenUp, inspector.CountersKept}
+	checks := []invariants.Check{invariants.KeysKept, invariants.TakenUp, invariants.CountersKept}
 	add(Scenario{Name: "friday-routes", Short: "routes of submissions, corrections and downloads change alone, in storms and raced, while carriers restart and a primary dies",
 		Rules: []int{1, 3, 5, 6, 7}, Checks: checks, Prepare: prepareFriday, Run: playFriday(true)})
 	add(Scenario{Name: "friday-quiet", Short: "friday-routes without its changes, to compare", Rules: []int{1, 3, 5}, Checks: checks, Prepare: prepareFriday, Run: playFriday(false)})
--- a/internal/depot/scenario/friday_test.go
+++ b/internal/rehearse/scenario/friday_test.go
@@ -17,15 +17,15 @@
 	"time"
 
 	"snowflow/examples"
-	"snowflow/internal/carrier"
-	"snowflow/internal/carrier/wicket"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/layout"
-	"snowflow/internal/franking"
-	"snowflow/internal/friday"
-	"snowflow/internal/inspector"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/config"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/layout"
+	"snowflow/internal/transport/wire"
+	"snowflow/internal/workload"
 )
 
 // TestFridayStates: each layout has families, and its morning and whatever follows are accepted.
@@ -36,15 +36,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		state, faults := franking.Parse(content)
+		state, faults := config.Parse(content)
 		of := families(chosen)
 		if len(faults) > 0 || len(of) != wanted {
 			t.Fatal(name, faults, of)
 		}
-		day := friday.New(morning(state, of), of, rand.New(rand.NewPCG(1, 2)))
+		day := workload.New(morning(state, of), of, rand.New(rand.NewPCG(1, 2)))
 		taken := 0
 		take := func(state *wire.DesiredState) error {
-			if _, faults := franking.Parse(friday.Content(state)); len(faults) > 0 {
+			if _, faults := config.Parse(workload.Content(state)); len(faults) > 0 {
 				return fmt.Errorf("%s: %v", state.Note, faults)
 			}
 			taken++
@@ -139,8 +139,8 @@
 	if err := stage.Operator.ReadBack(); err != nil {
 		t.Fatal(err)
 	}
-	findings, seen := inspector.Inspect(stage.History, 1, 2, 3, 5, 7)
-	for _, check := range []inspector.Check{inspector.KeysKept, inspector.AsTold, inspector.CountersKept} {
+	findings, seen := invariants.Inspect(stage.History, 1, 2, 3, 5, 7)
+	for _, check := range []invariants.Check{invariants.KeysKept, invariants.AsTold, invariants.CountersKept} {
 		found, looked := check.Run(stage.History)
 		findings = append(findings, found...)
 		t.Logf("%s looked at %d", check.Name, looked)
@@ -173,7 +173,7 @@
 	cutoff := int64(1234567)
 	route.CutoffMicros = &cutoff
 	file := filepath.Join(t.TempDir(), "next.json")
-	if err := os.WriteFile(file, friday.Content(state), 0o600); err != nil {
+	if err := os.WriteFile(file, workload.Content(state), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	told := ask(0, "apply", file, "--preview")
@@ -216,27 +216,27 @@
 // TestFridayWatcherSees has a carrier that is broken in one way at a time tell how it stands. The check that it's for finds it in what the
 // watcher noted, and nothing in what a sound one tells.
 func TestFridayWatcherSees(t *testing.T) {
-	sound := func(serial uint64, calls uint64) carrier.Status {
-		return carrier.Status{Name: "carrier-1", Incarnation: 7, Ready: true, Serial: serial, Check: fmt.Sprint("version ", serial),
-			Guards: []wicket.Shown{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
+	sound := func(serial uint64, calls uint64) proxy.Status {
+		return proxy.Status{Name: "carrier-1", Incarnation: 7, Ready: true, Serial: serial, Check: fmt.Sprint("version ", serial),
+			Guards: []breaker.Shown{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
 	}
 	for name, one := range map[string]struct {
-		check inspector.Check
-		last  func(status *carrier.Status)
+		check invariants.Check
+		last  func(status *proxy.Status)
 	}{
-		"nothing":                               {inspector.TakenUp, func(*carrier.Status) {}},
-		"stays at an older version":             {inspector.TakenUp, func(status *carrier.Status) { *status = sound(1, 9) }},
-		"a difference applied on a wrong base":  {inspector.AsTold, func(status *carrier.Status) { status.Check = "version 1" }},
-		"a whole that begins its windows anew":  {inspector.CountersKept, func(status *carrier.Status) { status.Guards[0].Window = 1 }},
-		"a whole that forgets what was counted": {inspector.CountersKept, func(status *carrier.Status) { status.Guards[0].Calls = 1 }},
+		"nothing":                               {invariants.TakenUp, func(*proxy.Status) {}},
+		"stays at an older version":             {invariants.TakenUp, func(status *proxy.Status) { *status = sound(1, 9) }},
+		"a difference applied on a wrong base":  {invariants.AsTold, func(status *proxy.Status) { status.Check = "version 1" }},
+		"a whole that begins its windows anew":  {invariants.CountersKept, func(status *proxy.Status) { status.Guards[0].Window = 1 }},
+		"a whole that forgets what was counted": {invariants.CountersKept, func(status *proxy.Status) { status.Guards[0].Calls = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			told := sound(1, 4)
 			desk := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(writer).Encode(told) }))
 			defer desk.Close()
-			stage := &Stage{Clock: nil, History: &inspector.History{}}
+			stage := &Stage{Clock: nil, History: &invariants.History{}}
 			ask := func(at int64) {
-				var status carrier.Status
+				var status proxy.Status
 				response, err := http.Get(desk.URL)
 				if err != nil {
 					t.Fatal(err)
@@ -245,10 +245,10 @@
 				if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
 					t.Fatal(err)
 				}
-				stage.see("carrier-1", status, postmark.Micros(at))
+				stage.see("carrier-1", status, monotonic.Micros(at))
 			}
 			for serial, at := range []int64{1000, 2000} {
-				stage.History.Apply(inspector.Applied{Serial: uint64(serial + 1), Outcome: "accepted", At: postmark.Micros(at), Sum: fmt.Sprint("version ", serial+1)})
+				stage.History.Apply(invariants.Applied{Serial: uint64(serial + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", serial+1)})
 			}
 			ask(1500)
 			told = sound(2, 9)
@@ -258,7 +258,7 @@
 			if (len(found) > 0) != (name != "nothing") {
 				t.Errorf("%v", found)
 			}
-			for _, check := range []inspector.Check{inspector.TakenUp, inspector.CountersKept} {
+			for _, check := range []invariants.Check{invariants.TakenUp, invariants.CountersKept} {
 				if found, _ := check.Run(stage.History); name == "nothing" && len(found) > 0 {
 					t.Error(found)
 				}
--- a/internal/depot/scenario/guards.go
+++ b/internal/rehearse/scenario/guards.go
@@ -6,11 +6,11 @@
 	"syscall"
 	"time"
 
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/standin"
-	"snowflow/internal/parcel/wire"
 	"snowflow/internal/registry"
 	"snowflow/internal/registry/breakerstore"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/standin"
+	"snowflow/internal/transport/wire"
 )
 
 // guardPatience is how long a guard may take to come to what a scenario waits for.
--- a/internal/depot/scenario/scenarios.go
+++ b/internal/rehearse/scenario/scenarios.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"snowflow/internal/inspector"
+	"snowflow/internal/invariants"
 )
 
 // Scenario is one rehearsal's course.
@@ -19,7 +19,7 @@
 	// Prepare is done before callers start, if there's something to do.
 	Prepare func(stage *Stage) error
 	// Checks are made besides the rules.
-	Checks []inspector.Check
+	Checks []invariants.Check
 }
 
 // All are the scenarios by name.
--- a/internal/depot/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -16,21 +16,21 @@
 	"time"
 
 	"snowflow/examples"
-	"snowflow/internal/carrier"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/layout"
-	"snowflow/internal/depot/standin"
-	"snowflow/internal/friday"
-	"snowflow/internal/inspector"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
 	"snowflow/internal/registry"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/layout"
+	"snowflow/internal/rehearse/standin"
+	"snowflow/internal/workload"
 )
 
 // Stage is a running rehearsal.
 type Stage struct {
 	Fleet    *fleet.Fleet
-	Clock    *postmark.Machine
-	History  *inspector.History
+	Clock    *monotonic.Machine
+	History  *invariants.History
 	Callers  *standin.Callers
 	Operator *standin.Operator
 	Say      func(format string, arguments ...any)
@@ -42,7 +42,7 @@
 	processor map[string]int64
 	cleanups  []func()
 	findings  []string // what a scenario itself found
-	friday    *friday.Day
+	friday    *workload.Day
 	astray    bool // by the watcher's last look
 	watching  chan struct{}
 }
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	stage := &Stage{Clock: postmark.NewMachine(), History: &inspector.History{}, Say: say, Options: options, ports: map[string]int{},
+	stage := &Stage{Clock: monotonic.NewMachine(), History: &invariants.History{}, Say: say, Options: options, ports: map[string]int{},
 		processor: map[string]int64{}, watching: make(chan struct{})}
 	if stage.Fleet, err = fleet.New(chosen, options.Folder, options.Binaries, options.Base, options.Relays, options.Choice, cmp.Or(options.Level, "info")); err != nil {
 		return nil, err
@@ -224,7 +224,7 @@
 					continue
 				}
 				for _, record := range status.Guards {
-					stage.History.See(inspector.Look(record, stage.Clock.Now(), process.Name, stage.astray))
+					stage.History.See(invariants.Look(record, stage.Clock.Now(), process.Name, stage.astray))
 				}
 			}
 			stage.astray = stage.adopted()
@@ -235,7 +235,7 @@
 // adopted notes what every carrier serves by, and tells whether some carrier is away or goes by its own windows.
 func (stage *Stage) adopted() (astray bool) {
 	for _, process := range stage.Fleet.Carriers {
-		var status carrier.Status
+		var status proxy.Status
 		if !process.Running() || process.Age() < 5*time.Second || stage.Operator.Get(process, "/status", &status) != nil {
 			astray = true
 			continue
@@ -247,12 +247,12 @@
 }
 
 // see notes what a carrier serves by, and what its guards have counted.
-func (stage *Stage) see(name string, status carrier.Status, now postmark.Micros) {
+func (stage *Stage) see(name string, status proxy.Status, now monotonic.Micros) {
 	if status.Ready {
-		stage.History.Serves(inspector.Adopted{Carrier: name, Serial: status.Serial, At: now, Sum: status.Check})
+		stage.History.Serves(invariants.Adopted{Carrier: name, Serial: status.Serial, At: now, Sum: status.Check})
 	}
 	for _, shown := range status.Guards {
-		stage.History.Count(inspector.Counted{Carrier: name, Life: status.Incarnation, Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
+		stage.History.Count(invariants.Counted{Carrier: name, Life: status.Incarnation, Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
 			Verdict: fmt.Sprint(shown.Shared, shown.Serial, shown.Local, shown.Control)})
 	}
 }
@@ -306,10 +306,10 @@
 }
 
 // Conclude makes the report.
-func (stage *Stage) Conclude(began time.Time, checks ...inspector.Check) Report {
-	findings, seen := inspector.Inspect(stage.History)
+func (stage *Stage) Conclude(began time.Time, checks ...invariants.Check) Report {
+	findings, seen := invariants.Inspect(stage.History)
 	report := Report{Layout: stage.Fleet.Layout.Name, Scenario: stage.Options.Scenario, Seconds: time.Since(began).Seconds(),
-		Kinds: map[string]map[string]int{}, Latency: map[string][3]int64{}, Seen: seen, Findings: []string{}, Tries: inspector.WorstTries(stage.History),
+		Kinds: map[string]map[string]int{}, Latency: map[string][3]int64{}, Seen: seen, Findings: []string{}, Tries: invariants.WorstTries(stage.History),
 		Processor: map[string]int64{}, Bytes: map[string]uint64{}}
 	report.Findings = append(report.Findings, stage.findings...)
 	for _, check := range checks {
@@ -363,7 +363,7 @@
 // shares gives, by kind, what part of the requests that were sent for the first time was served, until the machines' return and
 // after it. Who asks again is left out: it would weigh a refusal by its repeats.
 func (stage *Stage) shares() map[string][2]float64 {
-	back := postmark.Micros(0)
+	back := monotonic.Micros(0)
 	for _, note := range stage.History.Notes {
 		if note.What == "returned" {
 			back = note.At
@@ -396,7 +396,7 @@
 
 // rushed gives each kind's successes a second before the rush and in its second half, when queues have grown.
 func (stage *Stage) rushed() map[string][2]float64 {
-	var from, until postmark.Micros
+	var from, until monotonic.Micros
 	for _, note := range stage.History.Notes {
 		if note.What == "rush" {
 			from = note.At
@@ -462,7 +462,7 @@
 	}
 }
 
-func outcome(attempt *inspector.Attempt) string {
+func outcome(attempt *invariants.Attempt) string {
 	switch {
 	case attempt.Transport != "":
 		return "transport " + attempt.Transport
--- a/internal/depot/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -18,11 +18,11 @@
 
 	"go.uber.org/atomic"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/layout"
-	"snowflow/internal/inspector"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/layout"
 )
 
 // Manners in which a backend misbehaves.
@@ -45,8 +45,8 @@
 	Instance string
 	Address  string
 	beside   *fleet.Process
-	clock    postmark.Clock
-	history  *inspector.History
+	clock    monotonic.Clock
+	history  *invariants.History
 	Manner   atomic.String
 	server   *http.Server
 	listener net.Listener
@@ -70,7 +70,7 @@
 func (backend *Backend) Work(microseconds int) { backend.work.Store(int64(microseconds)) }
 
 // NewBackend starts an instance at an address beside a carrier.
-func NewBackend(service layout.Service, address string, beside *fleet.Process, clock postmark.Clock, history *inspector.History) (*Backend, error) {
+func NewBackend(service layout.Service, address string, beside *fleet.Process, clock monotonic.Clock, history *invariants.History) (*Backend, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -169,9 +169,9 @@
 	if manner == Mixed {
 		manner = mixed[rand.IntN(len(mixed))]
 	}
-	attempt, try := split(incoming.Header.Get(letter.RequestHeader))
+	attempt, try := split(incoming.Header.Get(request.RequestHeader))
 	answer := backend.body(attempt, body)
-	run := inspector.Run{Attempt: attempt, Try: try, Key: incoming.Header.Get(letter.KeyHeader), Service: backend.Service.Name, Instance: backend.Instance,
+	run := invariants.Run{Attempt: attempt, Try: try, Key: incoming.Header.Get(request.KeyHeader), Service: backend.Service.Name, Instance: backend.Instance,
 		Method: incoming.Method, Path: incoming.URL.Path, At: backend.clock.Now(), Executed: manner != NotExecuted}
 	if manners[manner] == nil {
 		run.Sum = Sum(answer)
@@ -203,7 +203,7 @@
 func (backend *Backend) lookup(attempt string, number int64) {
 	id := fmt.Sprintf("%s-look-%d-%d", attempt, number, rand.Uint32())
 	path := fmt.Sprintf("%s/%d", backend.Service.Lookup, number)
-	tracked := &inspector.Attempt{ID: id, Kind: "lookup" + backend.Service.Lookup, Caller: backend.beside.Name, Method: "GET", Path: path, Sent: backend.clock.Now()}
+	tracked := &invariants.Attempt{ID: id, Kind: "lookup" + backend.Service.Lookup, Caller: backend.beside.Name, Method: "GET", Path: path, Sent: backend.clock.Now()}
 	send(backend.client, backend.history, backend.clock, backend.beside, tracked, nil)
 }
 
@@ -226,7 +226,7 @@
 		http.Error(writer, "failing", http.StatusInternalServerError)
 	},
 	NotExecuted: func(_ *Backend, writer http.ResponseWriter, _ string) {
-		writer.Header().Set(letter.NotExecutedHeader, "1")
+		writer.Header().Set(request.NotExecutedHeader, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	},
 	Losing: func(_ *Backend, writer http.ResponseWriter, _ string) { raw(writer, "") },
--- a/internal/depot/standin/caller.go
+++ b/internal/rehearse/standin/caller.go
@@ -14,20 +14,20 @@
 
 	"go.uber.org/atomic"
 
-	"snowflow/internal/carrier/counter"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/layout"
-	"snowflow/internal/inspector"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/ingress"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/layout"
 )
 
 // Callers play the field workers: they send each kind of traffic at its rate to carriers that the platform believes
 // ready, and ask again with the same key when they are told to come back.
 type Callers struct {
 	fleet   *fleet.Fleet
-	clock   postmark.Clock
-	history *inspector.History
+	clock   monotonic.Clock
+	history *invariants.History
 	client  *http.Client
 	lock    sync.Mutex
 	ready   []*fleet.Process
@@ -47,7 +47,7 @@
 }
 
 // NewCallers makes them.
-func NewCallers(running *fleet.Fleet, clock postmark.Clock, history *inspector.History) *Callers {
+func NewCallers(running *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *Callers {
 	return &Callers{fleet: running, clock: clock, history: history, stop: make(chan struct{}), ebb: make(chan struct{}), Again: 3, mark: fmt.Sprintf("%04x-", rand.Uint32()&0xffff),
 		client: &http.Client{Timeout: 12 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: 2048}}}
 }
@@ -154,7 +154,7 @@
 		if callers.Place != nil {
 			path = callers.Place(kind, number)
 		}
-		attempt := &inspector.Attempt{ID: fmt.Sprintf("%s-%s%d-%d", kind.Name, callers.mark, number, again), Key: key, Kind: kind.Name, Method: kind.Method, Path: path, Sent: callers.clock.Now()}
+		attempt := &invariants.Attempt{ID: fmt.Sprintf("%s-%s%d-%d", kind.Name, callers.mark, number, again), Key: key, Kind: kind.Name, Method: kind.Method, Path: path, Sent: callers.clock.Now()}
 		carrier := callers.pick()
 		attempt.Caller = carrier.Name
 		send(callers.client, callers.history, callers.clock, carrier, attempt, body)
@@ -189,23 +189,23 @@
 }
 
 // send makes one attempt and notes how it ended.
-func send(client *http.Client, history *inspector.History, clock postmark.Clock, carrier *fleet.Process, attempt *inspector.Attempt, body []byte) {
+func send(client *http.Client, history *invariants.History, clock monotonic.Clock, carrier *fleet.Process, attempt *invariants.Attempt, body []byte) {
 	history.Send(attempt)
-	request, err := http.NewRequest(attempt.Method, "http://"+carrier.Callers+attempt.Path, bytes.NewReader(body))
+	req, err := http.NewRequest(attempt.Method, "http://"+carrier.Callers+attempt.Path, bytes.NewReader(body))
 	if err != nil {
 		return
 	}
-	request.Header.Set(letter.RequestHeader, attempt.ID)
+	req.Header.Set(request.RequestHeader, attempt.ID)
 	if attempt.Key != "" {
-		request.Header.Set(letter.KeyHeader, attempt.Key)
+		req.Header.Set(request.KeyHeader, attempt.Key)
 	}
 	var wrote, reused atomic.Bool
 	trace := &httptrace.ClientTrace{
 		GotConn:      func(info httptrace.GotConnInfo) { reused.Store(info.Reused) },
 		WroteRequest: func(info httptrace.WroteRequestInfo) { wrote.Store(info.Err == nil) },
 	}
-	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
-	response, err := client.Do(request)
+	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
+	response, err := client.Do(req)
 	var content []byte
 	if err == nil {
 		content, err = io.ReadAll(response.Body)
@@ -217,18 +217,18 @@
 		attempt.Ended = ended
 		if err != nil {
 			// On a connection that was used before the carrier may have ended it before it read anything.
-			attempt.Transport, attempt.Read = "lost", wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < postmark.Of(client.Timeout)
+			attempt.Transport, attempt.Read = "lost", wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.Of(client.Timeout)
 			return
 		}
 		attempt.Status = response.StatusCode
 		attempt.RetryTold = response.Header.Get("Retry-After") != ""
-		attempt.Serial, _ = strconv.ParseUint(response.Header.Get(letter.SerialHeader), 10, 64)
+		attempt.Serial, _ = strconv.ParseUint(response.Header.Get(request.SerialHeader), 10, 64)
 		attempt.Instance = response.Header.Get(MarkHeader)
 		attempt.Echo = response.Header.Get(EchoHeader)
 		attempt.Sum = Sum(content)
 		attempt.Whole = response.Header.Get(SumHeader) == attempt.Sum
 		if attempt.Echo == "" {
-			var refusal counter.Refusal
+			var refusal ingress.Refusal
 			if json.Unmarshal(content, &refusal) == nil && refusal.Cause > 0 {
 				attempt.Mesh, attempt.Cause, attempt.NotRun = true, int(refusal.Cause), refusal.Verdict == "not_run"
 			}
--- a/internal/depot/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -11,42 +11,42 @@
 	"strings"
 	"time"
 
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/inspector"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/transport/wire"
 )
 
 // Operator plays the operators: it applies desired states, asking again while an outcome isn't known.
 type Operator struct {
 	Fleet   *fleet.Fleet
-	Clock   postmark.Clock
-	History *inspector.History
+	Clock   monotonic.Clock
+	History *invariants.History
 	Client  *http.Client
 }
 
 // NewOperator makes one.
-func NewOperator(running *fleet.Fleet, clock postmark.Clock, history *inspector.History) *Operator {
+func NewOperator(running *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *Operator {
 	return &Operator{Fleet: running, Clock: clock, History: history, Client: &http.Client{Timeout: 25 * time.Second}}
 }
 
 // Apply applies a content and notes the outcome.
 func (operator *Operator) Apply(content []byte, expected string, patience time.Duration) (api.Applied, error) {
-	state, faults := franking.Parse(content)
+	state, faults := config.Parse(content)
 	if state != nil && len(faults) == 0 {
 		operator.allow(content)
 	}
-	defer func(over func(postmark.Micros)) { over(operator.Clock.Now()) }(operator.History.Plan("a change of the desired state", operator.Clock.Now()))
-	request := fmt.Sprintf("apply-%d", rand.Uint64())
+	defer func(over func(monotonic.Micros)) { over(operator.Clock.Now()) }(operator.History.Plan("a change of the desired state", operator.Clock.Now()))
+	req := fmt.Sprintf("apply-%d", rand.Uint64())
 	cutoff := time.Now().Add(patience)
 	for turn := rand.IntN(len(operator.Fleet.Postmasters)); ; turn++ {
 		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
-		applied, err := operator.once(master, content, expected, request)
+		applied, err := operator.once(master, content, expected, req)
 		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.Unreached {
-			operator.History.Apply(inspector.Applied{Serial: applied.Serial, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
+			operator.History.Apply(invariants.Applied{Serial: applied.Serial, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
 			return applied, nil
 		}
 		if time.Now().After(cutoff) {
@@ -70,8 +70,8 @@
 
 // allow notes which services the content sends which kinds of traffic to.
 func (operator *Operator) allow(content []byte) {
-	state, _ := franking.Parse(content)
-	view := franking.Compile(state, 0, "")
+	state, _ := config.Parse(content)
+	view := config.Compile(state, 0, "")
 	kinds := append(operator.Fleet.Layout.Kinds, operator.Fleet.Layout.LookupKinds()...)
 	for _, kind := range kinds {
 		if path, found := view.Resolve("", kind.Method, strings.TrimSuffix(kind.Path, "/")+"/1"); found {
@@ -80,9 +80,9 @@
 	}
 }
 
-func (operator *Operator) once(master *fleet.Process, content []byte, expected, request string) (api.Applied, error) {
+func (operator *Operator) once(master *fleet.Process, content []byte, expected, req string) (api.Applied, error) {
 	var applied api.Applied
-	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", master.Desk, expected, request)
+	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", master.Desk, expected, req)
 	ask, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(content))
 	if err != nil {
 		return applied, err
@@ -105,7 +105,7 @@
 			operator.History.End(func() {
 				operator.History.Read = true
 				for _, state := range kept {
-					operator.History.ReadBack = append(operator.History.ReadBack, inspector.ReadBack{Serial: state.Serial, Digest: state.Digest})
+					operator.History.ReadBack = append(operator.History.ReadBack, invariants.ReadBack{Serial: state.Serial, Digest: state.Digest})
 				}
 			})
 			return nil
--- a/internal/depot/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -12,10 +12,10 @@
 
 	"github.com/prometheus/common/expfmt"
 
-	"snowflow/internal/depot/fleet"
 	"snowflow/internal/host/machine"
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/rehearse/fleet"
 	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
 )
 
 var client = &http.Client{Timeout: 10 * time.Second}
--- a/internal/depot/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -10,15 +10,15 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"snowflow/internal/depot/fleet"
-	"snowflow/internal/depot/hollow"
-	"snowflow/internal/depot/layout"
 	"snowflow/internal/discovery"
 	"snowflow/internal/host/machine"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/directory"
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/rehearse/hollow"
+	"snowflow/internal/rehearse/layout"
 	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
 )
 
 // Options are how a size is played.
@@ -187,11 +187,11 @@
 }
 
 // call asks a group's primary, again until patience ends.
-func (play *play) call(group string, patience time.Duration, ask func(name string, left postmark.Micros) error) error {
+func (play *play) call(group string, patience time.Duration, ask func(name string, left monotonic.Micros) error) error {
 	cutoff, err := time.Now().Add(patience), errors.New("no primary is known")
 	for time.Now().Before(cutoff) {
 		if name := play.book.Leader(group); name != "" {
-			if err = ask(name, postmark.Of(time.Until(cutoff))); err == nil {
+			if err = ask(name, monotonic.Of(time.Until(cutoff))); err == nil {
 				return nil
 			}
 		}
@@ -210,7 +210,7 @@
 	began := time.Now()
 	ask := &wire.DesiredApplyAsk{Content: content, AnySerial: true, Request: strconv.Itoa(play.serial)}
 	tell := &wire.DesiredApplyTell{}
-	err = play.call(postmasters, patience, func(name string, left postmark.Micros) error {
+	err = play.call(postmasters, patience, func(name string, left monotonic.Micros) error {
 		return play.book.Call(name, wire.Kind_desired_apply, ask, tell, left)
 	})
 	if err == nil && tell.Outcome != "accepted" {
@@ -359,7 +359,7 @@
 		go func() {
 			defer work.Done()
 			began := time.Now()
-			granted, err := play.crowd.Claim(index%play.size.Carriers, fmt.Sprintf("service/key/%d", index), 5*postmark.Second)
+			granted, err := play.crowd.Claim(index%play.size.Carriers, fmt.Sprintf("service/key/%d", index), 5*monotonic.Second)
 			lock.Lock()
 			defer lock.Unlock()
 			if err != nil || !granted {
@@ -407,12 +407,12 @@
 	var work sync.WaitGroup
 	for into, ask := range map[**float64]func() error{
 		&result.Claims: func() error {
-			_, err := play.crowd.Claim(0, "service/after", postmark.Of(play.options.Patience))
+			_, err := play.crowd.Claim(0, "service/after", monotonic.Of(play.options.Patience))
 			return err
 		},
 		&result.Reads: func() error {
-			return play.call(postmasters, play.options.Patience, func(name string, left postmark.Micros) error {
-				return play.book.Call(name, wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, &wire.DesiredReadTell{}, min(left, 300*postmark.Millisecond))
+			return play.call(postmasters, play.options.Patience, func(name string, left monotonic.Micros) error {
+				return play.book.Call(name, wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, &wire.DesiredReadTell{}, min(left, 300*monotonic.Millisecond))
 			})
 		},
 		&result.Applies: func() error { _, _, err := play.apply(play.options.Patience); return err },
--- a/internal/replication/attend.go
+++ b/internal/replication/attend.go
@@ -1,16 +1,16 @@
 package replication
 
 import (
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // attend keeps this member's place: it joins, renews the tenure it has, and takes over when the primary is silent.
 func (member *Member) attend() {
-	place, pause, vacantSince := member.env.Place, member.glance(), postmark.Micros(-1)
-	soon := postmark.Minute
+	place, pause, vacantSince := member.env.Place, member.glance(), monotonic.Micros(-1)
+	soon := monotonic.Minute
 	for ; ; pause = min(member.rest(), soon) {
 		member.nudge.Wait(pause)
-		soon = postmark.Minute
+		soon = monotonic.Minute
 		joined := false
 		member.seat.Do(func() { joined = member.voter.record.Joined })
 		if !joined {
@@ -53,14 +53,14 @@
 		ready := value != nil && free && (backup || member.succeeds(value) || place.Now()-vacantSince >= member.env.Beat)
 		patience := member.env.Tenure + member.env.Beat
 		if value == nil {
-			patience = postmark.Micros(member.rank()) * member.env.Tenure
+			patience = monotonic.Micros(member.rank()) * member.env.Tenure
 		} else if !backup {
 			patience += 2 * member.env.Beat
 		}
-		if ready || silent > patience+postmark.Micros(place.Random()%uint64(member.env.Beat)) {
+		if ready || silent > patience+monotonic.Micros(place.Random()%uint64(member.env.Beat)) {
 			member.takeOver(value)
 		} else if value != nil && !free {
-			soon = max(wait, postmark.Millisecond)
+			soon = max(wait, monotonic.Millisecond)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 }
 
 // glance is how soon a process that has just started, or sees nobody lead, looks again.
-func (member *Member) glance() postmark.Micros { return member.env.Beat / 6 }
+func (member *Member) glance() monotonic.Micros { return member.env.Beat / 6 }
 
 // tenureStands tells whether this seat still grants somebody else's tenure, a sign of life of the primary.
 func (member *Member) tenureStands() (stands bool) {
@@ -83,15 +83,15 @@
 }
 
 // pace is how often a primary renews its lease and has its backups hear of it.
-func (member *Member) pace() postmark.Micros { return member.env.Tenure / 3 }
+func (member *Member) pace() monotonic.Micros { return member.env.Tenure / 3 }
 
 // rest is how long nothing can be due here: a primary renews at its pace, and others look again when the one that they heard may
 // be silent for too long. A handover cuts it short.
-func (member *Member) rest() postmark.Micros {
+func (member *Member) rest() monotonic.Micros {
 	member.lock.Lock()
 	leading, young, silent := member.lead.epoch != 0, member.young && member.value != nil, member.env.Place.Now()-member.lastHeard
 	member.lock.Unlock()
-	joined, stands := false, postmark.Micros(0)
+	joined, stands := false, monotonic.Micros(0)
 	self := member.self()
 	member.seat.Do(func() {
 		joined = member.voter.record.Joined
@@ -105,11 +105,11 @@
 	case leading:
 		return member.pace()
 	case stands > 0:
-		return stands + postmark.Millisecond
+		return stands + monotonic.Millisecond
 	case young && silent < 2*member.env.Tenure:
 		return member.glance()
 	case silent < member.env.Tenure:
-		return min(member.env.Tenure-silent, member.env.Tenure) + postmark.Millisecond
+		return min(member.env.Tenure-silent, member.env.Tenure) + monotonic.Millisecond
 	case silent > 4*member.env.Tenure:
 		return member.env.Beat
 	}
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -4,13 +4,13 @@
 	"errors"
 	"slices"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // completePause is how often a primary with fewer backups than wanted looks for more.
-const completePause = 2 * postmark.Second
+const completePause = 2 * monotonic.Second
 
 // complete takes further backups once voters that may be some are back.
 func (member *Member) complete() {
@@ -41,7 +41,7 @@
 }
 
 // reliefPause is how often something is done about a slow disk: each change of the two copies holds writes up.
-const reliefPause = 10 * postmark.Second
+const reliefPause = 10 * monotonic.Second
 
 // minding looks at how long a batch took to sync. Three slow ones in a row make the primary hand over, if it was its own
 // disk alone, or take another backup; both only if there is a third voter.
@@ -82,7 +82,7 @@
 		return
 	}
 	if leave {
-		member.env.Place.Report(bulletin.DiskSlow, map[string]any{"group": member.env.Group})
+		member.env.Place.Report(eventlog.DiskSlow, map[string]any{"group": member.env.Group})
 		member.handOver("own disk is slow")
 		return
 	}
@@ -93,7 +93,7 @@
 // dropBackups stops answering until others are in step.
 func (member *Member) dropBackups(backups []*wire.Holder, why string) {
 	for _, backup := range backups {
-		member.env.Place.Report(bulletin.BackupLost, map[string]any{"group": member.env.Group, "backup": backup.Name, "error": why})
+		member.env.Place.Report(eventlog.BackupLost, map[string]any{"group": member.env.Group, "backup": backup.Name, "error": why})
 	}
 	member.lock.Lock()
 	defer member.lock.Unlock()
@@ -107,7 +107,7 @@
 }
 
 // installPatience is how long a whole view may take to reach a new backup and be synced there.
-const installPatience = 5 * postmark.Second
+const installPatience = 5 * monotonic.Second
 
 // settle brings backups into step and names them in the register; only then does the primary answer. There may be fewer than
 // wanted where no further voter can be had, but never none.
@@ -120,7 +120,7 @@
 	}
 	// A new backup's line begins at the view's holder time, which must be one that has certainly come, and none before what was told.
 	// Holder time goes on from there: what passed since is for the backup's own clock to say.
-	began, held := member.env.Place.Now(), postmark.Micros(0)
+	began, held := member.env.Place.Now(), monotonic.Micros(0)
 	member.keeper.Do(func() {
 		member.copy.holderTime = max(member.copy.holderTime, state.told(began))
 		held = member.copy.holderTime
@@ -174,7 +174,7 @@
 	member.lead.answering = settled
 	member.lock.Unlock()
 	if settled {
-		member.env.Place.Report(bulletin.Settled, map[string]any{"group": member.env.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": names(backups)})
+		member.env.Place.Report(eventlog.Settled, map[string]any{"group": member.env.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": names(backups)})
 	}
 	return settled
 }
--- a/internal/replication/ballot.go
+++ b/internal/replication/ballot.go
@@ -7,10 +7,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // errNoMajority: the register could not be read or changed now; whether a change took place may be unknown.
@@ -19,7 +19,7 @@
 // errUnchanged: the change function turned the present value down.
 var errUnchanged = errors.New("replication: the register holds another value")
 
-func gather[Reply any](member *Member, names []string, patience postmark.Micros, ask func(name string) (Reply, error), enough func(map[string]Reply, int) bool) map[string]Reply {
+func gather[Reply any](member *Member, names []string, patience monotonic.Micros, ask func(name string) (Reply, error), enough func(map[string]Reply, int) bool) map[string]Reply {
 	if enough == nil {
 		enough = func(map[string]Reply, int) bool { return false }
 	}
@@ -196,7 +196,7 @@
 
 func addressed(member *Member, to string) error {
 	if to != member.env.Name {
-		return seal.Refused.New("addressed to %s, this is %s", to, member.env.Name)
+		return apierror.Refused.New("addressed to %s, this is %s", to, member.env.Name)
 	}
 	return nil
 }
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -5,15 +5,15 @@
 	"slices"
 	"sync"
 
-	"snowflow/internal/bulletin"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // work is the primary's one task for writes: it commits batches, keeps the backups in touch and replaces lost ones.
 func (member *Member) work() {
-	lastTick, lastWrite := postmark.Micros(0), postmark.Micros(0)
+	lastTick, lastWrite := monotonic.Micros(0), monotonic.Micros(0)
 	pause := member.env.Beat
 	for {
 		batch := slices.DeleteFunc(member.inbox.Take(pause), func(request *proposal) bool { return request == nil })
@@ -33,7 +33,7 @@
 			continue
 		}
 		// Three paces may be a little less than a second.
-		if len(batch) == 0 && now-lastTick >= postmark.Second-member.pace()/2 && member.waiting() {
+		if len(batch) == 0 && now-lastTick >= monotonic.Second-member.pace()/2 && member.waiting() {
 			lastTick = now
 			batch = []*proposal{{done: member.env.Place.NewSignal()}}
 		}
@@ -69,10 +69,10 @@
 	lock     sync.Mutex
 	over     bool
 	err      error
-	taken    postmark.Micros
+	taken    monotonic.Micros
 }
 
-func (delivery *delivery) end(err error, taken postmark.Micros) {
+func (delivery *delivery) end(err error, taken monotonic.Micros) {
 	delivery.lock.Lock()
 	if !delivery.over {
 		delivery.over, delivery.err, delivery.taken = true, err, taken
@@ -93,9 +93,9 @@
 const (
 	// silentAfter is how long a batch may be unanswered before its backup is asked something small. A slow disk holds a batch up, but
 	// not such an ask.
-	silentAfter = 100 * postmark.Millisecond
+	silentAfter = 100 * monotonic.Millisecond
 	// smallPatience is how long that is waited for; well above the longest way there and back.
-	smallPatience = 150 * postmark.Millisecond
+	smallPatience = 150 * monotonic.Millisecond
 )
 
 // silent tells whether a backup that hasn't answered a batch yet doesn't answer a small ask either, while another voter that could take
@@ -114,7 +114,7 @@
 }
 
 // spread sends entries to every backup at once. Once signals have fired the deliveries are whole.
-func (member *Member) spread(ask *wire.ReplicateAsk, backups []*wire.Holder, patience postmark.Micros) (deliveries []*delivery, wait func()) {
+func (member *Member) spread(ask *wire.ReplicateAsk, backups []*wire.Holder, patience monotonic.Micros) (deliveries []*delivery, wait func()) {
 	place := member.env.Place
 	started, waits := place.Now(), []func(){}
 	for _, backup := range backups {
@@ -135,7 +135,7 @@
 				delivery.end(errSilent, place.Now()-started)
 			}
 			for !delivery.ended() {
-				delivery.answered.Wait(postmark.Minute)
+				delivery.answered.Wait(monotonic.Minute)
 			}
 		})
 	}
@@ -225,7 +225,7 @@
 
 // agreeAfter is how long a primary may not have exchanged holder time with its backup before it asks how much has passed
 // there: less than what a backup lets pass unasked.
-const agreeAfter = 700 * postmark.Millisecond
+const agreeAfter = 700 * monotonic.Millisecond
 
 // agree has the backup's clock bear witness where this one says that long has passed since the last exchange, or that time ran
 // backward: it may have leapt, and no wait or claim may end on its word alone.
@@ -240,7 +240,7 @@
 		ask.PreviousEpoch, ask.PreviousSequence = member.copy.epoch, member.copy.sequence
 		ask.HolderTime = int64(max(member.copy.holderTime, state.holderTime(place.Now())))
 	})
-	agreed := postmark.Micros(ask.HolderTime)
+	agreed := monotonic.Micros(ask.HolderTime)
 	tells := gather(member, names(state.backups), member.env.Patience, func(name string) (*wire.ReplicateTell, error) {
 		backup := state.backups[slices.IndexFunc(state.backups, func(one *wire.Holder) bool { return one.Name == name })]
 		tell := &wire.ReplicateTell{}
@@ -253,12 +253,12 @@
 			return state // the batch itself will find out what is wrong, and a backup turns down what it can't vouch for
 		}
 		if !tell.Stored {
-			agreed = min(agreed, postmark.Micros(tell.HolderTime))
+			agreed = min(agreed, monotonic.Micros(tell.HolderTime))
 		}
 	}
-	if agreed < postmark.Micros(ask.HolderTime) {
+	if agreed < monotonic.Micros(ask.HolderTime) {
 		member.keeper.Do(func() { agreed = max(member.copy.holderTime, agreed) })
-		member.env.Place.Report(bulletin.HolderTimeBound, map[string]any{"group": member.env.Group, "micros": ask.HolderTime - int64(agreed)})
+		member.env.Place.Report(eventlog.HolderTimeBound, map[string]any{"group": member.env.Group, "micros": ask.HolderTime - int64(agreed)})
 	}
 	state.base, state.baseAt, state.exchanged = agreed, place.Now(), place.Now()
 	member.lock.Lock()
--- a/internal/replication/configuration.go
+++ b/internal/replication/configuration.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // configuration is who decides under one value of the register: a roster, and while that changes also the one to come.
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -7,9 +7,9 @@
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 )
 
@@ -29,10 +29,10 @@
 	incarnation atomic.Uint64
 	epoch       uint64
 	sequence    uint64
-	holderTime  postmark.Micros
+	holderTime  monotonic.Micros
 	fenced      uint64
 	pending     []*wire.Entry
-	lastSync    postmark.Micros
+	lastSync    monotonic.Micros
 	line        timeline
 	tail        tail
 	rewritten   int64 // the file's size after its last rewrite
@@ -59,7 +59,7 @@
 		return nil
 	})
 	if isDamaged(err) {
-		place.Report(bulletin.DiskDamaged, map[string]any{"file": name, "error": err.Error()})
+		place.Report(eventlog.DiskDamaged, map[string]any{"file": name, "error": err.Error()})
 		member.copy = copy{}
 		if log, err = wal.Discard(place.Disk(), name); err == nil {
 			err = member.env.Machine.Restore(nil)
@@ -69,7 +69,7 @@
 		return err
 	}
 	if log.Cut > 0 {
-		place.Report(bulletin.DiskTornTail, map[string]any{"file": name, "bytes": log.Cut})
+		place.Report(eventlog.DiskTornTail, map[string]any{"file": name, "bytes": log.Cut})
 	}
 	member.copy.log = log
 	member.copy.line = timeline{at: place.Now(), line: member.copy.holderTime}
@@ -87,7 +87,7 @@
 		return err
 	}
 	member.copy.incarnation.Store(incarnation)
-	member.copy.epoch, member.copy.sequence, member.copy.holderTime = view.Epoch, view.Sequence, postmark.Micros(view.HolderTime)
+	member.copy.epoch, member.copy.sequence, member.copy.holderTime = view.Epoch, view.Sequence, monotonic.Micros(view.HolderTime)
 	member.copy.pending = nil
 	member.copy.tail.reset(position{view.Epoch, view.Sequence})
 	return nil
@@ -100,7 +100,7 @@
 	if mark.Sequence != member.copy.sequence || mark.Epoch < member.copy.epoch {
 		return fmt.Errorf("mark out of turn")
 	}
-	member.copy.epoch, member.copy.holderTime = mark.Epoch, max(member.copy.holderTime, postmark.Micros(mark.HolderTime))
+	member.copy.epoch, member.copy.holderTime = mark.Epoch, max(member.copy.holderTime, monotonic.Micros(mark.HolderTime))
 	member.copy.tail.mark(position{mark.Epoch, mark.Sequence})
 	return nil
 }
@@ -117,9 +117,9 @@
 	member.machineLock.Lock()
 	defer member.machineLock.Unlock()
 	member.copy.epoch, member.copy.sequence = entry.Epoch, entry.Sequence
-	member.copy.holderTime = max(member.copy.holderTime, postmark.Micros(entry.HolderTime))
+	member.copy.holderTime = max(member.copy.holderTime, monotonic.Micros(entry.HolderTime))
 	member.copy.tail.add(entry)
-	return member.env.Machine.Apply(entry.Epoch, postmark.Micros(entry.HolderTime), entry.Command)
+	return member.env.Machine.Apply(entry.Epoch, monotonic.Micros(entry.HolderTime), entry.Command)
 }
 
 func (member *Member) view() *wire.View {
@@ -197,7 +197,7 @@
 			return
 		}
 		now := member.env.Place.Now()
-		if allowed := state.line.allowed(now); postmark.Micros(ask.HolderTime) > allowed && !member.env.Unwitnessed {
+		if allowed := state.line.allowed(now); monotonic.Micros(ask.HolderTime) > allowed && !member.env.Unwitnessed {
 			tell.Why, tell.HolderTime = leapt, int64(allowed)
 			return
 		}
@@ -209,7 +209,7 @@
 				member.apply(entry)
 			}
 		}
-		state.holderTime = max(state.holderTime, postmark.Micros(ask.HolderTime))
+		state.holderTime = max(state.holderTime, monotonic.Micros(ask.HolderTime))
 		state.line.take(now, state.holderTime)
 		state.fenced = max(state.fenced, ask.Epoch)
 		member.yieldTo(ask.Epoch)
@@ -224,22 +224,22 @@
 
 // timeline is what a backup holds against its primary's word on how much time passed.
 // Invariant: line is never above the holder time that was last taken, and rises by the own clock, a hundredth added for drift.
-type timeline struct{ at, line postmark.Micros }
+type timeline struct{ at, line monotonic.Micros }
 
 // lineSlack is how far holder time may be ahead of the line: clocks that don't run alike, messages that take their time.
-const lineSlack = postmark.Second
+const lineSlack = monotonic.Second
 
-func (timeline timeline) now(now postmark.Micros) postmark.Micros {
+func (timeline timeline) now(now monotonic.Micros) monotonic.Micros {
 	passed := max(now-timeline.at, 0)
 	return timeline.line + passed + passed/100
 }
 
 // allowed is the most that holder time may be now. Every primary installs its view before it sends entries, so there is a line.
-func (timeline timeline) allowed(now postmark.Micros) postmark.Micros {
+func (timeline timeline) allowed(now monotonic.Micros) monotonic.Micros {
 	return timeline.now(now) + lineSlack
 }
 
-func (timeline *timeline) take(now, held postmark.Micros) {
+func (timeline *timeline) take(now, held monotonic.Micros) {
 	timeline.at, timeline.line = now, min(held, timeline.now(now))
 }
 
@@ -285,7 +285,7 @@
 		member.yieldTo(ask.Epoch)
 		tell.Stored = true
 		member.heardPrimary()
-		member.env.Place.Report(bulletin.CopyInstalled, map[string]any{"group": member.env.Group, "epoch": ask.Epoch, "bytes": len(view.Content)})
+		member.env.Place.Report(eventlog.CopyInstalled, map[string]any{"group": member.env.Group, "epoch": ask.Epoch, "bytes": len(view.Content)})
 	})
 	return tell, failure
 }
@@ -319,7 +319,7 @@
 	state.fenced = max(state.fenced, ask.Epoch)
 	member.yieldTo(ask.Epoch)
 	member.heardPrimary()
-	member.env.Place.Report(bulletin.CopyCaughtUp, map[string]any{"group": member.env.Group, "epoch": ask.Epoch, "entries": len(ask.Entries)})
+	member.env.Place.Report(eventlog.CopyCaughtUp, map[string]any{"group": member.env.Group, "epoch": ask.Epoch, "entries": len(ask.Entries)})
 	return "", nil
 }
 
--- a/internal/replication/copy_search_test.go
+++ b/internal/replication/copy_search_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // The copy search explores how three processes' copies are written, brought into step and lost: primaries that write while their backup hears them or
--- a/internal/replication/copy_test.go
+++ b/internal/replication/copy_test.go
@@ -6,18 +6,18 @@
 
 	"snowflow/internal/discovery"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // heavy is a state that stays large whatever is applied.
 type heavy struct{ content []byte }
 
-func (heavy *heavy) Apply(uint64, postmark.Micros, []byte) []byte { return nil }
-func (heavy *heavy) View() []byte                                 { return heavy.content }
-func (heavy *heavy) Restore([]byte) error                         { return nil }
-func (heavy *heavy) Waiting() bool                                { return false }
+func (heavy *heavy) Apply(uint64, monotonic.Micros, []byte) []byte { return nil }
+func (heavy *heavy) View() []byte                                  { return heavy.content }
+func (heavy *heavy) Restore([]byte) error                          { return nil }
+func (heavy *heavy) Waiting() bool                                 { return false }
 
 // TestLargeStateIsNotRewrittenWithEveryBatch fills a journal whose view alone is longer than the least length.
 func TestLargeStateIsNotRewrittenWithEveryBatch(t *testing.T) {
@@ -41,7 +41,7 @@
 		return host.Table{}, err
 	})
 	simulated.Start(node)
-	simulated.Run(simulated.Now() + postmark.Minute)
+	simulated.Run(simulated.Now() + monotonic.Minute)
 	defer simulated.Close()
 	if stored != 1000 {
 		t.Fatalf("%d of 1000 stored; %v", stored, simulated.Panicked)
--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -2,8 +2,8 @@
 
 import (
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // Register adds the group's handlers.
@@ -58,7 +58,7 @@
 			member.env.Handed(ask.Epoch, ask.Content)
 		}
 		member.lock.Lock()
-		member.lastHeard, member.young = -postmark.Minute, false
+		member.lastHeard, member.young = -monotonic.Minute, false
 		now := member.env.Place.Now()
 		if ask.Leaving != "" {
 			member.leavers[ask.Leaving] = now
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // renew asks every voter for the primary's tenure, counted from before the ask.
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -3,25 +3,25 @@
 import (
 	"slices"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// LeaveLimit is how long a planned stop waits at most for its copy and seat to be taken over.
-	LeaveLimit = 2500 * postmark.Millisecond
+	LeaveLimit = 2500 * monotonic.Millisecond
 	// leavePause is how often a member that stops as planned asks whether it may go.
-	leavePause = 50 * postmark.Millisecond
+	leavePause = 50 * monotonic.Millisecond
 	// applicantPause is how long a process that waits for a seat may take to tell a new primary so.
-	applicantPause = 1500 * postmark.Millisecond
+	applicantPause = 1500 * monotonic.Millisecond
 	// leavePatience is how long after its last word a process counts as leaving: its next life is none that leaves.
-	leavePatience = postmark.Second
+	leavePatience = monotonic.Second
 )
 
 // Leave is for a planned stop. It hands the lead over and returns once this member holds no copy that is counted on, and its seat is taken by
 // a successor if one waits; or when the limit has passed, since the process is ended then in any case.
-func (member *Member) Leave(why string, limit postmark.Micros) {
+func (member *Member) Leave(why string, limit monotonic.Micros) {
 	place := member.env.Place
 	cutoff := place.Now() + limit
 	member.lock.Lock()
@@ -30,16 +30,16 @@
 	member.handOverTo(why, member.env.Name)
 	for place.Now() < cutoff && !member.env.Abandon {
 		if member.askLeave(cutoff - place.Now()) {
-			place.Report(bulletin.MemberReleased, map[string]any{"group": member.env.Group})
+			place.Report(eventlog.MemberReleased, map[string]any{"group": member.env.Group})
 			return
 		}
 		place.Sleep(min(leavePause, max(0, cutoff-place.Now())))
 	}
-	place.Report(bulletin.MemberNotReleased, map[string]any{"group": member.env.Group})
+	place.Report(eventlog.MemberNotReleased, map[string]any{"group": member.env.Group})
 }
 
 // askLeave asks the primary whether this member may go.
-func (member *Member) askLeave(patience postmark.Micros) bool {
+func (member *Member) askLeave(patience monotonic.Micros) bool {
 	leader := member.env.Book.Leader(member.env.Group)
 	if leader == "" || leader == member.env.Name {
 		member.env.Book.Ask()
@@ -79,7 +79,7 @@
 }
 
 // leavingNow lists the processes that said lately that they stop as planned. The caller holds the lock.
-func (member *Member) leavingNow(now postmark.Micros) map[string]bool {
+func (member *Member) leavingNow(now monotonic.Micros) map[string]bool {
 	leaving := map[string]bool{}
 	for name, at := range member.leavers {
 		if now-at > leavePatience {
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -11,19 +11,19 @@
 	"slices"
 	"sync"
 
-	"snowflow/internal/bulletin"
 	"snowflow/internal/discovery"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/host/vigil"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/host/clockwatch"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 )
 
 // Machine is the state that a group keeps. Its functions are called one at a time and never block.
 type Machine interface {
 	// Apply carries out one command at a moment of the holder's time and gives its result.
-	Apply(epoch uint64, now postmark.Micros, command []byte) []byte
+	Apply(epoch uint64, now monotonic.Micros, command []byte) []byte
 	// View gives the whole state; Restore replaces it.
 	View() []byte
 	Restore(content []byte) error
@@ -48,14 +48,14 @@
 	// more keeps them.
 	Size int
 	// Gone is how long a voter may be silent before a successor that waits takes its place.
-	Gone postmark.Micros
+	Gone monotonic.Micros
 	// Zone tells in which failure domain a process stands, empty if that isn't known, so that copies and voters are kept apart; it may be left out.
 	Zone func(name string) string
 	// Tenure is how long a majority lets a primary lead; Beat how often it's renewed; Patience how long one call waits.
-	Tenure, Beat, Patience postmark.Micros
+	Tenure, Beat, Patience monotonic.Micros
 	// SlowSync is how long a sync may take before the disk counts as slow; three in a row make the primary hand over, or
 	// take another backup.
-	SlowSync postmark.Micros
+	SlowSync monotonic.Micros
 	// CompactFrom is the length from which the journal is rewritten.
 	CompactFrom int64
 	// Unwitnessed has holder time go by the primary's clock alone; only rehearsals of the checkers set it.
@@ -68,21 +68,21 @@
 	Handing func() []byte
 	Handed  func(epoch uint64, content []byte)
 	// Settled is called whenever this member starts answering as primary.
-	Settled func(epoch uint64, now postmark.Micros)
+	Settled func(epoch uint64, now monotonic.Micros)
 }
 
 // Defaults fills in the figures of the design.
 func (env *Env) Defaults() {
-	fill := func(field *postmark.Micros, value postmark.Micros) {
+	fill := func(field *monotonic.Micros, value monotonic.Micros) {
 		if *field == 0 {
 			*field = value
 		}
 	}
-	fill(&env.Tenure, postmark.Second)
-	fill(&env.Beat, 150*postmark.Millisecond)
-	fill(&env.Patience, 400*postmark.Millisecond)
-	fill(&env.SlowSync, 300*postmark.Millisecond)
-	fill(&env.Gone, 20*postmark.Second)
+	fill(&env.Tenure, monotonic.Second)
+	fill(&env.Beat, 150*monotonic.Millisecond)
+	fill(&env.Patience, 400*monotonic.Millisecond)
+	fill(&env.SlowSync, 300*monotonic.Millisecond)
+	fill(&env.Gone, 20*monotonic.Second)
 	env.Copies = max(env.Copies, 2)
 	if env.Size == 0 {
 		env.Size = max(2*env.Copies-1, len(env.Voters))
@@ -102,28 +102,28 @@
 	voter    voter
 	copy     copy
 	// Vigil watches this process's clock.
-	Vigil *vigil.Vigil
+	Vigil *clockwatch.Vigil
 
 	lock          sync.Mutex
 	highestBallot uint64
 	value         *wire.RegisterValue // the newest heard of, accepted under valueBallot
 	valueBallot   uint64
 	lead          lead
-	lastHeard     postmark.Micros
-	young         bool                       // nothing was heard of a primary, or done about one, in this life
-	seats         map[string]sighting        // the last that each other seat told of itself
-	told          string                     // the last that was told of rosters that differ
-	heard         map[string]postmark.Micros // when each voter last answered this primary
+	lastHeard     monotonic.Micros
+	young         bool                        // nothing was heard of a primary, or done about one, in this life
+	seats         map[string]sighting         // the last that each other seat told of itself
+	told          string                      // the last that was told of rosters that differ
+	heard         map[string]monotonic.Micros // when each voter last answered this primary
 	applicants    map[string]applicant
-	leavers       map[string]postmark.Micros // when each process that stops as planned last said so
-	proposed      map[string]bool            // names that ballots of this life would have made voters
-	tending       bool                       // a change of the roster is under way here
+	leavers       map[string]monotonic.Micros // when each process that stops as planned last said so
+	proposed      map[string]bool             // names that ballots of this life would have made voters
+	tending       bool                        // a change of the roster is under way here
 	stopped       bool
 	stopping      bool // this process stops as planned, and takes no lead any more
 
 	// relieved is when something was last done about a slow disk, completed when further backups were last looked for; only the
 	// work task uses them.
-	relieved, completed postmark.Micros
+	relieved, completed monotonic.Micros
 	// life is a number that no other life of this process has.
 	life uint64
 	// nudge wakes the task that attends to this member's place.
@@ -140,8 +140,8 @@
 type lead struct {
 	epoch, ballot uint64
 	chosen        *wire.RegisterValue
-	since         postmark.Micros // when it began
-	until         postmark.Micros
+	since         monotonic.Micros // when it began
+	until         monotonic.Micros
 	leased        configuration
 	answering     bool
 	backups       []*wire.Holder
@@ -149,28 +149,28 @@
 	failures      int
 	slowSyncs     int
 	slowReplies   int
-	lastResort    bool            // the backup had failed, and no other could be had
-	base          postmark.Micros // holder time at
-	baseAt        postmark.Micros // this reading of the own clock
-	exchanged     postmark.Micros // when every backup had last taken holder time, by the own clock
+	lastResort    bool             // the backup had failed, and no other could be had
+	base          monotonic.Micros // holder time at
+	baseAt        monotonic.Micros // this reading of the own clock
+	exchanged     monotonic.Micros // when every backup had last taken holder time, by the own clock
 }
 
 // holderTime is the group's time at a reading of the own clock.
-func (lead lead) holderTime(now postmark.Micros) postmark.Micros {
+func (lead lead) holderTime(now monotonic.Micros) monotonic.Micros {
 	return lead.base + now - lead.baseAt
 }
 
 // told is a holder time that has certainly come: no further on than the backup bore witness to, and a little.
-func (lead lead) told(now postmark.Micros) postmark.Micros {
+func (lead lead) told(now monotonic.Micros) monotonic.Micros {
 	return min(lead.holderTime(now), lead.holderTime(lead.exchanged)+agreeAfter)
 }
 
 // Open reads what the disk holds. Start must follow.
 func Open(env Env) (*Member, error) {
 	env.Defaults()
-	member := &Member{env: env, Vigil: vigil.New(env.Place), heard: map[string]postmark.Micros{}, applicants: map[string]applicant{}, leavers: map[string]postmark.Micros{}, proposed: map[string]bool{},
+	member := &Member{env: env, Vigil: clockwatch.New(env.Place), heard: map[string]monotonic.Micros{}, applicants: map[string]applicant{}, leavers: map[string]monotonic.Micros{}, proposed: map[string]bool{},
 		seats: map[string]sighting{}, young: true, life: env.Place.Random() | 1}
-	member.Vigil.OnLeap(func(postmark.Micros) {
+	member.Vigil.OnLeap(func(monotonic.Micros) {
 		// What this seat granted may seem to be over and not be.
 		member.seat.Do(func() { member.voter.waitOut(env.Place.Now() + env.Tenure) })
 	})
@@ -254,7 +254,7 @@
 }
 
 func (member *Member) releaseReserve() bool {
-	member.env.Place.Report(bulletin.DiskFull, map[string]any{"group": member.env.Group})
+	member.env.Place.Report(eventlog.DiskFull, map[string]any{"group": member.env.Group})
 	return wal.ReleaseReserve(member.env.Place.Disk()) == nil
 }
 
@@ -264,7 +264,7 @@
 	member.stopped = true
 	member.lock.Unlock()
 	if !already {
-		member.env.Place.Report(bulletin.DiskSyncFailed, map[string]any{"group": member.env.Group, "error": why})
+		member.env.Place.Report(eventlog.DiskSyncFailed, map[string]any{"group": member.env.Group, "error": why})
 		member.env.Place.Stop(why)
 	}
 }
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -5,9 +5,9 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
 )
 
 // Errors that a proposal may end with.
@@ -32,7 +32,7 @@
 	}
 	request := &proposal{command: command, done: member.env.Place.NewSignal()}
 	member.inbox.Put(request)
-	for !request.done.Wait(postmark.Forever) {
+	for !request.done.Wait(monotonic.Forever) {
 	}
 	return request.result, request.err
 }
@@ -58,7 +58,7 @@
 		member.inbox.Put(requests[index])
 	}
 	for index, request := range requests {
-		for !request.done.Wait(postmark.Forever) {
+		for !request.done.Wait(monotonic.Forever) {
 		}
 		outcomes[index] = Outcome{request.result, request.err}
 	}
@@ -73,7 +73,7 @@
 	}
 	answer, err := member.Propose(content)
 	if errors.Is(err, ErrNotPrimary) {
-		return seal.Refused.New("not the primary")
+		return apierror.Refused.New("not the primary")
 	}
 	if err != nil {
 		return err
@@ -96,14 +96,14 @@
 }
 
 // HolderTime is the group's time as its primary counts it; it goes on across failovers.
-func (member *Member) HolderTime() postmark.Micros {
+func (member *Member) HolderTime() monotonic.Micros {
 	member.lock.Lock()
 	defer member.lock.Unlock()
 	return member.lead.told(member.env.Place.Now())
 }
 
 // Read looks at the machine under a live tenure. It tells whether it did.
-func (member *Member) Read(look func(epoch uint64, now postmark.Micros)) bool {
+func (member *Member) Read(look func(epoch uint64, now monotonic.Micros)) bool {
 	if !member.Answering() {
 		return false
 	}
@@ -115,7 +115,7 @@
 }
 
 // peekWithin is how lately a majority must have been seen by who shows its copy without leading.
-const peekWithin = postmark.Second
+const peekWithin = monotonic.Second
 
 // Peek looks at this member's own copy, whoever leads, if the newest register that a majority told of lately names it as a holder: it has whatever was
 // answered before that, and may have what never was. It tells whether it looked.
--- a/internal/replication/roster.go
+++ b/internal/replication/roster.go
@@ -5,9 +5,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // situation is what a primary knows when it looks whether the roster should be another.
@@ -124,12 +124,12 @@
 
 // applicant is a process that asked to be taken into the roster.
 type applicant struct {
-	at     postmark.Micros
+	at     monotonic.Micros
 	joined bool
 }
 
 // applicantPatience is how long after its last word an applicant counts as being in contact.
-const applicantPatience = 3 * postmark.Second
+const applicantPatience = 3 * monotonic.Second
 
 // hear notes that a voter answered.
 func (member *Member) hear(name string) {
@@ -139,17 +139,17 @@
 }
 
 // heardAt is when a voter last answered, long ago if never.
-func (member *Member) heardAt(name string) postmark.Micros {
+func (member *Member) heardAt(name string) monotonic.Micros {
 	member.lock.Lock()
 	defer member.lock.Unlock()
 	if at, known := member.heard[name]; known {
 		return at
 	}
-	return -postmark.Minute
+	return -monotonic.Minute
 }
 
 // applicantsNow lists the processes in contact that keep a register and want to vote. The caller holds the lock.
-func (member *Member) applicantsNow(now postmark.Micros) (waiting []string) {
+func (member *Member) applicantsNow(now monotonic.Micros) (waiting []string) {
 	for name, one := range member.applicants {
 		if now-one.at > applicantPatience {
 			delete(member.applicants, name)
@@ -258,7 +258,7 @@
 			member.proposed = map[string]bool{} // what was proposed before is behind this value
 			member.lock.Unlock()
 		}
-		member.env.Place.Report(bulletin.RosterChanged, map[string]any{"group": member.env.Group, "voters": value.Voters, "joint": value.JointVoters})
+		member.env.Place.Report(eventlog.RosterChanged, map[string]any{"group": member.env.Group, "voters": value.Voters, "joint": value.JointVoters})
 		member.renew()
 		member.nudge.Fire() // the next step may be due
 	})
@@ -319,7 +319,7 @@
 			record.Joined, record.Promised, record.Accepted, record.Value = true, tell.Ballot, tell.Ballot, tell.Value
 		})
 		if err == nil {
-			member.env.Place.Report(bulletin.Enrolled, map[string]any{"group": member.env.Group, "primary": leader, "voters": tell.Value.Voters})
+			member.env.Place.Report(eventlog.Enrolled, map[string]any{"group": member.env.Group, "primary": leader, "voters": tell.Value.Voters})
 		}
 	})
 }
--- a/internal/replication/sightings.go
+++ b/internal/replication/sightings.go
@@ -4,16 +4,16 @@
 	"maps"
 	"slices"
 
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // sighting is what another seat told of itself when it was read.
 type sighting struct {
-	at      postmark.Micros
+	at      monotonic.Micros
 	life    uint64
 	intact  bool
-	bound   postmark.Micros // until when, by the own clock, it promises nobody anything but whom it's bound to
+	bound   monotonic.Micros // until when, by the own clock, it promises nobody anything but whom it's bound to
 	boundTo string
 }
 
@@ -58,7 +58,7 @@
 	now := member.env.Place.Now()
 	member.lock.Lock()
 	member.heard[name] = now
-	member.seats[name] = sighting{at: now, life: tell.Life, intact: tell.Intact, bound: now + postmark.Micros(tell.Bound), boundTo: tell.BoundTo}
+	member.seats[name] = sighting{at: now, life: tell.Life, intact: tell.Intact, bound: now + monotonic.Micros(tell.Bound), boundTo: tell.BoundTo}
 	lives := map[string]uint64{member.env.Name: member.life}
 	for other, one := range member.seats {
 		lives[other] = one.life
@@ -80,15 +80,15 @@
 
 // vacant tells whether a quorum of those who were seen lately would promise this member something now, and otherwise when it
 // may. It's a hint that saves ballots which would only stand in a primary's way.
-func (member *Member) vacant() (free bool, wait postmark.Micros) {
+func (member *Member) vacant() (free bool, wait monotonic.Micros) {
 	present, _ := member.configuration()
-	now, until := member.env.Place.Now(), map[string]postmark.Micros{}
+	now, until := member.env.Place.Now(), map[string]monotonic.Micros{}
 	member.seat.Do(func() {
 		left, to := member.bound()
 		if member.voter.record.Joined {
 			until[member.env.Name] = now
 			if to != member.env.Name {
-				until[member.env.Name] = now + postmark.Micros(left)
+				until[member.env.Name] = now + monotonic.Micros(left)
 			}
 		}
 	})
@@ -118,7 +118,7 @@
 }
 
 // majoritySeen tells whether this seat and those whose registers were read within a span are a quorum: what was chosen before is known here.
-func (member *Member) majoritySeen(within postmark.Micros) bool {
+func (member *Member) majoritySeen(within monotonic.Micros) bool {
 	present, _ := member.configuration()
 	seen, now := []string{member.env.Name}, member.env.Place.Now()
 	member.lock.Lock()
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -5,8 +5,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/frame"
 	"snowflow/internal/release"
+	"snowflow/internal/transport/frame"
 )
 
 // Status is what operators are shown of a member.
--- a/internal/replication/tail.go
+++ b/internal/replication/tail.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 const (
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -4,9 +4,9 @@
 	"errors"
 	"slices"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // takeOver opens the next epoch with this member as primary, if the register names it as a holder of every
@@ -42,7 +42,7 @@
 			member.learn(ballot, value)
 		}
 		member.lock.Lock()
-		member.lastHeard = member.env.Place.Now() - member.env.Tenure + postmark.Micros(member.env.Place.Random()%uint64(2*member.env.Beat))
+		member.lastHeard = member.env.Place.Now() - member.env.Tenure + monotonic.Micros(member.env.Place.Random()%uint64(2*member.env.Beat))
 		member.lock.Unlock()
 		return
 	}
@@ -57,9 +57,9 @@
 		defer member.lock.Unlock()
 		member.lead = lead{epoch: value.Epoch, ballot: ballot, chosen: value, since: member.env.Place.Now(), base: member.copy.holderTime, baseAt: member.env.Place.Now(), exchanged: member.env.Place.Now()}
 	})
-	number := bulletin.TookOver
+	number := eventlog.TookOver
 	if value.Epoch == 1 {
-		number = bulletin.Genesis
+		number = eventlog.Genesis
 	}
 	member.env.Place.Report(number, map[string]any{"group": member.env.Group, "epoch": value.Epoch})
 	member.renew()
@@ -77,7 +77,7 @@
 	}
 	member.lock.Unlock()
 	if present {
-		member.env.Place.Report(bulletin.SteppedDown, map[string]any{"group": member.env.Group, "epoch": epoch, "why": why})
+		member.env.Place.Report(eventlog.SteppedDown, map[string]any{"group": member.env.Group, "epoch": epoch, "why": why})
 	}
 }
 
@@ -101,7 +101,7 @@
 	member.askTenure(state.epoch, state.ballot, true)
 	if len(state.backups) > 0 {
 		heir := state.backups[0].Name
-		member.env.Place.Report(bulletin.HandedOver, map[string]any{"group": member.env.Group, "to": heir, "why": why})
+		member.env.Place.Report(eventlog.HandedOver, map[string]any{"group": member.env.Group, "to": heir, "why": why})
 		_ = member.call(heir, wire.Kind_handover, &wire.HandoverAsk{To: heir, Epoch: state.epoch, Content: along, Leaving: leaving, Waiting: waiting}, &wire.HandoverTell{})
 	}
 	member.lock.Lock()
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -6,10 +6,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 )
 
@@ -28,21 +28,21 @@
 type voter struct {
 	log        *wal.Log
 	record     *wire.RegisterRecord
-	promisedAt postmark.Micros
+	promisedAt monotonic.Micros
 	promisedTo *wire.Holder // in this life
-	votesFrom  postmark.Micros
+	votesFrom  monotonic.Micros
 	inherited  bool // votesFrom stands for an earlier life's grants, of which record.Grantees tells
 	grant      grant
 }
 
 // waitOut has nothing promised before some moment, whatever becomes known.
-func (voter *voter) waitOut(until postmark.Micros) {
+func (voter *voter) waitOut(until monotonic.Micros) {
 	voter.votesFrom, voter.inherited = max(voter.votesFrom, until), false
 }
 
 type grant struct {
 	holder *wire.Holder
-	until  postmark.Micros
+	until  monotonic.Micros
 }
 
 const registerFile = "register"
@@ -59,7 +59,7 @@
 		return nil
 	})
 	if isDamaged(err) {
-		place.Report(bulletin.DiskDamaged, map[string]any{"file": member.file(registerFile), "error": err.Error()})
+		place.Report(eventlog.DiskDamaged, map[string]any{"file": member.file(registerFile), "error": err.Error()})
 		member.voter.record = &wire.RegisterRecord{}
 		log, err = wal.Discard(place.Disk(), member.file(registerFile))
 	}
@@ -67,12 +67,12 @@
 		return err
 	}
 	if log.Cut > 0 {
-		place.Report(bulletin.DiskTornTail, map[string]any{"file": member.file(registerFile), "bytes": log.Cut})
+		place.Report(eventlog.DiskTornTail, map[string]any{"file": member.file(registerFile), "bytes": log.Cut})
 	}
 	member.voter.log = log
 	record := member.voter.record
 	if record.Name != "" && record.Name != member.env.Name {
-		return seal.Invalid.New("data folder belongs to %s, not to %s", record.Name, member.env.Name)
+		return apierror.Invalid.New("data folder belongs to %s, not to %s", record.Name, member.env.Name)
 	}
 	// Who votes may stand nowhere but here: after a start of the whole core nobody else could tell.
 	member.learn(record.Accepted, record.Value)
@@ -147,7 +147,7 @@
 		tell.Incarnation, tell.Promised, tell.Accepted, tell.Value = record.Incarnation, record.Promised, record.Accepted, record.Value
 	})
 	if why != "" {
-		return nil, seal.Invalid.New("%s", why)
+		return nil, apierror.Invalid.New("%s", why)
 	}
 	return tell, nil
 }
@@ -202,7 +202,7 @@
 	member.told = why
 	member.lock.Unlock()
 	if told != why {
-		member.env.Place.Report(bulletin.VotersDiffer, map[string]any{"group": member.env.Group, "why": why})
+		member.env.Place.Report(eventlog.VotersDiffer, map[string]any{"group": member.env.Group, "why": why})
 	}
 	return why
 }
@@ -332,7 +332,7 @@
 			record.Joined, record.Promised, record.Accepted, record.Value = true, highestPromise, highestAccepted, value
 		})
 		if err == nil {
-			member.env.Place.Report(bulletin.VoterJoined, map[string]any{"group": member.env.Group, "genesis": virgin, "promised": highestPromise})
+			member.env.Place.Report(eventlog.VoterJoined, map[string]any{"group": member.env.Group, "genesis": virgin, "promised": highestPromise})
 		}
 	})
 }
--- a/internal/replication/weights_test.go
+++ b/internal/replication/weights_test.go
@@ -5,12 +5,12 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/bulletin"
 	"snowflow/internal/discovery"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // subsets lists every subset of voters.
@@ -75,8 +75,8 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	reports, asked := 0, false
-	simulated.Trace = func(_ postmark.Micros, _ string, number int, _ map[string]any) {
-		if number == bulletin.VotersDiffer {
+	simulated.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) {
+		if number == eventlog.VotersDiffer {
 			reports++
 		}
 	}
@@ -103,7 +103,7 @@
 		asked = true
 		return host.Table{}, nil
 	}))
-	simulated.Run(simulated.Now() + postmark.Second)
+	simulated.Run(simulated.Now() + monotonic.Second)
 	if !asked || reports != 2 {
 		t.Errorf("asked %v, %d reports for two rosters that differ; %v", asked, reports, simulated.Panicked)
 	}
--- a/internal/postcode/postcode.go
+++ b/internal/resourcepath/postcode.go
@@ -1,12 +1,12 @@
-// Package postcode gives every resource one spelling, so that a request is resolved, claimed and handed over by the same
+// Package resourcepath gives every resource one spelling, so that a request is resolved, claimed and handed over by the same
 // path however its caller wrote it.
-package postcode
+package resourcepath
 
 import (
 	"net/url"
 	"strings"
 
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
 )
 
 // Address is a request's target in its one spelling.
@@ -22,17 +22,17 @@
 func Parse(target string) (Address, error) {
 	escaped, query, _ := strings.Cut(target, "?")
 	if !strings.HasPrefix(escaped, "/") {
-		return Address{}, seal.Invalid.New("a target must start with /")
+		return Address{}, apierror.Invalid.New("a target must start with /")
 	}
 	segments := []string{}
 	trailing := false
 	for _, part := range strings.Split(escaped[1:], "/") {
 		segment, err := url.PathUnescape(part)
 		if err != nil {
-			return Address{}, seal.Invalid.New("unreadable escape in %q", part)
+			return Address{}, apierror.Invalid.New("unreadable escape in %q", part)
 		}
 		if strings.ContainsFunc(segment, ambiguous) {
-			return Address{}, seal.Invalid.New("%q holds a slash, a backslash or a control character", part)
+			return Address{}, apierror.Invalid.New("%q holds a slash, a backslash or a control character", part)
 		}
 		trailing = segment == "" || segment == "." || segment == ".."
 		switch {
--- a/internal/postcode/postcode_test.go
+++ b/internal/resourcepath/postcode_test.go
@@ -1,4 +1,4 @@
-package postcode_test
+package resourcepath_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"snowflow/internal/postcode"
+	"snowflow/internal/resourcepath"
 )
 
 // TestSpellings keeps a transcript of targets as sent, and what each is resolved, claimed and handed over as.
@@ -15,16 +15,16 @@
 	datadriven.RunTest(t, "testdata/spellings", func(t *testing.T, data *datadriven.TestData) string {
 		var text strings.Builder
 		for _, target := range strings.Split(data.Input, "\n") {
-			address, err := postcode.Parse(target)
+			address, err := resourcepath.Parse(target)
 			if err != nil {
 				fmt.Fprintf(&text, "%s: refused, %v\n", target, err)
 				continue
 			}
 			// The one spelling of a spelling is itself.
-			if again, err := postcode.Parse(address.Target); err != nil || again != address {
+			if again, err := resourcepath.Parse(address.Target); err != nil || again != address {
 				t.Errorf("%s: %v, then %v %v", target, address, again, err)
 			}
-			fmt.Fprintf(&text, "%s: path %s, resource %s, sent as %s\n", target, address.Path, postcode.Resource(address.Path), address.Target)
+			fmt.Fprintf(&text, "%s: path %s, resource %s, sent as %s\n", target, address.Path, resourcepath.Resource(address.Path), address.Target)
 		}
 		return text.String()
 	})
--- a/internal/env/env.go
+++ b/internal/settings/env.go
@@ -1,5 +1,5 @@
-// Package env reads a program's settings: a table of fields, a JSON file, and flags that go before the file.
-package env
+// Package settings reads a program's settings: a table of fields, a JSON file, and flags that go before the file.
+package settings
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"github.com/apex/log"
 	"github.com/spf13/pflag"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // Field is one setting.
@@ -41,9 +41,9 @@
 }
 
 // Span is a checked setting in microseconds.
-func (values Values) Span(name string) postmark.Micros {
+func (values Values) Span(name string) monotonic.Micros {
 	span, _ := time.ParseDuration(values[name])
-	return postmark.Of(span)
+	return monotonic.Of(span)
 }
 
 // Number is a checked whole number.
--- a/internal/mailround/round/bad_messages_test.go
+++ b/internal/simulation/scenario/bad_messages_test.go
@@ -1,4 +1,4 @@
-package round
+package scenario
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/configstore"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // badMessages are messages between core members that are from an earlier epoch, another copy or another group, cut short, or garbage.
@@ -69,15 +69,15 @@
 					}
 				}
 				version++
-				if tell, _, err := mesh.raise(version, 10*postmark.Second); err != nil || tell.Serial != version {
+				if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Serial != version {
 					t.Fatalf("version %d: %v %v", version, tell, err)
 				}
 				mesh.World.Kill(mesh.leader("postmaster"))
-				mesh.World.Run(mesh.World.Now() + 5*postmark.Second)
+				mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
 				for _, node := range mesh.allCore() {
 					mesh.World.Start(node)
 				}
-				mesh.World.Run(mesh.World.Now() + 5*postmark.Second)
+				mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
 			}
 			tell := &wire.DesiredReadTell{}
 			mesh.ask(mesh.leader(configstore.Group).Address, wire.Kind_desired_read, &wire.DesiredReadAsk{}, tell)
@@ -92,10 +92,10 @@
 func (mesh *Mesh) ask(address string, kind wire.Kind, ask, tell proto.Message) {
 	done := false
 	mesh.Outside.Go(func() {
-		_ = mesh.Outside.Call(address, kind, ask, tell, postmark.Second)
+		_ = mesh.Outside.Call(address, kind, ask, tell, monotonic.Second)
 		done = true
 	})
-	for limit := mesh.World.Now() + 3*postmark.Second; !done && mesh.World.Now() < limit; {
-		mesh.World.Run(mesh.World.Now() + 5*postmark.Millisecond)
+	for limit := mesh.World.Now() + 3*monotonic.Second; !done && mesh.World.Now() < limit; {
+		mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
 	}
 }
--- a/internal/mailround/round/caller_left_test.go
+++ b/internal/simulation/scenario/caller_left_test.go
@@ -1,13 +1,13 @@
-package round
+package scenario
 
 import (
 	"errors"
 	"testing"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/simulation/world"
 )
 
 // TestCallerLeaves: once a caller has left, a backend is at work no longer on what may run again, and no other one begins to; a run-once
@@ -15,26 +15,26 @@
 func TestCallerLeaves(t *testing.T) {
 	for _, one := range []struct {
 		name    string
-		request letter.Request
+		request request.Request
 		goesOn  bool
 	}{
-		{"a read", letter.Request{ID: "r-1", Method: "GET", Target: "/forms/1"}, false},
-		{"a submission", letter.Request{ID: "s-1", Method: "POST", Target: "/households/1", Key: "k-1"}, true},
+		{"a read", request.Request{ID: "r-1", Method: "GET", Target: "/forms/1"}, false},
+		{"a submission", request.Request{ID: "s-1", Method: "POST", Target: "/households/1", Key: "k-1"}, true},
 	} {
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
 			mesh := startedBy(t, seed, servingOn)
-			mesh.labour = 3 * postmark.Second
-			request, caller := one.request, mesh.carriers[0]
+			mesh.labour = 3 * monotonic.Second
+			req, caller := one.request, mesh.carriers[0]
 			var leave func()
-			request.Left = func(happen func()) (stop func() bool) {
+			req.Left = func(happen func()) (stop func() bool) {
 				leave = happen
 				return func() bool { leave = nil; return true }
 			}
 			var fault error
 			mesh.Outside.Go(func() {
-				_, fault = mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*postmark.Second, func(*world.Node) ([]byte, error) {
-					request.ReadAt = mesh.lives[caller].Moment()
-					if _, refused := mesh.lives[caller].Passage.Carry(&request); refused != nil {
+				_, fault = mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+					req.ReadAt = mesh.lives[caller].Moment()
+					if _, refused := mesh.lives[caller].Passage.Carry(&req); refused != nil {
 						return nil, refused
 					}
 					return nil, nil
@@ -46,32 +46,32 @@
 				}
 				return count
 			}
-			mesh.World.Run(mesh.World.Now() + 500*postmark.Millisecond)
+			mesh.World.Run(mesh.World.Now() + 500*monotonic.Millisecond)
 			if running() == 0 || leave == nil {
 				t.Fatalf("%s, seed %d: %d backends are at work", one.name, seed, running())
 			}
 			mesh.Outside.Go(func() {
-				_, _ = mesh.Outside.Transact(mesh.World.Node(caller).Address, postmark.Second, func(*world.Node) ([]byte, error) {
+				_, _ = mesh.Outside.Transact(mesh.World.Node(caller).Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 					leave()
 					return nil, nil
 				})
 			})
-			mesh.World.Run(mesh.World.Now() + 100*postmark.Millisecond)
+			mesh.World.Run(mesh.World.Now() + 100*monotonic.Millisecond)
 			if working := running() > 0; working != one.goesOn {
 				t.Errorf("%s, seed %d: at work a tenth of a second later: %v", one.name, seed, working)
 			}
-			mesh.World.Run(mesh.World.Now() + 5*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
 			ran := 0
 			for _, run := range mesh.History.Runs {
-				if run.Attempt == request.ID {
+				if run.Attempt == req.ID {
 					ran++
 				}
 			}
 			if ran != 1 || running() != 0 {
 				t.Errorf("%s, seed %d: %d runs, %d at work", one.name, seed, ran, running())
 			}
-			refused := new(seal.Fault)
-			if !one.goesOn && (!errors.As(fault, &refused) || refused.Cause != seal.CallerLeft || refused.NotRun()) {
+			refused := new(apierror.Fault)
+			if !one.goesOn && (!errors.As(fault, &refused) || refused.Cause != apierror.CallerLeft || refused.NotRun()) {
 				t.Errorf("%s, seed %d: %v", one.name, seed, fault)
 			}
 		}
@@ -81,16 +81,16 @@
 // TestCutoffIsKept: a request whose backend works on beyond its path's limit has its final answer half a second after it at the latest, and
 // that says that it may have run.
 func TestCutoffIsKept(t *testing.T) {
-	const cutoff = 4 * postmark.Second // as Desired has it
+	const cutoff = 4 * monotonic.Second // as Desired has it
 	for _, seed := range seeds(t, 1, 2, 3) {
 		mesh := startedBy(t, seed, servingOn)
-		mesh.labour = 8 * postmark.Second
-		for _, request := range []letter.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", Key: "k-1"}} {
+		mesh.labour = 8 * monotonic.Second
+		for _, req := range []request.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", Key: "k-1"}} {
 			began := mesh.World.Now()
-			_, fault := mesh.carry(mesh.carriers[0], &request)
-			refused := new(seal.Fault)
-			if took := mesh.World.Now() - began; took < cutoff-postmark.Second || took > cutoff+500*postmark.Millisecond || errors.As(fault, &refused) && refused.NotRun() {
-				t.Errorf("seed %d: %s ended after %d microseconds: %v", seed, request.ID, took, fault)
+			_, fault := mesh.carry(mesh.carriers[0], &req)
+			refused := new(apierror.Fault)
+			if took := mesh.World.Now() - began; took < cutoff-monotonic.Second || took > cutoff+500*monotonic.Millisecond || errors.As(fault, &refused) && refused.NotRun() {
+				t.Errorf("seed %d: %s ended after %d microseconds: %v", seed, req.ID, took, fault)
 			}
 		}
 	}
--- a/internal/mailround/round/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -1,14 +1,14 @@
-package round
+package scenario
 
 import (
 	"encoding/json"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/inspector"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // ---- callers ----
@@ -23,7 +23,7 @@
 	chance := mesh.World.Chance()
 	mesh.Outside.Go(func() {
 		for number := first; on(); number++ {
-			mesh.Outside.Sleep(postmark.Micros(chance.Uint64N(uint64(2 * int(postmark.Second) / perSecond))))
+			mesh.Outside.Sleep(monotonic.Micros(chance.Uint64N(uint64(2 * int(monotonic.Second) / perSecond))))
 			mesh.Outside.Go(func() { mesh.call(number, number%2 == 0) })
 		}
 	})
@@ -41,29 +41,29 @@
 	Mesh    bool
 	Cause   uint32
 	NotRun  bool
-	Retry   postmark.Micros
+	Retry   monotonic.Micros
 	Planned bool
 }
 
 // send makes one attempt, and tells after how long the mesh asked its caller to come back.
-func (mesh *Mesh) send(attempt *inspector.Attempt) (retry postmark.Micros) {
+func (mesh *Mesh) send(attempt *invariants.Attempt) (retry monotonic.Micros) {
 	node := mesh.World.Node(attempt.Caller)
 	life, read := mesh.lives[attempt.Caller], false
-	content, err := mesh.Outside.Transact(node.Address, 8*postmark.Second, func(*world.Node) ([]byte, error) {
+	content, err := mesh.Outside.Transact(node.Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 		if mesh.shut[attempt.Caller] {
-			return nil, seal.Refused.New("the door is closed")
+			return nil, apierror.Refused.New("the door is closed")
 		}
 		life, read = mesh.lives[attempt.Caller], true
-		request := &letter.Request{ID: attempt.ID, Method: attempt.Method, Target: attempt.Path, Key: attempt.Key,
-			ReadAt: life.Moment(), Headers: []*wire.Header{{Name: letter.KeyHeader, Value: attempt.Key}}}
+		req := &request.Request{ID: attempt.ID, Method: attempt.Method, Target: attempt.Path, Key: attempt.Key,
+			ReadAt: life.Moment(), Headers: []*wire.Header{{Name: request.KeyHeader, Value: attempt.Key}}}
 		if mesh.troubled[attempt.Caller] == "late" {
-			request.Cutoff = life.Now() + 3*postmark.Millisecond
+			req.Cutoff = life.Now() + 3*monotonic.Millisecond
 		}
-		answer, fault := life.Passage.Carry(request)
+		answer, fault := life.Passage.Carry(req)
 		if fault != nil {
 			return json.Marshal(told{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
 		}
-		return json.Marshal(told{Status: answer.Status, Serial: answer.Serial, Echo: letter.Header(answer.Headers, "Echo"), Whole: letter.Header(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
+		return json.Marshal(told{Status: answer.Status, Serial: answer.Serial, Echo: request.Header(answer.Headers, "Echo"), Whole: request.Header(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
 	})
 	attempt.Ended = mesh.World.Now()
 	attempt.Read = read && mesh.onlyPlanned
--- a/internal/mailround/round/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -1,12 +1,12 @@
-package round
+package scenario
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
 )
 
 // TestCatchUp: a backup that was away while others went on is given only what it missed, and one whose disk was lost everything; both hold all
@@ -20,7 +20,7 @@
 			change := func(times int) {
 				for range times {
 					version++
-					if tell, _, err := mesh.raise(version, 10*postmark.Second); err != nil || tell.Serial != version {
+					if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Serial != version {
 						t.Fatalf("version %d: %v %v", version, tell, err)
 					}
 				}
@@ -28,7 +28,7 @@
 			seen := func(number int, name string) int {
 				return strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %s %d {", name, number))
 			}
-			calm := func() { mesh.World.Run(mesh.World.Now() + 6*postmark.Second) }
+			calm := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
 			change(10)
 			for turn := range 6 {
 				primary := mesh.leader("postmaster")
@@ -44,11 +44,11 @@
 				calm()
 				// The one that came in its place goes too, so that it's needed again.
 				second := mesh.World.Node(mesh.masters[primary.Name].Member.Backups()[0])
-				entries, whole := seen(bulletin.CopyCaughtUp, backup.Name), seen(bulletin.CopyInstalled, backup.Name)
+				entries, whole := seen(eventlog.CopyCaughtUp, backup.Name), seen(eventlog.CopyInstalled, backup.Name)
 				mesh.World.Kill(second)
 				calm()
 				change(3)
-				caughtUp, installed := seen(bulletin.CopyCaughtUp, backup.Name)-entries, seen(bulletin.CopyInstalled, backup.Name)-whole
+				caughtUp, installed := seen(eventlog.CopyCaughtUp, backup.Name)-entries, seen(eventlog.CopyInstalled, backup.Name)-whole
 				if lost && installed != 1 || !lost && (caughtUp != 1 || installed != 0) {
 					t.Errorf("turn %d: %s caught up %d times and was given everything %d times", turn, backup.Name, caughtUp, installed)
 				}
--- a/internal/mailround/round/changes_test.go
+++ b/internal/simulation/scenario/changes_test.go
@@ -1,4 +1,4 @@
-package round
+package scenario
 
 import (
 	"bytes"
@@ -12,22 +12,22 @@
 
 	"google.golang.org/protobuf/encoding/protojson"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/clerk/rollout"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/inspector"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/snowctl/rollout"
+	"snowflow/internal/transport/wire"
 )
 
 // wide is a desired state with many routes that nobody asks for, beside those of Desired's services. alter may change it.
 func wide(t testing.TB, routes int, alter func(state *wire.DesiredState)) []byte {
 	t.Helper()
-	state, faults := franking.Parse(routed(1))
+	state, faults := config.Parse(routed(1))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, faults := franking.Parse(content); len(faults) > 0 {
+	if _, faults := config.Parse(content); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	return content
@@ -56,17 +56,17 @@
 	t      *testing.T
 	mesh   *Mesh
 	events map[int]int
-	before map[string]*franking.View
+	before map[string]*config.View
 	calls  map[string]uint64
 	funds  map[string]float64 // the budget for further tries of forms
 }
 
 func take(t *testing.T) *taking {
-	scene := &taking{t: t, mesh: Build(1, Sizes{Cores: 3, Carriers: 8, Zones: 2, Backends: 3}, Breakage{}), events: map[int]int{}, before: map[string]*franking.View{}, calls: map[string]uint64{}, funds: map[string]float64{}}
-	scene.mesh.World.Trace = func(_ postmark.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
-	scene.apply(wide(t, 400, nil), 8*postmark.Second)
+	scene := &taking{t: t, mesh: Build(1, Sizes{Cores: 3, Carriers: 8, Zones: 2, Backends: 3}, Breakage{}), events: map[int]int{}, before: map[string]*config.View{}, calls: map[string]uint64{}, funds: map[string]float64{}}
+	scene.mesh.World.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
+	scene.apply(wide(t, 400, nil), 8*monotonic.Second)
 	scene.mesh.serve(60)
-	scene.run(10 * postmark.Second)
+	scene.run(10 * monotonic.Second)
 	for name, life := range scene.mesh.lives {
 		scene.before[name], _ = life.Desk.Current()
 		scene.calls[name], scene.funds[name] = scene.counted(name), life.Purse.Held("forms")
@@ -74,15 +74,15 @@
 	return scene
 }
 
-func (scene *taking) run(span postmark.Micros) {
+func (scene *taking) run(span monotonic.Micros) {
 	scene.mesh.World.Run(scene.mesh.World.Now() + span)
 }
 
-func (scene *taking) apply(content []byte, within postmark.Micros) {
+func (scene *taking) apply(content []byte, within monotonic.Micros) {
 	scene.t.Helper()
 	acknowledged := false
 	scene.mesh.Outside.Go(func() {
-		tell := scene.mesh.apply(content, true, 0, 20*postmark.Second)
+		tell := scene.mesh.apply(content, true, 0, 20*monotonic.Second)
 		acknowledged = tell != nil && tell.Outcome == "accepted"
 	})
 	scene.run(within)
@@ -106,7 +106,7 @@
 	t.Helper()
 	for _, name := range scene.mesh.carriers {
 		view, live := scene.mesh.lives[name].Desk.Current()
-		if !live || view.Serial != serial || view.Digest != franking.Digest(content) {
+		if !live || view.Serial != serial || view.Digest != config.Digest(content) {
 			t.Errorf("%s: serial %d, live %v", name, view.Serial, live)
 			continue
 		}
@@ -155,7 +155,7 @@
 		longest = max(longest, len(tell.Difference), len(tell.Content))
 	}
 	content := wide(t, 400, turned)
-	scene.apply(content, 300*postmark.Millisecond)
+	scene.apply(content, 300*monotonic.Millisecond)
 	scene.taken(content, 2)
 	if sum := scene.sums(); sum.differences != 8 || sum.wholes != 8 || sum.refused != 0 || sum.computed != 1 {
 		t.Errorf("%+v", sum)
@@ -185,14 +185,14 @@
 				}
 			}
 			content := wide(t, 400, turned)
-			scene.apply(content, 300*postmark.Millisecond)
+			scene.apply(content, 300*monotonic.Millisecond)
 			scene.taken(content, 2)
-			if sum := scene.sums(); sum.differences != 0 || sum.wholes != 16 || sum.refused != 8 || scene.events[bulletin.DifferenceRefused] != 8 {
-				t.Errorf("%+v, %d events", sum, scene.events[bulletin.DifferenceRefused])
+			if sum := scene.sums(); sum.differences != 0 || sum.wholes != 16 || sum.refused != 8 || scene.events[eventlog.DifferenceRefused] != 8 {
+				t.Errorf("%+v, %d events", sum, scene.events[eventlog.DifferenceRefused])
 			}
 			// The next change goes as a difference again.
 			scene.mesh.polled = nil
-			scene.apply(wide(t, 400, nil), 300*postmark.Millisecond)
+			scene.apply(wide(t, 400, nil), 300*monotonic.Millisecond)
 			if sum := scene.sums(); sum.differences != 8 || sum.wholes != 16 {
 				t.Errorf("%+v", sum)
 			}
@@ -210,7 +210,7 @@
 			tell.Difference, tell.Content = nil, content
 		}
 	}
-	scene.apply(content, 300*postmark.Millisecond)
+	scene.apply(content, 300*monotonic.Millisecond)
 	scene.taken(content, 2)
 	if sum := scene.sums(); sum.differences != 0 || sum.wholes != 16 || sum.refused != 0 {
 		t.Errorf("%+v", sum)
@@ -227,7 +227,7 @@
 	mesh.World.Start(mesh.World.Node("carrier-3"))
 	primary := mesh.leader("postmaster")
 	mesh.World.Kill(primary)
-	scene.run(10 * postmark.Second)
+	scene.run(10 * monotonic.Second)
 	delete(scene.before, "carrier-3")
 	view, _ := mesh.lives["carrier-3"].Desk.Current()
 	if view == nil || view.Serial != 1 {
@@ -236,7 +236,7 @@
 	scene.before["carrier-3"], scene.calls["carrier-3"] = view, 0
 	delete(scene.funds, "carrier-3") // it begins anew
 	content := wide(t, 400, turned)
-	scene.apply(content, 8*postmark.Second)
+	scene.apply(content, 8*monotonic.Second)
 	scene.taken(content, 2)
 	if sum := scene.sums(); sum.differences != 8 || sum.wholes != 8 || sum.refused != 0 {
 		t.Errorf("%+v, %s", sum, strings.Join(mesh.log, "\n"))
@@ -244,10 +244,10 @@
 }
 
 // asked has one caller send a submission under a key through a carrier, and tells how it ended.
-func (scene *taking) asked(caller int, key string) *inspector.Attempt {
+func (scene *taking) asked(caller int, key string) *invariants.Attempt {
 	attempt := scene.asking(caller, key)
-	for limit := scene.mesh.World.Now() + 8*postmark.Second; attempt.Ended == 0 && scene.mesh.World.Now() < limit; {
-		scene.run(10 * postmark.Millisecond)
+	for limit := scene.mesh.World.Now() + 8*monotonic.Second; attempt.Ended == 0 && scene.mesh.World.Now() < limit; {
+		scene.run(10 * monotonic.Millisecond)
 	}
 	if attempt.Ended == 0 {
 		scene.t.Errorf("%s has no end", attempt.ID)
@@ -255,10 +255,10 @@
 	return attempt
 }
 
-func (scene *taking) asking(caller int, key string) *inspector.Attempt {
+func (scene *taking) asking(caller int, key string) *invariants.Attempt {
 	mesh := scene.mesh
 	mesh.number++
-	attempt := &inspector.Attempt{ID: fmt.Sprintf("keyed-%d", mesh.number), Key: key, Kind: "submission", Caller: mesh.carriers[caller], Method: "POST", Path: "/households/" + key, Sent: mesh.World.Now()}
+	attempt := &invariants.Attempt{ID: fmt.Sprintf("keyed-%d", mesh.number), Key: key, Kind: "submission", Caller: mesh.carriers[caller], Method: "POST", Path: "/households/" + key, Sent: mesh.World.Now()}
 	mesh.History.Send(attempt)
 	mesh.Outside.Go(func() { mesh.send(attempt) })
 	return attempt
@@ -281,10 +281,10 @@
 	mesh := scene.mesh
 	defer mesh.World.Close()
 	mesh.serving = false
-	scene.run(10 * postmark.Second)
+	scene.run(10 * monotonic.Second)
 	moved := func(state *wire.DesiredState) { state.Routes[1].Split[0].Service = "forms" }
 	removed := func(state *wire.DesiredState) { state.Routes = append(state.Routes[:1:1], state.Routes[2:]...) }
-	served := func(what string, attempt *inspector.Attempt, serial uint64, key string) {
+	served := func(what string, attempt *invariants.Attempt, serial uint64, key string) {
 		t.Helper()
 		if attempt.Mesh || attempt.Status != 200 || attempt.Serial != serial || len(scene.executed(key)) != 1 || scene.executed(key)[0] != "households" {
 			t.Errorf("%s: %+v, ran on %v", what, attempt, scene.executed(key))
@@ -303,15 +303,15 @@
 		one.manner = ""
 	}
 	// And this one is under way while the change comes.
-	mesh.labour = 2 * postmark.Second
+	mesh.labour = 2 * monotonic.Second
 	under := scene.asking(2, "under")
-	scene.run(500 * postmark.Millisecond)
-	scene.apply(wide(t, 400, moved), 300*postmark.Millisecond)
+	scene.run(500 * monotonic.Millisecond)
+	scene.apply(wide(t, 400, moved), 300*monotonic.Millisecond)
 	if under.Ended != 0 || len(scene.executed("under")) != 1 {
 		t.Fatalf("it isn't under way: %+v", under)
 	}
 	repeat := scene.asking(5, "under")
-	scene.run(8 * postmark.Second)
+	scene.run(8 * monotonic.Second)
 	served("under way", under, 1, "under")
 	if repeat.Mesh && repeat.NotRun {
 		t.Errorf("a repeat meanwhile: %+v", repeat)
@@ -328,13 +328,13 @@
 		t.Errorf("%+v, ran on %v", again, scene.executed("lost"))
 	}
 	// Without its route a key isn't run, nor said not to have run.
-	scene.apply(wide(t, 400, removed), 300*postmark.Millisecond)
+	scene.apply(wide(t, 400, removed), 300*monotonic.Millisecond)
 	for _, key := range []string{"answered", "lost", "under", "fresh"} {
-		if refused := scene.asked(6, key); !refused.Mesh || refused.NotRun || refused.Cause != int(seal.UnknownPath) {
+		if refused := scene.asked(6, key); !refused.Mesh || refused.NotRun || refused.Cause != int(apierror.UnknownPath) {
 			t.Errorf("without a route: %+v", refused)
 		}
 	}
-	scene.apply(wide(t, 400, moved), 300*postmark.Millisecond)
+	scene.apply(wide(t, 400, moved), 300*monotonic.Millisecond)
 	for key, first := range map[string]string{"answered": "households", "lost": "households", "under": "households", "fresh": "forms"} {
 		for caller := range 3 {
 			scene.asked(caller, key)
@@ -343,10 +343,10 @@
 			t.Errorf("%s ran on %v", key, ran)
 		}
 	}
-	if took := mesh.World.Now() - began; took > postmark.Minute {
+	if took := mesh.World.Now() - began; took > monotonic.Minute {
 		t.Errorf("the claims' time may have run out: %d", took)
 	}
-	if findings, seen := inspector.Inspect(mesh.History, 1, 2, 3); len(findings) > 0 || seen[1] == 0 {
+	if findings, seen := invariants.Inspect(mesh.History, 1, 2, 3); len(findings) > 0 || seen[1] == 0 {
 		t.Error(findings, seen)
 	}
 }
@@ -356,13 +356,13 @@
 	scene := take(t)
 	mesh := scene.mesh
 	defer mesh.World.Close()
-	scene.apply(wide(t, 400, turned), postmark.Second)
-	pages := api.New(mesh.Outside, mesh.book, http.NotFoundHandler(), func() any { return nil }, franking.Parse)
+	scene.apply(wide(t, 400, turned), monotonic.Second)
+	pages := api.New(mesh.Outside, mesh.book, http.NotFoundHandler(), func() any { return nil }, config.Parse)
 	ask := func(method, path string, content []byte, into any) int {
 		t.Helper()
 		recorder := httptest.NewRecorder()
 		mesh.Outside.Go(func() { pages.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader(content))) })
-		scene.run(3 * postmark.Second)
+		scene.run(3 * monotonic.Second)
 		if into != nil {
 			if err := json.Unmarshal(recorder.Body.Bytes(), into); err != nil {
 				t.Fatalf("%s: %v: %s", path, err, recorder.Body)
--- a/internal/mailround/round/courier.go
+++ b/internal/simulation/scenario/courier.go
@@ -1,16 +1,16 @@
-package round
+package scenario
 
 import (
 	"fmt"
 	"strings"
 
-	"snowflow/internal/carrier/gate"
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/inspector"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // courier is the simulated delivery. It keeps the promises that the real one keeps over HTTP.
@@ -20,7 +20,7 @@
 }
 
 // leaves passes the time of a backend's work, and tells whether the caller left in it.
-func (courier *courier) leaves(order gate.Order, span postmark.Micros) bool {
+func (courier *courier) leaves(order admission.Order, span monotonic.Micros) bool {
 	if order.Cancelled == nil {
 		courier.place.Sleep(span)
 		return false
@@ -30,10 +30,10 @@
 	return left.Wait(span)
 }
 
-func (courier *courier) Deliver(order gate.Order) (*letter.Answer, *seal.Fault) {
+func (courier *courier) Deliver(order admission.Order) (*request.Answer, *apierror.Fault) {
 	mesh := courier.mesh
 	chance := mesh.World.Chance()
-	pause := func() { courier.place.Sleep(postmark.Micros(100 + chance.Uint64N(1500))) }
+	pause := func() { courier.place.Sleep(monotonic.Micros(100 + chance.Uint64N(1500))) }
 	pause()
 	var found *backend
 	for _, one := range mesh.backends {
@@ -42,10 +42,10 @@
 		}
 	}
 	if found == nil {
-		return nil, seal.New(seal.BackendDial, seal.NotRun, "refused")
+		return nil, apierror.New(apierror.BackendDial, apierror.NotRun, "refused")
 	}
 	if (found.instance != order.Backend.Instance || found.service != order.Backend.Service) && !mesh.breakage.NoIdentity {
-		return nil, seal.New(seal.BackendIdentity, seal.NotRun, "it's %s", found.instance)
+		return nil, apierror.New(apierror.BackendIdentity, apierror.NotRun, "it's %s", found.instance)
 	}
 	if fault := order.Still(); fault != nil {
 		return nil, fault
@@ -56,10 +56,10 @@
 	defer func() { found.running-- }()
 	pause()
 	if courier.place.Now() >= order.Cutoff {
-		return nil, seal.New(seal.AnswerLate, seal.MayHaveRun, "late")
+		return nil, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "late")
 	}
 	if !found.up {
-		return nil, seal.New(seal.AnswerBroken, seal.MayHaveRun, "reset")
+		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "reset")
 	}
 	position := strings.LastIndexByte(order.ID, '.')
 	try := 1
@@ -70,45 +70,45 @@
 	}
 	body := []byte(order.ID[:position] + " answered by " + found.instance)
 	given := map[string]string{"": sum(body), "slow": sum(body)}[manner]
-	mesh.History.Ran(inspector.Run{Sum: given, Attempt: order.ID[:position], Try: try, Key: letter.Header(order.Headers, letter.KeyHeader), Service: found.service,
+	mesh.History.Ran(invariants.Run{Sum: given, Attempt: order.ID[:position], Try: try, Key: request.Header(order.Headers, request.KeyHeader), Service: found.service,
 		Instance: found.instance, Method: order.Method, Path: order.Target, At: mesh.World.Now(), Executed: manner != "not_executed"})
 	if found.service == "households" && chance.IntN(4) == 0 {
 		mesh.lookup(order, found)
 	}
 	labour := mesh.labour
 	if manner == "slow" {
-		labour += 6 * postmark.Second
+		labour += 6 * monotonic.Second
 	}
 	if labour > 0 && courier.leaves(order, min(labour, order.Cutoff-courier.place.Now())) { // as a connection's own limit would end it
-		return nil, seal.New(seal.AnswerBroken, seal.MayHaveRun, "its connection was closed")
+		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "its connection was closed")
 	}
 	pause()
 	if courier.place.Now() >= order.Cutoff {
-		return nil, seal.New(seal.AnswerLate, seal.MayHaveRun, "late")
+		return nil, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "late")
 	}
-	answer := &letter.Answer{Status: 200, Body: body, Headers: []*wire.Header{{Name: "Sum", Value: sum(body)}, {Name: "Echo", Value: order.ID[:position]}}}
+	answer := &request.Answer{Status: 200, Body: body, Headers: []*wire.Header{{Name: "Sum", Value: sum(body)}, {Name: "Echo", Value: order.ID[:position]}}}
 	switch {
 	case manner == "losing" || !found.up:
-		return nil, seal.New(seal.AnswerBroken, seal.MayHaveRun, "lost")
+		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "lost")
 	case manner == "short" && mesh.breakage.TrustShort:
 		answer.Body = body[:4]
 	case manner == "short":
-		return nil, seal.New(seal.AnswerBroken, seal.MayHaveRun, "short")
+		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "short")
 	case manner == "failing":
 		answer.Status = 500
 	case manner == "not_executed":
 		answer.NotRun = true
-		answer.Status, answer.Headers = 503, append(answer.Headers, &wire.Header{Name: letter.NotExecutedHeader, Value: "1"})
+		answer.Status, answer.Headers = 503, append(answer.Headers, &wire.Header{Name: request.NotExecutedHeader, Value: "1"})
 	}
 	return answer, nil
 }
 
 // lookup is a backend's own call through the carrier beside it: mostly a quick read, at times the very submission that it
 // is running, which must not run again on that path either.
-func (mesh *Mesh) lookup(order gate.Order, from *backend) {
+func (mesh *Mesh) lookup(order admission.Order, from *backend) {
 	mesh.number++
-	attempt := &inspector.Attempt{ID: fmt.Sprintf("lookup-%d", mesh.number), Kind: "lookup", Caller: from.carrier, Method: "GET", Path: fmt.Sprintf("/forms/%d", mesh.number), Sent: mesh.World.Now()}
-	if key := letter.Header(order.Headers, letter.KeyHeader); mesh.World.Chance().IntN(4) == 0 && key != "" {
+	attempt := &invariants.Attempt{ID: fmt.Sprintf("lookup-%d", mesh.number), Kind: "lookup", Caller: from.carrier, Method: "GET", Path: fmt.Sprintf("/forms/%d", mesh.number), Sent: mesh.World.Now()}
+	if key := request.Header(order.Headers, request.KeyHeader); mesh.World.Chance().IntN(4) == 0 && key != "" {
 		attempt.Kind, attempt.Method, attempt.Path, attempt.Key = "submission", order.Method, order.Target, key
 	}
 	mesh.Outside.Go(func() {
