--- a/internal/mailround/round/directory_test.go
+++ b/internal/simulation/scenario/directory_test.go
@@ -1,4 +1,4 @@
-package round
+package scenario
 
 import (
 	"fmt"
@@ -7,22 +7,22 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/carrier/roll"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/transport/wire"
 )
 
 // controlBytes is what a carrier says and hears in a second, both ways, in a mesh in which nobody calls and one carrier after another is
 // killed and started again, every so often, or none.
-func controlBytes(t *testing.T, carriers int, every postmark.Micros) float64 {
+func controlBytes(t *testing.T, carriers int, every monotonic.Micros) float64 {
 	t.Helper()
 	const seconds = 30
 	mesh := Build(1, Sizes{Cores: 3, Carriers: carriers, Zones: 3, Backends: carriers / 2}, Breakage{})
 	defer mesh.World.Close()
-	mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*postmark.Second) })
-	mesh.World.Run(mesh.World.Now() + 15*postmark.Second)
+	mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*monotonic.Second) })
+	mesh.World.Run(mesh.World.Now() + 15*monotonic.Second)
 	mesh.World.Bytes = map[string]int{}
-	until := mesh.World.Now() + seconds*postmark.Second
+	until := mesh.World.Now() + seconds*monotonic.Second
 	for turn := 0; mesh.World.Now() < until; turn++ {
 		if every == 0 {
 			mesh.World.Run(until)
@@ -30,7 +30,7 @@
 		}
 		node := mesh.World.Node(mesh.carriers[turn%carriers])
 		mesh.World.Kill(node)
-		mesh.later(300*postmark.Millisecond, func() { mesh.World.Start(node) })
+		mesh.later(300*monotonic.Millisecond, func() { mesh.World.Start(node) })
 		mesh.World.Run(mesh.World.Now() + every)
 	}
 	total := 0
@@ -44,7 +44,7 @@
 
 // TestControlBytes: what the same number of restarts costs each carrier doesn't grow with the carriers.
 func TestControlBytes(t *testing.T) {
-	const every = 2 * postmark.Second
+	const every = 2 * monotonic.Second
 	calms, more := map[int]float64{}, map[int]float64{}
 	for _, carriers := range []int{20, 40, 80} {
 		calms[carriers] = controlBytes(t, carriers, 0)
@@ -60,16 +60,16 @@
 // those that differ, and looked of each look.
 func (mesh *Mesh) fed(looked func(), wrong func(carrier string)) {
 	type version struct{ source, serial uint64 }
-	shown, seen := map[version]*roll.Directory{}, map[string]*roll.Directory{}
+	shown, seen := map[version]*session.Directory{}, map[string]*session.Directory{}
 	mesh.directed = func(sorter string, _ *wire.SorterPollAsk, _ *wire.SorterPollTell) {
 		view := mesh.sorters[sorter].Shown()
 		if newest := (version{view.Source, view.Serial}); shown[newest] == nil {
-			shown[newest] = roll.Of(view.Sessions)
+			shown[newest] = session.Of(view.Sessions)
 		}
 	}
 	mesh.Outside.Go(func() {
 		for {
-			mesh.Outside.Sleep(20 * postmark.Millisecond)
+			mesh.Outside.Sleep(20 * monotonic.Millisecond)
 			for name, life := range mesh.lives {
 				source, serial := life.Roll.Version()
 				whole, known := shown[version{source, serial}]
@@ -94,7 +94,7 @@
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				course, looked, taken := Courses[name], 0, roll.Taken{}
+				course, looked, taken := Courses[name], 0, session.Taken{}
 				prepare := course.Prepare
 				course.Prepare = func(mesh *Mesh) {
 					if prepare != nil {
@@ -103,7 +103,7 @@
 					mesh.fed(func() { looked++ }, func(carrier string) {
 						t.Errorf("seed %d: %s has another directory than it says at %d", seed, carrier, mesh.World.Now())
 					})
-					mesh.later(course.Length+20*postmark.Second, func() {
+					mesh.later(course.Length+20*monotonic.Second, func() {
 						for _, life := range mesh.lives {
 							one := life.Roll.Taken()
 							taken.Changes, taken.Wholes, taken.Refused = taken.Changes+one.Changes, taken.Wholes+one.Wholes, taken.Refused+one.Refused
@@ -142,11 +142,11 @@
 
 // TestLeavingIsTold: that a backend leaves reaches every carrier by changes as soon as it does whole: with its next poll.
 func TestLeavingIsTold(t *testing.T) {
-	told := func(wholes bool) (last postmark.Micros) {
+	told := func(wholes bool) (last monotonic.Micros) {
 		mesh := Build(1, Sizes{Cores: 3, Carriers: 20, Zones: 3, Backends: 10}, Breakage{})
 		defer mesh.World.Close()
-		mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*postmark.Second) })
-		mesh.World.Run(mesh.World.Now() + 15*postmark.Second)
+		mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*monotonic.Second) })
+		mesh.World.Run(mesh.World.Now() + 15*monotonic.Second)
 		if wholes {
 			mesh.directed = func(sorter string, ask *wire.SorterPollAsk, tell *wire.SorterPollTell) {
 				if tell.DirectoryChanged {
@@ -157,11 +157,11 @@
 		leaving, began := mesh.live("forms")[0], mesh.World.Now()
 		mesh.leave(leaving)
 		knows := func(name string) bool {
-			return slices.ContainsFunc(mesh.lives[name].Roll.Directory().Candidates["forms"], func(one roll.Candidate) bool { return one.Instance == leaving.instance })
+			return slices.ContainsFunc(mesh.lives[name].Roll.Directory().Candidates["forms"], func(one session.Candidate) bool { return one.Instance == leaving.instance })
 		}
 		for slices.ContainsFunc(mesh.carriers, knows) {
-			mesh.World.Run(mesh.World.Now() + postmark.Millisecond)
-			if mesh.World.Now()-began > 5*postmark.Second {
+			mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
+			if mesh.World.Now()-began > 5*monotonic.Second {
 				t.Fatal("some carrier isn't told")
 			}
 		}
@@ -169,7 +169,7 @@
 	}
 	whole, changes := told(true), told(false)
 	t.Logf("the last of 20 carriers knows after %d microseconds whole, %d by changes", whole, changes)
-	if changes > whole || changes > 1200*postmark.Millisecond {
+	if changes > whole || changes > 1200*monotonic.Millisecond {
 		t.Errorf("the last of 20 carriers knows after %d microseconds whole, %d by changes", whole, changes)
 	}
 }
--- a/internal/mailround/round/duties_test.go
+++ b/internal/simulation/scenario/duties_test.go
@@ -1,42 +1,42 @@
-package round
+package scenario
 
 import (
 	"encoding/json"
 	"fmt"
 	"testing"
 
-	"snowflow/internal/carrier/rota"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/singleton"
+	"snowflow/internal/simulation/world"
 )
 
 // belief is a span in which a doer thinks that a duty is its own.
 type belief struct {
 	doer        string
-	from, until postmark.Micros
+	from, until monotonic.Micros
 }
 
 // work has a backend ask for a duty again and again, and note what it believes, counted as docs/interfaces.md says: from
 // before it asked.
 func (mesh *Mesh) work(one *backend, note func(belief)) {
 	for mesh.serving && one.up {
-		mesh.Outside.Sleep(500*postmark.Millisecond + postmark.Micros(mesh.World.Chance().Uint64N(uint64(postmark.Second))))
+		mesh.Outside.Sleep(500*monotonic.Millisecond + monotonic.Micros(mesh.World.Chance().Uint64N(uint64(monotonic.Second))))
 		asked := mesh.World.Now()
-		content, err := mesh.Outside.Transact(mesh.World.Node(one.carrier).Address, 5*postmark.Second, func(*world.Node) ([]byte, error) {
-			told, err := mesh.lives[one.carrier].Rota.Ask("tally", one.instance, 3*postmark.Second)
+		content, err := mesh.Outside.Transact(mesh.World.Node(one.carrier).Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
+			told, err := mesh.lives[one.carrier].Rota.Ask("tally", one.instance, 3*monotonic.Second)
 			if err != nil {
 				return nil, err
 			}
 			return json.Marshal(told)
 		})
-		var told rota.Told
+		var told singleton.Told
 		if err != nil || json.Unmarshal(content, &told) != nil || !told.Granted || mesh.World.Now() >= asked+told.Left {
 			continue
 		}
 		note(belief{doer: one.instance, from: mesh.World.Now(), until: asked + told.Left})
 		if mesh.World.Chance().IntN(6) == 0 {
 			// Now and then a doer hangs without a word, and others want its duty.
-			mesh.Outside.Sleep(4*postmark.Second + postmark.Micros(mesh.World.Chance().Uint64N(uint64(6*postmark.Second))))
+			mesh.Outside.Sleep(4*monotonic.Second + monotonic.Micros(mesh.World.Chance().Uint64N(uint64(6*monotonic.Second))))
 		}
 	}
 }
--- a/internal/mailround/round/exchange_test.go
+++ b/internal/simulation/scenario/exchange_test.go
@@ -1,11 +1,11 @@
-package round
+package scenario
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 )
 
 // TestVotersApart: two of three core machines stand in one zone; once a fourth comes in another, the voters and the copies stand in three, and the loss
@@ -18,9 +18,9 @@
 			sizes.Copies, sizes.Gone, sizes.Domains = 2, syncTime/2, []string{"a", "a", "b", "c"}
 			mesh := Build(seed, sizes, Breakage{})
 			t.Cleanup(mesh.World.Close)
-			mesh.World.Run(mesh.World.Now() + 8*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
 			mesh.come()
-			mesh.World.Run(mesh.World.Now() + 20*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
 			for group, voters := range mesh.voters(t) {
 				stand := map[string]bool{}
 				for _, name := range voters {
@@ -30,14 +30,14 @@
 					t.Errorf("the %ss' voters are %v", group, voters)
 				}
 			}
-			tell, _, err := mesh.raise(100, 10*postmark.Second)
+			tell, _, err := mesh.raise(100, 10*monotonic.Second)
 			if err != nil || tell.Serial != 100 {
 				t.Fatalf("%v %v", tell, err)
 			}
-			mesh.World.Run(mesh.World.Now() + 3*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
 			mesh.retire("core-1")
 			mesh.retire("core-2")
-			if tell, _, err = mesh.raise(101, 20*postmark.Second); err != nil || tell.Serial != 101 {
+			if tell, _, err = mesh.raise(101, 20*monotonic.Second); err != nil || tell.Serial != 101 {
 				t.Errorf("after the zone's loss: %v %v", tell, err)
 			}
 		})
@@ -53,7 +53,7 @@
 				t.Parallel()
 				sizes := found
 				sizes.Cores, sizes.Copies, sizes.Gone = one.cores, one.copies, syncTime/2
-				mesh := rosterRun(t, Course{Name: "exchange then loss", Sizes: sizes, Length: 90 * postmark.Second, Rate: 25, Every: 14 * postmark.Second, Rules: []int{1, 3, 7, 12},
+				mesh := rosterRun(t, Course{Name: "exchange then loss", Sizes: sizes, Length: 90 * monotonic.Second, Rate: 25, Every: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					First: []fault{plannedExchange, lossForGood, plannedExchange, lossForGood}, Faults: []fault{lossForGood, applyOne}}, seed)
 				for group, voters := range mesh.voters(t) {
 					if wanted := max(2*one.copies-1, one.cores); len(voters) != wanted {
--- a/internal/mailround/round/friday.go
+++ b/internal/simulation/scenario/friday.go
@@ -1,4 +1,4 @@
-package round
+package scenario
 
 import (
 	"fmt"
@@ -6,33 +6,33 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/friday"
-	"snowflow/internal/inspector"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
+	"snowflow/internal/workload"
 )
 
-var families = []friday.Family{{Kind: "submission", Method: "POST", Prefix: "/submissions/", Service: "submission", Other: "submission-next"},
+var families = []workload.Family{{Kind: "submission", Method: "POST", Prefix: "/submissions/", Service: "submission", Other: "submission-next"},
 	{Kind: "correction", Method: "PUT", Prefix: "/corrections/", Service: "correction", Other: "correction-next"},
 	{Kind: "batch", Method: "GET", Prefix: "/batches/", Service: "batches", Other: "batches-next"}}
 
 // lookups are the services whose routes nobody changes.
-var lookups = []friday.Family{{Kind: "assignment", Method: "GET", Prefix: "/assignments/", Service: "assignment"}, {Kind: "eligibility", Method: "GET", Prefix: "/eligibility/", Service: "eligibility"}}
+var lookups = []workload.Family{{Kind: "assignment", Method: "GET", Prefix: "/assignments/", Service: "assignment"}, {Kind: "eligibility", Method: "GET", Prefix: "/eligibility/", Service: "eligibility"}}
 
 // fridays is a day of route changes in a mesh.
 type fridays struct {
-	*friday.Day
+	*workload.Day
 	// apart is the moment before which no carrier is cut off and no primary dies: a carrier that misses a version because it's cut off,
 	// and then finds the primary dead, isn't in touch, and only who is in touch has a version within 2 s.
-	apart postmark.Micros
+	apart monotonic.Micros
 }
 
 // alone tells whether a fault may take carriers out of touch now, and keeps others away for a span.
-func (day *fridays) alone(now, span postmark.Micros) bool {
+func (day *fridays) alone(now, span monotonic.Micros) bool {
 	if now < day.apart {
 		return false
 	}
@@ -42,7 +42,7 @@
 
 // fridayState is the state in the morning: a route for each family and lookup, and hundreds that nobody asks for.
 func fridayState() *wire.DesiredState {
-	group := &wire.Group{Name: "field", Guard: &wire.Guard{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20)}, Limits: &wire.Limits{CutoffMicros: proto.Int64(int64(5 * postmark.Second))}}
+	group := &wire.Group{Name: "field", Guard: &wire.Guard{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20)}, Limits: &wire.Limits{CutoffMicros: proto.Int64(int64(5 * monotonic.Second))}}
 	state := &wire.DesiredState{Groups: []*wire.Group{group}}
 	for _, one := range slices.Concat(families, lookups) {
 		for _, name := range []string{one.Service, one.Other} {
@@ -69,17 +69,17 @@
 var (
 	routeAlone = fault{"change a route", func(mesh *Mesh) {
 		mesh.friday.State = mesh.friday.Alter()
-		content := friday.Content(mesh.friday.State)
-		mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*postmark.Second) })
+		content := workload.Content(mesh.friday.State)
+		mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*monotonic.Second) })
 	}}
 	// Each of a storm follows the one before, as an operator's script would have it.
 	routeStorm = fault{"a storm of route changes", func(mesh *Mesh) {
 		mesh.Outside.Go(func() {
 			for range 8 {
 				mesh.friday.State = mesh.friday.Alter()
-				content := friday.Content(mesh.friday.State)
-				mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*postmark.Second) })
-				mesh.Outside.Sleep(60 * postmark.Millisecond)
+				content := workload.Content(mesh.friday.State)
+				mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*monotonic.Second) })
+				mesh.Outside.Sleep(60 * monotonic.Millisecond)
 			}
 		})
 	}}
@@ -87,7 +87,7 @@
 		expected, states := mesh.latest, []*wire.DesiredState{mesh.friday.Alter(), mesh.friday.Alter()}
 		for _, state := range states {
 			mesh.Outside.Go(func() {
-				if tell := mesh.apply(friday.Content(state), false, expected, 20*postmark.Second); tell != nil && tell.Outcome == "accepted" {
+				if tell := mesh.apply(workload.Content(state), false, expected, 20*monotonic.Second); tell != nil && tell.Outcome == "accepted" {
 					mesh.friday.State = state
 				}
 			})
@@ -101,25 +101,25 @@
 			}
 			victim := pick(mesh, mesh.carriers)
 			for _, core := range mesh.cores {
-				mesh.cutFor(victim, core, true, 700*postmark.Millisecond)
+				mesh.cutFor(victim, core, true, 700*monotonic.Millisecond)
 			}
 		}
-		mesh.friday.alone(mesh.World.Now(), 3*postmark.Second)
+		mesh.friday.alone(mesh.World.Now(), 3*monotonic.Second)
 		routeStorm.bring(mesh)
 	}}
 	dieCarrier = fault{"kill a carrier, which starts again", func(mesh *Mesh) {
 		name := pick(mesh, mesh.carriers)
-		mesh.History.Mark(inspector.Killed+name, mesh.World.Now())
-		mesh.down([]*world.Node{mesh.World.Node(name)}, mesh.span(100*postmark.Millisecond, 2*postmark.Second), mesh.World.Kill)
+		mesh.History.Mark(invariants.Killed+name, mesh.World.Now())
+		mesh.down([]*world.Node{mesh.World.Node(name)}, mesh.span(100*monotonic.Millisecond, 2*monotonic.Second), mesh.World.Kill)
 	}}
 	killMaster = fault{"kill the postmasters' primary in a storm of route changes", func(mesh *Mesh) {
 		routeStorm.bring(mesh)
-		if !mesh.friday.alone(mesh.World.Now(), 8*postmark.Second) {
+		if !mesh.friday.alone(mesh.World.Now(), 8*monotonic.Second) {
 			return
 		}
-		mesh.later(mesh.span(0, 400*postmark.Millisecond), func() {
+		mesh.later(mesh.span(0, 400*monotonic.Millisecond), func() {
 			if node := mesh.leader("postmaster"); node != nil {
-				mesh.down([]*world.Node{node}, mesh.span(500*postmark.Millisecond, 4*postmark.Second), mesh.World.Kill)
+				mesh.down([]*world.Node{node}, mesh.span(500*monotonic.Millisecond, 4*monotonic.Second), mesh.World.Kill)
 			}
 		})
 	}}
@@ -127,11 +127,11 @@
 
 // fridayTraffic has callers send forms, corrections, downloads and lookups. Whoever sends a key asks again until it's answered.
 func fridayTraffic(mesh *Mesh, perSecond int) {
-	mix := []friday.Family{families[0], families[0], families[1], families[2], lookups[0], lookups[0], lookups[1], lookups[1]}
+	mix := []workload.Family{families[0], families[0], families[1], families[2], lookups[0], lookups[0], lookups[1], lookups[1]}
 	chance := mesh.World.Chance()
 	mesh.Outside.Go(func() {
 		for number := 0; mesh.serving; number++ {
-			mesh.Outside.Sleep(postmark.Micros(chance.Uint64N(uint64(2 * int(postmark.Second) / perSecond))))
+			mesh.Outside.Sleep(monotonic.Micros(chance.Uint64N(uint64(2 * int(monotonic.Second) / perSecond))))
 			mesh.Outside.Go(func() { mesh.fridayCall(mix[number%len(mix)], number) })
 		}
 	})
@@ -140,30 +140,30 @@
 // fridayPatience is how often a caller asks for a key, with a second or two between.
 const fridayPatience = 15
 
-func (mesh *Mesh) fridayCall(one friday.Family, number int) {
+func (mesh *Mesh) fridayCall(one workload.Family, number int) {
 	key, most := "", 1
 	if one.Method != "GET" {
 		key, most = fmt.Sprintf("%s-key-%d", one.Kind, number), fridayPatience
 	}
 	for again := range most {
-		attempt := &inspector.Attempt{ID: fmt.Sprintf("%s-%d-%d", one.Kind, number, again), Key: key, Kind: one.Kind, Caller: pick(mesh, mesh.carriers), Method: one.Method,
-			Path: fmt.Sprintf("%s%d/%d", one.Prefix, number%friday.Regions, number), Sent: mesh.World.Now()}
+		attempt := &invariants.Attempt{ID: fmt.Sprintf("%s-%d-%d", one.Kind, number, again), Key: key, Kind: one.Kind, Caller: pick(mesh, mesh.carriers), Method: one.Method,
+			Path: fmt.Sprintf("%s%d/%d", one.Prefix, number%workload.Regions, number), Sent: mesh.World.Now()}
 		mesh.History.Send(attempt)
 		mesh.send(attempt)
 		if attempt.Status == 200 && !attempt.Mesh {
 			return
 		}
-		mesh.Outside.Sleep(postmark.Second + postmark.Micros(mesh.World.Chance().Uint64N(uint64(postmark.Second))))
+		mesh.Outside.Sleep(monotonic.Second + monotonic.Micros(mesh.World.Chance().Uint64N(uint64(monotonic.Second))))
 	}
 }
 
 // fridayPrepare tells the mesh where to look.
 func fridayPrepare(mesh *Mesh) {
 	mesh.counting = true
-	mesh.friday = &fridays{Day: friday.New(fridayState(), families, mesh.World.Chance())}
+	mesh.friday = &fridays{Day: workload.New(fridayState(), families, mesh.World.Chance())}
 	mesh.samples = nil
 	for _, one := range slices.Concat(families, lookups) {
-		for region := range friday.Regions {
+		for region := range workload.Regions {
 			mesh.samples = append(mesh.samples, sample{one.Kind, one.Method, fmt.Sprintf("%s%d/1", one.Prefix, region)})
 		}
 		mesh.History.Allow(one.Kind, one.Service, 0)
@@ -175,11 +175,11 @@
 
 // misapply has carriers get what the newest version changes in the one before it, applied onto whatever they have.
 func (mesh *Mesh) misapply() {
-	before, contents, last := map[string]string{}, map[string]*wire.DesiredState{}, franking.Digest(friday.Content(fridayState()))
+	before, contents, last := map[string]string{}, map[string]*wire.DesiredState{}, config.Digest(workload.Content(fridayState()))
 	contents[last] = fridayState()
 	mesh.handed = func(content []byte) {
-		digest := franking.Digest(content)
-		contents[digest], _ = franking.Accepted(content)
+		digest := config.Digest(content)
+		contents[digest], _ = config.Accepted(content)
 		before[digest], last = last, digest
 	}
 	mesh.polled = func(ask *wire.DesiredPollAsk, tell *wire.DesiredPollTell) {
@@ -236,7 +236,7 @@
 	altered := []fault{routeAlone, routeAlone, routeStorm, routeRace, routeStormUnheard}
 	add(Course{Name: "friday-routes", Short: "routes of submissions, corrections and downloads change alone, in storms and raced, while carriers restart and a primary dies",
 		Sizes:  Sizes{Cores: 4, Carriers: 12, Zones: 4, Backends: 4, Services: fridayServices(), Bounds: configstore.Bounds{ServeOn: true}},
-		Length: 40 * postmark.Second, Rate: 300, Every: 900 * postmark.Millisecond, Rules: []int{1, 3, 5, 6, 7}, Traffic: fridayTraffic, Prepare: fridayPrepare,
-		Content: func(int) []byte { return friday.Content(fridayState()) }, Checks: []inspector.Check{inspector.KeysKept, inspector.TakenUp, inspector.CountersKept},
+		Length: 40 * monotonic.Second, Rate: 300, Every: 900 * monotonic.Millisecond, Rules: []int{1, 3, 5, 6, 7}, Traffic: fridayTraffic, Prepare: fridayPrepare,
+		Content: func(int) []byte { return workload.Content(fridayState()) }, Checks: []invariants.Check{invariants.KeysKept, invariants.TakenUp, invariants.CountersKept},
 		First: append(slices.Clone(altered[:4]), killMaster, dieCarrier, drainCarrier), Faults: append(slices.Clone(altered), routeAlone, dieCarrier, drainCarrier, killMaster)})
 }
--- a/internal/mailround/round/friday_test.go
+++ b/internal/simulation/scenario/friday_test.go
@@ -1,12 +1,12 @@
-package round
+package scenario
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"snowflow/internal/inspector"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
 )
 
 func TestFridayRoutes(t *testing.T) { play(t, "friday-routes", 1, 2) }
@@ -41,8 +41,8 @@
 			t.Errorf("seed %d: only %d versions, changes %v", seed, busy.latest, busy.friday.Counts)
 		}
 		for _, one := range slices.Concat(families, lookups) {
-			served, sent := inspector.Share(quiet.History, one.Kind, 0, quiet.World.Now())
-			servedBusy, sentBusy := inspector.Share(busy.History, one.Kind, 0, busy.World.Now())
+			served, sent := invariants.Share(quiet.History, one.Kind, 0, quiet.World.Now())
+			servedBusy, sentBusy := invariants.Share(busy.History, one.Kind, 0, busy.World.Now())
 			before, after := calm.Taken[one.Kind], changed.Taken[one.Kind]
 			t.Logf("seed %d: %s: without changes %d of %d at first, p50 %d p99 %d slowest %d microseconds; with them %d of %d, p50 %d p99 %d slowest %d", seed, one.Kind,
 				served, sent, before[len(before)/2], before[len(before)*99/100], before[len(before)-1], servedBusy, sentBusy, after[len(after)/2], after[len(after)*99/100], after[len(after)-1])
@@ -68,7 +68,7 @@
 		for _, one := range mesh.live("") {
 			if one.service != "assignment" && one.service != "eligibility" {
 				one.manner = "losing"
-				mesh.later(postmark.Second, func() { one.manner = "" })
+				mesh.later(monotonic.Second, func() { one.manner = "" })
 			}
 		}
 	}}
@@ -77,11 +77,11 @@
 		name     string
 		breakage Breakage
 		faults   []fault
-		caught   func(finding inspector.Finding) bool
+		caught   func(finding invariants.Finding) bool
 	}{
-		{"a version replaces what was counted", Breakage{Forgetful: true}, changes, func(finding inspector.Finding) bool { return finding.Check == inspector.CountersKept.Name }},
-		{"a difference is applied onto the wrong base", Breakage{WrongBase: true}, []fault{routeStormUnheard, routeAlone}, func(finding inspector.Finding) bool { return finding.Check == inspector.TakenUp.Name }},
-		{"a key is claimed for one service only", Breakage{ByService: true}, []fault{losing, routeStorm, routeAlone}, func(finding inspector.Finding) bool { return finding.Check == inspector.KeysKept.Name }},
+		{"a version replaces what was counted", Breakage{Forgetful: true}, changes, func(finding invariants.Finding) bool { return finding.Check == invariants.CountersKept.Name }},
+		{"a difference is applied onto the wrong base", Breakage{WrongBase: true}, []fault{routeStormUnheard, routeAlone}, func(finding invariants.Finding) bool { return finding.Check == invariants.TakenUp.Name }},
+		{"a key is claimed for one service only", Breakage{ByService: true}, []fault{losing, routeStorm, routeAlone}, func(finding invariants.Finding) bool { return finding.Check == invariants.KeysKept.Name }},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/mailround/round/linger_test.go
+++ b/internal/simulation/scenario/linger_test.go
@@ -1,28 +1,28 @@
-package round
+package scenario
 
 import (
 	"testing"
 
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
 )
 
 // TestLingeringBackendStays: while a carrier that stops as planned lingers, for its callers to be led elsewhere, the backend
 // beside it is as good as before, and others go on choosing it. Here it's the only one of its service.
 func TestLingeringBackendStays(t *testing.T) {
 	t.Parallel()
-	const linger = 2200 * postmark.Millisecond
+	const linger = 2200 * monotonic.Millisecond
 	var mesh *Mesh
-	var stopped, ended postmark.Micros
+	var stopped, ended monotonic.Micros
 	stop := fault{"stop a carrier that lingers", func(mesh *Mesh) {
 		name := mesh.live("forms")[0].carrier
 		node, life := mesh.World.Node(name), mesh.lives[name]
 		over := mesh.History.Plan("planned stop of "+name, mesh.World.Now())
 		stopped = mesh.World.Now()
 		mesh.Outside.Go(func() {
-			_, _ = mesh.Outside.Transact(node.Address, 20*postmark.Second, func(*world.Node) ([]byte, error) {
-				life.Drain(5300*postmark.Millisecond, func() { mesh.shut[name] = true })
+			_, _ = mesh.Outside.Transact(node.Address, 20*monotonic.Second, func(*world.Node) ([]byte, error) {
+				life.Drain(5300*monotonic.Millisecond, func() { mesh.shut[name] = true })
 				ended = mesh.World.Now()
 				return nil, nil
 			})
@@ -34,7 +34,7 @@
 	}}
 	sizes := small
 	sizes.Backends, sizes.Slots, sizes.Linger = 1, 6, linger
-	result := Run(Course{Name: "linger", Sizes: sizes, Length: 24 * postmark.Second, Rate: 60, Every: 8 * postmark.Second,
+	result := Run(Course{Name: "linger", Sizes: sizes, Length: 24 * monotonic.Second, Rate: 60, Every: 8 * monotonic.Second,
 		First: []fault{stop}, Faults: []fault{nothing}, Prepare: func(built *Mesh) { mesh = built }}, 1, Breakage{})
 	for _, finding := range result.Findings {
 		t.Error(finding)
@@ -45,7 +45,7 @@
 			continue
 		}
 		served++
-		if attempt.Mesh && seal.Cause(attempt.Cause) == seal.NoBackend {
+		if attempt.Mesh && apierror.Cause(attempt.Cause) == apierror.NoBackend {
 			missing++
 		}
 	}
@@ -53,7 +53,7 @@
 	if served < 20 || missing > 0 {
 		t.Errorf("%d of %d forms found no backend while its carrier lingered", missing, served)
 	}
-	if ended-stopped > linger+postmark.Second {
+	if ended-stopped > linger+monotonic.Second {
 		t.Errorf("it ended %d microseconds after it was asked to", ended-stopped)
 	}
 }
--- a/internal/mailround/round/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -1,6 +1,6 @@
-// Package round runs whole meshes in the simulated world: the same state machines that the daemons run, with stand-ins
+// Package scenario runs whole meshes in the simulated world: the same state machines that the daemons run, with stand-ins
 // outside and failures by seed, and hands the history to the inspector.
-package round
+package scenario
 
 import (
 	"encoding/json"
@@ -12,33 +12,33 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/carrier"
-	"snowflow/internal/carrier/hutch"
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
 	"snowflow/internal/discovery"
-	"snowflow/internal/franking"
 	"snowflow/internal/host"
-	"snowflow/internal/inspector"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/proxy/localbackends"
 	"snowflow/internal/registry"
 	"snowflow/internal/registry/statemachine"
 	"snowflow/internal/replication"
-	"snowflow/internal/seal"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // Mesh is a simulated mesh with its outside.
 type Mesh struct {
 	World       *world.World
-	History     *inspector.History
+	History     *invariants.History
 	Outside     *world.Place
 	sizes       Sizes
 	cores       []string // machines
 	carriers    []string // nodes
-	lives       map[string]*carrier.Carrier
-	begun       map[string]postmark.Micros // when each life of a carrier began, by its own clock
+	lives       map[string]*proxy.Carrier
+	begun       map[string]monotonic.Micros // when each life of a carrier began, by its own clock
 	masters     map[string]*configstore.Postmaster
 	doors       map[string]api.Store // the operators' doors on the postmasters' processes
 	sorters     map[string]*registry.Sorter
@@ -51,8 +51,8 @@
 	started     map[string]bool   // core processes that have been up
 	stopping    map[string]bool   // carriers in a planned stop
 	shut        map[string]bool   // carriers whose callers' door is closed
-	sync        postmark.Micros   // the core disks' ordinary time for a sync
-	lossFrom    postmark.Micros   // no disk is lost before
+	sync        monotonic.Micros  // the core disks' ordinary time for a sync
+	lossFrom    monotonic.Micros  // no disk is lost before
 	troubled    map[string]string // carriers whose own network is in trouble, and how
 	adjust      func(*replication.Env)
 	retired     map[string]bool                                                         // core machines that are gone for good
@@ -61,16 +61,16 @@
 	polled      func(ask *wire.DesiredPollAsk, tell *wire.DesiredPollTell)              // may change what a carrier is told of versions, if set
 	directed    func(sorter string, ask *wire.SorterPollAsk, tell *wire.SorterPollTell) // may change what a carrier is told by a sorter, if set
 	rushes      int
-	labour      postmark.Micros // what a backend's work takes besides
-	patient     bool            // callers come back when they were told to, until they are served
-	grace       postmark.Micros // what a carrier's planned stop may take
+	labour      monotonic.Micros // what a backend's work takes besides
+	patient     bool             // callers come back when they were told to, until they are served
+	grace       monotonic.Micros // what a carrier's planned stop may take
 	breakage    Breakage
 	log         []string
-	samples     []sample                  // requests of each kind, to see where a desired state sends them
-	sums        map[*franking.View]string // of the views that were looked at
-	counting    bool                      // what guards have counted is noted
-	atOrder     func()                    // happens at the next order's acknowledgement, once, if set
-	handed      func(content []byte)      // told of each content that an operator hands in, if set
+	samples     []sample                // requests of each kind, to see where a desired state sends them
+	sums        map[*config.View]string // of the views that were looked at
+	counting    bool                    // what guards have counted is noted
+	atOrder     func()                  // happens at the next order's acknowledgement, once, if set
+	handed      func(content []byte)    // told of each content that an operator hands in, if set
 	friday      *fridays
 }
 
@@ -91,13 +91,13 @@
 	Found bool
 	// Copies, Voters and Gone are the core's own settings, its defaults if left out.
 	Copies, Voters int
-	Gone           postmark.Micros
+	Gone           monotonic.Micros
 	// Domains are the core machines' failure domains, in their order; none are known if left out.
 	Domains []string
 	// History is how many configurations the core keeps, all for zero.
 	History int
 	// Linger is how long a carrier that stops as planned goes on before it turns callers away.
-	Linger postmark.Micros
+	Linger monotonic.Micros
 }
 
 // Breakage turns a part of the mesh off, to show that the checkers see it.
@@ -135,7 +135,7 @@
 	up       bool
 	manner   string
 	leaving  bool
-	quiet    postmark.Micros // how long it listens before it registers
+	quiet    monotonic.Micros // how long it listens before it registers
 	reports  uint64
 	running  int // requests that it has, and the most that it ever had
 	most     int
@@ -165,9 +165,9 @@
 
 // Build makes a mesh and starts its nodes.
 func Build(seed uint64, sizes Sizes, breakage Breakage) *Mesh {
-	mesh := &Mesh{samples: samples, sums: map[*franking.View]string{}, World: world.New(seed), History: &inspector.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*carrier.Carrier{}, begun: map[string]postmark.Micros{}, troubled: map[string]string{},
-		masters: map[string]*configstore.Postmaster{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Sorter{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: carrier.Grace, breakage: breakage}
-	mesh.World.Trace = func(at postmark.Micros, node string, number int, fields map[string]any) {
+	mesh := &Mesh{samples: samples, sums: map[*config.View]string{}, World: world.New(seed), History: &invariants.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*proxy.Carrier{}, begun: map[string]monotonic.Micros{}, troubled: map[string]string{},
+		masters: map[string]*configstore.Postmaster{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Sorter{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.Grace, breakage: breakage}
+	mesh.World.Trace = func(at monotonic.Micros, node string, number int, fields map[string]any) {
 		if number == 601 {
 			return
 		}
@@ -175,7 +175,7 @@
 		mesh.log = append(mesh.log, fmt.Sprintf("%d %s %d %s", at, node, number, content))
 	}
 	mesh.World.Stopped = func(node *world.Node, _ string) {
-		mesh.World.At(mesh.World.Now()+postmark.Second, func() { mesh.World.Start(node) })
+		mesh.World.At(mesh.World.Now()+monotonic.Second, func() { mesh.World.Start(node) })
 	}
 	seeds := []string{"core-1:sorter", "core-2:postmaster", "core-3:sorter"}
 	for index := range sizes.Cores {
@@ -192,7 +192,7 @@
 	outside := mesh.World.Add("outside", "outside", "outside", func(place *world.Place) (host.Table, error) {
 		mesh.Outside = place
 		mesh.book = discovery.New(place, nil, seeds)
-		place.Go(func() { mesh.book.Roam(300 * postmark.Millisecond) })
+		place.Go(func() { mesh.book.Roam(300 * monotonic.Millisecond) })
 		return host.Table{}, nil
 	})
 	mesh.World.Start(outside)
@@ -241,7 +241,7 @@
 		}
 		mesh.started[name] = true
 		book.Register(table)
-		place.Go(func() { book.Roam(postmark.Second) })
+		place.Go(func() { book.Roam(monotonic.Second) })
 		adjust := func(env *replication.Env) {
 			env.CompactFrom, env.Unwitnessed = 8<<10, mesh.breakage.TrustClock
 			env.Unleased, env.Unheld, env.Abandon = mesh.breakage.NoLease, mesh.breakage.AnySuccessor, mesh.breakage.Abandon
@@ -353,8 +353,8 @@
 		book := discovery.New(place, nil, mesh.seedsNow(seeds))
 		table := host.Table{}
 		book.Register(table)
-		place.Go(func() { book.Roam(postmark.Second) })
-		one := carrier.New(carrier.Env{Place: place, Book: book, Name: name, Domain: fmt.Sprintf("zone-%d", index%mesh.sizes.Zones+1),
+		place.Go(func() { book.Roam(monotonic.Second) })
+		one := proxy.New(proxy.Env{Place: place, Book: book, Name: name, Domain: fmt.Sprintf("zone-%d", index%mesh.sizes.Zones+1),
 			Address: name + ":carrier", Delivery: &courier{mesh: mesh, place: place}, ServeOn: mesh.sizes.Bounds.ServeOn, Linger: mesh.sizes.Linger})
 		one.Gate.Unclaimed(mesh.breakage.NoClaims)
 		one.Gate.ByService(mesh.breakage.ByService)
@@ -373,7 +373,7 @@
 }
 
 // ---- backends ----
-func (mesh *Mesh) startBackend(service, carrier, address string, quiet postmark.Micros) *backend {
+func (mesh *Mesh) startBackend(service, carrier, address string, quiet monotonic.Micros) *backend {
 	mesh.number++
 	fresh := &backend{service: service, instance: fmt.Sprintf("%s-%d", service, mesh.number), address: address, carrier: carrier, up: true, quiet: quiet}
 	mesh.backends = append(mesh.backends, fresh)
@@ -386,26 +386,26 @@
 	mesh.Outside.Sleep(one.quiet)
 	for one.up {
 		node := mesh.World.Node(one.carrier)
-		_, err := mesh.Outside.Transact(node.Address, postmark.Second, func(*world.Node) ([]byte, error) {
+		_, err := mesh.Outside.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 			keeper := mesh.lives[one.carrier].Hutch
-			condition := hutch.Working
+			condition := localbackends.Working
 			if one.leaving && !mesh.breakage.LeaveIgnored {
-				condition = hutch.Leaving
+				condition = localbackends.Leaving
 			}
 			if mesh.sizes.Slots > 0 {
 				one.reports++
-				_, err := keeper.Tell(hutch.Report{Backend: hutch.Backend{Service: one.service, Instance: one.instance, Address: one.address}, Slots: mesh.sizes.Slots, Condition: condition, Sequence: one.reports})
+				_, err := keeper.Tell(localbackends.Report{Backend: localbackends.Backend{Service: one.service, Instance: one.instance, Address: one.address}, Slots: mesh.sizes.Slots, Condition: condition, Sequence: one.reports})
 				return nil, err
 			}
 			if !registered {
-				return nil, keeper.Register(hutch.Backend{Service: one.service, Instance: one.instance, Address: one.address}, condition)
+				return nil, keeper.Register(localbackends.Backend{Service: one.service, Instance: one.instance, Address: one.address}, condition)
 			}
 			return nil, keeper.Beat(one.instance, condition)
 		})
-		registered = err == nil || registered && !seal.IsRefused(err)
-		pause := 2 * postmark.Second
+		registered = err == nil || registered && !apierror.IsRefused(err)
+		pause := 2 * monotonic.Second
 		if !registered {
-			pause = 200 * postmark.Millisecond
+			pause = 200 * monotonic.Millisecond
 		}
 		mesh.Outside.Sleep(pause)
 	}
@@ -416,16 +416,16 @@
 	mesh.Outside.Go(func() {
 		one.leaving = true
 		node := mesh.World.Node(one.carrier)
-		_, err := mesh.Outside.Transact(node.Address, postmark.Second, func(*world.Node) ([]byte, error) {
+		_, err := mesh.Outside.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 			if mesh.breakage.LeaveIgnored {
 				return nil, nil
 			}
-			return nil, mesh.lives[one.carrier].Hutch.Beat(one.instance, hutch.Leaving)
+			return nil, mesh.lives[one.carrier].Hutch.Beat(one.instance, localbackends.Leaving)
 		})
 		if err == nil {
 			mesh.History.Leave(one.instance, mesh.World.Now())
 		}
-		mesh.Outside.Sleep(5 * postmark.Second)
+		mesh.Outside.Sleep(5 * monotonic.Second)
 		one.up = false
 	})
 }
@@ -456,17 +456,17 @@
 		if eager := slices.Sorted(maps.Keys(mesh.troubled)); len(eager) > 1 && chance.IntN(4) > 0 {
 			caller = pick(mesh, eager) // whoever is in trouble asks and asks
 		}
-		attempt := &inspector.Attempt{ID: fmt.Sprintf("%s-%d-%d", kind, number, again), Key: key, Kind: kind, Caller: caller, Method: method, Path: path, Sent: mesh.World.Now()}
+		attempt := &invariants.Attempt{ID: fmt.Sprintf("%s-%d-%d", kind, number, again), Key: key, Kind: kind, Caller: caller, Method: method, Path: path, Sent: mesh.World.Now()}
 		mesh.History.Send(attempt)
 		retry := mesh.send(attempt)
 		if mesh.patient && retry > 0 {
-			mesh.Outside.Sleep((retry + postmark.Second - 1) / postmark.Second * postmark.Second) // as the header says, in whole seconds
+			mesh.Outside.Sleep((retry + monotonic.Second - 1) / monotonic.Second * monotonic.Second) // as the header says, in whole seconds
 			continue
 		}
 		if !keyed || attempt.Status == 200 && !attempt.Mesh {
 			return
 		}
-		mesh.Outside.Sleep(postmark.Second + postmark.Micros(chance.Uint64N(uint64(postmark.Second))))
+		mesh.Outside.Sleep(monotonic.Second + monotonic.Micros(chance.Uint64N(uint64(monotonic.Second))))
 	}
 }
 
@@ -474,13 +474,13 @@
 func (mesh *Mesh) watch() {
 	mesh.Outside.Go(func() {
 		for {
-			mesh.Outside.Sleep(100 * postmark.Millisecond)
+			mesh.Outside.Sleep(100 * monotonic.Millisecond)
 			for _, name := range slices.Sorted(maps.Keys(mesh.sorters)) {
 				if !mesh.World.Node(name).Up() || !mesh.sorters[name].Member.Answering() {
 					continue
 				}
 				for _, record := range mesh.sorters[name].Guards() {
-					mesh.History.See(inspector.Look(record, mesh.World.Now(), name, mesh.astray()))
+					mesh.History.See(invariants.Look(record, mesh.World.Now(), name, mesh.astray()))
 				}
 			}
 			for _, name := range mesh.carriers {
@@ -493,7 +493,7 @@
 }
 
 // see notes by what a carrier serves, and what its guards have counted.
-func (mesh *Mesh) see(name string, view *franking.View) {
+func (mesh *Mesh) see(name string, view *config.View) {
 	now, life := mesh.World.Now(), mesh.lives[name]
 	if mesh.sums[view] == "" {
 		mesh.sums[view] = view.Sum()
@@ -503,12 +503,12 @@
 			}
 		}
 	}
-	mesh.History.Serves(inspector.Adopted{Carrier: name, Serial: view.Serial, At: now, Sum: mesh.sums[view]})
+	mesh.History.Serves(invariants.Adopted{Carrier: name, Serial: view.Serial, At: now, Sum: mesh.sums[view]})
 	if !mesh.counting {
 		return
 	}
 	for _, shown := range life.Wicket.Show() {
-		mesh.History.Count(inspector.Counted{Carrier: name, Life: life.Incarnation(), Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
+		mesh.History.Count(invariants.Counted{Carrier: name, Life: life.Incarnation(), Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
 			Verdict: fmt.Sprint(shown.Shared, shown.Serial, shown.Local, shown.Control)})
 	}
 }
@@ -517,6 +517,6 @@
 func (mesh *Mesh) astray() bool {
 	return slices.ContainsFunc(mesh.carriers, func(name string) bool {
 		node, life := mesh.World.Node(name), mesh.lives[name]
-		return !node.Up() || mesh.World.Frozen(node) || life.Wicket.Degraded() || life.Now()-mesh.begun[name] < 5*postmark.Second
+		return !node.Up() || mesh.World.Frozen(node) || life.Wicket.Degraded() || life.Now()-mesh.begun[name] < 5*monotonic.Second
 	})
 }
--- a/internal/mailround/round/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -1,46 +1,46 @@
-package round
+package scenario
 
 import (
 	"fmt"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
-	"snowflow/internal/franking"
-	"snowflow/internal/inspector"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 )
 
 // ---- operators ----
 // apply has an operator apply a content, asking again until the outcome is certain or patience ends.
-func (mesh *Mesh) apply(content []byte, any bool, expected uint64, patience postmark.Micros) *wire.DesiredApplyTell {
+func (mesh *Mesh) apply(content []byte, any bool, expected uint64, patience monotonic.Micros) *wire.DesiredApplyTell {
 	if mesh.handed != nil {
 		mesh.handed(content)
 	}
 	sum, faults := mesh.permit(content)
 	ask := &wire.DesiredApplyAsk{Content: content, AnySerial: any, ExpectedSerial: expected, Request: fmt.Sprintf("apply-%x", mesh.Outside.Random())}
-	defer func(over func(postmark.Micros)) { over(mesh.World.Now()) }(mesh.History.Plan("a change of the desired state", mesh.World.Now()))
+	defer func(over func(monotonic.Micros)) { over(mesh.World.Now()) }(mesh.History.Plan("a change of the desired state", mesh.World.Now()))
 	cutoff := mesh.World.Now() + patience
 	for mesh.World.Now() < cutoff {
 		leader := mesh.book.Leader(configstore.Group)
 		tell := &wire.DesiredApplyTell{}
-		if leader != "" && mesh.book.Call(leader, wire.Kind_desired_apply, ask, tell, 20*postmark.Second) == nil {
-			mesh.History.Apply(inspector.Applied{Serial: tell.Serial, Digest: tell.Digest, Valid: len(faults) == 0, Outcome: tell.Outcome, At: mesh.World.Now(), Sum: sum})
+		if leader != "" && mesh.book.Call(leader, wire.Kind_desired_apply, ask, tell, 20*monotonic.Second) == nil {
+			mesh.History.Apply(invariants.Applied{Serial: tell.Serial, Digest: tell.Digest, Valid: len(faults) == 0, Outcome: tell.Outcome, At: mesh.World.Now(), Sum: sum})
 			mesh.latest = max(mesh.latest, tell.Serial)
 			return tell
 		}
 		mesh.book.Ask()
-		mesh.Outside.Sleep(200 * postmark.Millisecond)
+		mesh.Outside.Sleep(200 * monotonic.Millisecond)
 	}
 	return nil
 }
 
 // permit notes where a content sends each kind of traffic, and tells what it does; or what is wrong with it.
-func (mesh *Mesh) permit(content []byte) (sum string, faults []franking.Fault) {
-	state, faults := franking.Parse(content)
+func (mesh *Mesh) permit(content []byte) (sum string, faults []config.Fault) {
+	state, faults := config.Parse(content)
 	if state == nil || len(faults) > 0 {
 		return "", faults
 	}
-	view := franking.Compile(state, 0, "")
+	view := config.Compile(state, 0, "")
 	for _, sample := range mesh.samples {
 		path, _ := view.Resolve("", sample.method, sample.path)
 		for _, share := range path.Split {
@@ -57,14 +57,14 @@
 	for range 100 {
 		tell := &wire.DesiredReadTell{}
 		leader := mesh.book.Leader(configstore.Group)
-		if leader != "" && mesh.book.Call(leader, wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, tell, 2*postmark.Second) == nil {
+		if leader != "" && mesh.book.Call(leader, wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, tell, 2*monotonic.Second) == nil {
 			for _, kept := range tell.States {
-				mesh.History.ReadBack = append(mesh.History.ReadBack, inspector.ReadBack{Serial: kept.Serial, Digest: kept.Digest})
+				mesh.History.ReadBack = append(mesh.History.ReadBack, invariants.ReadBack{Serial: kept.Serial, Digest: kept.Digest})
 			}
 			mesh.History.Read = true
 			return
 		}
 		mesh.book.Ask()
-		mesh.Outside.Sleep(300 * postmark.Millisecond)
+		mesh.Outside.Sleep(300 * monotonic.Millisecond)
 	}
 }
--- a/internal/mailround/round/recall_test.go
+++ b/internal/simulation/scenario/recall_test.go
@@ -1,10 +1,10 @@
-package round
+package scenario
 
 import (
 	"testing"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
 )
 
 // TestAnswerOutlivesItsCarrier: the carrier beside the backend that ran a submission dies, or the one that passed it on; whoever repeats the key, anywhere,
@@ -14,8 +14,8 @@
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
 			mesh := startedBy(t, seed, servingOn)
 			caller := mesh.carriers[0]
-			submission := func(id string) *letter.Request {
-				return &letter.Request{ID: id, Method: "POST", Target: "/households/1", Key: "k-1"}
+			submission := func(id string) *request.Request {
+				return &request.Request{ID: id, Method: "POST", Target: "/households/1", Key: "k-1"}
 			}
 			first, fault := mesh.carry(caller, submission("first"))
 			if fault != nil {
@@ -32,7 +32,7 @@
 			}
 			mesh.World.Kill(mesh.World.Node(victim))
 			mesh.World.Start(mesh.World.Node(victim))
-			mesh.World.Run(mesh.World.Now() + 5*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
 			for _, again := range mesh.carriers {
 				answer, fault := mesh.carry(again, submission("again-"+again))
 				if fault != nil || string(answer.Body) != string(first.Body) {
--- a/internal/mailround/round/return_test.go
+++ b/internal/simulation/scenario/return_test.go
@@ -1,15 +1,15 @@
-package round
+package scenario
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/replication"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // reports counts an event of a group's processes in the log from some line on.
@@ -25,13 +25,13 @@
 // quickCore is a core with the platform's lease that has been quiet for a while, and a carrier.
 func quickCore(seed uint64, cores int) *Mesh {
 	mesh := Build(seed, Sizes{Cores: cores, Carriers: 1, Zones: 1, Backends: 1}, Breakage{})
-	mesh.World.Run(mesh.World.Now() + 5*postmark.Second)
-	mesh.adjust = func(env *replication.Env) { env.Tenure = 600 * postmark.Millisecond }
+	mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
+	mesh.adjust = func(env *replication.Env) { env.Tenure = 600 * monotonic.Millisecond }
 	for _, node := range mesh.allCore() {
 		mesh.World.Kill(node)
 		mesh.World.Start(node)
 	}
-	mesh.World.Run(mesh.World.Now() + 15*postmark.Second)
+	mesh.World.Run(mesh.World.Now() + 15*monotonic.Second)
 	return mesh
 }
 
@@ -46,8 +46,8 @@
 			mesh.World.PowerLoss(node)
 		}
 		from := len(mesh.log)
-		mesh.World.Run(mesh.World.Now() + 10*postmark.Second)
-		if settled := mesh.reports(from, "postmaster", bulletin.Settled); settled != 1 {
+		mesh.World.Run(mesh.World.Now() + 10*monotonic.Second)
+		if settled := mesh.reports(from, "postmaster", eventlog.Settled); settled != 1 {
 			t.Errorf("seed %d: %d epochs with another backup, not one", seed, settled)
 		}
 		mesh.World.Close()
@@ -55,11 +55,11 @@
 }
 
 // answers runs the world until a primary of each group answers, and tells how long that took.
-func (mesh *Mesh) answers(most postmark.Micros) postmark.Micros {
+func (mesh *Mesh) answers(most monotonic.Micros) monotonic.Micros {
 	began := mesh.World.Now()
-	mesh.World.Run(began + 5*postmark.Millisecond) // until then, who started is still shown as it was
+	mesh.World.Run(began + 5*monotonic.Millisecond) // until then, who started is still shown as it was
 	for (mesh.leader("sorter") == nil || mesh.leader("postmaster") == nil) && mesh.World.Now()-began < most {
-		mesh.World.Run(mesh.World.Now() + 5*postmark.Millisecond)
+		mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
 	}
 	return mesh.World.Now() - began
 }
@@ -67,12 +67,12 @@
 // TestReturn: all of the core is down at once, or comes back with one disk lost; both groups answer soon after, since every life
 // that may have held a lease is over. Where a machine stays away, its lease is waited out.
 func TestReturn(t *testing.T) {
-	lease := 600 * postmark.Millisecond
+	lease := 600 * monotonic.Millisecond
 	for _, one := range []struct {
 		name string
 		lost string // whose disk is lost, or who stays away
 		away bool
-		most postmark.Micros
+		most monotonic.Micros
 	}{
 		{"all are back", "", false, lease / 2},
 		{"the primary's disk is lost", "primary", false, lease / 2},
@@ -82,7 +82,7 @@
 		for _, cores := range []int{3, 4} {
 			t.Run(fmt.Sprintf("%s/%d", one.name, cores), func(t *testing.T) {
 				t.Parallel()
-				var longest, sum, count postmark.Micros
+				var longest, sum, count monotonic.Micros
 				for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6) {
 					mesh := quickCore(seed, cores)
 					primary := mesh.leader("sorter")
@@ -94,17 +94,17 @@
 							mesh.World.LoseDisk(node)
 						}
 					}
-					mesh.World.Run(mesh.World.Now() + mesh.span(10*postmark.Millisecond, postmark.Second))
+					mesh.World.Run(mesh.World.Now() + mesh.span(10*monotonic.Millisecond, monotonic.Second))
 					for _, node := range mesh.allCore() {
 						if node.Machine != lost || !one.away {
 							mesh.World.Start(node)
 						}
 					}
-					took := mesh.answers(10 * postmark.Second)
+					took := mesh.answers(10 * monotonic.Second)
 					longest, sum, count = max(longest, took), sum+took, count+1
 					mesh.World.Close()
 				}
-				t.Logf("mean %d ms, longest %d ms", sum/count/postmark.Millisecond, longest/postmark.Millisecond)
+				t.Logf("mean %d ms, longest %d ms", sum/count/monotonic.Millisecond, longest/monotonic.Millisecond)
 				if longest > one.most {
 					t.Errorf("the longest return took %d microseconds", longest)
 				}
@@ -115,20 +115,20 @@
 
 // TestLossOfBothPrimaries: the machine that leads a group is gone without a word; the other one leads soon after its lease.
 func TestLossOfBothPrimaries(t *testing.T) {
-	lease := 600 * postmark.Millisecond
+	lease := 600 * monotonic.Millisecond
 	for _, cores := range []int{3, 4} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
 			t.Parallel()
-			var longest, sum, count postmark.Micros
+			var longest, sum, count monotonic.Micros
 			for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6) {
 				mesh := quickCore(seed, cores)
 				for range 4 {
-					mesh.World.Run(mesh.World.Now() + mesh.span(5*postmark.Second, 6*postmark.Second))
+					mesh.World.Run(mesh.World.Now() + mesh.span(5*monotonic.Second, 6*monotonic.Second))
 					machine := mesh.leader("sorter").Machine
 					for _, node := range mesh.coreNodes(machine) {
 						mesh.World.PowerLoss(node)
 					}
-					took := mesh.answers(10 * postmark.Second)
+					took := mesh.answers(10 * monotonic.Second)
 					longest, sum, count = max(longest, took), sum+took, count+1
 					for _, node := range mesh.coreNodes(machine) {
 						mesh.World.Start(node)
@@ -136,7 +136,7 @@
 				}
 				mesh.World.Close()
 			}
-			t.Logf("mean %d ms, longest %d ms", sum/count/postmark.Millisecond, longest/postmark.Millisecond)
+			t.Logf("mean %d ms, longest %d ms", sum/count/monotonic.Millisecond, longest/monotonic.Millisecond)
 			if longest > 3*lease/2 {
 				t.Errorf("the longest failover took %d microseconds", longest)
 			}
@@ -150,12 +150,12 @@
 	for _, one := range []struct {
 		name    string
 		harm    func(mesh *Mesh, node *world.Node)
-		least   postmark.Micros
-		most    postmark.Micros
+		least   monotonic.Micros
+		most    monotonic.Micros
 		settled int
 	}{
-		{"gone", func(mesh *Mesh, node *world.Node) { mesh.World.Freeze(node, postmark.Minute) }, 0, 350 * postmark.Millisecond, 1},
-		{"slow", func(mesh *Mesh, node *world.Node) { node.Disk.Delay = 280 * postmark.Millisecond }, 280 * postmark.Millisecond, 350 * postmark.Millisecond, 0},
+		{"gone", func(mesh *Mesh, node *world.Node) { mesh.World.Freeze(node, monotonic.Minute) }, 0, 350 * monotonic.Millisecond, 1},
+		{"slow", func(mesh *Mesh, node *world.Node) { node.Disk.Delay = 280 * monotonic.Millisecond }, 280 * monotonic.Millisecond, 350 * monotonic.Millisecond, 0},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
@@ -166,19 +166,19 @@
 				for _, node := range mesh.coreNodes(backup.Machine) {
 					one.harm(mesh, node)
 				}
-				from, took := len(mesh.log), postmark.Minute
+				from, took := len(mesh.log), monotonic.Minute
 				mesh.Outside.Go(func() {
 					began, tell := mesh.Outside.Now(), &wire.ClaimTell{}
-					err := mesh.book.Call(leader, wire.Kind_claim, &wire.ClaimAsk{Scope: "path\nkey", Digest: []byte("d"), Try: "1", Carrier: "carrier-1"}, tell, 5*postmark.Second)
+					err := mesh.book.Call(leader, wire.Kind_claim, &wire.ClaimAsk{Scope: "path\nkey", Digest: []byte("d"), Try: "1", Carrier: "carrier-1"}, tell, 5*monotonic.Second)
 					if took = mesh.Outside.Now() - began; err != nil || tell.Outcome != "granted" {
 						t.Errorf("seed %d: %q, %v", seed, tell.Outcome, err)
 					}
 				})
-				mesh.World.Run(mesh.World.Now() + 2*postmark.Second)
+				mesh.World.Run(mesh.World.Now() + 2*monotonic.Second)
 				if took < one.least || took > one.most {
 					t.Errorf("seed %d: a write took %d microseconds", seed, took)
 				}
-				if settled := mesh.reports(from, "sorter", bulletin.Settled); settled != one.settled {
+				if settled := mesh.reports(from, "sorter", eventlog.Settled); settled != one.settled {
 					t.Errorf("seed %d: %d epochs with another backup, not %d", seed, settled, one.settled)
 				}
 				mesh.World.Close()
--- a/internal/mailround/round/roster_test.go
+++ b/internal/simulation/scenario/roster_test.go
@@ -1,4 +1,4 @@
-package round
+package scenario
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/replication"
+	"snowflow/internal/simulation/world"
 )
 
 // voters gives the roster that the core's processes know at the end, by group; all that are there must know the same.
@@ -61,7 +61,7 @@
 			t.Parallel()
 			sizes := small
 			sizes.Voters = 4
-			mesh := rosterRun(t, Course{Name: "fourth", Sizes: sizes, Length: 40 * postmark.Second, Rate: 25, Every: 5 * postmark.Second, Rules: []int{1, 3, 7, 12},
+			mesh := rosterRun(t, Course{Name: "fourth", Sizes: sizes, Length: 40 * monotonic.Second, Rate: 25, Every: 5 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 				First: []fault{machineComes}, Faults: []fault{killLeader, powerLoss, freezeLeader, cutCore, applyOne}}, seed)
 			for group, voters := range mesh.voters(t) {
 				if len(voters) != 4 {
@@ -78,20 +78,20 @@
 	for _, one := range []struct {
 		name         string
 		wanted       int
-		ahead, after postmark.Micros
+		ahead, after monotonic.Micros
 	}{
-		{"then another comes", 0, 0, 2 * postmark.Second},
-		{"after another came", 3, 4 * postmark.Second, 0},
-		{"after another came, no number wanted", 0, 4 * postmark.Second, 0},
+		{"then another comes", 0, 0, 2 * monotonic.Second},
+		{"after another came", 3, 4 * monotonic.Second, 0},
+		{"after another came, no number wanted", 0, 4 * monotonic.Second, 0},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", one.name, seed), func(t *testing.T) {
 				t.Parallel()
 				sizes := small
-				sizes.Gone, sizes.Voters = 4*postmark.Second, one.wanted
+				sizes.Gone, sizes.Voters = 4*monotonic.Second, one.wanted
 				// Three pauses between faults may take 72 s; in a shorter run chance left out the third.
 				exchange := machineExchanged(one.ahead, one.after)
-				mesh := rosterRun(t, Course{Name: "exchange", Sizes: sizes, Length: 80 * postmark.Second, Rate: 25, Every: 16 * postmark.Second, Rules: []int{1, 3, 7, 12},
+				mesh := rosterRun(t, Course{Name: "exchange", Sizes: sizes, Length: 80 * monotonic.Second, Rate: 25, Every: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					First: []fault{exchange, exchange, exchange}, Faults: []fault{applyOne}}, seed)
 				if len(mesh.retired) != 3 {
 					t.Errorf("%d machines were exchanged", len(mesh.retired))
@@ -120,9 +120,9 @@
 				t.Parallel()
 				sizes := small
 				sizes.Cores, sizes.Copies = one.cores, one.copies
-				mesh := rosterRun(t, Course{Name: "lost", Sizes: sizes, Length: 60 * postmark.Second, Rate: 25, Every: 11 * postmark.Second, Rules: []int{1, 3, 7, 12},
+				mesh := rosterRun(t, Course{Name: "lost", Sizes: sizes, Length: 60 * monotonic.Second, Rate: 25, Every: 11 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					First: []fault{one.lose}, Faults: []fault{one.lose}}, seed)
-				joined := strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %d {", bulletin.VoterJoined))
+				joined := strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %d {", eventlog.VoterJoined))
 				// Each start has one join for each process; each lost disk has another.
 				if joined <= 2*one.cores {
 					t.Errorf("no disk was lost: %d joins", joined)
@@ -140,11 +140,11 @@
 			sizes := Sizes{Cores: cores, Carriers: 1, Zones: 1, Backends: 1, Copies: cores/2 + 1}
 			mesh := Build(1, sizes, Breakage{})
 			defer mesh.World.Close()
-			mesh.World.Run(mesh.World.Now() + 10*postmark.Second)
-			var longest, sum postmark.Micros
+			mesh.World.Run(mesh.World.Now() + 10*monotonic.Second)
+			var longest, sum monotonic.Micros
 			const times = 20
 			for range times {
-				mesh.World.Run(mesh.World.Now() + mesh.span(8*postmark.Second, 9*postmark.Second))
+				mesh.World.Run(mesh.World.Now() + mesh.span(8*monotonic.Second, 9*monotonic.Second))
 				for _, group := range []string{"sorter", "postmaster"} {
 					primary := mesh.leader(group)
 					if primary == nil {
@@ -152,16 +152,16 @@
 					}
 					mesh.World.Kill(primary)
 					died := mesh.World.Now()
-					for mesh.leader(group) == nil && mesh.World.Now()-died < 10*postmark.Second {
-						mesh.World.Run(mesh.World.Now() + 10*postmark.Millisecond)
+					for mesh.leader(group) == nil && mesh.World.Now()-died < 10*monotonic.Second {
+						mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
 					}
 					took := mesh.World.Now() - died
 					longest, sum = max(longest, took), sum+took
 					mesh.World.Start(primary)
 				}
 			}
-			t.Logf("%d core machines: mean %d ms, longest %d ms", cores, sum/(2*times)/postmark.Millisecond, longest/postmark.Millisecond)
-			if longest > 2500*postmark.Millisecond {
+			t.Logf("%d core machines: mean %d ms, longest %d ms", cores, sum/(2*times)/monotonic.Millisecond, longest/monotonic.Millisecond)
+			if longest > 2500*monotonic.Millisecond {
 				t.Errorf("the longest failover took %d microseconds", longest)
 			}
 		})
@@ -180,28 +180,28 @@
 		new     int // the number of the machine that must vote at the end
 	}{
 		{"a fourth comes", []fault{machineComes}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
-		{"one is exchanged", []fault{machineExchanged(0, 2*postmark.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
-		{"a fourth comes, then one is exchanged", []fault{machineComes, machineExchanged(0, 2*postmark.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
+		{"one is exchanged", []fault{machineExchanged(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
+		{"a fourth comes, then one is exchanged", []fault{machineComes, machineExchanged(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", one.name, seed), func(t *testing.T) {
 				t.Parallel()
 				died := map[string]int{}
 				sizes := small
-				sizes.Gone, sizes.Voters = 4*postmark.Second, one.wanted
-				mesh := rosterRun(t, Course{Name: "halfway", Sizes: sizes, Length: 50 * postmark.Second, Rate: 25, Every: 14 * postmark.Second, Rules: []int{1, 3, 7, 12},
+				sizes.Gone, sizes.Voters = 4*monotonic.Second, one.wanted
+				mesh := rosterRun(t, Course{Name: "halfway", Sizes: sizes, Length: 50 * monotonic.Second, Rate: 25, Every: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					First: one.changes, Faults: []fault{applyOne}, Prepare: func(mesh *Mesh) {
 						trace := mesh.World.Trace
-						mesh.World.Trace = func(at postmark.Micros, name string, number int, fields map[string]any) {
+						mesh.World.Trace = func(at monotonic.Micros, name string, number int, fields map[string]any) {
 							trace(at, name, number, fields)
 							group := strings.SplitN(name, "-", 2)[0]
-							if joint, _ := fields["joint"].([]string); number != bulletin.RosterChanged || len(joint) == 0 || died[group] >= len(one.changes) {
+							if joint, _ := fields["joint"].([]string); number != eventlog.RosterChanged || len(joint) == 0 || died[group] >= len(one.changes) {
 								return
 							}
 							died[group]++
 							end := pick(mesh, one.ends)
-							mesh.later(mesh.span(0, 3*postmark.Millisecond), func() {
-								mesh.down([]*world.Node{mesh.World.Node(name)}, mesh.span(200*postmark.Millisecond, 3*postmark.Second),
+							mesh.later(mesh.span(0, 3*monotonic.Millisecond), func() {
+								mesh.down([]*world.Node{mesh.World.Node(name)}, mesh.span(200*monotonic.Millisecond, 3*monotonic.Second),
 									func(node *world.Node) { end(mesh.World, node) })
 							})
 						}
--- a/internal/mailround/round/round_test.go
+++ b/internal/simulation/scenario/round_test.go
@@ -1,4 +1,4 @@
-package round
+package scenario
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/bulletin"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry/breakerstore"
-	"snowflow/internal/seal"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 // seeds gives the fixed seeds, or a range from the environment for longer runs.
@@ -140,8 +140,8 @@
 // TestClaimCost measures what the claim adds at Raahbar's rate of submissions, by the time that the core's disks take to
 // sync. Simulated time makes the figures repeat; the test holds only that slow disks delay, and refuse nobody.
 func TestClaimCost(t *testing.T) {
-	for _, sync := range []postmark.Micros{200, 5 * postmark.Millisecond, 20 * postmark.Millisecond, 100 * postmark.Millisecond} {
-		result := Run(Course{Name: "claims", Sizes: four, Length: 15 * postmark.Second, Rate: 260, Every: postmark.Minute, Sync: sync, Faults: []fault{applyOne}}, 1, Breakage{})
+	for _, sync := range []monotonic.Micros{200, 5 * monotonic.Millisecond, 20 * monotonic.Millisecond, 100 * monotonic.Millisecond} {
+		result := Run(Course{Name: "claims", Sizes: four, Length: 15 * monotonic.Second, Rate: 260, Every: monotonic.Minute, Sync: sync, Faults: []fault{applyOne}}, 1, Breakage{})
 		if len(result.Findings) > 0 || result.Served != result.Sent {
 			t.Errorf("sync %d: %d of %d served, %v", sync, result.Served, result.Sent, result.Findings)
 		}
@@ -158,10 +158,10 @@
 	perCarrier := func(carriers int) (calls, bytes, core float64) {
 		mesh := Build(1, Sizes{Cores: 3, Carriers: carriers, Zones: 3, Backends: carriers / 2}, Breakage{})
 		defer mesh.World.Close()
-		mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*postmark.Second) })
-		mesh.World.Run(mesh.World.Now() + 15*postmark.Second)
+		mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*monotonic.Second) })
+		mesh.World.Run(mesh.World.Now() + 15*monotonic.Second)
 		mesh.World.Calls, mesh.World.Bytes = map[string]map[wire.Kind]int{}, map[string]int{}
-		mesh.World.Run(mesh.World.Now() + seconds*postmark.Second)
+		mesh.World.Run(mesh.World.Now() + seconds*monotonic.Second)
 		for node, kinds := range mesh.World.Calls {
 			for _, count := range kinds {
 				if strings.HasPrefix(node, "carrier") {
@@ -188,7 +188,7 @@
 	}
 }
 
-func slowAndDown(slow, down int, sync postmark.Micros) fault {
+func slowAndDown(slow, down int, sync monotonic.Micros) fault {
 	return fault{"slow one core machine and end another", func(mesh *Mesh) {
 		for _, node := range mesh.coreNodes(mesh.cores[slow]) {
 			node.Disk.Delay = sync
@@ -203,15 +203,15 @@
 // the shared verdict still, not fall back to their own windows with every write or probe that waits for a sync.
 func TestVerdictOnSlowDisk(t *testing.T) {
 	t.Parallel()
-	result := Run(Course{Name: "slow verdicts", Sizes: small, Length: 60 * postmark.Second, Rate: 40, Every: 6 * postmark.Second, Rules: []int{10},
-		First: []fault{slowAndDown(0, 1, 400*postmark.Millisecond), serviceFails, nothing, serviceFails}, Faults: []fault{nothing, serviceFails}}, 1, Breakage{})
+	result := Run(Course{Name: "slow verdicts", Sizes: small, Length: 60 * monotonic.Second, Rate: 40, Every: 6 * monotonic.Second, Rules: []int{10},
+		First: []fault{slowAndDown(0, 1, 400*monotonic.Millisecond), serviceFails, nothing, serviceFails}, Faults: []fault{nothing, serviceFails}}, 1, Breakage{})
 	for _, finding := range result.Findings {
 		t.Error(finding)
 	}
 	degraded, changed := 0, 0
 	for _, line := range result.Log {
-		degraded += strings.Count(line, fmt.Sprintf(" %d {", bulletin.GuardDegraded))
-		changed += strings.Count(line, fmt.Sprintf(" %d {", bulletin.GuardChanged))
+		degraded += strings.Count(line, fmt.Sprintf(" %d {", eventlog.GuardDegraded))
+		changed += strings.Count(line, fmt.Sprintf(" %d {", eventlog.GuardChanged))
 	}
 	t.Logf("%d changes of a shared verdict learned, %d times degraded", changed, degraded)
 	if changed == 0 || degraded > 60 {
@@ -222,12 +222,12 @@
 // TestSlowAndDown: of three core machines one has a slow disk and another is down. The two left are a majority, so every
 // write must come through, if late; the syncs are simulated, so the figures repeat.
 func TestSlowAndDown(t *testing.T) {
-	for _, sync := range []postmark.Micros{300 * postmark.Millisecond, 600 * postmark.Millisecond} {
+	for _, sync := range []monotonic.Micros{300 * monotonic.Millisecond, 600 * monotonic.Millisecond} {
 		for slow := range 2 {
 			t.Run(fmt.Sprintf("%d/%d", sync, slow), func(t *testing.T) {
 				t.Parallel()
 				down := slowAndDown(slow, 1-slow, sync)
-				result := Run(Course{Name: "slow and down", Sizes: small, Length: 40 * postmark.Second, Rate: 40, Every: 2 * postmark.Second,
+				result := Run(Course{Name: "slow and down", Sizes: small, Length: 40 * monotonic.Second, Rate: 40, Every: 2 * monotonic.Second,
 					First: []fault{down}, Faults: []fault{nothing, applyOne}}, 1, Breakage{})
 				for _, finding := range result.Findings {
 					t.Error(finding)
@@ -247,21 +247,21 @@
 	t.Parallel()
 	var mesh *Mesh
 	frozen := fault{"freeze a carrier for long", func(mesh *Mesh) {
-		mesh.World.Freeze(mesh.World.Node(mesh.carriers[1]), 12*postmark.Second)
+		mesh.World.Freeze(mesh.World.Node(mesh.carriers[1]), 12*monotonic.Second)
 	}}
-	result := Run(Course{Name: "quiet", Sizes: small, Length: 40 * postmark.Second, Rate: 40, Every: 6 * postmark.Second,
+	result := Run(Course{Name: "quiet", Sizes: small, Length: 40 * monotonic.Second, Rate: 40, Every: 6 * monotonic.Second,
 		First: []fault{frozen}, Faults: []fault{nothing}, Prepare: func(built *Mesh) { mesh = built }}, 1, Breakage{})
 	for _, finding := range result.Findings {
 		t.Error(finding)
 	}
-	longest, passed := postmark.Micros(0), 0
+	longest, passed := monotonic.Micros(0), 0
 	for _, attempt := range mesh.History.Attempts {
 		if attempt.Caller == mesh.carriers[1] || attempt.Ended == 0 {
 			continue
 		}
 		passed++
 		longest = max(longest, attempt.Ended-attempt.Sent)
-		if attempt.Ended-attempt.Sent > 2500*postmark.Millisecond {
+		if attempt.Ended-attempt.Sent > 2500*monotonic.Millisecond {
 			t.Errorf("%s took %d microseconds and ended with %d, cause %d", attempt.ID, attempt.Ended-attempt.Sent, attempt.Status, attempt.Cause)
 		}
 	}
@@ -282,7 +282,7 @@
 		"a postmaster's planned stop": {fault{"hand over", func(mesh *Mesh) {
 			node := mesh.leader("postmaster")
 			mesh.Outside.Go(func() {
-				_, _ = mesh.Outside.Transact(node.Address, 5*postmark.Second, func(*world.Node) ([]byte, error) {
+				_, _ = mesh.Outside.Transact(node.Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
 					mesh.masters[node.Name].Member.HandOver("planned")
 					return nil, nil
 				})
@@ -294,26 +294,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var longest postmark.Micros
+			var longest monotonic.Micros
 			timed := fault{"apply and time it", func(mesh *Mesh) {
 				began := mesh.World.Now()
 				mesh.Outside.Go(func() {
-					if tell := mesh.apply(Desired(0), true, 0, 30*postmark.Second); tell != nil && tell.Outcome == "accepted" {
+					if tell := mesh.apply(Desired(0), true, 0, 30*monotonic.Second); tell != nil && tell.Outcome == "accepted" {
 						longest = max(longest, mesh.World.Now()-began)
 					}
 				})
 			}}
 			both := fault{brought.fault.name, func(mesh *Mesh) {
 				brought.fault.bring(mesh)
-				mesh.later(2*postmark.Second, func() { timed.bring(mesh) })
+				mesh.later(2*monotonic.Second, func() { timed.bring(mesh) })
 			}}
-			result := Run(Course{Name: "planned", Sizes: small, Length: 20 * postmark.Second, Rate: 20, Every: 10 * postmark.Second,
+			result := Run(Course{Name: "planned", Sizes: small, Length: 20 * monotonic.Second, Rate: 20, Every: 10 * monotonic.Second,
 				First: []fault{both}, Faults: []fault{nothing}}, 3, Breakage{})
 			for _, finding := range result.Findings {
 				t.Error(finding)
 			}
 			t.Logf("acknowledged after %d microseconds", longest)
-			if longest == 0 || longest > postmark.Second != brought.delayed {
+			if longest == 0 || longest > monotonic.Second != brought.delayed {
 				t.Errorf("acknowledged after %d microseconds", longest)
 			}
 		})
@@ -323,10 +323,10 @@
 // TestReturnWave: the core is out of every carrier's reach for half a minute, and callers come back when they are told to. What
 // comes in the seconds after its return is counted, with their return spread and without.
 func TestReturnWave(t *testing.T) {
-	const rate, away = 40, 30 * postmark.Second
+	const rate, away = 40, 30 * monotonic.Second
 	wave := func(breakage Breakage) (most int) {
 		var mesh *Mesh
-		var back postmark.Micros
+		var back monotonic.Micros
 		cut := fault{"cut the core off", func(mesh *Mesh) {
 			back = mesh.World.Now() + away
 			for _, carrier := range mesh.carriers {
@@ -335,7 +335,7 @@
 				}
 			}
 		}}
-		result := Run(Course{Name: "wave", Sizes: small, Length: 60 * postmark.Second, Rate: rate, Every: 10 * postmark.Second, First: []fault{cut}, Faults: []fault{nothing},
+		result := Run(Course{Name: "wave", Sizes: small, Length: 60 * monotonic.Second, Rate: rate, Every: 10 * monotonic.Second, First: []fault{cut}, Faults: []fault{nothing},
 			Prepare: func(built *Mesh) {
 				mesh = built
 				mesh.patient = true
@@ -343,10 +343,10 @@
 		for _, finding := range result.Findings {
 			t.Error(finding)
 		}
-		seconds := map[postmark.Micros]int{}
+		seconds := map[monotonic.Micros]int{}
 		for _, attempt := range mesh.History.Attempts {
-			if attempt.Sent >= back && attempt.Sent < back+15*postmark.Second {
-				second := (attempt.Sent - back) / postmark.Second
+			if attempt.Sent >= back && attempt.Sent < back+15*monotonic.Second {
+				second := (attempt.Sent - back) / monotonic.Second
 				seconds[second]++
 				most = max(most, seconds[second])
 			}
@@ -367,21 +367,21 @@
 		t.Run(fmt.Sprint(ended), func(t *testing.T) {
 			t.Parallel()
 			var mesh *Mesh
-			var from, until postmark.Micros
+			var from, until monotonic.Micros
 			lead := fault{"have others lead", func(mesh *Mesh) {
 				if ended > 0 {
-					mesh.down(mesh.coreNodes(mesh.cores[ended-1]), 2*postmark.Second, mesh.World.Kill)
+					mesh.down(mesh.coreNodes(mesh.cores[ended-1]), 2*monotonic.Second, mesh.World.Kill)
 				}
 			}}
 			split := fault{"split the core in halves", func(mesh *Mesh) {
-				from, until = mesh.World.Now()+5*postmark.Second, mesh.World.Now()+20*postmark.Second
+				from, until = mesh.World.Now()+5*monotonic.Second, mesh.World.Now()+20*monotonic.Second
 				for _, one := range mesh.cores[:2] {
 					for _, other := range mesh.cores[2:] {
-						mesh.cutFor(one, other, true, 20*postmark.Second)
+						mesh.cutFor(one, other, true, 20*monotonic.Second)
 					}
 				}
 			}}
-			result := Run(Course{Name: "halves", Sizes: four, Length: 60 * postmark.Second, Rate: 40, Every: 12 * postmark.Second,
+			result := Run(Course{Name: "halves", Sizes: four, Length: 60 * monotonic.Second, Rate: 40, Every: 12 * monotonic.Second,
 				First: []fault{lead, split}, Faults: []fault{nothing}, Prepare: func(built *Mesh) { mesh = built }}, 1, Breakage{})
 			for _, finding := range result.Findings {
 				t.Error(finding)
@@ -408,21 +408,21 @@
 func TestClaimsHoldNoPlaces(t *testing.T) {
 	t.Parallel()
 	var mesh *Mesh
-	off := fault{"power off the core", func(mesh *Mesh) { mesh.down(mesh.allCore(), 1500*postmark.Millisecond, mesh.World.PowerLoss) }}
-	result := Run(Course{Name: "places", Sizes: small, Length: 40 * postmark.Second, Rate: 40, Every: 8 * postmark.Second, First: []fault{off}, Faults: []fault{nothing},
+	off := fault{"power off the core", func(mesh *Mesh) { mesh.down(mesh.allCore(), 1500*monotonic.Millisecond, mesh.World.PowerLoss) }}
+	result := Run(Course{Name: "places", Sizes: small, Length: 40 * monotonic.Second, Rate: 40, Every: 8 * monotonic.Second, First: []fault{off}, Faults: []fault{nothing},
 		Content: fewPlaces, Prepare: func(built *Mesh) { mesh = built }}, 1, Breakage{})
 	for _, finding := range result.Findings {
 		t.Error(finding)
 	}
-	overloaded, longest := 0, postmark.Micros(0)
+	overloaded, longest := 0, monotonic.Micros(0)
 	for _, attempt := range mesh.History.Attempts {
-		if attempt.Cause == int(seal.Overloaded) || attempt.Cause == int(seal.BudgetSpent) {
+		if attempt.Cause == int(apierror.Overloaded) || attempt.Cause == int(apierror.BudgetSpent) {
 			overloaded++
 		}
 		longest = max(longest, attempt.Ended-attempt.Sent)
 	}
 	t.Logf("%d of %d served, %d refused for want of a place, the longest took %d microseconds", result.Served, result.Sent, overloaded, longest)
-	if overloaded > 0 || longest < postmark.Second {
+	if overloaded > 0 || longest < monotonic.Second {
 		t.Errorf("%d refused for want of a place, the longest took %d microseconds", overloaded, longest)
 	}
 }
@@ -432,7 +432,7 @@
 func TestSlots(t *testing.T) {
 	t.Parallel()
 	for name, course := range map[string]Course{
-		"core": {First: []fault{{"power off the core", func(mesh *Mesh) { mesh.down(mesh.allCore(), 1500*postmark.Millisecond, mesh.World.PowerLoss) }}}},
+		"core": {First: []fault{{"power off the core", func(mesh *Mesh) { mesh.down(mesh.allCore(), 1500*monotonic.Millisecond, mesh.World.PowerLoss) }}}},
 		"mixed": {First: []fault{{"mixed backends", func(mesh *Mesh) {
 			for _, one := range mesh.live("") {
 				one.manner = "mixed"
@@ -449,12 +449,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var mesh *Mesh
-			course.Name, course.Length, course.Rate, course.Every, course.Faults = "slots", 40*postmark.Second, 60, 8*postmark.Second, []fault{nothing}
+			course.Name, course.Length, course.Rate, course.Every, course.Faults = "slots", 40*monotonic.Second, 60, 8*monotonic.Second, []fault{nothing}
 			course.Sizes = small
 			course.Sizes.Slots = 3
 			course.Prepare = func(built *Mesh) {
 				mesh = built
-				mesh.labour = 60 * postmark.Millisecond
+				mesh.labour = 60 * monotonic.Millisecond
 			}
 			result := Run(course, 1, Breakage{})
 			for _, finding := range result.Findings {
@@ -462,7 +462,7 @@
 			}
 			forms, refused, overloaded, most := 0, 0, 0, 0
 			for _, attempt := range mesh.History.Attempts {
-				if attempt.Cause == int(seal.Overloaded) {
+				if attempt.Cause == int(apierror.Overloaded) {
 					overloaded++
 				}
 				if attempt.Kind == "form" {
@@ -495,16 +495,16 @@
 	kill := fault{"kill the next sorter", func(mesh *Mesh) {
 		turn++
 		node := mesh.World.Node(fmt.Sprintf("sorter-%d", turn%3+1))
-		mesh.down([]*world.Node{node}, 100*postmark.Millisecond, mesh.World.Kill)
+		mesh.down([]*world.Node{node}, 100*monotonic.Millisecond, mesh.World.Kill)
 	}}
-	result := Run(Course{Name: "young", Sizes: small, Length: 60 * postmark.Second, Rate: 60, Every: 3 * postmark.Second,
+	result := Run(Course{Name: "young", Sizes: small, Length: 60 * monotonic.Second, Rate: 60, Every: 3 * monotonic.Second,
 		Faults: []fault{kill}, Prepare: func(built *Mesh) { mesh = built }}, 1, Breakage{})
 	for _, finding := range result.Findings {
 		t.Error(finding)
 	}
 	forgotten := 0
 	for _, attempt := range mesh.History.Attempts {
-		if attempt.Cause == int(seal.NoBackend) {
+		if attempt.Cause == int(apierror.NoBackend) {
 			forgotten++
 		}
 	}
--- a/internal/mailround/round/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -1,15 +1,15 @@
-package round
+package scenario
 
 import (
 	"encoding/json"
 	"fmt"
 	"testing"
 
-	"snowflow/internal/carrier/letter"
-	"snowflow/internal/inspector"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/apierror"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/simulation/world"
 )
 
 // routed is a desired state whose services have no paths, only routes.
@@ -31,42 +31,42 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			var mesh *Mesh
-			singles := map[string]*inspector.Attempt{}
+			singles := map[string]*invariants.Attempt{}
 			late, variant := 0, 0
 			losing := fault{"a backend loses its answers, another executes nothing", func(mesh *Mesh) {
 				for index, manner := range []string{"losing", "not_executed"} {
 					if live := mesh.live("forms"); index < len(live) {
 						live[index].manner = manner
-						mesh.later(2*postmark.Second, func() { live[index].manner = "" })
+						mesh.later(2*monotonic.Second, func() { live[index].manner = "" })
 					}
 				}
 			}}
-			frozen := map[string]postmark.Micros{} // until when, of each carrier that was: nobody can answer in time while frozen
+			frozen := map[string]monotonic.Micros{} // until when, of each carrier that was: nobody can answer in time while frozen
 			freeze := fault{"freeze a carrier", func(mesh *Mesh) {
-				name, span := pick(mesh, mesh.carriers), mesh.span(300*postmark.Millisecond, 8*postmark.Second)
+				name, span := pick(mesh, mesh.carriers), mesh.span(300*monotonic.Millisecond, 8*monotonic.Second)
 				frozen[name] = max(frozen[name], mesh.World.Now()+span)
 				mesh.freeze(mesh.World.Node(name), span)
 			}}
 			change := fault{"apply the next variant", func(mesh *Mesh) {
 				variant++
 				content := routed(variant)
-				mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*postmark.Second) })
+				mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*monotonic.Second) })
 			}}
 			send := func(number int) {
 				caller := pick(mesh, mesh.carriers)
-				attempt := &inspector.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
+				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
 				singles[attempt.ID] = attempt
 				mesh.History.Send(attempt)
-				content, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*postmark.Second, func(*world.Node) ([]byte, error) {
+				content, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 					life, began := mesh.lives[caller], mesh.lives[caller].Now()
-					answer, fault := life.Passage.Carry(&letter.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.Moment()})
-					if life.Now()-began > 1600*postmark.Millisecond && frozen[caller] < attempt.Sent {
+					answer, fault := life.Passage.Carry(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.Moment()})
+					if life.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
 						late++
 					}
 					if fault != nil {
 						return json.Marshal(told{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
 					}
-					return json.Marshal(told{Status: answer.Status, Serial: answer.Serial, Echo: letter.Header(answer.Headers, "Echo"), Whole: letter.Header(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
+					return json.Marshal(told{Status: answer.Status, Serial: answer.Serial, Echo: request.Header(answer.Headers, "Echo"), Whole: request.Header(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
 				})
 				attempt.Ended = mesh.World.Now()
 				if err != nil {
@@ -78,7 +78,7 @@
 				attempt.Status, attempt.Serial, attempt.Echo, attempt.Whole, attempt.Sum = int(reply.Status), reply.Serial, reply.Echo, reply.Whole, reply.Sum
 				attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryTold = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
 			}
-			result := Run(Course{Name: "routes", Sizes: small, Length: 60 * postmark.Second, Rate: 20, Every: 2 * postmark.Second, Content: routed,
+			result := Run(Course{Name: "routes", Sizes: small, Length: 60 * monotonic.Second, Rate: 20, Every: 2 * monotonic.Second, Content: routed,
 				Rules: []int{1, 2, 3, 5, 8}, First: []fault{change, losing, manners, killCarrier},
 				Faults: []fault{change, change, manners, killCarrier, freeze, cutCarriers, replaceBackend, killLeader, serviceFails},
 				Prepare: func(built *Mesh) {
@@ -88,7 +88,7 @@
 					}
 					mesh.Outside.Go(func() {
 						for number := 0; mesh.serving || number == 0; number++ {
-							mesh.Outside.Sleep(postmark.Micros(mesh.World.Chance().Uint64N(uint64(60 * postmark.Millisecond))))
+							mesh.Outside.Sleep(monotonic.Micros(mesh.World.Chance().Uint64N(uint64(60 * monotonic.Millisecond))))
 							mesh.Outside.Go(func() { send(number) })
 						}
 					})
@@ -128,7 +128,7 @@
 				default:
 					counts["may have run"]++
 				}
-				if attempt.Cause == int(seal.NoKey) || attempt.Cause == int(seal.UnknownPath) {
+				if attempt.Cause == int(apierror.NoKey) || attempt.Cause == int(apierror.UnknownPath) {
 					t.Errorf("%s was refused with cause %d", id, attempt.Cause)
 				}
 			}
--- a/internal/mailround/round/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -1,21 +1,21 @@
-package round
+package scenario
 
 import (
 	"errors"
 	"fmt"
 	"testing"
 
-	"snowflow/internal/carrier/letter"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/franking"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
-var servingOn = configstore.Bounds{ServeOn: true, PollHold: 2 * postmark.Second}
+var servingOn = configstore.Bounds{ServeOn: true, PollHold: 2 * monotonic.Second}
 
 // started makes a small mesh that has adopted a first desired state, under version 10.
 func started(t *testing.T, bounds configstore.Bounds) *Mesh {
@@ -29,23 +29,23 @@
 	sizes.Bounds = bounds
 	mesh := Build(seed, sizes, Breakage{})
 	t.Cleanup(mesh.World.Close)
-	mesh.World.Run(mesh.World.Now() + 3*postmark.Second)
-	if tell, _, err := mesh.raise(10, 20*postmark.Second); err != nil || tell.Outcome != versions.Accepted || tell.Serial != 10 {
+	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+	if tell, _, err := mesh.raise(10, 20*monotonic.Second); err != nil || tell.Outcome != versions.Accepted || tell.Serial != 10 {
 		t.Fatalf("%v %v", tell, err)
 	}
-	mesh.World.Run(mesh.World.Now() + 8*postmark.Second)
+	mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
 	return mesh
 }
 
 // raise applies a state under a version through a door's store, and tells how long that took.
-func (mesh *Mesh) raise(version uint64, patience postmark.Micros) (tell *wire.DesiredApplyTell, took postmark.Micros, err error) {
+func (mesh *Mesh) raise(version uint64, patience monotonic.Micros) (tell *wire.DesiredApplyTell, took monotonic.Micros, err error) {
 	began, done := mesh.World.Now(), false
 	mesh.Outside.Go(func() {
 		tell, err = api.NewStore(mesh.Outside, mesh.book).Apply(patience, &wire.DesiredApplyAsk{Content: Desired(int(version)), Version: version})
 		took, done = mesh.World.Now()-began, true
 	})
-	for limit := began + patience + postmark.Minute; !done && mesh.World.Now() < limit; {
-		mesh.World.Run(mesh.World.Now() + 10*postmark.Millisecond)
+	for limit := began + patience + monotonic.Minute; !done && mesh.World.Now() < limit; {
+		mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
 	}
 	if !done {
 		err = errors.New("it took no end")
@@ -59,9 +59,9 @@
 	t.Parallel()
 	mesh := started(t, servingOn)
 	wait := configstore.Defaults.Wait
-	raise := func(what string, version, serial uint64, least, most postmark.Micros, everywhere bool) {
+	raise := func(what string, version, serial uint64, least, most monotonic.Micros, everywhere bool) {
 		t.Helper()
-		tell, took, err := mesh.raise(version, 10*postmark.Second)
+		tell, took, err := mesh.raise(version, 10*monotonic.Second)
 		t.Logf("%s: acknowledged after %d microseconds", what, took)
 		if err != nil || tell.Outcome != versions.Accepted || tell.Serial != serial || tell.Spread != everywhere || took < least || took > most {
 			t.Errorf("%s: %v, %v after %d microseconds", what, tell, err, took)
@@ -75,13 +75,13 @@
 	raise("an older one again", 25, 30, 0, wait/4, false)
 	raise("one dead, the next", 31, 31, wait, wait+wait/4, false)
 	mesh.World.Start(mesh.World.Node(mesh.carriers[2]))
-	mesh.World.Run(mesh.World.Now() + 2*postmark.Second)
+	mesh.World.Run(mesh.World.Now() + 2*monotonic.Second)
 	raise("it's back in another life", 35, 35, 0, wait/4, true)
 	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
 	mesh.World.Run(mesh.World.Now() + configstore.Tenure + servingOn.PollHold) // a poll that it left behind is answered, and counts, when its hold ends
 	raise("one long dead", 40, 40, 0, wait/4, true)
 	mesh.World.Kill(mesh.leader("postmaster"))
-	raise("the primary just dead", 50, 50, 0, 8*postmark.Second, false)
+	raise("the primary just dead", 50, 50, 0, 8*monotonic.Second, false)
 	raise("a new primary", 51, 51, 0, wait+wait/4, false)
 	mesh.World.Run(mesh.World.Now() + configstore.Tenure)
 	raise("a primary of some time", 60, 60, 0, wait/4, true)
@@ -91,14 +91,14 @@
 // time for that says that it doesn't know.
 func TestLeasedAcknowledgement(t *testing.T) {
 	t.Parallel()
-	mesh := started(t, configstore.Bounds{Lease: 5 * postmark.Second, Slack: postmark.Second})
+	mesh := started(t, configstore.Bounds{Lease: 5 * monotonic.Second, Slack: monotonic.Second})
 	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
-	if tell, took, err := mesh.raise(20, 2*postmark.Second); !errors.Is(err, api.ErrUnknown) || took > 2100*postmark.Millisecond {
+	if tell, took, err := mesh.raise(20, 2*monotonic.Second); !errors.Is(err, api.ErrUnknown) || took > 2100*monotonic.Millisecond {
 		t.Errorf("%v, %v after %d microseconds", tell, err, took)
 	}
-	tell, took, err := mesh.raise(15, 10*postmark.Second)
+	tell, took, err := mesh.raise(15, 10*monotonic.Second)
 	t.Logf("acknowledged after %d microseconds more", took)
-	if err != nil || tell.Serial != 20 || !tell.Spread || took < postmark.Second || took > 2500*postmark.Millisecond {
+	if err != nil || tell.Serial != 20 || !tell.Spread || took < monotonic.Second || took > 2500*monotonic.Millisecond {
 		t.Errorf("%v, %v after %d microseconds", tell, err, took)
 	}
 }
@@ -107,61 +107,61 @@
 func TestStoreTellsApartNotTakenAndUnknown(t *testing.T) {
 	t.Parallel()
 	mesh := started(t, servingOn)
-	read := func(patience postmark.Micros) (kept *wire.DesiredKept, err error) {
+	read := func(patience monotonic.Micros) (kept *wire.DesiredKept, err error) {
 		done := false
 		mesh.Outside.Go(func() {
 			kept, err = api.NewStore(mesh.Outside, mesh.book).Newest(patience)
 			done = true
 		})
 		began := mesh.World.Now()
-		for !done && mesh.World.Now() < began+patience+postmark.Second {
-			mesh.World.Run(mesh.World.Now() + 10*postmark.Millisecond)
+		for !done && mesh.World.Now() < began+patience+monotonic.Second {
+			mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
 		}
 		if !done {
 			t.Errorf("a read took more than its patience")
 		}
 		return kept, err
 	}
-	if kept, err := read(2 * postmark.Second); err != nil || kept.Serial != 10 {
+	if kept, err := read(2 * monotonic.Second); err != nil || kept.Serial != 10 {
 		t.Errorf("%v %v", kept, err)
 	}
 	for _, core := range mesh.cores {
 		mesh.World.Cut("outside", core)
 	}
-	if tell, took, err := mesh.raise(20, 3*postmark.Second); !errors.Is(err, api.ErrNotTaken) || took > 3100*postmark.Millisecond {
+	if tell, took, err := mesh.raise(20, 3*monotonic.Second); !errors.Is(err, api.ErrNotTaken) || took > 3100*monotonic.Millisecond {
 		t.Errorf("cut off: %v, %v after %d microseconds", tell, err, took)
 	}
-	if _, err := read(2 * postmark.Second); err == nil {
+	if _, err := read(2 * monotonic.Second); err == nil {
 		t.Error("read while cut off")
 	}
 	for _, core := range mesh.cores {
 		mesh.World.Uncut("outside", core)
 	}
-	if kept, err := read(2 * postmark.Second); err != nil || kept.Serial != 10 {
+	if kept, err := read(2 * monotonic.Second); err != nil || kept.Serial != 10 {
 		t.Errorf("%v %v", kept, err)
 	}
 	// A content with faults is refused under any version.
 	done := false
 	mesh.Outside.Go(func() {
-		tell, err := api.NewStore(mesh.Outside, mesh.book).Apply(2*postmark.Second, &wire.DesiredApplyAsk{Content: []byte(`{"groups":[]}`), Version: 3})
+		tell, err := api.NewStore(mesh.Outside, mesh.book).Apply(2*monotonic.Second, &wire.DesiredApplyAsk{Content: []byte(`{"groups":[]}`), Version: 3})
 		if err != nil || tell.Outcome != versions.Invalid || len(tell.Faults) != 1 {
 			t.Errorf("%v %v", tell, err)
 		}
 		done = true
 	})
-	mesh.World.Run(mesh.World.Now() + 3*postmark.Second)
+	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
 	if !done {
 		t.Error("no answer to an invalid content")
 	}
 }
 
 // carry has a carrier carry a request without a key.
-func (mesh *Mesh) carry(caller string, request *letter.Request) (answer *letter.Answer, fault error) {
+func (mesh *Mesh) carry(caller string, req *request.Request) (answer *request.Answer, fault error) {
 	done := false
 	mesh.Outside.Go(func() {
-		_, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*postmark.Second, func(*world.Node) ([]byte, error) {
-			request.ReadAt = mesh.lives[caller].Moment()
-			given, refused := mesh.lives[caller].Passage.Carry(request)
+		_, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+			req.ReadAt = mesh.lives[caller].Moment()
+			given, refused := mesh.lives[caller].Passage.Carry(req)
 			if refused != nil {
 				return nil, refused
 			}
@@ -171,7 +171,7 @@
 		fault, done = err, true
 	})
 	for !done {
-		mesh.World.Run(mesh.World.Now() + postmark.Millisecond)
+		mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
 	}
 	return answer, fault
 }
@@ -185,10 +185,10 @@
 			mesh := started(t, bounds)
 			cut := mesh.carriers[0]
 			for _, core := range mesh.cores {
-				mesh.cutFor(cut, core, true, 20*postmark.Second)
+				mesh.cutFor(cut, core, true, 20*monotonic.Second)
 			}
-			mesh.World.Run(mesh.World.Now() + 8*postmark.Second)
-			if _, _, err := mesh.raise(20, 10*postmark.Second); err != nil {
+			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
+			if _, _, err := mesh.raise(20, 10*monotonic.Second); err != nil {
 				t.Fatal(err)
 			}
 			if serial, _ := mesh.lives[cut].Desk.Serial(); serial != 10 {
@@ -197,7 +197,7 @@
 			served := map[string]int{}
 			for number := range 20 {
 				for _, caller := range []string{cut, mesh.carriers[1]} {
-					answer, err := mesh.carry(caller, &letter.Request{ID: fmt.Sprintf("form-%s-%d", caller, number), Method: "GET", Target: fmt.Sprintf("/forms/%d", number)})
+					answer, err := mesh.carry(caller, &request.Request{ID: fmt.Sprintf("form-%s-%d", caller, number), Method: "GET", Target: fmt.Sprintf("/forms/%d", number)})
 					if err == nil && answer.Status == 200 {
 						served[caller]++
 					}
@@ -208,7 +208,7 @@
 			if served[cut] != wanted || served[mesh.carriers[1]] != 20 {
 				t.Errorf("served %v", served)
 			}
-			mesh.World.Run(mesh.World.Now() + 20*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
 			if serial, _ := mesh.lives[cut].Desk.Serial(); serial != 20 {
 				t.Errorf("%s has serial %d after its return", cut, serial)
 			}
@@ -221,8 +221,8 @@
 
 // TestUnlistedServices: where carriers serve on, a pass for a service that this side's view doesn't have is judged by the default.
 func TestUnlistedServices(t *testing.T) {
-	service := franking.Unlisted("gone")
-	if service.Name != "gone" || service.Limits.GetInFlightPerBackend() != 64 || service.Limits.GetCutoffMicros() != int64(5*postmark.Second) {
+	service := config.Unlisted("gone")
+	if service.Name != "gone" || service.Limits.GetInFlightPerBackend() != 64 || service.Limits.GetCutoffMicros() != int64(5*monotonic.Second) {
 		t.Errorf("%+v", service)
 	}
 }
@@ -251,14 +251,14 @@
 				case node == primary || node.Name != left && !one.majority:
 					mesh.World.Kill(node)
 				default:
-					node.Disk.Delay = 5 * postmark.Second // so that no ballot comes to an end
+					node.Disk.Delay = 5 * monotonic.Second // so that no ballot comes to an end
 				}
 			}
 			node := mesh.World.Node(mesh.carriers[0])
 			mesh.World.Kill(node)
-			mesh.World.Run(mesh.World.Now() + postmark.Second)
+			mesh.World.Run(mesh.World.Now() + monotonic.Second)
 			mesh.World.Start(node)
-			mesh.World.Run(mesh.World.Now() + 3*postmark.Second)
+			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
 			if mesh.leader(configstore.Group) != nil {
 				t.Error("there is a primary, so nothing was shown")
 			}
--- a/internal/mailround/round/worst_days.go
+++ b/internal/simulation/scenario/worst_days.go
@@ -1,25 +1,25 @@
-package round
+package scenario
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
+	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/franking"
-	"snowflow/internal/inspector"
-	"snowflow/internal/mailround/world"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/invariants"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
 )
 
 const (
 	// syncTime is how long after its return or its start a core machine still counts as lost.
-	syncTime = 4 * postmark.Second
+	syncTime = 4 * monotonic.Second
 	// longCut is how long a core machine is cut off on the worst days.
-	longCut = 20 * postmark.Second
+	longCut = 20 * monotonic.Second
 )
 
 // order is a content that an operator sent under a version, and may send again.
@@ -36,7 +36,7 @@
 }
 
 // operate has so many operators send orders and read, each at whichever door it likes, until the callers stop too.
-func operate(count int, pause postmark.Micros) func(mesh *Mesh) {
+func operate(count int, pause monotonic.Micros) func(mesh *Mesh) {
 	return func(mesh *Mesh) {
 		shared := &operators{next: 1000}
 		for range count {
@@ -69,7 +69,7 @@
 	mesh.permit(chosen.content)
 	// What was left without a clear answer goes again, unchanged, to any door.
 	for range 4 {
-		if mesh.orderAt(pick(mesh, mesh.cores), chosen) != inspector.Uncertain {
+		if mesh.orderAt(pick(mesh, mesh.cores), chosen) != invariants.Uncertain {
 			return
 		}
 	}
@@ -81,42 +81,42 @@
 	return nodes[slices.IndexFunc(nodes, func(node *world.Node) bool { return mesh.masters[node.Name] != nil || mesh.sorters[node.Name] == nil })]
 }
 
-func (mesh *Mesh) orderAt(machine string, chosen order) inspector.OrderOutcome {
+func (mesh *Mesh) orderAt(machine string, chosen order) invariants.OrderOutcome {
 	node, sent := mesh.doorOf(machine), mesh.World.Now()
 	var tell *wire.DesiredApplyTell
-	_, err := mesh.Outside.Transact(node.Address, 5*postmark.Second, func(node *world.Node) ([]byte, error) {
-		told, err := mesh.doors[node.Name].Apply(3500*postmark.Millisecond, &wire.DesiredApplyAsk{Content: chosen.content, Version: chosen.version})
+	_, err := mesh.Outside.Transact(node.Address, 5*monotonic.Second, func(node *world.Node) ([]byte, error) {
+		told, err := mesh.doors[node.Name].Apply(3500*monotonic.Millisecond, &wire.DesiredApplyAsk{Content: chosen.content, Version: chosen.version})
 		tell = told
 		return nil, err
 	})
-	outcome := inspector.Uncertain
+	outcome := invariants.Uncertain
 	switch {
 	case err == nil && tell.Outcome == versions.Accepted:
-		outcome = inspector.Confirmed
+		outcome = invariants.Confirmed
 	case err == nil && tell.Outcome == versions.Conflict:
-		outcome = inspector.Declined
+		outcome = invariants.Declined
 	case errors.Is(err, api.ErrNotTaken):
-		outcome = inspector.NotTaken
+		outcome = invariants.NotTaken
 	}
-	if happen := mesh.atOrder; outcome == inspector.Confirmed && happen != nil {
+	if happen := mesh.atOrder; outcome == invariants.Confirmed && happen != nil {
 		mesh.atOrder = nil
 		mesh.World.At(mesh.World.Now(), happen)
 	}
-	mesh.History.Order(inspector.Order{Door: node.Name, Version: chosen.version, Digest: franking.Digest(chosen.content), Sent: sent, Ended: mesh.World.Now(), Outcome: outcome})
+	mesh.History.Order(invariants.Order{Door: node.Name, Version: chosen.version, Digest: config.Digest(chosen.content), Sent: sent, Ended: mesh.World.Now(), Outcome: outcome})
 	return outcome
 }
 
 func (mesh *Mesh) readAt(machine string) {
 	node, sent := mesh.doorOf(machine), mesh.World.Now()
 	var kept *wire.DesiredKept
-	_, err := mesh.Outside.Transact(node.Address, 3*postmark.Second, func(node *world.Node) ([]byte, error) {
-		found, err := mesh.doors[node.Name].Newest(900 * postmark.Millisecond)
+	_, err := mesh.Outside.Transact(node.Address, 3*monotonic.Second, func(node *world.Node) ([]byte, error) {
+		found, err := mesh.doors[node.Name].Newest(900 * monotonic.Millisecond)
 		kept = found
 		return nil, err
 	})
-	read := inspector.Order{Door: node.Name, Read: true, Sent: sent, Ended: mesh.World.Now(), Outcome: inspector.Uncertain}
+	read := invariants.Order{Door: node.Name, Read: true, Sent: sent, Ended: mesh.World.Now(), Outcome: invariants.Uncertain}
 	if err == nil && kept != nil && kept.Serial >= 1000 {
-		read.Version, read.Digest, read.Outcome = kept.Serial, franking.Digest(kept.Content), inspector.Confirmed
+		read.Version, read.Digest, read.Outcome = kept.Serial, config.Digest(kept.Content), invariants.Confirmed
 	}
 	mesh.History.Order(read)
 }
@@ -130,7 +130,7 @@
 }
 
 // cutOffFor cuts a core machine off from some others, both ways or one.
-func (mesh *Mesh) cutOffFor(machine string, others []string, span postmark.Micros) {
+func (mesh *Mesh) cutOffFor(machine string, others []string, span monotonic.Micros) {
 	way := mesh.World.Chance().IntN(3)
 	for _, other := range others {
 		switch way {
@@ -145,12 +145,12 @@
 }
 
 // untilCalm puts the next loss off until all that is lost now counts no more.
-func (mesh *Mesh) untilCalm(span postmark.Micros) {
+func (mesh *Mesh) untilCalm(span monotonic.Micros) {
 	mesh.lossFrom = max(mesh.lossFrom, mesh.World.Now()+span+syncTime)
 }
 
 // within brings a fault about only where a loss is allowed now, and says for how long it counts as one.
-func within(name string, span postmark.Micros, bring func(mesh *Mesh)) fault {
+func within(name string, span monotonic.Micros, bring func(mesh *Mesh)) fault {
 	return fault{name, func(mesh *Mesh) {
 		if mesh.World.Now() < mesh.lossFrom {
 			return
@@ -171,32 +171,32 @@
 	restartInCut = within("cut a core machine off and restart it meanwhile", longCut, func(mesh *Mesh) {
 		victim := mesh.primaryOr()
 		mesh.cutOffFor(victim, mesh.cores, longCut)
-		mesh.later(mesh.span(postmark.Second, longCut), func() { mesh.down(mesh.coreNodes(victim), 500*postmark.Millisecond, mesh.World.Kill) })
+		mesh.later(mesh.span(monotonic.Second, longCut), func() { mesh.down(mesh.coreNodes(victim), 500*monotonic.Millisecond, mesh.World.Kill) })
 	})
-	relieveCut = within("cut a core machine off, and kill the others' processes as it comes back", longCut+postmark.Second, func(mesh *Mesh) {
+	relieveCut = within("cut a core machine off, and kill the others' processes as it comes back", longCut+monotonic.Second, func(mesh *Mesh) {
 		victim := mesh.primaryOr()
 		mesh.cutOffFor(victim, mesh.cores, longCut)
-		mesh.later(longCut+100*postmark.Millisecond, func() {
+		mesh.later(longCut+100*monotonic.Millisecond, func() {
 			for _, machine := range mesh.cores {
 				if machine != victim {
-					mesh.down(mesh.coreNodes(machine), postmark.Second, mesh.World.Kill)
+					mesh.down(mesh.coreNodes(machine), monotonic.Second, mesh.World.Kill)
 				}
 			}
 		})
 	})
 	// Of those that didn't miss the changes, one loses its disk and the others are dark while the cut heals.
-	behindCut = within("a core machine misses changes, and the others are dark as it comes back", 16*postmark.Second, func(mesh *Mesh) {
-		victim, away := mesh.primaryOr(), 10*postmark.Second
+	behindCut = within("a core machine misses changes, and the others are dark as it comes back", 16*monotonic.Second, func(mesh *Mesh) {
+		victim, away := mesh.primaryOr(), 10*monotonic.Second
 		others := slices.DeleteFunc(slices.Clone(mesh.cores), func(name string) bool { return name == victim })
 		mesh.cutOffFor(victim, mesh.cores, away)
-		mesh.later(away-postmark.Second, func() {
+		mesh.later(away-monotonic.Second, func() {
 			wiped := pick(mesh, others)
 			for _, machine := range others {
 				end := mesh.World.PowerLoss
 				if machine == wiped {
 					end = mesh.World.LoseDisk
 				}
-				mesh.down(mesh.coreNodes(machine), 3*postmark.Second, end)
+				mesh.down(mesh.coreNodes(machine), 3*monotonic.Second, end)
 			}
 		})
 	})
@@ -212,8 +212,8 @@
 	diskAtOrder = fault{"lose the disk of the postmasters' primary at an acknowledgement", func(mesh *Mesh) {
 		mesh.atOrder = func() {
 			if node := mesh.leader("postmaster"); node != nil && mesh.World.Now() >= mesh.lossFrom {
-				mesh.untilCalm(4 * postmark.Second)
-				mesh.down(mesh.coreNodes(node.Machine), mesh.span(200*postmark.Millisecond, 4*postmark.Second), mesh.World.LoseDisk)
+				mesh.untilCalm(4 * monotonic.Second)
+				mesh.down(mesh.coreNodes(node.Machine), mesh.span(200*monotonic.Millisecond, 4*monotonic.Second), mesh.World.LoseDisk)
 			}
 		}
 	}}
@@ -223,29 +223,29 @@
 			if mesh.World.Now() < mesh.lossFrom {
 				return
 			}
-			mesh.untilCalm(4 * postmark.Second)
+			mesh.untilCalm(4 * monotonic.Second)
 			victim := mesh.primaryOr()
-			mesh.down(mesh.coreNodes(victim), mesh.span(200*postmark.Millisecond, 2*postmark.Second), mesh.World.LoseDisk)
+			mesh.down(mesh.coreNodes(victim), mesh.span(200*monotonic.Millisecond, 2*monotonic.Second), mesh.World.LoseDisk)
 			killEverything.bring(mesh)
 		}
 	}}
-	slowOneDisk     = within("slow a core disk, alone", 8*postmark.Second, slowDisk.bring)
-	plannedExchange = within("exchange a core machine as planned", 8*postmark.Second, func(mesh *Mesh) { mesh.exchangePlanned() })
+	slowOneDisk     = within("slow a core disk, alone", 8*monotonic.Second, slowDisk.bring)
+	plannedExchange = within("exchange a core machine as planned", 8*monotonic.Second, func(mesh *Mesh) { mesh.exchangePlanned() })
 	// The successor is in step before the old machine ends, so nothing counts as lost when the next loss comes, in that very moment.
-	lossAtExchange = within("exchange a core machine as planned, and lose another's disk as the old one ends", 2*syncTime+4*postmark.Second, func(mesh *Mesh) {
+	lossAtExchange = within("exchange a core machine as planned, and lose another's disk as the old one ends", 2*syncTime+4*monotonic.Second, func(mesh *Mesh) {
 		oldest := mesh.cores[0]
 		mesh.come()
-		mesh.later(syncTime+500*postmark.Millisecond, func() {
+		mesh.later(syncTime+500*monotonic.Millisecond, func() {
 			mesh.leaveForGood(oldest, func() {
 				victim := mesh.primaryOr()
-				mesh.down(mesh.coreNodes(victim), mesh.span(500*postmark.Millisecond, 2*postmark.Second), mesh.World.LoseDisk)
+				mesh.down(mesh.coreNodes(victim), mesh.span(500*monotonic.Millisecond, 2*monotonic.Second), mesh.World.LoseDisk)
 			})
 		})
 	})
-	lossForGood      = within("lose a core machine for good", postmark.Second, func(mesh *Mesh) { mesh.loseForGood() })
-	diskThenExchange = within("lose a disk, and exchange a machine right after its return", 10*postmark.Second, func(mesh *Mesh) {
-		mesh.down(mesh.coreNodes(mesh.primaryOr()), 500*postmark.Millisecond, mesh.World.LoseDisk)
-		mesh.later(500*postmark.Millisecond+syncTime, func() { mesh.exchangePlanned() })
+	lossForGood      = within("lose a core machine for good", monotonic.Second, func(mesh *Mesh) { mesh.loseForGood() })
+	diskThenExchange = within("lose a disk, and exchange a machine right after its return", 10*monotonic.Second, func(mesh *Mesh) {
+		mesh.down(mesh.coreNodes(mesh.primaryOr()), 500*monotonic.Millisecond, mesh.World.LoseDisk)
+		mesh.later(500*monotonic.Millisecond+syncTime, func() { mesh.exchangePlanned() })
 	})
 )
 
@@ -253,13 +253,13 @@
 func (mesh *Mesh) exchangePlanned() {
 	oldest := mesh.cores[0]
 	mesh.come()
-	mesh.later(mesh.span(postmark.Second, 5*postmark.Second), func() { mesh.leaveForGood(oldest, func() {}) })
+	mesh.later(mesh.span(monotonic.Second, 5*monotonic.Second), func() { mesh.leaveForGood(oldest, func() {}) })
 }
 
 // loseForGood ends a core machine for good; an empty successor starts a second later.
 func (mesh *Mesh) loseForGood() {
 	mesh.retire(pick(mesh, mesh.cores))
-	mesh.later(postmark.Second, mesh.come)
+	mesh.later(monotonic.Second, mesh.come)
 }
 
 // leaveForGood stops a core machine's processes as planned, removes the machine once they have ended, and has something happen then.
@@ -267,8 +267,8 @@
 	running := len(mesh.coreNodes(machine))
 	for _, node := range mesh.coreNodes(machine) {
 		mesh.Outside.Go(func() {
-			_, _ = mesh.Outside.Transact(node.Address, 6*postmark.Second, func(*world.Node) ([]byte, error) {
-				mesh.member(node.Name).Leave("planned stop", 3*postmark.Second)
+			_, _ = mesh.Outside.Transact(node.Address, 6*monotonic.Second, func(*world.Node) ([]byte, error) {
+				mesh.member(node.Name).Leave("planned stop", 3*monotonic.Second)
 				return nil, nil
 			})
 			if running--; running == 0 {
@@ -288,8 +288,8 @@
 
 // worstDay is a course of the control side's troubles alone, among operators that order and read at every door.
 func worstDay(name, short string, cores, copies int, faults ...fault) Course {
-	return Course{Name: name, Short: short, Sizes: worstSizes(cores, copies), Length: 100 * postmark.Second, Rate: 10, Every: 9 * postmark.Second, Rules: []int{1, 3, 12},
-		Prepare: func(mesh *Mesh) { mesh.serving = true; operate(4, 600*postmark.Millisecond)(mesh) }, Faults: faults, First: faults[:min(3, len(faults))], Checks: []inspector.Check{inspector.OrdersKept}}
+	return Course{Name: name, Short: short, Sizes: worstSizes(cores, copies), Length: 100 * monotonic.Second, Rate: 10, Every: 9 * monotonic.Second, Rules: []int{1, 3, 12},
+		Prepare: func(mesh *Mesh) { mesh.serving = true; operate(4, 600*monotonic.Millisecond)(mesh) }, Faults: faults, First: faults[:min(3, len(faults))], Checks: []invariants.Check{invariants.OrdersKept}}
 }
 
 func init() {
--- a/internal/mailround/round/worst_days_test.go
+++ b/internal/simulation/scenario/worst_days_test.go
@@ -1,9 +1,9 @@
-package round
+package scenario
 
 import (
 	"testing"
 
-	"snowflow/internal/inspector"
+	"snowflow/internal/invariants"
 )
 
 func TestCutOff(t *testing.T) {
@@ -29,13 +29,13 @@
 	for name, one := range map[string]struct {
 		course string
 		broken Breakage
-		sees   func(finding inspector.Finding) bool
+		sees   func(finding invariants.Finding) bool
 	}{
 		"a primary that answers without a lease":            {"cut-off-5", Breakage{NoLease: true}, byOrders},
 		"a successor that lacks what was confirmed":         {"many-changes-3", Breakage{AnySuccessor: true}, byOrders},
 		"a number that stands for several contents":         {"cut-off-3", Breakage{AnyContent: true}, byOrders},
 		"a planned stop that leaves copy and seat behind":   {"exchanges-3", Breakage{Abandon: true}, byReturn},
-		"syncs that do nothing, and a member that forgot":   {"many-changes-3", Breakage{NoSync: true}, func(inspector.Finding) bool { return true }},
+		"syncs that do nothing, and a member that forgot":   {"many-changes-3", Breakage{NoSync: true}, func(invariants.Finding) bool { return true }},
 		"a planned stop that leaves both behind, core of 5": {"exchanges-5", Breakage{Abandon: true, AnySuccessor: true}, byOrders},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,6 +54,6 @@
 }
 
 // byOrders and byReturn tell by which checker something was found.
-func byOrders(finding inspector.Finding) bool { return finding.Check == inspector.OrdersKept.Name }
+func byOrders(finding invariants.Finding) bool { return finding.Check == invariants.OrdersKept.Name }
 
-func byReturn(finding inspector.Finding) bool { return finding.Rule == 12 }
+func byReturn(finding invariants.Finding) bool { return finding.Rule == 12 }
--- a/internal/mailround/world/world.go
+++ b/internal/simulation/world/world.go
@@ -12,10 +12,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
-	"snowflow/internal/seal"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
 	"snowflow/internal/wal/memory"
 )
@@ -23,7 +23,7 @@
 // World is one simulated run.
 // Invariants: events happen in the order of their time, then of their making; current is the only task that runs.
 type World struct {
-	now      postmark.Micros
+	now      monotonic.Micros
 	events   eventHeap
 	sequence uint64
 	chance   *rand.Rand
@@ -31,11 +31,11 @@
 	yielded  chan struct{}
 	nodes    map[string]*Node
 	cuts     map[[2]string]bool
-	delays   map[[2]string]postmark.Micros
+	delays   map[[2]string]monotonic.Micros
 	// Lag bounds a message's ordinary time on the way.
-	Lag postmark.Micros
+	Lag monotonic.Micros
 	// Trace is told every report of every node, if set.
-	Trace func(at postmark.Micros, node string, number int, fields map[string]any)
+	Trace func(at monotonic.Micros, node string, number int, fields map[string]any)
 	// Stopped is told when a process ends itself.
 	Stopped func(node *Node, why string)
 	// Panicked holds what a task panicked with.
@@ -52,7 +52,7 @@
 }
 
 type event struct {
-	at       postmark.Micros
+	at       monotonic.Micros
 	sequence uint64
 	happen   func()
 	node     *Node // a frozen node's events wait
@@ -99,8 +99,8 @@
 	table   host.Table
 	life    int
 	up      bool
-	frozen  postmark.Micros // until then
-	offset  postmark.Micros
+	frozen  monotonic.Micros // until then
+	offset  monotonic.Micros
 	drift   float64
 	chance  *rand.Rand
 	tasks   map[*task]bool
@@ -109,12 +109,12 @@
 
 // New makes a world from a seed.
 func New(seed uint64) *World {
-	return &World{now: postmark.Minute, chance: rand.New(rand.NewPCG(seed, 0x736e6f77)), yielded: make(chan struct{}),
-		nodes: map[string]*Node{}, links: map[[2]string]*link{}, delays: map[[2]string]postmark.Micros{}, cuts: map[[2]string]bool{}, Calls: map[string]map[wire.Kind]int{}, Bytes: map[string]int{}, Lag: 2 * postmark.Millisecond}
+	return &World{now: monotonic.Minute, chance: rand.New(rand.NewPCG(seed, 0x736e6f77)), yielded: make(chan struct{}),
+		nodes: map[string]*Node{}, links: map[[2]string]*link{}, delays: map[[2]string]monotonic.Micros{}, cuts: map[[2]string]bool{}, Calls: map[string]map[wire.Kind]int{}, Bytes: map[string]int{}, Lag: 2 * monotonic.Millisecond}
 }
 
 // Now is the observer's clock.
-func (world *World) Now() postmark.Micros { return world.now }
+func (world *World) Now() monotonic.Micros { return world.now }
 
 // Chance is the source of everything that a scenario leaves to chance.
 func (world *World) Chance() *rand.Rand { return world.chance }
@@ -123,15 +123,15 @@
 func (world *World) Digest() uint64 { return world.digest }
 
 // At has something happen later, outside all nodes.
-func (world *World) At(at postmark.Micros, happen func()) { world.push(at, nil, 0, happen) }
+func (world *World) At(at monotonic.Micros, happen func()) { world.push(at, nil, 0, happen) }
 
-func (world *World) push(at postmark.Micros, node *Node, life int, happen func()) {
+func (world *World) push(at monotonic.Micros, node *Node, life int, happen func()) {
 	world.sequence++
 	heap.Push(&world.events, &event{at: max(at, world.now), sequence: world.sequence, happen: happen, node: node, life: life})
 }
 
 // Run lets the world go on until a moment.
-func (world *World) Run(until postmark.Micros) {
+func (world *World) Run(until monotonic.Micros) {
 	for len(world.events) > 0 && world.events[0].at <= until && world.Panicked == nil {
 		next := heap.Pop(&world.events).(*event)
 		world.now = next.at
@@ -177,14 +177,14 @@
 func (world *World) Add(name, address, machine string, boot func(place *Place) (host.Table, error)) *Node {
 	node := &Node{world: world, Name: name, Address: address, Machine: machine, Disk: memory.New(), boot: boot, tasks: map[*task]bool{},
 		chance: rand.New(rand.NewPCG(world.chance.Uint64(), world.chance.Uint64()))}
-	node.offset = postmark.Micros(world.chance.Uint64N(uint64(10 * postmark.Minute)))
+	node.offset = monotonic.Micros(world.chance.Uint64N(uint64(10 * monotonic.Minute)))
 	node.drift = (world.chance.Float64() - 0.5) / 5000 // up to 100 parts in a million
 	node.Disk.Tear = func(length int) int { return world.chance.IntN(length + 1) }
-	node.Disk.Wait = func(span postmark.Micros) {
+	node.Disk.Wait = func(span monotonic.Micros) {
 		if world.current == nil {
 			return
 		}
-		span += postmark.Micros(node.chance.Uint64N(uint64(500)))
+		span += monotonic.Micros(node.chance.Uint64N(uint64(500)))
 		world.sleep(world.current, span)
 	}
 	world.nodes[name] = node
@@ -202,8 +202,8 @@
 	node.life++
 	node.up, node.frozen, node.table = true, 0, nil
 	place := &Place{node: node, life: node.life}
-	if place.Now() < postmark.Minute {
-		node.offset += 60*postmark.Minute - place.Now() // as on a real machine, a life's clock starts well above zero
+	if place.Now() < monotonic.Minute {
+		node.offset += 60*monotonic.Minute - place.Now() // as on a real machine, a life's clock starts well above zero
 	}
 	world.spawn(node, func() {
 		table, err := node.boot(place)
@@ -249,23 +249,23 @@
 }
 
 // Freeze stops a node for a while; everything it would have done happens late.
-func (world *World) Freeze(node *Node, span postmark.Micros) { node.frozen = world.now + span }
+func (world *World) Freeze(node *Node, span monotonic.Micros) { node.frozen = world.now + span }
 
 // Suspend freezes a node whose clock stands still meanwhile, as a clock that doesn't count suspended time would.
-func (world *World) Suspend(node *Node, span postmark.Micros) {
+func (world *World) Suspend(node *Node, span monotonic.Micros) {
 	world.Freeze(node, span)
 	node.offset -= span
 }
 
 // Leap moves a node's clock, on which it decides, forward or back.
-func (world *World) Leap(node *Node, span postmark.Micros) { node.offset += span }
+func (world *World) Leap(node *Node, span monotonic.Micros) { node.offset += span }
 
 // Cut stops messages from one machine to another.
 func (world *World) Cut(from, into string) { world.cuts[[2]string{from, into}] = true }
 
 // Mend ends all cuts and delays.
 func (world *World) Mend() {
-	world.cuts, world.delays = map[[2]string]bool{}, map[[2]string]postmark.Micros{}
+	world.cuts, world.delays = map[[2]string]bool{}, map[[2]string]monotonic.Micros{}
 }
 
 func (world *World) isCut(from, into string) bool { return world.cuts[[2]string{from, into}] }
@@ -323,7 +323,7 @@
 	}
 }
 
-func (world *World) sleep(entry *task, span postmark.Micros) {
+func (world *World) sleep(entry *task, span monotonic.Micros) {
 	if entry.dead {
 		runtime.Goexit()
 	}
@@ -341,13 +341,13 @@
 func (place *Place) Node() *Node { return place.node }
 
 // Now reads the node's own clock, which starts anywhere and drifts.
-func (place *Place) Now() postmark.Micros {
+func (place *Place) Now() monotonic.Micros {
 	world := place.node.world
-	return world.now + place.node.offset + postmark.Micros(float64(world.now)*place.node.drift)
+	return world.now + place.node.offset + monotonic.Micros(float64(world.now)*place.node.drift)
 }
 
 // Sleep waits.
-func (place *Place) Sleep(span postmark.Micros) {
+func (place *Place) Sleep(span monotonic.Micros) {
 	place.node.world.sleep(place.node.world.current, span)
 }
 
@@ -411,7 +411,7 @@
 	world.push(world.now, entry.node, entry.life, func() { world.switchTo(entry) })
 }
 
-func (signal *signal) Wait(patience postmark.Micros) bool {
+func (signal *signal) Wait(patience monotonic.Micros) bool {
 	if signal.fired {
 		signal.fired = false
 		return true
@@ -424,7 +424,7 @@
 	signal.waiter = entry
 	signal.turn++
 	turn := signal.turn
-	if patience < postmark.Forever {
+	if patience < monotonic.Forever {
 		world.push(world.now+patience, entry.node, entry.life, func() {
 			if signal.turn == turn && signal.waiter == entry {
 				signal.waiter = nil
@@ -439,10 +439,10 @@
 }
 
 // way is how long a message takes; now and then one is much slower.
-func (world *World) way(node *Node) postmark.Micros {
-	span := postmark.Micros(50 + node.chance.Uint64N(uint64(world.Lag)))
+func (world *World) way(node *Node) monotonic.Micros {
+	span := monotonic.Micros(50 + node.chance.Uint64N(uint64(world.Lag)))
 	if node.chance.Uint64N(200) == 0 {
-		span += postmark.Micros(node.chance.Uint64N(uint64(100 * postmark.Millisecond)))
+		span += monotonic.Micros(node.chance.Uint64N(uint64(100 * monotonic.Millisecond)))
 	}
 	return span
 }
@@ -450,7 +450,7 @@
 // link is what the real host keeps for each address: when something was last heard, and the calls that wait. As there,
 // a call that hears nothing at all while its patience runs ends the connection, and with it the others.
 type link struct {
-	heard   postmark.Micros
+	heard   monotonic.Micros
 	pending []*outcome
 }
 
@@ -483,7 +483,7 @@
 }
 
 // Call sends a request through the simulated network.
-func (place *Place) Call(address string, kind wire.Kind, request, reply proto.Message, patience postmark.Micros) error {
+func (place *Place) Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error {
 	content, err := proto.Marshal(request)
 	if err != nil {
 		return err
@@ -497,11 +497,11 @@
 	answer, err := place.transact(address, patience, func(node *Node) ([]byte, error) {
 		handle := node.table[kind]
 		if handle == nil {
-			return nil, seal.Refused.New("no such kind")
+			return nil, apierror.Refused.New("no such kind")
 		}
 		told, err := handle(content)
 		if err != nil {
-			return nil, seal.Refused.New("%s: %s", address, err)
+			return nil, apierror.Refused.New("%s: %s", address, err)
 		}
 		return proto.Marshal(told)
 	})
@@ -513,11 +513,11 @@
 }
 
 // Transact runs work on the process at an address, as a connection to it would, for the outside's own protocols.
-func (place *Place) Transact(address string, patience postmark.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
+func (place *Place) Transact(address string, patience monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
 	return place.transact(address, patience, work)
 }
 
-func (place *Place) transact(address string, patience postmark.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
+func (place *Place) transact(address string, patience monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
 	world, from := place.node.world, place.node
 	result := &outcome{signal: place.NewSignal()}
 	target := world.at(address)
@@ -525,17 +525,17 @@
 		if world.machineUp(address) {
 			world.sleep(world.current, world.way(from)+world.way(from))
 		} else {
-			world.sleep(world.current, min(patience, 100*postmark.Millisecond))
+			world.sleep(world.current, min(patience, 100*monotonic.Millisecond))
 		}
-		return nil, seal.Unreachable.New("nobody at %s", address)
+		return nil, apierror.Unreachable.New("nobody at %s", address)
 	}
 	if world.isCut(from.Machine, target.Machine) && from.chance.Uint64N(2) == 0 {
 		// No connection stood, and none can be made now.
 		world.sleep(world.current, patience)
-		return nil, seal.Unreachable.New("dialling %s took too long", address)
+		return nil, apierror.Unreachable.New("dialling %s took too long", address)
 	}
 	world.carry(from, target, 0, func() { world.receive(from, target, result, work) }, func() {
-		result.decide(nil, seal.Lost.New("connection to %s ended", address))
+		result.decide(nil, apierror.Lost.New("connection to %s ended", address))
 	})
 	connection, started := world.link(from, address), world.now
 	connection.pending = append(connection.pending, result)
@@ -550,10 +550,10 @@
 	result.done = true
 	if connection.heard < started {
 		for _, other := range slices.Clone(connection.pending) {
-			other.decide(nil, seal.Lost.New("connection to %s was silent", address))
+			other.decide(nil, apierror.Lost.New("connection to %s was silent", address))
 		}
 	}
-	return nil, seal.Lost.New("no answer from %s", address)
+	return nil, apierror.Lost.New("no answer from %s", address)
 }
 
 // receive runs a request's work as a task of the target.
@@ -564,11 +564,11 @@
 		defer func() {
 			if !finished {
 				// The process died with the request in hand: its connections end.
-				world.At(world.now+world.way(from), func() { result.decide(nil, seal.Lost.New("connection ended")) })
+				world.At(world.now+world.way(from), func() { result.decide(nil, apierror.Lost.New("connection ended")) })
 			}
 		}()
 		for target.table == nil {
-			world.sleep(world.current, 20*postmark.Millisecond) // it's still starting, on a slow disk perhaps
+			world.sleep(world.current, 20*monotonic.Millisecond) // it's still starting, on a slow disk perhaps
 		}
 		reply, err := work(target)
 		finished = true
@@ -589,7 +589,7 @@
 			if from.chance.Uint64N(4) == 0 {
 				return // the connection is given up with the message unsent; the caller's patience ends
 			}
-			world.push(world.now+100*postmark.Millisecond, nil, 0, arrive)
+			world.push(world.now+100*monotonic.Millisecond, nil, 0, arrive)
 			return
 		}
 		if into.frozen > world.now {
@@ -602,7 +602,7 @@
 }
 
 // Delay makes messages from one machine to another take longer.
-func (world *World) Delay(from, into string, span postmark.Micros) {
+func (world *World) Delay(from, into string, span monotonic.Micros) {
 	world.delays[[2]string{from, into}] = span
 }
 
--- a/internal/clerk/changes.go
+++ b/internal/snowctl/changes.go
@@ -1,4 +1,4 @@
-package clerk
+package snowctl
 
 import (
 	"encoding/json"
@@ -11,12 +11,12 @@
 
 	"github.com/spf13/cobra"
 
-	"snowflow/internal/clerk/doctor"
-	"snowflow/internal/clerk/rollout"
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/franking"
-	"snowflow/internal/franking/changes"
-	"snowflow/internal/house"
+	"snowflow/internal/daemon"
+	"snowflow/internal/snowctl/doctor"
+	"snowflow/internal/snowctl/rollout"
 )
 
 // printed shows a comparison, one resource a line.
@@ -66,9 +66,9 @@
 	}
 	content, err := os.ReadFile(argument)
 	if err != nil {
-		return nil, 0, house.Misused(err)
+		return nil, 0, daemon.Misused(err)
 	}
-	set, err := api.Set(franking.Parse, content)
+	set, err := api.Set(config.Parse, content)
 	return set, len(content), err
 }
 
@@ -83,7 +83,7 @@
 			return err
 		}
 		if (base == nil) != (next == nil) {
-			return house.Misused(errors.New("name two files or two serials; a file against the newest serial is apply --preview"))
+			return daemon.Misused(errors.New("name two files or two serials; a file against the newest serial is apply --preview"))
 		}
 		told := api.Changes{Whole: length}
 		if base == nil {
@@ -93,7 +93,7 @@
 		} else {
 			difference := changes.Diff(base, next)
 			told.Summary = changes.Summarize(base, difference)
-			content, err := changes.Encode(difference, 0, franking.Digest(nil))
+			content, err := changes.Encode(difference, 0, config.Digest(nil))
 			if err != nil {
 				return err
 			}
--- a/internal/clerk/clerk.go
+++ b/internal/snowctl/clerk.go
@@ -1,5 +1,5 @@
-// Package clerk is the operators' command line: desired states, status, guards and drains.
-package clerk
+// Package snowctl is the operators' command line: desired states, status, guards and drains.
+package snowctl
 
 import (
 	"bytes"
@@ -15,12 +15,12 @@
 	"github.com/google/uuid"
 	"github.com/spf13/cobra"
 
-	"snowflow/internal/clerk/doctor"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/env"
-	"snowflow/internal/franking"
-	"snowflow/internal/house"
+	"snowflow/internal/daemon"
 	"snowflow/internal/release"
+	"snowflow/internal/settings"
+	"snowflow/internal/snowctl/doctor"
 )
 
 // desks asks postmasters' doors in turn, until one answers.
@@ -30,8 +30,8 @@
 }
 
 func (desks *desks) list() ([]string, error) {
-	if err := env.Addresses(desks.addresses); err != nil {
-		return nil, house.Misused(fmt.Errorf("--desks: %w", err))
+	if err := settings.Addresses(desks.addresses); err != nil {
+		return nil, daemon.Misused(fmt.Errorf("--desks: %w", err))
 	}
 	return strings.Split(desks.addresses, ","), nil
 }
@@ -73,7 +73,7 @@
 	shared := &desks{client: &http.Client{Timeout: 25 * time.Second}}
 	root := &cobra.Command{Use: "clerk", Short: "the operators' command line of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	root.PersistentFlags().StringVar(&shared.addresses, "desks", "127.0.0.1:7201", "addresses of postmasters' desks, with commas between")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return house.Misused(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.Misused(err) })
 	root.AddCommand(apply(shared), check(), get(shared), history(shared), diff(shared), rollOut(shared), status(shared), guard(), drain(), examine(shared), safe(shared))
 	return root
 }
@@ -84,13 +84,13 @@
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			content, err := os.ReadFile(arguments[0])
 			if err != nil {
-				return house.Misused(err)
+				return daemon.Misused(err)
 			}
 			if before {
 				return preview(shared, content)
 			}
 			if expected == "" {
-				return house.Misused(errors.New("--expected is needed: the serial this state follows, or any"))
+				return daemon.Misused(errors.New("--expected is needed: the serial this state follows, or any"))
 			}
 			if request == "" {
 				request = uuid.NewString()
@@ -122,16 +122,16 @@
 	return &cobra.Command{Use: "check FILE", Short: "check a desired state without a mesh", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, arguments []string) error {
 		content, err := os.ReadFile(arguments[0])
 		if err != nil {
-			return house.Misused(err)
+			return daemon.Misused(err)
 		}
-		if _, faults := franking.Parse(content); len(faults) > 0 {
+		if _, faults := config.Parse(content); len(faults) > 0 {
 			texts := make([]string, len(faults))
 			for index, fault := range faults {
 				texts[index] = fault.String()
 			}
 			return fmt.Errorf("%d faults:\n  %s", len(faults), strings.Join(texts, "\n  "))
 		}
-		fmt.Printf("valid, digest %s\n", franking.Digest(content))
+		fmt.Printf("valid, digest %s\n", config.Digest(content))
 		return nil
 	}}
 }
@@ -180,8 +180,8 @@
 
 // carrier asks one carrier's desk.
 func carrier(address, method, path string) error {
-	if err := env.Address(address); err != nil {
-		return house.Misused(err)
+	if err := settings.Address(address); err != nil {
+		return daemon.Misused(err)
 	}
 	one := &desks{addresses: address, client: &http.Client{Timeout: 5 * time.Second}}
 	return show(one.ask(method, path, nil))
@@ -216,7 +216,7 @@
 				mesh, err := doctor.Look(addresses, 5*time.Second)
 				unknown, objections := doctor.Safe(mesh, names)
 				if err == nil && len(unknown) > 0 {
-					return house.Misused(fmt.Errorf("no process of the core is named %v", unknown))
+					return daemon.Misused(fmt.Errorf("no process of the core is named %v", unknown))
 				}
 				if err == nil && len(objections) == 0 {
 					fmt.Println("safe")
@@ -245,7 +245,7 @@
 			return err
 		}
 		if patience <= 0 {
-			return house.Misused(errors.New("--patience must be above zero"))
+			return daemon.Misused(errors.New("--patience must be above zero"))
 		}
 		findings := doctor.Examine(addresses, patience)
 		if asJSON {
--- a/internal/clerk/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -13,10 +13,10 @@
 
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry"
 	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
 )
 
 // How bad a finding is.
@@ -233,7 +233,7 @@
 
 func clocks(mesh Mesh) (found []Finding) {
 	for _, core := range cores(mesh) {
-		if apart := postmark.Micros(core.Wall - mesh.Asked); apart > 5*postmark.Second || apart < -5*postmark.Second {
+		if apart := monotonic.Micros(core.Wall - mesh.Asked); apart > 5*monotonic.Second || apart < -5*monotonic.Second {
 			found = append(found, Finding{Level: Watch, What: fmt.Sprintf("%s's wall clock is %v from this machine's", core.Name, apart.Duration()),
 				Advice: "no decision depends on it, but logs will be hard to put in order; set the clock"})
 		}
@@ -247,7 +247,7 @@
 			found = append(found, Finding{Level: Ill, What: fmt.Sprintf("%s has %d MiB of disk left", core.Name, core.FreeBytes>>20),
 				Advice: "make room in its data folder's file system; a primary that can't write hands over"})
 		}
-		if took := postmark.Micros(core.SyncTime); took > 100*postmark.Millisecond {
+		if took := monotonic.Micros(core.SyncTime); took > 100*monotonic.Millisecond {
 			found = append(found, Finding{Level: Watch, What: fmt.Sprintf("%s took %v for its last write and sync", core.Name, took.Duration()),
 				Advice: "every write waits for it; find what else uses the disk, or replace it"})
 		}
@@ -297,7 +297,7 @@
 	return nil
 }
 
-const stuck = 30 * postmark.Second
+const stuck = 30 * monotonic.Second
 
 func guards(mesh Mesh) (found []Finding) {
 	status, known := answering(mesh)
@@ -309,7 +309,7 @@
 		for _, report := range record.Reports {
 			reporters = append(reporters, report.Carrier)
 		}
-		since := postmark.Micros(status.Now - record.Entered)
+		since := monotonic.Micros(status.Now - record.Entered)
 		if record.State == "open" {
 			found = append(found, Finding{Level: Ill, What: fmt.Sprintf("the guard of %s is open, for %v", record.Service, since.Duration()),
 				Advice: "look at that service's backends; it's probed again by itself"})
--- a/internal/clerk/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -5,10 +5,10 @@
 	"testing"
 
 	"snowflow/internal/configstore"
-	"snowflow/internal/parcel/wire"
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/registry"
 	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
 )
 
 // healthy is a mesh without faults; each test spoils one thing.
@@ -16,7 +16,7 @@
 	mesh := Mesh{Postmasters: map[string]configstore.Status{}, Sorters: map[string]registry.Status{}, Asked: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
 		core := replication.Status{Joined: true, Epoch: 4, Settled: true, Answering: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.Asked}
-		master, registry := configstore.Status{Core: core, Serial: 3}, registry.Status{Core: core, Now: int64(postmark.Minute)}
+		master, registry := configstore.Status{Core: core, Serial: 3}, registry.Status{Core: core, Now: int64(monotonic.Minute)}
 		master.Core.Primary, master.Core.Backup = "postmaster-1", "postmaster-2"
 		registry.Core.Primary, registry.Core.Backup = "sorter-1", "sorter-2"
 		master.Core.Group, master.Core.Name, master.Core.Voters = "postmaster", "postmaster-"+number, []string{"postmaster-1", "postmaster-2", "postmaster-3"}
@@ -64,13 +64,13 @@
 			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Release = "b" })
 		}},
 		{"clock", Watch, "wall clock", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Wall += int64(postmark.Minute) })
+			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Wall += int64(monotonic.Minute) })
 		}},
 		{"disk", Ill, "1 MiB", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.FreeBytes = 1 << 20 })
 		}},
 		{"disk", Watch, "last write", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.SyncTime = int64(postmark.Second) })
+			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.SyncTime = int64(monotonic.Second) })
 		}},
 		{"carriers", Watch, "serial 2", func(mesh Mesh) { mesh.Sorters["sorter-1"].Carriers[0].DesiredSerial = 2 }},
 		{"guards", Ill, "forms is open", func(mesh Mesh) {
--- a/internal/clerk/rollout/rollout_test.go
+++ b/internal/snowctl/rollout/rollout_test.go
@@ -4,9 +4,9 @@
 	"strings"
 	"testing"
 
-	"snowflow/internal/clerk/rollout"
 	"snowflow/internal/configstore"
 	"snowflow/internal/replication"
+	"snowflow/internal/snowctl/rollout"
 )
 
 // TestProgress: the primary's word counts, and who is furthest behind or took longest comes first.
--- a/internal/parcel/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // Version is this build's wire version. A process talks with its own version and the ones next to it.
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"snowflow/internal/postmark"
+	"snowflow/internal/monotonic"
 	"snowflow/internal/wal"
 )
 
@@ -22,8 +22,8 @@
 	// Capacity bounds the bytes, zero for no bound.
 	Capacity int
 	// Delay is how long a sync takes; Wait is called with it.
-	Delay postmark.Micros
-	Wait  func(postmark.Micros)
+	Delay monotonic.Micros
+	Wait  func(monotonic.Micros)
 	// FailSyncs makes the next syncs fail.
 	FailSyncs int
 	// Renames counts how often a file took another's place.
@@ -41,7 +41,7 @@
 
 // New makes an empty disk.
 func New() *Disk {
-	return &Disk{files: map[string]*file{}, folder: map[string]*file{}, Wait: func(postmark.Micros) {}, Tear: func(int) int { return 0 }}
+	return &Disk{files: map[string]*file{}, folder: map[string]*file{}, Wait: func(monotonic.Micros) {}, Tear: func(int) int { return 0 }}
 }
 
 // PowerLoss leaves only what was synced, and perhaps a part of an unsynced tail.
--- a/internal/friday/friday.go
+++ b/internal/workload/friday.go
@@ -1,5 +1,5 @@
-// Package friday makes a busy day's changes of routes, for the simulator's courses and for rehearsals of real processes alike.
-package friday
+// Package workload makes a busy day's changes of routes, for the simulator's courses and for rehearsals of real processes alike.
+package workload
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"snowflow/internal/parcel/wire"
+	"snowflow/internal/transport/wire"
 )
 
 // Family is a kind of traffic whose routes change, with the other service that may take it over.
