--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -20,9 +20,9 @@
 var storedArchive = filepath.Join("testdata", "folders", "archive")
 
 // archivedStates are the accepted configurations in the archive, without the last so many.
-func archivedStates(without int) (states []*wire.DesiredKept) {
+func archivedStates(without int) (states []*wire.StoredConfig) {
 	for _, version := range acceptedVersions[:len(acceptedVersions)-without] {
-		states = append(states, &wire.DesiredKept{Serial: version, Content: configurationOf(version), Digest: config.Digest(configurationOf(version)), Request: requestOf(version)})
+		states = append(states, &wire.StoredConfig{Version: version, Content: configurationOf(version), Digest: config.Digest(configurationOf(version)), Request: requestOf(version)})
 	}
 	return states
 }
@@ -60,7 +60,7 @@
 }
 
 // keep hands states to an archive and waits until it holds so many commits.
-func keep(t *testing.T, path string, states []*wire.DesiredKept) (contents, hashes []string) {
+func keep(t *testing.T, path string, states []*wire.StoredConfig) (contents, hashes []string) {
 	t.Helper()
 	archive.Open(path, func(err error) { t.Error(err) }).Keep(states)
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -87,33 +87,33 @@
 // ---- what is stored ----
 
 // The registry's stored commands. Each answer but the last came before a change of leader or a snapshot.
-func submitAll(leader *process, commands ...*wire.SorterCommand) error {
+func submitAll(leader *process, commands ...*wire.RegistryCommand) error {
 	for _, command := range commands {
-		if err := leader.member.Submit(command, &wire.SorterResult{}); err != nil {
+		if err := leader.member.Submit(command, &wire.RegistryResult{}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func claimOf(key, attempt, proxy string) *wire.SorterCommand {
-	return &wire.SorterCommand{Claim: &wire.ClaimAsk{Scope: key, Digest: []byte("digest of " + key), Try: attempt, Carrier: proxy, Incarnation: 7,
-		ReadAt: &wire.HolderMoment{Epoch: 1 << 40, Time: 1 << 50}}}
+func claimOf(key, attempt, proxy string) *wire.RegistryCommand {
+	return &wire.RegistryCommand{Claim: &wire.ClaimRequest{Scope: key, Digest: []byte("digest of " + key), Attempt: attempt, Proxy: proxy, Incarnation: 7,
+		ReadAt: &wire.LeaderTimestamp{Epoch: 1 << 40, Time: 1 << 50}}}
 }
 
-var breakerTerms = &wire.GuardTerms{WaitOpen: int64(100 * monotonic.Second), Permitted: 4, FailureRate: 0.5, ProbeTenure: int64(10 * monotonic.Second),
+var breakerTerms = &wire.BreakerSettings{WaitOpen: int64(100 * monotonic.Second), Permitted: 4, FailureRate: 0.5, ProbeLease: int64(10 * monotonic.Second),
 	StateTtl: int64(600 * monotonic.Second), MinimumReporters: 2}
 
-func tripOf(service, proxy string) *wire.SorterCommand {
-	return &wire.SorterCommand{Guard: &wire.GuardWriteAsk{Service: service, Verb: "trip", ExpectedSerial: 1, Carrier: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Terms: breakerTerms}}
+func tripOf(service, proxy string) *wire.RegistryCommand {
+	return &wire.RegistryCommand{Breaker: &wire.BreakerWriteRequest{Service: service, Verb: "trip", ExpectedVersion: 1, Proxy: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Settings: breakerTerms}}
 }
 
 func writeRegistry(t *testing.T, started *cluster) {
 	started.onLeader(t, func(leader *process) error {
 		err := submitAll(leader, claimOf("order-1", "attempt-1", "proxy-1"), claimOf("order-2", "attempt-1", "proxy-2"),
-			&wire.SorterCommand{Settle: &wire.SettleAsk{Scope: "order-2", Try: "attempt-1"}},
-			&wire.SorterCommand{Void: &wire.VoidAsk{Scope: "order-3", Try: "attempt-1"}},
-			&wire.SorterCommand{Void: &wire.VoidAsk{Scope: "order-4", Fence: true}},
+			&wire.RegistryCommand{Complete: &wire.CompleteClaimRequest{Scope: "order-2", Attempt: "attempt-1"}},
+			&wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: "order-3", Attempt: "attempt-1"}},
+			&wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: "order-4", Fence: true}},
 			tripOf("invoices", "proxy-1"), tripOf("invoices", "proxy-2"), tripOf("parts", "proxy-1"))
 		for number := range 12 {
 			if err == nil {
@@ -125,18 +125,18 @@
 	started.onLeader(t, func(leader *process) error { leader.member.HandOver("a planned change of leader"); return nil })
 	started.pass(3 * monotonic.Second)
 	started.onLeader(t, func(leader *process) error {
-		return submitAll(leader, &wire.SorterCommand{Duty: &wire.DutyAsk{Duty: "nightly", Carrier: "proxy-3", Instance: "instance-1", Length: int64(30 * monotonic.Second)}},
+		return submitAll(leader, &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: "nightly", Proxy: "proxy-3", Instance: "instance-1", Duration: int64(30 * monotonic.Second)}},
 			claimOf("late-1", "attempt-1", "proxy-1"), claimOf("late-2", "attempt-1", "proxy-2"), claimOf("last", "attempt-1", "proxy-1"))
 	})
 }
 
 // registryQueries are asked of the opened copies; the last one is about the last command alone.
-var registryQueries = []*wire.SorterCommand{
+var registryQueries = []*wire.RegistryCommand{
 	claimOf("order-1", "attempt-2", "proxy-9"), claimOf("order-2", "attempt-1", "proxy-9"), claimOf("order-3", "attempt-1", "proxy-9"),
-	{Void: &wire.VoidAsk{Scope: "order-1"}},
-	{Claim: &wire.ClaimAsk{Scope: "order-4", Try: "attempt-9", Carrier: "proxy-9"}},
-	{Claim: &wire.ClaimAsk{Scope: "order-1", Digest: []byte("another"), Try: "attempt-9", Carrier: "proxy-9"}},
-	{Duty: &wire.DutyAsk{Duty: "nightly", Carrier: "proxy-9", Instance: "instance-9"}},
+	{Void: &wire.VoidClaimRequest{Scope: "order-1"}},
+	{Claim: &wire.ClaimRequest{Scope: "order-4", Attempt: "attempt-9", Proxy: "proxy-9"}},
+	{Claim: &wire.ClaimRequest{Scope: "order-1", Digest: []byte("another"), Attempt: "attempt-9", Proxy: "proxy-9"}},
+	{Singleton: &wire.SingletonLeaseRequest{Role: "nightly", Proxy: "proxy-9", Instance: "instance-9"}},
 	claimOf("early-0", "attempt-2", "proxy-9"), claimOf("early-11", "attempt-2", "proxy-9"), claimOf("late-1", "attempt-2", "proxy-9"), claimOf("late-2", "attempt-2", "proxy-9"),
 	claimOf("last", "attempt-2", "proxy-9"),
 }
@@ -159,7 +159,7 @@
 			answers = append(answers, "breaker "+encoded(record))
 		}
 		for _, query := range registryQueries {
-			result := &wire.SorterResult{}
+			result := &wire.RegistryResult{}
 			if err := leader.member.Submit(query, result); err != nil {
 				return err
 			}
@@ -184,10 +184,10 @@
 
 func requestOf(version uint64) string { return fmt.Sprintf("request-%d", version) }
 
-func applyVersion(leader *process, ask *wire.DesiredApplyAsk) error {
+func applyVersion(leader *process, ask *wire.ConfigApplyRequest) error {
 	tell, err := leader.configStore.Apply(ask)
 	if err == nil && tell.Outcome != "accepted" {
-		err = fmt.Errorf("%d: %s %v", ask.Version, tell.Outcome, tell.Faults)
+		err = fmt.Errorf("%d: %s %v", ask.Version, tell.Outcome, tell.Errors)
 	}
 	return err
 }
@@ -195,7 +195,7 @@
 func writeConfigurations(t *testing.T, started *cluster) {
 	started.pass(10 * monotonic.Second)
 	for index, version := range acceptedVersions[:len(acceptedVersions)-1] {
-		ask := &wire.DesiredApplyAsk{Content: configurationOf(version), Request: requestOf(version), Version: version}
+		ask := &wire.ConfigApplyRequest{Content: configurationOf(version), Request: requestOf(version), Version: version}
 		if index == 2 {
 			base := configurationOf(acceptedVersions[1])
 			difference, err := delta.Encode(base, ask.Content)
@@ -212,7 +212,7 @@
 	}
 	last := acceptedVersions[len(acceptedVersions)-1]
 	started.onLeader(t, func(leader *process) error {
-		return applyVersion(leader, &wire.DesiredApplyAsk{Content: configurationOf(last), Request: requestOf(last), Version: last})
+		return applyVersion(leader, &wire.ConfigApplyRequest{Content: configurationOf(last), Request: requestOf(last), Version: last})
 	})
 }
 
@@ -222,24 +222,24 @@
 	var answers []string
 	started.onLeader(t, func(leader *process) error {
 		for _, version := range acceptedVersions {
-			tell, err := leader.configStore.ReadBack(&wire.DesiredReadAsk{Serial: version})
+			tell, err := leader.configStore.ReadBack(&wire.ConfigReadRequest{Version: version})
 			if err != nil {
 				return err
 			}
 			answers = append(answers, fmt.Sprintf("version %d: %s", version, encoded(tell)))
-			if len(tell.States) == 1 && string(tell.States[0].Content) != string(configurationOf(version)) {
-				return fmt.Errorf("version %d has the content %q", version, tell.States[0].Content)
+			if len(tell.Versions) == 1 && string(tell.Versions[0].Content) != string(configurationOf(version)) {
+				return fmt.Errorf("version %d has the content %q", version, tell.Versions[0].Content)
 			}
 		}
-		list, err := leader.configStore.ReadBack(&wire.DesiredReadAsk{List: true})
+		list, err := leader.configStore.ReadBack(&wire.ConfigReadRequest{List: true})
 		if err != nil {
 			return err
 		}
-		if kept := len(list.States); kept != len(acceptedVersions) && kept != len(acceptedVersions)-1 {
+		if kept := len(list.Versions); kept != len(acceptedVersions) && kept != len(acceptedVersions)-1 {
 			return fmt.Errorf("%d versions are listed", kept)
 		}
 		// A number that was acknowledged stands for one content, also after a restart.
-		tell, err := leader.configStore.Apply(&wire.DesiredApplyAsk{Content: configuration("another"), Version: acceptedVersions[0]})
+		tell, err := leader.configStore.Apply(&wire.ConfigApplyRequest{Content: configuration("another"), Version: acceptedVersions[0]})
 		if err != nil {
 			return err
 		}
--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -22,7 +22,7 @@
 	state := &wire.DesiredState{Note: fmt.Sprint(chance.Int())}
 	var services []string
 	for _, name := range []string{"north", "south"} {
-		group := &wire.Group{Name: name, Guard: &wire.Guard{WindowCalls: proto.Uint32(50 + uint32(chance.IntN(2)))}}
+		group := &wire.Group{Name: name, Guard: &wire.Breaker{WindowCalls: proto.Uint32(50 + uint32(chance.IntN(2)))}}
 		for index := range 2 + chance.IntN(4) {
 			service := &wire.Service{Name: fmt.Sprint(name, "-", index)}
 			if chance.IntN(3) == 0 {
@@ -311,7 +311,7 @@
 		Routes: []*wire.Route{{Name: "kept", Prefix: "/k/", Split: split}, {Name: "gone", Prefix: "/g/", Split: split}, {Name: "moved", Prefix: "/m/", Split: split}}}
 	next := proto.CloneOf(state)
 	next.Routes[1].Name, next.Routes[2].Split[0].Service, next.Routes[2].CutoffMicros = "come", "two", proto.Int64(5)
-	next.Groups[0].Services[1].Guard = &wire.Guard{WindowCalls: proto.Uint32(7)}
+	next.Groups[0].Services[1].Guard = &wire.Breaker{WindowCalls: proto.Uint32(7)}
 	base := read(t, state)
 	summary := changes.Summarize(base, changes.Diff(base, read(t, next)))
 	wanted := changes.Summary{Added: []changes.Altered{{Kind: "route", Name: "come"}}, Removed: []changes.Altered{{Kind: "route", Name: "gone"}},
--- a/internal/config/franking.go
+++ b/internal/config/franking.go
@@ -203,7 +203,7 @@
 	seen[key] = place
 }
 
-func (checker *checker) terms(place string, guard *wire.Guard, retry *wire.Retry, limits *wire.Limits) {
+func (checker *checker) terms(place string, guard *wire.Breaker, retry *wire.Retry, limits *wire.Limits) {
 	if guard != nil {
 		place := place + ".guard"
 		checker.count(place+".windowCalls", guard.WindowCalls, 5, 10000)
@@ -248,8 +248,8 @@
 	}
 }
 
-func defaultGuard() *wire.Guard {
-	return &wire.Guard{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20), FailureRate: proto.Float64(0.5),
+func defaultGuard() *wire.Breaker {
+	return &wire.Breaker{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20), FailureRate: proto.Float64(0.5),
 		SlowRate: proto.Float64(1), SlowMicros: proto.Int64(int64(10 * monotonic.Second)),
 		WaitOpenMicros: proto.Int64(int64(5 * monotonic.Second)), PermittedHalfOpen: proto.Uint32(10),
 		ProbeTenureMicros: proto.Int64(int64(5 * monotonic.Second)), Disabled: proto.Bool(false)}
@@ -266,7 +266,7 @@
 }
 
 // mergeGuard and its kin lay field over field: defaults, then the group, then the service.
-func mergeGuard(group *wire.Group, service *wire.Service) *wire.Guard {
+func mergeGuard(group *wire.Group, service *wire.Service) *wire.Breaker {
 	merged := defaultGuard()
 	// Left out, a probe's tenure is no shorter than a call may take.
 	merged.ProbeTenureMicros = proto.Int64(max(merged.GetProbeTenureMicros(), mergeLimits(group, service).GetCutoffMicros()))
@@ -296,15 +296,15 @@
 type Service struct {
 	Name   string
 	Group  string
-	Guard  *wire.Guard
+	Guard  *wire.Breaker
 	Retry  *wire.Retry
 	Limits *wire.Limits
 }
 
 // Terms are the guard's figures as the shared record keeps them.
-func (service *Service) Terms() *wire.GuardTerms {
-	return &wire.GuardTerms{WaitOpen: service.Guard.GetWaitOpenMicros(), Permitted: service.Guard.GetPermittedHalfOpen(),
-		FailureRate: service.Guard.GetFailureRate(), ProbeTenure: service.Guard.GetProbeTenureMicros(), StateTtl: int64(300 * monotonic.Second)}
+func (service *Service) Terms() *wire.BreakerSettings {
+	return &wire.BreakerSettings{WaitOpen: service.Guard.GetWaitOpenMicros(), Permitted: service.Guard.GetPermittedHalfOpen(),
+		FailureRate: service.Guard.GetFailureRate(), ProbeLease: service.Guard.GetProbeTenureMicros(), StateTtl: int64(300 * monotonic.Second)}
 }
 
 // View is one adopted desired state. Invariant: it never changes once made; what two versions have in common they may share.
--- a/internal/configstore/api/api.go
+++ b/internal/configstore/api/api.go
@@ -110,7 +110,7 @@
 		return
 	}
 	query := incoming.URL.Query()
-	ask := &wire.DesiredApplyAsk{Content: content, Request: query.Get(RequestQuery)}
+	ask := &wire.ConfigApplyRequest{Content: content, Request: query.Get(RequestQuery)}
 	if ask.Request == "" {
 		ask.Request = uuid.NewString()
 	}
@@ -119,9 +119,9 @@
 		write(writer, http.StatusBadRequest, Applied{Outcome: versions.Invalid, Faults: []string{"expected: the serial that this state follows must be named, or any"}})
 		return
 	case "any":
-		ask.AnySerial = true
+		ask.AnyVersion = true
 	default:
-		if ask.ExpectedSerial, err = strconv.ParseUint(expected, 10, 64); err != nil {
+		if ask.ExpectedVersion, err = strconv.ParseUint(expected, 10, 64); err != nil {
 			write(writer, http.StatusBadRequest, Applied{Outcome: versions.Invalid, Faults: []string{"expected: " + err.Error()}})
 			return
 		}
@@ -138,7 +138,7 @@
 		write(writer, http.StatusServiceUnavailable, Applied{Outcome: "unknown", Request: ask.Request, Faults: []string{err.Error()}})
 		return
 	}
-	write(writer, statuses[tell.Outcome], Applied{Outcome: tell.Outcome, Serial: tell.Serial, Digest: tell.Digest, Request: ask.Request, Faults: tell.Faults})
+	write(writer, statuses[tell.Outcome], Applied{Outcome: tell.Outcome, Serial: tell.Version, Digest: tell.Digest, Request: ask.Request, Faults: tell.Errors})
 }
 
 func (door *door) check(writer http.ResponseWriter, incoming *http.Request) {
@@ -167,8 +167,8 @@
 }
 
 func (door *door) read(writer http.ResponseWriter, serial uint64) {
-	tell := &wire.DesiredReadTell{}
-	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: serial}, tell, 5*monotonic.Second); err != nil {
+	tell := &wire.ConfigReadResponse{}
+	if err := door.store.primary(wire.Kind_config_read, &wire.ConfigReadRequest{Version: serial}, tell, 5*monotonic.Second); err != nil {
 		write(writer, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
@@ -176,19 +176,19 @@
 		write(writer, http.StatusNotFound, map[string]string{"error": "no such serial"})
 		return
 	}
-	kept := tell.States[0]
-	write(writer, http.StatusOK, Kept{Serial: kept.Serial, Digest: kept.Digest, Request: kept.Request, Content: kept.Content})
+	kept := tell.Versions[0]
+	write(writer, http.StatusOK, Kept{Serial: kept.Version, Digest: kept.Digest, Request: kept.Request, Content: kept.Content})
 }
 
 func (door *door) history(writer http.ResponseWriter, _ *http.Request) {
-	tell := &wire.DesiredReadTell{}
-	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, tell, 5*monotonic.Second); err != nil {
+	tell := &wire.ConfigReadResponse{}
+	if err := door.store.primary(wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, tell, 5*monotonic.Second); err != nil {
 		write(writer, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
 	history := []Kept{}
-	for _, kept := range tell.States {
-		history = append(history, Kept{Serial: kept.Serial, Digest: kept.Digest, Request: kept.Request})
+	for _, kept := range tell.Versions {
+		history = append(history, Kept{Serial: kept.Version, Digest: kept.Digest, Request: kept.Request})
 	}
 	write(writer, http.StatusOK, history)
 }
@@ -208,13 +208,13 @@
 		group string
 		kind  wire.Kind
 		into  map[string]json.RawMessage
-	}{{"postmaster", wire.Kind_postmaster_status, overview.Postmasters}, {"sorter", wire.Kind_sorter_status, overview.Sorters}}
+	}{{"postmaster", wire.Kind_configstore_status, overview.Postmasters}, {"sorter", wire.Kind_registry_status, overview.Sorters}}
 	for _, asked := range kinds {
 		members := door.book.Members(asked.group)
-		replies := host.Gather(door.place, members, 2*monotonic.Second, func(name string) (*wire.StatusTell, error) {
-			tell := &wire.StatusTell{}
-			return tell, door.book.Call(name, asked.kind, &wire.StatusAsk{}, tell, 1500*monotonic.Millisecond)
-		}, func(map[string]*wire.StatusTell, int) bool { return false })
+		replies := host.Gather(door.place, members, 2*monotonic.Second, func(name string) (*wire.StatusResponse, error) {
+			tell := &wire.StatusResponse{}
+			return tell, door.book.Call(name, asked.kind, &wire.StatusRequest{}, tell, 1500*monotonic.Millisecond)
+		}, func(map[string]*wire.StatusResponse, int) bool { return false })
 		for _, name := range members {
 			if reply := replies[name]; reply != nil {
 				asked.into[name] = reply.Json
--- a/internal/configstore/api/changes.go
+++ b/internal/configstore/api/changes.go
@@ -35,20 +35,20 @@
 var errNoSerial = errors.New("no such serial")
 
 // version reads an accepted state back and takes it apart.
-func (door *door) version(serial uint64) (*wire.DesiredKept, *changes.Set, error) {
-	tell := &wire.DesiredReadTell{}
-	if err := door.store.primary(wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: serial}, tell, 5*monotonic.Second); err != nil {
+func (door *door) version(serial uint64) (*wire.StoredConfig, *changes.Set, error) {
+	tell := &wire.ConfigReadResponse{}
+	if err := door.store.primary(wire.Kind_config_read, &wire.ConfigReadRequest{Version: serial}, tell, 5*monotonic.Second); err != nil {
 		return nil, nil, err
 	}
 	if !tell.Found {
 		return nil, nil, fmt.Errorf("%w: %d", errNoSerial, serial)
 	}
-	state, faults := door.reads(tell.States[0].Content)
+	state, faults := door.reads(tell.Versions[0].Content)
 	if state == nil {
 		return nil, nil, fmt.Errorf("serial %d: %v", serial, faults)
 	}
 	set, err := changes.Read(state) // faults that an earlier build let pass don't matter here
-	return tell.States[0], set, err
+	return tell.Versions[0], set, err
 }
 
 // Set reads a content that must have no faults, and takes it apart.
@@ -77,7 +77,7 @@
 		}
 	}
 	_, base, err := door.version(serials[FromQuery])
-	var kept *wire.DesiredKept
+	var kept *wire.StoredConfig
 	var next *changes.Set
 	if err == nil {
 		kept, next, err = door.version(serials[ToQuery])
@@ -86,7 +86,7 @@
 		door.fail(writer, err)
 		return
 	}
-	write(writer, http.StatusOK, door.compared(base, next, Changes{From: serials[FromQuery], To: kept.Serial, Whole: len(kept.Content)}))
+	write(writer, http.StatusOK, door.compared(base, next, Changes{From: serials[FromQuery], To: kept.Version, Whole: len(kept.Content)}))
 }
 
 // preview compares a content that isn't applied with the newest state.
@@ -103,13 +103,13 @@
 	}
 	kept, base, err := door.version(0)
 	if errors.Is(err, errNoSerial) {
-		kept, base, err = &wire.DesiredKept{}, &changes.Set{}, nil
+		kept, base, err = &wire.StoredConfig{}, &changes.Set{}, nil
 	}
 	if err != nil {
 		door.fail(writer, err)
 		return
 	}
-	write(writer, http.StatusOK, door.compared(base, next, Changes{From: kept.Serial, Whole: len(content)}))
+	write(writer, http.StatusOK, door.compared(base, next, Changes{From: kept.Version, Whole: len(content)}))
 }
 
 func (door *door) fail(writer http.ResponseWriter, err error) {
--- a/internal/configstore/api/recent.go
+++ b/internal/configstore/api/recent.go
@@ -36,7 +36,7 @@
 
 // short is an apply as it goes to a primary: its content told by the difference from the recent one, or compressed if that wasn't known
 // there. A primary of an earlier build gets it as it is.
-func (store *forwarding) short(leader string, ask *wire.DesiredApplyAsk, whole bool) *wire.DesiredApplyAsk {
+func (store *forwarding) short(leader string, ask *wire.ConfigApplyRequest, whole bool) *wire.ConfigApplyRequest {
 	if len(ask.Content) < shortFrom || !store.book.TakeDeltas(leader) {
 		return ask
 	}
@@ -48,11 +48,11 @@
 	if err != nil {
 		return ask
 	}
-	return &wire.DesiredApplyAsk{Delta: encoded, Base: digest, ExpectedSerial: ask.ExpectedSerial, Request: ask.Request, AnySerial: ask.AnySerial, Version: ask.Version}
+	return &wire.ConfigApplyRequest{Delta: encoded, Base: digest, ExpectedVersion: ask.ExpectedVersion, Request: ask.Request, AnyVersion: ask.AnyVersion, Version: ask.Version}
 }
 
 // whole gives a state with its content, nothing if that can't be made or isn't what its digest says.
-func (store *forwarding) whole(kept *wire.DesiredKept, have string, base []byte) *wire.DesiredKept {
+func (store *forwarding) whole(kept *wire.StoredConfig, have string, base []byte) *wire.StoredConfig {
 	content := kept.Content
 	if len(kept.Delta) > 0 {
 		if kept.Base != "" && kept.Base != have {
@@ -70,5 +70,5 @@
 		return nil
 	}
 	store.recent.keep(kept.Digest, content)
-	return &wire.DesiredKept{Serial: kept.Serial, Content: content, Digest: kept.Digest, Request: kept.Request}
+	return &wire.StoredConfig{Version: kept.Version, Content: content, Digest: kept.Digest, Request: kept.Request}
 }
--- a/internal/configstore/api/store.go
+++ b/internal/configstore/api/store.go
@@ -28,9 +28,9 @@
 type Store interface {
 	// Apply gives the primary's answer, or ErrNotTaken or ErrUnknown, within patience. A content that names its version, or has
 	// a request id, is taken once however often it's sent; one that has neither is given an id for this call.
-	Apply(patience monotonic.Micros, ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error)
+	Apply(patience monotonic.Micros, ask *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error)
 	// Newest gives the newest state, nothing before the first, within patience.
-	Newest(patience monotonic.Micros) (*wire.DesiredKept, error)
+	Newest(patience monotonic.Micros) (*wire.StoredConfig, error)
 }
 
 // forwarding is a store that any postmaster's process has: it passes everything on to the primary.
@@ -78,7 +78,7 @@
 	for {
 		leader := store.book.Leader(configstore.Group)
 		limit := max(monotonic.Millisecond, min(500*monotonic.Millisecond, cutoff-store.place.Now()))
-		if leader != "" && store.book.Call(leader, wire.Kind_desired_read, &wire.DesiredReadAsk{Serial: math.MaxUint64}, &wire.DesiredReadTell{}, limit) == nil {
+		if leader != "" && store.book.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{Version: math.MaxUint64}, &wire.ConfigReadResponse{}, limit) == nil {
 			return true
 		}
 		if store.place.Now() >= cutoff {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (store *forwarding) Apply(patience monotonic.Micros, ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error) {
+func (store *forwarding) Apply(patience monotonic.Micros, ask *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	place := store.place
 	cutoff := place.Now() + patience
 	if ask.Version == 0 && ask.Request == "" {
@@ -103,10 +103,10 @@
 	var err error = apierror.Unreachable.New("no time was left")
 	for place.Now() < cutoff {
 		if leader := store.book.Leader(configstore.Group); leader != "" {
-			tell, short := &wire.DesiredApplyTell{}, store.short(leader, ask, whole)
+			tell, short := &wire.ConfigApplyResponse{}, store.short(leader, ask, whole)
 			// A primary that falls silent is left time for another to take over.
 			remaining := cutoff - place.Now()
-			if err = store.book.Call(leader, wire.Kind_desired_apply, short, tell, max(remaining/2, min(remaining, monotonic.Second))); err == nil {
+			if err = store.book.Call(leader, wire.Kind_config_apply, short, tell, max(remaining/2, min(remaining, monotonic.Second))); err == nil {
 				if tell.Outcome == versions.BaseUnknown && !whole {
 					whole = true
 					continue
@@ -126,23 +126,23 @@
 	return nil, fmt.Errorf("%w: %v", ErrUnknown, err)
 }
 
-func (store *forwarding) Newest(patience monotonic.Micros) (*wire.DesiredKept, error) {
+func (store *forwarding) Newest(patience monotonic.Micros) (*wire.StoredConfig, error) {
 	have, base := store.recent.get()
-	ask, cutoff := &wire.DesiredReadAsk{Have: have, Deltas: true}, store.place.Now()+patience
+	ask, cutoff := &wire.ConfigReadRequest{BaseDigest: have, Deltas: true}, store.place.Now()+patience
 	for {
-		tell := &wire.DesiredReadTell{}
-		if err := store.primary(wire.Kind_desired_read, ask, tell, cutoff-store.place.Now()); err != nil {
+		tell := &wire.ConfigReadResponse{}
+		if err := store.primary(wire.Kind_config_read, ask, tell, cutoff-store.place.Now()); err != nil {
 			return nil, err
 		}
 		if !tell.Found {
 			return nil, nil
 		}
-		if kept := store.whole(tell.States[0], have, base); kept != nil {
+		if kept := store.whole(tell.Versions[0], have, base); kept != nil {
 			return kept, nil
 		}
 		if !ask.Deltas {
 			return nil, errNotAsTold
 		}
-		ask = &wire.DesiredReadAsk{} // it isn't what its digest says: it's asked for whole
+		ask = &wire.ConfigReadRequest{} // it isn't what its digest says: it's asked for whole
 	}
 }
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -15,21 +15,21 @@
 var ErrUnacknowledged = errors.New("postmaster: outcome unknown, ask again with the same request id")
 
 // Apply checks a desired state, has it kept in two copies, and waits until it's in force everywhere.
-func (master *Postmaster) Apply(ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error) {
+func (master *Postmaster) Apply(ask *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	ask, known, err := master.whole(ask)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
-		return &wire.DesiredApplyTell{Outcome: versions.BaseUnknown}, nil
+		return &wire.ConfigApplyResponse{Outcome: versions.BaseUnknown}, nil
 	}
 	state, faults := master.env.Read(ask.Content)
 	if len(faults) > 0 {
-		tell := &wire.DesiredApplyTell{Outcome: versions.Invalid}
+		tell := &wire.ConfigApplyResponse{Outcome: versions.Invalid}
 		for _, fault := range faults {
-			tell.Faults = append(tell.Faults, fault.String())
+			tell.Errors = append(tell.Errors, fault.String())
 		}
-		master.env.Place.Report(eventlog.DesiredRefused, map[string]any{"faults": tell.Faults})
+		master.env.Place.Report(eventlog.DesiredRefused, map[string]any{"faults": tell.Errors})
 		return tell, nil
 	}
 	master.versions.Know(ask.Content, state)
@@ -43,19 +43,19 @@
 	if tell.Outcome != versions.Accepted {
 		return tell, nil
 	}
-	master.seen(tell.Serial)
+	master.seen(tell.Version)
 	master.tellKept()
-	if ask.Version > 0 && tell.Serial != ask.Version {
+	if ask.Version > 0 && tell.Version != ask.Version {
 		return master.inForce(tell) // a higher one stands
 	}
-	master.env.Place.Report(eventlog.DesiredAccepted, map[string]any{"serial": tell.Serial, "digest": tell.Digest})
+	master.env.Place.Report(eventlog.DesiredAccepted, map[string]any{"serial": tell.Version, "digest": tell.Digest})
 	return master.inForce(tell)
 }
 
 // inForce acknowledges an accepted state once it's in force everywhere, or, where carriers serve on, once that was waited for.
-func (master *Postmaster) inForce(tell *wire.DesiredApplyTell) (*wire.DesiredApplyTell, error) {
-	tell.Spread = master.spread(tell.Serial)
-	if !tell.Spread && !master.env.Bounds.ServeOn {
+func (master *Postmaster) inForce(tell *wire.ConfigApplyResponse) (*wire.ConfigApplyResponse, error) {
+	tell.AdoptedEverywhere = master.spread(tell.Version)
+	if !tell.AdoptedEverywhere && !master.env.Bounds.ServeOn {
 		return nil, ErrUnacknowledged
 	}
 	return tell, nil
@@ -115,31 +115,31 @@
 }
 
 // ReadBack gives one accepted state, the newest for serial zero, or the list of all without their contents.
-func (master *Postmaster) ReadBack(ask *wire.DesiredReadAsk) (*wire.DesiredReadTell, error) {
-	tell := &wire.DesiredReadTell{}
-	var base *wire.DesiredKept
+func (master *Postmaster) ReadBack(ask *wire.ConfigReadRequest) (*wire.ConfigReadResponse, error) {
+	tell := &wire.ConfigReadResponse{}
+	var base *wire.StoredConfig
 	done := master.Member.Read(func(uint64, monotonic.Micros) {
 		if ask.List {
 			tell.Found = true
 			for _, kept := range master.store.All() {
-				tell.States = append(tell.States, &wire.DesiredKept{Serial: kept.Serial, Digest: kept.Digest, Request: kept.Request})
+				tell.Versions = append(tell.Versions, &wire.StoredConfig{Version: kept.Version, Digest: kept.Digest, Request: kept.Request})
 			}
 			return
 		}
-		serial := ask.Serial
+		serial := ask.Version
 		if serial == 0 {
 			serial = master.store.Serial()
 		}
 		if kept := master.store.Find(serial); kept != nil {
-			tell.Found, tell.States = true, []*wire.DesiredKept{kept}
-			base = master.store.WithDigest(ask.Have)
+			tell.Found, tell.Versions = true, []*wire.StoredConfig{kept}
+			base = master.store.WithDigest(ask.BaseDigest)
 		}
 	})
 	if !done {
 		return nil, apierror.Refused.New("not the primary")
 	}
-	if ask.Deltas && len(tell.States) == 1 && !ask.List {
-		tell.States[0] = shortened(tell.States[0], base)
+	if ask.Deltas && len(tell.Versions) == 1 && !ask.List {
+		tell.Versions[0] = shortened(tell.Versions[0], base)
 	}
 	return tell, nil
 }
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -29,14 +29,14 @@
 // the oldest that was kept when it was begun to some serial, none left out between.
 type Archive struct {
 	folder  string
-	pending chan []*wire.DesiredKept
+	pending chan []*wire.StoredConfig
 	trouble func(error)
 	written chan struct{}
 }
 
 // Open starts an archive in a folder; trouble is told what could not be written.
 func Open(folder string, trouble func(error)) *Archive {
-	archive := &Archive{folder: folder, pending: make(chan []*wire.DesiredKept, 16), trouble: trouble, written: make(chan struct{}, 1)}
+	archive := &Archive{folder: folder, pending: make(chan []*wire.StoredConfig, 16), trouble: trouble, written: make(chan struct{}, 1)}
 	go func() {
 		for states := range archive.pending {
 			if err := archive.write(states); err != nil {
@@ -52,14 +52,14 @@
 }
 
 // Keep hands over all accepted states, oldest first. It never waits: what is dropped here comes with the next one.
-func (archive *Archive) Keep(states []*wire.DesiredKept) {
+func (archive *Archive) Keep(states []*wire.StoredConfig) {
 	select {
 	case archive.pending <- states:
 	default:
 	}
 }
 
-func (archive *Archive) write(states []*wire.DesiredKept) error {
+func (archive *Archive) write(states []*wire.StoredConfig) error {
 	repository, last, err := archive.open(states)
 	if err != nil {
 		// Whatever is there can't be read or isn't ours: begin anew.
@@ -72,7 +72,7 @@
 	}
 	for _, kept := range states[last:] {
 		if err := commit(repository, kept); err != nil {
-			return fmt.Errorf("serial %d: %w", kept.Serial, err)
+			return fmt.Errorf("serial %d: %w", kept.Version, err)
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 
 // open gives the repository and how many of the states it holds. A newest commit that isn't the state of its serial, or whose
 // serial isn't kept, is an error.
-func (archive *Archive) open(states []*wire.DesiredKept) (*git.Repository, int, error) {
+func (archive *Archive) open(states []*wire.StoredConfig) (*git.Repository, int, error) {
 	repository, err := git.PlainOpen(archive.folder)
 	if errors.Is(err, git.ErrRepositoryNotExists) {
 		repository, err = git.PlainInit(archive.folder, true)
@@ -101,7 +101,7 @@
 	}
 	serial := uint64(0)
 	_, err = fmt.Sscanf(newest.Message, "serial %d", &serial)
-	index, kept := slices.BinarySearchFunc(states, serial, func(state *wire.DesiredKept, serial uint64) int { return cmp.Compare(state.Serial, serial) })
+	index, kept := slices.BinarySearchFunc(states, serial, func(state *wire.StoredConfig, serial uint64) int { return cmp.Compare(state.Version, serial) })
 	if err != nil || !kept {
 		return nil, 0, fmt.Errorf("the newest commit %q is no state of this mesh", newest.Message)
 	}
@@ -119,7 +119,7 @@
 	return repository, index + 1, nil
 }
 
-func commit(repository *git.Repository, kept *wire.DesiredKept) error {
+func commit(repository *git.Repository, kept *wire.StoredConfig) error {
 	blob, err := store(repository, plumbing.BlobObject, func(encoded plumbing.EncodedObject) error {
 		writer, err := encoded.Writer()
 		if err != nil {
@@ -136,9 +136,9 @@
 		return err
 	}
 	// The record file keeps no wall-clock time, so neither does the copy: the same states make the same commits.
-	signature := object.Signature{Name: "snowflow postmaster", Email: "postmaster@snowflow", When: time.Unix(int64(kept.Serial), 0).UTC()}
+	signature := object.Signature{Name: "snowflow postmaster", Email: "postmaster@snowflow", When: time.Unix(int64(kept.Version), 0).UTC()}
 	made := &object.Commit{Author: signature, Committer: signature, TreeHash: tree,
-		Message: fmt.Sprintf("serial %d\n\ndigest %s\nrequest %s\n", kept.Serial, kept.Digest, kept.Request)}
+		Message: fmt.Sprintf("serial %d\n\ndigest %s\nrequest %s\n", kept.Version, kept.Digest, kept.Request)}
 	if parent, err := repository.Reference(branch, true); err == nil {
 		made.ParentHashes = []plumbing.Hash{parent.Hash()}
 	}
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -11,9 +11,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-func states(count int) (all []*wire.DesiredKept) {
+func states(count int) (all []*wire.StoredConfig) {
 	for serial := range count {
-		all = append(all, &wire.DesiredKept{Serial: uint64(serial + 1), Content: []byte(fmt.Sprintf(`{"note":"%d"}`, serial+1)), Digest: "d", Request: "r"})
+		all = append(all, &wire.StoredConfig{Version: uint64(serial + 1), Content: []byte(fmt.Sprintf(`{"note":"%d"}`, serial+1)), Digest: "d", Request: "r"})
 	}
 	return all
 }
@@ -76,20 +76,20 @@
 func TestGapsAndBoundedHistories(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
 	archive := Open(folder, func(err error) { t.Error(err) })
-	state := func(serial uint64) *wire.DesiredKept {
-		return &wire.DesiredKept{Serial: serial, Content: []byte(fmt.Sprint(serial)), Digest: "d"}
+	state := func(serial uint64) *wire.StoredConfig {
+		return &wire.StoredConfig{Version: serial, Content: []byte(fmt.Sprint(serial)), Digest: "d"}
 	}
 	for _, step := range []struct {
-		kept   []*wire.DesiredKept
+		kept   []*wire.StoredConfig
 		wanted string
 	}{
-		{[]*wire.DesiredKept{state(7)}, "[7]"},
-		{[]*wire.DesiredKept{state(7), state(20), state(21)}, "[21 20 7]"},
-		{[]*wire.DesiredKept{state(20), state(21), state(400)}, "[400 21 20 7]"},
-		{[]*wire.DesiredKept{state(400)}, "[400 21 20 7]"},
-		{[]*wire.DesiredKept{state(500), state(600)}, "[600 500]"},
-		{[]*wire.DesiredKept{state(500), state(601)}, "[601 500]"},
-		{[]*wire.DesiredKept{state(2), state(3)}, "[3 2]"},
+		{[]*wire.StoredConfig{state(7)}, "[7]"},
+		{[]*wire.StoredConfig{state(7), state(20), state(21)}, "[21 20 7]"},
+		{[]*wire.StoredConfig{state(20), state(21), state(400)}, "[400 21 20 7]"},
+		{[]*wire.StoredConfig{state(400)}, "[400 21 20 7]"},
+		{[]*wire.StoredConfig{state(500), state(600)}, "[600 500]"},
+		{[]*wire.StoredConfig{state(500), state(601)}, "[601 500]"},
+		{[]*wire.StoredConfig{state(2), state(3)}, "[3 2]"},
 	} {
 		archive.Keep(step.kept)
 		<-archive.written
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -49,7 +49,7 @@
 	Adopted func(carrier string, serial uint64, took monotonic.Micros)
 	// Kept is told all accepted states that are kept, oldest first, whenever this process as primary accepts one or starts to answer;
 	// it must not block.
-	Kept func(states []*wire.DesiredKept)
+	Kept func(states []*wire.StoredConfig)
 }
 
 // Postmaster is one store process.
@@ -121,11 +121,11 @@
 // Register adds the postmaster's handlers.
 func (master *Postmaster) Register(table host.Table) {
 	master.Member.Register(table)
-	host.Handle(table, wire.Kind_desired_poll, master.Poll)
-	host.Handle(table, wire.Kind_desired_apply, master.Apply)
-	host.Handle(table, wire.Kind_desired_read, master.ReadBack)
-	host.Handle(table, wire.Kind_postmaster_status, func(*wire.StatusAsk) (*wire.StatusTell, error) {
+	host.Handle(table, wire.Kind_config_poll, master.Poll)
+	host.Handle(table, wire.Kind_config_apply, master.Apply)
+	host.Handle(table, wire.Kind_config_read, master.ReadBack)
+	host.Handle(table, wire.Kind_configstore_status, func(*wire.StatusRequest) (*wire.StatusResponse, error) {
 		content, err := json.Marshal(master.Status())
-		return &wire.StatusTell{Json: content}, err
+		return &wire.StatusResponse{Json: content}, err
 	})
 }
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -21,11 +21,11 @@
 }
 
 // whole gives an apply with its content, if that came as a difference from one that is kept here.
-func (master *Postmaster) whole(ask *wire.DesiredApplyAsk) (whole *wire.DesiredApplyAsk, known bool, err error) {
+func (master *Postmaster) whole(ask *wire.ConfigApplyRequest) (whole *wire.ConfigApplyRequest, known bool, err error) {
 	if len(ask.Delta) == 0 {
 		return ask, true, nil
 	}
-	whole = &wire.DesiredApplyAsk{ExpectedSerial: ask.ExpectedSerial, Request: ask.Request, AnySerial: ask.AnySerial, Version: ask.Version}
+	whole = &wire.ConfigApplyRequest{ExpectedVersion: ask.ExpectedVersion, Request: ask.Request, AnyVersion: ask.AnyVersion, Version: ask.Version}
 	var base []byte
 	done := master.Member.Read(func(uint64, monotonic.Micros) {
 		if kept := master.store.WithDigest(ask.Base); kept != nil || ask.Base == "" {
@@ -43,35 +43,35 @@
 }
 
 // submit has every copy take an apply, as its difference from the newest state where all of them can.
-func (master *Postmaster) submit(ask *wire.DesiredApplyAsk) (*wire.DesiredApplyTell, error) {
-	tell := &wire.DesiredApplyTell{}
+func (master *Postmaster) submit(ask *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
+	tell := &wire.ConfigApplyResponse{}
 	if short := master.short(ask); short != nil {
-		err := master.Member.Submit(&wire.DesiredCommand{Apply: short}, tell)
+		err := master.Member.Submit(&wire.ConfigCommand{Apply: short}, tell)
 		if err != nil || tell.Outcome != versions.BaseUnknown {
 			return tell, err
 		}
-		tell = &wire.DesiredApplyTell{} // so many changes came between that the base was let go
+		tell = &wire.ConfigApplyResponse{} // so many changes came between that the base was let go
 	}
-	return tell, master.Member.Submit(&wire.DesiredCommand{Apply: ask}, tell)
+	return tell, master.Member.Submit(&wire.ConfigCommand{Apply: ask}, tell)
 }
 
 // short is an apply whose content is told by its difference from the newest state, or nothing.
-func (master *Postmaster) short(ask *wire.DesiredApplyAsk) *wire.DesiredApplyAsk {
+func (master *Postmaster) short(ask *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
 	if len(ask.Content) < packFrom || !master.allTakeDeltas() {
 		return nil
 	}
-	var newest *wire.DesiredKept
+	var newest *wire.StoredConfig
 	master.Member.Read(func(uint64, monotonic.Micros) { newest = master.store.Newest() })
 	encoded, err := delta.Encode(newest.GetContent(), ask.Content)
 	if err != nil {
 		return nil
 	}
-	return &wire.DesiredApplyAsk{ExpectedSerial: ask.ExpectedSerial, Request: ask.Request, AnySerial: ask.AnySerial, Version: ask.Version,
+	return &wire.ConfigApplyRequest{ExpectedVersion: ask.ExpectedVersion, Request: ask.Request, AnyVersion: ask.AnyVersion, Version: ask.Version,
 		Delta: encoded, Base: newest.GetDigest()}
 }
 
 // shortened tells a state by its difference from one that the asker has, or compressed where it has none that is known here.
-func shortened(kept, base *wire.DesiredKept) *wire.DesiredKept {
+func shortened(kept, base *wire.StoredConfig) *wire.StoredConfig {
 	if len(kept.Content) < packFrom {
 		return kept
 	}
@@ -79,5 +79,5 @@
 	if err != nil {
 		return kept
 	}
-	return &wire.DesiredKept{Serial: kept.Serial, Digest: kept.Digest, Request: kept.Request, Delta: encoded, Base: base.GetDigest()}
+	return &wire.StoredConfig{Version: kept.Version, Digest: kept.Digest, Request: kept.Request, Delta: encoded, Base: base.GetDigest()}
 }
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -106,7 +106,7 @@
 	return size
 }
 
-func (versions *Versions) set(kept *wire.DesiredKept) *changes.Set {
+func (versions *Versions) set(kept *wire.StoredConfig) *changes.Set {
 	if found := versions.find(kept.Digest); found != nil {
 		return found.set
 	}
@@ -119,8 +119,8 @@
 
 // Difference tells in what the newest state differs from the base that a carrier says it has, with the digest over what it
 // made of it. Nothing: the whole is to be sent, since the base isn't known, was read otherwise there, or the whole is shorter.
-func (versions *Versions) Difference(base, newest *wire.DesiredKept, digest []byte) []byte {
-	if base == nil || newest == nil || len(digest) == 0 || base.Serial >= newest.Serial {
+func (versions *Versions) Difference(base, newest *wire.StoredConfig, digest []byte) []byte {
+	if base == nil || newest == nil || len(digest) == 0 || base.Version >= newest.Version {
 		return nil
 	}
 	versions.lock.Lock()
@@ -141,7 +141,7 @@
 		return nil
 	}
 	versions.computed++
-	content, err := changes.Encode(changes.Diff(from, to), newest.Serial, newest.Digest)
+	content, err := changes.Encode(changes.Diff(from, to), newest.Version, newest.Digest)
 	if err != nil || len(content) >= len(newest.Content) {
 		content = nil
 	}
--- a/internal/configstore/differences/differences_test.go
+++ b/internal/configstore/differences/differences_test.go
@@ -30,7 +30,7 @@
 }
 
 // kept is an accepted state with many routes, one of which goes by the serial.
-func kept(t *testing.T, serial uint64) *wire.DesiredKept {
+func kept(t *testing.T, serial uint64) *wire.StoredConfig {
 	t.Helper()
 	state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}, {Name: "batches"}}}}}
 	for number := range 100 {
@@ -41,10 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &wire.DesiredKept{Serial: serial, Content: content, Digest: config.Digest(content)}
+	return &wire.StoredConfig{Version: serial, Content: content, Digest: config.Digest(content)}
 }
 
-func set(t *testing.T, one *wire.DesiredKept) *changes.Set {
+func set(t *testing.T, one *wire.StoredConfig) *changes.Set {
 	t.Helper()
 	state, _ := config.Accepted(one.Content)
 	made, err := changes.Read(state)
@@ -91,14 +91,14 @@
 func TestWhole(t *testing.T) {
 	scene := begin(t, differences.Bounds{})
 	one, two := kept(t, 1), kept(t, 2)
-	damaged := &wire.DesiredKept{Serial: 1, Content: []byte("{"), Digest: "d"}
-	tiny := func(serial uint64, text string) *wire.DesiredKept {
-		return &wire.DesiredKept{Serial: serial, Content: []byte(text), Digest: config.Digest([]byte(text))}
+	damaged := &wire.StoredConfig{Version: 1, Content: []byte("{"), Digest: "d"}
+	tiny := func(serial uint64, text string) *wire.StoredConfig {
+		return &wire.StoredConfig{Version: serial, Content: []byte(text), Digest: config.Digest([]byte(text))}
 	}
 	small, other := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"}]}]}`), tiny(2, `{"groups":[{"name":"g","services":[{"name":"b"}]}]}`)
 	doubtful := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"},{"name":"a"}]}]}`)
 	for name, asked := range map[string]struct {
-		base, newest *wire.DesiredKept
+		base, newest *wire.StoredConfig
 		digest       []byte
 	}{
 		"a base that isn't kept":           {nil, two, set(t, one).Digest()},
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -56,10 +56,10 @@
 	if now < master.ackFrom || !master.Member.Vigil.Steady() {
 		return nil // there may be tenures that this process doesn't know of, or whose ends it can't tell
 	}
-	told := &wire.TenureHolders{Whole: true}
+	told := &wire.LeaseHolders{Complete: true}
 	for _, key := range slices.Sorted(maps.Keys(master.holders)) {
 		if present := master.holders[key]; present.until > now && !present.released {
-			told.Holders = append(told.Holders, &wire.TenureHolder{Key: key, Carrier: present.name, Adopted: present.adopted, Left: int64(present.until - now)})
+			told.Holders = append(told.Holders, &wire.LeaseHolder{Key: key, Proxy: present.name, AdoptedVersion: present.adopted, Remaining: int64(present.until - now)})
 		}
 	}
 	content, err := proto.Marshal(told)
@@ -70,29 +70,29 @@
 }
 
 func (master *Postmaster) takeHanded(epoch uint64, content []byte) {
-	holders := &wire.TenureHolders{}
-	if proto.Unmarshal(content, holders) != nil || !holders.Whole {
+	holders := &wire.LeaseHolders{}
+	if proto.Unmarshal(content, holders) != nil || !holders.Complete {
 		return
 	}
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	master.handed, master.handedEpoch = map[string]*holder{}, epoch
 	for _, present := range holders.Holders {
-		master.handed[present.Key] = &holder{name: present.Carrier, adopted: present.Adopted, since: master.env.Place.Now(), until: master.env.Place.Now() + monotonic.Micros(present.Left)}
+		master.handed[present.Key] = &holder{name: present.Proxy, adopted: present.AdoptedVersion, since: master.env.Place.Now(), until: master.env.Place.Now() + monotonic.Micros(present.Remaining)}
 	}
 }
 
-func holderKey(ask *wire.DesiredPollAsk) string {
-	return ask.Carrier + "/" + strconv.FormatUint(ask.Incarnation, 16)
+func holderKey(ask *wire.ConfigPollRequest) string {
+	return ask.Proxy + "/" + strconv.FormatUint(ask.Incarnation, 16)
 }
 
-func (master *Postmaster) adopted(ask *wire.DesiredPollAsk) {
+func (master *Postmaster) adopted(ask *wire.ConfigPollRequest) {
 	master.lock.Lock()
 	now, took := master.env.Place.Now(), monotonic.Micros(-1)
 	if present := master.holders[holderKey(ask)]; present != nil {
-		if present.adopted < ask.Have {
-			present.adopted, present.since, present.took = ask.Have, now, 0
-			if ask.Have == master.newest {
+		if present.adopted < ask.CurrentVersion {
+			present.adopted, present.since, present.took = ask.CurrentVersion, now, 0
+			if ask.CurrentVersion == master.newest {
 				took = now - master.newestAt
 				present.took = took
 			}
@@ -100,26 +100,26 @@
 	}
 	master.lock.Unlock()
 	if took >= 0 && master.env.Adopted != nil {
-		master.env.Adopted(ask.Carrier, ask.Have, took)
+		master.env.Adopted(ask.Proxy, ask.CurrentVersion, took)
 	}
 	master.words.wake()
 }
 
-func (master *Postmaster) grant(ask *wire.DesiredPollAsk) {
+func (master *Postmaster) grant(ask *wire.ConfigPollRequest) {
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	key := holderKey(ask)
 	if master.holders[key] == nil {
-		master.holders[key] = &holder{name: ask.Carrier}
-		master.forgetEarlierLives(ask.Carrier, key)
+		master.holders[key] = &holder{name: ask.Proxy}
+		master.forgetEarlierLives(ask.Proxy, key)
 	}
 	present := master.holders[key]
 	if present.released {
 		return // an earlier poll of the same life, held until now
 	}
 	now := master.env.Place.Now()
-	if present.adopted < ask.Have {
-		present.adopted, present.since, present.took = ask.Have, now, 0
+	if present.adopted < ask.CurrentVersion {
+		present.adopted, present.since, present.took = ask.CurrentVersion, now, 0
 	}
 	present.until = now + master.env.Bounds.Lease
 }
@@ -139,14 +139,14 @@
 }
 
 // release ends a tenure whose carrier serves no more: nobody needs to wait for its end.
-func (master *Postmaster) release(ask *wire.DesiredPollAsk) *wire.DesiredPollTell {
+func (master *Postmaster) release(ask *wire.ConfigPollRequest) *wire.ConfigPollResponse {
 	master.lock.Lock()
 	if present := master.holders[holderKey(ask)]; present != nil {
 		present.released = true
 	}
 	master.lock.Unlock()
 	master.words.wake()
-	return &wire.DesiredPollTell{}
+	return &wire.ConfigPollResponse{}
 }
 
 // behind names the carriers that may still serve by an older serial for longer than Slack. Where carriers serve on, these are
--- a/internal/configstore/packing.go
+++ b/internal/configstore/packing.go
@@ -21,14 +21,14 @@
 }
 
 // fill puts a content into an answer, packed once for all who ask for it.
-func (packing *packing) fill(tell *wire.DesiredPollTell, kept *wire.DesiredKept, packs bool) {
+func (packing *packing) fill(tell *wire.ConfigPollResponse, kept *wire.StoredConfig, packs bool) {
 	if !packs || len(kept.Content) < packFrom {
 		tell.Content = kept.Content
 		return
 	}
 	packing.lock.Lock()
 	defer packing.lock.Unlock()
-	if packing.serial != kept.Serial || packing.digest != kept.Digest {
+	if packing.serial != kept.Version || packing.digest != kept.Digest {
 		var buffer bytes.Buffer
 		writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
 		if err == nil {
@@ -41,7 +41,7 @@
 			tell.Content = kept.Content
 			return
 		}
-		packing.serial, packing.digest, packing.packed = kept.Serial, kept.Digest, buffer.Bytes()
+		packing.serial, packing.digest, packing.packed = kept.Version, kept.Digest, buffer.Bytes()
 	}
-	tell.Packed = packing.packed
+	tell.Compressed = packing.packed
 }
--- a/internal/configstore/packing_test.go
+++ b/internal/configstore/packing_test.go
@@ -22,21 +22,21 @@
 	}
 	packing := &packing{}
 	for serial, content := range map[uint64][]byte{3: many("old"), 4: many("new")} {
-		kept := &wire.DesiredKept{Serial: serial, Content: content, Digest: fmt.Sprint(serial)}
-		plain, packed, again := &wire.DesiredPollTell{}, &wire.DesiredPollTell{}, &wire.DesiredPollTell{}
+		kept := &wire.StoredConfig{Version: serial, Content: content, Digest: fmt.Sprint(serial)}
+		plain, packed, again := &wire.ConfigPollResponse{}, &wire.ConfigPollResponse{}, &wire.ConfigPollResponse{}
 		packing.fill(plain, kept, false)
 		packing.fill(packed, kept, true)
 		packing.fill(again, kept, true)
-		if !bytes.Equal(plain.Content, content) || len(plain.Packed) > 0 || len(packed.Content) > 0 || &packed.Packed[0] != &again.Packed[0] {
-			t.Errorf("serial %d: %d plain, %d packed", serial, len(plain.Content), len(packed.Packed))
+		if !bytes.Equal(plain.Content, content) || len(plain.Compressed) > 0 || len(packed.Content) > 0 || &packed.Compressed[0] != &again.Compressed[0] {
+			t.Errorf("serial %d: %d plain, %d packed", serial, len(plain.Content), len(packed.Compressed))
 		}
-		unpacked, err := io.ReadAll(flate.NewReader(bytes.NewReader(packed.Packed)))
-		if err != nil || !bytes.Equal(unpacked, content) || len(packed.Packed) > len(content)/4 {
-			t.Errorf("serial %d: %v, %d of %d bytes", serial, err, len(packed.Packed), len(content))
+		unpacked, err := io.ReadAll(flate.NewReader(bytes.NewReader(packed.Compressed)))
+		if err != nil || !bytes.Equal(unpacked, content) || len(packed.Compressed) > len(content)/4 {
+			t.Errorf("serial %d: %v, %d of %d bytes", serial, err, len(packed.Compressed), len(content))
 		}
 	}
-	short := &wire.DesiredPollTell{}
-	packing.fill(short, &wire.DesiredKept{Serial: 5, Content: []byte("{}")}, true)
+	short := &wire.ConfigPollResponse{}
+	packing.fill(short, &wire.StoredConfig{Version: 5, Content: []byte("{}")}, true)
 	if string(short.Content) != "{}" {
 		t.Error("a short content was packed")
 	}
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -6,7 +6,7 @@
 )
 
 // Poll renews a carrier's tenure, with the newest desired state if the carrier hasn't got it. It waits a while for news.
-func (master *Postmaster) Poll(ask *wire.DesiredPollAsk) (*wire.DesiredPollTell, error) {
+func (master *Postmaster) Poll(ask *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
 	place := master.env.Place
 	if ask.Release {
 		return master.release(ask), nil
@@ -15,13 +15,13 @@
 	cutoff := place.Now() + master.env.Bounds.PollHold
 	for {
 		news := master.news.join()
-		tell := &wire.DesiredPollTell{Primaries: master.env.Book.Primaries(), Tenure: int64(master.env.Bounds.Lease), Hold: int64(master.env.Bounds.PollHold)}
-		var base, newest *wire.DesiredKept
+		tell := &wire.ConfigPollResponse{Primaries: master.env.Book.Primaries(), Lease: int64(master.env.Bounds.Lease), LongPoll: int64(master.env.Bounds.PollHold)}
+		var base, newest *wire.StoredConfig
 		tell.Primary = master.Member.Read(func(epoch uint64, _ monotonic.Micros) {
-			tell.Epoch, tell.Serial = epoch, master.store.Serial()
-			master.seen(tell.Serial)
-			if kept := master.store.Newest(); kept != nil && kept.Serial != ask.Have {
-				newest, base = kept, master.store.Find(ask.Have)
+			tell.Epoch, tell.Version = epoch, master.store.Serial()
+			master.seen(tell.Version)
+			if kept := master.store.Newest(); kept != nil && kept.Version != ask.CurrentVersion {
+				newest, base = kept, master.store.Find(ask.CurrentVersion)
 			}
 			// Noted under the same look that read the serial: an apply that comes later waits for this tenure.
 			master.grant(ask)
@@ -31,7 +31,7 @@
 			return master.hearsay(ask, tell.Primaries), nil
 		}
 		remaining := cutoff - place.Now()
-		if tell.Serial != ask.Have || ask.First || remaining <= 0 {
+		if tell.Version != ask.CurrentVersion || ask.First || remaining <= 0 {
 			master.news.leave(news)
 			master.content(ask, base, newest, tell)
 			return tell, nil
@@ -43,15 +43,15 @@
 
 // hearsay is the answer of a postmaster that isn't the primary. A carrier that has nothing yet and may serve on while out of touch is
 // given what this copy holds: it's better served by that than by nothing until there's a primary again.
-func (master *Postmaster) hearsay(ask *wire.DesiredPollAsk, primaries []*wire.Primary) *wire.DesiredPollTell {
-	tell := &wire.DesiredPollTell{Primaries: primaries}
-	if ask.Have > 0 || !master.env.Bounds.ServeOn {
+func (master *Postmaster) hearsay(ask *wire.ConfigPollRequest, primaries []*wire.Primary) *wire.ConfigPollResponse {
+	tell := &wire.ConfigPollResponse{Primaries: primaries}
+	if ask.CurrentVersion > 0 || !master.env.Bounds.ServeOn {
 		return tell
 	}
 	master.Member.Peek(func() {
 		if newest := master.store.Newest(); newest != nil {
-			tell.Serial = newest.Serial
-			master.packing.fill(tell, newest, ask.Packs)
+			tell.Version = newest.Version
+			master.packing.fill(tell, newest, ask.AcceptsCompressed)
 		}
 	})
 	return tell
@@ -59,14 +59,14 @@
 
 // content puts the newest state into an answer: what it changes where that is known and wanted, otherwise the whole. The states don't
 // change, so no lock is needed for them.
-func (master *Postmaster) content(ask *wire.DesiredPollAsk, base, newest *wire.DesiredKept, tell *wire.DesiredPollTell) {
+func (master *Postmaster) content(ask *wire.ConfigPollRequest, base, newest *wire.StoredConfig, tell *wire.ConfigPollResponse) {
 	if newest == nil {
 		return
 	}
-	if !ask.Whole {
+	if !ask.Full {
 		tell.Difference = master.versions.Difference(base, newest, ask.Digest)
 	}
 	if tell.Difference == nil {
-		master.packing.fill(tell, newest, ask.Packs)
+		master.packing.fill(tell, newest, ask.AcceptsCompressed)
 	}
 }
--- a/internal/configstore/versions/versions.go
+++ b/internal/configstore/versions/versions.go
@@ -35,21 +35,21 @@
 	AnyContent bool
 
 	history  int
-	states   []*wire.DesiredKept
-	requests map[string]*wire.DesiredKept
+	states   []*wire.StoredConfig
+	requests map[string]*wire.StoredConfig
 	taken    taken
 }
 
 // New makes an empty store that keeps at most so many states, all for zero. Which requests it remembers goes by that, so it
 // must be the same at every copy.
 func New(history int) *Store {
-	return &Store{history: history, requests: map[string]*wire.DesiredKept{}, taken: newTaken()}
+	return &Store{history: history, requests: map[string]*wire.StoredConfig{}, taken: newTaken()}
 }
 
 // Apply carries out a command. A request that was accepted before gets its first answer again.
 func (store *Store) Apply(_ uint64, _ monotonic.Micros, content []byte) []byte {
-	command := &wire.DesiredCommand{}
-	tell := &wire.DesiredApplyTell{Outcome: Invalid}
+	command := &wire.ConfigCommand{}
+	tell := &wire.ConfigApplyResponse{Outcome: Invalid}
 	if err := proto.Unmarshal(content, command); err == nil && command.Apply != nil {
 		tell = store.take(command.Apply)
 	}
@@ -61,16 +61,16 @@
 }
 
 // take carries out an apply, whose content may have come as a difference.
-func (store *Store) take(ask *wire.DesiredApplyAsk) *wire.DesiredApplyTell {
+func (store *Store) take(ask *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	content, known := store.Content(ask)
 	if !known {
-		return &wire.DesiredApplyTell{Outcome: BaseUnknown, Serial: store.Serial()}
+		return &wire.ConfigApplyResponse{Outcome: BaseUnknown, Version: store.Serial()}
 	}
-	return store.accept(&wire.DesiredApplyAsk{Content: content, ExpectedSerial: ask.ExpectedSerial, Request: ask.Request, AnySerial: ask.AnySerial, Version: ask.Version})
+	return store.accept(&wire.ConfigApplyRequest{Content: content, ExpectedVersion: ask.ExpectedVersion, Request: ask.Request, AnyVersion: ask.AnyVersion, Version: ask.Version})
 }
 
 // Content gives the content that an apply is about, if the base that it's told by is kept here.
-func (store *Store) Content(ask *wire.DesiredApplyAsk) (content []byte, known bool) {
+func (store *Store) Content(ask *wire.ConfigApplyRequest) (content []byte, known bool) {
 	if len(ask.Delta) == 0 {
 		return ask.Content, true
 	}
@@ -87,7 +87,7 @@
 }
 
 // WithDigest gives the newest kept state with a digest, or nothing.
-func (store *Store) WithDigest(digest string) *wire.DesiredKept {
+func (store *Store) WithDigest(digest string) *wire.StoredConfig {
 	for _, kept := range slices.Backward(store.states) {
 		if kept.Digest == digest {
 			return kept
@@ -96,44 +96,44 @@
 	return nil
 }
 
-func (store *Store) accept(ask *wire.DesiredApplyAsk) *wire.DesiredApplyTell {
+func (store *Store) accept(ask *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(ask.Content)
 	if ask.Version > 0 {
 		return store.raise(ask, digest)
 	}
 	if earlier := store.requests[ask.Request]; ask.Request != "" && earlier != nil {
 		if earlier.Digest == digest {
-			return &wire.DesiredApplyTell{Outcome: Accepted, Serial: earlier.Serial, Digest: digest}
+			return &wire.ConfigApplyResponse{Outcome: Accepted, Version: earlier.Version, Digest: digest}
 		}
-		return &wire.DesiredApplyTell{Outcome: Conflict, Serial: store.Serial(), Faults: []string{"request id was used with another content"}}
+		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: store.Serial(), Errors: []string{"request id was used with another content"}}
 	}
-	if !ask.AnySerial && ask.ExpectedSerial != store.Serial() {
-		return &wire.DesiredApplyTell{Outcome: Conflict, Serial: store.Serial()}
+	if !ask.AnyVersion && ask.ExpectedVersion != store.Serial() {
+		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: store.Serial()}
 	}
 	if store.Serial() == math.MaxUint64 {
-		return &wire.DesiredApplyTell{Outcome: Conflict, Serial: store.Serial(), Faults: []string{"no serial is left"}}
+		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: store.Serial(), Errors: []string{"no serial is left"}}
 	}
-	kept := &wire.DesiredKept{Serial: store.Serial() + 1, Content: ask.Content, Digest: digest, Request: ask.Request}
+	kept := &wire.StoredConfig{Version: store.Serial() + 1, Content: ask.Content, Digest: digest, Request: ask.Request}
 	store.keep(kept)
-	return &wire.DesiredApplyTell{Outcome: Accepted, Serial: kept.Serial, Digest: digest}
+	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: kept.Version, Digest: digest}
 }
 
 // raise takes a content that names its version if that is above the newest serial. The same content under a number that was taken, and
 // any under a lower number that never was, is acknowledged and changes nothing, so that contents may come again and in any order.
 // Another content under a number that was taken is refused: two operators are never both told yes. The request id plays no part.
-func (store *Store) raise(ask *wire.DesiredApplyAsk, digest string) *wire.DesiredApplyTell {
+func (store *Store) raise(ask *wire.ConfigApplyRequest, digest string) *wire.ConfigApplyResponse {
 	if !store.taken.claim(ask.Version, digest) && !store.AnyContent {
-		return &wire.DesiredApplyTell{Outcome: Conflict, Serial: store.Serial(), Faults: []string{"the version stands for another content"}}
+		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: store.Serial(), Errors: []string{"the version stands for another content"}}
 	}
 	if ask.Version > store.Serial() {
-		store.keep(&wire.DesiredKept{Serial: ask.Version, Content: ask.Content, Digest: digest, Request: ask.Request})
+		store.keep(&wire.StoredConfig{Version: ask.Version, Content: ask.Content, Digest: digest, Request: ask.Request})
 	}
 	newest := store.Newest()
-	return &wire.DesiredApplyTell{Outcome: Accepted, Serial: newest.Serial, Digest: newest.Digest}
+	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: newest.Version, Digest: newest.Digest}
 }
 
-func (store *Store) keep(kept *wire.DesiredKept) {
-	store.taken.claim(kept.Serial, kept.Digest)
+func (store *Store) keep(kept *wire.StoredConfig) {
+	store.taken.claim(kept.Version, kept.Digest)
 	store.states = append(store.states, kept)
 	if kept.Request != "" {
 		store.requests[kept.Request] = kept
@@ -148,36 +148,36 @@
 	store.states = slices.Clone(store.states[1:])
 }
 
-// Serial is the newest serial, zero before the first.
+// Version is the newest serial, zero before the first.
 func (store *Store) Serial() uint64 {
 	if len(store.states) == 0 {
 		return 0
 	}
-	return store.states[len(store.states)-1].Serial
+	return store.states[len(store.states)-1].Version
 }
 
 // Newest is the newest state, or nothing.
-func (store *Store) Newest() *wire.DesiredKept { return store.Find(store.Serial()) }
+func (store *Store) Newest() *wire.StoredConfig { return store.Find(store.Serial()) }
 
 // Find gives a state by serial, or nothing. States don't change, so it's not copied.
-func (store *Store) Find(serial uint64) *wire.DesiredKept {
-	index := sort.Search(len(store.states), func(index int) bool { return store.states[index].Serial >= serial })
-	if index == len(store.states) || store.states[index].Serial != serial {
+func (store *Store) Find(serial uint64) *wire.StoredConfig {
+	index := sort.Search(len(store.states), func(index int) bool { return store.states[index].Version >= serial })
+	if index == len(store.states) || store.states[index].Version != serial {
 		return nil
 	}
 	return store.states[index]
 }
 
 // All lists every state kept, oldest first. States don't change, and the list only grows behind its end.
-func (store *Store) All() []*wire.DesiredKept {
+func (store *Store) All() []*wire.StoredConfig {
 	return store.states[:len(store.states):len(store.states)]
 }
 
 // View gives the whole state.
 func (store *Store) View() []byte {
-	view := &wire.DesiredView{States: store.states, Taken: store.taken.list()}
+	view := &wire.ConfigSnapshot{Versions: store.states, TakenVersions: store.taken.list()}
 	if store.Deltas == nil || store.Deltas() {
-		view.States = packed(store.states)
+		view.Versions = packed(store.states)
 	}
 	content, err := proto.Marshal(view)
 	if err != nil {
@@ -188,16 +188,16 @@
 
 // Restore replaces the state.
 func (store *Store) Restore(content []byte) error {
-	view := &wire.DesiredView{}
+	view := &wire.ConfigSnapshot{}
 	if err := proto.Unmarshal(content, view); err != nil {
 		return err
 	}
-	states, err := unpacked(view.States)
+	states, err := unpacked(view.Versions)
 	if err != nil {
 		return err
 	}
-	store.states, store.requests, store.taken = nil, map[string]*wire.DesiredKept{}, newTaken()
-	for _, one := range view.Taken {
+	store.states, store.requests, store.taken = nil, map[string]*wire.StoredConfig{}, newTaken()
+	for _, one := range view.TakenVersions {
 		store.taken.restore(one)
 	}
 	for _, kept := range states {
--- a/internal/configstore/versions/versions_test.go
+++ b/internal/configstore/versions/versions_test.go
@@ -46,7 +46,7 @@
 				}
 			}
 			for _, kept := range one.All() {
-				fmt.Fprintf(&text, " %d=%s", kept.Serial, kept.Content)
+				fmt.Fprintf(&text, " %d=%s", kept.Version, kept.Content)
 			}
 			return text.String() + "\n"
 		})
@@ -55,7 +55,7 @@
 
 func carryOut(t *testing.T, one *versions.Store, words []string) string {
 	t.Helper()
-	ask, rest := &wire.DesiredApplyAsk{}, words[2:]
+	ask, rest := &wire.ConfigApplyRequest{}, words[2:]
 	number := uint64(0)
 	_, _ = fmt.Sscan(words[1], &number)
 	switch words[0] {
@@ -67,9 +67,9 @@
 	case "version":
 		ask.Version = number
 	case "expected":
-		ask.ExpectedSerial = number
+		ask.ExpectedVersion = number
 	case "any":
-		ask.AnySerial, rest = true, words[1:]
+		ask.AnyVersion, rest = true, words[1:]
 	default:
 		t.Fatal(words)
 	}
@@ -77,19 +77,19 @@
 	if len(rest) > 1 {
 		ask.Request = rest[1]
 	}
-	content, err := proto.Marshal(&wire.DesiredCommand{Apply: ask})
+	content, err := proto.Marshal(&wire.ConfigCommand{Apply: ask})
 	if err != nil {
 		t.Fatal(err)
 	}
-	tell := &wire.DesiredApplyTell{}
+	tell := &wire.ConfigApplyResponse{}
 	if err := proto.Unmarshal(one.Apply(1, 0, content), tell); err != nil {
 		t.Fatal(err)
 	}
 	newest := one.Newest()
-	if newest == nil || newest.Serial != one.Serial() || tell.Outcome == versions.Accepted && one.Find(tell.Serial) != nil && one.Find(tell.Serial).Digest != tell.Digest {
+	if newest == nil || newest.Version != one.Serial() || tell.Outcome == versions.Accepted && one.Find(tell.Version) != nil && one.Find(tell.Version).Digest != tell.Digest {
 		t.Errorf("%v: newest %v, serial %d, told %v", words, newest, one.Serial(), tell)
 	}
-	return strings.TrimSpace(fmt.Sprintf("%s %d %s", tell.Outcome, tell.Serial, strings.Join(tell.Faults, "; ")))
+	return strings.TrimSpace(fmt.Sprintf("%s %d %s", tell.Outcome, tell.Version, strings.Join(tell.Errors, "; ")))
 }
 
 // TestOneNumberOneContent searches every order of orders by two operators: three numbers, two contents, resends, and a copy that is given the whole
@@ -151,11 +151,11 @@
 	if string(other.View()) != string(one.View()) {
 		t.Error("the states differ")
 	}
-	view := &wire.DesiredView{}
+	view := &wire.ConfigSnapshot{}
 	if err := proto.Unmarshal(one.View(), view); err != nil {
 		t.Fatal(err)
 	}
-	view.States = view.States[1:]
+	view.Versions = view.Versions[1:]
 	content, err := proto.Marshal(view)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/book.go
+++ b/internal/discovery/book.go
@@ -257,12 +257,12 @@
 
 // Register adds the answer to "who is the core now".
 func (book *Book) Register(table host.Table) {
-	host.Handle(table, wire.Kind_whois, func(ask *wire.WhoisAsk) (*wire.WhoisTell, error) {
+	host.Handle(table, wire.Kind_discover, func(ask *wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
 		book.Learn(ask.Known)
-		if ask.Sign {
-			return &wire.WhoisTell{}, nil
+		if ask.HealthCheck {
+			return &wire.DiscoverResponse{}, nil
 		}
-		return &wire.WhoisTell{Known: book.Known(), Primaries: book.Primaries()}, nil
+		return &wire.DiscoverResponse{Known: book.Known(), Primaries: book.Primaries()}, nil
 	})
 }
 
@@ -322,8 +322,8 @@
 	if book.own != nil {
 		own = []*wire.PeerAddress{book.own}
 	}
-	tell := &wire.WhoisTell{}
-	if book.place.Call(target, wire.Kind_whois, &wire.WhoisAsk{Known: own}, tell, 500*monotonic.Millisecond) == nil {
+	tell := &wire.DiscoverResponse{}
+	if book.place.Call(target, wire.Kind_discover, &wire.DiscoverRequest{Known: own}, tell, 500*monotonic.Millisecond) == nil {
 		book.Learn(tell.Known)
 		book.Hint(tell.Primaries)
 	}
--- a/internal/discovery/book_test.go
+++ b/internal/discovery/book_test.go
@@ -22,15 +22,15 @@
 		book.Register(table)
 		return table, nil
 	})
-	var sign, whole *wire.WhoisTell
+	var sign, whole *wire.DiscoverResponse
 	asker := simulated.Add("asker", "asker", "one", func(place *world.Place) (host.Table, error) {
 		place.Go(func() {
-			sign, whole = &wire.WhoisTell{}, &wire.WhoisTell{}
+			sign, whole = &wire.DiscoverResponse{}, &wire.DiscoverResponse{}
 			for _, call := range []struct {
-				ask  *wire.WhoisAsk
-				tell *wire.WhoisTell
-			}{{&wire.WhoisAsk{Sign: true}, sign}, {&wire.WhoisAsk{}, whole}} {
-				if err := place.Call("asked", wire.Kind_whois, call.ask, call.tell, monotonic.Second); err != nil {
+				ask  *wire.DiscoverRequest
+				tell *wire.DiscoverResponse
+			}{{&wire.DiscoverRequest{HealthCheck: true}, sign}, {&wire.DiscoverRequest{}, whole}} {
+				if err := place.Call("asked", wire.Kind_discover, call.ask, call.tell, monotonic.Second); err != nil {
 					t.Error(err)
 				}
 			}
--- a/internal/host/machine/peers.go
+++ b/internal/host/machine/peers.go
@@ -186,9 +186,9 @@
 	started := peers.machine.Now()
 	timer := time.NewTimer(patience.Duration())
 	defer timer.Stop()
-	link := peers.link(lane{address, kind == wire.Kind_pass_bulk}, patience.Duration())
-	if kind == wire.Kind_pass_bulk {
-		kind = wire.Kind_pass // the other side need not know which connection it came by
+	link := peers.link(lane{address, kind == wire.Kind_forward_bulk}, patience.Duration())
+	if kind == wire.Kind_forward_bulk {
+		kind = wire.Kind_forward // the other side need not know which connection it came by
 	}
 	select {
 	case <-link.dialled:
--- a/internal/host/machine/peers_test.go
+++ b/internal/host/machine/peers_test.go
@@ -36,8 +36,8 @@
 // TestMalformedFramesCloseTheConnection sends what is no frame, a frame cut by a flipped bit, an unknown kind and a
 // version that isn't adjacent; each closes the connection and is told as an event.
 func TestMalformedFramesCloseTheConnection(t *testing.T) {
-	_, address, board := served(t, host.Table{wire.Kind_whois: nil})
-	good := frame.Append(nil, frame.Frame{Kind: wire.Kind_pass, Number: 1, Content: []byte("abc")})
+	_, address, board := served(t, host.Table{wire.Kind_discover: nil})
+	good := frame.Append(nil, frame.Frame{Kind: wire.Kind_forward, Number: 1, Content: []byte("abc")})
 	flipped := append([]byte(nil), good...)
 	flipped[len(flipped)-1] ^= 1
 	distant := append([]byte(nil), good...)
@@ -70,26 +70,28 @@
 func TestCallsSayWhatMayHaveHappened(t *testing.T) {
 	table := host.Table{}
 	held := make(chan struct{})
-	host.Handle(table, wire.Kind_whois, func(*wire.WhoisAsk) (*wire.WhoisTell, error) { return nil, errors.New("no") })
-	host.Handle(table, wire.Kind_pass, func(*wire.PassAsk) (*wire.PassTell, error) { <-held; return &wire.PassTell{}, nil })
-	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) { return &wire.ClaimTell{Outcome: ask.Scope}, nil })
+	host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) { return nil, errors.New("no") })
+	host.Handle(table, wire.Kind_forward, func(*wire.ForwardRequest) (*wire.ForwardResponse, error) { <-held; return &wire.ForwardResponse{}, nil })
+	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+		return &wire.ClaimResponse{Outcome: ask.Scope}, nil
+	})
 	machine, address, _ := served(t, table)
 	defer close(held)
-	if err := machine.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, monotonic.Second); !apierror.IsRefused(err) {
+	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, monotonic.Second); !apierror.IsRefused(err) {
 		t.Errorf("refused: %v", err)
 	}
-	if err := machine.Call(address, wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, 20*monotonic.Millisecond); err == nil || apierror.IsRefused(err) || apierror.IsUnreachable(err) {
+	if err := machine.Call(address, wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, 20*monotonic.Millisecond); err == nil || apierror.IsRefused(err) || apierror.IsUnreachable(err) {
 		t.Errorf("lost: %v", err)
 	}
-	if err := machine.Call("127.0.0.1:1", wire.Kind_pass, &wire.PassAsk{}, &wire.PassTell{}, monotonic.Second); !apierror.IsUnreachable(err) {
+	if err := machine.Call("127.0.0.1:1", wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, monotonic.Second); !apierror.IsUnreachable(err) {
 		t.Errorf("unreachable: %v", err)
 	}
 	// Answers find their own asks, whatever else waits on the connection.
 	done := make(chan bool)
 	for number := range 50 {
 		go func() {
-			tell, scope := &wire.ClaimTell{}, string(rune('a'+number))
-			err := machine.Call(address, wire.Kind_claim, &wire.ClaimAsk{Scope: scope}, tell, 10*monotonic.Second)
+			tell, scope := &wire.ClaimResponse{}, string(rune('a'+number))
+			err := machine.Call(address, wire.Kind_claim, &wire.ClaimRequest{Scope: scope}, tell, 10*monotonic.Second)
 			done <- err == nil && tell.Outcome == scope
 		}()
 	}
@@ -123,7 +125,7 @@
 		if err != nil {
 			return
 		}
-		answer, err := proto.Marshal(&wire.PassTell{Body: make([]byte, 8<<20)})
+		answer, err := proto.Marshal(&wire.ForwardResponse{Body: make([]byte, 8<<20)})
 		if err != nil {
 			return
 		}
@@ -140,11 +142,13 @@
 			}
 		}
 	}()
-	machine, address, tell := New(nil, board, nil), listener.Addr().String(), &wire.PassTell{}
+	machine, address, tell := New(nil, board, nil), listener.Addr().String(), &wire.ForwardResponse{}
 	long := make(chan error, 1)
-	go func() { long <- machine.Call(address, wire.Kind_pass, &wire.PassAsk{}, tell, monotonic.Minute) }()
+	go func() {
+		long <- machine.Call(address, wire.Kind_forward, &wire.ForwardRequest{}, tell, monotonic.Minute)
+	}()
 	<-coming
-	if err := machine.Call(address, wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, 100*monotonic.Millisecond); !apierror.IsLost(err) {
+	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 100*monotonic.Millisecond); !apierror.IsLost(err) {
 		t.Errorf("the short ask: %v", err)
 	}
 	close(ranOut)
--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -124,12 +124,12 @@
 }
 
 // Look makes of a record what an observer notes of it.
-func Look(record *wire.GuardRecord, at monotonic.Micros, source string, astray bool) GuardSeen {
-	terms := record.Terms
-	seen := GuardSeen{Service: record.Service, State: record.State, Serial: record.Serial, Budget: int(record.Budget), Tallies: len(record.Tallies),
-		Permitted: int(max(1, terms.GetPermitted())), Entered: monotonic.Micros(record.Entered), Expires: monotonic.Micros(record.Expires), Wait: monotonic.Micros(terms.GetWaitOpen()),
-		Tenure: monotonic.Micros(terms.GetProbeTenure()), At: at, Source: source, Astray: astray}
-	for _, probe := range record.Probes {
+func Look(record *wire.BreakerRecord, at monotonic.Micros, source string, astray bool) GuardSeen {
+	terms := record.Settings
+	seen := GuardSeen{Service: record.Service, State: record.State, Serial: record.Version, Budget: int(record.Budget), Tallies: len(record.ProbeResults),
+		Permitted: int(max(1, terms.GetPermitted())), Entered: monotonic.Micros(record.EnteredAt), Expires: monotonic.Micros(record.ExpiresAt), Wait: monotonic.Micros(terms.GetWaitOpen()),
+		Tenure: monotonic.Micros(terms.GetProbeLease()), At: at, Source: source, Astray: astray}
+	for _, probe := range record.ProbeLeases {
 		seen.Probes = append(seen.Probes, probe.Id)
 	}
 	for _, share := range record.Shares {
--- a/internal/proxy/admission/cancel.go
+++ b/internal/proxy/admission/cancel.go
@@ -25,8 +25,8 @@
 
 func newCancels() *cancels { return &cancels{present: map[cancelKey]*cancel{}} }
 
-func (cancels *cancels) begin(ask *wire.PassAsk) *cancel {
-	if ask.Once {
+func (cancels *cancels) begin(ask *wire.ForwardRequest) *cancel {
+	if ask.RunOnce {
 		return nil
 	}
 	fresh := &cancel{}
@@ -36,8 +36,8 @@
 	return fresh
 }
 
-func (cancels *cancels) end(ask *wire.PassAsk) {
-	if ask.Once {
+func (cancels *cancels) end(ask *wire.ForwardRequest) {
+	if ask.RunOnce {
 		return
 	}
 	cancels.lock.Lock()
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -12,14 +12,14 @@
 )
 
 // claimFaults are what the outcomes of a claim other than granted and held come to.
-var claimFaults = map[string]func(ask *wire.PassAsk) *apierror.Fault{
-	idempotency.OtherBody: func(ask *wire.PassAsk) *apierror.Fault {
+var claimFaults = map[string]func(ask *wire.ForwardRequest) *apierror.Fault{
+	idempotency.OtherBody: func(ask *wire.ForwardRequest) *apierror.Fault {
 		return apierror.New(apierror.OtherBody, apierror.MayHaveRun, "the key was used with another body")
 	},
-	idempotency.Voided: func(ask *wire.PassAsk) *apierror.Fault {
-		return apierror.New(apierror.KeyFenced, apierror.NotRun, "try %s is void", ask.Try)
+	idempotency.Voided: func(ask *wire.ForwardRequest) *apierror.Fault {
+		return apierror.New(apierror.KeyFenced, apierror.NotRun, "try %s is void", ask.Attempt)
 	},
-	idempotency.Fenced: func(ask *wire.PassAsk) *apierror.Fault {
+	idempotency.Fenced: func(ask *wire.ForwardRequest) *apierror.Fault {
 		return apierror.New(apierror.KeyFenced, apierror.NotRun, "the key was refused since this request was read")
 	},
 }
@@ -27,7 +27,7 @@
 // claim asks for the right to run, right before the hand-over, until some moment. It gives the moment by which the request
 // must start, or the recorded answer of an earlier run. It may be asked again for the same try. letGo is called once it's known
 // that nothing is granted, before an earlier answer is looked for. unheard is set once a sorter may have granted it unheard.
-func (gate *Gate) claim(ask *wire.PassAsk, until, cutoff monotonic.Micros, unheard *bool, letGo func()) (startBy monotonic.Micros, earlier *request.Answer, fault *apierror.Fault) {
+func (gate *Gate) claim(ask *wire.ForwardRequest, until, cutoff monotonic.Micros, unheard *bool, letGo func()) (startBy monotonic.Micros, earlier *request.Answer, fault *apierror.Fault) {
 	place := gate.env.Place
 	for {
 		asked := place.Now()
@@ -36,9 +36,9 @@
 			// An ask may have been granted unheard, but this carrier won't use it and nobody else can.
 			return 0, nil, apierror.New(apierror.ClaimUnreachable, apierror.NotRun, "the sorter did not answer in time")
 		}
-		tell := &wire.ClaimTell{}
-		err := gate.env.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: ask.Scope, Digest: ask.Digest, Try: ask.Try,
-			Carrier: gate.env.Carrier, Incarnation: gate.env.Incarnation, ReadAt: ask.ReadAt}, tell, remaining)
+		tell := &wire.ClaimResponse{}
+		err := gate.env.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: ask.Scope, Digest: ask.Digest, Attempt: ask.Attempt,
+			Proxy: gate.env.Carrier, Incarnation: gate.env.Incarnation, ReadAt: ask.ReadAt}, tell, remaining)
 		if err != nil {
 			*unheard = *unheard || apierror.IsLost(err)
 			continue
@@ -52,7 +52,7 @@
 			if answer != nil {
 				return 0, answer, nil
 			}
-			return 0, nil, apierror.New(cause, apierror.MayHaveRun, "the key is held by try %s at %s", tell.Try, tell.Holder)
+			return 0, nil, apierror.New(cause, apierror.MayHaveRun, "the key is held by try %s at %s", tell.Attempt, tell.Owner)
 		}
 		if find := claimFaults[tell.Outcome]; find != nil {
 			return 0, nil, find(ask)
@@ -66,15 +66,15 @@
 
 // recall finds the answer of an earlier run, here or at the carrier that holds the key, or tells why there's none: the key is
 // at work, or nobody has its answer any more.
-func (gate *Gate) recall(ask *wire.PassAsk, held *wire.ClaimTell, cutoff monotonic.Micros) (*request.Answer, apierror.Cause) {
+func (gate *Gate) recall(ask *wire.ForwardRequest, held *wire.ClaimResponse, cutoff monotonic.Micros) (*request.Answer, apierror.Cause) {
 	until := min(cutoff, gate.env.Place.Now()+recallPatience)
-	answer, cause := gate.recallFrom(held.Holder, ask, held.Try, until-gate.env.Place.Now())
+	answer, cause := gate.recallFrom(held.Owner, ask, held.Attempt, until-gate.env.Place.Now())
 	if answer != nil || cause == apierror.KeyHeld {
 		return answer, cause
 	}
 	// The carrier that passed the request on keeps the answer too.
-	if sender := senderOf(held.Try); sender != "" && sender != held.Holder && gate.env.Place.Now() < until {
-		answer, _ = gate.recallFrom(sender, ask, held.Try, until-gate.env.Place.Now())
+	if sender := senderOf(held.Attempt); sender != "" && sender != held.Owner && gate.env.Place.Now() < until {
+		answer, _ = gate.recallFrom(sender, ask, held.Attempt, until-gate.env.Place.Now())
 	}
 	return answer, apierror.AnswerGone
 }
@@ -90,7 +90,7 @@
 }
 
 // recallFrom asks one carrier, or this one, for a key's recorded answer.
-func (gate *Gate) recallFrom(carrier string, ask *wire.PassAsk, try string, patience monotonic.Micros) (*request.Answer, apierror.Cause) {
+func (gate *Gate) recallFrom(carrier string, ask *wire.ForwardRequest, try string, patience monotonic.Micros) (*request.Answer, apierror.Cause) {
 	if carrier == gate.env.Carrier {
 		answer, busy := gate.recorded(ask.Scope, ask.Digest, patience)
 		if busy {
@@ -98,12 +98,12 @@
 		}
 		return answer, apierror.AnswerGone
 	}
-	tell := &wire.PassTell{}
-	err := gate.env.CallCarrier(carrier, wire.Kind_recall, &wire.RecallAsk{Scope: ask.Scope, Digest: ask.Digest, Try: try}, tell, patience)
-	if err == nil && tell.Refused && apierror.Cause(tell.Cause) == apierror.KeyHeld {
+	tell := &wire.ForwardResponse{}
+	err := gate.env.CallCarrier(carrier, wire.Kind_replay, &wire.ReplayRequest{Scope: ask.Scope, Digest: ask.Digest, Attempt: try}, tell, patience)
+	if err == nil && tell.Rejected && apierror.Cause(tell.Cause) == apierror.KeyHeld {
 		return nil, apierror.KeyHeld
 	}
-	if err != nil || tell.Refused || !Whole(tell) {
+	if err != nil || tell.Rejected || !Whole(tell) {
 		return nil, apierror.AnswerGone
 	}
 	return &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance}, 0
@@ -111,6 +111,6 @@
 
 // free gives a key back after the backend, or this carrier, was certain that nothing ran. If the sorter can't be told,
 // the key stays held: safe, but the caller has to wait.
-func (gate *Gate) free(ask *wire.PassAsk) {
-	_ = gate.env.CallPrimary(wire.Kind_claim_settle, &wire.SettleAsk{Scope: ask.Scope, Try: ask.Try}, &wire.SettleTell{}, monotonic.Second)
+func (gate *Gate) free(ask *wire.ForwardRequest) {
+	_ = gate.env.CallPrimary(wire.Kind_complete_claim, &wire.CompleteClaimRequest{Scope: ask.Scope, Attempt: ask.Attempt}, &wire.CompleteClaimResponse{}, monotonic.Second)
 }
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -97,12 +97,12 @@
 
 // Register adds the handlers.
 func (gate *Gate) Register(table host.Table) {
-	host.Handle(table, wire.Kind_pass, gate.Pass)
-	host.Handle(table, wire.Kind_pass_bulk, gate.Pass)
-	host.Handle(table, wire.Kind_pass_cancel, func(ask *wire.PassCancelAsk) (*wire.PassCancelTell, error) {
-		return &wire.PassCancelTell{Found: gate.Cancel(ask.From, ask.Id)}, nil
+	host.Handle(table, wire.Kind_forward, gate.Pass)
+	host.Handle(table, wire.Kind_forward_bulk, gate.Pass)
+	host.Handle(table, wire.Kind_forward_cancel, func(ask *wire.ForwardCancelRequest) (*wire.ForwardCancelResponse, error) {
+		return &wire.ForwardCancelResponse{Found: gate.Cancel(ask.From, ask.Id)}, nil
 	})
-	host.Handle(table, wire.Kind_recall, func(ask *wire.RecallAsk) (*wire.PassTell, error) {
+	host.Handle(table, wire.Kind_replay, func(ask *wire.ReplayRequest) (*wire.ForwardResponse, error) {
 		answer, busy := gate.recorded(ask.Scope, ask.Digest, recallPatience*4/5)
 		if answer != nil {
 			return answered("", answer), nil
@@ -111,7 +111,7 @@
 		if busy {
 			cause = apierror.KeyHeld
 		}
-		return &wire.PassTell{Refused: true, Cause: uint32(cause), Verdict: string(apierror.MayHaveRun)}, nil
+		return &wire.ForwardResponse{Rejected: true, Cause: uint32(cause), Verdict: string(apierror.MayHaveRun)}, nil
 	})
 }
 
@@ -131,30 +131,30 @@
 }
 
 // checks are made in order before anything is claimed. Each refusal here is certain: nothing ran.
-var checks = []func(gate *Gate, ask *wire.PassAsk) *apierror.Fault{
-	func(gate *Gate, ask *wire.PassAsk) *apierror.Fault {
+var checks = []func(gate *Gate, ask *wire.ForwardRequest) *apierror.Fault{
+	func(gate *Gate, ask *wire.ForwardRequest) *apierror.Fault {
 		if gate.closed.Load() {
 			return apierror.New(apierror.Draining, apierror.NotRun, "carrier %s is stopping", gate.env.Carrier)
 		}
 		return nil
 	},
-	func(gate *Gate, ask *wire.PassAsk) *apierror.Fault {
+	func(gate *Gate, ask *wire.ForwardRequest) *apierror.Fault {
 		if ask.ToIncarnation != gate.env.Incarnation {
 			return apierror.New(apierror.BackendUnknown, apierror.NotRun, "addressed to another life of this carrier")
 		}
 		return nil
 	},
-	func(gate *Gate, _ *wire.PassAsk) *apierror.Fault { return gate.leased() },
-	func(gate *Gate, ask *wire.PassAsk) *apierror.Fault {
+	func(gate *Gate, _ *wire.ForwardRequest) *apierror.Fault { return gate.leased() },
+	func(gate *Gate, ask *wire.ForwardRequest) *apierror.Fault {
 		if gate.env.ServeOn {
 			return nil
 		}
 		serial, age := gate.env.Desk.Serial()
-		if ask.Serial < serial && (ask.Serial+1 < serial || age > olderGrace) {
-			return apierror.New(apierror.SerialOlder, apierror.NotRun, "resolved by serial %d, %d is in force", ask.Serial, serial)
+		if ask.ConfigVersion < serial && (ask.ConfigVersion+1 < serial || age > olderGrace) {
+			return apierror.New(apierror.SerialOlder, apierror.NotRun, "resolved by serial %d, %d is in force", ask.ConfigVersion, serial)
 		}
-		if ask.Serial > serial && !gate.env.Desk.Renew(ask.Serial, min(catchUp, monotonic.Micros(ask.Remaining))) {
-			return apierror.New(apierror.SerialBehind, apierror.NotRun, "resolved by serial %d, this carrier has %d", ask.Serial, serial)
+		if ask.ConfigVersion > serial && !gate.env.Desk.Renew(ask.ConfigVersion, min(catchUp, monotonic.Micros(ask.Remaining))) {
+			return apierror.New(apierror.SerialBehind, apierror.NotRun, "resolved by serial %d, this carrier has %d", ask.ConfigVersion, serial)
 		}
 		return nil
 	},
@@ -169,7 +169,7 @@
 }
 
 // service finds a pass's service in the view that counts from here on: it may have changed since the checks.
-func (gate *Gate) service(ask *wire.PassAsk) (*config.Service, *apierror.Fault) {
+func (gate *Gate) service(ask *wire.ForwardRequest) (*config.Service, *apierror.Fault) {
 	view, _ := gate.env.Desk.Current()
 	if view != nil && view.Services[ask.Service] != nil {
 		return view.Services[ask.Service], nil
@@ -184,21 +184,21 @@
 var telling = map[apierror.Cause]int{apierror.AnswerBroken: eventlog.AnswerBrokenSeen, apierror.BackendIdentity: eventlog.IdentityMismatch}
 
 // Pass handles one request from another carrier, or from this one.
-func (gate *Gate) Pass(ask *wire.PassAsk) (*wire.PassTell, error) {
+func (gate *Gate) Pass(ask *wire.ForwardRequest) (*wire.ForwardResponse, error) {
 	gate.running.Inc()
 	defer func() {
 		if gate.running.Dec() == 0 {
 			gate.idle.Fire()
 		}
 	}()
-	var tell *wire.PassTell
+	var tell *wire.ForwardResponse
 	outcome := gate.last.Run(func(errand *shutdown.Errand) { tell = gate.pass(ask, errand) })
 	if outcome == shutdown.Done {
 		tell.Load = gate.load(ask)
 		return tell, nil
 	}
 	verdict := apierror.MayHaveRun
-	if outcome == shutdown.Unstarted && !ask.Once {
+	if outcome == shutdown.Unstarted && !ask.RunOnce {
 		verdict = apierror.NotRun
 	}
 	return gate.refused(ask, apierror.New(apierror.StoppedUnderWay, verdict, "carrier %s stops, and can't wait any longer", gate.env.Carrier)), nil
@@ -207,7 +207,7 @@
 // GiveUp answers every pass still under way now.
 func (gate *Gate) GiveUp() { gate.last.GiveUp() }
 
-func (gate *Gate) pass(ask *wire.PassAsk, errand *shutdown.Errand) (tell *wire.PassTell) {
+func (gate *Gate) pass(ask *wire.ForwardRequest, errand *shutdown.Errand) (tell *wire.ForwardResponse) {
 	cutoff := gate.env.Place.Now() + monotonic.Micros(ask.Remaining)
 	if gate.byService {
 		ask = proto.CloneOf(ask)
@@ -245,14 +245,14 @@
 	if earlier != nil {
 		return answered(ask.Id, earlier)
 	}
-	if ask.Once {
+	if ask.RunOnce {
 		gate.work.begin(ask.Scope)
 		defer gate.work.end(ask.Scope)
 	}
 	backend, startBy := stay.Backend, stay.startBy
 	order := Order{ID: ask.Id, Backend: backend, Method: ask.Method, Target: ask.Target, Headers: ask.Headers, Body: ask.Body,
-		Fresh: ask.Once || ask.Single, Cutoff: cutoff, AnswerLimit: ask.AnswerLimit}
-	if !ask.Once && !ask.Single {
+		Fresh: ask.RunOnce || ask.AtMostOnce, Cutoff: cutoff, AnswerLimit: ask.AnswerLimit}
+	if !ask.RunOnce && !ask.AtMostOnce {
 		order.Cancelled = cancel.then
 	}
 	order.Still = func() *apierror.Fault {
@@ -285,7 +285,7 @@
 		fault = apierror.New(apierror.NotExecuted, apierror.NotRun, "backend %s answered %d, not executed", backend.Instance, answer.Status)
 	}
 	if fault != nil {
-		if ask.Once && fault.NotRun() {
+		if ask.RunOnce && fault.NotRun() {
 			gate.free(ask)
 		}
 		if number := telling[fault.Cause]; number > 0 {
@@ -294,7 +294,7 @@
 		return gate.refused(ask, fault)
 	}
 	answer.Instance = backend.Instance
-	if ask.Once {
+	if ask.RunOnce {
 		gate.env.Shelf.Put(ask.Scope, ask.Digest, answer)
 	}
 	return answered(ask.Id, answer)
@@ -319,13 +319,13 @@
 
 // sendable tells whether this machine's link can carry the answer in time, as far as the route's answers usually go. Nothing ran
 // where it can't.
-func (gate *Gate) sendable(ask *wire.PassAsk) (size float64, fault *apierror.Fault) {
+func (gate *Gate) sendable(ask *wire.ForwardRequest) (size float64, fault *apierror.Fault) {
 	if ask.From == gate.env.Carrier {
 		return 0, nil
 	}
 	limit := ask.Remaining
-	if ask.Aim > 0 && !ask.Patient {
-		limit = ask.Aim
+	if ask.LatencyTarget > 0 && !ask.MayQueue {
+		limit = ask.LatencyTarget
 	}
 	size, wait, admitted := gate.link.Admit(gate.env.Place.Now(), ask.Route, monotonic.Micros(linkShare*float64(limit)))
 	if admitted {
@@ -336,19 +336,19 @@
 	return 0, fault
 }
 
-func (gate *Gate) refused(ask *wire.PassAsk, fault *apierror.Fault) *wire.PassTell {
+func (gate *Gate) refused(ask *wire.ForwardRequest, fault *apierror.Fault) *wire.ForwardResponse {
 	serial, _ := gate.env.Desk.Serial()
-	return &wire.PassTell{Id: ask.Id, Refused: true, Cause: uint32(fault.Cause), Verdict: string(fault.Verdict), RetryAfter: int64(fault.RetryAfter),
-		BackendFault: fault.Backend, Serial: serial, Detail: fault.Detail}
+	return &wire.ForwardResponse{Id: ask.Id, Rejected: true, Cause: uint32(fault.Cause), Verdict: string(fault.Verdict), RetryAfter: int64(fault.RetryAfter),
+		BackendFault: fault.Backend, ConfigVersion: serial, Detail: fault.Detail}
 }
 
-func answered(id string, answer *request.Answer) *wire.PassTell {
-	return &wire.PassTell{Id: id, Status: answer.Status, Headers: answer.Headers, Body: answer.Body, Length: uint64(len(answer.Body)),
+func answered(id string, answer *request.Answer) *wire.ForwardResponse {
+	return &wire.ForwardResponse{Id: id, Status: answer.Status, Headers: answer.Headers, Body: answer.Body, Length: uint64(len(answer.Body)),
 		Checksum: frame.Checksum(answer.Body), Instance: answer.Instance}
 }
 
 // Whole tells whether a passed answer is what the other side meant to send.
-func Whole(tell *wire.PassTell) bool {
+func Whole(tell *wire.ForwardResponse) bool {
 	return uint64(len(tell.Body)) == tell.Length && frame.Checksum(tell.Body) == tell.Checksum
 }
 
--- a/internal/proxy/admission/standing.go
+++ b/internal/proxy/admission/standing.go
@@ -10,15 +10,15 @@
 )
 
 // visit asks the backend's standing for a request. A caller that has no other backend to go to is let in always.
-func (gate *Gate) visit(ask *wire.PassAsk) (*localbackends.Visit, *apierror.Fault) {
+func (gate *Gate) visit(ask *wire.ForwardRequest) (*localbackends.Visit, *apierror.Fault) {
 	peers := ask.Peers
-	return gate.env.Hutch.Visit(ask.Instance, outlier.Ask{Domain: ask.Domain, Kind: ask.Route, Aim: monotonic.Micros(ask.Aim),
-		Repeatable: !ask.Once && !ask.Single, Insists: ask.Patient,
-		Peers: outlier.Peers{Known: int(peers.GetKnown()), Ejected: int(peers.GetEjected()), Faults: float64(peers.GetFaults()) / 1000, Pace: float64(peers.GetPace()) / 1000}})
+	return gate.env.Hutch.Visit(ask.Instance, outlier.Ask{Domain: ask.Domain, Kind: ask.Route, Aim: monotonic.Micros(ask.LatencyTarget),
+		Repeatable: !ask.RunOnce && !ask.AtMostOnce, Insists: ask.MayQueue,
+		Peers: outlier.Peers{Known: int(peers.GetKnown()), Ejected: int(peers.GetEjected()), Faults: float64(peers.GetFaultRate()) / 1000, Pace: float64(peers.GetLatencyRatio()) / 1000}})
 }
 
 // load tells how the asked backend stands.
-func (gate *Gate) load(ask *wire.PassAsk) *wire.Load {
+func (gate *Gate) load(ask *wire.ForwardRequest) *wire.Load {
 	load := gate.env.Hutch.Load(ask.Instance, ask.Route)
 	gate.env.Hutch.Stand(load, ask.Instance, ask.Domain, ask.Route)
 	return load
--- a/internal/proxy/breaker/wicket.go
+++ b/internal/proxy/breaker/wicket.go
@@ -46,7 +46,7 @@
 // Wicket holds the breakers of all services this carrier calls.
 type Wicket struct {
 	env  Env
-	lane *host.Inbox[*wire.GuardWriteAsk]
+	lane *host.Inbox[*wire.BreakerWriteRequest]
 
 	lock     sync.Mutex
 	breakers map[string]*breaker
@@ -69,11 +69,11 @@
 type breaker struct {
 	lock    sync.Mutex
 	service string
-	shared  *wire.GuardRecord
+	shared  *wire.BreakerRecord
 	window  *window
 	local   local
 	control string
-	terms   *wire.GuardTerms
+	terms   *wire.BreakerSettings
 	calls   uint64
 	failed  uint64
 	told    uint64
@@ -104,7 +104,7 @@
 	if env.RetryMultiplier < 1 {
 		env.RetryMultiplier = 1
 	}
-	return &Wicket{env: env, lane: host.NewInbox[*wire.GuardWriteAsk](env.Place), breakers: map[string]*breaker{}, idle: env.Place.NewSignal()}
+	return &Wicket{env: env, lane: host.NewInbox[*wire.BreakerWriteRequest](env.Place), breakers: map[string]*breaker{}, idle: env.Place.NewSignal()}
 }
 
 func (wicket *Wicket) breaker(service string) *breaker {
@@ -154,7 +154,7 @@
 	state := breakerstore.Closed
 	if breaker.shared != nil {
 		state = breaker.shared.State
-		ticket.serial = breaker.shared.Serial
+		ticket.serial = breaker.shared.Version
 	}
 	breaker.lock.Unlock()
 	if control == ControlForceOpen {
@@ -185,9 +185,9 @@
 		return nil
 	}
 	ticket.probe = fmt.Sprintf("%s-%016x", wicket.env.Carrier, wicket.env.Place.Random())
-	tell := &wire.ProbeLeaseTell{}
-	err := wicket.env.Call(wire.Kind_probe_lease, &wire.ProbeLeaseAsk{Service: breaker.service, Id: ticket.probe,
-		Carrier: wicket.env.Carrier, Incarnation: wicket.env.Incarnation}, tell, leasePatience)
+	tell := &wire.ProbeLeaseResponse{}
+	err := wicket.env.Call(wire.Kind_probe_lease, &wire.ProbeLeaseRequest{Service: breaker.service, Id: ticket.probe,
+		Proxy: wicket.env.Carrier, Incarnation: wicket.env.Incarnation}, tell, leasePatience)
 	if err != nil {
 		wicket.degrade(err)
 		ticket.probe = ""
@@ -195,11 +195,11 @@
 	}
 	wicket.learn(breaker, tell.Record)
 	if tell.Granted {
-		ticket.serial = tell.Record.Serial
+		ticket.serial = tell.Record.Version
 		return nil
 	}
 	if tell.Record != nil && tell.Record.State == breakerstore.Closed {
-		ticket.probe, ticket.serial = "", tell.Record.Serial
+		ticket.probe, ticket.serial = "", tell.Record.Version
 		return wicket.admitLocal(breaker, ticket)
 	}
 	return apierror.New(apierror.NoProbe, apierror.NotRun, "guard of %s has no probe left", breaker.service)
@@ -250,8 +250,8 @@
 		if outcome == Neutral {
 			verb = "return"
 		}
-		wicket.write(&wire.GuardWriteAsk{Service: breaker.service, Verb: verb, ExpectedSerial: ticket.serial,
-			Id: ticket.probe, Success: outcome == Success && !slow, Terms: ticket.service.Terms()})
+		wicket.write(&wire.BreakerWriteRequest{Service: breaker.service, Verb: verb, ExpectedVersion: ticket.serial,
+			Id: ticket.probe, Success: outcome == Success && !slow, Settings: ticket.service.Terms()})
 		return
 	}
 	breaker.lock.Lock()
@@ -281,14 +281,14 @@
 	breaker.window = newWindow(len(breaker.window.ring))
 	serial := uint64(1)
 	if breaker.shared != nil {
-		serial = breaker.shared.Serial
+		serial = breaker.shared.Version
 	}
 	wicket.env.Place.Report(eventlog.GuardLocalTrip, map[string]any{"service": breaker.service})
-	wicket.write(&wire.GuardWriteAsk{Service: breaker.service, Verb: "trip", ExpectedSerial: serial, Terms: breaker.terms})
+	wicket.write(&wire.BreakerWriteRequest{Service: breaker.service, Verb: "trip", ExpectedVersion: serial, Settings: breaker.terms})
 }
 
 // tallyLocal counts a probe of this node's own half-open round. The lock is held.
-func (wicket *Wicket) tallyLocal(breaker *breaker, guard *wire.Guard, outcome Outcome, slow bool) {
+func (wicket *Wicket) tallyLocal(breaker *breaker, guard *wire.Breaker, outcome Outcome, slow bool) {
 	own := &breaker.local
 	if own.state != breakerstore.HalfOpen {
 		return
@@ -313,14 +313,14 @@
 }
 
 // learn takes a shared record, unless a newer one is known. A verdict that changed clears this node's own.
-func (wicket *Wicket) learn(breaker *breaker, record *wire.GuardRecord) {
+func (wicket *Wicket) learn(breaker *breaker, record *wire.BreakerRecord) {
 	if record == nil {
 		return
 	}
 	breaker.lock.Lock()
 	defer breaker.lock.Unlock()
 	present := breaker.shared
-	if present != nil && record.Serial < present.Serial {
+	if present != nil && record.Version < present.Version {
 		return
 	}
 	breaker.shared = record
@@ -329,11 +329,11 @@
 	}
 	breaker.window = newWindow(len(breaker.window.ring))
 	breaker.local = local{state: breakerstore.Closed}
-	wicket.env.Place.Report(eventlog.GuardChanged, map[string]any{"service": breaker.service, "state": record.State, "serial": record.Serial})
+	wicket.env.Place.Report(eventlog.GuardChanged, map[string]any{"service": breaker.service, "state": record.State, "serial": record.Version})
 }
 
 // Polled takes the poll's records, or nothing when the primary wasn't reached.
-func (wicket *Wicket) Polled(records []*wire.GuardRecord, reached bool) {
+func (wicket *Wicket) Polled(records []*wire.BreakerRecord, reached bool) {
 	if !reached {
 		wicket.degrade(apierror.Unreachable.New("poll"))
 		return
@@ -375,8 +375,8 @@
 }
 
 // write puts a write on the lane, or drops it and says so. It never blocks.
-func (wicket *Wicket) write(ask *wire.GuardWriteAsk) {
-	ask.Carrier, ask.Incarnation = wicket.env.Carrier, wicket.env.Incarnation
+func (wicket *Wicket) write(ask *wire.BreakerWriteRequest) {
+	ask.Proxy, ask.Incarnation = wicket.env.Carrier, wicket.env.Incarnation
 	wicket.lock.Lock()
 	gated := wicket.degraded && wicket.env.Place.Now() < wicket.retryAt
 	full := wicket.queued >= wicket.env.LaneLength || wicket.closed
@@ -414,13 +414,13 @@
 	leasePatience = monotonic.Second
 )
 
-func (wicket *Wicket) send(ask *wire.GuardWriteAsk) {
+func (wicket *Wicket) send(ask *wire.BreakerWriteRequest) {
 	if wicket.Degraded() {
 		wicket.env.Place.Report(eventlog.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": true})
 		return
 	}
-	tell := &wire.GuardWriteTell{}
-	if err := wicket.env.Call(wire.Kind_guard_write, ask, tell, writePatience); err != nil {
+	tell := &wire.BreakerWriteResponse{}
+	if err := wicket.env.Call(wire.Kind_breaker_write, ask, tell, writePatience); err != nil {
 		wicket.degrade(err)
 		return
 	}
@@ -432,10 +432,10 @@
 		return
 	}
 	// This node's outcome was the round's last, so it decides, by the thresholds, fenced by the round's serial.
-	decision := &wire.GuardWriteAsk{Service: ask.Service, Verb: "decide", ExpectedSerial: tell.Record.Serial, Decision: breakerstore.Judge(tell.Record),
-		Carrier: wicket.env.Carrier, Incarnation: wicket.env.Incarnation, Terms: ask.Terms}
-	decided := &wire.GuardWriteTell{}
-	if err := wicket.env.Call(wire.Kind_guard_write, decision, decided, writePatience); err != nil {
+	decision := &wire.BreakerWriteRequest{Service: ask.Service, Verb: "decide", ExpectedVersion: tell.Record.Version, Decision: breakerstore.Judge(tell.Record),
+		Proxy: wicket.env.Carrier, Incarnation: wicket.env.Incarnation, Settings: ask.Settings}
+	decided := &wire.BreakerWriteResponse{}
+	if err := wicket.env.Call(wire.Kind_breaker_write, decision, decided, writePatience); err != nil {
 		wicket.degrade(err)
 		return
 	}
@@ -484,7 +484,7 @@
 	for _, breaker := range wicket.all() {
 		breaker.lock.Lock()
 		if calls, asked := breaker.calls-breaker.told, breaker.asked-breaker.reached; calls > 0 || asked > 0 {
-			activity = append(activity, &wire.Activity{Service: breaker.service, Calls: calls, Failures: breaker.failed, Asked: asked})
+			activity = append(activity, &wire.Activity{Service: breaker.service, Calls: calls, Failures: breaker.failed, Attempts: asked})
 			breaker.told, breaker.reached = breaker.calls, breaker.asked
 		}
 		breaker.lock.Unlock()
@@ -511,7 +511,7 @@
 		entry := Shown{Service: breaker.service, Shared: breakerstore.Closed, Local: breaker.local.state, Control: breaker.control,
 			Calls: breaker.calls, Failed: breaker.failed, Window: breaker.window.filled}
 		if breaker.shared != nil {
-			entry.Shared, entry.Serial = breaker.shared.State, breaker.shared.Serial
+			entry.Shared, entry.Serial = breaker.shared.State, breaker.shared.Version
 		}
 		breaker.lock.Unlock()
 		shown = append(shown, entry)
--- a/internal/proxy/breaker/wicket_test.go
+++ b/internal/proxy/breaker/wicket_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-func record(state string, serial uint64) []*wire.GuardRecord {
-	return []*wire.GuardRecord{{Service: "forms", State: state, Serial: serial}}
+func record(state string, serial uint64) []*wire.BreakerRecord {
+	return []*wire.BreakerRecord{{Service: "forms", State: state, Version: serial}}
 }
 
 func TestNoInlineCallWhileClosedOrOpen(t *testing.T) {
@@ -89,7 +89,7 @@
 		scene.expect("calls", len(scene.calls), 0)
 		scene.guard.Polled(record("half_open", 3), true)
 		scene.answer = func(_ wire.Kind, tell proto.Message) error {
-			tell.(*wire.ProbeLeaseTell).Record = record("half_open", 3)[0]
+			tell.(*wire.ProbeLeaseResponse).Record = record("half_open", 3)[0]
 			return nil
 		}
 		scene.expect("no probe left", scene.try(breaker.Success), apierror.NoProbe)
@@ -165,10 +165,10 @@
 	play(t, func(scene *played) {
 		scene.guard.Polled(record("half_open", 2), true)
 		scene.answer = func(kind wire.Kind, tell proto.Message) error {
-			if lease, is := tell.(*wire.ProbeLeaseTell); is {
+			if lease, is := tell.(*wire.ProbeLeaseResponse); is {
 				lease.Granted, lease.Record = true, record("half_open", 2)[0]
 			}
-			if written, is := tell.(*wire.GuardWriteTell); is {
+			if written, is := tell.(*wire.BreakerWriteResponse); is {
 				written.Record = record("half_open", 2)[0]
 			}
 			return nil
@@ -181,7 +181,7 @@
 		scene.guard.Close(5 * monotonic.Second)
 		written := 0
 		for _, kind := range scene.calls {
-			if kind == wire.Kind_guard_write {
+			if kind == wire.Kind_breaker_write {
 				written++
 			}
 		}
@@ -209,7 +209,7 @@
 	} {
 		play(t, func(scene *played) {
 			view := config.Compile(&wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}},
-				Guard: &wire.Guard{WindowCalls: proto.Uint32(10), MinimumCalls: proto.Uint32(5)}}}}, 1, "")
+				Guard: &wire.Breaker{WindowCalls: proto.Uint32(10), MinimumCalls: proto.Uint32(5)}}}}, 1, "")
 			scene.service = view.Services["forms"]
 			under, _ := scene.guard.Admit(scene.service)
 			for range 4 {
--- a/internal/proxy/carrier.go
+++ b/internal/proxy/carrier.go
@@ -53,7 +53,7 @@
 	Silence monotonic.Micros
 }
 
-// Carrier puts the parts together. Invariant: incarnation is new in every life of the process.
+// Proxy puts the parts together. Invariant: incarnation is new in every life of the process.
 type Carrier struct {
 	env         Env
 	incarnation uint64
@@ -78,7 +78,7 @@
 	carrier.Hutch = localbackends.New(env.Place, carrier.Roll.Soon)
 	carrier.Wicket = breaker.New(breaker.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Call: carrier.callPrimaryOnce})
 	carrier.Roll.Activity = carrier.Wicket.Activity
-	carrier.Roll.Guards = func(records []*wire.GuardRecord, reached bool) { carrier.Wicket.Polled(records, reached) }
+	carrier.Roll.Guards = func(records []*wire.BreakerRecord, reached bool) { carrier.Wicket.Polled(records, reached) }
 	carrier.Rota = singleton.New(singleton.Env{Place: env.Place, Carrier: env.Name, Present: carrier.Hutch.Present, CallPrimary: carrier.Roll.CallPrimary})
 	carrier.Purse = retry.New(env.Place, carrier.Roll.Share)
 	shelf := replay.New(env.Place)
@@ -116,8 +116,8 @@
 
 func (carrier *Carrier) session() *wire.Session {
 	serial, _ := carrier.Desk.Serial()
-	return &wire.Session{Carrier: carrier.env.Name, Incarnation: carrier.incarnation, Address: carrier.env.Address, Domain: carrier.env.Domain,
-		Backends: carrier.Hutch.Told(), Leaving: carrier.leaving.Load(), DesiredSerial: serial, Release: release.Version}
+	return &wire.Session{Proxy: carrier.env.Name, Incarnation: carrier.incarnation, Address: carrier.env.Address, Domain: carrier.env.Domain,
+		Backends: carrier.Hutch.Told(), Leaving: carrier.leaving.Load(), ConfigVersion: serial, Release: release.Version}
 }
 
 func (carrier *Carrier) callPrimaryOnce(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
@@ -151,7 +151,7 @@
 }
 
 // Moment is a moment of holder time that has certainly passed.
-func (carrier *Carrier) Moment() *wire.HolderMoment { return carrier.Roll.Moment() }
+func (carrier *Carrier) Moment() *wire.LeaderTimestamp { return carrier.Roll.Moment() }
 
 // Now reads this carrier's clock.
 func (carrier *Carrier) Now() monotonic.Micros { return carrier.env.Place.Now() }
--- a/internal/proxy/configclient/desk.go
+++ b/internal/proxy/configclient/desk.go
@@ -99,7 +99,7 @@
 	return desk.view, desk.view != nil && (desk.untenured || desk.env.ServeOn && !desk.released && !desk.doubted() || desk.place.Now() < desk.until && !desk.env.Vigil.Behind())
 }
 
-// Serial is the adopted serial and how long ago it was adopted.
+// Version is the adopted serial and how long ago it was adopted.
 func (desk *Desk) Serial() (serial uint64, age monotonic.Micros) {
 	desk.lock.Lock()
 	defer desk.lock.Unlock()
@@ -184,29 +184,29 @@
 	patience := max(desk.hold, monotonic.Second) + contentPatience
 	desk.lock.Unlock()
 	asked := desk.place.Now()
-	tell := &wire.DesiredPollTell{}
-	ask := &wire.DesiredPollAsk{Carrier: desk.env.Carrier, Incarnation: desk.env.Incarnation, Have: have, First: first, Whole: desk.whole, Packs: true}
+	tell := &wire.ConfigPollResponse{}
+	ask := &wire.ConfigPollRequest{Proxy: desk.env.Carrier, Incarnation: desk.env.Incarnation, CurrentVersion: have, First: first, Full: desk.whole, AcceptsCompressed: true}
 	if desk.set != nil && have > 0 {
 		ask.Digest = desk.set.Digest()
 	}
-	err := desk.book.Call(name, wire.Kind_desired_poll, ask, tell, patience)
+	err := desk.book.Call(name, wire.Kind_config_poll, ask, tell, patience)
 	if err != nil {
 		desk.book.Ask()
 		return false
 	}
 	desk.book.Hint(tell.Primaries)
 	if err := unpack(tell); err != nil {
-		desk.place.Report(eventlog.DesiredRefused, map[string]any{"serial": tell.Serial, "error": err.Error()})
+		desk.place.Report(eventlog.DesiredRefused, map[string]any{"serial": tell.Version, "error": err.Error()})
 		return false
 	}
 	if !tell.Primary {
-		if have == 0 && desk.env.ServeOn && tell.Serial > serial {
+		if have == 0 && desk.env.ServeOn && tell.Version > serial {
 			desk.adopt(tell, 0)
 		}
 		desk.book.Ask()
 		return false
 	}
-	return desk.adopt(tell, asked+monotonic.Micros(tell.Tenure))
+	return desk.adopt(tell, asked+monotonic.Micros(tell.Lease))
 }
 
 // knockPatience is how long a postmaster that wasn't reached may take to answer that it's there.
@@ -215,8 +215,8 @@
 // knock asks a postmaster that wasn't reached, or didn't lead, whether it's there, before it's polled again. A poll is waited for as long as
 // a large content may take; who is cut off would come back that much later.
 func (desk *Desk) knock(name string) bool {
-	tell := &wire.WhoisTell{}
-	if desk.book.Call(name, wire.Kind_whois, &wire.WhoisAsk{}, tell, knockPatience) != nil {
+	tell := &wire.DiscoverResponse{}
+	if desk.book.Call(name, wire.Kind_discover, &wire.DiscoverRequest{}, tell, knockPatience) != nil {
 		return false
 	}
 	desk.book.Hint(tell.Primaries)
@@ -227,15 +227,15 @@
 const contentPatience = 1500 * monotonic.Millisecond
 
 // unpack restores a content that came packed. No content is longer than what a postmaster takes.
-func unpack(tell *wire.DesiredPollTell) error {
-	if len(tell.Packed) == 0 {
+func unpack(tell *wire.ConfigPollResponse) error {
+	if len(tell.Compressed) == 0 {
 		return nil
 	}
-	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(tell.Packed)), config.Longest+1))
+	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(tell.Compressed)), config.Longest+1))
 	if err == nil && len(content) > config.Longest {
 		err = errors.New("longer than any content that is taken")
 	}
-	tell.Content, tell.Packed = content, nil
+	tell.Content, tell.Compressed = content, nil
 	return err
 }
 
@@ -264,7 +264,7 @@
 }
 
 // next makes the next version of a difference; the version in force isn't touched.
-func (desk *Desk) next(tell *wire.DesiredPollTell) (*adoption, error) {
+func (desk *Desk) next(tell *wire.ConfigPollResponse) (*adoption, error) {
 	if desk.set == nil {
 		return nil, changes.ErrBase
 	}
@@ -272,7 +272,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if step.Version != tell.Serial {
+	if step.Version != tell.Version {
 		return nil, fmt.Errorf("%w: it leads to %d", changes.ErrDigest, step.Version)
 	}
 	view, err := desk.view.With(step.Change, step.Version, step.ContentDigest)
@@ -283,51 +283,51 @@
 }
 
 // anew makes the next version of a whole content. What doesn't differ from the version in force keeps its objects all the same.
-func (desk *Desk) anew(state *wire.DesiredState, tell *wire.DesiredPollTell) *adoption {
+func (desk *Desk) anew(state *wire.DesiredState, tell *wire.ConfigPollResponse) *adoption {
 	fresh := &adoption{taken: func(taken *Taken) { taken.Wholes++ }}
 	digest := config.Digest(tell.Content)
 	fresh.set, _ = changes.Read(state) // one that is no set is taken as it is, and differences aren't asked for
 	if fresh.set != nil && desk.set != nil {
 		difference := changes.Diff(desk.set, fresh.set)
 		fresh.resources = len(difference.Added) + len(difference.Changed) + len(difference.Removed)
-		fresh.view, _ = desk.view.With(changes.Change(desk.set, difference), tell.Serial, digest)
+		fresh.view, _ = desk.view.With(changes.Change(desk.set, difference), tell.Version, digest)
 	}
 	if fresh.view == nil {
-		fresh.view = config.Compile(state, tell.Serial, digest)
+		fresh.view = config.Compile(state, tell.Version, digest)
 	}
 	return fresh
 }
 
-func (desk *Desk) adopt(tell *wire.DesiredPollTell, until monotonic.Micros) bool {
+func (desk *Desk) adopt(tell *wire.ConfigPollResponse, until monotonic.Micros) bool {
 	var fresh *adoption
 	serial, _ := desk.Serial()
 	if tell.Primary && desk.heard > 0 {
 		serial = 0 // a copy may have told of a version that was never acknowledged
 	}
-	if tell.Serial < serial {
+	if tell.Version < serial {
 		return false // never back to an older one
 	}
-	if tell.Serial > serial && len(tell.Difference) > 0 {
+	if tell.Version > serial && len(tell.Difference) > 0 {
 		next, err := desk.next(tell)
 		if err != nil {
 			desk.whole = true
 			desk.lock.Lock()
 			desk.taken.Refused++
 			desk.lock.Unlock()
-			desk.place.Report(eventlog.DifferenceRefused, map[string]any{"serial": tell.Serial, "have": serial, "bytes": len(tell.Difference), "error": err.Error()})
+			desk.place.Report(eventlog.DifferenceRefused, map[string]any{"serial": tell.Version, "have": serial, "bytes": len(tell.Difference), "error": err.Error()})
 			return true // the next poll, at once, asks for the whole; nothing is renewed until then
 		}
 		fresh = next
-	} else if tell.Serial > serial {
+	} else if tell.Version > serial {
 		state, faults := desk.env.Read(tell.Content)
 		if len(faults) > 0 {
-			desk.place.Report(eventlog.DesiredRefused, map[string]any{"serial": tell.Serial, "error": faults[0].String(), "faults": len(faults)})
+			desk.place.Report(eventlog.DesiredRefused, map[string]any{"serial": tell.Version, "error": faults[0].String(), "faults": len(faults)})
 			return false
 		}
 		fresh = desk.anew(state, tell)
 	}
 	desk.lock.Lock()
-	desk.hold = monotonic.Micros(tell.Hold)
+	desk.hold = monotonic.Micros(tell.LongPoll)
 	if fresh != nil {
 		desk.view, desk.adopted, desk.set, desk.whole = fresh.view, desk.place.Now(), fresh.set, false
 		if tell.Primary {
@@ -363,7 +363,7 @@
 	desk.released, desk.until = true, 0
 	desk.lock.Unlock()
 	if name := desk.book.Leader(postmasters); name != "" {
-		_ = desk.book.Call(name, wire.Kind_desired_poll, &wire.DesiredPollAsk{Carrier: desk.env.Carrier, Incarnation: desk.env.Incarnation, Release: true}, &wire.DesiredPollTell{}, patience)
+		_ = desk.book.Call(name, wire.Kind_config_poll, &wire.ConfigPollRequest{Proxy: desk.env.Carrier, Incarnation: desk.env.Incarnation, Release: true}, &wire.ConfigPollResponse{}, patience)
 	}
 }
 
--- a/internal/proxy/forward/ailing_test.go
+++ b/internal/proxy/forward/ailing_test.go
@@ -139,7 +139,7 @@
 		choices.stands(directory, "forms", candidate.Instance, load)
 	}()
 	visit, fault := keeper.Visit(candidate.Instance, outlier.Ask{Domain: choices.domain, Kind: "forms", Aim: began + 400*ms - place.Now(), Repeatable: true, Insists: last || ailing.without,
-		Peers: outlier.Peers{Known: int(peers.Known), Ejected: int(peers.Ejected), Faults: float64(peers.Faults) / 1000, Pace: float64(peers.Pace) / 1000}})
+		Peers: outlier.Peers{Known: int(peers.Known), Ejected: int(peers.Ejected), Faults: float64(peers.FaultRate) / 1000, Pace: float64(peers.LatencyRatio) / 1000}})
 	if fault != nil {
 		if fault.Cause == apierror.BackendAiling {
 			choices.shun(candidate.Instance)
--- a/internal/proxy/forward/left.go
+++ b/internal/proxy/forward/left.go
@@ -48,8 +48,8 @@
 		passage.env.Gate.Cancel(passage.env.Carrier, under.id)
 		return
 	}
-	ask := &wire.PassCancelAsk{Id: under.id, From: passage.env.Carrier}
-	_ = passage.env.Place.Call(under.candidate.Address, wire.Kind_pass_cancel, ask, &wire.PassCancelTell{}, cancelPatience)
+	ask := &wire.ForwardCancelRequest{Id: under.id, From: passage.env.Carrier}
+	_ = passage.env.Place.Call(under.candidate.Address, wire.Kind_forward_cancel, ask, &wire.ForwardCancelResponse{}, cancelPatience)
 }
 
 // sending notes that a pass is under way, unless the caller has left already.
--- a/internal/proxy/forward/moves_test.go
+++ b/internal/proxy/forward/moves_test.go
@@ -155,7 +155,7 @@
 		}
 		tell := func(instance string, running, waiting uint32, work monotonic.Micros) {
 			choices.inFlight[instance] = 1 // the pass that brings it
-			choices.heard(instance, "", &wire.Load{Slots: 6, Running: running, Waiting: waiting, WorkMicros: int64(work)})
+			choices.heard(instance, "", &wire.Load{Slots: 6, Running: running, Waiting: waiting, ServiceMicros: int64(work)})
 			delete(choices.inFlight, instance)
 		}
 		for range 30 {
@@ -210,7 +210,7 @@
 		}
 		tell := func(instance, route string, work, own monotonic.Micros) {
 			choices.inFlight[instance] = 1 // the pass that brings it
-			choices.heard(instance, route, &wire.Load{Slots: 6, Running: 1, WorkMicros: int64(work), RouteMicros: int64(own)})
+			choices.heard(instance, route, &wire.Load{Slots: 6, Running: 1, ServiceMicros: int64(work), RouteMicros: int64(own)})
 			delete(choices.inFlight, instance)
 		}
 		for range 30 {
@@ -247,8 +247,8 @@
 		choices := newChooser(place, "a", false, 20*ms)
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{"packs": {{Carrier: "home", Instance: "home", Domain: "a", Slots: 2}, {Carrier: "away", Instance: "away", Domain: "b", Slots: 2}}}}
 		choices.inFlight["home"] = 1
-		choices.heard("home", "", &wire.Load{Slots: 2, Running: 2, Waiting: 12, WorkMicros: int64(100 * ms)})
-		choices.heard("away", "", &wire.Load{Slots: 2, WorkMicros: int64(100 * ms)})
+		choices.heard("home", "", &wire.Load{Slots: 2, Running: 2, Waiting: 12, ServiceMicros: int64(100 * ms)})
+		choices.heard("away", "", &wire.Load{Slots: 2, ServiceMicros: int64(100 * ms)})
 		pick := func(route string, avoid map[string]bool) (string, bool) {
 			candidate, last, leave, _ := choices.choose(directory, wish{service: "packs", route: route, aim: 100 * ms, avoid: avoid})
 			leave()
--- a/internal/proxy/forward/passage.go
+++ b/internal/proxy/forward/passage.go
@@ -80,7 +80,7 @@
 	Path    config.Path
 	Service *config.Service
 	Once    bool
-	// Single: it may run at most once and nothing is claimed for it, so it's only tried again when certain that it has not run.
+	// AtMostOnce: it may run at most once and nothing is claimed for it, so it's only tried again when certain that it has not run.
 	Single bool
 	Scope  string
 	Digest []byte
@@ -114,7 +114,7 @@
 	place := passage.env.Place
 	for _, owed := range passage.choices.quiet() {
 		place.Go(func() {
-			err := place.Call(owed.address, wire.Kind_whois, &wire.WhoisAsk{Sign: true}, &wire.WhoisTell{}, max(leastSign, passage.choices.silence*5/7))
+			err := place.Call(owed.address, wire.Kind_discover, &wire.DiscoverRequest{HealthCheck: true}, &wire.DiscoverResponse{}, max(leastSign, passage.choices.silence*5/7))
 			if err != nil {
 				place.Report(eventlog.CarrierQuiet, map[string]any{"address": owed.address, "error": err.Error()})
 			}
@@ -312,14 +312,14 @@
 		ticket.Done(breaker.Neutral)
 		return nil, apierror.New(apierror.CutoffReached, apierror.NotRun, "the cutoff was reached before the pass"), false
 	}
-	ask := &wire.PassAsk{Id: trip.Request.ID + "." + strconv.Itoa(trip.Tries), Serial: trip.View.Serial, Service: trip.Service.Name,
+	ask := &wire.ForwardRequest{Id: trip.Request.ID + "." + strconv.Itoa(trip.Tries), ConfigVersion: trip.View.Serial, Service: trip.Service.Name,
 		Instance: candidate.Instance, Method: trip.Method, Target: trip.Address.Target, Headers: trip.Request.Headers,
-		Body: trip.Request.Body, Once: trip.Once, Scope: trip.Scope, Digest: trip.Digest, Remaining: int64(remaining),
-		ReadAt: trip.Request.ReadAt, Number: uint32(trip.Tries), From: passage.env.Carrier, ToIncarnation: candidate.Incarnation,
-		AnswerLimit: trip.Service.Limits.GetAnswerBytes(), Priority: trip.Path.Priority, Aim: trip.aim(place.Now()), Single: trip.Single, Patient: trip.last, Route: trip.Path.Name,
+		Body: trip.Request.Body, RunOnce: trip.Once, Scope: trip.Scope, Digest: trip.Digest, Remaining: int64(remaining),
+		ReadAt: trip.Request.ReadAt, AttemptNumber: uint32(trip.Tries), From: passage.env.Carrier, ToIncarnation: candidate.Incarnation,
+		AnswerLimit: trip.Service.Limits.GetAnswerBytes(), Priority: trip.Path.Priority, LatencyTarget: trip.aim(place.Now()), AtMostOnce: trip.Single, MayQueue: trip.last, Route: trip.Path.Name,
 		Domain: passage.env.Domain, Peers: passage.choices.beside(passage.env.Roll.Directory(), trip.Service.Name, candidate.Instance)}
 	if trip.Once {
-		ask.Try = admission.TryOf(passage.env.Carrier, place.Random())
+		ask.Attempt = admission.TryOf(passage.env.Carrier, place.Random())
 	}
 	if !trip.errand.Start() {
 		ticket.Done(breaker.Neutral)
@@ -340,11 +340,11 @@
 	}
 	passage.choices.heard(candidate.Instance, trip.Path.Name, tell.Load)
 	own := passage.choices.stands(passage.env.Roll.Directory(), trip.Service.Name, candidate.Instance, tell.Load)
-	if tell.Id != ask.Id || !tell.Refused && !admission.Whole(tell) {
+	if tell.Id != ask.Id || !tell.Rejected && !admission.Whole(tell) {
 		ticket.Done(breaker.Neutral)
 		return nil, apierror.New(apierror.AnswerUnmatched, apierror.MayHaveRun, "the answer to pass %s is not whole or not its own", ask.Id), !trip.Once && !trip.Single
 	}
-	if tell.Refused {
+	if tell.Rejected {
 		return passage.turnedDown(trip, ticket, candidate, tell, own)
 	}
 	passage.choices.sized(trip.Path.Name, len(ask.Body)+len(tell.Body))
@@ -362,14 +362,14 @@
 }
 
 // send passes a request on; to this carrier's own gate without a connection.
-func (passage *Passage) send(candidate session.Candidate, ask *wire.PassAsk, patience monotonic.Micros) (*wire.PassTell, error) {
+func (passage *Passage) send(candidate session.Candidate, ask *wire.ForwardRequest, patience monotonic.Micros) (*wire.ForwardResponse, error) {
 	if candidate.Carrier == passage.env.Carrier && candidate.Incarnation == passage.env.Incarnation {
 		return passage.env.Gate.Pass(ask)
 	}
-	tell := &wire.PassTell{}
-	kind := wire.Kind_pass
+	tell := &wire.ForwardResponse{}
+	kind := wire.Kind_forward
 	if passage.choices.bulky(ask.Route) {
-		kind = wire.Kind_pass_bulk
+		kind = wire.Kind_forward_bulk
 	}
 	return tell, passage.env.Place.Call(candidate.Address, kind, ask, tell, patience)
 }
--- a/internal/proxy/forward/peers.go
+++ b/internal/proxy/forward/peers.go
@@ -26,13 +26,13 @@
 // peers is what a service's backends are like, for the gates to judge their own by. Invariant: neither message changes once made.
 type peers struct {
 	at            monotonic.Micros
-	beside, among *wire.Peers // as a backend that isn't ejected, and as one that is, should hear of the others
+	beside, among *wire.PeerStatistics // as a backend that isn't ejected, and as one that is, should hear of the others
 }
 
 // stands takes a told standing. It tells whether what comes of a request there is that backend's own trouble, of which its gate sees
 // to it that few requests have it: it's ejected, and no more of its service are than may be. Else it's the service's guard's business.
 func (chooser *chooser) stands(directory *session.Directory, service, instance string, load *wire.Load) (own bool) {
-	if load == nil || load.Pace == 0 {
+	if load == nil || load.LatencyRatio == 0 {
 		return false
 	}
 	chooser.lock.Lock()
@@ -49,7 +49,7 @@
 		chooser.standings[instance] = present
 	}
 	changed := present.ejected != load.Ejected
-	*present = standing{faults: load.Faults, pace: load.Pace, ejected: load.Ejected, at: chooser.place.Now()}
+	*present = standing{faults: load.FaultRate, pace: load.LatencyRatio, ejected: load.Ejected, at: chooser.place.Now()}
 	if changed {
 		delete(chooser.peers, service)
 	}
@@ -61,7 +61,7 @@
 }
 
 // beside is what the other backends of a service are like.
-func (chooser *chooser) beside(directory *session.Directory, service, instance string) *wire.Peers {
+func (chooser *chooser) beside(directory *session.Directory, service, instance string) *wire.PeerStatistics {
 	chooser.lock.Lock()
 	defer chooser.lock.Unlock()
 	known := chooser.others(directory, service)
@@ -97,12 +97,12 @@
 		}
 	}
 	others := uint32(max(0, len(candidates)-1))
-	beside := &wire.Peers{Known: others, Ejected: min(ejected, others), Pace: 1000}
+	beside := &wire.PeerStatistics{Known: others, Ejected: min(ejected, others), LatencyRatio: 1000}
 	if len(faults) > 0 {
 		slices.Sort(faults)
 		slices.Sort(paces)
-		beside.Faults, beside.Pace = faults[len(faults)/2], paces[len(paces)/2]
+		beside.FaultRate, beside.LatencyRatio = faults[len(faults)/2], paces[len(paces)/2]
 	}
-	among := &wire.Peers{Known: others, Ejected: max(1, ejected) - 1, Faults: beside.Faults, Pace: beside.Pace}
+	among := &wire.PeerStatistics{Known: others, Ejected: max(1, ejected) - 1, FaultRate: beside.FaultRate, LatencyRatio: beside.LatencyRatio}
 	return &peers{at: now, beside: beside, among: among}
 }
--- a/internal/proxy/forward/readings.go
+++ b/internal/proxy/forward/readings.go
@@ -59,7 +59,7 @@
 		chooser.readings[instance] = present
 	}
 	present.usual += (others - present.usual) / usualMemory
-	present.slots, present.work, present.others, present.at = float64(load.Slots), float64(load.WorkMicros), others, chooser.place.Now()
+	present.slots, present.work, present.others, present.at = float64(load.Slots), float64(load.ServiceMicros), others, chooser.place.Now()
 	if _, known := present.routes[route]; load.RouteMicros > 0 && (known || len(present.routes) < mostRoutes) {
 		present.routes[route] = float64(load.RouteMicros)
 	}
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -13,7 +13,7 @@
 )
 
 // lost handles a pass without an answer. A run-once pass is voided first: void means proof that it has not run and won't.
-func (passage *Passage) lost(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, ask *wire.PassAsk, cause error) (*request.Answer, *apierror.Fault, bool) {
+func (passage *Passage) lost(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, ask *wire.ForwardRequest, cause error) (*request.Answer, *apierror.Fault, bool) {
 	passage.choices.shun(candidate.Carrier)
 	ticket.Done(breaker.Neutral)
 	if apierror.IsUnreachable(cause) {
@@ -26,14 +26,14 @@
 		}
 		return nil, fault, !trip.Single
 	}
-	if passage.void(trip, ask.Try, false) == idempotency.Voided {
+	if passage.void(trip, ask.Attempt, false) == idempotency.Voided {
 		return nil, apierror.New(apierror.PassLost, apierror.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
 	}
 	return nil, apierror.New(apierror.PassLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
 }
 
 // turnedDown handles a refusal by the server's side.
-func (passage *Passage) turnedDown(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, tell *wire.PassTell, own bool) (*request.Answer, *apierror.Fault, bool) {
+func (passage *Passage) turnedDown(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, tell *wire.ForwardResponse, own bool) (*request.Answer, *apierror.Fault, bool) {
 	fault := &apierror.Fault{Cause: apierror.Cause(tell.Cause), Verdict: apierror.Verdict(tell.Verdict), RetryAfter: monotonic.Micros(tell.RetryAfter),
 		Detail: tell.Detail, Backend: tell.BackendFault, Measured: apierror.Cause(tell.Cause) == apierror.Overloaded && tell.Load.GetSlots() > 0}
 	outcome := breaker.Neutral
@@ -54,15 +54,15 @@
 
 // void asks the sorter to make sure a try never runs. With fence it closes the key to every request read before now.
 func (passage *Passage) void(trip *Trip, try string, fence bool) string {
-	tell := &wire.VoidTell{}
+	tell := &wire.VoidClaimResponse{}
 	patience := min(max(trip.Cutoff-passage.env.Place.Now(), 300*monotonic.Millisecond), voidPatience)
-	err := passage.env.CallPrimary(wire.Kind_void, &wire.VoidAsk{Scope: trip.Scope, Digest: trip.Digest, Try: try, Fence: fence}, tell, patience)
+	err := passage.env.CallPrimary(wire.Kind_void_claim, &wire.VoidClaimRequest{Scope: trip.Scope, Digest: trip.Digest, Attempt: try, Fence: fence}, tell, patience)
 	if err != nil {
 		return ""
 	}
 	if tell.Fence != nil {
 		// The caller may come back at once, to this carrier: what it sends then was read after the fence.
-		passage.env.Roll.Learn(&wire.HolderMoment{Epoch: tell.Fence.Epoch, Time: tell.Fence.Time + 1})
+		passage.env.Roll.Learn(&wire.LeaderTimestamp{Epoch: tell.Fence.Epoch, Time: tell.Fence.Time + 1})
 	}
 	return tell.Outcome
 }
--- a/internal/proxy/localbackends/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -147,10 +147,10 @@
 	if present == nil {
 		return nil
 	}
-	load := &wire.Load{Slots: present.slots.Count(), Running: uint32(present.slots.Taken()), Waiting: uint32(present.slots.Waiting()), WarmMicros: int64(hutch.warm(present)),
+	load := &wire.Load{Slots: present.slots.Count(), Running: uint32(present.slots.Taken()), Waiting: uint32(present.slots.Waiting()), SlowStartMicros: int64(hutch.warm(present)),
 		RouteMicros: int64(present.slots.WorkOf(kind))}
 	if present.slots.Measured() {
-		load.WorkMicros = int64(present.slots.Work())
+		load.ServiceMicros = int64(present.slots.Work())
 	}
 	return load
 }
--- a/internal/proxy/localbackends/hutch.go
+++ b/internal/proxy/localbackends/hutch.go
@@ -251,7 +251,7 @@
 			condition = "overdue"
 		}
 		backends = append(backends, &wire.Backend{Service: present.Service, Instance: present.Instance, Address: present.Address,
-			Condition: condition, InFlight: uint32(present.slots.Running()), Slots: present.slots.Count(), Warm: int64(hutch.warm(present))})
+			Condition: condition, InFlight: uint32(present.slots.Running()), Slots: present.slots.Count(), SlowStart: int64(hutch.warm(present))})
 	}
 	return backends
 }
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -99,11 +99,11 @@
 		report.Warmup = 3 * monotonic.Second
 		_, _ = backends.Tell(report)
 		place.Sleep(monotonic.Second)
-		if load := backends.Load("one", ""); load.WarmMicros > int64(2*monotonic.Second) || load.WarmMicros < int64(1900*monotonic.Millisecond) {
-			t.Errorf("%d left", load.WarmMicros)
+		if load := backends.Load("one", ""); load.SlowStartMicros > int64(2*monotonic.Second) || load.SlowStartMicros < int64(1900*monotonic.Millisecond) {
+			t.Errorf("%d left", load.SlowStartMicros)
 		}
 		place.Sleep(3 * monotonic.Second)
-		if load := backends.Load("one", ""); load.WarmMicros != 0 || load.Slots != 6 {
+		if load := backends.Load("one", ""); load.SlowStartMicros != 0 || load.Slots != 6 {
 			t.Errorf("%v", load)
 		}
 	})
--- a/internal/proxy/localbackends/standing.go
+++ b/internal/proxy/localbackends/standing.go
@@ -73,10 +73,10 @@
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	if present := hutch.entries[instance]; present != nil && load != nil {
-		load.Faults, load.Pace = thousandths(present.standing.Faults(domain)), thousandths(present.standing.Pace())
+		load.FaultRate, load.LatencyRatio = thousandths(present.standing.Faults(domain)), thousandths(present.standing.Pace())
 		load.Ejected = present.standing.Ejected(domain)
 		if usual := present.standing.Usual(); load.Ejected && usual > 0 {
-			load.WorkMicros, load.RouteMicros = int64(usual), int64(present.standing.UsualOf(route)) // its gate keeps requests away, but some must come to find out when it's well
+			load.ServiceMicros, load.RouteMicros = int64(usual), int64(present.standing.UsualOf(route)) // its gate keeps requests away, but some must come to find out when it's well
 		}
 	}
 }
--- a/internal/proxy/request/letter.go
+++ b/internal/proxy/request/letter.go
@@ -35,7 +35,7 @@
 	// Alone has a refusal speak of this request only, not of its key: a later request with the key may still run.
 	Alone bool
 	// ReadAt is the latest moment of holder time that this carrier knew had passed when it read the request.
-	ReadAt *wire.HolderMoment
+	ReadAt *wire.LeaderTimestamp
 	// Left has something happen, on a task of its own, when the caller closes its connection before it was answered; stop ends that. Nil where that
 	// can't be known.
 	Left func(happen func()) (stop func() bool)
--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -61,15 +61,21 @@
 
 // parts give the part of a batch's command, and of its result, that is of a kind. Kinds without one go alone.
 var parts = map[wire.Kind]struct {
-	command func(ask proto.Message) *wire.SorterCommand
-	result  func(result *wire.SorterResult) proto.Message
+	command func(ask proto.Message) *wire.RegistryCommand
+	result  func(result *wire.RegistryResult) proto.Message
 }{
-	wire.Kind_claim: {func(ask proto.Message) *wire.SorterCommand { return &wire.SorterCommand{Claim: ask.(*wire.ClaimAsk)} },
-		func(result *wire.SorterResult) proto.Message { return result.GetClaim() }},
-	wire.Kind_void: {func(ask proto.Message) *wire.SorterCommand { return &wire.SorterCommand{Void: ask.(*wire.VoidAsk)} },
-		func(result *wire.SorterResult) proto.Message { return result.GetVoid() }},
-	wire.Kind_claim_settle: {func(ask proto.Message) *wire.SorterCommand { return &wire.SorterCommand{Settle: ask.(*wire.SettleAsk)} },
-		func(result *wire.SorterResult) proto.Message { return result.GetSettle() }},
+	wire.Kind_claim: {func(ask proto.Message) *wire.RegistryCommand {
+		return &wire.RegistryCommand{Claim: ask.(*wire.ClaimRequest)}
+	},
+		func(result *wire.RegistryResult) proto.Message { return result.GetClaim() }},
+	wire.Kind_void_claim: {func(ask proto.Message) *wire.RegistryCommand {
+		return &wire.RegistryCommand{Void: ask.(*wire.VoidClaimRequest)}
+	},
+		func(result *wire.RegistryResult) proto.Message { return result.GetVoid() }},
+	wire.Kind_complete_claim: {func(ask proto.Message) *wire.RegistryCommand {
+		return &wire.RegistryCommand{Complete: ask.(*wire.CompleteClaimRequest)}
+	},
+		func(result *wire.RegistryResult) proto.Message { return result.GetComplete() }},
 }
 
 // call has an ask answered by the primary, within patience. An error that is lost says that a primary may have taken it.
@@ -214,12 +220,12 @@
 		}
 		return err
 	}
-	ask := &wire.SorterBatchAsk{}
+	ask := &wire.RegistryBatchRequest{}
 	for _, pending := range calls {
 		ask.Commands = append(ask.Commands, parts[pending.kind].command(pending.ask))
 	}
-	tell, began := &wire.SorterBatchTell{}, batches.roll.place.Now()
-	if err := batches.roll.callWhileLeading(name, wire.Kind_sorter_batch, ask, tell, messagePatience); err != nil {
+	tell, began := &wire.RegistryBatchResponse{}, batches.roll.place.Now()
+	if err := batches.roll.callWhileLeading(name, wire.Kind_registry_batch, ask, tell, messagePatience); err != nil {
 		now := batches.roll.place.Now()
 		if name == batches.roll.book.Leader(sorters) && now-began < slowAnswer && !apierror.IsUnreachable(err) {
 			batches.lock.Lock()
@@ -230,7 +236,7 @@
 	}
 	var refusal error
 	for index, pending := range calls {
-		outcome := &wire.SorterOutcome{Fault: "it answered too few"}
+		outcome := &wire.RegistryOutcome{Error: "it answered too few"}
 		if index < len(tell.Outcomes) {
 			outcome = tell.Outcomes[index]
 		}
@@ -238,9 +244,9 @@
 			batches.end(pending, answer)
 			continue
 		}
-		refusal = apierror.Refused.New("%s: %s", name, outcome.Fault)
+		refusal = apierror.Refused.New("%s: %s", name, outcome.Error)
 		batches.lock.Lock()
-		pending.err, pending.taken = refusal, pending.taken || !outcome.Untaken
+		pending.err, pending.taken = refusal, pending.taken || !outcome.Rejected
 		batches.lock.Unlock()
 	}
 	return refusal
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -27,11 +27,11 @@
 			primary := func(name string, answers func() bool) func(place *world.Place) (host.Table, error) {
 				return func(place *world.Place) (host.Table, error) {
 					table := host.Table{}
-					host.Handle(table, wire.Kind_claim, func(*wire.ClaimAsk) (*wire.ClaimTell, error) {
+					host.Handle(table, wire.Kind_claim, func(*wire.ClaimRequest) (*wire.ClaimResponse, error) {
 						if asks++; !answers() {
 							return nil, errors.New("not the primary")
 						}
-						return &wire.ClaimTell{Outcome: "granted"}, nil
+						return &wire.ClaimResponse{Outcome: "granted"}, nil
 					})
 					return table, nil
 				}
@@ -45,7 +45,7 @@
 				known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 				for range waiters {
 					place.Go(func() {
-						if known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{}, &wire.ClaimTell{}, 5*monotonic.Second) == nil {
+						if known.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{}, &wire.ClaimResponse{}, 5*monotonic.Second) == nil {
 							answered++
 							late = max(late, simulated.Now()-began-3*monotonic.Second)
 						}
@@ -123,15 +123,15 @@
 					place.Sleep(20 * monotonic.Millisecond)
 					present--
 				}
-				host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
+				host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 					serve(1)
-					return &wire.ClaimTell{Outcome: ask.Scope}, nil
+					return &wire.ClaimResponse{Outcome: ask.Scope}, nil
 				})
-				host.Handle(table, wire.Kind_sorter_batch, func(ask *wire.SorterBatchAsk) (*wire.SorterBatchTell, error) {
+				host.Handle(table, wire.Kind_registry_batch, func(ask *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
 					serve(len(ask.Commands))
-					tell := &wire.SorterBatchTell{}
+					tell := &wire.RegistryBatchResponse{}
 					for _, command := range ask.Commands {
-						tell.Outcomes = append(tell.Outcomes, &wire.SorterOutcome{Result: &wire.SorterResult{Claim: &wire.ClaimTell{Outcome: command.Claim.Scope}}})
+						tell.Outcomes = append(tell.Outcomes, &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: &wire.ClaimResponse{Outcome: command.Claim.Scope}}})
 					}
 					return tell, nil
 				})
@@ -141,15 +141,15 @@
 				book := discovery.New(place, nil, nil)
 				book.Learn([]*wire.PeerAddress{{Name: "first", Address: "first", Group: sorters, Batches: takes}})
 				known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
-				ask := func(scope string, patience monotonic.Micros, ended func(tell *wire.ClaimTell, err error)) {
+				ask := func(scope string, patience monotonic.Micros, ended func(tell *wire.ClaimResponse, err error)) {
 					place.Go(func() {
-						tell := &wire.ClaimTell{}
-						err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: scope}, tell, patience)
+						tell := &wire.ClaimResponse{}
+						err := known.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: scope}, tell, patience)
 						ended(tell, err)
 					})
 				}
 				for range 20 {
-					ask("gone", 100*monotonic.Millisecond, func(_ *wire.ClaimTell, err error) {
+					ask("gone", 100*monotonic.Millisecond, func(_ *wire.ClaimResponse, err error) {
 						if apierror.IsUnreachable(err) {
 							gone++
 						}
@@ -159,7 +159,7 @@
 					place.Sleep(500 * monotonic.Millisecond)
 					for index := range waiters {
 						scope := fmt.Sprint(index)
-						ask(scope, patience, func(tell *wire.ClaimTell, err error) {
+						ask(scope, patience, func(tell *wire.ClaimResponse, err error) {
 							if err == nil && tell.Outcome == scope {
 								answered++
 							}
@@ -196,19 +196,19 @@
 	answered, untaken, turned := 0, 0, false
 	simulated.Start(simulated.Add("first", "first", "first", func(place *world.Place) (host.Table, error) {
 		table := host.Table{}
-		host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
+		host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 			place.Sleep(5 * monotonic.Millisecond)
-			return &wire.ClaimTell{Outcome: ask.Scope}, nil
+			return &wire.ClaimResponse{Outcome: ask.Scope}, nil
 		})
 		return table, nil
 	}))
 	simulated.Start(simulated.Add("second", "second", "second", func(place *world.Place) (host.Table, error) {
 		table := host.Table{}
-		host.Handle(table, wire.Kind_sorter_batch, func(ask *wire.SorterBatchAsk) (*wire.SorterBatchTell, error) {
+		host.Handle(table, wire.Kind_registry_batch, func(ask *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
 			turned = true
-			tell := &wire.SorterBatchTell{}
+			tell := &wire.RegistryBatchResponse{}
 			for range ask.Commands {
-				tell.Outcomes = append(tell.Outcomes, &wire.SorterOutcome{Fault: "not the primary", Untaken: true})
+				tell.Outcomes = append(tell.Outcomes, &wire.RegistryOutcome{Error: "not the primary", Rejected: true})
 			}
 			return tell, nil
 		})
@@ -221,8 +221,8 @@
 			known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 			for index := range 20 {
 				place.Go(func() {
-					tell := &wire.ClaimTell{}
-					err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: fmt.Sprint(index)}, tell, monotonic.Second)
+					tell := &wire.ClaimResponse{}
+					err := known.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: fmt.Sprint(index)}, tell, monotonic.Second)
 					if err == nil && tell.Outcome == fmt.Sprint(index) {
 						answered++
 					}
--- a/internal/proxy/session/held_test.go
+++ b/internal/proxy/session/held_test.go
@@ -43,16 +43,16 @@
 
 type version struct{ source, serial uint64 }
 
-func (sorter *sorterOf) answer(ask *wire.SorterPollAsk) *wire.SorterPollTell {
+func (sorter *sorterOf) answer(ask *wire.RegistryPollRequest) *wire.RegistryPollResponse {
 	whole := sorter.View(directory.Base{})
 	if newest := (version{whole.Source, whole.Serial}); sorter.versions[newest] == nil {
 		sorter.versions[newest] = Of(whole.Sessions)
 	}
-	view := sorter.View(directory.Base{Source: ask.DirectorySource, Serial: ask.DirectorySerial, Check: ask.DirectoryCheck, Grown: ask.DirectoryGrown})
-	tell := &wire.SorterPollTell{DirectoryAge: int64(sorter.Age()), DirectorySource: view.Source, DirectorySerial: view.Serial, DirectorySame: view.Same,
-		Sessions: view.Sessions, DirectoryChanged: view.Changed, DirectoryGone: view.Gone, DirectoryDigest: view.Digest}
+	view := sorter.View(directory.Base{Source: ask.DirectorySource, Serial: ask.DirectoryVersion, Check: ask.DirectoryChecksum, Grown: ask.DirectoryComplete})
+	tell := &wire.RegistryPollResponse{DirectoryAge: int64(sorter.Age()), DirectorySource: view.Source, DirectoryVersion: view.Serial, DirectoryUnchanged: view.Same,
+		Sessions: view.Sessions, DirectoryIsDelta: view.Changed, DirectoryRemoved: view.Gone, DirectoryDigest: view.Digest}
 	if view.Changed {
-		tell.DirectoryBaseSource, tell.DirectoryBaseSerial = ask.DirectorySource, ask.DirectorySerial
+		tell.DirectoryBaseSource, tell.DirectoryBaseVersion = ask.DirectorySource, ask.DirectoryVersion
 	}
 	return proto.CloneOf(tell)
 }
@@ -60,13 +60,13 @@
 // twins are two carriers that meet the same faults: one is fed by changes, the other whole.
 type twins struct {
 	changes, wholes *Roll
-	late            [2]*wire.SorterPollTell // answers on their way
+	late            [2]*wire.RegistryPollResponse // answers on their way
 }
 
-func asking(roll *Roll, wholes bool) *wire.SorterPollAsk {
-	ask := &wire.SorterPollAsk{DirectorySource: roll.held.source, DirectorySerial: roll.held.serial, DirectoryCheck: roll.held.check(), DirectoryGrown: roll.grown}
+func asking(roll *Roll, wholes bool) *wire.RegistryPollRequest {
+	ask := &wire.RegistryPollRequest{DirectorySource: roll.held.source, DirectoryVersion: roll.held.serial, DirectoryChecksum: roll.held.check(), DirectoryComplete: roll.grown}
 	if wholes {
-		ask.DirectoryCheck = 0
+		ask.DirectoryChecksum = 0
 	}
 	return ask
 }
@@ -82,7 +82,7 @@
 	}
 	for index, roll := range []*Roll{pair.changes, pair.wholes} {
 		tell := sorter.answer(asking(roll, index == 1))
-		take := func(tell *wire.SorterPollTell) {
+		take := func(tell *wire.RegistryPollResponse) {
 			if roll.take(tell, 0) != nil {
 				_ = roll.take(sorter.answer(asking(roll, index == 1)), 0)
 			}
@@ -148,7 +148,7 @@
 			session := sessions[name]
 			switch chance.IntN(8) {
 			case 0, 1: // comes, or a new life
-				sessions[name] = &wire.Session{Carrier: name, Incarnation: chance.Uint64(), Address: name, Domain: "zone", Backends: []*wire.Backend{{Service: "forms", Instance: fmt.Sprint(chance.IntN(5)), Condition: "alive"}}}
+				sessions[name] = &wire.Session{Proxy: name, Incarnation: chance.Uint64(), Address: name, Domain: "zone", Backends: []*wire.Backend{{Service: "forms", Instance: fmt.Sprint(chance.IntN(5)), Condition: "alive"}}}
 			case 2: // leaves
 				if session != nil {
 					session.Leaving = true
@@ -172,7 +172,7 @@
 				}
 			}
 			for _, session := range sessions {
-				session.Beat++
+				session.Heartbeat++
 				if at := sorters[0]; chance.IntN(3) > 0 {
 					at.Tell(session, true)
 				}
@@ -233,32 +233,32 @@
 // TestRefusedChanges: changes that are damaged, cut short or from another base change nothing; the whole is asked for and taken, and changes
 // again after it.
 func TestRefusedChanges(t *testing.T) {
-	for name, damage := range map[string]func(tell *wire.SorterPollTell){
-		"one that went is left out": func(tell *wire.SorterPollTell) { tell.DirectoryGone = nil },
-		"one that came is left out": func(tell *wire.SorterPollTell) { tell.Sessions = tell.Sessions[1:] },
-		"one that changed is altered": func(tell *wire.SorterPollTell) {
+	for name, damage := range map[string]func(tell *wire.RegistryPollResponse){
+		"one that went is left out": func(tell *wire.RegistryPollResponse) { tell.DirectoryRemoved = nil },
+		"one that came is left out": func(tell *wire.RegistryPollResponse) { tell.Sessions = tell.Sessions[1:] },
+		"one that changed is altered": func(tell *wire.RegistryPollResponse) {
 			tell.Sessions[0].Address = "elsewhere"
 		},
-		"one that nobody knows went": func(tell *wire.SorterPollTell) { tell.DirectoryGone = append(tell.DirectoryGone, "nobody") },
-		"one went twice": func(tell *wire.SorterPollTell) {
-			tell.DirectoryGone = append(tell.DirectoryGone, tell.DirectoryGone...)
+		"one that nobody knows went": func(tell *wire.RegistryPollResponse) { tell.DirectoryRemoved = append(tell.DirectoryRemoved, "nobody") },
+		"one went twice": func(tell *wire.RegistryPollResponse) {
+			tell.DirectoryRemoved = append(tell.DirectoryRemoved, tell.DirectoryRemoved...)
 		},
-		"another base":   func(tell *wire.SorterPollTell) { tell.DirectoryBaseSerial-- },
-		"another sorter": func(tell *wire.SorterPollTell) { tell.DirectoryBaseSource++ },
-		"another digest": func(tell *wire.SorterPollTell) { tell.DirectoryDigest[7] ^= 1 },
-		"no digest":      func(tell *wire.SorterPollTell) { tell.DirectoryDigest = nil },
+		"another base":   func(tell *wire.RegistryPollResponse) { tell.DirectoryBaseVersion-- },
+		"another sorter": func(tell *wire.RegistryPollResponse) { tell.DirectoryBaseSource++ },
+		"another digest": func(tell *wire.RegistryPollResponse) { tell.DirectoryDigest[7] ^= 1 },
+		"no digest":      func(tell *wire.RegistryPollResponse) { tell.DirectoryDigest = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			within(t, 1, func(place *world.Place) {
 				sorter := &sorterOf{Directory: directory.New(place, 7), versions: map[version]*Directory{}}
 				for number := range 10 {
-					sorter.Tell(&wire.Session{Carrier: fmt.Sprint("carrier-", number), Incarnation: 1, Beat: 1, Address: "here"}, true)
+					sorter.Tell(&wire.Session{Proxy: fmt.Sprint("carrier-", number), Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
 				}
 				known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, nil)
-				ask := func(damage func(tell *wire.SorterPollTell)) error {
+				ask := func(damage func(tell *wire.RegistryPollResponse)) error {
 					tell := sorter.answer(asking(known, false))
 					if damage != nil {
-						if !tell.DirectoryChanged {
+						if !tell.DirectoryIsDelta {
 							t.Fatalf("not told by changes: %v", tell)
 						}
 						damage(tell)
@@ -266,9 +266,9 @@
 					return known.take(tell, 0)
 				}
 				change := func(going, coming, moving string) {
-					sorter.Tell(&wire.Session{Carrier: coming, Incarnation: 1, Beat: 1, Address: "here"}, true)
-					sorter.Tell(&wire.Session{Carrier: moving, Incarnation: 1, Beat: 2, Address: "there"}, true)
-					sorter.Tell(&wire.Session{Carrier: going, Incarnation: 1, Beat: 2, Age: int64(directory.SessionLife)}, true)
+					sorter.Tell(&wire.Session{Proxy: coming, Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
+					sorter.Tell(&wire.Session{Proxy: moving, Incarnation: 1, Heartbeat: 2, Address: "there"}, true)
+					sorter.Tell(&wire.Session{Proxy: going, Incarnation: 1, Heartbeat: 2, Age: int64(directory.SessionLife)}, true)
 				}
 				if ask(nil) != nil {
 					t.Fatal("a whole was refused")
@@ -294,11 +294,11 @@
 func TestOlderSorter(t *testing.T) {
 	within(t, 1, func(place *world.Place) {
 		known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, nil)
-		tell := &wire.SorterPollTell{DirectorySource: 4, DirectorySerial: 9, Sessions: []*wire.Session{{Carrier: "one", Address: "here"}}}
+		tell := &wire.RegistryPollResponse{DirectorySource: 4, DirectoryVersion: 9, Sessions: []*wire.Session{{Proxy: "one", Address: "here"}}}
 		if err := known.take(tell, 0); err != nil || known.Directory().Live != 1 {
 			t.Error(err, known.Directory())
 		}
-		if ask := asking(known, false); ask.DirectoryCheck != 0 || ask.DirectorySource != 4 || ask.DirectorySerial != 9 {
+		if ask := asking(known, false); ask.DirectoryChecksum != 0 || ask.DirectorySource != 4 || ask.DirectoryVersion != 9 {
 			t.Error(ask)
 		}
 	})
--- a/internal/proxy/session/roll.go
+++ b/internal/proxy/session/roll.go
@@ -52,7 +52,7 @@
 // where an instance is at two.
 type Directory struct {
 	Candidates map[string][]Candidate
-	// Carriers counts live carriers by domain.
+	// Proxies counts live carriers by domain.
 	Carriers map[string]int
 	Live     int
 	// Addresses finds a live carrier, leaving or not, by name.
@@ -67,8 +67,8 @@
 	vigil   *clockwatch.Vigil
 	// Activity gives what this carrier called since the last poll.
 	Activity func() []*wire.Activity
-	// Guards takes the guards' records from the primary, those that changed since it last took some, or nothing when it couldn't be reached.
-	Guards func(records []*wire.GuardRecord, reached bool)
+	// Breakers takes the guards' records from the primary, those that changed since it last took some, or nothing when it couldn't be reached.
+	Guards func(records []*wire.BreakerRecord, reached bool)
 
 	soon    host.Signal
 	batches batches
@@ -82,7 +82,7 @@
 	live      uint32 // the most carriers told of within shareMemory, so that parts don't grow while views differ
 	liveAt    monotonic.Micros
 	born      monotonic.Micros
-	moment    *wire.HolderMoment
+	moment    *wire.LeaderTimestamp
 	momentAt  monotonic.Micros
 	polled    monotonic.Micros
 	reached   bool // the last poll reached a sorter
@@ -160,9 +160,9 @@
 			}
 		}
 		if tell.Primary {
-			roll.Guards(tell.Guards, true)
+			roll.Guards(tell.Breakers, true)
 			roll.lock.Lock()
-			roll.guardsSource, roll.guardsVersion = tell.GuardsSource, tell.GuardsVersion
+			roll.guardsSource, roll.guardsVersion = tell.BreakersSource, tell.BreakersVersion
 			roll.lock.Unlock()
 			return
 		}
@@ -174,33 +174,33 @@
 	}
 }
 
-func (roll *Roll) ask(name string) (*wire.SorterPollTell, monotonic.Micros, error) {
+func (roll *Roll) ask(name string) (*wire.RegistryPollResponse, monotonic.Micros, error) {
 	session := roll.session()
 	roll.lock.Lock()
 	roll.beat++
-	session.Beat = roll.beat
-	ask := &wire.SorterPollAsk{Session: session, DirectorySource: roll.held.source, DirectorySerial: roll.held.serial, DirectoryCheck: roll.held.check(), DirectoryGrown: roll.grown,
-		GuardsSource: roll.guardsSource, GuardsVersion: roll.guardsVersion}
+	session.Heartbeat = roll.beat
+	ask := &wire.RegistryPollRequest{Session: session, DirectorySource: roll.held.source, DirectoryVersion: roll.held.serial, DirectoryChecksum: roll.held.check(), DirectoryComplete: roll.grown,
+		BreakersSource: roll.guardsSource, BreakersVersion: roll.guardsVersion}
 	roll.lock.Unlock()
 	ask.Activity = roll.Activity()
 	asked := roll.place.Now()
-	tell := &wire.SorterPollTell{}
-	return tell, asked, roll.book.Call(name, wire.Kind_sorter_poll, ask, tell, 600*monotonic.Millisecond)
+	tell := &wire.RegistryPollResponse{}
+	return tell, asked, roll.book.Call(name, wire.Kind_registry_poll, ask, tell, 600*monotonic.Millisecond)
 }
 
 // take takes an answer in. An error is told if the directory's changes in it were refused; the rest of it is taken all the same.
-func (roll *Roll) take(tell *wire.SorterPollTell, asked monotonic.Micros) error {
+func (roll *Roll) take(tell *wire.RegistryPollResponse, asked monotonic.Micros) error {
 	roll.book.Hint(tell.Primaries)
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
 	now := roll.place.Now()
 	roll.polled = now
-	if tell.Carriers >= roll.live || now-roll.liveAt >= shareMemory {
-		roll.live, roll.liveAt = tell.Carriers, now
+	if tell.Proxies >= roll.live || now-roll.liveAt >= shareMemory {
+		roll.live, roll.liveAt = tell.Proxies, now
 	}
 	if tell.Primary {
 		if roll.moment == nil || tell.Epoch >= roll.moment.Epoch {
-			roll.moment, roll.momentAt = &wire.HolderMoment{Epoch: tell.Epoch, Time: tell.HolderTime}, now
+			roll.moment, roll.momentAt = &wire.LeaderTimestamp{Epoch: tell.Epoch, Time: tell.LeaderClock}, now
 		}
 	}
 	// A sorter that has only just begun to be told may not know all; who is known stays known until it does.
@@ -210,20 +210,20 @@
 	if !other && !young {
 		roll.grown = true
 	}
-	if tell.DirectorySame || other && young && roll.grown || roll.held.past(tell) {
+	if tell.DirectoryUnchanged || other && young && roll.grown || roll.held.past(tell) {
 		return nil
 	}
 	next, err := roll.held.next(tell)
 	if err != nil {
 		roll.taken.Refused++
 		roll.held.doubt()
-		roll.place.Report(eventlog.DirectoryRefused, map[string]any{"serial": tell.DirectorySerial, "have": roll.held.serial, "error": err.Error()})
+		roll.place.Report(eventlog.DirectoryRefused, map[string]any{"serial": tell.DirectoryVersion, "have": roll.held.serial, "error": err.Error()})
 		return err
 	}
 	roll.grown = !young
 	roll.held = next
 	roll.directory = index(next.set)
-	if tell.DirectoryChanged {
+	if tell.DirectoryIsDelta {
 		roll.taken.Changes++
 	} else {
 		roll.taken.Wholes++
@@ -269,7 +269,7 @@
 	directory := &Directory{Candidates: map[string][]Candidate{}, Carriers: map[string]int{}, Addresses: map[string]string{}}
 	for _, one := range set.All() {
 		session := one.Message.(*wire.Session)
-		directory.Addresses[session.Carrier] = session.Address
+		directory.Addresses[session.Proxy] = session.Address
 		if session.Leaving {
 			continue
 		}
@@ -279,9 +279,9 @@
 			if backend.Condition != "alive" && backend.Condition != "working" {
 				continue
 			}
-			directory.Candidates[backend.Service] = append(directory.Candidates[backend.Service], Candidate{Carrier: session.Carrier,
+			directory.Candidates[backend.Service] = append(directory.Candidates[backend.Service], Candidate{Carrier: session.Proxy,
 				Incarnation: session.Incarnation, Address: session.Address, Domain: session.Domain, Service: backend.Service, Instance: backend.Instance,
-				Slots: backend.Slots, Warming: backend.Warm > 0})
+				Slots: backend.Slots, Warming: backend.SlowStart > 0})
 		}
 	}
 	for _, candidates := range directory.Candidates {
@@ -298,7 +298,7 @@
 }
 
 // Learn takes a moment of holder time that has passed, as an answer of the holder tells it.
-func (roll *Roll) Learn(passed *wire.HolderMoment) {
+func (roll *Roll) Learn(passed *wire.LeaderTimestamp) {
 	if passed == nil {
 		return
 	}
@@ -308,7 +308,7 @@
 	}
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
-	roll.moment, roll.momentAt = proto.Clone(passed).(*wire.HolderMoment), roll.place.Now()
+	roll.moment, roll.momentAt = proto.Clone(passed).(*wire.LeaderTimestamp), roll.place.Now()
 }
 
 // Member tells whether this carrier's session stands, as far as it can know.
@@ -348,13 +348,13 @@
 }
 
 // Moment is a moment of holder time that has certainly passed.
-func (roll *Roll) Moment() *wire.HolderMoment {
+func (roll *Roll) Moment() *wire.LeaderTimestamp {
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
 	if roll.moment == nil || !roll.vigil.Steady() {
-		return &wire.HolderMoment{} // behind every fence
+		return &wire.LeaderTimestamp{} // behind every fence
 	}
-	moment := proto.Clone(roll.moment).(*wire.HolderMoment)
+	moment := proto.Clone(roll.moment).(*wire.LeaderTimestamp)
 	since := roll.place.Now() - roll.momentAt
 	moment.Time += int64(since - since/drift)
 	return moment
--- a/internal/proxy/session/roll_test.go
+++ b/internal/proxy/session/roll_test.go
@@ -21,7 +21,7 @@
 		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 			known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, steady(place))
 			began, own := simulated.Now(), place.Now()
-			known.take(&wire.SorterPollTell{Primary: true, Epoch: 1, HolderTime: int64(began)}, own)
+			known.take(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: int64(began)}, own)
 			place.Sleep(monotonic.Minute)
 			ahead = ahead || place.Now()-own > simulated.Now()-began
 			if moment := known.Moment(); moment.Time > int64(simulated.Now()) {
@@ -49,14 +49,14 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
 		known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, steady(place))
-		known.take(&wire.SorterPollTell{Primary: true, Epoch: 1, HolderTime: 1000}, place.Now())
+		known.take(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: 1000}, place.Now())
 		place.Sleep(monotonic.Second)
-		fence := &wire.HolderMoment{Epoch: 1, Time: int64(1000 + 2*monotonic.Second)}
+		fence := &wire.LeaderTimestamp{Epoch: 1, Time: int64(1000 + 2*monotonic.Second)}
 		known.Learn(fence)
 		if moment := known.Moment(); moment.Time < fence.Time {
 			t.Errorf("the moment is %d, the fence was at %d", moment.Time, fence.Time)
 		}
-		known.Learn(&wire.HolderMoment{Epoch: 1, Time: 5})
+		known.Learn(&wire.LeaderTimestamp{Epoch: 1, Time: 5})
 		if moment := known.Moment(); moment.Time < fence.Time {
 			t.Errorf("an older moment was taken: %d", moment.Time)
 		}
@@ -84,14 +84,14 @@
 		sorter := func(name string) {
 			simulated.Start(simulated.Add(name, name, name, func(place *world.Place) (host.Table, error) {
 				table := host.Table{}
-				host.Handle(table, wire.Kind_whois, func(*wire.WhoisAsk) (*wire.WhoisTell, error) {
+				host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
 					if simulated.Now() < succeeded {
-						return &wire.WhoisTell{}, nil
+						return &wire.DiscoverResponse{}, nil
 					}
-					return &wire.WhoisTell{Primaries: []*wire.Primary{{Group: "sorter", Epoch: 2, Name: "next"}}}, nil
+					return &wire.DiscoverResponse{Primaries: []*wire.Primary{{Group: "sorter", Epoch: 2, Name: "next"}}}, nil
 				})
-				host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
-					return &wire.ClaimTell{Outcome: ask.Scope}, nil
+				host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+					return &wire.ClaimResponse{Outcome: ask.Scope}, nil
 				})
 				return table, nil
 			}))
@@ -106,8 +106,8 @@
 			book.Learn([]*wire.PeerAddress{{Name: "gone", Address: "gone", Group: "sorter"}, {Name: "next", Address: "next", Group: "sorter"}})
 			book.Hint([]*wire.Primary{{Group: "sorter", Epoch: 1, Name: "gone"}})
 			known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
-			tell, began := &wire.ClaimTell{}, place.Now()
-			err := known.CallPrimary(wire.Kind_claim, &wire.ClaimAsk{Scope: "key"}, tell, 600*monotonic.Millisecond)
+			tell, began := &wire.ClaimResponse{}, place.Now()
+			err := known.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: "key"}, tell, 600*monotonic.Millisecond)
 			if took := place.Now() - began; err != nil || tell.Outcome != "key" || took > 550*monotonic.Millisecond {
 				t.Errorf("seed %d: %v, %q after %d microseconds", seed, err, tell.Outcome, took)
 			}
--- a/internal/proxy/singleton/rota.go
+++ b/internal/proxy/singleton/rota.go
@@ -60,15 +60,15 @@
 		return Told{}, apierror.Refused.New("instance %q is not registered here, silent or leaving", instance)
 	}
 	asked := rota.env.Place.Now()
-	tell := &wire.DutyTell{}
-	err := rota.env.CallPrimary(wire.Kind_duty, &wire.DutyAsk{Duty: duty, Carrier: rota.env.Carrier, Instance: instance, Length: int64(length)}, tell, patience)
+	tell := &wire.SingletonLeaseResponse{}
+	err := rota.env.CallPrimary(wire.Kind_singleton_lease, &wire.SingletonLeaseRequest{Role: duty, Proxy: rota.env.Carrier, Instance: instance, Duration: int64(length)}, tell, patience)
 	if err != nil {
 		return Told{}, apierror.Lost.Wrap(err, "whether the duty was granted is not known")
 	}
 	if !tell.Granted {
-		return Told{Holder: tell.Holder, Doer: tell.Instance}, nil
+		return Told{Holder: tell.Owner, Doer: tell.Instance}, nil
 	}
-	granted := monotonic.Micros(tell.Length)
+	granted := monotonic.Micros(tell.Duration)
 	if rota.stubborn {
 		granted *= 2
 	}
@@ -78,7 +78,7 @@
 
 // Release gives a duty up. The backend must have stopped; if the sorters can't be told, the tenure runs out.
 func (rota *Rota) Release(duty, instance string) error {
-	err := rota.env.CallPrimary(wire.Kind_duty, &wire.DutyAsk{Duty: duty, Carrier: rota.env.Carrier, Instance: instance, Release: true}, &wire.DutyTell{}, patience)
+	err := rota.env.CallPrimary(wire.Kind_singleton_lease, &wire.SingletonLeaseRequest{Role: duty, Proxy: rota.env.Carrier, Instance: instance, Release: true}, &wire.SingletonLeaseResponse{}, patience)
 	if err != nil {
 		return apierror.Lost.Wrap(err, "whether the duty was given up is not known")
 	}
--- a/internal/registry/batch.go
+++ b/internal/registry/batch.go
@@ -10,29 +10,29 @@
 )
 
 // batched tells whether a command may come in a batch: those that carriers make for requests, in numbers.
-func batched(command *wire.SorterCommand) bool {
-	return (command.Claim != nil || command.Void != nil || command.Settle != nil) && command.Lease == nil && command.Guard == nil && command.Duty == nil && command.Tick == nil
+func batched(command *wire.RegistryCommand) bool {
+	return (command.Claim != nil || command.Void != nil || command.Complete != nil) && command.ProbeLease == nil && command.Breaker == nil && command.Singleton == nil && command.Tick == nil
 }
 
 // batch carries out the commands of one message, each as if it had come alone. A message costs a core machine many times what a command does.
-func (sorter *Sorter) batch(ask *wire.SorterBatchAsk) (*wire.SorterBatchTell, error) {
-	tell := &wire.SorterBatchTell{Outcomes: make([]*wire.SorterOutcome, len(ask.Commands))}
+func (sorter *Sorter) batch(ask *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
+	tell := &wire.RegistryBatchResponse{Outcomes: make([]*wire.RegistryOutcome, len(ask.Commands))}
 	var places []int
 	var proposals [][]byte
 	for index, command := range ask.Commands {
 		if !batched(command) {
-			tell.Outcomes[index] = &wire.SorterOutcome{Fault: "not for a batch", Untaken: true}
+			tell.Outcomes[index] = &wire.RegistryOutcome{Error: "not for a batch", Rejected: true}
 			continue
 		}
 		if command.Claim != nil {
 			if granted := sorter.granted(command.Claim); granted != nil {
-				tell.Outcomes[index] = &wire.SorterOutcome{Result: &wire.SorterResult{Claim: granted}}
+				tell.Outcomes[index] = &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: granted}}
 				continue
 			}
 		}
 		content, err := proto.Marshal(command)
 		if err != nil {
-			tell.Outcomes[index] = &wire.SorterOutcome{Fault: err.Error(), Untaken: true}
+			tell.Outcomes[index] = &wire.RegistryOutcome{Error: err.Error(), Rejected: true}
 			continue
 		}
 		places, proposals = append(places, index), append(proposals, content)
@@ -43,14 +43,14 @@
 	return tell, nil
 }
 
-func told(outcome replication.Outcome) *wire.SorterOutcome {
-	result := &wire.SorterResult{}
+func told(outcome replication.Outcome) *wire.RegistryOutcome {
+	result := &wire.RegistryResult{}
 	err := outcome.Err
 	if err == nil {
 		err = proto.Unmarshal(outcome.Result, result)
 	}
 	if err != nil {
-		return &wire.SorterOutcome{Fault: err.Error(), Untaken: errors.Is(err, replication.ErrNotPrimary)}
+		return &wire.RegistryOutcome{Error: err.Error(), Rejected: errors.Is(err, replication.ErrNotPrimary)}
 	}
-	return &wire.SorterOutcome{Result: result}
+	return &wire.RegistryOutcome{Result: result}
 }
--- a/internal/registry/breakerstore/breakerstore.go
+++ b/internal/registry/breakerstore/breakerstore.go
@@ -39,7 +39,7 @@
 //
 // And of the whole: touched rises with every call that may change a record.
 type Table struct {
-	records map[string]*wire.GuardRecord
+	records map[string]*wire.BreakerRecord
 	touched uint64
 	// Broken names the one thing that is wrong with this table; only rehearsals of the checkers set it.
 	Broken string
@@ -56,12 +56,12 @@
 )
 
 // New makes an empty table.
-func New() *Table { return &Table{records: map[string]*wire.GuardRecord{}} }
+func New() *Table { return &Table{records: map[string]*wire.BreakerRecord{}} }
 
 // Restore replaces the table's content.
-func (table *Table) Restore(records []*wire.GuardRecord) {
+func (table *Table) Restore(records []*wire.BreakerRecord) {
 	table.touched++
-	table.records = map[string]*wire.GuardRecord{}
+	table.records = map[string]*wire.BreakerRecord{}
 	for _, record := range records {
 		table.records[record.Service] = record
 	}
@@ -71,10 +71,10 @@
 func (table *Table) Touched() uint64 { return table.touched }
 
 // Records lists copies of all records, by service.
-func (table *Table) Records() []*wire.GuardRecord {
-	var records []*wire.GuardRecord
+func (table *Table) Records() []*wire.BreakerRecord {
+	var records []*wire.BreakerRecord
 	for _, service := range table.services() {
-		records = append(records, proto.Clone(table.records[service]).(*wire.GuardRecord))
+		records = append(records, proto.Clone(table.records[service]).(*wire.BreakerRecord))
 	}
 	return records
 }
@@ -91,44 +91,44 @@
 	return false
 }
 
-func (table *Table) record(service string, terms *wire.GuardTerms, now monotonic.Micros) *wire.GuardRecord {
+func (table *Table) record(service string, terms *wire.BreakerSettings, now monotonic.Micros) *wire.BreakerRecord {
 	record := table.records[service]
 	if record == nil {
-		record = &wire.GuardRecord{Service: service, State: Closed, Serial: 1, Entered: int64(now)}
+		record = &wire.BreakerRecord{Service: service, State: Closed, Version: 1, EnteredAt: int64(now)}
 		table.records[service] = record
 	}
 	if terms != nil {
-		record.Terms = terms
+		record.Settings = terms
 	}
 	return record
 }
 
 // touch refreshes the record's life, as every write does.
-func touch(record *wire.GuardRecord, now monotonic.Micros) {
-	if record.Terms != nil {
-		record.Expires = int64(now) + record.Terms.StateTtl
+func touch(record *wire.BreakerRecord, now monotonic.Micros) {
+	if record.Settings != nil {
+		record.ExpiresAt = int64(now) + record.Settings.StateTtl
 	}
 }
 
 // enter changes the state. Whose probes failed a round are its suspects until the next one is over.
-func enter(record *wire.GuardRecord, state string, now monotonic.Micros) {
+func enter(record *wire.BreakerRecord, state string, now monotonic.Micros) {
 	if record.State != Open {
 		record.Suspects = nil
 	}
 	if record.State == HalfOpen && state == Open {
 		record.Suspects = carriersOf(failures(record))
 	}
-	record.State, record.Entered = state, int64(now)
-	record.Serial++
-	record.Budget, record.Probes, record.Tallies, record.RoundComplete, record.Reports, record.Shares = 0, nil, nil, 0, nil, nil
+	record.State, record.EnteredAt = state, int64(now)
+	record.Version++
+	record.Budget, record.ProbeLeases, record.ProbeResults, record.RoundCompletedAt, record.Reports, record.Shares = 0, nil, nil, 0, nil, nil
 	if state == HalfOpen {
-		record.Budget = max(1, record.Terms.Permitted)
+		record.Budget = max(1, record.Settings.Permitted)
 	}
 }
 
 // failures are the tallies of a round's failed probes.
-func failures(record *wire.GuardRecord) (failed []*wire.ProbeTally) {
-	for _, entry := range record.Tallies {
+func failures(record *wire.BreakerRecord) (failed []*wire.ProbeResult) {
+	for _, entry := range record.ProbeResults {
 		if !entry.Success {
 			failed = append(failed, entry)
 		}
@@ -137,24 +137,24 @@
 }
 
 // carriersOf lists the carriers of tallies, each once.
-func carriersOf(tallies []*wire.ProbeTally) []string {
+func carriersOf(tallies []*wire.ProbeResult) []string {
 	names := map[string]bool{}
 	for _, entry := range tallies {
-		names[entry.Carrier] = true
+		names[entry.Proxy] = true
 	}
 	return slices.Sorted(maps.Keys(names))
 }
 
-type verb func(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool
+type verb func(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool
 
 var verbs = map[string]verb{"trip": trip, "probe": tally, "return": giveBack, "decide": decide}
 
 // Write carries out a fenced write. A serial that doesn't match changes nothing; either way the present record comes back.
-func (table *Table) Write(ask *wire.GuardWriteAsk, now monotonic.Micros) *wire.GuardWriteTell {
+func (table *Table) Write(ask *wire.BreakerWriteRequest, now monotonic.Micros) *wire.BreakerWriteResponse {
 	table.touched++
-	record := table.record(ask.Service, ask.Terms, now)
-	tell := &wire.GuardWriteTell{}
-	if carryOut := verbs[ask.Verb]; carryOut != nil && ask.ExpectedSerial == record.Serial {
+	record := table.record(ask.Service, ask.Settings, now)
+	tell := &wire.BreakerWriteResponse{}
+	if carryOut := verbs[ask.Verb]; carryOut != nil && ask.ExpectedVersion == record.Version {
 		if table.Broken == AnyTrip {
 			ask.Active = nil
 		}
@@ -168,30 +168,30 @@
 			touch(record, now)
 		}
 	}
-	tell.RoundComplete = record.State == HalfOpen && record.RoundComplete != 0
-	tell.Record = proto.Clone(record).(*wire.GuardRecord)
+	tell.RoundComplete = record.State == HalfOpen && record.RoundCompletedAt != 0
+	tell.Record = proto.Clone(record).(*wire.BreakerRecord)
 	return tell
 }
 
 // trip notes a carrier's report, and opens the record once enough of the active carriers report.
-func trip(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool {
-	if record.State != Closed || record.Terms == nil {
+func trip(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool {
+	if record.State != Closed || record.Settings == nil {
 		return false
 	}
 	kept := []*wire.TripReport{}
 	for _, report := range record.Reports {
-		if report.Carrier != ask.Carrier && now-monotonic.Micros(report.At) < reportLife {
+		if report.Proxy != ask.Proxy && now-monotonic.Micros(report.At) < reportLife {
 			kept = append(kept, report)
 		}
 	}
-	record.Reports = append(kept, &wire.TripReport{Carrier: ask.Carrier, Incarnation: ask.Incarnation, At: int64(now)})
-	active := map[string]bool{ask.Carrier: true}
+	record.Reports = append(kept, &wire.TripReport{Proxy: ask.Proxy, Incarnation: ask.Incarnation, At: int64(now)})
+	active := map[string]bool{ask.Proxy: true}
 	for _, carrier := range ask.Active {
 		active[carrier] = true
 	}
 	reporting := 0
 	for _, report := range record.Reports {
-		if active[report.Carrier] {
+		if active[report.Proxy] {
 			reporting++
 		}
 	}
@@ -202,34 +202,34 @@
 }
 
 // tally counts a leased probe's outcome, once.
-func tally(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool {
+func tally(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool {
 	if !takeBack(record, ask) {
 		return false
 	}
-	record.Tallies = append(record.Tallies, &wire.ProbeTally{Id: ask.Id, Success: ask.Success, Carrier: ask.Carrier})
-	if len(record.Tallies) >= int(max(1, record.Terms.Permitted)) {
-		record.RoundComplete = int64(now)
+	record.ProbeResults = append(record.ProbeResults, &wire.ProbeResult{Id: ask.Id, Success: ask.Success, Proxy: ask.Proxy})
+	if len(record.ProbeResults) >= int(max(1, record.Settings.Permitted)) {
+		record.RoundCompletedAt = int64(now)
 	}
 	return true
 }
 
 // giveBack returns a leased probe that told nothing of the service.
-func giveBack(record *wire.GuardRecord, ask *wire.GuardWriteAsk, _ monotonic.Micros) bool {
+func giveBack(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, _ monotonic.Micros) bool {
 	if !takeBack(record, ask) {
 		return false
 	}
-	returned(record, ask.Carrier)
+	returned(record, ask.Proxy)
 	return true
 }
 
 // takeBack ends the tenure of a probe, if its holder asks.
-func takeBack(record *wire.GuardRecord, ask *wire.GuardWriteAsk) bool {
+func takeBack(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest) bool {
 	if record.State != HalfOpen {
 		return false
 	}
-	for index, probe := range record.Probes {
-		if probe.Id == ask.Id && probe.Carrier == ask.Carrier && probe.Incarnation == ask.Incarnation {
-			record.Probes = append(record.Probes[:index:index], record.Probes[index+1:]...)
+	for index, probe := range record.ProbeLeases {
+		if probe.Id == ask.Id && probe.Proxy == ask.Proxy && probe.Incarnation == ask.Incarnation {
+			record.ProbeLeases = append(record.ProbeLeases[:index:index], record.ProbeLeases[index+1:]...)
 			return true
 		}
 	}
@@ -237,25 +237,25 @@
 }
 
 // returned puts a carrier's slot back into the budget.
-func returned(record *wire.GuardRecord, carrier string) {
+func returned(record *wire.BreakerRecord, carrier string) {
 	record.Budget++
 	share(record, carrier).Returned++
 }
 
 // share finds what a carrier had of the round under way.
-func share(record *wire.GuardRecord, carrier string) *wire.ProbeShare {
+func share(record *wire.BreakerRecord, carrier string) *wire.ProbeShare {
 	for _, present := range record.Shares {
-		if present.Carrier == carrier {
+		if present.Proxy == carrier {
 			return present
 		}
 	}
-	fresh := &wire.ProbeShare{Carrier: carrier}
+	fresh := &wire.ProbeShare{Proxy: carrier}
 	record.Shares = append(record.Shares, fresh)
 	return fresh
 }
 
-func decide(record *wire.GuardRecord, ask *wire.GuardWriteAsk, now monotonic.Micros) bool {
-	if record.State != HalfOpen || record.RoundComplete == 0 || (ask.Decision != Closed && ask.Decision != Open) {
+func decide(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool {
+	if record.State != HalfOpen || record.RoundCompletedAt == 0 || (ask.Decision != Closed && ask.Decision != Open) {
 		return false
 	}
 	enter(record, ask.Decision, now)
@@ -264,92 +264,92 @@
 
 // Judge applies the thresholds to a complete round. The last prober and the holder both use it. As with a trip, one carrier
 // alone doesn't open the record for others who took part and fared well.
-func Judge(record *wire.GuardRecord) string {
+func Judge(record *wire.BreakerRecord) string {
 	failed := failures(record)
-	if len(record.Tallies) == 0 {
+	if len(record.ProbeResults) == 0 {
 		return Open
 	}
-	if overRate(record) && len(carriersOf(failed)) >= min(2, len(carriersOf(record.Tallies))) {
+	if overRate(record) && len(carriersOf(failed)) >= min(2, len(carriersOf(record.ProbeResults))) {
 		return Open
 	}
 	return Closed
 }
 
 // overRate tells whether a round's failures reach the threshold, whoever saw them.
-func overRate(record *wire.GuardRecord) bool {
-	return float64(len(failures(record))) >= record.Terms.FailureRate*float64(len(record.Tallies))
+func overRate(record *wire.BreakerRecord) bool {
+	return float64(len(failures(record))) >= record.Settings.FailureRate*float64(len(record.ProbeResults))
 }
 
 // Lease takes one probe out of the budget. Asking again with the same id gives the same probe, not another.
-func (table *Table) Lease(ask *wire.ProbeLeaseAsk, now monotonic.Micros) *wire.ProbeLeaseTell {
+func (table *Table) Lease(ask *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
 	table.touched++
 	record := table.records[ask.Service]
-	tell := &wire.ProbeLeaseTell{}
+	tell := &wire.ProbeLeaseResponse{}
 	if record == nil {
 		return tell
 	}
-	for _, probe := range record.Probes {
+	for _, probe := range record.ProbeLeases {
 		tell.Granted = tell.Granted || probe.Id == ask.Id
 	}
 	if !tell.Granted && (mayLease(record, ask, now) || table.Broken == Greedy && record.State == HalfOpen && record.Budget > 0) {
 		record.Budget--
-		share(record, ask.Carrier).Granted++
-		record.Probes = append(record.Probes, &wire.ProbeTenure{Id: ask.Id, Carrier: ask.Carrier, Incarnation: ask.Incarnation,
-			Until: int64(now) + record.Terms.ProbeTenure})
+		share(record, ask.Proxy).Granted++
+		record.ProbeLeases = append(record.ProbeLeases, &wire.ProbeLease{Id: ask.Id, Proxy: ask.Proxy, Incarnation: ask.Incarnation,
+			Until: int64(now) + record.Settings.ProbeLease})
 		touch(record, now)
 		tell.Granted = true
 	}
-	tell.Record = proto.Clone(record).(*wire.GuardRecord)
+	tell.Record = proto.Clone(record).(*wire.BreakerRecord)
 	return tell
 }
 
 // Denied answers an ask for a probe that the present record can't grant, so that nothing has to be written for it. It gives
 // nothing where one might be granted.
-func (table *Table) Denied(ask *wire.ProbeLeaseAsk, now monotonic.Micros) *wire.ProbeLeaseTell {
+func (table *Table) Denied(ask *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
 	record := table.records[ask.Service]
 	if record == nil {
-		return &wire.ProbeLeaseTell{}
+		return &wire.ProbeLeaseResponse{}
 	}
-	if mayLease(record, ask, now) || table.Broken == Greedy || slices.ContainsFunc(record.Probes, func(probe *wire.ProbeTenure) bool { return probe.Id == ask.Id }) {
+	if mayLease(record, ask, now) || table.Broken == Greedy || slices.ContainsFunc(record.ProbeLeases, func(probe *wire.ProbeLease) bool { return probe.Id == ask.Id }) {
 		return nil
 	}
-	return &wire.ProbeLeaseTell{Record: proto.Clone(record).(*wire.GuardRecord)}
+	return &wire.ProbeLeaseResponse{Record: proto.Clone(record).(*wire.BreakerRecord)}
 }
 
 // mayLease tells whether a carrier may have a probe. While others want entry too, it has a share of the round. What is left
 // of others' shares goes, after a while, to those whose own probes told something; and if nobody ends the round, to all. Those
 // whose probes failed the round before let the others go first: what is true of the service the others will see too.
-func mayLease(record *wire.GuardRecord, ask *wire.ProbeLeaseAsk, now monotonic.Micros) bool {
+func mayLease(record *wire.BreakerRecord, ask *wire.ProbeLeaseRequest, now monotonic.Micros) bool {
 	if record.State != HalfOpen || record.Budget == 0 {
 		return false
 	}
-	active := map[string]bool{ask.Carrier: true}
+	active := map[string]bool{ask.Proxy: true}
 	for _, carrier := range ask.Active {
 		active[carrier] = true
 	}
-	age, wanting := int64(now)-record.Entered, len(active)
-	if wanting == 1 || age >= 2*record.Terms.ProbeTenure {
+	age, wanting := int64(now)-record.EnteredAt, len(active)
+	if wanting == 1 || age >= 2*record.Settings.ProbeLease {
 		return true
 	}
 	for _, carrier := range record.Suspects {
 		delete(active, carrier)
 	}
-	if slices.Contains(record.Suspects, ask.Carrier) && len(active) > 0 && age < record.Terms.ProbeTenure {
+	if slices.Contains(record.Suspects, ask.Proxy) && len(active) > 0 && age < record.Settings.ProbeLease {
 		return false
 	}
 	own := &wire.ProbeShare{}
 	for _, present := range record.Shares {
-		if present.Carrier == ask.Carrier {
+		if present.Proxy == ask.Proxy {
 			own = present
 		}
 	}
-	part := (max(1, record.Terms.Permitted) + uint32(wanting) - 1) / uint32(wanting)
+	part := (max(1, record.Settings.Permitted) + uint32(wanting) - 1) / uint32(wanting)
 	return own.Granted < part || own.Returned == 0 && age >= int64(leftOver)
 }
 
 // Sweep lets time do its part: waits end, probes whose tenure ran out or whose holder is gone go back, complete rounds
 // that nobody decided are decided, and untouched records expire.
-func (table *Table) Sweep(ended []*wire.Holder, now monotonic.Micros) {
+func (table *Table) Sweep(ended []*wire.MemberID, now monotonic.Micros) {
 	table.touched++
 	gone := map[string]uint64{}
 	for _, holder := range ended {
@@ -362,29 +362,29 @@
 			sweeps = broken
 		}
 		sweep(record, sweeps, gone, now)
-		if table.Broken == Leaky && record.State == HalfOpen && len(record.Tallies) > 0 && record.Budget > 0 {
+		if table.Broken == Leaky && record.State == HalfOpen && len(record.ProbeResults) > 0 && record.Budget > 0 {
 			record.Budget--
 		}
 	}
 }
 
-type sweepTable map[string]func(record *wire.GuardRecord, gone map[string]uint64, now monotonic.Micros)
+type sweepTable map[string]func(record *wire.BreakerRecord, gone map[string]uint64, now monotonic.Micros)
 
 // brokenSweeps are what rehearsals of the checkers put in place of sweeps.
 var brokenSweeps = map[string]sweepTable{
-	Hasty: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.GuardRecord, _ map[string]uint64, now monotonic.Micros) {
-		if int64(now)-record.Entered >= record.Terms.WaitOpen {
+	Hasty: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.BreakerRecord, _ map[string]uint64, now monotonic.Micros) {
+		if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 			enter(record, Closed, now)
 		}
 	}},
-	Impatient: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.GuardRecord, gone map[string]uint64, now monotonic.Micros) {
-		sweepOpen(record, gone, now+monotonic.Micros(record.Terms.WaitOpen*3/4))
+	Impatient: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.BreakerRecord, gone map[string]uint64, now monotonic.Micros) {
+		sweepOpen(record, gone, now+monotonic.Micros(record.Settings.WaitOpen*3/4))
 	}},
 	Clinging: {Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepClosed},
 }
 
-func sweep(record *wire.GuardRecord, sweeps sweepTable, gone map[string]uint64, now monotonic.Micros) {
-	if record.Terms == nil {
+func sweep(record *wire.BreakerRecord, sweeps sweepTable, gone map[string]uint64, now monotonic.Micros) {
+	if record.Settings == nil {
 		return
 	}
 	reports := []*wire.TripReport{}
@@ -394,7 +394,7 @@
 		}
 	}
 	record.Reports = reports
-	if record.State != Closed && int64(now) >= record.Expires {
+	if record.State != Closed && int64(now) >= record.ExpiresAt {
 		enter(record, Closed, now)
 		return
 	}
@@ -403,26 +403,26 @@
 
 var sweeps = sweepTable{Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepHalfOpen}
 
-func sweepClosed(*wire.GuardRecord, map[string]uint64, monotonic.Micros) {}
+func sweepClosed(*wire.BreakerRecord, map[string]uint64, monotonic.Micros) {}
 
-func sweepOpen(record *wire.GuardRecord, _ map[string]uint64, now monotonic.Micros) {
-	if int64(now)-record.Entered >= record.Terms.WaitOpen {
+func sweepOpen(record *wire.BreakerRecord, _ map[string]uint64, now monotonic.Micros) {
+	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 		enter(record, HalfOpen, now)
 		touch(record, now)
 	}
 }
 
-func sweepHalfOpen(record *wire.GuardRecord, gone map[string]uint64, now monotonic.Micros) {
-	held := []*wire.ProbeTenure{}
-	for _, probe := range record.Probes {
-		if incarnation, ended := gone[probe.Carrier]; int64(now) >= probe.Until || (ended && incarnation == probe.Incarnation) {
-			returned(record, probe.Carrier)
+func sweepHalfOpen(record *wire.BreakerRecord, gone map[string]uint64, now monotonic.Micros) {
+	held := []*wire.ProbeLease{}
+	for _, probe := range record.ProbeLeases {
+		if incarnation, ended := gone[probe.Proxy]; int64(now) >= probe.Until || (ended && incarnation == probe.Incarnation) {
+			returned(record, probe.Proxy)
 			continue
 		}
 		held = append(held, probe)
 	}
-	record.Probes = held
-	if record.RoundComplete != 0 && int64(now)-record.RoundComplete >= int64(decisionLife) {
+	record.ProbeLeases = held
+	if record.RoundCompletedAt != 0 && int64(now)-record.RoundCompletedAt >= int64(decisionLife) {
 		enter(record, Judge(record), now)
 		touch(record, now)
 	}
--- a/internal/registry/breakerstore/shown.go
+++ b/internal/registry/breakerstore/shown.go
@@ -25,7 +25,7 @@
 }
 
 type numbered struct {
-	record  *wire.GuardRecord
+	record  *wire.BreakerRecord
 	version uint64
 }
 
@@ -62,7 +62,7 @@
 
 // Change is what somebody lacks of the records. They aren't to be changed.
 type Change struct {
-	Records         []*wire.GuardRecord
+	Records         []*wire.BreakerRecord
 	Changes         bool // Records are those that changed, and no more
 	Source, Version uint64
 }
--- a/internal/registry/breakerstore/shown_test.go
+++ b/internal/registry/breakerstore/shown_test.go
@@ -16,12 +16,12 @@
 // asker is a carrier as far as guards' records go.
 type asker struct {
 	source, version uint64
-	records         map[string]*wire.GuardRecord
+	records         map[string]*wire.BreakerRecord
 }
 
 func (asker *asker) take(change breakerstore.Change) {
 	if !change.Changes {
-		asker.records = map[string]*wire.GuardRecord{}
+		asker.records = map[string]*wire.BreakerRecord{}
 	}
 	for _, record := range change.Records {
 		asker.records[record.Service] = record
@@ -30,11 +30,11 @@
 }
 
 func (asker *asker) same(table *breakerstore.Table) bool {
-	return maps.EqualFunc(asker.records, byService(table), func(one, other *wire.GuardRecord) bool { return proto.Equal(one, other) })
+	return maps.EqualFunc(asker.records, byService(table), func(one, other *wire.BreakerRecord) bool { return proto.Equal(one, other) })
 }
 
-func byService(table *breakerstore.Table) map[string]*wire.GuardRecord {
-	records := map[string]*wire.GuardRecord{}
+func byService(table *breakerstore.Table) map[string]*wire.BreakerRecord {
+	records := map[string]*wire.BreakerRecord{}
 	for _, record := range table.Records() {
 		records[record.Service] = record
 	}
@@ -44,7 +44,7 @@
 // TestShownByChanges: a carrier that is told only what changed has the same records as one that is told all, whatever trips, probes,
 // waits and ends go over the table, whichever answers are lost, whoever leads, and also after a copy was replaced by another.
 func TestShownByChanges(t *testing.T) {
-	terms := &wire.GuardTerms{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeTenure: 30, StateTtl: 400}
+	terms := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		tables := []*breakerstore.Table{breakerstore.New(), breakerstore.New()}
@@ -59,13 +59,13 @@
 			case 0, 1:
 				serial := uint64(1)
 				if record := byService(table)[service]; record != nil {
-					serial = record.Serial
+					serial = record.Version
 				}
-				table.Write(&wire.GuardWriteAsk{Service: service, Verb: "trip", Carrier: carrier, ExpectedSerial: serial, Active: []string{carrier}, Terms: terms}, now)
+				table.Write(&wire.BreakerWriteRequest{Service: service, Verb: "trip", Proxy: carrier, ExpectedVersion: serial, Active: []string{carrier}, Settings: terms}, now)
 			case 2:
-				table.Lease(&wire.ProbeLeaseAsk{Service: service, Carrier: carrier, Id: fmt.Sprint(step), Active: []string{carrier}}, now)
+				table.Lease(&wire.ProbeLeaseRequest{Service: service, Proxy: carrier, Id: fmt.Sprint(step), Active: []string{carrier}}, now)
 			case 3:
-				table.Sweep([]*wire.Holder{{Name: carrier, Incarnation: 1}}, now)
+				table.Sweep([]*wire.MemberID{{Name: carrier, Incarnation: 1}}, now)
 			case 4:
 				if random.IntN(20) > 0 {
 					break
@@ -108,9 +108,9 @@
 // TestShownLess: with many records of which one changes, a carrier is told that one.
 func TestShownLess(t *testing.T) {
 	table, shown, one := breakerstore.New(), breakerstore.NewShown(7), &asker{}
-	terms := &wire.GuardTerms{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeTenure: 30, StateTtl: 400}
+	terms := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	trip := func(service, carrier string) {
-		table.Write(&wire.GuardWriteAsk{Service: service, Verb: "trip", Carrier: carrier, ExpectedSerial: 1, Active: []string{carrier, "other"}, Terms: terms}, 1)
+		table.Write(&wire.BreakerWriteRequest{Service: service, Verb: "trip", Proxy: carrier, ExpectedVersion: 1, Active: []string{carrier, "other"}, Settings: terms}, 1)
 	}
 	for index := range 580 {
 		trip(fmt.Sprintf("service-%d", index), "first")
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -86,10 +86,10 @@
 	directory.lock.Lock()
 	defer directory.lock.Unlock()
 	heard := directory.clock.Now() - monotonic.Micros(session.Age)
-	present := directory.sessions[session.Carrier]
+	present := directory.sessions[session.Proxy]
 	if present != nil {
 		same := present.session.Incarnation == session.Incarnation
-		if same && session.Beat < present.session.Beat || same && session.Beat == present.session.Beat && heard <= present.heard {
+		if same && session.Heartbeat < present.session.Heartbeat || same && session.Heartbeat == present.session.Heartbeat && heard <= present.heard {
 			return false
 		}
 		if !same && heard <= present.heard {
@@ -103,8 +103,8 @@
 	if directory.clock.Now()-heard >= SessionLife {
 		updated.ended = true
 	}
-	directory.sessions[session.Carrier] = updated
-	directory.show(session.Carrier)
+	directory.sessions[session.Proxy] = updated
+	directory.show(session.Proxy)
 	return fresh && !updated.ended
 }
 
@@ -147,11 +147,11 @@
 
 // shown is the part of a session that carriers see.
 func shown(session *wire.Session) *wire.Session {
-	visible := &wire.Session{Carrier: session.Carrier, Incarnation: session.Incarnation, Address: session.Address,
+	visible := &wire.Session{Proxy: session.Proxy, Incarnation: session.Incarnation, Address: session.Address,
 		Domain: session.Domain, Leaving: session.Leaving}
 	for _, backend := range session.Backends {
 		visible.Backends = append(visible.Backends, &wire.Backend{Service: backend.Service, Instance: backend.Instance,
-			Address: backend.Address, Condition: backend.Condition, Slots: backend.Slots, Warm: min(backend.Warm, 1)})
+			Address: backend.Address, Condition: backend.Condition, Slots: backend.Slots, SlowStart: min(backend.SlowStart, 1)})
 	}
 	return visible
 }
@@ -169,7 +169,7 @@
 }
 
 // Expire ends sessions that were not heard, and lists them.
-func (directory *Directory) Expire() (ended []*wire.Holder) {
+func (directory *Directory) Expire() (ended []*wire.MemberID) {
 	directory.lock.Lock()
 	defer directory.lock.Unlock()
 	now := directory.clock.Now()
@@ -178,7 +178,7 @@
 		if !present.ended && now-present.heard >= SessionLife {
 			present.ended = true
 			directory.show(name)
-			ended = append(ended, &wire.Holder{Name: name, Incarnation: present.session.Incarnation})
+			ended = append(ended, &wire.MemberID{Name: name, Incarnation: present.session.Incarnation})
 		}
 		if now-present.heard >= keepEnded {
 			delete(directory.sessions, name)
--- a/internal/registry/directory/directory_test.go
+++ b/internal/registry/directory/directory_test.go
@@ -20,7 +20,7 @@
 	tell := func(slots uint32, warm int64, inFlight uint32) (backend *wire.Backend, changed bool) {
 		beat++
 		time.now += monotonic.Second
-		sessions.Tell(&wire.Session{Carrier: "one", Incarnation: 1, Beat: beat, Backends: []*wire.Backend{{Service: "forms", Instance: "first", Condition: "alive", Slots: slots, Warm: warm, InFlight: inFlight}}}, true)
+		sessions.Tell(&wire.Session{Proxy: "one", Incarnation: 1, Heartbeat: beat, Backends: []*wire.Backend{{Service: "forms", Instance: "first", Condition: "alive", Slots: slots, SlowStart: warm, InFlight: inFlight}}}, true)
 		view := sessions.View(directory.Base{})
 		changed, serial = view.Serial != serial, view.Serial
 		return view.Sessions[0].Backends[0], changed
@@ -39,7 +39,7 @@
 		{"other slots", 8, 0, 2, true},
 	} {
 		backend, changed := tell(row.slots, row.warm, row.inFlight)
-		if changed != row.changes || backend.Slots != row.slots || backend.Warm > 0 != (row.warm > 0) {
+		if changed != row.changes || backend.Slots != row.slots || backend.SlowStart > 0 != (row.warm > 0) {
 			t.Errorf("%s: changed %v, shown %v", row.what, changed, backend)
 		}
 	}
--- a/internal/registry/idempotency/claims.go
+++ b/internal/registry/idempotency/claims.go
@@ -100,7 +100,7 @@
 
 // behind tells whether a request that was read at a moment may have been read before the fence.
 // Moments of one epoch compare; a moment of an older epoch than the fence's is behind it.
-func behind(fence, read *wire.HolderMoment) bool {
+func behind(fence, read *wire.LeaderTimestamp) bool {
 	if fence == nil {
 		return false
 	}
@@ -111,74 +111,74 @@
 }
 
 // Granted is what a carrier that asks again was told before, if it was granted; its first answer was lost or late.
-func (table *Table) Granted(ask *wire.ClaimAsk) *wire.ClaimTell {
+func (table *Table) Granted(ask *wire.ClaimRequest) *wire.ClaimResponse {
 	present := table.find(ask.Scope)
-	if present == nil || present.State != held || present.Try != ask.Try || present.Carrier != ask.Carrier ||
-		present.Incarnation != ask.Incarnation || voided(present, ask.Try) || !bytes.Equal(present.Digest, ask.Digest) {
+	if present == nil || present.State != held || present.Attempt != ask.Attempt || present.Proxy != ask.Proxy ||
+		present.Incarnation != ask.Incarnation || voided(present, ask.Attempt) || !bytes.Equal(present.Digest, ask.Digest) {
 		return nil
 	}
-	return &wire.ClaimTell{Outcome: Granted, Holder: ask.Carrier, HolderIncarnation: ask.Incarnation, Try: ask.Try}
+	return &wire.ClaimResponse{Outcome: Granted, Owner: ask.Proxy, OwnerIncarnation: ask.Incarnation, Attempt: ask.Attempt}
 }
 
 // Claim asks for the right to run.
-func (table *Table) Claim(ask *wire.ClaimAsk, now monotonic.Micros) *wire.ClaimTell {
+func (table *Table) Claim(ask *wire.ClaimRequest, now monotonic.Micros) *wire.ClaimResponse {
 	present := table.find(ask.Scope)
 	if present != nil {
 		switch {
-		case voided(present, ask.Try):
-			return &wire.ClaimTell{Outcome: Voided}
+		case voided(present, ask.Attempt):
+			return &wire.ClaimResponse{Outcome: Voided}
 		case present.State == held && !bytes.Equal(present.Digest, ask.Digest):
-			return &wire.ClaimTell{Outcome: OtherBody}
+			return &wire.ClaimResponse{Outcome: OtherBody}
 		case present.State == held:
 			if again := table.Granted(ask); again != nil {
 				return again
 			}
-			return &wire.ClaimTell{Outcome: Held, Holder: present.Carrier, HolderIncarnation: present.Incarnation, Try: present.Try}
+			return &wire.ClaimResponse{Outcome: Held, Owner: present.Proxy, OwnerIncarnation: present.Incarnation, Attempt: present.Attempt}
 		case behind(present.Fence, ask.ReadAt):
-			return &wire.ClaimTell{Outcome: Fenced}
+			return &wire.ClaimResponse{Outcome: Fenced}
 		}
 	}
 	record := table.record(ask.Scope, now)
-	record.State, record.Digest, record.Try = held, ask.Digest, ask.Try
-	record.Carrier, record.Incarnation = ask.Carrier, ask.Incarnation
+	record.State, record.Digest, record.Attempt = held, ask.Digest, ask.Attempt
+	record.Proxy, record.Incarnation = ask.Proxy, ask.Incarnation
 	table.kept.put(record)
-	return &wire.ClaimTell{Outcome: Granted, Holder: ask.Carrier, HolderIncarnation: ask.Incarnation, Try: ask.Try}
+	return &wire.ClaimResponse{Outcome: Granted, Owner: ask.Proxy, OwnerIncarnation: ask.Incarnation, Attempt: ask.Attempt}
 }
 
 // Void makes sure that a try never runs, or tells that the key is claimed. With a fence, no request read before now
 // will run under the key either.
-func (table *Table) Void(ask *wire.VoidAsk, epoch uint64, now monotonic.Micros) *wire.VoidTell {
+func (table *Table) Void(ask *wire.VoidClaimRequest, epoch uint64, now monotonic.Micros) *wire.VoidClaimResponse {
 	if present := table.find(ask.Scope); present != nil && present.State == held {
-		if ask.Try != "" && present.Try != ask.Try && !voided(present, ask.Try) {
-			present.Voided = append(present.Voided, ask.Try)
+		if ask.Attempt != "" && present.Attempt != ask.Attempt && !voided(present, ask.Attempt) {
+			present.Voided = append(present.Voided, ask.Attempt)
 			table.kept.put(present)
 		}
-		return &wire.VoidTell{Outcome: Claimed}
+		return &wire.VoidClaimResponse{Outcome: Claimed}
 	}
 	record := table.record(ask.Scope, now)
-	if ask.Try != "" && !voided(record, ask.Try) {
-		record.Voided = append(record.Voided, ask.Try)
+	if ask.Attempt != "" && !voided(record, ask.Attempt) {
+		record.Voided = append(record.Voided, ask.Attempt)
 	}
 	defer table.kept.put(record)
 	if ask.Fence {
-		record.Fence = &wire.HolderMoment{Epoch: epoch, Time: int64(now)}
-		return &wire.VoidTell{Outcome: Voided, Fence: &wire.HolderMoment{Epoch: epoch, Time: int64(now)}}
+		record.Fence = &wire.LeaderTimestamp{Epoch: epoch, Time: int64(now)}
+		return &wire.VoidClaimResponse{Outcome: Voided, Fence: &wire.LeaderTimestamp{Epoch: epoch, Time: int64(now)}}
 	}
-	return &wire.VoidTell{Outcome: Voided}
+	return &wire.VoidClaimResponse{Outcome: Voided}
 }
 
 // Settle frees a key whose holder is certain that nothing ran. The try stays void.
-func (table *Table) Settle(ask *wire.SettleAsk, now monotonic.Micros) *wire.SettleTell {
+func (table *Table) Settle(ask *wire.CompleteClaimRequest, now monotonic.Micros) *wire.CompleteClaimResponse {
 	present := table.find(ask.Scope)
-	if present == nil || present.State != held || present.Try != ask.Try || ask.Ran {
-		return &wire.SettleTell{}
+	if present == nil || present.State != held || present.Attempt != ask.Attempt || ask.Ran {
+		return &wire.CompleteClaimResponse{}
 	}
 	record := table.record(ask.Scope, now)
 	record.State, record.Digest = free, nil
-	record.Voided = append(record.Voided, ask.Try)
-	record.Try, record.Carrier, record.Incarnation = "", "", 0
+	record.Voided = append(record.Voided, ask.Attempt)
+	record.Attempt, record.Proxy, record.Incarnation = "", "", 0
 	table.kept.put(record)
-	return &wire.SettleTell{Done: true}
+	return &wire.CompleteClaimResponse{Done: true}
 }
 
 // Sweep forgets what has outlived its promise.
