--- a/internal/registry/idempotency/claims_test.go
+++ b/internal/registry/idempotency/claims_test.go
@@ -20,7 +20,7 @@
 		table := idempotency.New()
 		table.Life = life
 		ask := func(try string, now monotonic.Micros) string {
-			return table.Claim(&wire.ClaimAsk{Scope: "one", Try: try, Carrier: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome
+			return table.Claim(&wire.ClaimRequest{Scope: "one", Attempt: try, Proxy: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome
 		}
 		start := monotonic.Minute
 		if told := ask("first", start); told != idempotency.Granted {
@@ -94,36 +94,36 @@
 				switch {
 				case void:
 					outcome = idempotency.Voided
-				case held && present.Try != try:
+				case held && present.Attempt != try:
 					outcome = idempotency.Held
 				case !held:
 					record := plain.record(scope, now)
-					record.State, record.Try, record.Carrier, record.Incarnation, record.Digest = "held", try, "c", 1, []byte("d")
+					record.State, record.Attempt, record.Proxy, record.Incarnation, record.Digest = "held", try, "c", 1, []byte("d")
 				}
-				if told := table.Claim(&wire.ClaimAsk{Scope: scope, Try: try, Carrier: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome; told != outcome {
+				if told := table.Claim(&wire.ClaimRequest{Scope: scope, Attempt: try, Proxy: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome; told != outcome {
 					t.Fatalf("seed %d, step %d: claim %s, not %s", seed, step, told, outcome)
 				}
 			case 2:
 				outcome := idempotency.Voided
 				if held {
 					outcome = idempotency.Claimed
-					if present.Try != try && !void {
+					if present.Attempt != try && !void {
 						present.Voided = append(present.Voided, try)
 					}
 				} else if record := plain.record(scope, now); !void {
 					record.Voided = append(record.Voided, try)
 				}
-				if told := table.Void(&wire.VoidAsk{Scope: scope, Try: try}, 1, now).Outcome; told != outcome {
+				if told := table.Void(&wire.VoidClaimRequest{Scope: scope, Attempt: try}, 1, now).Outcome; told != outcome {
 					t.Fatalf("seed %d, step %d: void %s, not %s", seed, step, told, outcome)
 				}
 			case 3:
-				done := held && present.Try == try
+				done := held && present.Attempt == try
 				if done {
 					record := plain.record(scope, now)
-					record.State, record.Try, record.Carrier, record.Incarnation, record.Digest = "free", "", "", 0, nil
+					record.State, record.Attempt, record.Proxy, record.Incarnation, record.Digest = "free", "", "", 0, nil
 					record.Voided = append(record.Voided, try)
 				}
-				if told := table.Settle(&wire.SettleAsk{Scope: scope, Try: try}, now).Done; told != done {
+				if told := table.Settle(&wire.CompleteClaimRequest{Scope: scope, Attempt: try}, now).Done; told != done {
 					t.Fatalf("seed %d, step %d: settled %v, not %v", seed, step, told, done)
 				}
 			case 4:
@@ -170,7 +170,7 @@
 		}
 		return content
 	}
-	good := encoded(&wire.ClaimRecord{Scope: "one", State: "held", Try: "t", Fence: &wire.HolderMoment{Epoch: 1, Time: 2}, Expires: 9})
+	good := encoded(&wire.ClaimRecord{Scope: "one", State: "held", Attempt: "t", Fence: &wire.LeaderTimestamp{Epoch: 1, Time: 2}, Expires: 9})
 	fence := protowire.AppendBytes(protowire.AppendTag(nil, 9, protowire.BytesType), []byte{0xff})
 	text := protowire.AppendBytes(protowire.AppendTag(nil, 4, protowire.BytesType), []byte{0xff})
 	table := idempotency.New()
@@ -182,7 +182,7 @@
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if told := table.Claim(&wire.ClaimAsk{Scope: "one", Try: "other"}, 1).Outcome; table.Length() != 1 || told != idempotency.Held {
+	if told := table.Claim(&wire.ClaimRequest{Scope: "one", Attempt: "other"}, 1).Outcome; table.Length() != 1 || told != idempotency.Held {
 		t.Errorf("%d claims, and a second try is %s", table.Length(), told)
 	}
 }
--- a/internal/registry/idempotency/kept.go
+++ b/internal/registry/idempotency/kept.go
@@ -93,7 +93,7 @@
 				return fmt.Errorf("field %d of a claim is no text", number)
 			}
 			if number == fenceField {
-				if err := proto.Unmarshal(inside, &wire.HolderMoment{}); err != nil {
+				if err := proto.Unmarshal(inside, &wire.LeaderTimestamp{}); err != nil {
 					return err
 				}
 			}
--- a/internal/registry/leases/duty.go
+++ b/internal/registry/leases/duty.go
@@ -15,46 +15,48 @@
 )
 
 // Table holds the duties. Invariant: a duty has one holder until its tenure ends on holder time or the holder gives it up.
-type Table struct{ records map[string]*wire.DutyRecord }
+type Table struct {
+	records map[string]*wire.SingletonLeaseRecord
+}
 
 // New makes an empty table.
-func New() *Table { return &Table{records: map[string]*wire.DutyRecord{}} }
+func New() *Table { return &Table{records: map[string]*wire.SingletonLeaseRecord{}} }
 
 // Restore replaces the table's content.
-func (table *Table) Restore(records []*wire.DutyRecord) {
-	table.records = map[string]*wire.DutyRecord{}
+func (table *Table) Restore(records []*wire.SingletonLeaseRecord) {
+	table.records = map[string]*wire.SingletonLeaseRecord{}
 	for _, record := range records {
-		table.records[record.Duty] = record
+		table.records[record.Role] = record
 	}
 }
 
 // Records lists all duties by name.
-func (table *Table) Records() []*wire.DutyRecord {
-	records := make([]*wire.DutyRecord, 0, len(table.records))
+func (table *Table) Records() []*wire.SingletonLeaseRecord {
+	records := make([]*wire.SingletonLeaseRecord, 0, len(table.records))
 	for _, record := range table.records {
 		records = append(records, record)
 	}
-	sort.Slice(records, func(one, other int) bool { return records[one].Duty < records[other].Duty })
+	sort.Slice(records, func(one, other int) bool { return records[one].Role < records[other].Role })
 	return records
 }
 
 // Ask grants, renews or gives up a duty.
-func (table *Table) Ask(ask *wire.DutyAsk, now monotonic.Micros) *wire.DutyTell {
-	present := table.records[ask.Duty]
+func (table *Table) Ask(ask *wire.SingletonLeaseRequest, now monotonic.Micros) *wire.SingletonLeaseResponse {
+	present := table.records[ask.Role]
 	if present != nil && int64(now) < present.Until && present.Instance != ask.Instance {
-		return &wire.DutyTell{Holder: present.Carrier, Instance: present.Instance}
+		return &wire.SingletonLeaseResponse{Owner: present.Proxy, Instance: present.Instance}
 	}
 	if ask.Release {
-		delete(table.records, ask.Duty)
-		return &wire.DutyTell{}
+		delete(table.records, ask.Role)
+		return &wire.SingletonLeaseResponse{}
 	}
-	length := min(max(monotonic.Micros(ask.Length), shortest), longest)
+	length := min(max(monotonic.Micros(ask.Duration), shortest), longest)
 	until := int64(now + length)
 	if present != nil && present.Instance == ask.Instance {
 		until = max(until, present.Until) // an older ask that comes late takes nothing back
 	}
-	table.records[ask.Duty] = &wire.DutyRecord{Duty: ask.Duty, Carrier: ask.Carrier, Instance: ask.Instance, Until: until}
-	return &wire.DutyTell{Granted: true, Holder: ask.Carrier, Instance: ask.Instance, Length: int64(length)}
+	table.records[ask.Role] = &wire.SingletonLeaseRecord{Role: ask.Role, Proxy: ask.Proxy, Instance: ask.Instance, Until: until}
+	return &wire.SingletonLeaseResponse{Granted: true, Owner: ask.Proxy, Instance: ask.Instance, Duration: int64(length)}
 }
 
 // Sweep forgets duties whose tenure ended.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -81,53 +81,53 @@
 func (sorter *Sorter) Register(table host.Table) {
 	sorter.Member.Register(table)
 	sorter.env.Book.OfferBatches()
-	host.Handle(table, wire.Kind_sorter_poll, sorter.poll)
-	host.Handle(table, wire.Kind_sorter_batch, sorter.batch)
-	host.Handle(table, wire.Kind_sessions_tell, sorter.told)
-	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimAsk) (*wire.ClaimTell, error) {
+	host.Handle(table, wire.Kind_registry_poll, sorter.poll)
+	host.Handle(table, wire.Kind_registry_batch, sorter.batch)
+	host.Handle(table, wire.Kind_sessions, sorter.told)
+	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 		if tell := sorter.granted(ask); tell != nil {
 			return tell, nil
 		}
-		result, err := sorter.propose(&wire.SorterCommand{Claim: ask})
+		result, err := sorter.propose(&wire.RegistryCommand{Claim: ask})
 		return result.GetClaim(), err
 	})
-	host.Handle(table, wire.Kind_void, func(ask *wire.VoidAsk) (*wire.VoidTell, error) {
-		result, err := sorter.propose(&wire.SorterCommand{Void: ask})
+	host.Handle(table, wire.Kind_void_claim, func(ask *wire.VoidClaimRequest) (*wire.VoidClaimResponse, error) {
+		result, err := sorter.propose(&wire.RegistryCommand{Void: ask})
 		return result.GetVoid(), err
 	})
-	host.Handle(table, wire.Kind_claim_settle, func(ask *wire.SettleAsk) (*wire.SettleTell, error) {
-		result, err := sorter.propose(&wire.SorterCommand{Settle: ask})
-		return result.GetSettle(), err
+	host.Handle(table, wire.Kind_complete_claim, func(ask *wire.CompleteClaimRequest) (*wire.CompleteClaimResponse, error) {
+		result, err := sorter.propose(&wire.RegistryCommand{Complete: ask})
+		return result.GetComplete(), err
 	})
-	host.Handle(table, wire.Kind_probe_lease, func(ask *wire.ProbeLeaseAsk) (*wire.ProbeLeaseTell, error) {
+	host.Handle(table, wire.Kind_probe_lease, func(ask *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
 		ask.Active = sorter.wanting(ask.Service)
 		if tell := sorter.denied(ask); tell != nil {
 			return tell, nil
 		}
-		result, err := sorter.propose(&wire.SorterCommand{Lease: ask})
-		return result.GetLease(), err
+		result, err := sorter.propose(&wire.RegistryCommand{ProbeLease: ask})
+		return result.GetProbeLease(), err
 	})
-	host.Handle(table, wire.Kind_guard_write, func(ask *wire.GuardWriteAsk) (*wire.GuardWriteTell, error) {
+	host.Handle(table, wire.Kind_breaker_write, func(ask *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
 		ask.Active = sorter.directory.Active(ask.Service)
 		if ask.Verb == "trip" && len(ask.Active) < 2 && sorter.directory.Live() > 1 {
 			return sorter.lonely(ask), nil
 		}
-		result, err := sorter.propose(&wire.SorterCommand{Guard: ask})
-		return result.GetGuard(), err
+		result, err := sorter.propose(&wire.RegistryCommand{Breaker: ask})
+		return result.GetBreaker(), err
 	})
-	host.Handle(table, wire.Kind_duty, func(ask *wire.DutyAsk) (*wire.DutyTell, error) {
-		result, err := sorter.propose(&wire.SorterCommand{Duty: ask})
-		return result.GetDuty(), err
+	host.Handle(table, wire.Kind_singleton_lease, func(ask *wire.SingletonLeaseRequest) (*wire.SingletonLeaseResponse, error) {
+		result, err := sorter.propose(&wire.RegistryCommand{Singleton: ask})
+		return result.GetSingleton(), err
 	})
-	host.Handle(table, wire.Kind_sorter_status, func(*wire.StatusAsk) (*wire.StatusTell, error) {
+	host.Handle(table, wire.Kind_registry_status, func(*wire.StatusRequest) (*wire.StatusResponse, error) {
 		content, err := json.Marshal(sorter.Status())
-		return &wire.StatusTell{Json: content}, err
+		return &wire.StatusResponse{Json: content}, err
 	})
 }
 
 // granted tells a carrier that asks again what it was granted before. Where disks are slow, an ask may outlast its
 // asker's patience; the next one must not wait for a sync of its own.
-func (sorter *Sorter) granted(ask *wire.ClaimAsk) (tell *wire.ClaimTell) {
+func (sorter *Sorter) granted(ask *wire.ClaimRequest) (tell *wire.ClaimResponse) {
 	if !sorter.Member.Read(func(uint64, monotonic.Micros) { tell = sorter.machine.Claims.Granted(ask) }) {
 		return nil
 	}
@@ -148,7 +148,7 @@
 }
 
 // denied turns an ask for a probe down without a write, if the record as it stands can't grant one.
-func (sorter *Sorter) denied(ask *wire.ProbeLeaseAsk) (tell *wire.ProbeLeaseTell) {
+func (sorter *Sorter) denied(ask *wire.ProbeLeaseRequest) (tell *wire.ProbeLeaseResponse) {
 	if !sorter.Member.Read(func(_ uint64, now monotonic.Micros) { tell = sorter.machine.Guards.Denied(ask, now) }) {
 		return nil
 	}
@@ -158,13 +158,13 @@
 // lonely handles a trip that comes before any other carrier was heard to call the service. Others may call it and not
 // have told so yet, so the report waits until they have polled. If this process dies meanwhile, the reporter's next
 // trip makes up for it.
-func (sorter *Sorter) lonely(ask *wire.GuardWriteAsk) *wire.GuardWriteTell {
+func (sorter *Sorter) lonely(ask *wire.BreakerWriteRequest) *wire.BreakerWriteResponse {
 	sorter.env.Place.Go(func() {
 		sorter.env.Place.Sleep(heardAll)
 		ask.Active = sorter.directory.Active(ask.Service)
-		_, _ = sorter.propose(&wire.SorterCommand{Guard: ask})
+		_, _ = sorter.propose(&wire.RegistryCommand{Breaker: ask})
 	})
-	tell := &wire.GuardWriteTell{}
+	tell := &wire.BreakerWriteResponse{}
 	for _, record := range sorter.Guards() {
 		if record.Service == ask.Service {
 			tell.Record = record
@@ -175,36 +175,36 @@
 
 // propose has a command replicated. An error is told to the asker as a refusal, which leaves the outcome open unless
 // it was not taken at all.
-func (sorter *Sorter) propose(command *wire.SorterCommand) (*wire.SorterResult, error) {
-	result := &wire.SorterResult{}
+func (sorter *Sorter) propose(command *wire.RegistryCommand) (*wire.RegistryResult, error) {
+	result := &wire.RegistryResult{}
 	return result, sorter.Member.Submit(command, result)
 }
 
 // poll takes a carrier's session and gives what it may have missed.
-func (sorter *Sorter) poll(ask *wire.SorterPollAsk) (*wire.SorterPollTell, error) {
-	if ask.Session == nil || ask.Session.Carrier == "" {
+func (sorter *Sorter) poll(ask *wire.RegistryPollRequest) (*wire.RegistryPollResponse, error) {
+	if ask.Session == nil || ask.Session.Proxy == "" {
 		return nil, apierror.Invalid.New("a poll without a session")
 	}
 	ask.Session.Age = 0
 	if sorter.directory.Tell(ask.Session, true) {
-		sorter.env.Place.Report(eventlog.SessionOpened, map[string]any{"carrier": ask.Session.Carrier, "incarnation": ask.Session.Incarnation})
+		sorter.env.Place.Report(eventlog.SessionOpened, map[string]any{"carrier": ask.Session.Proxy, "incarnation": ask.Session.Incarnation})
 	}
-	sorter.directory.Called(ask.Session.Carrier, ask.Activity)
-	tell := &wire.SorterPollTell{Carriers: uint32(sorter.directory.Live()), Primaries: sorter.env.Book.Primaries()}
-	view := sorter.directory.View(directory.Base{Source: ask.DirectorySource, Serial: ask.DirectorySerial, Check: ask.DirectoryCheck, Grown: ask.DirectoryGrown})
-	tell.DirectorySource, tell.DirectorySerial, tell.DirectorySame = view.Source, view.Serial, view.Same
-	tell.Sessions, tell.DirectoryChanged, tell.DirectoryGone, tell.DirectoryDigest = view.Sessions, view.Changed, view.Gone, view.Digest
+	sorter.directory.Called(ask.Session.Proxy, ask.Activity)
+	tell := &wire.RegistryPollResponse{Proxies: uint32(sorter.directory.Live()), Primaries: sorter.env.Book.Primaries()}
+	view := sorter.directory.View(directory.Base{Source: ask.DirectorySource, Serial: ask.DirectoryVersion, Check: ask.DirectoryChecksum, Grown: ask.DirectoryComplete})
+	tell.DirectorySource, tell.DirectoryVersion, tell.DirectoryUnchanged = view.Source, view.Serial, view.Same
+	tell.Sessions, tell.DirectoryIsDelta, tell.DirectoryRemoved, tell.DirectoryDigest = view.Sessions, view.Changed, view.Gone, view.Digest
 	if view.Changed {
-		tell.DirectoryBaseSource, tell.DirectoryBaseSerial = ask.DirectorySource, ask.DirectorySerial
+		tell.DirectoryBaseSource, tell.DirectoryBaseVersion = ask.DirectorySource, ask.DirectoryVersion
 	}
 	tell.DirectoryAge = int64(sorter.directory.Age())
 	tell.Primary = sorter.Member.Read(func(epoch uint64, now monotonic.Micros) {
-		tell.Epoch, tell.HolderTime = epoch, int64(now)
+		tell.Epoch, tell.LeaderClock = epoch, int64(now)
 		sorter.shown.Look(sorter.machine.Guards)
 	})
 	if tell.Primary {
-		change := sorter.shown.Since(ask.GuardsSource, ask.GuardsVersion)
-		tell.Guards, tell.GuardsChanged, tell.GuardsSource, tell.GuardsVersion = change.Records, change.Changes, change.Source, change.Version
+		change := sorter.shown.Since(ask.BreakersSource, ask.BreakersVersion)
+		tell.Breakers, tell.BreakersAreDelta, tell.BreakersSource, tell.BreakersVersion = change.Records, change.Changes, change.Source, change.Version
 	}
 	return tell, nil
 }
@@ -212,11 +212,11 @@
 // Shown is the directory as a carrier that has nothing is told it.
 func (sorter *Sorter) Shown() directory.View { return sorter.directory.View(directory.Base{}) }
 
-func (sorter *Sorter) told(ask *wire.SessionsAsk) (*wire.SessionsTell, error) {
+func (sorter *Sorter) told(ask *wire.SessionsRequest) (*wire.SessionsResponse, error) {
 	for _, session := range ask.Sessions {
 		sorter.directory.Tell(session, false)
 	}
-	return &wire.SessionsTell{Sessions: sorter.directory.Heard()}, nil
+	return &wire.SessionsResponse{Sessions: sorter.directory.Heard()}, nil
 }
 
 // gossip tells the other sorters the sessions that were opened here.
@@ -228,9 +228,9 @@
 				continue
 			}
 			sorter.env.Place.Go(func() {
-				tell := &wire.SessionsTell{}
-				ask := &wire.SessionsAsk{From: sorter.env.Name, Sessions: sorter.directory.Heard()}
-				if sorter.env.Book.Call(name, wire.Kind_sessions_tell, ask, tell, 500*monotonic.Millisecond) != nil {
+				tell := &wire.SessionsResponse{}
+				ask := &wire.SessionsRequest{From: sorter.env.Name, Sessions: sorter.directory.Heard()}
+				if sorter.env.Book.Call(name, wire.Kind_sessions, ask, tell, 500*monotonic.Millisecond) != nil {
 					return
 				}
 				for _, session := range tell.Sessions {
@@ -255,14 +255,14 @@
 		if len(ended) > 0 && sorter.Member.Answering() {
 			sorter.env.Place.Go(func() {
 				// Best effort: what isn't given back here goes back when its tenure ends.
-				_, _ = sorter.propose(&wire.SorterCommand{Tick: &wire.Tick{Ended: ended}})
+				_, _ = sorter.propose(&wire.RegistryCommand{Tick: &wire.Tick{EndedSessions: ended}})
 			})
 		}
 	}
 }
 
-// Guards gives the shared records while this sorter answers, or nothing.
-func (sorter *Sorter) Guards() (records []*wire.GuardRecord) {
+// Breakers gives the shared records while this sorter answers, or nothing.
+func (sorter *Sorter) Guards() (records []*wire.BreakerRecord) {
 	if !sorter.Member.Read(func(uint64, monotonic.Micros) { records = sorter.machine.Guards.Records() }) {
 		return nil
 	}
@@ -271,12 +271,12 @@
 
 // Status is what operators are shown of a sorter.
 type Status struct {
-	Core     replication.Status  `json:"core"`
-	Carriers []*wire.Session     `json:"carriers"`
-	Guards   []*wire.GuardRecord `json:"guards,omitempty"`
-	Claims   int                 `json:"claims"`
-	Duties   []*wire.DutyRecord  `json:"duties,omitempty"`
-	Now      int64               `json:"holder_time"`
+	Core     replication.Status           `json:"core"`
+	Carriers []*wire.Session              `json:"carriers"`
+	Guards   []*wire.BreakerRecord        `json:"guards,omitempty"`
+	Claims   int                          `json:"claims"`
+	Duties   []*wire.SingletonLeaseRecord `json:"duties,omitempty"`
+	Now      int64                        `json:"holder_time"`
 }
 
 // Status tells how this sorter stands.
--- a/internal/registry/statemachine/bench_test.go
+++ b/internal/registry/statemachine/bench_test.go
@@ -15,15 +15,15 @@
 func full(count int) *Machine {
 	made := New()
 	for index := range count {
-		content, _ := proto.Marshal(&wire.SorterCommand{Claim: claimOf(index)})
+		content, _ := proto.Marshal(&wire.RegistryCommand{Claim: claimOf(index)})
 		made.Apply(3, monotonic.Micros(index)*1500, content)
 	}
 	return made
 }
 
-func claimOf(index int) *wire.ClaimAsk {
-	return &wire.ClaimAsk{Scope: fmt.Sprintf("k-%016x", uint64(index)*0x9e3779b97f4a7c15), Digest: make([]byte, 32), Try: fmt.Sprintf("sidecar-fsd-a-%d-%016x", index%73, uint64(index)*0x2545F4914F6CDD1D),
-		Carrier: fmt.Sprintf("sidecar-fsd-a-%d", index%30), Incarnation: uint64(index%30+1) << 60, ReadAt: &wire.HolderMoment{Epoch: 3, Time: int64(index) * 1500}}
+func claimOf(index int) *wire.ClaimRequest {
+	return &wire.ClaimRequest{Scope: fmt.Sprintf("k-%016x", uint64(index)*0x9e3779b97f4a7c15), Digest: make([]byte, 32), Attempt: fmt.Sprintf("sidecar-fsd-a-%d-%016x", index%73, uint64(index)*0x2545F4914F6CDD1D),
+		Proxy: fmt.Sprintf("sidecar-fsd-a-%d", index%30), Incarnation: uint64(index%30+1) << 60, ReadAt: &wire.LeaderTimestamp{Epoch: 3, Time: int64(index) * 1500}}
 }
 
 // TestRestoreLeavesClaimsEncoded: a copy that is brought into step must not take each claim apart; on a core machine with a sixth of a
@@ -64,7 +64,7 @@
 	made := New()
 	contents := make([][]byte, b.N)
 	for index := range contents {
-		contents[index], _ = proto.Marshal(&wire.SorterCommand{Claim: claimOf(index)})
+		contents[index], _ = proto.Marshal(&wire.RegistryCommand{Claim: claimOf(index)})
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -30,17 +30,17 @@
 
 // Apply carries out a command. An empty command is a tick.
 func (machine *Machine) Apply(epoch uint64, now monotonic.Micros, content []byte) []byte {
-	command := &wire.SorterCommand{}
+	command := &wire.RegistryCommand{}
 	if err := proto.Unmarshal(content, command); err != nil {
 		return nil
 	}
-	if ended := command.GetTick().GetEnded(); now-machine.swept >= sweepEvery || len(ended) > 0 {
+	if ended := command.GetTick().GetEndedSessions(); now-machine.swept >= sweepEvery || len(ended) > 0 {
 		machine.swept = now
 		machine.Guards.Sweep(ended, now)
 		machine.Claims.Sweep(now)
 		machine.Duties.Sweep(now)
 	}
-	result := &wire.SorterResult{}
+	result := &wire.RegistryResult{}
 	for _, step := range steps {
 		step(machine, epoch, now, command, result)
 	}
@@ -52,45 +52,45 @@
 }
 
 // steps carry out the part of a command that is present.
-var steps = []func(machine *Machine, epoch uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult){
-	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+var steps = []func(machine *Machine, epoch uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult){
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
 		if command.Claim != nil {
 			result.Claim = machine.Claims.Claim(command.Claim, now)
 		}
 	},
-	func(machine *Machine, epoch uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
+	func(machine *Machine, epoch uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
 		if command.Void != nil {
 			result.Void = machine.Claims.Void(command.Void, epoch, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
-		if command.Settle != nil {
-			result.Settle = machine.Claims.Settle(command.Settle, now)
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
+		if command.Complete != nil {
+			result.Complete = machine.Claims.Settle(command.Complete, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
-		if command.Lease != nil {
-			result.Lease = machine.Guards.Lease(command.Lease, now)
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
+		if command.ProbeLease != nil {
+			result.ProbeLease = machine.Guards.Lease(command.ProbeLease, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
-		if command.Guard != nil {
-			result.Guard = machine.Guards.Write(command.Guard, now)
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
+		if command.Breaker != nil {
+			result.Breaker = machine.Guards.Write(command.Breaker, now)
 		}
 	},
-	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.SorterCommand, result *wire.SorterResult) {
-		if command.Duty != nil {
-			result.Duty = machine.Duties.Ask(command.Duty, now)
+	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
+		if command.Singleton != nil {
+			result.Singleton = machine.Duties.Ask(command.Singleton, now)
 		}
 	},
 }
 
-// The claims' field in wire.SorterView. They are most of the state, so they are copied into a view and out of it as they are encoded.
+// The claims' field in wire.RegistrySnapshot. They are most of the state, so they are copied into a view and out of it as they are encoded.
 const claimsField protowire.Number = 2
 
 // View gives the whole state.
 func (machine *Machine) View() []byte {
-	rest := &wire.SorterView{Guards: machine.Guards.Records(), Duties: machine.Duties.Records(), Swept: int64(machine.swept)}
+	rest := &wire.RegistrySnapshot{Breakers: machine.Guards.Records(), Singletons: machine.Duties.Records(), SweptAt: int64(machine.swept)}
 	options := proto.MarshalOptions{}
 	room := options.Size(rest) + machine.Claims.Size() + machine.Claims.Length()*(protowire.SizeTag(claimsField)+protowire.SizeVarint(1<<20))
 	content, err := options.MarshalAppend(make([]byte, 0, room), rest)
@@ -106,16 +106,16 @@
 	if err != nil {
 		return err
 	}
-	view := &wire.SorterView{}
+	view := &wire.RegistrySnapshot{}
 	if err := proto.Unmarshal(rest, view); err != nil {
 		return err
 	}
 	if err := machine.Claims.Restore(claims); err != nil {
 		return err
 	}
-	machine.Guards.Restore(view.Guards)
-	machine.Duties.Restore(view.Duties)
-	machine.swept = monotonic.Micros(view.Swept)
+	machine.Guards.Restore(view.Breakers)
+	machine.Duties.Restore(view.Singletons)
+	machine.swept = monotonic.Micros(view.SweptAt)
 	return nil
 }
 
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-var terms = &wire.GuardTerms{WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeTenure: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second)}
+var terms = &wire.BreakerSettings{WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeLease: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second)}
 
 // play carries out "SECOND VERB ARGUMENTS...".
 func play(t *testing.T, state *statemachine.Machine, words []string) (text string) {
@@ -42,40 +42,40 @@
 		t.Fatal(err)
 	}
 	number := func(index int) (value uint64) { _, _ = fmt.Sscan(words[index], &value); return value }
-	command := &wire.SorterCommand{}
+	command := &wire.RegistryCommand{}
 	switch words[1] {
 	case "claim": // key body try carrier epoch read-second
-		command.Claim = &wire.ClaimAsk{Scope: words[2], Digest: []byte(words[3]), Try: words[4], Carrier: words[5],
-			ReadAt: &wire.HolderMoment{Epoch: number(6), Time: int64(number(7)) * int64(monotonic.Second)}}
+		command.Claim = &wire.ClaimRequest{Scope: words[2], Digest: []byte(words[3]), Attempt: words[4], Proxy: words[5],
+			ReadAt: &wire.LeaderTimestamp{Epoch: number(6), Time: int64(number(7)) * int64(monotonic.Second)}}
 	case "void": // key try
-		command.Void = &wire.VoidAsk{Scope: words[2], Try: words[3]}
+		command.Void = &wire.VoidClaimRequest{Scope: words[2], Attempt: words[3]}
 	case "refuse": // key
-		command.Void = &wire.VoidAsk{Scope: words[2], Fence: true}
+		command.Void = &wire.VoidClaimRequest{Scope: words[2], Fence: true}
 	case "free": // key try
-		command.Settle = &wire.SettleAsk{Scope: words[2], Try: words[3]}
+		command.Complete = &wire.CompleteClaimRequest{Scope: words[2], Attempt: words[3]}
 	case "trip": // carrier serial active...
-		command.Guard = &wire.GuardWriteAsk{Service: "forms", Verb: "trip", Carrier: words[2], ExpectedSerial: number(3), Active: words[4:], Terms: terms}
+		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "trip", Proxy: words[2], ExpectedVersion: number(3), Active: words[4:], Settings: terms}
 	case "lease": // carrier id active...
-		command.Lease = &wire.ProbeLeaseAsk{Service: "forms", Carrier: words[2], Id: words[3], Active: words[4:]}
+		command.ProbeLease = &wire.ProbeLeaseRequest{Service: "forms", Proxy: words[2], Id: words[3], Active: words[4:]}
 		// A primary that turns an ask down without a write must not turn down what the write would grant, nor the reverse.
-		denied := state.Guards.Denied(command.Lease, monotonic.Micros(second*1e6))
+		denied := state.Guards.Denied(command.ProbeLease, monotonic.Micros(second*1e6))
 		defer func() {
 			if granted := strings.Contains(text, "granted true"); granted == (denied != nil) {
 				t.Errorf("%v: granted %v, denied beforehand %v", words, granted, denied != nil)
 			}
 		}()
 	case "return": // carrier id serial
-		command.Guard = &wire.GuardWriteAsk{Service: "forms", Verb: "return", Carrier: words[2], Id: words[3], ExpectedSerial: number(4), Terms: terms}
+		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "return", Proxy: words[2], Id: words[3], ExpectedVersion: number(4), Settings: terms}
 	case "probe": // carrier id serial good|bad
-		command.Guard = &wire.GuardWriteAsk{Service: "forms", Verb: "probe", Carrier: words[2], Id: words[3], ExpectedSerial: number(4), Success: words[5] == "good", Terms: terms}
+		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "probe", Proxy: words[2], Id: words[3], ExpectedVersion: number(4), Success: words[5] == "good", Settings: terms}
 	case "decide": // serial state
-		command.Guard = &wire.GuardWriteAsk{Service: "forms", Verb: "decide", ExpectedSerial: number(2), Decision: words[3], Terms: terms}
+		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "decide", ExpectedVersion: number(2), Decision: words[3], Settings: terms}
 	case "ended": // carrier
-		command.Tick = &wire.Tick{Ended: []*wire.Holder{{Name: words[2]}}}
+		command.Tick = &wire.Tick{EndedSessions: []*wire.MemberID{{Name: words[2]}}}
 	case "duty": // duty carrier instance seconds
-		command.Duty = &wire.DutyAsk{Duty: words[2], Carrier: words[3], Instance: words[4], Length: int64(number(5)) * int64(monotonic.Second)}
+		command.Singleton = &wire.SingletonLeaseRequest{Role: words[2], Proxy: words[3], Instance: words[4], Duration: int64(number(5)) * int64(monotonic.Second)}
 	case "stop": // duty instance
-		command.Duty = &wire.DutyAsk{Duty: words[2], Instance: words[3], Release: true}
+		command.Singleton = &wire.SingletonLeaseRequest{Role: words[2], Instance: words[3], Release: true}
 	case "wait":
 	default:
 		t.Fatalf("no verb %q", words[1])
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	result := &wire.SorterResult{}
+	result := &wire.RegistryResult{}
 	if err := proto.Unmarshal(state.Apply(7, monotonic.Micros(second*1e6), content), result); err != nil {
 		t.Fatal(err)
 	}
@@ -95,20 +95,20 @@
 	if result.Void != nil {
 		text += " " + result.Void.Outcome
 	}
-	if result.Settle != nil {
-		text += fmt.Sprintf(" freed %v", result.Settle.Done)
+	if result.Complete != nil {
+		text += fmt.Sprintf(" freed %v", result.Complete.Done)
 	}
-	if result.Duty != nil {
-		text += fmt.Sprintf(" granted %v for %d s, %q at %q has it", result.Duty.Granted, result.Duty.Length/1e6, result.Duty.Instance, result.Duty.Holder)
+	if result.Singleton != nil {
+		text += fmt.Sprintf(" granted %v for %d s, %q at %q has it", result.Singleton.Granted, result.Singleton.Duration/1e6, result.Singleton.Instance, result.Singleton.Owner)
 	}
-	if result.Lease != nil {
-		text += fmt.Sprintf(" granted %v", result.Lease.Granted)
+	if result.ProbeLease != nil {
+		text += fmt.Sprintf(" granted %v", result.ProbeLease.Granted)
 	}
-	if result.Guard != nil {
-		text += fmt.Sprintf(" applied %v", result.Guard.Applied)
+	if result.Breaker != nil {
+		text += fmt.Sprintf(" applied %v", result.Breaker.Applied)
 	}
 	for _, record := range state.Guards.Records() {
-		text += fmt.Sprintf("; %s, serial %d, budget %d, out %d, tallied %d, reports %d", record.State, record.Serial, record.Budget, len(record.Probes), len(record.Tallies), len(record.Reports))
+		text += fmt.Sprintf("; %s, serial %d, budget %d, out %d, tallied %d, reports %d", record.State, record.Version, record.Budget, len(record.ProbeLeases), len(record.ProbeResults), len(record.Reports))
 	}
 	return text
 }
--- a/internal/rehearse/hollow/crowd.go
+++ b/internal/rehearse/hollow/crowd.go
@@ -108,7 +108,7 @@
 // activity tells of one call to each service of this carrier's part; neighbours' parts overlap, so each service has several callers.
 func (crowd *Crowd) activity(index int) (told []*wire.Activity) {
 	for _, service := range crowd.Called(index) {
-		told = append(told, &wire.Activity{Service: Service(service), Calls: 1, Asked: 1})
+		told = append(told, &wire.Activity{Service: Service(service), Calls: 1, Attempts: 1})
 	}
 	return told
 }
@@ -168,8 +168,8 @@
 // Claim has a carrier claim a key, as for a request that it's about to hand to its backend.
 func (crowd *Crowd) Claim(index int, scope string, patience monotonic.Micros) (granted bool, err error) {
 	present := crowd.present()[index]
-	tell := &wire.ClaimTell{}
-	ask := &wire.ClaimAsk{Scope: scope, Digest: make([]byte, 32), Try: scope + "/1", Carrier: present.name, Incarnation: present.carrier.Incarnation(), ReadAt: present.carrier.Moment()}
+	tell := &wire.ClaimResponse{}
+	ask := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: present.name, Incarnation: present.carrier.Incarnation(), ReadAt: present.carrier.Moment()}
 	err = present.carrier.Roll.CallPrimary(wire.Kind_claim, ask, tell, patience)
 	return tell.Outcome == "granted", err
 }
@@ -177,8 +177,8 @@
 // Trip has a carrier report trouble with a service, after which the service's guard has a shared record.
 func (crowd *Crowd) Trip(index, service int) error {
 	present := crowd.present()[index]
-	ask := &wire.GuardWriteAsk{Service: Service(service), Verb: "trip", Carrier: present.name, Incarnation: present.carrier.Incarnation(), Terms: config.Unlisted(Service(service)).Terms()}
-	return present.carrier.Roll.CallPrimary(wire.Kind_guard_write, ask, &wire.GuardWriteTell{}, 5*monotonic.Second)
+	ask := &wire.BreakerWriteRequest{Service: Service(service), Verb: "trip", Proxy: present.name, Incarnation: present.carrier.Incarnation(), Settings: config.Unlisted(Service(service)).Terms()}
+	return present.carrier.Roll.CallPrimary(wire.Kind_breaker_write, ask, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
 // Guarded counts the guards' records that a carrier was told of.
--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -19,7 +19,7 @@
 		"sleep":  func() { place.Sleep(monotonic.Micros(1)) },
 		"signal": func() { signal.Fire(); signal.Wait(monotonic.Minute) },
 		"call": func() {
-			_ = place.Call("127.0.0.1:1", wire.Kind_whois, &wire.WhoisAsk{}, &wire.WhoisTell{}, monotonic.Minute)
+			_ = place.Call("127.0.0.1:1", wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, monotonic.Minute)
 		},
 	} {
 		var done sync.WaitGroup
--- a/internal/rehearse/scenario/guards.go
+++ b/internal/rehearse/scenario/guards.go
@@ -17,7 +17,7 @@
 const guardPatience = 40 * time.Second
 
 // awaitGuard waits until a service's shared record is as wanted, by its holder's word.
-func (stage *Stage) awaitGuard(service, what string, fits func(record *wire.GuardRecord) bool) *wire.GuardRecord {
+func (stage *Stage) awaitGuard(service, what string, fits func(record *wire.BreakerRecord) bool) *wire.BreakerRecord {
 	for cutoff := time.Now().Add(guardPatience); time.Now().Before(cutoff); time.Sleep(50 * time.Millisecond) {
 		for _, process := range stage.Fleet.Sorters {
 			var status registry.Status
@@ -35,8 +35,8 @@
 	return nil
 }
 
-func state(wanted string) func(record *wire.GuardRecord) bool {
-	return func(record *wire.GuardRecord) bool { return record.State == wanted }
+func state(wanted string) func(record *wire.BreakerRecord) bool {
+	return func(record *wire.BreakerRecord) bool { return record.State == wanted }
 }
 
 // manner has all backends of a service behave in a way, with work of a length; zero for their own.
@@ -52,9 +52,9 @@
 }
 
 // prober finds the carrier that holds the first probe of a record.
-func (stage *Stage) prober(record *wire.GuardRecord) *fleet.Process {
+func (stage *Stage) prober(record *wire.BreakerRecord) *fleet.Process {
 	for _, carrier := range stage.Fleet.Carriers {
-		if carrier.Name == record.Probes[0].Carrier {
+		if carrier.Name == record.ProbeLeases[0].Proxy {
 			return carrier
 		}
 	}
@@ -64,25 +64,25 @@
 // trialFaults are what happens while probes are out.
 var trialFaults = []struct {
 	what  string
-	bring func(stage *Stage, record *wire.GuardRecord)
+	bring func(stage *Stage, record *wire.BreakerRecord)
 }{
-	{"the record's holder is killed", func(stage *Stage, _ *wire.GuardRecord) {
+	{"the record's holder is killed", func(stage *Stage, _ *wire.BreakerRecord) {
 		victim := stage.Primary(stage.Fleet.Sorters)
 		victim.Kill()
 		stage.restart(victim, 2*time.Second)
 	}},
-	{"a prober is killed", func(stage *Stage, record *wire.GuardRecord) {
+	{"a prober is killed", func(stage *Stage, record *wire.BreakerRecord) {
 		victim := stage.prober(record)
 		victim.Kill()
 		stage.restart(victim, 2*time.Second)
 	}},
-	{"a prober is frozen past its tenure", func(stage *Stage, record *wire.GuardRecord) {
+	{"a prober is frozen past its tenure", func(stage *Stage, record *wire.BreakerRecord) {
 		victim := stage.prober(record)
 		victim.Signal(syscall.SIGSTOP)
 		stage.Wait(8 * time.Second)
 		victim.Signal(syscall.SIGCONT)
 	}},
-	{"the whole core is killed and started again", func(stage *Stage, _ *wire.GuardRecord) {
+	{"the whole core is killed and started again", func(stage *Stage, _ *wire.BreakerRecord) {
 		core := stage.Fleet.Core()
 		for _, process := range core {
 			process.Kill()
@@ -91,7 +91,7 @@
 			stage.restart(process, 0)
 		}
 	}},
-	{"the holder is killed, and the next one as soon as it answers", func(stage *Stage, _ *wire.GuardRecord) {
+	{"the holder is killed, and the next one as soon as it answers", func(stage *Stage, _ *wire.BreakerRecord) {
 		for range 2 {
 			victim := stage.Primary(stage.Fleet.Sorters)
 			victim.Kill()
@@ -114,18 +114,18 @@
 				break
 			}
 			stage.manner(service, standin.Normal, 3*time.Second) // probes stay out for a while
-			record := stage.awaitGuard(service, "on trial with probes out", func(record *wire.GuardRecord) bool {
-				return record.State == breakerstore.HalfOpen && len(record.Probes) > 0
+			record := stage.awaitGuard(service, "on trial with probes out", func(record *wire.BreakerRecord) bool {
+				return record.State == breakerstore.HalfOpen && len(record.ProbeLeases) > 0
 			})
 			if record == nil {
 				break
 			}
-			stage.Say("on trial under serial %d with %d probes out: %s", record.Serial, len(record.Probes), fault.what)
+			stage.Say("on trial under serial %d with %d probes out: %s", record.Version, len(record.ProbeLeases), fault.what)
 			began := time.Now()
 			fault.bring(stage, record)
 			stage.manner(service, standin.Normal, 0)
-			stage.awaitGuard(service, breakerstore.Closed, func(now *wire.GuardRecord) bool {
-				return now.State == breakerstore.Closed && now.Serial > record.Serial
+			stage.awaitGuard(service, breakerstore.Closed, func(now *wire.BreakerRecord) bool {
+				return now.State == breakerstore.Closed && now.Version > record.Version
 			})
 			stage.Say("closed again %d ms after that began", time.Since(began).Milliseconds())
 		}
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -208,15 +208,15 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	ask := &wire.DesiredApplyAsk{Content: content, AnySerial: true, Request: strconv.Itoa(play.serial)}
-	tell := &wire.DesiredApplyTell{}
+	ask := &wire.ConfigApplyRequest{Content: content, AnyVersion: true, Request: strconv.Itoa(play.serial)}
+	tell := &wire.ConfigApplyResponse{}
 	err = play.call(postmasters, patience, func(name string, left monotonic.Micros) error {
-		return play.book.Call(name, wire.Kind_desired_apply, ask, tell, left)
+		return play.book.Call(name, wire.Kind_config_apply, ask, tell, left)
 	})
 	if err == nil && tell.Outcome != "accepted" {
-		err = fmt.Errorf("a change was not accepted: %s %v", tell.Outcome, tell.Faults)
+		err = fmt.Errorf("a change was not accepted: %s %v", tell.Outcome, tell.Errors)
 	}
-	return tell.Serial, time.Since(began).Seconds(), err
+	return tell.Version, time.Since(began).Seconds(), err
 }
 
 // reading is what all processes had used and exchanged by a moment.
@@ -412,7 +412,7 @@
 		},
 		&result.Reads: func() error {
 			return play.call(postmasters, play.options.Patience, func(name string, left monotonic.Micros) error {
-				return play.book.Call(name, wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, &wire.DesiredReadTell{}, min(left, 300*monotonic.Millisecond))
+				return play.book.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(left, 300*monotonic.Millisecond))
 			})
 		},
 		&result.Applies: func() error { _, _, err := play.apply(play.options.Patience); return err },
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -29,7 +29,7 @@
 }
 
 // spare tells whether some voter that holds no copy, and doesn't leave, could take one now.
-func (member *Member) spare(backups []*wire.Holder) bool {
+func (member *Member) spare(backups []*wire.MemberID) bool {
 	now := member.env.Place.Now()
 	return slices.ContainsFunc(member.others(), func(name string) bool {
 		member.lock.Lock()
@@ -45,7 +45,7 @@
 
 // minding looks at how long a batch took to sync. Three slow ones in a row make the primary hand over, if it was its own
 // disk alone, or take another backup; both only if there is a third voter.
-func (member *Member) minding(backups, slow []*wire.Holder) {
+func (member *Member) minding(backups, slow []*wire.MemberID) {
 	slowOwn, slowBackup := false, len(slow) > 0
 	member.keeper.Do(func() { slowOwn = member.copy.lastSync > member.env.SlowSync })
 	count := func(counter *int, slow bool) bool {
@@ -91,7 +91,7 @@
 }
 
 // dropBackups stops answering until others are in step.
-func (member *Member) dropBackups(backups []*wire.Holder, why string) {
+func (member *Member) dropBackups(backups []*wire.MemberID, why string) {
 	for _, backup := range backups {
 		member.env.Place.Report(eventlog.BackupLost, map[string]any{"group": member.env.Group, "backup": backup.Name, "error": why})
 	}
@@ -111,7 +111,7 @@
 
 // settle brings backups into step and names them in the register; only then does the primary answer. There may be fewer than
 // wanted where no further voter can be had, but never none.
-func (member *Member) settle(failed []*wire.Holder) bool {
+func (member *Member) settle(failed []*wire.MemberID) bool {
 	member.lock.Lock()
 	epoch, value, state := member.lead.epoch, member.value, member.lead
 	member.lock.Unlock()
@@ -134,7 +134,7 @@
 			return nil, errUnchanged
 		}
 		settled := next(value, epoch+1, member.self(), backups)
-		settled.Settled, settled.Roster = true, withHolder(value.Roster, append([]*wire.Holder{member.self()}, backups...)...)
+		settled.BackupsInSync, settled.Members = true, withHolder(value.Members, append([]*wire.MemberID{member.self()}, backups...)...)
 		return settled, nil
 	})
 	if errors.Is(err, errUnchanged) {
@@ -181,7 +181,7 @@
 
 // instructed installs the present view on as many candidates as there are backups wanted, and tells whether one of them had
 // just failed.
-func (member *Member) instructed(epoch uint64, candidates []string, failed []*wire.Holder) (backups []*wire.Holder, lastResort bool) {
+func (member *Member) instructed(epoch uint64, candidates []string, failed []*wire.MemberID) (backups []*wire.MemberID, lastResort bool) {
 	for len(candidates) > 0 && len(backups) < member.env.Copies-1 {
 		name := member.apart(candidates, backups)
 		candidates = slices.DeleteFunc(candidates, func(other string) bool { return other == name })
@@ -194,42 +194,42 @@
 		if !stored {
 			continue
 		}
-		backups = append(backups, &wire.Holder{Name: name, Incarnation: incarnation})
+		backups = append(backups, &wire.MemberID{Name: name, Incarnation: incarnation})
 		lastResort = lastResort || slices.Contains(names(failed), name)
 	}
 	return backups, lastResort
 }
 
 // bringIntoStep gives a process's copy what it misses, or the whole view where that isn't known any more.
-func (member *Member) bringIntoStep(name string, epoch uint64, seen *wire.RegisterReadTell) (incarnation uint64, stored bool) {
-	install := func(ask *wire.InstallAsk) bool {
-		tell := &wire.InstallTell{}
+func (member *Member) bringIntoStep(name string, epoch uint64, seen *wire.RegisterReadResponse) (incarnation uint64, stored bool) {
+	install := func(ask *wire.InstallSnapshotRequest) bool {
+		tell := &wire.InstallSnapshotResponse{}
 		ask.To, ask.From, ask.Epoch = name, member.self(), epoch
-		err := member.env.Book.Call(name, wire.Kind_install, ask, tell, installPatience)
+		err := member.env.Book.Call(name, wire.Kind_install_snapshot, ask, tell, installPatience)
 		incarnation = tell.Incarnation
 		return err == nil && tell.Stored
 	}
 	if ask := member.missedBy(seen); ask != nil && install(ask) {
 		return incarnation, true
 	}
-	return incarnation, install(&wire.InstallAsk{View: member.viewNow()})
+	return incarnation, install(&wire.InstallSnapshotRequest{Snapshot: member.viewNow()})
 }
 
 // missedBy is what a copy at a told position misses, nothing where this copy doesn't remember that far.
-func (member *Member) missedBy(seen *wire.RegisterReadTell) (ask *wire.InstallAsk) {
-	if !seen.Copied || seen.CopySequence == 0 {
+func (member *Member) missedBy(seen *wire.RegisterReadResponse) (ask *wire.InstallSnapshotRequest) {
+	if !seen.HasReplica || seen.ReplicaSequence == 0 {
 		return nil
 	}
 	member.keeper.Do(func() {
-		if missed, known := member.copy.tail.since(position{seen.CopyEpoch, seen.CopySequence}); known {
-			ask = &wire.InstallAsk{SinceEpoch: seen.CopyEpoch, SinceSequence: seen.CopySequence, Entries: missed, HolderTime: int64(member.copy.holderTime)}
+		if missed, known := member.copy.tail.since(position{seen.ReplicaEpoch, seen.ReplicaSequence}); known {
+			ask = &wire.InstallSnapshotRequest{SinceEpoch: seen.ReplicaEpoch, SinceSequence: seen.ReplicaSequence, Entries: missed, LeaderClock: int64(member.copy.holderTime)}
 		}
 	})
 	return ask
 }
 
 // apart picks the first candidate in a zone that has no copy yet, or else the first.
-func (member *Member) apart(candidates []string, backups []*wire.Holder) string {
+func (member *Member) apart(candidates []string, backups []*wire.MemberID) string {
 	if member.env.Zone == nil {
 		return candidates[0]
 	}
@@ -246,14 +246,14 @@
 }
 
 // viewNow is the whole state as it is applied here.
-func (member *Member) viewNow() (view *wire.View) {
+func (member *Member) viewNow() (view *wire.Snapshot) {
 	member.keeper.Do(func() { view = member.view() })
 	return view
 }
 
 // candidates orders the other voters: the one that counts double first, so that its half of a split core has a copy, then the
 // present copy, behind them whoever hasn't answered for a lease's length, and last one that just failed.
-func (member *Member) candidates(value *wire.RegisterValue, failed []*wire.Holder) []string {
+func (member *Member) candidates(value *wire.RegisterValue, failed []*wire.MemberID) []string {
 	present, _ := member.configuration()
 	var heavy, first, rest, quiet, last []string
 	now := member.env.Place.Now()
@@ -280,8 +280,8 @@
 	return slices.Concat(heavy, first, rest, quiet, last)
 }
 
-func withHolder(roster []*wire.Holder, holders ...*wire.Holder) []*wire.Holder {
-	var next []*wire.Holder
+func withHolder(roster []*wire.MemberID, holders ...*wire.MemberID) []*wire.MemberID {
+	var next []*wire.MemberID
 	replaced := map[string]bool{}
 	for _, holder := range holders {
 		replaced[holder.Name] = true
--- a/internal/replication/ballot.go
+++ b/internal/replication/ballot.go
@@ -45,7 +45,7 @@
 
 func (member *Member) runBallot(alter func(value *wire.RegisterValue) (*wire.RegisterValue, error)) (*wire.RegisterValue, uint64, error) {
 	started := member.env.Place.Now()
-	round := &round{member: member, ballot: member.nextBallot(), self: member.self(), promises: map[string]*wire.PromiseTell{}}
+	round := &round{member: member, ballot: member.nextBallot(), self: member.self(), promises: map[string]*wire.PrepareResponse{}}
 	// Who must promise is known from the value that they promise about, and from what it's altered to: the asks go on until
 	// both configurations' voters were asked.
 	ask, known := member.configuration()
@@ -82,24 +82,24 @@
 		return nil, 0, errNoMajority
 	}
 	// All voters are asked, so that one whose promise came too late to count doesn't stay behind; who hasn't promised refuses.
-	accepts := gather(member, round.asked, member.env.Tenure, func(name string) (*wire.AcceptTell, error) {
-		ask := &wire.AcceptAsk{To: name, Ballot: round.ballot, Value: altered, Proposer: round.self}
+	accepts := gather(member, round.asked, member.env.Tenure, func(name string) (*wire.AcceptResponse, error) {
+		ask := &wire.AcceptRequest{To: name, Proposal: round.ballot, Value: altered, Proposer: round.self}
 		if name == member.env.Name {
 			return member.answerAccept(ask)
 		}
-		tell := &wire.AcceptTell{}
-		err := member.write(name, wire.Kind_register_accept, ask, tell)
+		tell := &wire.AcceptResponse{}
+		err := member.write(name, wire.Kind_accept, ask, tell)
 		if err == nil {
 			member.hear(name)
 		}
 		return tell, err
-	}, func(replies map[string]*wire.AcceptTell, _ int) bool {
-		return decided(granters(replies, (*wire.AcceptTell).GetGranted)) && replies[member.env.Name] != nil
+	}, func(replies map[string]*wire.AcceptResponse, _ int) bool {
+		return decided(granters(replies, (*wire.AcceptResponse).GetGranted)) && replies[member.env.Name] != nil
 	})
 	for _, reply := range accepts {
 		member.sawBallot(reply.Promised)
 	}
-	if !accepts[member.env.Name].GetGranted() || !decided(granters(accepts, (*wire.AcceptTell).GetGranted)) {
+	if !accepts[member.env.Name].GetGranted() || !decided(granters(accepts, (*wire.AcceptResponse).GetGranted)) {
 		return nil, 0, errNoMajority
 	}
 	return altered, round.ballot, nil
@@ -109,9 +109,9 @@
 type round struct {
 	member   *Member
 	ballot   uint64
-	self     *wire.Holder
+	self     *wire.MemberID
 	asked    []string
-	promises map[string]*wire.PromiseTell
+	promises map[string]*wire.PrepareResponse
 }
 
 // lacks tells whether some voter of a configuration hasn't been asked yet.
@@ -120,7 +120,7 @@
 }
 
 func (round *round) promised() []string {
-	return granters(round.promises, (*wire.PromiseTell).GetGranted)
+	return granters(round.promises, (*wire.PrepareResponse).GetGranted)
 }
 
 // highest is the newest value among the promises.
@@ -144,23 +144,23 @@
 	}
 	round.asked = append(round.asked, fresh...)
 	before := round.promised()
-	replies := gather(member, fresh, member.env.Tenure, func(name string) (*wire.PromiseTell, error) {
-		ask := &wire.PromiseAsk{To: name, Ballot: round.ballot, Proposer: round.self, Voters: wanted.voters, JointVoters: wanted.joint, Known: known, Life: member.life}
+	replies := gather(member, fresh, member.env.Tenure, func(name string) (*wire.PrepareResponse, error) {
+		ask := &wire.PrepareRequest{To: name, Proposal: round.ballot, Proposer: round.self, Voters: wanted.voters, JointVoters: wanted.joint, KnownProposal: known, ProcessId: member.life}
 		if name == member.env.Name {
 			return member.answerPromise(ask)
 		}
-		tell := &wire.PromiseTell{}
-		err := member.write(name, wire.Kind_register_promise, ask, tell)
+		tell := &wire.PrepareResponse{}
+		err := member.write(name, wire.Kind_prepare, ask, tell)
 		if err == nil {
 			member.hear(name)
 		}
 		return tell, err
-	}, func(replies map[string]*wire.PromiseTell, _ int) bool {
+	}, func(replies map[string]*wire.PrepareResponse, _ int) bool {
 		if own := replies[member.env.Name]; own != nil && !own.Granted {
 			return true // nothing comes of it
 		}
 		own := round.promises[member.env.Name] != nil || replies[member.env.Name] != nil
-		return own && wanted.decides(append(granters(replies, (*wire.PromiseTell).GetGranted), before...))
+		return own && wanted.decides(append(granters(replies, (*wire.PrepareResponse).GetGranted), before...))
 	})
 	for name, reply := range replies {
 		round.promises[name] = reply
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -64,7 +64,7 @@
 
 // delivery is how one backup took a batch. Its first end counts.
 type delivery struct {
-	backup   *wire.Holder
+	backup   *wire.MemberID
 	answered host.Signal
 	lock     sync.Mutex
 	over     bool
@@ -114,19 +114,19 @@
 }
 
 // spread sends entries to every backup at once. Once signals have fired the deliveries are whole.
-func (member *Member) spread(ask *wire.ReplicateAsk, backups []*wire.Holder, patience monotonic.Micros) (deliveries []*delivery, wait func()) {
+func (member *Member) spread(ask *wire.ReplicateRequest, backups []*wire.MemberID, patience monotonic.Micros) (deliveries []*delivery, wait func()) {
 	place := member.env.Place
 	started, waits := place.Now(), []func(){}
 	for _, backup := range backups {
 		delivery := &delivery{backup: backup, answered: place.NewSignal()}
 		deliveries = append(deliveries, delivery)
-		addressed := &wire.ReplicateAsk{To: backup.Name, From: ask.From, ToIncarnation: backup.Incarnation, Epoch: ask.Epoch,
-			PreviousEpoch: ask.PreviousEpoch, PreviousSequence: ask.PreviousSequence, HolderTime: ask.HolderTime, Entries: ask.Entries}
+		addressed := &wire.ReplicateRequest{To: backup.Name, From: ask.From, ToIncarnation: backup.Incarnation, Epoch: ask.Epoch,
+			PreviousEpoch: ask.PreviousEpoch, PreviousSequence: ask.PreviousSequence, LeaderClock: ask.LeaderClock, Entries: ask.Entries}
 		place.Go(func() {
-			tell := &wire.ReplicateTell{}
+			tell := &wire.ReplicateResponse{}
 			err := member.env.Book.Call(backup.Name, wire.Kind_replicate, addressed, tell, patience)
 			if err == nil && !tell.Stored {
-				err = errors.New(tell.Why)
+				err = errors.New(tell.Reason)
 			}
 			delivery.end(err, place.Now()-started)
 		})
@@ -152,14 +152,14 @@
 	place := member.env.Place
 	state = member.agree(state)
 	epoch, now := state.epoch, state.holderTime(place.Now())
-	ask := &wire.ReplicateAsk{From: member.self(), Epoch: epoch, HolderTime: int64(now)}
+	ask := &wire.ReplicateRequest{From: member.self(), Epoch: epoch, LeaderClock: int64(now)}
 	member.keeper.Do(func() {
 		ask.PreviousEpoch, ask.PreviousSequence = member.copy.epoch, member.copy.sequence
 		now = max(now, member.copy.holderTime)
 	})
 	for index, request := range batch {
 		ask.Entries = append(ask.Entries, &wire.Entry{Epoch: epoch, Sequence: ask.PreviousSequence + uint64(index) + 1,
-			HolderTime: int64(now), Command: request.command})
+			LeaderClock: int64(now), Command: request.command})
 	}
 	// A backup that is there for want of another is given longer than one that can be replaced: time for a rewrite.
 	patience := member.env.Patience
@@ -184,7 +184,7 @@
 		member.handOver("own disk: " + local.Error())
 		return
 	}
-	var failed, slow []*wire.Holder
+	var failed, slow []*wire.MemberID
 	var remote error
 	for _, delivery := range deliveries {
 		if delivery.err != nil {
@@ -235,30 +235,30 @@
 	if since >= 0 && since < agreeAfter || member.env.Unwitnessed {
 		return state
 	}
-	ask := &wire.ReplicateAsk{From: member.self(), Epoch: state.epoch}
+	ask := &wire.ReplicateRequest{From: member.self(), Epoch: state.epoch}
 	member.keeper.Do(func() {
 		ask.PreviousEpoch, ask.PreviousSequence = member.copy.epoch, member.copy.sequence
-		ask.HolderTime = int64(max(member.copy.holderTime, state.holderTime(place.Now())))
+		ask.LeaderClock = int64(max(member.copy.holderTime, state.holderTime(place.Now())))
 	})
-	agreed := monotonic.Micros(ask.HolderTime)
-	tells := gather(member, names(state.backups), member.env.Patience, func(name string) (*wire.ReplicateTell, error) {
-		backup := state.backups[slices.IndexFunc(state.backups, func(one *wire.Holder) bool { return one.Name == name })]
-		tell := &wire.ReplicateTell{}
-		return tell, member.call(name, wire.Kind_replicate, &wire.ReplicateAsk{To: name, From: ask.From, ToIncarnation: backup.Incarnation, Epoch: ask.Epoch,
-			PreviousEpoch: ask.PreviousEpoch, PreviousSequence: ask.PreviousSequence, HolderTime: ask.HolderTime}, tell)
+	agreed := monotonic.Micros(ask.LeaderClock)
+	tells := gather(member, names(state.backups), member.env.Patience, func(name string) (*wire.ReplicateResponse, error) {
+		backup := state.backups[slices.IndexFunc(state.backups, func(one *wire.MemberID) bool { return one.Name == name })]
+		tell := &wire.ReplicateResponse{}
+		return tell, member.call(name, wire.Kind_replicate, &wire.ReplicateRequest{To: name, From: ask.From, ToIncarnation: backup.Incarnation, Epoch: ask.Epoch,
+			PreviousEpoch: ask.PreviousEpoch, PreviousSequence: ask.PreviousSequence, LeaderClock: ask.LeaderClock}, tell)
 	}, nil)
 	for _, backup := range state.backups {
 		tell := tells[backup.Name]
-		if tell == nil || !tell.Stored && tell.Why != leapt {
+		if tell == nil || !tell.Stored && tell.Reason != leapt {
 			return state // the batch itself will find out what is wrong, and a backup turns down what it can't vouch for
 		}
 		if !tell.Stored {
-			agreed = min(agreed, monotonic.Micros(tell.HolderTime))
+			agreed = min(agreed, monotonic.Micros(tell.LeaderClock))
 		}
 	}
-	if agreed < monotonic.Micros(ask.HolderTime) {
+	if agreed < monotonic.Micros(ask.LeaderClock) {
 		member.keeper.Do(func() { agreed = max(member.copy.holderTime, agreed) })
-		member.env.Place.Report(eventlog.HolderTimeBound, map[string]any{"group": member.env.Group, "micros": ask.HolderTime - int64(agreed)})
+		member.env.Place.Report(eventlog.HolderTimeBound, map[string]any{"group": member.env.Group, "micros": ask.LeaderClock - int64(agreed)})
 	}
 	state.base, state.baseAt, state.exchanged = agreed, place.Now(), place.Now()
 	member.lock.Lock()
--- a/internal/replication/configuration.go
+++ b/internal/replication/configuration.go
@@ -65,8 +65,8 @@
 }
 
 // next copies a value for an epoch with other holders. The roster isn't touched: it changes in ballots of its own.
-func next(value *wire.RegisterValue, epoch uint64, primary *wire.Holder, backups []*wire.Holder) *wire.RegisterValue {
-	fresh := &wire.RegisterValue{Epoch: epoch, Primary: primary, Backups: backups, Roster: value.GetRoster(),
+func next(value *wire.RegisterValue, epoch uint64, primary *wire.MemberID, backups []*wire.MemberID) *wire.RegisterValue {
+	fresh := &wire.RegisterValue{Epoch: epoch, Primary: primary, Backups: backups, Members: value.GetMembers(),
 		Voters: value.GetVoters(), JointVoters: value.GetJointVoters()}
 	if len(backups) > 0 {
 		fresh.Backup = backups[0]
@@ -75,21 +75,21 @@
 }
 
 // backupsOf lists a value's backups. Builds that knew of one named it alone.
-func backupsOf(value *wire.RegisterValue) []*wire.Holder {
+func backupsOf(value *wire.RegisterValue) []*wire.MemberID {
 	if value == nil || value.Backup == nil {
 		return nil
 	}
 	if len(value.Backups) > 0 && sameHolder(value.Backups[0], value.Backup) {
 		return value.Backups
 	}
-	return []*wire.Holder{value.Backup}
+	return []*wire.MemberID{value.Backup}
 }
 
-func holds(holders []*wire.Holder, one *wire.Holder) bool {
-	return slices.ContainsFunc(holders, func(holder *wire.Holder) bool { return sameHolder(holder, one) })
+func holds(holders []*wire.MemberID, one *wire.MemberID) bool {
+	return slices.ContainsFunc(holders, func(holder *wire.MemberID) bool { return sameHolder(holder, one) })
 }
 
-func names(holders []*wire.Holder) (list []string) {
+func names(holders []*wire.MemberID) (list []string) {
 	for _, holder := range holders {
 		list = append(list, holder.Name)
 	}
--- a/internal/replication/copy.go
+++ b/internal/replication/copy.go
@@ -46,11 +46,11 @@
 		if err := proto.Unmarshal(content, record); err != nil {
 			return err
 		}
-		if record.View != nil {
-			return member.restore(record.View, record.Part)
+		if record.Snapshot != nil {
+			return member.restore(record.Snapshot, record.Chunk)
 		}
-		if record.Mark != nil {
-			return member.remark(record.Mark)
+		if record.Watermark != nil {
+			return member.remark(record.Watermark)
 		}
 		if record.Entry == nil || record.Entry.Sequence != member.copy.sequence+1 {
 			return fmt.Errorf("entry out of turn")
@@ -80,27 +80,27 @@
 	return nil
 }
 
-func (member *Member) restore(view *wire.View, incarnation uint64) error {
+func (member *Member) restore(view *wire.Snapshot, incarnation uint64) error {
 	member.machineLock.Lock()
 	defer member.machineLock.Unlock()
 	if err := member.env.Machine.Restore(view.Content); err != nil {
 		return err
 	}
 	member.copy.incarnation.Store(incarnation)
-	member.copy.epoch, member.copy.sequence, member.copy.holderTime = view.Epoch, view.Sequence, monotonic.Micros(view.HolderTime)
+	member.copy.epoch, member.copy.sequence, member.copy.holderTime = view.Epoch, view.Sequence, monotonic.Micros(view.LeaderClock)
 	member.copy.pending = nil
 	member.copy.tail.reset(position{view.Epoch, view.Sequence})
 	return nil
 }
 
 // remark takes the position that the primary of an epoch gave to this copy's state.
-func (member *Member) remark(mark *wire.Mark) error {
+func (member *Member) remark(mark *wire.Watermark) error {
 	member.machineLock.Lock()
 	defer member.machineLock.Unlock()
 	if mark.Sequence != member.copy.sequence || mark.Epoch < member.copy.epoch {
 		return fmt.Errorf("mark out of turn")
 	}
-	member.copy.epoch, member.copy.holderTime = mark.Epoch, max(member.copy.holderTime, monotonic.Micros(mark.HolderTime))
+	member.copy.epoch, member.copy.holderTime = mark.Epoch, max(member.copy.holderTime, monotonic.Micros(mark.LeaderClock))
 	member.copy.tail.mark(position{mark.Epoch, mark.Sequence})
 	return nil
 }
@@ -117,21 +117,21 @@
 	member.machineLock.Lock()
 	defer member.machineLock.Unlock()
 	member.copy.epoch, member.copy.sequence = entry.Epoch, entry.Sequence
-	member.copy.holderTime = max(member.copy.holderTime, monotonic.Micros(entry.HolderTime))
+	member.copy.holderTime = max(member.copy.holderTime, monotonic.Micros(entry.LeaderClock))
 	member.copy.tail.add(entry)
-	return member.env.Machine.Apply(entry.Epoch, monotonic.Micros(entry.HolderTime), entry.Command)
+	return member.env.Machine.Apply(entry.Epoch, monotonic.Micros(entry.LeaderClock), entry.Command)
 }
 
-func (member *Member) view() *wire.View {
+func (member *Member) view() *wire.Snapshot {
 	member.machineLock.Lock()
 	defer member.machineLock.Unlock()
-	return &wire.View{Epoch: member.copy.epoch, Sequence: member.copy.sequence, HolderTime: int64(member.copy.holderTime),
+	return &wire.Snapshot{Epoch: member.copy.epoch, Sequence: member.copy.sequence, LeaderClock: int64(member.copy.holderTime),
 		Content: member.env.Machine.View()}
 }
 
 // rewrite replaces the journal by one view of all that is applied.
 func (member *Member) rewrite() error {
-	content := marshal(&wire.JournalRecord{View: member.view(), Part: member.copy.incarnation.Load()})
+	content := marshal(&wire.JournalRecord{Snapshot: member.view(), Chunk: member.copy.incarnation.Load()})
 	err := member.copy.log.Rewrite(content)
 	if isFull(err) && member.releaseReserve() {
 		if err = member.copy.log.Rewrite(content); err == nil {
@@ -187,18 +187,18 @@
 }
 
 // answerReplicate takes a primary's entries into the backup's copy.
-func (member *Member) answerReplicate(ask *wire.ReplicateAsk) (*wire.ReplicateTell, error) {
-	tell := &wire.ReplicateTell{}
+func (member *Member) answerReplicate(ask *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
+	tell := &wire.ReplicateResponse{}
 	var failure error
 	member.keeper.Do(func() {
 		state := &member.copy
 		tell.Incarnation = state.incarnation.Load()
-		if tell.Why = member.unfit(ask, state); tell.Why != "" {
+		if tell.Reason = member.unfit(ask, state); tell.Reason != "" {
 			return
 		}
 		now := member.env.Place.Now()
-		if allowed := state.line.allowed(now); monotonic.Micros(ask.HolderTime) > allowed && !member.env.Unwitnessed {
-			tell.Why, tell.HolderTime = leapt, int64(allowed)
+		if allowed := state.line.allowed(now); monotonic.Micros(ask.LeaderClock) > allowed && !member.env.Unwitnessed {
+			tell.Reason, tell.LeaderClock = leapt, int64(allowed)
 			return
 		}
 		if len(ask.Entries) > 0 {
@@ -209,7 +209,7 @@
 				member.apply(entry)
 			}
 		}
-		state.holderTime = max(state.holderTime, monotonic.Micros(ask.HolderTime))
+		state.holderTime = max(state.holderTime, monotonic.Micros(ask.LeaderClock))
 		state.line.take(now, state.holderTime)
 		state.fenced = max(state.fenced, ask.Epoch)
 		member.yieldTo(ask.Epoch)
@@ -243,7 +243,7 @@
 	timeline.at, timeline.line = now, min(held, timeline.now(now))
 }
 
-func (member *Member) unfit(ask *wire.ReplicateAsk, state *copy) string {
+func (member *Member) unfit(ask *wire.ReplicateRequest, state *copy) string {
 	switch {
 	case ask.ToIncarnation != state.incarnation.Load():
 		return "another copy"
@@ -256,22 +256,22 @@
 }
 
 // answerInstall replaces this copy by the primary's view, unless the copy is one that must outlive that primary.
-func (member *Member) answerInstall(ask *wire.InstallAsk) (*wire.InstallTell, error) {
-	tell := &wire.InstallTell{}
+func (member *Member) answerInstall(ask *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
+	tell := &wire.InstallSnapshotResponse{}
 	var failure error
 	member.keeper.Do(func() {
 		state := &member.copy
 		tell.Incarnation = state.incarnation.Load()
 		if ask.Epoch < state.fenced || ask.Epoch < member.knownEpoch() || ask.Epoch < state.epoch {
-			tell.Why = "an older epoch"
+			tell.Reason = "an older epoch"
 			return
 		}
-		if ask.View == nil {
-			tell.Why, failure = member.catchUpBy(ask)
-			tell.Stored = tell.Why == "" && failure == nil
+		if ask.Snapshot == nil {
+			tell.Reason, failure = member.catchUpBy(ask)
+			tell.Stored = tell.Reason == "" && failure == nil
 			return
 		}
-		view := &wire.View{Epoch: max(ask.View.GetEpoch(), ask.Epoch), Sequence: ask.View.GetSequence(), HolderTime: ask.View.GetHolderTime(), Content: ask.View.GetContent()}
+		view := &wire.Snapshot{Epoch: max(ask.Snapshot.GetEpoch(), ask.Epoch), Sequence: ask.Snapshot.GetSequence(), LeaderClock: ask.Snapshot.GetLeaderClock(), Content: ask.Snapshot.GetContent()}
 		previous := member.view()
 		if failure = member.restore(view, state.incarnation.Load()); failure != nil {
 			return
@@ -291,12 +291,12 @@
 }
 
 // catchUpBy takes the entries that this copy misses, and the position that the primary gives it. The keeper's task calls it.
-func (member *Member) catchUpBy(ask *wire.InstallAsk) (why string, failure error) {
+func (member *Member) catchUpBy(ask *wire.InstallSnapshotRequest) (why string, failure error) {
 	state := &member.copy
 	if (position{ask.SinceEpoch, ask.SinceSequence}) != member.position() || len(state.pending) > 0 {
 		return "not in step", nil
 	}
-	mark := &wire.Mark{Epoch: ask.Epoch, Sequence: ask.SinceSequence + uint64(len(ask.Entries)), HolderTime: ask.HolderTime}
+	mark := &wire.Watermark{Epoch: ask.Epoch, Sequence: ask.SinceSequence + uint64(len(ask.Entries)), LeaderClock: ask.LeaderClock}
 	if member.long() {
 		if failure = member.rewrite(); failure != nil {
 			return "", failure
@@ -306,7 +306,7 @@
 	for _, entry := range ask.Entries {
 		payloads = append(payloads, marshal(&wire.JournalRecord{Entry: entry}))
 	}
-	if failure = member.append(append(payloads, marshal(&wire.JournalRecord{Mark: mark}))); failure != nil {
+	if failure = member.append(append(payloads, marshal(&wire.JournalRecord{Watermark: mark}))); failure != nil {
 		return "", failure
 	}
 	for _, entry := range ask.Entries {
--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -8,49 +8,49 @@
 
 // Register adds the group's handlers.
 func (member *Member) Register(table host.Table) {
-	host.Handle(table, wire.Kind_register_read, func(ask *wire.RegisterReadAsk) (*wire.RegisterReadTell, error) {
+	host.Handle(table, wire.Kind_register_read, func(ask *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerRegisterRead(ask)
 	})
-	host.Handle(table, wire.Kind_register_promise, func(ask *wire.PromiseAsk) (*wire.PromiseTell, error) {
+	host.Handle(table, wire.Kind_prepare, func(ask *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerPromise(ask)
 	})
-	host.Handle(table, wire.Kind_register_accept, func(ask *wire.AcceptAsk) (*wire.AcceptTell, error) {
+	host.Handle(table, wire.Kind_accept, func(ask *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerAccept(ask)
 	})
-	host.Handle(table, wire.Kind_tenure_ask, func(ask *wire.TenureAsk) (*wire.TenureTell, error) {
+	host.Handle(table, wire.Kind_lease, func(ask *wire.LeaseRequest) (*wire.LeaseResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerTenure(ask)
 	})
-	host.Handle(table, wire.Kind_enroll, func(ask *wire.EnrollAsk) (*wire.EnrollTell, error) {
+	host.Handle(table, wire.Kind_join, func(ask *wire.JoinRequest) (*wire.JoinResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerEnroll(ask)
 	})
-	host.Handle(table, wire.Kind_replicate, func(ask *wire.ReplicateAsk) (*wire.ReplicateTell, error) {
+	host.Handle(table, wire.Kind_replicate, func(ask *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerReplicate(ask)
 	})
-	host.Handle(table, wire.Kind_install, func(ask *wire.InstallAsk) (*wire.InstallTell, error) {
+	host.Handle(table, wire.Kind_install_snapshot, func(ask *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
 		return member.answerInstall(ask)
 	})
-	host.Handle(table, wire.Kind_handover, func(ask *wire.HandoverAsk) (*wire.HandoverTell, error) {
+	host.Handle(table, wire.Kind_handover, func(ask *wire.HandoverRequest) (*wire.HandoverResponse, error) {
 		if err := addressed(member, ask.To); err != nil {
 			return nil, err
 		}
@@ -60,14 +60,14 @@
 		member.lock.Lock()
 		member.lastHeard, member.young = -monotonic.Minute, false
 		now := member.env.Place.Now()
-		if ask.Leaving != "" {
-			member.leavers[ask.Leaving] = now
+		if ask.LeavingMember != "" {
+			member.leavers[ask.LeavingMember] = now
 		}
-		for _, name := range ask.Waiting {
+		for _, name := range ask.WaitingMembers {
 			member.applicants[name] = applicant{at: now, joined: true}
 		}
 		member.lock.Unlock()
 		member.nudge.Fire()
-		return &wire.HandoverTell{Taken: true}, nil
+		return &wire.HandoverResponse{Accepted: true}, nil
 	})
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -14,7 +14,7 @@
 	member.lock.Unlock()
 	asked := place.Now()
 	present, replies := member.askTenure(epoch, ballot, false)
-	granted := present.decides(granters(replies, (*wire.TenureTell).GetGranted))
+	granted := present.decides(granters(replies, (*wire.LeaseResponse).GetGranted))
 	overtaken := false
 	for _, reply := range replies {
 		member.sawBallot(reply.Promised)
@@ -59,25 +59,25 @@
 }
 
 // askTenure asks everybody who votes, and tells by which configuration it asked.
-func (member *Member) askTenure(epoch, ballot uint64, release bool) (configuration, map[string]*wire.TenureTell) {
+func (member *Member) askTenure(epoch, ballot uint64, release bool) (configuration, map[string]*wire.LeaseResponse) {
 	self, patience := member.self(), member.env.Tenure
 	if release {
 		patience = member.env.Patience
 	}
 	present, known := member.configuration()
-	return present, gather(member, present.all(), patience, func(name string) (*wire.TenureTell, error) {
-		ask := &wire.TenureAsk{To: name, Epoch: epoch, Ballot: ballot, Holder: self, Release: release,
-			Voters: present.voters, JointVoters: present.joint, Known: known, Life: member.life}
+	return present, gather(member, present.all(), patience, func(name string) (*wire.LeaseResponse, error) {
+		ask := &wire.LeaseRequest{To: name, Epoch: epoch, Proposal: ballot, Leader: self, Release: release,
+			Voters: present.voters, JointVoters: present.joint, KnownProposal: known, ProcessId: member.life}
 		if name == member.env.Name {
 			return member.answerTenure(ask)
 		}
-		tell := &wire.TenureTell{}
-		err := member.env.Book.Call(name, wire.Kind_tenure_ask, ask, tell, patience)
+		tell := &wire.LeaseResponse{}
+		err := member.env.Book.Call(name, wire.Kind_lease, ask, tell, patience)
 		if err == nil {
 			member.hear(name)
 		}
 		return tell, err
-	}, func(replies map[string]*wire.TenureTell, _ int) bool {
-		return present.decides(granters(replies, (*wire.TenureTell).GetGranted))
+	}, func(replies map[string]*wire.LeaseResponse, _ int) bool {
+		return present.decides(granters(replies, (*wire.LeaseResponse).GetGranted))
 	})
 }
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -45,17 +45,17 @@
 		member.env.Book.Ask()
 		return false
 	}
-	tell := &wire.EnrollTell{}
-	ask := &wire.EnrollAsk{To: leader, Name: member.env.Name, Leaving: true}
-	err := member.env.Book.Call(leader, wire.Kind_enroll, ask, tell, min(patience, member.env.Patience))
+	tell := &wire.JoinResponse{}
+	ask := &wire.JoinRequest{To: leader, Name: member.env.Name, Leaving: true}
+	err := member.env.Book.Call(leader, wire.Kind_join, ask, tell, min(patience, member.env.Patience))
 	return err == nil && tell.Released
 }
 
 // answerLeave notes that a process stops as planned, and tells whether it may go: it holds no copy that is counted on, and no seat that a
 // process that waits could take.
-func (member *Member) answerLeave(name string) *wire.EnrollTell {
+func (member *Member) answerLeave(name string) *wire.JoinResponse {
 	if !member.Answering() {
-		return &wire.EnrollTell{}
+		return &wire.JoinResponse{}
 	}
 	now := member.env.Place.Now()
 	member.lock.Lock()
@@ -65,7 +65,7 @@
 	member.lock.Unlock()
 	if slices.Contains(names(state.backups), name) {
 		member.inbox.Put(nil) // the work task gives the copy to another
-		return &wire.EnrollTell{Released: !member.spare(state.backups)}
+		return &wire.JoinResponse{Released: !member.spare(state.backups)}
 	}
 	_, present, _, found := member.observe()
 	// A young primary doesn't know yet who waits.
@@ -75,7 +75,7 @@
 	if !released {
 		member.nudge.Fire()
 	}
-	return &wire.EnrollTell{Released: released}
+	return &wire.JoinResponse{Released: released}
 }
 
 // leavingNow lists the processes that said lately that they stop as planned. The caller holds the lock.
@@ -96,11 +96,11 @@
 	member.lock.Lock()
 	state, leaving := member.lead, member.leavingNow(member.env.Place.Now())
 	member.lock.Unlock()
-	leaves := func(backup *wire.Holder) bool { return leaving[backup.Name] }
+	leaves := func(backup *wire.MemberID) bool { return leaving[backup.Name] }
 	if !state.answering || !slices.ContainsFunc(state.backups, leaves) || !member.spare(state.backups) {
 		return
 	}
-	var going []*wire.Holder
+	var going []*wire.MemberID
 	for _, backup := range state.backups {
 		if leaves(backup) {
 			going = append(going, backup)
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -144,7 +144,7 @@
 	until         monotonic.Micros
 	leased        configuration
 	answering     bool
-	backups       []*wire.Holder
+	backups       []*wire.MemberID
 	outbid        bool
 	failures      int
 	slowSyncs     int
@@ -225,11 +225,11 @@
 }
 
 // self names this member's copy: a copy that was lost and begun anew is another holder.
-func (member *Member) self() *wire.Holder {
-	return &wire.Holder{Name: member.env.Name, Incarnation: member.copy.incarnation.Load()}
+func (member *Member) self() *wire.MemberID {
+	return &wire.MemberID{Name: member.env.Name, Incarnation: member.copy.incarnation.Load()}
 }
 
-func sameHolder(one, other *wire.Holder) bool {
+func sameHolder(one, other *wire.MemberID) bool {
 	return one != nil && other != nil && one.Name == other.Name && one.Incarnation == other.Incarnation
 }
 
--- a/internal/replication/roster.go
+++ b/internal/replication/roster.go
@@ -275,7 +275,7 @@
 }
 
 // answerEnroll hears a process that wants to be a voter, and gives it the register to begin with.
-func (member *Member) answerEnroll(ask *wire.EnrollAsk) (*wire.EnrollTell, error) {
+func (member *Member) answerEnroll(ask *wire.JoinRequest) (*wire.JoinResponse, error) {
 	if ask.Leaving {
 		return member.answerLeave(ask.Name), nil
 	}
@@ -284,13 +284,13 @@
 	member.lock.Lock()
 	defer member.lock.Unlock()
 	if !answering {
-		return &wire.EnrollTell{Ballot: member.valueBallot, Value: member.value}, nil
+		return &wire.JoinResponse{Proposal: member.valueBallot, Value: member.value}, nil
 	}
-	if present.has(ask.Name) || member.configurationOf(member.lead.chosen).has(ask.Name) || !ask.Joined && member.proposed[ask.Name] {
-		return &wire.EnrollTell{Ballot: member.valueBallot, Value: member.value}, nil
+	if present.has(ask.Name) || member.configurationOf(member.lead.chosen).has(ask.Name) || !ask.HasRegister && member.proposed[ask.Name] {
+		return &wire.JoinResponse{Proposal: member.valueBallot, Value: member.value}, nil
 	}
-	member.applicants[ask.Name] = applicant{at: member.env.Place.Now(), joined: ask.Joined}
-	return &wire.EnrollTell{Taken: true, Ballot: member.lead.ballot, Value: member.lead.chosen}, nil
+	member.applicants[ask.Name] = applicant{at: member.env.Place.Now(), joined: ask.HasRegister}
+	return &wire.JoinResponse{Accepted: true, Proposal: member.lead.ballot, Value: member.lead.chosen}, nil
 }
 
 // enroll asks the primary to take this process into the roster. A process without a register begins with the primary's:
@@ -305,18 +305,18 @@
 	if leader == "" || leader == member.env.Name {
 		return
 	}
-	tell := &wire.EnrollTell{}
-	if member.call(leader, wire.Kind_enroll, &wire.EnrollAsk{To: leader, Name: member.env.Name, Joined: joined}, tell) != nil {
+	tell := &wire.JoinResponse{}
+	if member.call(leader, wire.Kind_join, &wire.JoinRequest{To: leader, Name: member.env.Name, HasRegister: joined}, tell) != nil {
 		return
 	}
-	member.learn(tell.Ballot, tell.Value)
-	if joined || !tell.Taken || tell.Value == nil || member.configurationOf(tell.Value).has(member.env.Name) {
+	member.learn(tell.Proposal, tell.Value)
+	if joined || !tell.Accepted || tell.Value == nil || member.configurationOf(tell.Value).has(member.env.Name) {
 		return
 	}
 	member.seat.Do(func() {
 		member.voter.votesFrom = member.env.Place.Now() + member.env.Tenure
 		err := member.changeRecord(func(record *wire.RegisterRecord) {
-			record.Joined, record.Promised, record.Accepted, record.Value = true, tell.Ballot, tell.Ballot, tell.Value
+			record.Joined, record.Promised, record.Accepted, record.Value = true, tell.Proposal, tell.Proposal, tell.Value
 		})
 		if err == nil {
 			member.env.Place.Report(eventlog.Enrolled, map[string]any{"group": member.env.Group, "primary": leader, "voters": tell.Value.Voters})
--- a/internal/replication/sightings.go
+++ b/internal/replication/sightings.go
@@ -32,7 +32,7 @@
 // grantees are who may hold a lease granted here once one more is promised or granted something: while a grant stands, whoever
 // was one before is too. A life that ended may be asking late, after its process's next one was granted a lease.
 func (member *Member) grantees(name string, life uint64) (all []*wire.Grantee) {
-	voter, fresh := &member.voter, &wire.Grantee{Name: name, Life: life}
+	voter, fresh := &member.voter, &wire.Grantee{Name: name, ProcessId: life}
 	if voter.grant.holder != nil && member.env.Place.Now() < voter.grant.until {
 		all = slices.Clone(voter.record.Grantees)
 	}
@@ -43,7 +43,7 @@
 }
 
 func sameGrantee(one, other *wire.Grantee) bool {
-	return one.Name == other.Name && one.Life == other.Life
+	return one.Name == other.Name && one.ProcessId == other.ProcessId
 }
 
 func sameGrantees(some, others []*wire.Grantee) bool {
@@ -52,13 +52,13 @@
 
 // sighted notes what a seat told. It was read in this life, so a grantee of an earlier life of this seat that lives no more is
 // seen to: its name answers as another life, and a name has one life at a time.
-func (member *Member) sighted(name string, tell *wire.RegisterReadTell) {
+func (member *Member) sighted(name string, tell *wire.RegisterReadResponse) {
 	member.learn(tell.Accepted, tell.Value)
 	member.sawBallot(tell.Promised)
 	now := member.env.Place.Now()
 	member.lock.Lock()
 	member.heard[name] = now
-	member.seats[name] = sighting{at: now, life: tell.Life, intact: tell.Intact, bound: now + monotonic.Micros(tell.Bound), boundTo: tell.BoundTo}
+	member.seats[name] = sighting{at: now, life: tell.ProcessId, intact: tell.Intact, bound: now + monotonic.Micros(tell.LeaseRemaining), boundTo: tell.LeaseGrantedTo}
 	lives := map[string]uint64{member.env.Name: member.life}
 	for other, one := range member.seats {
 		lives[other] = one.life
@@ -71,7 +71,7 @@
 func (member *Member) inherit(lives map[string]uint64) {
 	voter := &member.voter
 	over := func(one *wire.Grantee) bool {
-		return one.Life != 0 && lives[one.Name] != 0 && lives[one.Name] != one.Life
+		return one.ProcessId != 0 && lives[one.Name] != 0 && lives[one.Name] != one.ProcessId
 	}
 	if voter.inherited && !slices.ContainsFunc(voter.record.Grantees, func(one *wire.Grantee) bool { return !over(one) }) {
 		voter.votesFrom, voter.inherited = min(voter.votesFrom, member.env.Place.Now()), false
@@ -137,7 +137,7 @@
 	now := member.env.Place.Now()
 	member.lock.Lock()
 	defer member.lock.Unlock()
-	back := slices.ContainsFunc(backupsOf(value), func(backup *wire.Holder) bool {
+	back := slices.ContainsFunc(backupsOf(value), func(backup *wire.MemberID) bool {
 		one, seen := member.seats[backup.Name]
 		return seen && one.intact && now-one.at <= member.env.Patience
 	})
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -54,7 +54,7 @@
 	})
 	member.lock.Lock()
 	if value := member.value; value != nil {
-		status.Epoch, status.Primary, status.Settled = value.Epoch, value.Primary.Name, value.Settled
+		status.Epoch, status.Primary, status.Settled = value.Epoch, value.Primary.Name, value.BackupsInSync
 		status.Backups = names(backupsOf(value))
 		if value.Backup != nil {
 			status.Backup = value.Backup.Name
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -25,14 +25,14 @@
 			if known != nil {
 				return nil, errUnchanged
 			}
-			return &wire.RegisterValue{Epoch: 1, Primary: self, Roster: []*wire.Holder{self}, Voters: member.env.Voters}, nil
+			return &wire.RegisterValue{Epoch: 1, Primary: self, Members: []*wire.MemberID{self}, Voters: member.env.Voters}, nil
 		}
 		others := backupsOf(value)
 		if !sameHolder(value.Primary, self) {
 			if !holds(others, self) && !member.env.Unheld {
 				return nil, errUnchanged
 			}
-			others = append([]*wire.Holder{value.Primary}, slices.DeleteFunc(slices.Clone(others), func(one *wire.Holder) bool { return sameHolder(one, self) })...)
+			others = append([]*wire.MemberID{value.Primary}, slices.DeleteFunc(slices.Clone(others), func(one *wire.MemberID) bool { return sameHolder(one, self) })...)
 		}
 		member.keeper.Do(func() { member.copy.fenced = max(member.copy.fenced, value.Epoch+1) })
 		return next(value, value.Epoch+1, self, others), nil
@@ -102,7 +102,7 @@
 	if len(state.backups) > 0 {
 		heir := state.backups[0].Name
 		member.env.Place.Report(eventlog.HandedOver, map[string]any{"group": member.env.Group, "to": heir, "why": why})
-		_ = member.call(heir, wire.Kind_handover, &wire.HandoverAsk{To: heir, Epoch: state.epoch, Content: along, Leaving: leaving, Waiting: waiting}, &wire.HandoverTell{})
+		_ = member.call(heir, wire.Kind_handover, &wire.HandoverRequest{To: heir, Epoch: state.epoch, Content: along, LeavingMember: leaving, WaitingMembers: waiting}, &wire.HandoverResponse{})
 	}
 	member.lock.Lock()
 	member.lastHeard = member.env.Place.Now() + 4*member.env.Tenure
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -29,7 +29,7 @@
 	log        *wal.Log
 	record     *wire.RegisterRecord
 	promisedAt monotonic.Micros
-	promisedTo *wire.Holder // in this life
+	promisedTo *wire.MemberID // in this life
 	votesFrom  monotonic.Micros
 	inherited  bool // votesFrom stands for an earlier life's grants, of which record.Grantees tells
 	grant      grant
@@ -41,7 +41,7 @@
 }
 
 type grant struct {
-	holder *wire.Holder
+	holder *wire.MemberID
 	until  monotonic.Micros
 }
 
@@ -122,13 +122,13 @@
 	return member.voter.record.Joined && member.env.Place.Now() >= member.voter.votesFrom
 }
 
-func (member *Member) rivalHeld(proposer *wire.Holder) bool {
+func (member *Member) rivalHeld(proposer *wire.MemberID) bool {
 	standing := member.voter.grant
 	return standing.holder != nil && member.env.Place.Now() < standing.until && !sameHolder(standing.holder, proposer)
 }
 
-func (member *Member) answerRegisterRead(ask *wire.RegisterReadAsk) (*wire.RegisterReadTell, error) {
-	tell := &wire.RegisterReadTell{}
+func (member *Member) answerRegisterRead(ask *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
+	tell := &wire.RegisterReadResponse{}
 	var why string
 	member.seat.Do(func() {
 		record := member.voter.record
@@ -139,10 +139,10 @@
 			}
 		}
 		if present := member.position(); member.copy.incarnation.Load() != 0 {
-			tell.Copied, tell.CopyEpoch, tell.CopySequence = true, present.epoch, present.sequence
+			tell.HasReplica, tell.ReplicaEpoch, tell.ReplicaSequence = true, present.epoch, present.sequence
 		}
-		tell.Genesis, tell.Life = member.env.Genesis, member.life
-		tell.Bound, tell.BoundTo = member.bound()
+		tell.CanBootstrap, tell.ProcessId = member.env.Genesis, member.life
+		tell.LeaseRemaining, tell.LeaseGrantedTo = member.bound()
 		tell.Intact, tell.Blank = record.Joined, !record.Joined
 		tell.Incarnation, tell.Promised, tell.Accepted, tell.Value = record.Incarnation, record.Promised, record.Accepted, record.Value
 	})
@@ -152,21 +152,21 @@
 	return tell, nil
 }
 
-func (member *Member) answerPromise(ask *wire.PromiseAsk) (*wire.PromiseTell, error) {
-	tell := &wire.PromiseTell{}
+func (member *Member) answerPromise(ask *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+	tell := &wire.PrepareResponse{}
 	var err error
 	member.seat.Do(func() {
 		record := member.voter.record
 		tell.Promised, tell.Incarnation = record.Promised, record.Incarnation
-		if tell.Why = member.outdated(configuration{ask.Voters, ask.JointVoters}, ask.Known); tell.Why != "" {
+		if tell.Reason = member.outdated(configuration{ask.Voters, ask.JointVoters}, ask.KnownProposal); tell.Reason != "" {
 			tell.Accepted, tell.Value = record.Accepted, record.Value
 			return
 		}
-		if tell.Why = member.objection(ask.Proposer, ask.Ballot <= record.Promised); tell.Why != "" {
+		if tell.Reason = member.objection(ask.Proposer, ask.Proposal <= record.Promised); tell.Reason != "" {
 			return
 		}
 		if err = member.changeRecord(func(record *wire.RegisterRecord) {
-			record.Promised, record.Grantees = ask.Ballot, member.grantees(ask.Proposer.Name, ask.Life)
+			record.Promised, record.Grantees = ask.Proposal, member.grantees(ask.Proposer.Name, ask.ProcessId)
 		}); err != nil {
 			return
 		}
@@ -208,7 +208,7 @@
 }
 
 // objection names why a proposer isn't heard, or nothing.
-func (member *Member) objection(proposer *wire.Holder, stale bool) string {
+func (member *Member) objection(proposer *wire.MemberID, stale bool) string {
 	switch {
 	case !member.votes():
 		return "not voting yet"
@@ -222,59 +222,59 @@
 	return ""
 }
 
-func (member *Member) answerAccept(ask *wire.AcceptAsk) (*wire.AcceptTell, error) {
-	tell := &wire.AcceptTell{}
+func (member *Member) answerAccept(ask *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+	tell := &wire.AcceptResponse{}
 	var err error
 	member.seat.Do(func() {
 		voter := &member.voter
 		tell.Promised = voter.record.Promised
 		fresh := voter.promisedTo != nil && member.env.Place.Now()-voter.promisedAt <= member.env.Tenure
-		if tell.Why = member.objection(ask.Proposer, ask.Ballot != voter.record.Promised || !fresh || !sameHolder(ask.Proposer, voter.promisedTo)); tell.Why != "" {
+		if tell.Reason = member.objection(ask.Proposer, ask.Proposal != voter.record.Promised || !fresh || !sameHolder(ask.Proposer, voter.promisedTo)); tell.Reason != "" {
 			return
 		}
 		err = member.changeRecord(func(record *wire.RegisterRecord) {
-			record.Accepted, record.Value = ask.Ballot, ask.Value
+			record.Accepted, record.Value = ask.Proposal, ask.Value
 		})
 		tell.Granted = err == nil
 	})
 	return tell, err
 }
 
-func (member *Member) answerTenure(ask *wire.TenureAsk) (*wire.TenureTell, error) {
-	tell := &wire.TenureTell{}
+func (member *Member) answerTenure(ask *wire.LeaseRequest) (*wire.LeaseResponse, error) {
+	tell := &wire.LeaseResponse{}
 	var err error
 	member.seat.Do(func() {
 		voter := &member.voter
 		tell.Promised, tell.Accepted, tell.Value = voter.record.Promised, voter.record.Accepted, voter.record.Value
 		if ask.Release {
 			// A life that ended may be asking late, and the lease be its process's next one's.
-			if sameHolder(voter.grant.holder, ask.Holder) && sameGrantees(voter.record.Grantees, []*wire.Grantee{{Name: ask.Holder.Name, Life: ask.Life}}) {
+			if sameHolder(voter.grant.holder, ask.Leader) && sameGrantees(voter.record.Grantees, []*wire.Grantee{{Name: ask.Leader.Name, ProcessId: ask.ProcessId}}) {
 				voter.grant = grant{}
 			}
 			return
 		}
-		if tell.Why = member.outdated(configuration{ask.Voters, ask.JointVoters}, ask.Known); tell.Why != "" {
+		if tell.Reason = member.outdated(configuration{ask.Voters, ask.JointVoters}, ask.KnownProposal); tell.Reason != "" {
 			return
 		}
 		// A primary's own ballot, under way or accepted, doesn't stand in the way of its tenure: it's the only one that
 		// can bring that ballot about, and it answers nothing until it knows what came of it.
-		rival := voter.record.Promised > ask.Ballot && !sameHolder(voter.promisedTo, ask.Holder)
-		newer := voter.record.Value != nil && voter.record.Value.Epoch > ask.Epoch && !sameHolder(voter.record.Value.Primary, ask.Holder)
-		if tell.Why = member.objection(ask.Holder, rival || newer); tell.Why != "" {
+		rival := voter.record.Promised > ask.Proposal && !sameHolder(voter.promisedTo, ask.Leader)
+		newer := voter.record.Value != nil && voter.record.Value.Epoch > ask.Epoch && !sameHolder(voter.record.Value.Primary, ask.Leader)
+		if tell.Reason = member.objection(ask.Leader, rival || newer); tell.Reason != "" {
 			return
 		}
-		if grantees := member.grantees(ask.Holder.Name, ask.Life); !sameGrantees(grantees, voter.record.Grantees) {
+		if grantees := member.grantees(ask.Leader.Name, ask.ProcessId); !sameGrantees(grantees, voter.record.Grantees) {
 			if err = member.changeRecord(func(record *wire.RegisterRecord) { record.Grantees = grantees }); err != nil {
 				return
 			}
 		}
-		voter.grant = grant{holder: ask.Holder, until: member.env.Place.Now() + member.env.Tenure}
+		voter.grant = grant{holder: ask.Leader, until: member.env.Place.Now() + member.env.Tenure}
 		tell.Granted = true
-		if ask.Holder.Name != member.env.Name {
+		if ask.Leader.Name != member.env.Name {
 			member.grown()
 		}
-		member.leads(ask.Epoch, ask.Holder.Name)
-		member.catchUp(ask.Holder.Name, ask.Known)
+		member.leads(ask.Epoch, ask.Leader.Name)
+		member.catchUp(ask.Leader.Name, ask.KnownProposal)
 	})
 	return tell, err
 }
@@ -299,7 +299,7 @@
 			continue
 		}
 		// A promise alone is no value: a first ballot may have failed because this voter hadn't joined yet.
-		virgin = virgin && reply.Accepted == 0 && (reply.Genesis || !slices.Contains(member.env.Voters, name))
+		virgin = virgin && reply.Accepted == 0 && (reply.CanBootstrap || !slices.Contains(member.env.Voters, name))
 		highestPromise = max(highestPromise, reply.Promised)
 		if !reply.Intact {
 			continue
@@ -352,9 +352,9 @@
 }
 
 // read asks another process for its register.
-func (member *Member) read(name string) (*wire.RegisterReadTell, error) {
-	tell := &wire.RegisterReadTell{}
-	err := member.call(name, wire.Kind_register_read, &wire.RegisterReadAsk{To: name, From: member.env.Name, Voters: member.env.Voters}, tell)
+func (member *Member) read(name string) (*wire.RegisterReadResponse, error) {
+	tell := &wire.RegisterReadResponse{}
+	err := member.call(name, wire.Kind_register_read, &wire.RegisterReadRequest{To: name, From: member.env.Name, Voters: member.env.Voters}, tell)
 	if err == nil {
 		member.sighted(name, tell)
 	}
--- a/internal/replication/weights_test.go
+++ b/internal/replication/weights_test.go
@@ -86,17 +86,17 @@
 			return nil, err
 		}
 		for _, voters := range [][]string{{"b", "a", "c", "d"}, {"a", "b", "c"}} {
-			promise, _ := member.answerPromise(&wire.PromiseAsk{Ballot: 9, Voters: voters})
-			tenure, _ := member.answerTenure(&wire.TenureAsk{Voters: voters})
-			_, unread := member.answerRegisterRead(&wire.RegisterReadAsk{Voters: voters})
-			for _, why := range []string{promise.Why, tenure.Why, fmt.Sprint(unread)} {
+			promise, _ := member.answerPromise(&wire.PrepareRequest{Proposal: 9, Voters: voters})
+			tenure, _ := member.answerTenure(&wire.LeaseRequest{Voters: voters})
+			_, unread := member.answerRegisterRead(&wire.RegisterReadRequest{Voters: voters})
+			for _, why := range []string{promise.Reason, tenure.Reason, fmt.Sprint(unread)} {
 				if !strings.Contains(why, fmt.Sprint(voters)) || !strings.Contains(why, "[a b c d]") {
 					t.Errorf("%v: %q doesn't tell both rosters", voters, why)
 				}
 			}
 		}
 		for _, voters := range [][]string{nil, {"a", "b", "c", "d"}} {
-			if _, err := member.answerRegisterRead(&wire.RegisterReadAsk{Voters: voters}); err != nil {
+			if _, err := member.answerRegisterRead(&wire.RegisterReadRequest{Voters: voters}); err != nil {
 				t.Errorf("%v: %v", voters, err)
 			}
 		}
--- a/internal/simulation/scenario/bad_messages_test.go
+++ b/internal/simulation/scenario/bad_messages_test.go
@@ -27,18 +27,18 @@
 		tell proto.Message
 	}
 	return map[string]message{
-		"entries of an old epoch":         {wire.Kind_replicate, &wire.ReplicateAsk{To: to, ToIncarnation: incarnation, Epoch: 1, Entries: []*wire.Entry{entry}}, &wire.ReplicateTell{}},
-		"entries for another copy":        {wire.Kind_replicate, &wire.ReplicateAsk{To: to, ToIncarnation: incarnation + 1, Epoch: 1 << 40, Entries: []*wire.Entry{entry}}, &wire.ReplicateTell{}},
-		"entries out of step":             {wire.Kind_replicate, &wire.ReplicateAsk{To: to, ToIncarnation: incarnation, Epoch: 1 << 20, PreviousSequence: 1 << 30, Entries: []*wire.Entry{entry}}, &wire.ReplicateTell{}},
-		"entries for another process":     {wire.Kind_replicate, &wire.ReplicateAsk{To: "nobody", ToIncarnation: incarnation, Epoch: 1 << 20}, &wire.ReplicateTell{}},
-		"a view of an old epoch":          {wire.Kind_install, &wire.InstallAsk{To: to, Epoch: 1, View: &wire.View{Epoch: 1, Sequence: 1}}, &wire.InstallTell{}},
-		"a view that is garbage":          {wire.Kind_install, &wire.InstallAsk{To: to, Epoch: 1 << 20, View: &wire.View{Epoch: 1 << 20, Sequence: 9, Content: bytes.Repeat([]byte{0xff, 0x07}, 40)}}, &wire.InstallTell{}},
-		"a view that is cut":              {wire.Kind_install, &wire.InstallAsk{To: to, Epoch: 1 << 20, View: &wire.View{Epoch: 1 << 20, Sequence: 9, Content: []byte{0x0a, 0x7f, 0x01}}}, &wire.InstallTell{}},
-		"entries behind another position": {wire.Kind_install, &wire.InstallAsk{To: to, Epoch: 1 << 20, SinceEpoch: 3, SinceSequence: 1 << 30, Entries: []*wire.Entry{entry}}, &wire.InstallTell{}},
-		"a ballot by other voters":        {wire.Kind_register_promise, &wire.PromiseAsk{To: to, Ballot: 1 << 50, Proposer: &wire.Holder{Name: "x"}, Voters: []string{"x", "y", "z"}}, &wire.PromiseTell{}},
-		"an acceptance without a promise": {wire.Kind_register_accept, &wire.AcceptAsk{To: to, Ballot: 1 << 49, Proposer: &wire.Holder{Name: "x"}, Value: &wire.RegisterValue{Epoch: 99}}, &wire.AcceptTell{}},
-		"a lease by other voters":         {wire.Kind_tenure_ask, &wire.TenureAsk{To: to, Epoch: 99, Ballot: 1 << 49, Holder: &wire.Holder{Name: "x"}, Voters: []string{"x"}}, &wire.TenureTell{}},
-		"a goodbye of nobody":             {wire.Kind_enroll, &wire.EnrollAsk{To: to, Name: "nobody", Leaving: true}, &wire.EnrollTell{}},
+		"entries of an old epoch":         {wire.Kind_replicate, &wire.ReplicateRequest{To: to, ToIncarnation: incarnation, Epoch: 1, Entries: []*wire.Entry{entry}}, &wire.ReplicateResponse{}},
+		"entries for another copy":        {wire.Kind_replicate, &wire.ReplicateRequest{To: to, ToIncarnation: incarnation + 1, Epoch: 1 << 40, Entries: []*wire.Entry{entry}}, &wire.ReplicateResponse{}},
+		"entries out of step":             {wire.Kind_replicate, &wire.ReplicateRequest{To: to, ToIncarnation: incarnation, Epoch: 1 << 20, PreviousSequence: 1 << 30, Entries: []*wire.Entry{entry}}, &wire.ReplicateResponse{}},
+		"entries for another process":     {wire.Kind_replicate, &wire.ReplicateRequest{To: "nobody", ToIncarnation: incarnation, Epoch: 1 << 20}, &wire.ReplicateResponse{}},
+		"a view of an old epoch":          {wire.Kind_install_snapshot, &wire.InstallSnapshotRequest{To: to, Epoch: 1, Snapshot: &wire.Snapshot{Epoch: 1, Sequence: 1}}, &wire.InstallSnapshotResponse{}},
+		"a view that is garbage":          {wire.Kind_install_snapshot, &wire.InstallSnapshotRequest{To: to, Epoch: 1 << 20, Snapshot: &wire.Snapshot{Epoch: 1 << 20, Sequence: 9, Content: bytes.Repeat([]byte{0xff, 0x07}, 40)}}, &wire.InstallSnapshotResponse{}},
+		"a view that is cut":              {wire.Kind_install_snapshot, &wire.InstallSnapshotRequest{To: to, Epoch: 1 << 20, Snapshot: &wire.Snapshot{Epoch: 1 << 20, Sequence: 9, Content: []byte{0x0a, 0x7f, 0x01}}}, &wire.InstallSnapshotResponse{}},
+		"entries behind another position": {wire.Kind_install_snapshot, &wire.InstallSnapshotRequest{To: to, Epoch: 1 << 20, SinceEpoch: 3, SinceSequence: 1 << 30, Entries: []*wire.Entry{entry}}, &wire.InstallSnapshotResponse{}},
+		"a ballot by other voters":        {wire.Kind_prepare, &wire.PrepareRequest{To: to, Proposal: 1 << 50, Proposer: &wire.MemberID{Name: "x"}, Voters: []string{"x", "y", "z"}}, &wire.PrepareResponse{}},
+		"an acceptance without a promise": {wire.Kind_accept, &wire.AcceptRequest{To: to, Proposal: 1 << 49, Proposer: &wire.MemberID{Name: "x"}, Value: &wire.RegisterValue{Epoch: 99}}, &wire.AcceptResponse{}},
+		"a lease by other voters":         {wire.Kind_lease, &wire.LeaseRequest{To: to, Epoch: 99, Proposal: 1 << 49, Leader: &wire.MemberID{Name: "x"}, Voters: []string{"x"}}, &wire.LeaseResponse{}},
+		"a goodbye of nobody":             {wire.Kind_join, &wire.JoinRequest{To: to, Name: "nobody", Leaving: true}, &wire.JoinResponse{}},
 	}
 }
 
@@ -51,25 +51,25 @@
 			version := uint64(100)
 			for range 4 {
 				for _, node := range mesh.allCore() {
-					seen := &wire.RegisterReadTell{}
-					mesh.ask(node.Address, wire.Kind_register_read, &wire.RegisterReadAsk{To: node.Name, From: "outside"}, seen)
+					seen := &wire.RegisterReadResponse{}
+					mesh.ask(node.Address, wire.Kind_register_read, &wire.RegisterReadRequest{To: node.Name, From: "outside"}, seen)
 					bad := badMessages(node.Name, seen.Incarnation)
 					for _, name := range slices.Sorted(maps.Keys(bad)) {
 						one := bad[name]
 						mesh.ask(node.Address, one.kind, one.ask, one.tell)
-						if tell, is := one.tell.(*wire.InstallTell); is && tell.Stored {
+						if tell, is := one.tell.(*wire.InstallSnapshotResponse); is && tell.Stored {
 							t.Errorf("%s took %s", node.Name, name)
 						}
-						if tell, is := one.tell.(*wire.ReplicateTell); is && tell.Stored {
+						if tell, is := one.tell.(*wire.ReplicateResponse); is && tell.Stored {
 							t.Errorf("%s took %s", node.Name, name)
 						}
-						if tell, is := one.tell.(*wire.AcceptTell); is && tell.Granted {
+						if tell, is := one.tell.(*wire.AcceptResponse); is && tell.Granted {
 							t.Errorf("%s granted %s", node.Name, name)
 						}
 					}
 				}
 				version++
-				if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Serial != version {
+				if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Version != version {
 					t.Fatalf("version %d: %v %v", version, tell, err)
 				}
 				mesh.World.Kill(mesh.leader("postmaster"))
@@ -79,9 +79,9 @@
 				}
 				mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
 			}
-			tell := &wire.DesiredReadTell{}
-			mesh.ask(mesh.leader(configstore.Group).Address, wire.Kind_desired_read, &wire.DesiredReadAsk{}, tell)
-			if !tell.Found || tell.States[0].Serial != version {
+			tell := &wire.ConfigReadResponse{}
+			mesh.ask(mesh.leader(configstore.Group).Address, wire.Kind_config_read, &wire.ConfigReadRequest{}, tell)
+			if !tell.Found || tell.Versions[0].Version != version {
 				t.Errorf("%v, not version %d", tell, version)
 			}
 		})
--- a/internal/simulation/scenario/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -20,7 +20,7 @@
 			change := func(times int) {
 				for range times {
 					version++
-					if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Serial != version {
+					if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Version != version {
 						t.Fatalf("version %d: %v %v", version, tell, err)
 					}
 				}
--- a/internal/simulation/scenario/changes_test.go
+++ b/internal/simulation/scenario/changes_test.go
@@ -151,7 +151,7 @@
 	scene := take(t)
 	defer scene.mesh.World.Close()
 	longest, whole := 0, len(wide(t, 400, nil))
-	scene.mesh.polled = func(_ *wire.DesiredPollAsk, tell *wire.DesiredPollTell) {
+	scene.mesh.polled = func(_ *wire.ConfigPollRequest, tell *wire.ConfigPollResponse) {
 		longest = max(longest, len(tell.Difference), len(tell.Content))
 	}
 	content := wide(t, 400, turned)
@@ -168,17 +168,17 @@
 // TestRefusedDifferences: one that is damaged, cut short or from another base changes nothing; its carrier says so and has the whole
 // a poll later.
 func TestRefusedDifferences(t *testing.T) {
-	for name, damage := range map[string]func(tell *wire.DesiredPollTell){
-		"a bit":          func(tell *wire.DesiredPollTell) { tell.Difference[len(tell.Difference)-2] ^= 1 },
-		"cut short":      func(tell *wire.DesiredPollTell) { tell.Difference = tell.Difference[:len(tell.Difference)/2] },
-		"another base":   func(tell *wire.DesiredPollTell) { tell.Difference[5] ^= 1 },
-		"another serial": func(tell *wire.DesiredPollTell) { tell.Serial++ },
+	for name, damage := range map[string]func(tell *wire.ConfigPollResponse){
+		"a bit":          func(tell *wire.ConfigPollResponse) { tell.Difference[len(tell.Difference)-2] ^= 1 },
+		"cut short":      func(tell *wire.ConfigPollResponse) { tell.Difference = tell.Difference[:len(tell.Difference)/2] },
+		"another base":   func(tell *wire.ConfigPollResponse) { tell.Difference[5] ^= 1 },
+		"another serial": func(tell *wire.ConfigPollResponse) { tell.Version++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			scene := take(t)
 			defer scene.mesh.World.Close()
-			scene.mesh.polled = func(_ *wire.DesiredPollAsk, tell *wire.DesiredPollTell) {
+			scene.mesh.polled = func(_ *wire.ConfigPollRequest, tell *wire.ConfigPollResponse) {
 				if len(tell.Difference) > 0 {
 					tell.Difference = bytes.Clone(tell.Difference) // the postmaster tells others the same one
 					damage(tell)
@@ -205,7 +205,7 @@
 	scene := take(t)
 	defer scene.mesh.World.Close()
 	content := wide(t, 400, turned)
-	scene.mesh.polled = func(_ *wire.DesiredPollAsk, tell *wire.DesiredPollTell) {
+	scene.mesh.polled = func(_ *wire.ConfigPollRequest, tell *wire.ConfigPollResponse) {
 		if len(tell.Difference) > 0 {
 			tell.Difference, tell.Content = nil, content
 		}
--- a/internal/simulation/scenario/course.go
+++ b/internal/simulation/scenario/course.go
@@ -547,7 +547,7 @@
 // loseAfterWrites has a sorter that has just acknowledged a claim, a void, a probe or a guard's write lose its machine's power, or
 // its disk, or the whole core lose power, within the milliseconds in which the answer is on its way. Each kind has its turn.
 func loseAfterWrites(mesh *Mesh) {
-	turns := []wire.Kind{wire.Kind_claim, wire.Kind_guard_write, wire.Kind_claim, wire.Kind_probe_lease, wire.Kind_void}
+	turns := []wire.Kind{wire.Kind_claim, wire.Kind_breaker_write, wire.Kind_claim, wire.Kind_probe_lease, wire.Kind_void_claim}
 	turn := 0
 	mesh.afterWrite = func(node *world.Node, kind wire.Kind) {
 		if mesh.World.Now() < mesh.lossFrom || !mesh.serving || kind != turns[turn%len(turns)] || mesh.World.Chance().IntN(3) > 0 {
--- a/internal/simulation/scenario/directory_test.go
+++ b/internal/simulation/scenario/directory_test.go
@@ -61,7 +61,7 @@
 func (mesh *Mesh) fed(looked func(), wrong func(carrier string)) {
 	type version struct{ source, serial uint64 }
 	shown, seen := map[version]*session.Directory{}, map[string]*session.Directory{}
-	mesh.directed = func(sorter string, _ *wire.SorterPollAsk, _ *wire.SorterPollTell) {
+	mesh.directed = func(sorter string, _ *wire.RegistryPollRequest, _ *wire.RegistryPollResponse) {
 		view := mesh.sorters[sorter].Shown()
 		if newest := (version{view.Source, view.Serial}); shown[newest] == nil {
 			shown[newest] = session.Of(view.Sessions)
@@ -129,9 +129,9 @@
 	course.Prepare = func(mesh *Mesh) {
 		mesh.fed(func() {}, func(string) { wrong++ })
 		look := mesh.directed
-		mesh.directed = func(sorter string, ask *wire.SorterPollAsk, tell *wire.SorterPollTell) {
+		mesh.directed = func(sorter string, ask *wire.RegistryPollRequest, tell *wire.RegistryPollResponse) {
 			look(sorter, ask, tell)
-			tell.DirectoryGone = nil
+			tell.DirectoryRemoved = nil
 		}
 	}
 	Run(course, 2, Breakage{Unchecked: true})
@@ -148,9 +148,9 @@
 		mesh.Outside.Go(func() { mesh.apply(Desired(0), false, 0, 20*monotonic.Second) })
 		mesh.World.Run(mesh.World.Now() + 15*monotonic.Second)
 		if wholes {
-			mesh.directed = func(sorter string, ask *wire.SorterPollAsk, tell *wire.SorterPollTell) {
-				if tell.DirectoryChanged {
-					tell.Sessions, tell.DirectoryChanged = mesh.sorters[sorter].Shown().Sessions, false
+			mesh.directed = func(sorter string, ask *wire.RegistryPollRequest, tell *wire.RegistryPollResponse) {
+				if tell.DirectoryIsDelta {
+					tell.Sessions, tell.DirectoryIsDelta = mesh.sorters[sorter].Shown().Sessions, false
 				}
 			}
 		}
--- a/internal/simulation/scenario/exchange_test.go
+++ b/internal/simulation/scenario/exchange_test.go
@@ -31,13 +31,13 @@
 				}
 			}
 			tell, _, err := mesh.raise(100, 10*monotonic.Second)
-			if err != nil || tell.Serial != 100 {
+			if err != nil || tell.Version != 100 {
 				t.Fatalf("%v %v", tell, err)
 			}
 			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
 			mesh.retire("core-1")
 			mesh.retire("core-2")
-			if tell, _, err = mesh.raise(101, 20*monotonic.Second); err != nil || tell.Serial != 101 {
+			if tell, _, err = mesh.raise(101, 20*monotonic.Second); err != nil || tell.Version != 101 {
 				t.Errorf("after the zone's loss: %v %v", tell, err)
 			}
 		})
--- a/internal/simulation/scenario/friday.go
+++ b/internal/simulation/scenario/friday.go
@@ -42,7 +42,7 @@
 
 // fridayState is the state in the morning: a route for each family and lookup, and hundreds that nobody asks for.
 func fridayState() *wire.DesiredState {
-	group := &wire.Group{Name: "field", Guard: &wire.Guard{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20)}, Limits: &wire.Limits{CutoffMicros: proto.Int64(int64(5 * monotonic.Second))}}
+	group := &wire.Group{Name: "field", Guard: &wire.Breaker{WindowCalls: proto.Uint32(100), MinimumCalls: proto.Uint32(20)}, Limits: &wire.Limits{CutoffMicros: proto.Int64(int64(5 * monotonic.Second))}}
 	state := &wire.DesiredState{Groups: []*wire.Group{group}}
 	for _, one := range slices.Concat(families, lookups) {
 		for _, name := range []string{one.Service, one.Other} {
@@ -182,12 +182,12 @@
 		contents[digest], _ = config.Accepted(content)
 		before[digest], last = last, digest
 	}
-	mesh.polled = func(ask *wire.DesiredPollAsk, tell *wire.DesiredPollTell) {
+	mesh.polled = func(ask *wire.ConfigPollRequest, tell *wire.ConfigPollResponse) {
 		told := &wire.Difference{}
 		if len(tell.Difference) == 0 || proto.Unmarshal(tell.Difference, told) != nil {
 			return
 		}
-		view, _ := mesh.lives[ask.Carrier].Desk.Current()
+		view, _ := mesh.lives[ask.Proxy].Desk.Current()
 		base, former, newest := contents[view.Digest], contents[before[told.ContentDigest]], contents[told.ContentDigest]
 		if base == nil || former == nil || newest == nil {
 			return
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -55,11 +55,11 @@
 	lossFrom    monotonic.Micros  // no disk is lost before
 	troubled    map[string]string // carriers whose own network is in trouble, and how
 	adjust      func(*replication.Env)
-	retired     map[string]bool                                                         // core machines that are gone for good
-	genesis     map[string][]string                                                     // the voters of the first start, by group
-	afterWrite  func(node *world.Node, kind wire.Kind)                                  // told of each write that a sorter acknowledges, if set
-	polled      func(ask *wire.DesiredPollAsk, tell *wire.DesiredPollTell)              // may change what a carrier is told of versions, if set
-	directed    func(sorter string, ask *wire.SorterPollAsk, tell *wire.SorterPollTell) // may change what a carrier is told by a sorter, if set
+	retired     map[string]bool                                                                     // core machines that are gone for good
+	genesis     map[string][]string                                                                 // the voters of the first start, by group
+	afterWrite  func(node *world.Node, kind wire.Kind)                                              // told of each write that a sorter acknowledges, if set
+	polled      func(ask *wire.ConfigPollRequest, tell *wire.ConfigPollResponse)                    // may change what a carrier is told of versions, if set
+	directed    func(sorter string, ask *wire.RegistryPollRequest, tell *wire.RegistryPollResponse) // may change what a carrier is told by a sorter, if set
 	rushes      int
 	labour      monotonic.Micros // what a backend's work takes besides
 	patient     bool             // callers come back when they were told to, until they are served
@@ -294,7 +294,7 @@
 
 // listen has afterWrite told of each write that a sorter acknowledges, at the moment of its answer.
 func (mesh *Mesh) listen(node *world.Node, table host.Table) {
-	for _, kind := range []wire.Kind{wire.Kind_claim, wire.Kind_void, wire.Kind_probe_lease, wire.Kind_guard_write, wire.Kind_duty} {
+	for _, kind := range []wire.Kind{wire.Kind_claim, wire.Kind_void_claim, wire.Kind_probe_lease, wire.Kind_breaker_write, wire.Kind_singleton_lease} {
 		answer := table[kind]
 		table[kind] = func(content []byte) (proto.Message, error) {
 			reply, err := answer(content)
@@ -308,11 +308,11 @@
 
 // overhear has polled told of each answer to a carrier's poll, on its way.
 func (mesh *Mesh) overhear(table host.Table) {
-	answer := table[wire.Kind_desired_poll]
-	table[wire.Kind_desired_poll] = func(content []byte) (proto.Message, error) {
+	answer := table[wire.Kind_config_poll]
+	table[wire.Kind_config_poll] = func(content []byte) (proto.Message, error) {
 		reply, err := answer(content)
-		if tell, is := reply.(*wire.DesiredPollTell); err == nil && is && mesh.polled != nil {
-			ask := &wire.DesiredPollAsk{}
+		if tell, is := reply.(*wire.ConfigPollResponse); err == nil && is && mesh.polled != nil {
+			ask := &wire.ConfigPollRequest{}
 			_ = proto.Unmarshal(content, ask)
 			mesh.polled(ask, tell)
 		}
@@ -322,11 +322,11 @@
 
 // direct has directed told of each answer of a sorter to a carrier's poll, on its way.
 func (mesh *Mesh) direct(sorter string, table host.Table) {
-	answer := table[wire.Kind_sorter_poll]
-	table[wire.Kind_sorter_poll] = func(content []byte) (proto.Message, error) {
+	answer := table[wire.Kind_registry_poll]
+	table[wire.Kind_registry_poll] = func(content []byte) (proto.Message, error) {
 		reply, err := answer(content)
-		if tell, is := reply.(*wire.SorterPollTell); err == nil && is && mesh.directed != nil {
-			ask := &wire.SorterPollAsk{}
+		if tell, is := reply.(*wire.RegistryPollResponse); err == nil && is && mesh.directed != nil {
+			ask := &wire.RegistryPollRequest{}
 			_ = proto.Unmarshal(content, ask)
 			mesh.directed(sorter, ask, tell)
 		}
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -12,20 +12,20 @@
 
 // ---- operators ----
 // apply has an operator apply a content, asking again until the outcome is certain or patience ends.
-func (mesh *Mesh) apply(content []byte, any bool, expected uint64, patience monotonic.Micros) *wire.DesiredApplyTell {
+func (mesh *Mesh) apply(content []byte, any bool, expected uint64, patience monotonic.Micros) *wire.ConfigApplyResponse {
 	if mesh.handed != nil {
 		mesh.handed(content)
 	}
 	sum, faults := mesh.permit(content)
-	ask := &wire.DesiredApplyAsk{Content: content, AnySerial: any, ExpectedSerial: expected, Request: fmt.Sprintf("apply-%x", mesh.Outside.Random())}
+	ask := &wire.ConfigApplyRequest{Content: content, AnyVersion: any, ExpectedVersion: expected, Request: fmt.Sprintf("apply-%x", mesh.Outside.Random())}
 	defer func(over func(monotonic.Micros)) { over(mesh.World.Now()) }(mesh.History.Plan("a change of the desired state", mesh.World.Now()))
 	cutoff := mesh.World.Now() + patience
 	for mesh.World.Now() < cutoff {
 		leader := mesh.book.Leader(configstore.Group)
-		tell := &wire.DesiredApplyTell{}
-		if leader != "" && mesh.book.Call(leader, wire.Kind_desired_apply, ask, tell, 20*monotonic.Second) == nil {
-			mesh.History.Apply(invariants.Applied{Serial: tell.Serial, Digest: tell.Digest, Valid: len(faults) == 0, Outcome: tell.Outcome, At: mesh.World.Now(), Sum: sum})
-			mesh.latest = max(mesh.latest, tell.Serial)
+		tell := &wire.ConfigApplyResponse{}
+		if leader != "" && mesh.book.Call(leader, wire.Kind_config_apply, ask, tell, 20*monotonic.Second) == nil {
+			mesh.History.Apply(invariants.Applied{Serial: tell.Version, Digest: tell.Digest, Valid: len(faults) == 0, Outcome: tell.Outcome, At: mesh.World.Now(), Sum: sum})
+			mesh.latest = max(mesh.latest, tell.Version)
 			return tell
 		}
 		mesh.book.Ask()
@@ -55,11 +55,11 @@
 // readBack reads the history of desired states at the end.
 func (mesh *Mesh) readBack() {
 	for range 100 {
-		tell := &wire.DesiredReadTell{}
+		tell := &wire.ConfigReadResponse{}
 		leader := mesh.book.Leader(configstore.Group)
-		if leader != "" && mesh.book.Call(leader, wire.Kind_desired_read, &wire.DesiredReadAsk{List: true}, tell, 2*monotonic.Second) == nil {
-			for _, kept := range tell.States {
-				mesh.History.ReadBack = append(mesh.History.ReadBack, invariants.ReadBack{Serial: kept.Serial, Digest: kept.Digest})
+		if leader != "" && mesh.book.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, tell, 2*monotonic.Second) == nil {
+			for _, kept := range tell.Versions {
+				mesh.History.ReadBack = append(mesh.History.ReadBack, invariants.ReadBack{Serial: kept.Version, Digest: kept.Digest})
 			}
 			mesh.History.Read = true
 			return
--- a/internal/simulation/scenario/return_test.go
+++ b/internal/simulation/scenario/return_test.go
@@ -168,8 +168,8 @@
 				}
 				from, took := len(mesh.log), monotonic.Minute
 				mesh.Outside.Go(func() {
-					began, tell := mesh.Outside.Now(), &wire.ClaimTell{}
-					err := mesh.book.Call(leader, wire.Kind_claim, &wire.ClaimAsk{Scope: "path\nkey", Digest: []byte("d"), Try: "1", Carrier: "carrier-1"}, tell, 5*monotonic.Second)
+					began, tell := mesh.Outside.Now(), &wire.ClaimResponse{}
+					err := mesh.book.Call(leader, wire.Kind_claim, &wire.ClaimRequest{Scope: "path\nkey", Digest: []byte("d"), Attempt: "1", Proxy: "carrier-1"}, tell, 5*monotonic.Second)
 					if took = mesh.Outside.Now() - began; err != nil || tell.Outcome != "granted" {
 						t.Errorf("seed %d: %q, %v", seed, tell.Outcome, err)
 					}
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -30,7 +30,7 @@
 	mesh := Build(seed, sizes, Breakage{})
 	t.Cleanup(mesh.World.Close)
 	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
-	if tell, _, err := mesh.raise(10, 20*monotonic.Second); err != nil || tell.Outcome != versions.Accepted || tell.Serial != 10 {
+	if tell, _, err := mesh.raise(10, 20*monotonic.Second); err != nil || tell.Outcome != versions.Accepted || tell.Version != 10 {
 		t.Fatalf("%v %v", tell, err)
 	}
 	mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
@@ -38,10 +38,10 @@
 }
 
 // raise applies a state under a version through a door's store, and tells how long that took.
-func (mesh *Mesh) raise(version uint64, patience monotonic.Micros) (tell *wire.DesiredApplyTell, took monotonic.Micros, err error) {
+func (mesh *Mesh) raise(version uint64, patience monotonic.Micros) (tell *wire.ConfigApplyResponse, took monotonic.Micros, err error) {
 	began, done := mesh.World.Now(), false
 	mesh.Outside.Go(func() {
-		tell, err = api.NewStore(mesh.Outside, mesh.book).Apply(patience, &wire.DesiredApplyAsk{Content: Desired(int(version)), Version: version})
+		tell, err = api.NewStore(mesh.Outside, mesh.book).Apply(patience, &wire.ConfigApplyRequest{Content: Desired(int(version)), Version: version})
 		took, done = mesh.World.Now()-began, true
 	})
 	for limit := began + patience + monotonic.Minute; !done && mesh.World.Now() < limit; {
@@ -63,7 +63,7 @@
 		t.Helper()
 		tell, took, err := mesh.raise(version, 10*monotonic.Second)
 		t.Logf("%s: acknowledged after %d microseconds", what, took)
-		if err != nil || tell.Outcome != versions.Accepted || tell.Serial != serial || tell.Spread != everywhere || took < least || took > most {
+		if err != nil || tell.Outcome != versions.Accepted || tell.Version != serial || tell.AdoptedEverywhere != everywhere || took < least || took > most {
 			t.Errorf("%s: %v, %v after %d microseconds", what, tell, err, took)
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 	tell, took, err := mesh.raise(15, 10*monotonic.Second)
 	t.Logf("acknowledged after %d microseconds more", took)
-	if err != nil || tell.Serial != 20 || !tell.Spread || took < monotonic.Second || took > 2500*monotonic.Millisecond {
+	if err != nil || tell.Version != 20 || !tell.AdoptedEverywhere || took < monotonic.Second || took > 2500*monotonic.Millisecond {
 		t.Errorf("%v, %v after %d microseconds", tell, err, took)
 	}
 }
@@ -107,7 +107,7 @@
 func TestStoreTellsApartNotTakenAndUnknown(t *testing.T) {
 	t.Parallel()
 	mesh := started(t, servingOn)
-	read := func(patience monotonic.Micros) (kept *wire.DesiredKept, err error) {
+	read := func(patience monotonic.Micros) (kept *wire.StoredConfig, err error) {
 		done := false
 		mesh.Outside.Go(func() {
 			kept, err = api.NewStore(mesh.Outside, mesh.book).Newest(patience)
@@ -122,7 +122,7 @@
 		}
 		return kept, err
 	}
-	if kept, err := read(2 * monotonic.Second); err != nil || kept.Serial != 10 {
+	if kept, err := read(2 * monotonic.Second); err != nil || kept.Version != 10 {
 		t.Errorf("%v %v", kept, err)
 	}
 	for _, core := range mesh.cores {
@@ -137,14 +137,14 @@
 	for _, core := range mesh.cores {
 		mesh.World.Uncut("outside", core)
 	}
-	if kept, err := read(2 * monotonic.Second); err != nil || kept.Serial != 10 {
+	if kept, err := read(2 * monotonic.Second); err != nil || kept.Version != 10 {
 		t.Errorf("%v %v", kept, err)
 	}
 	// A content with faults is refused under any version.
 	done := false
 	mesh.Outside.Go(func() {
-		tell, err := api.NewStore(mesh.Outside, mesh.book).Apply(2*monotonic.Second, &wire.DesiredApplyAsk{Content: []byte(`{"groups":[]}`), Version: 3})
-		if err != nil || tell.Outcome != versions.Invalid || len(tell.Faults) != 1 {
+		tell, err := api.NewStore(mesh.Outside, mesh.book).Apply(2*monotonic.Second, &wire.ConfigApplyRequest{Content: []byte(`{"groups":[]}`), Version: 3})
+		if err != nil || tell.Outcome != versions.Invalid || len(tell.Errors) != 1 {
 			t.Errorf("%v %v", tell, err)
 		}
 		done = true
--- a/internal/simulation/scenario/worst_days.go
+++ b/internal/simulation/scenario/worst_days.go
@@ -83,9 +83,9 @@
 
 func (mesh *Mesh) orderAt(machine string, chosen order) invariants.OrderOutcome {
 	node, sent := mesh.doorOf(machine), mesh.World.Now()
-	var tell *wire.DesiredApplyTell
+	var tell *wire.ConfigApplyResponse
 	_, err := mesh.Outside.Transact(node.Address, 5*monotonic.Second, func(node *world.Node) ([]byte, error) {
-		told, err := mesh.doors[node.Name].Apply(3500*monotonic.Millisecond, &wire.DesiredApplyAsk{Content: chosen.content, Version: chosen.version})
+		told, err := mesh.doors[node.Name].Apply(3500*monotonic.Millisecond, &wire.ConfigApplyRequest{Content: chosen.content, Version: chosen.version})
 		tell = told
 		return nil, err
 	})
@@ -108,15 +108,15 @@
 
 func (mesh *Mesh) readAt(machine string) {
 	node, sent := mesh.doorOf(machine), mesh.World.Now()
-	var kept *wire.DesiredKept
+	var kept *wire.StoredConfig
 	_, err := mesh.Outside.Transact(node.Address, 3*monotonic.Second, func(node *world.Node) ([]byte, error) {
 		found, err := mesh.doors[node.Name].Newest(900 * monotonic.Millisecond)
 		kept = found
 		return nil, err
 	})
 	read := invariants.Order{Door: node.Name, Read: true, Sent: sent, Ended: mesh.World.Now(), Outcome: invariants.Uncertain}
-	if err == nil && kept != nil && kept.Serial >= 1000 {
-		read.Version, read.Digest, read.Outcome = kept.Serial, config.Digest(kept.Content), invariants.Confirmed
+	if err == nil && kept != nil && kept.Version >= 1000 {
+		read.Version, read.Digest, read.Outcome = kept.Version, config.Digest(kept.Content), invariants.Confirmed
 	}
 	mesh.History.Order(read)
 }
--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -220,7 +220,7 @@
 		releases[core.Release] = append(releases[core.Release], core.Name)
 	}
 	for _, session := range sessions(mesh) {
-		releases[session.Release] = append(releases[session.Release], session.Carrier)
+		releases[session.Release] = append(releases[session.Release], session.Proxy)
 	}
 	if len(releases) > 1 {
 		for _, release := range slices.Sorted(maps.Keys(releases)) {
@@ -268,8 +268,8 @@
 		return []Finding{{Level: Ill, What: "no carrier has a session", Advice: "start carriers, and check that their seeds name a live process"}}
 	}
 	for _, session := range all {
-		if session.DesiredSerial < newest {
-			found = append(found, Finding{Level: Watch, What: fmt.Sprintf("%s serves by serial %d, the newest is %d", session.Carrier, session.DesiredSerial, newest),
+		if session.ConfigVersion < newest {
+			found = append(found, Finding{Level: Watch, What: fmt.Sprintf("%s serves by serial %d, the newest is %d", session.Proxy, session.ConfigVersion, newest),
 				Advice: "it refuses requests when its tenure ends; check its way to the primary postmaster"})
 		}
 	}
@@ -307,9 +307,9 @@
 	for _, record := range status.Guards {
 		reporters := []string{}
 		for _, report := range record.Reports {
-			reporters = append(reporters, report.Carrier)
+			reporters = append(reporters, report.Proxy)
 		}
-		since := monotonic.Micros(status.Now - record.Entered)
+		since := monotonic.Micros(status.Now - record.EnteredAt)
 		if record.State == "open" {
 			found = append(found, Finding{Level: Ill, What: fmt.Sprintf("the guard of %s is open, for %v", record.Service, since.Duration()),
 				Advice: "look at that service's backends; it's probed again by itself"})
@@ -317,7 +317,7 @@
 		if record.State == "half_open" {
 			level, advice := Watch, "it's being probed; nothing to do unless this lasts"
 			if since > stuck {
-				advice = fmt.Sprintf("%d probes out, %d tallied, %d left: if nobody calls the service, nothing probes it", len(record.Probes), len(record.Tallies), record.Budget)
+				advice = fmt.Sprintf("%d probes out, %d tallied, %d left: if nobody calls the service, nothing probes it", len(record.ProbeLeases), len(record.ProbeResults), record.Budget)
 			}
 			found = append(found, Finding{Level: level, What: fmt.Sprintf("the guard of %s is half open, for %v", record.Service, since.Duration()), Advice: advice})
 		}
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -21,7 +21,7 @@
 		registry.Core.Primary, registry.Core.Backup = "sorter-1", "sorter-2"
 		master.Core.Group, master.Core.Name, master.Core.Voters = "postmaster", "postmaster-"+number, []string{"postmaster-1", "postmaster-2", "postmaster-3"}
 		registry.Core.Group, registry.Core.Name, registry.Core.Voters = "sorter", "sorter-"+number, []string{"sorter-1", "sorter-2", "sorter-3"}
-		registry.Carriers = []*wire.Session{{Carrier: "carrier-1", DesiredSerial: 3, Release: "a", Backends: []*wire.Backend{
+		registry.Carriers = []*wire.Session{{Proxy: "carrier-1", ConfigVersion: 3, Release: "a", Backends: []*wire.Backend{
 			{Service: "forms", Instance: "one", Condition: "working"}, {Service: "forms", Instance: "two", Condition: "alive"}}}}
 		mesh.Postmasters[master.Core.Name], mesh.Sorters[registry.Core.Name] = master, registry
 	}
@@ -72,18 +72,20 @@
 		{"disk", Watch, "last write", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.SyncTime = int64(monotonic.Second) })
 		}},
-		{"carriers", Watch, "serial 2", func(mesh Mesh) { mesh.Sorters["sorter-1"].Carriers[0].DesiredSerial = 2 }},
+		{"carriers", Watch, "serial 2", func(mesh Mesh) { mesh.Sorters["sorter-1"].Carriers[0].ConfigVersion = 2 }},
 		{"guards", Ill, "forms is open", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Guards = []*wire.GuardRecord{{Service: "forms", State: "open"}} })
+			spoilSorter(mesh, "sorter-1", func(status *registry.Status) {
+				status.Guards = []*wire.BreakerRecord{{Service: "forms", State: "open"}}
+			})
 		}},
 		{"guards", Watch, "half open", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-1", func(status *registry.Status) {
-				status.Guards = []*wire.GuardRecord{{Service: "forms", State: "half_open"}}
+				status.Guards = []*wire.BreakerRecord{{Service: "forms", State: "half_open"}}
 			})
 		}},
 		{"guards", Watch, "stand alone", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-1", func(status *registry.Status) {
-				status.Guards = []*wire.GuardRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Carrier: "carrier-1"}}}}
+				status.Guards = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
 			})
 		}},
 		{"backends", Watch, "stopped beating", func(mesh Mesh) { mesh.Sorters["sorter-1"].Carriers[0].Backends[0].Condition = "overdue" }},
