--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	daemon.Main(daemon.Command("postmaster", "the store of desired states and the operators' door", settings.Core(), configstore.Group, build))
+	daemon.Main(daemon.Command("configstore", "the store of desired states and the operators' door", settings.Core(), configstore.Group, build))
 }
 
 func build(home *daemon.House) error {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	daemon.Main(daemon.Command("carrier", "the proxy beside each caller and each server", settings.Carrier(), "", build))
+	daemon.Main(daemon.Command("proxy", "the proxy beside each caller and each server", settings.Carrier(), "", build))
 }
 
 func build(home *daemon.House) error {
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	daemon.Main(daemon.Command("sorter", "the registry of carriers, backends and guards", settings.Core(), registry.Group, build))
+	daemon.Main(daemon.Command("registry", "the registry of carriers, backends and guards", settings.Core(), registry.Group, build))
 }
 
 func build(home *daemon.House) error {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "depot", Short: "rehearsals: a fleet on loopback, its outside, failures and checkers", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
+	root := &cobra.Command{Use: "rehearse", Short: "rehearsals: a fleet on loopback, its outside, failures and checkers", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	root.AddCommand(run(), list(), measuring(), hollow(), writing(), comparing())
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.Misused(err) })
 	daemon.Main(root)
@@ -44,7 +44,7 @@
 			options.Binaries = filepath.Dir(own)
 		}
 		if options.Folder == "" {
-			folder, err := os.MkdirTemp("", "depot")
+			folder, err := os.MkdirTemp("", "rehearse")
 			if err != nil {
 				return err
 			}
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -92,7 +92,7 @@
 
 // apart plays one run in a process of its own, which ends with this one.
 func apart(running context.Context, own string, asked hollowRun) (run sweep.Run, err error) {
-	if asked.Options.Folder, err = os.MkdirTemp("", "depot"); err != nil {
+	if asked.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
 		return run, err
 	}
 	defer os.RemoveAll(asked.Options.Folder)
--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -66,11 +66,11 @@
 		fleet.Relays = relay.NewHub()
 	}
 	for index := range chosen.Cores {
-		fleet.Sorters = append(fleet.Sorters, fleet.process("sorter", index, 100+index, 7100))
-		fleet.Postmasters = append(fleet.Postmasters, fleet.process("postmaster", index, 100+index, 7200))
+		fleet.Sorters = append(fleet.Sorters, fleet.process("registry", index, 100+index, 7100))
+		fleet.Postmasters = append(fleet.Postmasters, fleet.process("configstore", index, 100+index, 7200))
 	}
 	for index := range chosen.Carriers {
-		fleet.Carriers = append(fleet.Carriers, fleet.process("carrier", index, 1+index, 7300))
+		fleet.Carriers = append(fleet.Carriers, fleet.process("proxy", index, 1+index, 7300))
 	}
 	for _, process := range fleet.All() {
 		if err := fleet.link(process); err != nil {
@@ -94,7 +94,7 @@
 	process := &Process{Program: program, Name: name, Zone: fleet.Layout.Zone(index), Host: host,
 		Listen: fmt.Sprintf("%s:%d", host, port), Desk: fmt.Sprintf("%s:%d", host, port+1), Folder: filepath.Join(fleet.Folder, name)}
 	process.Peer = process.Listen
-	if program == "carrier" {
+	if program == "proxy" {
 		process.Callers = fmt.Sprintf("%s:%d", host, port+2)
 	}
 	return process
@@ -216,14 +216,14 @@
 	if process.Leaping {
 		settings["rehearse-clock"] = process.clock()
 	}
-	if process.Program == "carrier" {
+	if process.Program == "proxy" {
 		settings["callers"] = process.Callers
 		if fleet.Choice != "near" { // a default is left out, so that an earlier build that doesn't know it starts too
 			settings["choice"] = fleet.Choice
 		}
 	} else {
 		group := fleet.Sorters
-		if process.Program == "postmaster" {
+		if process.Program == "configstore" {
 			group = fleet.Postmasters
 		}
 		voters := []string{}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	command := exec.Command(filepath.Join(binaries, process.Program), "--env", filepath.Join(process.Folder, "env.json"))
+	command := exec.Command(program(binaries, process.Program), "--env", filepath.Join(process.Folder, "env.json"))
 	command.Stderr, command.Stdout = log, log
 	// A fleet must not outlive its depot.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -442,7 +442,7 @@
 // Ready asks a process whether it's ready.
 func (process *Process) Ready() bool {
 	path := "/ready"
-	if process.Program == "sorter" {
+	if process.Program == "registry" {
 		path = "/live"
 	}
 	response, err := prober.Get("http://" + process.Desk + path)
@@ -469,3 +469,22 @@
 	}
 	return nil
 }
+
+// earlierNames are what builds before the programs were renamed call them; rehearsals of mixed versions start those too.
+var earlierNames = map[string]string{"proxy": "carrier", "registry": "sorter", "configstore": "postmaster"}
+
+// program is the path of a program in a folder of binaries, under its present name or its earlier one.
+func program(binaries, name string) string {
+	path := filepath.Join(binaries, name)
+	if _, err := os.Stat(path); err != nil {
+		if earlier := filepath.Join(binaries, earlierNames[name]); isFile(earlier) {
+			return earlier
+		}
+	}
+	return path
+}
+
+func isFile(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.Mode().IsRegular()
+}
--- a/internal/rehearse/scenario/faults.go
+++ b/internal/rehearse/scenario/faults.go
@@ -181,7 +181,7 @@
 			}
 			stage.Wait(stage.part(0.25))
 			for _, process := range processes {
-				group := map[string][]*fleet.Process{"sorter": stage.Fleet.Sorters, "postmaster": stage.Fleet.Postmasters}[process.Program]
+				group := map[string][]*fleet.Process{"registry": stage.Fleet.Sorters, "configstore": stage.Fleet.Postmasters}[process.Program]
 				if stage.Primary(group) == process {
 					return fmt.Errorf("%s leads with a full disk", process.Name)
 				}
--- a/internal/rehearse/scenario/fleet_test.go
+++ b/internal/rehearse/scenario/fleet_test.go
@@ -122,7 +122,7 @@
 	{regexp.MustCompile(`"left_micros":[1-9][0-9]*`), `"left_micros":...`},
 	{regexp.MustCompile(`-[0-9a-f]{16}`), `-...`},
 	{regexp.MustCompile(`households-[0-9a-f]{8}|forms-[0-9a-f]{8}`), `instance`},
-	{regexp.MustCompile(`carrier-[0-9]`), `carrier`},
+	{regexp.MustCompile(`proxy-[0-9]`), `carrier`},
 }
 
 var shownHeaders = []string{"Retry-After", "X-Snowflow-Not-Executed", "X-Snowflow-Serial"}
@@ -207,13 +207,13 @@
 	if err := os.WriteFile(settings, []byte(`{"name":"Core 1","listen":"localhost:70000","seeds":["127.0.0.1:1","here"],"voters":["a","a"],"colour":"blue"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, program := range []string{"sorter", "postmaster", "carrier"} {
+	for _, program := range []string{"registry", "configstore", "proxy"} {
 		output, err := exec.Command(filepath.Join(folder, program), "--env", settings, "--log", "loud").CombinedOutput()
 		failed, isExit := err.(*exec.ExitError)
 		if !isExit || failed.ExitCode() != 2 {
 			t.Errorf("%s: %v\n%s", program, err, output)
 		}
-		if program != "carrier" && !strings.Contains(string(output), "voters: 2 voters; there must be three at least") {
+		if program != "proxy" && !strings.Contains(string(output), "voters: 2 voters; there must be three at least") {
 			t.Errorf("%s takes two voters\n%s", program, output)
 		}
 		for _, place := range []string{"name:", "domain:", "listen:", "seeds:", "log:", "colour:"} {
@@ -229,7 +229,7 @@
 	folder := binaries(t)
 	for _, arguments := range [][]string{{"run", "--scenario", "flood"}, {"run", "--layout", "moon"}, {"run", "--length", "soon"}, {"run", "--length", "-3s"},
 		{"run", "--binaries", "/nowhere"}, {"run", "--scenario", "versions", "--folder", t.TempDir(), "--base", "221", "--length", "1s"}} {
-		output, err := exec.Command(filepath.Join(folder, "depot"), arguments...).CombinedOutput()
+		output, err := exec.Command(filepath.Join(folder, "rehearse"), arguments...).CombinedOutput()
 		failed, isExit := err.(*exec.ExitError)
 		if !isExit || failed.ExitCode() != 2 || len(output) == 0 {
 			t.Errorf("%v: %v\n%s", arguments, err, output)
@@ -240,9 +240,9 @@
 // TestStopTwice: a second warning changes nothing, and a successor that comes too early is told so and leaves the first alone.
 func TestStopTwice(t *testing.T) {
 	folder := binaries(t)
-	arguments := []string{"--name", "carrier-1", "--domain", "north", "--listen", "127.232.0.1:7300", "--desk", "127.232.0.1:7301", "--callers", "127.232.0.1:7302",
+	arguments := []string{"--name", "proxy-1", "--domain", "north", "--listen", "127.232.0.1:7300", "--desk", "127.232.0.1:7301", "--callers", "127.232.0.1:7302",
 		"--seeds", "127.232.0.1:7100,127.232.0.2:7100,127.232.0.3:7100"}
-	first := exec.Command(filepath.Join(folder, "carrier"), arguments...)
+	first := exec.Command(filepath.Join(folder, "proxy"), arguments...)
 	told, err := first.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -265,7 +265,7 @@
 		_ = first.Process.Signal(syscall.SIGTERM)
 	}
 	await(eventlog.ProcessDraining)
-	output, err := exec.Command(filepath.Join(folder, "carrier"), arguments...).CombinedOutput()
+	output, err := exec.Command(filepath.Join(folder, "proxy"), arguments...).CombinedOutput()
 	if failed, isExit := err.(*exec.ExitError); !isExit || failed.ExitCode() != 1 || !strings.Contains(string(output), "address already in use") {
 		t.Errorf("the successor: %v\n%s", err, output)
 	}
@@ -281,8 +281,8 @@
 // TestLoneDoor: a postmaster that reaches no other turns applies down for certain, and bad ones for what is wrong with them.
 func TestLoneDoor(t *testing.T) {
 	folder := binaries(t)
-	lone := exec.Command(filepath.Join(folder, "postmaster"), "--name", "postmaster-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--desk", "127.233.0.1:7201",
-		"--seeds", "127.233.0.1:7200,127.233.0.2:7200,127.233.0.3:7200", "--voters", "postmaster-1,postmaster-2,postmaster-3", "--data", filepath.Join(t.TempDir(), "data"))
+	lone := exec.Command(filepath.Join(folder, "configstore"), "--name", "configstore-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--desk", "127.233.0.1:7201",
+		"--seeds", "127.233.0.1:7200,127.233.0.2:7200,127.233.0.3:7200", "--voters", "configstore-1,configstore-2,configstore-3", "--data", filepath.Join(t.TempDir(), "data"))
 	var log bytes.Buffer
 	lone.Stderr = &log
 	if err := lone.Start(); err != nil {
@@ -335,10 +335,10 @@
 	stage := options(t, "steady", 231)
 	folder := filepath.Join(stage.Folder, "data")
 	arguments := func(host string) []string {
-		return []string{"--name", "sorter-1", "--domain", "north", "--listen", host + ":7100", "--desk", host + ":7101",
-			"--seeds", "127.231.0.1:7100,127.231.0.2:7100,127.231.0.3:7100", "--voters", "sorter-1,sorter-2,sorter-3", "--data", folder}
+		return []string{"--name", "registry-1", "--domain", "north", "--listen", host + ":7100", "--desk", host + ":7101",
+			"--seeds", "127.231.0.1:7100,127.231.0.2:7100,127.231.0.3:7100", "--voters", "registry-1,registry-2,registry-3", "--data", folder}
 	}
-	first := exec.Command(filepath.Join(stage.Binaries, "sorter"), arguments("127.231.0.1")...)
+	first := exec.Command(filepath.Join(stage.Binaries, "registry"), arguments("127.231.0.1")...)
 	var log bytes.Buffer
 	first.Stderr = &log
 	if err := first.Start(); err != nil {
@@ -346,7 +346,7 @@
 	}
 	defer func() { _ = first.Process.Kill(); _ = first.Wait() }()
 	await(t, "http://127.231.0.1:7101/live", &log) // the first holds the folder once its desk answers
-	output, err := exec.Command(filepath.Join(stage.Binaries, "sorter"), arguments("127.231.0.2")...).CombinedOutput()
+	output, err := exec.Command(filepath.Join(stage.Binaries, "registry"), arguments("127.231.0.2")...).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "held by another process") {
 		t.Fatalf("%v\n%s", err, output)
 	}
--- a/internal/rehearse/scenario/friday_test.go
+++ b/internal/rehearse/scenario/friday_test.go
@@ -71,7 +71,7 @@
 	for _, process := range stage.Fleet.Postmasters {
 		desks = append(desks, process.Desk)
 	}
-	command := exec.Command(filepath.Join(stage.Options.Binaries, "clerk"), append(arguments, "--desks", strings.Join(desks, ","))...)
+	command := exec.Command(filepath.Join(stage.Options.Binaries, "snowctl"), append(arguments, "--desks", strings.Join(desks, ","))...)
 	content, err := command.CombinedOutput()
 	if failed := new(exec.ExitError); errors.As(err, &failed) {
 		return string(content), failed.ExitCode(), nil
@@ -133,7 +133,7 @@
 		}
 		arrived()
 	}
-	t.Run("clerk", func(t *testing.T) { operate(t, stage) })
+	t.Run("snowctl", func(t *testing.T) { operate(t, stage) })
 	stage.Callers.Ebb()
 	stage.Callers.Stop()
 	if err := stage.Operator.ReadBack(); err != nil {
@@ -217,7 +217,7 @@
 // watcher noted, and nothing in what a sound one tells.
 func TestFridayWatcherSees(t *testing.T) {
 	sound := func(serial uint64, calls uint64) proxy.Status {
-		return proxy.Status{Name: "carrier-1", Incarnation: 7, Ready: true, Serial: serial, Check: fmt.Sprint("version ", serial),
+		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, Serial: serial, Check: fmt.Sprint("version ", serial),
 			Guards: []breaker.Shown{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
 	}
 	for name, one := range map[string]struct {
@@ -245,7 +245,7 @@
 				if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
 					t.Fatal(err)
 				}
-				stage.see("carrier-1", status, monotonic.Micros(at))
+				stage.see("proxy-1", status, monotonic.Micros(at))
 			}
 			for serial, at := range []int64{1000, 2000} {
 				stage.History.Apply(invariants.Applied{Serial: uint64(serial + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", serial+1)})
--- a/internal/rehearse/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -350,7 +350,7 @@
 			hops["caller's side"] += spent / int64(max(1, total))
 		}
 	}
-	report.PerAsk = report.Processor["carrier"] / int64(max(1, total))
+	report.PerAsk = report.Processor["proxy"] / int64(max(1, total))
 	if apart > 0 {
 		report.Hops = hops
 	}
--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -37,11 +37,11 @@
 func role(process *fleet.Process, core replication.Status) string {
 	switch process.Name {
 	case core.Primary:
-		return process.Program + " primary"
+		return recordedPrograms[process.Program] + " primary"
 	case core.Backup:
-		return process.Program + " backup"
+		return recordedPrograms[process.Program] + " backup"
 	}
-	return process.Program + " witness"
+	return recordedPrograms[process.Program] + " witness"
 }
 
 // kinds reads a process's counts by kind from its metrics.
@@ -74,9 +74,10 @@
 			for _, label := range metric.Label {
 				labels[label.GetName()] = label.GetValue()
 			}
-			tally := totals[labels["kind"]]
+			kind := recordedKind(labels["kind"])
+			tally := totals[kind]
 			*into(&tally, labels["direction"]) = uint64(metric.Counter.GetValue())
-			totals[labels["kind"]] = tally
+			totals[kind] = tally
 		}
 	}
 	return totals, nil
@@ -85,7 +86,7 @@
 func named(counted map[wire.Kind]machine.Tally) map[string]machine.Tally {
 	totals := map[string]machine.Tally{}
 	for kind, tally := range counted {
-		totals[kind.String()] = tally
+		totals[recordedKind(kind.String())] = tally
 	}
 	return totals
 }
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -14,7 +14,7 @@
 func daemons(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
-	if output, err := exec.Command("go", "build", "-buildvcs=false", "-o", folder+"/", "snowflow/cmd/sorter", "snowflow/cmd/postmaster").CombinedOutput(); err != nil {
+	if output, err := exec.Command("go", "build", "-buildvcs=false", "-o", folder+"/", "snowflow/cmd/registry", "snowflow/cmd/configstore").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
 	return folder
--- a/internal/snowctl/clerk.go
+++ b/internal/snowctl/clerk.go
@@ -71,7 +71,7 @@
 // Root makes the command line.
 func Root() *cobra.Command {
 	shared := &desks{client: &http.Client{Timeout: 25 * time.Second}}
-	root := &cobra.Command{Use: "clerk", Short: "the operators' command line of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
+	root := &cobra.Command{Use: "snowctl", Short: "the operators' command line of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	root.PersistentFlags().StringVar(&shared.addresses, "desks", "127.0.0.1:7201", "addresses of postmasters' desks, with commas between")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.Misused(err) })
 	root.AddCommand(apply(shared), check(), get(shared), history(shared), diff(shared), rollOut(shared), status(shared), guard(), drain(), examine(shared), safe(shared))
