--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -38,7 +38,7 @@
 	book   *discovery.Book
 	table  host.Table
 	name   string
-	adjust func(*replication.Env)
+	adjust func(*replication.Config)
 }
 
 var registryGroup = storedGroup{title: "registry", name: registry.Group, files: []string{"sorter.register", "sorter.journal", "addresses"}, compactFrom: 1500, open: openRegistry}
@@ -91,7 +91,7 @@
 	for index, name := range memberNames {
 		one := &process{}
 		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Place) (host.Table, error) {
-			config := openConfig{place: place, name: name, table: host.Table{}, adjust: func(env *replication.Env) { env.CompactFrom = compactFrom }}
+			config := openConfig{place: place, name: name, table: host.Table{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
 			one.place = place
 			config.book = discovery.New(place, &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group.name}, seedAddresses(group))
 			config.book.Remember(place.Disk())
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(file.WriteAt(content, 0), file.Sync(), disk.SyncFolder()); err != nil {
+		if err := errors.Join(file.WriteAt(content, 0), file.Sync(), disk.SyncDirectory()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -157,7 +157,7 @@
 // leader gives the process that answers as its group's leader, or nil.
 func (cluster *cluster) leader() *process {
 	index := slices.IndexFunc(cluster.processes, func(one *process) bool {
-		return one.node.Up() && one.member != nil && one.member.Answering()
+		return one.node.Up() && one.member != nil && one.member.Serving()
 	})
 	if index < 0 {
 		return nil
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -122,7 +122,10 @@
 		}
 		return err
 	})
-	started.onLeader(t, func(leader *process) error { leader.member.HandOver("a planned change of leader"); return nil })
+	started.onLeader(t, func(leader *process) error {
+		leader.member.TransferLeadership("a planned change of leader")
+		return nil
+	})
 	started.pass(3 * monotonic.Second)
 	started.onLeader(t, func(leader *process) error {
 		return submitAll(leader, &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: "nightly", Proxy: "proxy-3", Instance: "instance-1", Duration: int64(30 * monotonic.Second)}},
@@ -206,7 +209,10 @@
 		}
 		started.onLeader(t, func(leader *process) error { return applyVersion(leader, ask) })
 		if index == 3 {
-			started.onLeader(t, func(leader *process) error { leader.member.HandOver("a planned change of leader"); return nil })
+			started.onLeader(t, func(leader *process) error {
+				leader.member.TransferLeadership("a planned change of leader")
+				return nil
+			})
 			started.pass(3 * monotonic.Second)
 		}
 	}
@@ -329,5 +335,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return records, log.Cut
+	return records, log.TruncatedBytes
 }
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -94,9 +94,9 @@
 	for {
 		wait := 100 * monotonic.Millisecond
 		word := master.words.join()
-		if master.Member.Answering() {
+		if master.Member.Serving() {
 			names, behind := master.behind(serial)
-			if len(names) == 0 && master.Member.Answering() {
+			if len(names) == 0 && master.Member.Serving() {
 				master.words.leave(word)
 				place.Report(eventlog.DesiredSpread, map[string]any{"serial": serial, "micros": int64(place.Now() - started)})
 				return true
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -27,15 +27,15 @@
 	Slack = 1500 * monotonic.Millisecond
 )
 
-// Env is what a postmaster is made of.
+// Config is what a postmaster is made of.
 type Env struct {
 	Place  host.Host
 	Book   *discovery.Book
 	Name   string
 	Voters []string // of a first start
-	// Genesis tells that this process may take part in a first start.
+	// Bootstrap tells that this process may take part in a first start.
 	Genesis bool
-	Adjust  func(*replication.Env)
+	Adjust  func(*replication.Config)
 	Bounds  Bounds
 	// Read reads contents as they are applied and stored, franking.Parse if left out.
 	Read config.Reader
@@ -89,8 +89,8 @@
 		return nil, err
 	}
 	master := &Postmaster{env: env, store: versions.New(env.History), versions: differences.New(env.Read, env.Versions), holders: map[string]*holder{}, news: newCrowd(env.Place), words: newCrowd(env.Place)}
-	core := replication.Env{Place: env.Place, Book: env.Book, Group: Group, Name: env.Name, Voters: env.Voters, Genesis: env.Genesis,
-		Machine: master.store, Settled: master.settled, Handing: master.handing, Handed: master.takeHanded}
+	core := replication.Config{Host: env.Place, Resolver: env.Book, Group: Group, Name: env.Name, InitialVoters: env.Voters, Bootstrap: env.Genesis,
+		StateMachine: master.store, OnServing: master.settled, HandoverState: master.handing, OnHandover: master.takeHanded}
 	if env.Adjust != nil {
 		env.Adjust(&core)
 	}
@@ -99,7 +99,7 @@
 	member, err := replication.Open(core)
 	master.Member = member
 	if err == nil {
-		member.Vigil.OnLeap(func(monotonic.Micros) { master.doubt() })
+		member.ClockWatch.OnLeap(func(monotonic.Micros) { master.doubt() })
 	}
 	return master, err
 }
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -53,7 +53,7 @@
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	now := master.env.Place.Now()
-	if now < master.ackFrom || !master.Member.Vigil.Steady() {
+	if now < master.ackFrom || !master.Member.ClockWatch.Steady() {
 		return nil // there may be tenures that this process doesn't know of, or whose ends it can't tell
 	}
 	told := &wire.LeaseHolders{Complete: true}
@@ -155,7 +155,7 @@
 	master.lock.Lock()
 	defer master.lock.Unlock()
 	now, slack := master.env.Place.Now(), master.env.Bounds.slack()
-	if !master.Member.Vigil.Steady() {
+	if !master.Member.ClockWatch.Steady() {
 		return []string{"(the clock may have leapt)"}, 100 * monotonic.Millisecond
 	}
 	for key, present := range master.holders {
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -48,7 +48,7 @@
 	if ask.CurrentVersion > 0 || !master.env.Bounds.ServeOn {
 		return tell
 	}
-	master.Member.Peek(func() {
+	master.Member.ReadStale(func() {
 		if newest := master.store.Newest(); newest != nil {
 			tell.Version = newest.Version
 			master.packing.fill(tell, newest, ask.AcceptsCompressed)
--- a/internal/configstore/versions/versions.go
+++ b/internal/configstore/versions/versions.go
@@ -173,8 +173,8 @@
 	return store.states[:len(store.states):len(store.states)]
 }
 
-// View gives the whole state.
-func (store *Store) View() []byte {
+// Snapshot gives the whole state.
+func (store *Store) Snapshot() []byte {
 	view := &wire.ConfigSnapshot{Versions: store.states, TakenVersions: store.taken.list()}
 	if store.Deltas == nil || store.Deltas() {
 		view.Versions = packed(store.states)
@@ -206,5 +206,5 @@
 	return nil
 }
 
-// Waiting tells that no wait runs in desired states.
-func (store *Store) Waiting() bool { return false }
+// HasTimers tells that no wait runs in desired states.
+func (store *Store) HasTimers() bool { return false }
--- a/internal/configstore/versions/versions_test.go
+++ b/internal/configstore/versions/versions_test.go
@@ -33,7 +33,7 @@
 					continue
 				}
 				other := versions.New(history)
-				if err := other.Restore(one.View()); err != nil {
+				if err := other.Restore(one.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 				if told, again := carryOut(t, one, words), carryOut(t, other, words); told != again {
@@ -41,7 +41,7 @@
 				} else {
 					fmt.Fprintln(&text, told)
 				}
-				if string(one.View()) != string(other.View()) {
+				if string(one.Snapshot()) != string(other.Snapshot()) {
 					t.Errorf("%s: the copies differ", line)
 				}
 			}
@@ -105,7 +105,7 @@
 		for step, order := range path {
 			if step == len(path)/2 {
 				fresh := versions.New(1)
-				if err := fresh.Restore(one.View()); err != nil {
+				if err := fresh.Restore(one.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 				one = fresh
@@ -143,16 +143,16 @@
 		carryOut(t, one, strings.Fields(order))
 	}
 	one.Deltas = func() bool { return false }
-	whole, other := one.View(), versions.New(3)
+	whole, other := one.Snapshot(), versions.New(3)
 	if err := other.Restore(whole); err != nil {
 		t.Fatal(err)
 	}
 	one.Deltas = nil
-	if string(other.View()) != string(one.View()) {
+	if string(other.Snapshot()) != string(one.Snapshot()) {
 		t.Error("the states differ")
 	}
 	view := &wire.ConfigSnapshot{}
-	if err := proto.Unmarshal(one.View(), view); err != nil {
+	if err := proto.Unmarshal(one.Snapshot(), view); err != nil {
 		t.Fatal(err)
 	}
 	view.Versions = view.Versions[1:]
@@ -177,7 +177,7 @@
 		}
 		return text
 	}
-	whole, refused := one.View(), 0
+	whole, refused := one.Snapshot(), 0
 	for index := range whole {
 		spoilt := append([]byte(nil), whole...)
 		spoilt[index] ^= 0x41
--- a/internal/daemon/pages.go
+++ b/internal/daemon/pages.go
@@ -27,7 +27,7 @@
 	house.Gauges([]Gauge{
 		{Name: "snowflow_core_epoch", Help: "The newest epoch heard of.", Read: func() float64 { return float64(member.Status().Epoch) }},
 		{Name: "snowflow_core_answering", Help: "1 while this process answers as primary.", Read: func() float64 {
-			if member.Answering() {
+			if member.Serving() {
 				return 1
 			}
 			return 0
--- a/internal/discovery/book.go
+++ b/internal/discovery/book.go
@@ -112,7 +112,7 @@
 		return nil
 	})
 	if err != nil {
-		box, err = wal.Discard(disk, addressFile)
+		box, err = wal.Recreate(disk, addressFile)
 	}
 	if err == nil {
 		book.kept = box
@@ -135,7 +135,7 @@
 	}
 	if err == nil {
 		book.written = text
-	} else if errors.Is(err, wal.ErrPoisoned) {
+	} else if errors.Is(err, wal.ErrSyncFailed) {
 		book.kept = nil
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -21,18 +21,18 @@
 // Group is the sorters' name as a group.
 const Group = "sorter"
 
-// Env is what a sorter is made of.
+// Config is what a sorter is made of.
 type Env struct {
 	Place  host.Host
 	Book   *discovery.Book
 	Name   string
 	Voters []string // of a first start
-	// Genesis tells that this process may take part in a first start.
+	// Bootstrap tells that this process may take part in a first start.
 	Genesis bool
 	// ClaimLife is how long run-once claims are kept, claims.Life if left out. It's the same at every sorter.
 	ClaimLife monotonic.Micros
 	// Adjust lets tests and the simulator change the core's figures.
-	Adjust func(*replication.Env)
+	Adjust func(*replication.Config)
 	// Prepare lets rehearsals of the checkers change the replicated state's manner.
 	Prepare func(*statemachine.Machine)
 }
@@ -57,15 +57,15 @@
 	if env.Prepare != nil {
 		env.Prepare(sorter.machine)
 	}
-	core := replication.Env{Place: env.Place, Book: env.Book, Group: Group, Name: env.Name, Voters: env.Voters, Genesis: env.Genesis, Machine: sorter.machine,
-		Settled: func(uint64, monotonic.Micros) { sorter.led.Store(int64(env.Place.Now())) }}
+	core := replication.Config{Host: env.Place, Resolver: env.Book, Group: Group, Name: env.Name, InitialVoters: env.Voters, Bootstrap: env.Genesis, StateMachine: sorter.machine,
+		OnServing: func(uint64, monotonic.Micros) { sorter.led.Store(int64(env.Place.Now())) }}
 	if env.Adjust != nil {
 		env.Adjust(&core)
 	}
 	member, err := replication.Open(core)
 	sorter.Member = member
 	if err == nil {
-		member.Vigil.OnLeap(sorter.directory.Forgive)
+		member.ClockWatch.OnLeap(sorter.directory.Forgive)
 	}
 	return sorter, err
 }
@@ -245,14 +245,14 @@
 func (sorter *Sorter) expire() {
 	for {
 		sorter.env.Place.Sleep(250 * monotonic.Millisecond)
-		if !sorter.Member.Vigil.Steady() {
+		if !sorter.Member.ClockWatch.Steady() {
 			continue // nobody is silent only because this clock leapt
 		}
 		ended := sorter.directory.Expire()
 		for _, holder := range ended {
 			sorter.env.Place.Report(eventlog.SessionEnded, map[string]any{"carrier": holder.Name, "incarnation": holder.Incarnation})
 		}
-		if len(ended) > 0 && sorter.Member.Answering() {
+		if len(ended) > 0 && sorter.Member.Serving() {
 			sorter.env.Place.Go(func() {
 				// Best effort: what isn't given back here goes back when its tenure ends.
 				_, _ = sorter.propose(&wire.RegistryCommand{Tick: &wire.Tick{EndedSessions: ended}})
--- a/internal/registry/statemachine/bench_test.go
+++ b/internal/registry/statemachine/bench_test.go
@@ -30,12 +30,12 @@
 // processor that alone took longer than a silent backup is waited for.
 func TestRestoreLeavesClaimsEncoded(t *testing.T) {
 	const claims = 2000
-	view := full(claims).View()
+	view := full(claims).Snapshot()
 	machine := New()
 	if allocations := testing.AllocsPerRun(3, func() { _ = machine.Restore(view) }); allocations > 1.5*claims {
 		t.Errorf("%v allocations for %d claims", allocations, claims)
 	}
-	if again := machine.View(); !bytes.Equal(again, view) {
+	if again := machine.Snapshot(); !bytes.Equal(again, view) {
 		t.Errorf("a view of %d bytes came back as another of %d", len(view), len(again))
 	}
 }
@@ -45,12 +45,12 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		b.SetBytes(int64(len(made.View())))
+		b.SetBytes(int64(len(made.Snapshot())))
 	}
 }
 
 func BenchmarkRestore(b *testing.B) {
-	view := full(18000).View()
+	view := full(18000).Snapshot()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -88,8 +88,8 @@
 // The claims' field in wire.RegistrySnapshot. They are most of the state, so they are copied into a view and out of it as they are encoded.
 const claimsField protowire.Number = 2
 
-// View gives the whole state.
-func (machine *Machine) View() []byte {
+// Snapshot gives the whole state.
+func (machine *Machine) Snapshot() []byte {
 	rest := &wire.RegistrySnapshot{Breakers: machine.Guards.Records(), Singletons: machine.Duties.Records(), SweptAt: int64(machine.swept)}
 	options := proto.MarshalOptions{}
 	room := options.Size(rest) + machine.Claims.Size() + machine.Claims.Length()*(protowire.SizeTag(claimsField)+protowire.SizeVarint(1<<20))
@@ -138,7 +138,7 @@
 	return claims, rest, nil
 }
 
-// Waiting tells whether time matters.
-func (machine *Machine) Waiting() bool {
+// HasTimers tells whether time matters.
+func (machine *Machine) HasTimers() bool {
 	return machine.Guards.Waiting() || machine.Claims.Length() > 0 || len(machine.Duties.Records()) > 0
 }
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -23,7 +23,7 @@
 			for _, line := range strings.Split(strings.TrimSpace(data.Input), "\n") {
 				fmt.Fprintf(&text, "%s\n", play(t, state, strings.Fields(line)))
 				again := statemachine.New()
-				if err := again.Restore(state.View()); err != nil {
+				if err := again.Restore(state.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 				state = again
--- a/internal/rehearse/scenario/guards.go
+++ b/internal/rehearse/scenario/guards.go
@@ -21,7 +21,7 @@
 	for cutoff := time.Now().Add(guardPatience); time.Now().Before(cutoff); time.Sleep(50 * time.Millisecond) {
 		for _, process := range stage.Fleet.Sorters {
 			var status registry.Status
-			if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Core.Answering {
+			if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Core.Serving {
 				continue
 			}
 			for _, record := range status.Guards {
--- a/internal/rehearse/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -220,7 +220,7 @@
 			}
 			for _, process := range stage.Fleet.Sorters {
 				var status registry.Status
-				if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Core.Answering {
+				if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Core.Serving {
 					continue
 				}
 				for _, record := range status.Guards {
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -301,7 +301,7 @@
 	_, reached := until(play.options.Patience, func() bool {
 		for _, process := range play.fleet.Core() {
 			core, err := status(process)
-			if err == nil && core.Answering && core.Primary == process.Name && core.Backup != "" {
+			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
 				found[process.Program] = core
 			}
 		}
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -9,286 +9,286 @@
 	"snowflow/internal/transport/wire"
 )
 
-// completePause is how often a primary with fewer backups than wanted looks for more.
-const completePause = 2 * monotonic.Second
+// recruitInterval is how often a primary with fewer backups than wanted looks for more.
+const recruitInterval = 2 * monotonic.Second
 
 // complete takes further backups once voters that may be some are back.
-func (member *Member) complete() {
-	now := member.env.Place.Now()
-	member.lock.Lock()
-	state := member.lead
-	member.lock.Unlock()
-	if !state.answering || len(state.backups) >= member.env.Copies-1 || now-member.completed < completePause {
+func (m *Member) recruitBackups() {
+	now := m.config.Host.Now()
+	m.mu.Lock()
+	state := m.leadership
+	m.mu.Unlock()
+	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.lastRecruitment < recruitInterval {
 		return
 	}
-	member.completed = now
-	if member.spare(state.backups) {
-		member.dropBackups(nil, "")
-		member.settle(nil)
+	m.lastRecruitment = now
+	if m.hasSpareVoter(state.backups) {
+		m.dropBackups(nil, "")
+		m.establishBackups(nil)
 	}
 }
 
 // spare tells whether some voter that holds no copy, and doesn't leave, could take one now.
-func (member *Member) spare(backups []*wire.MemberID) bool {
-	now := member.env.Place.Now()
-	return slices.ContainsFunc(member.others(), func(name string) bool {
-		member.lock.Lock()
-		heard, known := member.heard[name]
-		leaves := member.leavingNow(now)[name]
-		member.lock.Unlock()
-		return known && !leaves && now-heard < member.env.Tenure && !slices.Contains(names(backups), name) && member.reachable(name)
+func (m *Member) hasSpareVoter(backups []*wire.MemberID) bool {
+	now := m.config.Host.Now()
+	return slices.ContainsFunc(m.otherVoters(), func(name string) bool {
+		m.mu.Lock()
+		heard, known := m.lastResponse[name]
+		leaves := m.leavingMembers(now)[name]
+		m.mu.Unlock()
+		return known && !leaves && now-heard < m.config.LeaseDuration && !slices.Contains(memberNames(backups), name) && m.reachable(name)
 	})
 }
 
-// reliefPause is how often something is done about a slow disk: each change of the two copies holds writes up.
-const reliefPause = 10 * monotonic.Second
+// reliefInterval is how often something is done about a slow disk: each change of the two copies holds writes up.
+const reliefInterval = 10 * monotonic.Second
 
 // minding looks at how long a batch took to sync. Three slow ones in a row make the primary hand over, if it was its own
 // disk alone, or take another backup; both only if there is a third voter.
-func (member *Member) minding(backups, slow []*wire.MemberID) {
+func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
 	slowOwn, slowBackup := false, len(slow) > 0
-	member.keeper.Do(func() { slowOwn = member.copy.lastSync > member.env.SlowSync })
+	m.replicaExecutor.Do(func() { slowOwn = m.replica.lastSyncTime > m.config.SlowSyncThreshold })
 	count := func(counter *int, slow bool) bool {
 		if *counter++; !slow {
 			*counter = 0
 		}
 		return *counter >= 3
 	}
-	present, _ := member.configuration()
-	heavy := present.voters.heavy()
-	member.lock.Lock()
-	leave := count(&member.lead.slowSyncs, slowOwn && !slowBackup)
-	relieve := count(&member.lead.slowReplies, slowBackup)
-	prefer := heavy != "" && member.env.Name != heavy && !slices.Contains(names(backups), heavy) && !slowOwn && !slowBackup
-	value, due := member.value, member.env.Place.Now()-member.relieved >= reliefPause
-	member.lock.Unlock()
+	current, _ := m.configuration()
+	tieBreaker := current.voters.tieBreaker()
+	m.mu.Lock()
+	leave := count(&m.leadership.slowSyncs, slowOwn && !slowBackup)
+	relieve := count(&m.leadership.slowResponses, slowBackup)
+	prefer := tieBreaker != "" && m.config.Name != tieBreaker && !slices.Contains(memberNames(backups), tieBreaker) && !slowOwn && !slowBackup
+	value, due := m.register, m.config.Host.Now()-m.lastRelief >= reliefInterval
+	m.mu.Unlock()
 	if !due || !leave && !relieve && !prefer {
 		return
 	}
-	member.relieved = member.env.Place.Now()
+	m.lastRelief = m.config.Host.Now()
 	if prefer && !leave && !relieve {
 		// The voter that counts double is to have a copy again, now that it's back.
-		if member.reachable(heavy) {
-			member.dropBackups(backups, "another is preferred")
-			member.settle(nil)
+		if m.reachable(tieBreaker) {
+			m.dropBackups(backups, "another is preferred")
+			m.establishBackups(nil)
 		}
 		return
 	}
 	// Without a third voter both disks are needed for every write, whoever leads.
-	spare := slices.ContainsFunc(member.candidates(value, backups), func(name string) bool {
-		return !slices.Contains(names(backups), name) && member.reachable(name)
+	spare := slices.ContainsFunc(m.backupCandidates(value, backups), func(name string) bool {
+		return !slices.Contains(memberNames(backups), name) && m.reachable(name)
 	})
 	if !spare {
 		return
 	}
 	if leave {
-		member.env.Place.Report(eventlog.DiskSlow, map[string]any{"group": member.env.Group})
-		member.handOver("own disk is slow")
+		m.config.Host.Report(eventlog.DiskSlow, map[string]any{"group": m.config.Group})
+		m.transferLeadership("own disk is slow")
 		return
 	}
-	member.dropBackups(slow, "its disk is slow")
-	member.settle(slow)
+	m.dropBackups(slow, "its disk is slow")
+	m.establishBackups(slow)
 }
 
 // dropBackups stops answering until others are in step.
-func (member *Member) dropBackups(backups []*wire.MemberID, why string) {
+func (m *Member) dropBackups(backups []*wire.MemberID, why string) {
 	for _, backup := range backups {
-		member.env.Place.Report(eventlog.BackupLost, map[string]any{"group": member.env.Group, "backup": backup.Name, "error": why})
+		m.config.Host.Report(eventlog.BackupLost, map[string]any{"group": m.config.Group, "backup": backup.Name, "error": why})
 	}
-	member.lock.Lock()
-	defer member.lock.Unlock()
-	member.lead.answering, member.lead.backups = false, nil
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.leadership.serving, m.leadership.backups = false, nil
 }
 
 // reachable asks a voter something small.
-func (member *Member) reachable(name string) bool {
-	_, err := member.read(name)
+func (m *Member) reachable(name string) bool {
+	_, err := m.readRegister(name)
 	return err == nil
 }
 
-// installPatience is how long a whole view may take to reach a new backup and be synced there.
-const installPatience = 5 * monotonic.Second
+// installTimeout is how long a whole view may take to reach a new backup and be synced there.
+const installTimeout = 5 * monotonic.Second
 
 // settle brings backups into step and names them in the register; only then does the primary answer. There may be fewer than
 // wanted where no further voter can be had, but never none.
-func (member *Member) settle(failed []*wire.MemberID) bool {
-	member.lock.Lock()
-	epoch, value, state := member.lead.epoch, member.value, member.lead
-	member.lock.Unlock()
+func (m *Member) establishBackups(failed []*wire.MemberID) bool {
+	m.mu.Lock()
+	epoch, value, state := m.leadership.epoch, m.register, m.leadership
+	m.mu.Unlock()
 	if epoch == 0 {
 		return false
 	}
 	// A new backup's line begins at the view's holder time, which must be one that has certainly come, and none before what was told.
 	// Holder time goes on from there: what passed since is for the backup's own clock to say.
-	began, held := member.env.Place.Now(), monotonic.Micros(0)
-	member.keeper.Do(func() {
-		member.copy.holderTime = max(member.copy.holderTime, state.told(began))
-		held = member.copy.holderTime
+	began, clock := m.config.Host.Now(), monotonic.Micros(0)
+	m.replicaExecutor.Do(func() {
+		m.replica.leaderClock = max(m.replica.leaderClock, state.confirmedClock(began))
+		clock = m.replica.leaderClock
 	})
-	backups, lastResort := member.instructed(epoch, member.candidates(value, failed), failed)
+	backups, lastResort := m.installBackups(epoch, m.backupCandidates(value, failed), failed)
 	if len(backups) == 0 {
 		return false
 	}
-	fresh, ballot, err := member.change(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
-		if value == nil || value.Epoch != epoch || !sameHolder(value.Primary, member.self()) {
-			return nil, errUnchanged
+	fresh, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
+		if value == nil || value.Epoch != epoch || !sameMember(value.Primary, m.self()) {
+			return nil, errRegisterChanged
 		}
-		settled := next(value, epoch+1, member.self(), backups)
-		settled.BackupsInSync, settled.Members = true, withHolder(value.Members, append([]*wire.MemberID{member.self()}, backups...)...)
-		return settled, nil
+		established := nextRegister(value, epoch+1, m.self(), backups)
+		established.BackupsInSync, established.Members = true, withMembers(value.Members, append([]*wire.MemberID{m.self()}, backups...)...)
+		return established, nil
 	})
-	if errors.Is(err, errUnchanged) {
-		member.learn(ballot, fresh)
-		member.stepDown(epoch, "another epoch began")
+	if errors.Is(err, errRegisterChanged) {
+		m.observeRegister(proposal, fresh)
+		m.stepDown(epoch, "another epoch began")
 		return false
 	}
 	if err != nil {
 		// Whether the ballot took effect is not known, so the epoch is read anew by taking over from scratch.
-		member.stepDown(epoch, "no majority for a new backup")
+		m.stepDown(epoch, "no majority for a new backup")
 		return false
 	}
-	member.learn(ballot, fresh)
+	m.observeRegister(proposal, fresh)
 	// The copy's pair of epoch and sequence must match what the backups noted on installing.
-	member.keeper.Do(func() {
-		member.machineLock.Lock()
-		defer member.machineLock.Unlock()
-		member.copy.epoch = max(member.copy.epoch, epoch)
-		member.copy.tail.mark(position{member.copy.epoch, member.copy.sequence})
+	m.replicaExecutor.Do(func() {
+		m.stateMachineMu.Lock()
+		defer m.stateMachineMu.Unlock()
+		m.replica.epoch = max(m.replica.epoch, epoch)
+		m.replica.tail.addAlias(logPosition{m.replica.epoch, m.replica.sequence})
 	})
-	member.lock.Lock()
-	if member.lead.epoch != epoch {
-		member.lock.Unlock()
+	m.mu.Lock()
+	if m.leadership.epoch != epoch {
+		m.mu.Unlock()
 		return false
 	}
-	member.lead.epoch, member.lead.ballot, member.lead.chosen, member.lead.backups, member.lead.outbid = fresh.Epoch, ballot, fresh, backups, false
-	member.lead.failures, member.lead.slowSyncs, member.lead.slowReplies = 0, 0, 0
-	member.lead.base, member.lead.baseAt, member.lead.exchanged = held, began, began
-	member.lead.lastResort = lastResort
-	member.lock.Unlock()
-	member.renew()
-	if member.env.Settled != nil {
-		member.env.Settled(fresh.Epoch, member.HolderTime())
+	m.leadership.epoch, m.leadership.proposal, m.leadership.register, m.leadership.backups, m.leadership.preempted = fresh.Epoch, proposal, fresh, backups, false
+	m.leadership.failures, m.leadership.slowSyncs, m.leadership.slowResponses = 0, 0, 0
+	m.leadership.clockBase, m.leadership.clockBaseAt, m.leadership.clockSyncedAt = clock, began, began
+	m.leadership.lastResort = lastResort
+	m.mu.Unlock()
+	m.renewLease()
+	if m.config.OnServing != nil {
+		m.config.OnServing(fresh.Epoch, m.LeaderClock())
 	}
-	member.lock.Lock()
-	settled := member.lead.epoch == fresh.Epoch && member.env.Place.Now() < member.lead.until
-	member.lead.answering = settled
-	member.lock.Unlock()
-	if settled {
-		member.env.Place.Report(eventlog.Settled, map[string]any{"group": member.env.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": names(backups)})
+	m.mu.Lock()
+	established := m.leadership.epoch == fresh.Epoch && m.config.Host.Now() < m.leadership.leaseUntil
+	m.leadership.serving = established
+	m.mu.Unlock()
+	if established {
+		m.config.Host.Report(eventlog.Settled, map[string]any{"group": m.config.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": memberNames(backups)})
 	}
-	return settled
+	return established
 }
 
-// instructed installs the present view on as many candidates as there are backups wanted, and tells whether one of them had
+// installBackups installs the present view on as many candidates as there are backups wanted, and tells whether one of them had
 // just failed.
-func (member *Member) instructed(epoch uint64, candidates []string, failed []*wire.MemberID) (backups []*wire.MemberID, lastResort bool) {
-	for len(candidates) > 0 && len(backups) < member.env.Copies-1 {
-		name := member.apart(candidates, backups)
+func (m *Member) installBackups(epoch uint64, candidates []string, failed []*wire.MemberID) (backups []*wire.MemberID, lastResort bool) {
+	for len(candidates) > 0 && len(backups) < m.config.Replicas-1 {
+		name := m.preferOtherZone(candidates, backups)
 		candidates = slices.DeleteFunc(candidates, func(other string) bool { return other == name })
 		// A voter that doesn't answer a small ask isn't waited for with a large one.
-		seen, err := member.read(name)
+		seen, err := m.readRegister(name)
 		if err != nil {
 			continue
 		}
-		incarnation, stored := member.bringIntoStep(name, epoch, seen)
+		incarnation, stored := m.catchUpReplica(name, epoch, seen)
 		if !stored {
 			continue
 		}
 		backups = append(backups, &wire.MemberID{Name: name, Incarnation: incarnation})
-		lastResort = lastResort || slices.Contains(names(failed), name)
+		lastResort = lastResort || slices.Contains(memberNames(failed), name)
 	}
 	return backups, lastResort
 }
 
-// bringIntoStep gives a process's copy what it misses, or the whole view where that isn't known any more.
-func (member *Member) bringIntoStep(name string, epoch uint64, seen *wire.RegisterReadResponse) (incarnation uint64, stored bool) {
-	install := func(ask *wire.InstallSnapshotRequest) bool {
-		tell := &wire.InstallSnapshotResponse{}
-		ask.To, ask.From, ask.Epoch = name, member.self(), epoch
-		err := member.env.Book.Call(name, wire.Kind_install_snapshot, ask, tell, installPatience)
-		incarnation = tell.Incarnation
-		return err == nil && tell.Stored
+// catchUpReplica gives a process's copy what it misses, or the whole view where that isn't known any more.
+func (m *Member) catchUpReplica(name string, epoch uint64, seen *wire.RegisterReadResponse) (incarnation uint64, stored bool) {
+	install := func(request *wire.InstallSnapshotRequest) bool {
+		response := &wire.InstallSnapshotResponse{}
+		request.To, request.From, request.Epoch = name, m.self(), epoch
+		err := m.config.Resolver.Call(name, wire.Kind_install_snapshot, request, response, installTimeout)
+		incarnation = response.Incarnation
+		return err == nil && response.Stored
 	}
-	if ask := member.missedBy(seen); ask != nil && install(ask) {
+	if request := m.missingEntries(seen); request != nil && install(request) {
 		return incarnation, true
 	}
-	return incarnation, install(&wire.InstallSnapshotRequest{Snapshot: member.viewNow()})
+	return incarnation, install(&wire.InstallSnapshotRequest{Snapshot: m.takeSnapshot()})
 }
 
-// missedBy is what a copy at a told position misses, nothing where this copy doesn't remember that far.
-func (member *Member) missedBy(seen *wire.RegisterReadResponse) (ask *wire.InstallSnapshotRequest) {
+// missingEntries is what a copy at a told position misses, nothing where this copy doesn't remember that far.
+func (m *Member) missingEntries(seen *wire.RegisterReadResponse) (request *wire.InstallSnapshotRequest) {
 	if !seen.HasReplica || seen.ReplicaSequence == 0 {
 		return nil
 	}
-	member.keeper.Do(func() {
-		if missed, known := member.copy.tail.since(position{seen.ReplicaEpoch, seen.ReplicaSequence}); known {
-			ask = &wire.InstallSnapshotRequest{SinceEpoch: seen.ReplicaEpoch, SinceSequence: seen.ReplicaSequence, Entries: missed, LeaderClock: int64(member.copy.holderTime)}
+	m.replicaExecutor.Do(func() {
+		if missed, known := m.replica.tail.entriesAfter(logPosition{seen.ReplicaEpoch, seen.ReplicaSequence}); known {
+			request = &wire.InstallSnapshotRequest{SinceEpoch: seen.ReplicaEpoch, SinceSequence: seen.ReplicaSequence, Entries: missed, LeaderClock: int64(m.replica.leaderClock)}
 		}
 	})
-	return ask
+	return request
 }
 
 // apart picks the first candidate in a zone that has no copy yet, or else the first.
-func (member *Member) apart(candidates []string, backups []*wire.MemberID) string {
-	if member.env.Zone == nil {
+func (m *Member) preferOtherZone(candidates []string, backups []*wire.MemberID) string {
+	if m.config.Zone == nil {
 		return candidates[0]
 	}
-	taken := map[string]bool{member.env.Zone(member.env.Name): true, "": true}
+	taken := map[string]bool{m.config.Zone(m.config.Name): true, "": true}
 	for _, backup := range backups {
-		taken[member.env.Zone(backup.Name)] = true
+		taken[m.config.Zone(backup.Name)] = true
 	}
 	for _, name := range candidates {
-		if !taken[member.env.Zone(name)] {
+		if !taken[m.config.Zone(name)] {
 			return name
 		}
 	}
 	return candidates[0]
 }
 
-// viewNow is the whole state as it is applied here.
-func (member *Member) viewNow() (view *wire.Snapshot) {
-	member.keeper.Do(func() { view = member.view() })
+// takeSnapshot is the whole state as it is applied here.
+func (m *Member) takeSnapshot() (view *wire.Snapshot) {
+	m.replicaExecutor.Do(func() { view = m.snapshot() })
 	return view
 }
 
-// candidates orders the other voters: the one that counts double first, so that its half of a split core has a copy, then the
+// backupCandidates orders the other voters: the one that counts double first, so that its half of a split core has a copy, then the
 // present copy, behind them whoever hasn't answered for a lease's length, and last one that just failed.
-func (member *Member) candidates(value *wire.RegisterValue, failed []*wire.MemberID) []string {
-	present, _ := member.configuration()
-	var heavy, first, rest, quiet, last []string
-	now := member.env.Place.Now()
-	member.lock.Lock()
-	leaving := member.leavingNow(now)
-	member.lock.Unlock()
-	for _, name := range member.others() {
+func (m *Member) backupCandidates(value *wire.RegisterValue, failed []*wire.MemberID) []string {
+	current, _ := m.configuration()
+	var tieBreakers, inSync, others, quiet, last []string
+	now := m.config.Host.Now()
+	m.mu.Lock()
+	leaving := m.leavingMembers(now)
+	m.mu.Unlock()
+	for _, name := range m.otherVoters() {
 		switch {
-		case len(present.joint) > 0 && !slices.Contains(present.joint, name): // it's about to leave
+		case len(current.joint) > 0 && !slices.Contains(current.joint, name): // it's about to leave
 		case leaving[name]:
 			last = append(last, name)
-		case slices.Contains(names(failed), name):
+		case slices.Contains(memberNames(failed), name):
 			last = append(last, name)
-		case now-member.heardAt(name) > member.env.Tenure:
+		case now-m.lastResponseAt(name) > m.config.LeaseDuration:
 			quiet = append(quiet, name)
-		case name == present.voters.heavy():
-			heavy = append(heavy, name)
-		case slices.Contains(names(backupsOf(value)), name):
-			first = append(first, name)
+		case name == current.voters.tieBreaker():
+			tieBreakers = append(tieBreakers, name)
+		case slices.Contains(memberNames(backupsOf(value)), name):
+			inSync = append(inSync, name)
 		default:
-			rest = append(rest, name)
+			others = append(others, name)
 		}
 	}
-	return slices.Concat(heavy, first, rest, quiet, last)
+	return slices.Concat(tieBreakers, inSync, others, quiet, last)
 }
 
-func withHolder(roster []*wire.MemberID, holders ...*wire.MemberID) []*wire.MemberID {
+func withMembers(replicas []*wire.MemberID, holders ...*wire.MemberID) []*wire.MemberID {
 	var next []*wire.MemberID
 	replaced := map[string]bool{}
 	for _, holder := range holders {
 		replaced[holder.Name] = true
 	}
-	for _, present := range roster {
-		if !replaced[present.Name] {
-			next = append(next, present)
+	for _, current := range replicas {
+		if !replaced[current.Name] {
+			next = append(next, current)
 		}
 	}
 	return append(next, holders...)
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -12,130 +12,130 @@
 )
 
 // work is the primary's one task for writes: it commits batches, keeps the backups in touch and replaces lost ones.
-func (member *Member) work() {
+func (m *Member) runWrites() {
 	lastTick, lastWrite := monotonic.Micros(0), monotonic.Micros(0)
-	pause := member.env.Beat
+	pause := m.config.HeartbeatInterval
 	for {
-		batch := slices.DeleteFunc(member.inbox.Take(pause), func(request *proposal) bool { return request == nil })
-		now := member.env.Place.Now()
-		member.lock.Lock()
-		state := member.lead
-		member.lock.Unlock()
-		pause = member.pace()
-		if state.epoch == 0 || now >= state.until {
-			finish(batch, ErrNotPrimary)
+		batch := slices.DeleteFunc(m.writes.Take(pause), func(w *writeRequest) bool { return w == nil })
+		now := m.config.Host.Now()
+		m.mu.Lock()
+		state := m.leadership
+		m.mu.Unlock()
+		pause = m.renewInterval()
+		if state.epoch == 0 || now >= state.leaseUntil {
+			completeWrites(batch, ErrNotPrimary)
 			continue
 		}
-		if !state.answering {
-			finish(batch, ErrNotPrimary)
-			member.settle(nil)
-			pause = member.env.Beat
+		if !state.serving {
+			completeWrites(batch, ErrNotPrimary)
+			m.establishBackups(nil)
+			pause = m.config.HeartbeatInterval
 			continue
 		}
 		// Three paces may be a little less than a second.
-		if len(batch) == 0 && now-lastTick >= monotonic.Second-member.pace()/2 && member.waiting() {
+		if len(batch) == 0 && now-lastTick >= monotonic.Second-m.renewInterval()/2 && m.hasTimers() {
 			lastTick = now
-			batch = []*proposal{{done: member.env.Place.NewSignal()}}
+			batch = []*writeRequest{{done: m.config.Host.NewSignal()}}
 		}
-		if since := now - lastWrite; len(batch) == 0 && since >= 0 && since < member.pace() {
-			pause = member.pace() - since // the backups heard a write since
-			member.relieveLeavers()
+		if since := now - lastWrite; len(batch) == 0 && since >= 0 && since < m.renewInterval() {
+			pause = m.renewInterval() - since // the backups heard a write since
+			m.replaceLeavingBackups()
 			continue
 		}
 		lastWrite = now
-		member.commit(state, batch)
-		member.relieveLeavers()
-		member.complete()
+		m.commit(state, batch)
+		m.replaceLeavingBackups()
+		m.recruitBackups()
 	}
 }
 
-func (member *Member) waiting() bool {
-	member.machineLock.Lock()
-	defer member.machineLock.Unlock()
-	return member.env.Machine.Waiting()
+func (m *Member) hasTimers() bool {
+	m.stateMachineMu.Lock()
+	defer m.stateMachineMu.Unlock()
+	return m.config.StateMachine.HasTimers()
 }
 
-func finish(batch []*proposal, err error) {
-	for _, request := range batch {
-		request.err = err
-		request.done.Fire()
+func completeWrites(batch []*writeRequest, err error) {
+	for _, w := range batch {
+		w.err = err
+		w.done.Fire()
 	}
 }
 
 // delivery is how one backup took a batch. Its first end counts.
-type delivery struct {
-	backup   *wire.MemberID
-	answered host.Signal
-	lock     sync.Mutex
-	over     bool
-	err      error
-	taken    monotonic.Micros
+type replicateCall struct {
+	backup    *wire.MemberID
+	responded host.Signal
+	mu        sync.Mutex
+	finished  bool
+	err       error
+	elapsed   monotonic.Micros
 }
 
-func (delivery *delivery) end(err error, taken monotonic.Micros) {
-	delivery.lock.Lock()
-	if !delivery.over {
-		delivery.over, delivery.err, delivery.taken = true, err, taken
+func (c *replicateCall) finish(err error, taken monotonic.Micros) {
+	c.mu.Lock()
+	if !c.finished {
+		c.finished, c.err, c.elapsed = true, err, taken
 	}
-	delivery.lock.Unlock()
-	delivery.answered.Fire()
+	c.mu.Unlock()
+	c.responded.Fire()
 }
 
-func (delivery *delivery) ended() bool {
-	delivery.lock.Lock()
-	defer delivery.lock.Unlock()
-	return delivery.over
+func (c *replicateCall) isFinished() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.finished
 }
 
-// errSilent: a backup answered neither a batch nor a small ask.
-var errSilent = errors.New("it says nothing")
+// errBackupSilent: a backup answered neither a batch nor a small ask.
+var errBackupSilent = errors.New("it says nothing")
 
 const (
-	// silentAfter is how long a batch may be unanswered before its backup is asked something small. A slow disk holds a batch up, but
+	// probeAfter is how long a batch may be unanswered before its backup is asked something small. A slow disk holds a batch up, but
 	// not such an ask.
-	silentAfter = 100 * monotonic.Millisecond
-	// smallPatience is how long that is waited for; well above the longest way there and back.
-	smallPatience = 150 * monotonic.Millisecond
+	probeAfter = 100 * monotonic.Millisecond
+	// probeTimeout is how long that is waited for; well above the longest way there and back.
+	probeTimeout = 150 * monotonic.Millisecond
 )
 
 // silent tells whether a backup that hasn't answered a batch yet doesn't answer a small ask either, while another voter that could take
 // its place was heard lately.
-func (member *Member) silent(delivery *delivery) bool {
-	spare := slices.ContainsFunc(member.others(), func(name string) bool {
-		return name != delivery.backup.Name && member.env.Place.Now()-member.heardAt(name) < member.env.Tenure
+func (m *Member) isSilent(call *replicateCall) bool {
+	spare := slices.ContainsFunc(m.otherVoters(), func(name string) bool {
+		return name != call.backup.Name && m.config.Host.Now()-m.lastResponseAt(name) < m.config.LeaseDuration
 	})
 	if !spare {
 		return false
 	}
-	began := member.env.Place.Now()
-	member.env.Place.Go(func() { _, _ = member.read(delivery.backup.Name) })
-	delivery.answered.Wait(smallPatience)
-	return !delivery.ended() && member.heardAt(delivery.backup.Name) < began
+	began := m.config.Host.Now()
+	m.config.Host.Go(func() { _, _ = m.readRegister(call.backup.Name) })
+	call.responded.Wait(probeTimeout)
+	return !call.isFinished() && m.lastResponseAt(call.backup.Name) < began
 }
 
 // spread sends entries to every backup at once. Once signals have fired the deliveries are whole.
-func (member *Member) spread(ask *wire.ReplicateRequest, backups []*wire.MemberID, patience monotonic.Micros) (deliveries []*delivery, wait func()) {
-	place := member.env.Place
-	started, waits := place.Now(), []func(){}
+func (m *Member) replicate(request *wire.ReplicateRequest, backups []*wire.MemberID, timeout monotonic.Micros) (deliveries []*replicateCall, wait func()) {
+	h := m.config.Host
+	started, waits := h.Now(), []func(){}
 	for _, backup := range backups {
-		delivery := &delivery{backup: backup, answered: place.NewSignal()}
-		deliveries = append(deliveries, delivery)
-		addressed := &wire.ReplicateRequest{To: backup.Name, From: ask.From, ToIncarnation: backup.Incarnation, Epoch: ask.Epoch,
-			PreviousEpoch: ask.PreviousEpoch, PreviousSequence: ask.PreviousSequence, LeaderClock: ask.LeaderClock, Entries: ask.Entries}
-		place.Go(func() {
-			tell := &wire.ReplicateResponse{}
-			err := member.env.Book.Call(backup.Name, wire.Kind_replicate, addressed, tell, patience)
-			if err == nil && !tell.Stored {
-				err = errors.New(tell.Reason)
+		call := &replicateCall{backup: backup, responded: h.NewSignal()}
+		deliveries = append(deliveries, call)
+		addressed := &wire.ReplicateRequest{To: backup.Name, From: request.From, ToIncarnation: backup.Incarnation, Epoch: request.Epoch,
+			PreviousEpoch: request.PreviousEpoch, PreviousSequence: request.PreviousSequence, LeaderClock: request.LeaderClock, Entries: request.Entries}
+		h.Go(func() {
+			response := &wire.ReplicateResponse{}
+			err := m.config.Resolver.Call(backup.Name, wire.Kind_replicate, addressed, response, timeout)
+			if err == nil && !response.Stored {
+				err = errors.New(response.Reason)
 			}
-			delivery.end(err, place.Now()-started)
+			call.finish(err, h.Now()-started)
 		})
 		waits = append(waits, func() {
-			if patience <= member.env.Patience && !delivery.answered.Wait(silentAfter) && member.silent(delivery) {
-				delivery.end(errSilent, place.Now()-started)
+			if timeout <= m.config.CallTimeout && !call.responded.Wait(probeAfter) && m.isSilent(call) {
+				call.finish(errBackupSilent, h.Now()-started)
 			}
-			for !delivery.ended() {
-				delivery.answered.Wait(monotonic.Minute)
+			for !call.isFinished() {
+				call.responded.Wait(monotonic.Minute)
 			}
 		})
 	}
@@ -148,145 +148,145 @@
 
 // commit writes a batch to every copy and applies it; an empty batch only keeps the backups in touch.
 // state is the lead as it was when the batch was taken: a lead that ends meanwhile must not change what is written.
-func (member *Member) commit(state lead, batch []*proposal) {
-	place := member.env.Place
-	state = member.agree(state)
-	epoch, now := state.epoch, state.holderTime(place.Now())
-	ask := &wire.ReplicateRequest{From: member.self(), Epoch: epoch, LeaderClock: int64(now)}
-	member.keeper.Do(func() {
-		ask.PreviousEpoch, ask.PreviousSequence = member.copy.epoch, member.copy.sequence
-		now = max(now, member.copy.holderTime)
+func (m *Member) commit(state leadership, batch []*writeRequest) {
+	h := m.config.Host
+	state = m.syncLeaderClock(state)
+	epoch, now := state.epoch, state.leaderClock(h.Now())
+	request := &wire.ReplicateRequest{From: m.self(), Epoch: epoch, LeaderClock: int64(now)}
+	m.replicaExecutor.Do(func() {
+		request.PreviousEpoch, request.PreviousSequence = m.replica.epoch, m.replica.sequence
+		now = max(now, m.replica.leaderClock)
 	})
-	for index, request := range batch {
-		ask.Entries = append(ask.Entries, &wire.Entry{Epoch: epoch, Sequence: ask.PreviousSequence + uint64(index) + 1,
-			LeaderClock: int64(now), Command: request.command})
+	for index, w := range batch {
+		request.Entries = append(request.Entries, &wire.Entry{Epoch: epoch, Sequence: request.PreviousSequence + uint64(index) + 1,
+			LeaderClock: int64(now), Command: w.command})
 	}
 	// A backup that is there for want of another is given longer than one that can be replaced: time for a rewrite.
-	patience := member.env.Patience
+	timeout := m.config.CallTimeout
 	if state.lastResort {
-		patience = 3 * member.env.Tenure
+		timeout = 3 * m.config.LeaseDuration
 	}
-	deliveries, wait := member.spread(ask, state.backups, patience)
+	deliveries, wait := m.replicate(request, state.backups, timeout)
 	var local error
 	if len(batch) > 0 {
-		member.keeper.Do(func() {
-			if member.copy.fenced > epoch || member.copy.sequence != ask.PreviousSequence {
+		m.replicaExecutor.Do(func() {
+			if m.replica.fenced > epoch || m.replica.sequence != request.PreviousSequence {
 				local = errors.New("another primary wrote this copy")
-			} else if local = member.store(ask.Entries); local == nil {
-				member.copy.pending = ask.Entries
+			} else if local = m.appendEntries(request.Entries); local == nil {
+				m.replica.pending = request.Entries
 			}
 		})
 	}
 	wait()
 	if local != nil {
 		// A backup may hold what this copy does not, so this member can't go on in this epoch.
-		finish(batch, ErrUnknown)
-		member.handOver("own disk: " + local.Error())
+		completeWrites(batch, ErrUnknown)
+		m.transferLeadership("own disk: " + local.Error())
 		return
 	}
 	var failed, slow []*wire.MemberID
 	var remote error
-	for _, delivery := range deliveries {
-		if delivery.err != nil {
-			failed, remote = append(failed, delivery.backup), delivery.err
-		} else if delivery.taken > member.env.SlowSync {
-			slow = append(slow, delivery.backup)
+	for _, call := range deliveries {
+		if call.err != nil {
+			failed, remote = append(failed, call.backup), call.err
+		} else if call.elapsed > m.config.SlowSyncThreshold {
+			slow = append(slow, call.backup)
 		}
 	}
 	if remote != nil {
-		member.lock.Lock()
-		member.lead.failures++
-		failures := member.lead.failures
-		member.lock.Unlock()
+		m.mu.Lock()
+		m.leadership.failures++
+		failures := m.leadership.failures
+		m.mu.Unlock()
 		if len(batch) == 0 && failures < 3 {
 			return
 		}
-		member.dropBackups(failed, remote.Error())
+		m.dropBackups(failed, remote.Error())
 		// The batch is part of what the next backups are given; it's answered once those are in step.
-		results := member.applyPending()
-		if member.settle(failed) {
-			member.reply(batch, results, epoch)
+		results := m.applyPending()
+		if m.establishBackups(failed) {
+			m.completeBatch(batch, results, epoch)
 		} else {
-			finish(batch, ErrUnknown)
+			completeWrites(batch, ErrUnknown)
 		}
 		return
 	}
-	member.lock.Lock()
-	member.lead.failures = 0
-	if member.lead.epoch == epoch {
-		member.lead.exchanged = place.Now()
+	m.mu.Lock()
+	m.leadership.failures = 0
+	if m.leadership.epoch == epoch {
+		m.leadership.clockSyncedAt = h.Now()
 	}
-	member.lock.Unlock()
-	member.reply(batch, member.applyPending(), epoch)
+	m.mu.Unlock()
+	m.completeBatch(batch, m.applyPending(), epoch)
 	if len(batch) > 0 {
-		member.minding(state.backups, slow)
+		m.relieveSlowDisks(state.backups, slow)
 	}
 }
 
-// agreeAfter is how long a primary may not have exchanged holder time with its backup before it asks how much has passed
+// clockSyncInterval is how long a primary may not have exchanged holder time with its backup before it asks how much has passed
 // there: less than what a backup lets pass unasked.
-const agreeAfter = 700 * monotonic.Millisecond
+const clockSyncInterval = 700 * monotonic.Millisecond
 
 // agree has the backup's clock bear witness where this one says that long has passed since the last exchange, or that time ran
 // backward: it may have leapt, and no wait or claim may end on its word alone.
-func (member *Member) agree(state lead) lead {
-	place := member.env.Place
-	since := place.Now() - state.exchanged
-	if since >= 0 && since < agreeAfter || member.env.Unwitnessed {
+func (m *Member) syncLeaderClock(state leadership) leadership {
+	h := m.config.Host
+	since := h.Now() - state.clockSyncedAt
+	if since >= 0 && since < clockSyncInterval || m.config.UnverifiedClock {
 		return state
 	}
-	ask := &wire.ReplicateRequest{From: member.self(), Epoch: state.epoch}
-	member.keeper.Do(func() {
-		ask.PreviousEpoch, ask.PreviousSequence = member.copy.epoch, member.copy.sequence
-		ask.LeaderClock = int64(max(member.copy.holderTime, state.holderTime(place.Now())))
+	request := &wire.ReplicateRequest{From: m.self(), Epoch: state.epoch}
+	m.replicaExecutor.Do(func() {
+		request.PreviousEpoch, request.PreviousSequence = m.replica.epoch, m.replica.sequence
+		request.LeaderClock = int64(max(m.replica.leaderClock, state.leaderClock(h.Now())))
 	})
-	agreed := monotonic.Micros(ask.LeaderClock)
-	tells := gather(member, names(state.backups), member.env.Patience, func(name string) (*wire.ReplicateResponse, error) {
+	agreed := monotonic.Micros(request.LeaderClock)
+	responses := gatherResponses(m, memberNames(state.backups), m.config.CallTimeout, func(name string) (*wire.ReplicateResponse, error) {
 		backup := state.backups[slices.IndexFunc(state.backups, func(one *wire.MemberID) bool { return one.Name == name })]
-		tell := &wire.ReplicateResponse{}
-		return tell, member.call(name, wire.Kind_replicate, &wire.ReplicateRequest{To: name, From: ask.From, ToIncarnation: backup.Incarnation, Epoch: ask.Epoch,
-			PreviousEpoch: ask.PreviousEpoch, PreviousSequence: ask.PreviousSequence, LeaderClock: ask.LeaderClock}, tell)
+		response := &wire.ReplicateResponse{}
+		return response, m.call(name, wire.Kind_replicate, &wire.ReplicateRequest{To: name, From: request.From, ToIncarnation: backup.Incarnation, Epoch: request.Epoch,
+			PreviousEpoch: request.PreviousEpoch, PreviousSequence: request.PreviousSequence, LeaderClock: request.LeaderClock}, response)
 	}, nil)
 	for _, backup := range state.backups {
-		tell := tells[backup.Name]
-		if tell == nil || !tell.Stored && tell.Reason != leapt {
+		response := responses[backup.Name]
+		if response == nil || !response.Stored && response.Reason != clockAhead {
 			return state // the batch itself will find out what is wrong, and a backup turns down what it can't vouch for
 		}
-		if !tell.Stored {
-			agreed = min(agreed, monotonic.Micros(tell.LeaderClock))
+		if !response.Stored {
+			agreed = min(agreed, monotonic.Micros(response.LeaderClock))
 		}
 	}
-	if agreed < monotonic.Micros(ask.LeaderClock) {
-		member.keeper.Do(func() { agreed = max(member.copy.holderTime, agreed) })
-		member.env.Place.Report(eventlog.HolderTimeBound, map[string]any{"group": member.env.Group, "micros": ask.LeaderClock - int64(agreed)})
+	if agreed < monotonic.Micros(request.LeaderClock) {
+		m.replicaExecutor.Do(func() { agreed = max(m.replica.leaderClock, agreed) })
+		m.config.Host.Report(eventlog.HolderTimeBound, map[string]any{"group": m.config.Group, "micros": request.LeaderClock - int64(agreed)})
 	}
-	state.base, state.baseAt, state.exchanged = agreed, place.Now(), place.Now()
-	member.lock.Lock()
-	defer member.lock.Unlock()
-	if member.lead.epoch == state.epoch {
-		member.lead.base, member.lead.baseAt, member.lead.exchanged = state.base, state.baseAt, state.exchanged
+	state.clockBase, state.clockBaseAt, state.clockSyncedAt = agreed, h.Now(), h.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leadership.epoch == state.epoch {
+		m.leadership.clockBase, m.leadership.clockBaseAt, m.leadership.clockSyncedAt = state.clockBase, state.clockBaseAt, state.clockSyncedAt
 	}
 	return state
 }
 
 // reply answers a batch, unless the tenure ended meanwhile.
-func (member *Member) reply(batch []*proposal, results [][]byte, epoch uint64) {
-	if !member.Answering() || member.Epoch() < epoch || len(results) != len(batch) {
-		finish(batch, ErrUnknown)
+func (m *Member) completeBatch(batch []*writeRequest, results [][]byte, epoch uint64) {
+	if !m.Serving() || m.Epoch() < epoch || len(results) != len(batch) {
+		completeWrites(batch, ErrUnknown)
 		return
 	}
-	for index, request := range batch {
-		request.result = results[index]
+	for index, w := range batch {
+		w.result = results[index]
 	}
-	finish(batch, nil)
+	completeWrites(batch, nil)
 }
 
-func (member *Member) applyPending() (results [][]byte) {
-	member.keeper.Do(func() {
-		for _, entry := range member.copy.pending {
-			results = append(results, member.apply(entry))
+func (m *Member) applyPending() (results [][]byte) {
+	m.replicaExecutor.Do(func() {
+		for _, entry := range m.replica.pending {
+			results = append(results, m.apply(entry))
 		}
-		member.copy.pending = nil
+		m.replica.pending = nil
 	})
 	return results
 }
--- a/internal/replication/configuration_test.go
+++ b/internal/replication/configuration_test.go
@@ -8,7 +8,7 @@
 )
 
 // neighbours are the rosters that one change may lead to: one voter more, one less, one replaced.
-func neighbours(voters roster, spare string) (all []roster) {
+func neighbours(voters voterSet, spare string) (all []voterSet) {
 	if len(voters) < 5 {
 		all = append(all, append(slices.Clone(voters), spare))
 	}
@@ -28,17 +28,17 @@
 func TestConfigurationsMeet(t *testing.T) {
 	apart := 0
 	for size := 1; size <= 5; size++ {
-		voters := roster{"a", "b", "c", "d", "e"}[:size]
+		voters := voterSet{"a", "b", "c", "d", "e"}[:size]
 		for _, other := range neighbours(voters, "z") {
 			stable, joint, after := configuration{voters: voters}, configuration{voters, other}, configuration{voters: other}
-			everybody := subsets(joint.all())
+			everybody := subsets(joint.members())
 			disjoint := func(one, another configuration) (found string) {
 				for _, some := range everybody {
-					if !one.decides(some) {
+					if !one.hasQuorum(some) {
 						continue
 					}
 					for _, others := range everybody {
-						if another.decides(others) && !meet(some, others) {
+						if another.hasQuorum(others) && !meet(some, others) {
 							return fmt.Sprintf("%v by %v and %v by %v", some, one, others, another)
 						}
 					}
@@ -56,7 +56,7 @@
 			// What a blank voter hears of includes whatever was decided.
 			for _, some := range everybody {
 				for _, decided := range everybody {
-					if joint.heard(some) && joint.decides(decided) && !meet(some, decided) {
+					if joint.hasReadQuorum(some) && joint.hasQuorum(decided) && !meet(some, decided) {
 						t.Errorf("%v to %v: %v would not hear of what %v decided", voters, other, some, decided)
 					}
 				}
@@ -77,52 +77,52 @@
 }
 
 // domains reads words of a name and its domain, a letter each.
-func domains(text string) map[string]string {
+func parseZones(text string) map[string]string {
 	found := map[string]string{}
-	for _, word := range strings.Fields(text) {
-		found[word[:1]] = word[1:]
+	for _, pair := range strings.Fields(text) {
+		found[pair[:1]] = pair[1:]
 	}
 	return found
 }
 
 func TestRosterPolicy(t *testing.T) {
-	three, four, five := roster{"a", "b", "c"}, roster{"a", "b", "c", "d"}, roster{"a", "b", "c", "d", "e"}
+	three, four, five := voterSet{"a", "b", "c"}, voterSet{"a", "b", "c", "d"}, voterSet{"a", "b", "c", "d", "e"}
 	for name, one := range map[string]struct {
-		given situation
-		next  roster
+		given membershipState
+		next  voterSet
 	}{
-		"nothing to do":                         {situation{voters: three, size: 3}, nil},
-		"a fourth comes":                        {situation{voters: three, size: 4, waiting: []string{"d"}}, four},
-		"one at a time":                         {situation{voters: three, size: 5, waiting: []string{"d", "e"}}, four},
-		"no more than five wanted":              {situation{voters: five, size: 5, waiting: []string{"f"}}, nil},
-		"no more than wanted":                   {situation{voters: three, size: 3, waiting: []string{"d"}}, nil},
-		"fewer than wanted":                     {situation{voters: three, size: 4, waiting: []string{"d"}}, four},
-		"none is added while one is silent":     {situation{voters: three, size: 4, silence: set("b"), waiting: []string{"d"}}, nil},
-		"gone without a successor":              {situation{voters: three, size: 3, silence: set("b"), gone: set("b")}, nil},
-		"gone with a successor":                 {situation{voters: three, silence: set("b"), gone: set("b"), waiting: []string{"d"}}, roster{"a", "d", "c"}},
-		"the first is gone":                     {situation{voters: four, silence: set("a"), gone: set("a"), waiting: []string{"e"}}, roster{"e", "b", "c", "d"}},
-		"a copy stays":                          {situation{voters: three, held: []string{"a", "b"}, silence: set("b"), gone: set("b"), waiting: []string{"d"}}, nil},
-		"gone and more than wanted":             {situation{voters: four, size: 3, silence: set("d"), gone: set("d")}, three},
-		"gone, as many as wanted":               {situation{voters: three, size: 3, silence: set("c"), gone: set("c")}, nil},
-		"leaving with a successor":              {situation{voters: three, size: 3, leaving: set("b"), waiting: []string{"d"}}, roster{"a", "d", "c"}},
-		"leaving without a successor":           {situation{voters: three, size: 3, leaving: set("b")}, nil},
-		"leaving, and more than wanted":         {situation{voters: four, size: 3, leaving: set("d")}, three},
-		"leaving with a copy":                   {situation{voters: three, size: 3, held: []string{"b"}, leaving: set("b"), waiting: []string{"d"}}, nil},
-		"the gone go before the leaving":        {situation{voters: three, size: 3, silence: set("c"), gone: set("c"), leaving: set("b"), waiting: []string{"d"}}, roster{"a", "b", "d"}},
-		"two gone of five, one successor":       {situation{voters: five, silence: set("b", "c"), gone: set("b", "c"), waiting: []string{"f"}}, roster{"a", "f", "c", "d", "e"}},
-		"those that are left are no quorum":     {situation{voters: three, silence: set("b", "c"), gone: set("b"), waiting: []string{"d"}}, nil},
-		"left out, the rest would be no quorum": {situation{voters: four, size: 3, silence: set("a", "b"), gone: set("b")}, nil},
-		"a replacement keeps the wanted number": {situation{voters: three, size: 3, silence: set("c"), gone: set("c"), waiting: []string{"d"}}, roster{"a", "b", "d"}},
-		"into a domain of its own":              {situation{voters: three, size: 4, waiting: []string{"d", "e"}, domain: domains("a1 b2 c3 d1 e4")}, roster{"a", "b", "c", "e"}},
-		"a successor apart from the others":     {situation{voters: three, size: 3, silence: set("b"), gone: set("b"), waiting: []string{"d", "e"}, domain: domains("a1 b2 c3 d1 e2")}, roster{"a", "e", "c"}},
-		"two in one domain":                     {situation{voters: three, size: 3, held: []string{"a"}, waiting: []string{"d"}, domain: domains("a1 b1 c2 d3")}, roster{"a", "d", "c"}},
-		"two in one domain, and nobody better":  {situation{voters: three, size: 3, waiting: []string{"d"}, domain: domains("a1 b1 c2 d2")}, nil},
-		"two in one domain, both with a copy":   {situation{voters: three, size: 3, held: []string{"a", "b"}, waiting: []string{"d"}, domain: domains("a1 b1 c2 d3")}, nil},
-		"domains that nobody told":              {situation{voters: three, size: 3, waiting: []string{"d"}, domain: domains("")}, nil},
-		"alone, and a second comes":             {situation{voters: roster{"a"}, size: 3, waiting: []string{"b"}}, roster{"a", "b"}},
+		"nothing to do":                         {membershipState{voters: three, wanted: 3}, nil},
+		"a fourth comes":                        {membershipState{voters: three, wanted: 4, standbys: []string{"d"}}, four},
+		"one at a time":                         {membershipState{voters: three, wanted: 5, standbys: []string{"d", "e"}}, four},
+		"no more than five wanted":              {membershipState{voters: five, wanted: 5, standbys: []string{"f"}}, nil},
+		"no more than wanted":                   {membershipState{voters: three, wanted: 3, standbys: []string{"d"}}, nil},
+		"fewer than wanted":                     {membershipState{voters: three, wanted: 4, standbys: []string{"d"}}, four},
+		"none is added while one is silent":     {membershipState{voters: three, wanted: 4, silent: set("b"), standbys: []string{"d"}}, nil},
+		"gone without a successor":              {membershipState{voters: three, wanted: 3, silent: set("b"), lost: set("b")}, nil},
+		"gone with a successor":                 {membershipState{voters: three, silent: set("b"), lost: set("b"), standbys: []string{"d"}}, voterSet{"a", "d", "c"}},
+		"the first is gone":                     {membershipState{voters: four, silent: set("a"), lost: set("a"), standbys: []string{"e"}}, voterSet{"e", "b", "c", "d"}},
+		"a copy stays":                          {membershipState{voters: three, replicas: []string{"a", "b"}, silent: set("b"), lost: set("b"), standbys: []string{"d"}}, nil},
+		"gone and more than wanted":             {membershipState{voters: four, wanted: 3, silent: set("d"), lost: set("d")}, three},
+		"gone, as many as wanted":               {membershipState{voters: three, wanted: 3, silent: set("c"), lost: set("c")}, nil},
+		"leaving with a successor":              {membershipState{voters: three, wanted: 3, leaving: set("b"), standbys: []string{"d"}}, voterSet{"a", "d", "c"}},
+		"leaving without a successor":           {membershipState{voters: three, wanted: 3, leaving: set("b")}, nil},
+		"leaving, and more than wanted":         {membershipState{voters: four, wanted: 3, leaving: set("d")}, three},
+		"leaving with a copy":                   {membershipState{voters: three, wanted: 3, replicas: []string{"b"}, leaving: set("b"), standbys: []string{"d"}}, nil},
+		"the gone go before the leaving":        {membershipState{voters: three, wanted: 3, silent: set("c"), lost: set("c"), leaving: set("b"), standbys: []string{"d"}}, voterSet{"a", "b", "d"}},
+		"two gone of five, one successor":       {membershipState{voters: five, silent: set("b", "c"), lost: set("b", "c"), standbys: []string{"f"}}, voterSet{"a", "f", "c", "d", "e"}},
+		"those that are left are no quorum":     {membershipState{voters: three, silent: set("b", "c"), lost: set("b"), standbys: []string{"d"}}, nil},
+		"left out, the rest would be no quorum": {membershipState{voters: four, wanted: 3, silent: set("a", "b"), lost: set("b")}, nil},
+		"a replacement keeps the wanted number": {membershipState{voters: three, wanted: 3, silent: set("c"), lost: set("c"), standbys: []string{"d"}}, voterSet{"a", "b", "d"}},
+		"into a domain of its own":              {membershipState{voters: three, wanted: 4, standbys: []string{"d", "e"}, zones: parseZones("a1 b2 c3 d1 e4")}, voterSet{"a", "b", "c", "e"}},
+		"a successor apart from the others":     {membershipState{voters: three, wanted: 3, silent: set("b"), lost: set("b"), standbys: []string{"d", "e"}, zones: parseZones("a1 b2 c3 d1 e2")}, voterSet{"a", "e", "c"}},
+		"two in one domain":                     {membershipState{voters: three, wanted: 3, replicas: []string{"a"}, standbys: []string{"d"}, zones: parseZones("a1 b1 c2 d3")}, voterSet{"a", "d", "c"}},
+		"two in one domain, and nobody better":  {membershipState{voters: three, wanted: 3, standbys: []string{"d"}, zones: parseZones("a1 b1 c2 d2")}, nil},
+		"two in one domain, both with a copy":   {membershipState{voters: three, wanted: 3, replicas: []string{"a", "b"}, standbys: []string{"d"}, zones: parseZones("a1 b1 c2 d3")}, nil},
+		"domains that nobody told":              {membershipState{voters: three, wanted: 3, standbys: []string{"d"}, zones: parseZones("")}, nil},
+		"alone, and a second comes":             {membershipState{voters: voterSet{"a"}, wanted: 3, standbys: []string{"b"}}, voterSet{"a", "b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if next := one.given.next(); !slices.Equal(next, one.next) {
+			if next := one.given.nextVoters(); !slices.Equal(next, one.next) {
 				t.Errorf("%v", next)
 			}
 		})
@@ -134,20 +134,20 @@
 func TestRosterPolicyKeepsAQuorum(t *testing.T) {
 	changes := 0
 	for size := 1; size <= 5; size++ {
-		voters := roster{"a", "b", "c", "d", "e"}[:size]
+		voters := voterSet{"a", "b", "c", "d", "e"}[:size]
 		for _, silent := range subsets(voters) {
 			for _, gone := range subsets(silent) {
 				for wanted := range 6 {
 					leaving := set(voters[(wanted+len(gone))%size]) // each in its turn
 					for _, waiting := range [][]string{nil, {"y"}, {"y", "z"}} {
-						one := situation{voters: voters, size: wanted, held: []string{"a"}, silence: set(silent...), gone: set(gone...), leaving: leaving, waiting: waiting}
-						next := one.next()
+						one := membershipState{voters: voters, wanted: wanted, replicas: []string{"a"}, silent: set(silent...), lost: set(gone...), leaving: leaving, standbys: waiting}
+						next := one.nextVoters()
 						if next == nil {
 							continue
 						}
 						changes++
 						live := slices.DeleteFunc(slices.Concat(voters, waiting), func(name string) bool { return slices.Contains(silent, name) })
-						if !Decides(voters, live) || !Decides(next, live) {
+						if !HasQuorum(voters, live) || !HasQuorum(next, live) {
 							t.Fatalf("%+v: %v can't be carried through by %v", one, next, live)
 						}
 						different := 0
--- a/internal/replication/search_test.go
+++ b/internal/replication/consensus_search_test.go
@@ -15,11 +15,11 @@
 
 const (
 	searchProcesses = 4 // a, b, c and d
-	searchBallots   = 4 // besides ballot 0, which all of the first roster have accepted; odd ones are the first proposer's
+	maxProposals    = 4 // besides ballot 0, which all of the first roster have accepted; odd ones are the first proposer's
 )
 
-// searchRosters are those that a change may lead to.
-var searchRosters = []roster{{"a", "b", "c"}, {"a", "b", "d"}, {"a", "b", "c", "d"}, {"d", "b", "c"}}
+// searchVoterSets are those that a change may lead to.
+var searchVoterSets = []voterSet{{"a", "b", "c"}, {"a", "b", "d"}, {"a", "b", "c", "d"}, {"d", "b", "c"}}
 
 var searchNames = []string{"a", "b", "c", "d"}
 
@@ -31,43 +31,43 @@
 	accepted uint8
 }
 
-type searchBallot struct {
-	heard    [searchProcesses]uint8 // 0: no promise; else one more than the ballot that the voter had accepted
+type searchProposal struct {
+	promises [searchProcesses]uint8 // 0: no promise; else one more than the ballot that the voter had accepted
 	proposed bool
 	parent   uint8
-	voters   uint8 // index into searchRosters
+	voterSet uint8 // index into searchVoterSets
 	joint    uint8 // index, one higher; 0: not joint
 	accepted uint8 // who ever accepted it, as bits
 }
 
 type searchState struct {
-	voters  [searchProcesses]searchVoter
-	ballots [searchBallots + 1]searchBallot
-	wiped   uint8 // how often a disk was lost
-	changed uint8 // how many changes were begun
+	voters    [searchProcesses]searchVoter
+	proposals [maxProposals + 1]searchProposal
+	disksLost uint8 // how often a disk was lost
+	changed   uint8 // how many changes were begun
 }
 
 // searchRules are what may be left out of the rules, to show that the search sees it.
 type searchRules struct {
-	noJoint    bool // a roster is written straight away
-	unchosen   bool // a change is ended before its joint value was chosen
-	blankVotes bool // a voter that lost its disk goes on as if it had never voted
-	readFew    bool // it reads one other only
-	hasty      bool // it reads the others without waiting for a tenure
-	wipes      uint8
-	changes    uint8
-	ballots    uint8 // how many there may be
+	noJoint         bool // a roster is written straight away
+	endBeforeChosen bool // a change is ended before its joint value was chosen
+	blankVotes      bool // a voter that lost its disk goes on as if it had never voted
+	readOne         bool // it reads one other only
+	noWait          bool // it reads the others without waiting for a tenure
+	diskLosses      uint8
+	changes         uint8
+	proposals       uint8 // how many there may be
 }
 
-func (ballot searchBallot) configuration() configuration {
-	present := configuration{voters: searchRosters[ballot.voters]}
-	if ballot.joint > 0 {
-		present.joint = searchRosters[ballot.joint-1]
+func (proposal searchProposal) configuration() configuration {
+	current := configuration{voters: searchVoterSets[proposal.voterSet]}
+	if proposal.joint > 0 {
+		current.joint = searchVoterSets[proposal.joint-1]
 	}
-	return present
+	return current
 }
 
-func searchMask(mask uint8) (names []string) {
+func namesOf(mask uint8) (names []string) {
 	for index, name := range searchNames {
 		if mask&(1<<index) != 0 {
 			names = append(names, name)
@@ -79,37 +79,37 @@
 // searchDecides remembers what configurations decide, for speed.
 var searchDecides = map[[3]uint8]bool{}
 
-func (ballot searchBallot) decides(mask uint8) bool {
-	key := [3]uint8{ballot.voters, ballot.joint, mask}
+func (proposal searchProposal) decides(mask uint8) bool {
+	key := [3]uint8{proposal.voterSet, proposal.joint, mask}
 	decided, known := searchDecides[key]
 	if !known {
-		decided = ballot.configuration().decides(searchMask(mask))
+		decided = proposal.configuration().hasQuorum(namesOf(mask))
 		searchDecides[key] = decided
 	}
 	return decided
 }
 
 func (state *searchState) chosen(number uint8) bool {
-	ballot := state.ballots[number]
+	proposal := state.proposals[number]
 	if number == 0 {
 		return true
 	}
-	return ballot.proposed && state.ballots[ballot.parent].decides(ballot.accepted) && ballot.decides(ballot.accepted)
+	return proposal.proposed && state.proposals[proposal.parent].decides(proposal.accepted) && proposal.decides(proposal.accepted)
 }
 
 // split tells whether two values were chosen of which neither came of the other.
-func (state *searchState) split() bool {
-	for later := uint8(1); later <= searchBallots; later++ {
-		if !state.chosen(later) {
+func (state *searchState) diverged() bool {
+	for newer := uint8(1); newer <= maxProposals; newer++ {
+		if !state.chosen(newer) {
 			continue
 		}
-		for earlier := uint8(1); earlier < later; earlier++ {
+		for earlier := uint8(1); earlier < newer; earlier++ {
 			if !state.chosen(earlier) {
 				continue
 			}
-			ancestor := later
+			ancestor := newer
 			for ancestor > earlier {
-				ancestor = state.ballots[ancestor].parent
+				ancestor = state.proposals[ancestor].parent
 			}
 			if ancestor != earlier {
 				return true
@@ -121,38 +121,38 @@
 
 // knows tells whether the proposer of a ballot had this very configuration chosen itself, and nobody came in between.
 func (state *searchState) knows(number, read uint8) bool {
-	present := state.ballots[read]
+	current := state.proposals[read]
 	for {
-		ballot := state.ballots[read]
-		if ballot.voters != present.voters || ballot.joint != present.joint || read != 0 && read%2 != number%2 || read == 0 && number%2 == 0 {
+		proposal := state.proposals[read]
+		if proposal.voterSet != current.voterSet || proposal.joint != current.joint || read != 0 && read%2 != number%2 || read == 0 && number%2 == 0 {
 			return false
 		}
 		if state.chosen(read) {
 			return true
 		}
-		read = ballot.parent
+		read = proposal.parent
 	}
 }
 
 func (state *searchState) next(rules searchRules, visit func(searchState)) {
-	for number := uint8(1); number <= rules.ballots; number++ {
-		ballot := &state.ballots[number]
+	for number := uint8(1); number <= rules.proposals; number++ {
+		proposal := &state.proposals[number]
 		for index := range searchProcesses {
-			voter := state.voters[index]
-			if voter.joined && voter.promised < number && !ballot.proposed {
+			v := state.voters[index]
+			if v.joined && v.promised < number && !proposal.proposed {
 				fresh := *state
 				fresh.voters[index].promised, fresh.voters[index].fresh, fresh.voters[index].aged = number, number, false
-				fresh.ballots[number].heard[index] = voter.accepted + 1
+				fresh.proposals[number].promises[index] = v.accepted + 1
 				visit(fresh)
 			}
-			if ballot.proposed && voter.joined && voter.fresh == number && voter.accepted != number {
+			if proposal.proposed && v.joined && v.fresh == number && v.accepted != number {
 				fresh := *state
 				fresh.voters[index].accepted = number
-				fresh.ballots[number].accepted |= 1 << index
+				fresh.proposals[number].accepted |= 1 << index
 				visit(fresh)
 			}
 		}
-		if !ballot.proposed {
+		if !proposal.proposed {
 			state.propose(number, rules, visit)
 		}
 	}
@@ -164,59 +164,59 @@
 
 // propose has a ballot's proposer write, if it has heard enough.
 func (state *searchState) propose(number uint8, rules searchRules, visit func(searchState)) {
-	ballot := state.ballots[number]
+	proposal := state.proposals[number]
 	var mask, highest uint8
-	for index, heard := range ballot.heard {
+	for index, heard := range proposal.promises {
 		if heard > 0 {
 			mask |= 1 << index
 			highest = max(highest, heard-1)
 		}
 	}
-	read := state.ballots[highest]
+	read := state.proposals[highest]
 	if !read.decides(mask) {
 		return
 	}
 	write := func(voters, joint, changed uint8) {
-		written := searchBallot{voters: voters, joint: joint}
+		written := searchProposal{voterSet: voters, joint: joint}
 		if !written.decides(mask) {
 			return
 		}
 		fresh := *state
 		fresh.changed += changed
-		fresh.ballots[number].proposed, fresh.ballots[number].parent = true, highest
-		fresh.ballots[number].voters, fresh.ballots[number].joint = voters, joint
+		fresh.proposals[number].proposed, fresh.proposals[number].parent = true, highest
+		fresh.proposals[number].voterSet, fresh.proposals[number].joint = voters, joint
 		visit(fresh)
 	}
-	write(read.voters, read.joint, 0)
+	write(read.voterSet, read.joint, 0)
 	switch {
-	case read.joint > 0 && (rules.unchosen || state.knows(number, highest)):
+	case read.joint > 0 && (rules.endBeforeChosen || state.knows(number, highest)):
 		write(read.joint-1, 0, 0)
 	case read.joint == 0 && state.changed < rules.changes && state.knows(number, highest):
-		for other := range searchRosters {
+		for other := range searchVoterSets {
 			switch {
-			case other == int(read.voters) || !neighbouring(searchRosters[read.voters], searchRosters[other]):
+			case other == int(read.voterSet) || !neighbouring(searchVoterSets[read.voterSet], searchVoterSets[other]):
 			case rules.noJoint:
 				write(uint8(other), 0, 1)
 			default:
-				write(read.voters, uint8(other)+1, 1)
+				write(read.voterSet, uint8(other)+1, 1)
 			}
 		}
 	}
 }
 
 // neighbouring tells whether one change leads from a roster to another.
-func neighbouring(one, other roster) bool {
+func neighbouring(one, other voterSet) bool {
 	return len(slices.DeleteFunc(slices.Clone(one), func(name string) bool { return slices.Contains(other, name) })) <= 1 &&
 		len(slices.DeleteFunc(slices.Clone(other), func(name string) bool { return slices.Contains(one, name) })) <= 1
 }
 
 // lose has a voter lose its disk, one at a time.
 func (state *searchState) lose(index int, rules searchRules, visit func(searchState)) {
-	if state.wiped >= rules.wipes || !state.voters[index].joined {
+	if state.disksLost >= rules.diskLosses || !state.voters[index].joined {
 		return
 	}
 	fresh := *state
-	fresh.wiped++
+	fresh.disksLost++
 	fresh.voters[index] = searchVoter{joined: rules.blankVotes}
 	for other := range fresh.voters {
 		fresh.voters[other].aged = fresh.voters[other].fresh > 0
@@ -235,15 +235,15 @@
 		}
 		var promised, accepted uint8
 		blank := false
-		for other, voter := range state.voters {
+		for other, v := range state.voters {
 			if mask&(1<<other) != 0 {
-				blank = blank || !voter.joined
-				promised, accepted = max(promised, voter.promised), max(accepted, voter.accepted)
+				blank = blank || !v.joined
+				promised, accepted = max(promised, v.promised), max(accepted, v.accepted)
 			}
 		}
-		present := state.ballots[accepted].configuration()
-		enough := present.heard(searchMask(mask)) || rules.readFew && bits.OnesCount8(mask) == 1
-		if blank || !present.has(searchNames[index]) || !enough {
+		current := state.proposals[accepted].configuration()
+		enough := current.hasReadQuorum(namesOf(mask)) || rules.readOne && bits.OnesCount8(mask) == 1
+		if blank || !current.contains(searchNames[index]) || !enough {
 			continue
 		}
 		fresh := *state
@@ -252,7 +252,7 @@
 		visit(fresh)
 	}
 	for owner := uint8(0); owner < 2; owner++ {
-		if number, known := state.newest(owner); known && !state.named(owner, index) {
+		if number, known := state.newest(owner); known && !state.proposedVoter(owner, index) {
 			fresh := *state
 			fresh.wait(rules)
 			fresh.voters[index] = searchVoter{joined: true, promised: number, accepted: number}
@@ -264,15 +264,15 @@
 // wait lets a tenure pass: promises from before the disk was lost are not followed by acceptances any more.
 func (state *searchState) wait(rules searchRules) {
 	for other := range state.voters {
-		if voter := &state.voters[other]; voter.aged && !rules.hasty {
-			voter.fresh, voter.aged = 0, false
+		if v := &state.voters[other]; v.aged && !rules.noWait {
+			v.fresh, v.aged = 0, false
 		}
 	}
 }
 
 // newest is the last value that a proposer had chosen, if it's still the one that answers: nobody had another chosen since.
 func (state *searchState) newest(owner uint8) (uint8, bool) {
-	for number := uint8(searchBallots); number > 0; number-- {
+	for number := uint8(maxProposals); number > 0; number-- {
 		if state.chosen(number) {
 			return number, number%2 != owner
 		}
@@ -281,9 +281,9 @@
 }
 
 // named tells whether a proposer has proposed a roster with a process, or the one it goes by has it.
-func (state *searchState) named(owner uint8, index int) bool {
-	for number, ballot := range state.ballots {
-		if (number == 0 || ballot.proposed && uint8(number)%2 != owner) && ballot.configuration().has(searchNames[index]) {
+func (state *searchState) proposedVoter(owner uint8, index int) bool {
+	for number, proposal := range state.proposals {
+		if (number == 0 || proposal.proposed && uint8(number)%2 != owner) && proposal.configuration().contains(searchNames[index]) {
 			return true
 		}
 	}
@@ -309,7 +309,7 @@
 					return
 				}
 				seen[fresh] = struct{}{}
-				split = fresh.split()
+				split = fresh.diverged()
 				following = append(following, fresh)
 			})
 			if split {
@@ -332,7 +332,7 @@
 			if len(following) == 0 {
 				break
 			}
-			if state = following[chance.IntN(len(following))]; state.split() {
+			if state = following[chance.IntN(len(following))]; state.diverged() {
 				return way, true
 			}
 		}
@@ -348,13 +348,13 @@
 		depth int
 		split bool
 	}{
-		"a lost disk, two ballots, to the end":       {searchRules{wipes: 1, ballots: 2}, 100, false},
-		"a change, two ballots, to the end":          {searchRules{changes: 1, ballots: 2}, 100, false},
-		"a change and a lost disk, two ballots":      {searchRules{changes: 1, wipes: 1, ballots: 2}, 12, false},
-		"two changes and a lost disk, four ballots":  {searchRules{changes: 2, wipes: 1, ballots: 4}, 7, false},
-		"a blank voter votes, two ballots":           {searchRules{wipes: 1, blankVotes: true, ballots: 2}, 100, true},
-		"a blank voter reads at once, two ballots":   {searchRules{wipes: 1, hasty: true, ballots: 2}, 100, true},
-		"a blank voter reads one other, two ballots": {searchRules{wipes: 1, readFew: true, ballots: 2}, 100, true},
+		"a lost disk, two ballots, to the end":       {searchRules{diskLosses: 1, proposals: 2}, 100, false},
+		"a change, two ballots, to the end":          {searchRules{changes: 1, proposals: 2}, 100, false},
+		"a change and a lost disk, two ballots":      {searchRules{changes: 1, diskLosses: 1, proposals: 2}, 12, false},
+		"two changes and a lost disk, four ballots":  {searchRules{changes: 2, diskLosses: 1, proposals: 4}, 7, false},
+		"a blank voter votes, two ballots":           {searchRules{diskLosses: 1, blankVotes: true, proposals: 2}, 100, true},
+		"a blank voter reads at once, two ballots":   {searchRules{diskLosses: 1, noWait: true, proposals: 2}, 100, true},
+		"a blank voter reads one other, two ballots": {searchRules{diskLosses: 1, readOne: true, proposals: 2}, 100, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			states, depth, split := search(one.rules, one.depth)
@@ -374,12 +374,12 @@
 		rules searchRules
 		split bool
 	}{
-		"the rules as they are":            {searchRules{changes: 2, wipes: 2, ballots: 4}, false},
-		"no joint step":                    {searchRules{changes: 1, noJoint: true, ballots: 4}, true},
-		"a blank voter votes":              {searchRules{wipes: 1, blankVotes: true, ballots: 2}, true},
-		"a blank voter reads one other":    {searchRules{wipes: 1, readFew: true, ballots: 3}, true},
-		"a blank voter reads at once":      {searchRules{wipes: 1, hasty: true, ballots: 2}, true},
-		"a change ended before it's known": {searchRules{changes: 1, unchosen: true, ballots: 4}, true},
+		"the rules as they are":            {searchRules{changes: 2, diskLosses: 2, proposals: 4}, false},
+		"no joint step":                    {searchRules{changes: 1, noJoint: true, proposals: 4}, true},
+		"a blank voter votes":              {searchRules{diskLosses: 1, blankVotes: true, proposals: 2}, true},
+		"a blank voter reads one other":    {searchRules{diskLosses: 1, readOne: true, proposals: 3}, true},
+		"a blank voter reads at once":      {searchRules{diskLosses: 1, noWait: true, proposals: 2}, true},
+		"a change ended before it's known": {searchRules{changes: 1, endBeforeChosen: true, proposals: 4}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			most := ways
--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -7,67 +7,67 @@
 )
 
 // Register adds the group's handlers.
-func (member *Member) Register(table host.Table) {
-	host.Handle(table, wire.Kind_register_read, func(ask *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+func (m *Member) Register(table host.Table) {
+	host.Handle(table, wire.Kind_register_read, func(request *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerRegisterRead(ask)
+		return m.handleRegisterRead(request)
 	})
-	host.Handle(table, wire.Kind_prepare, func(ask *wire.PrepareRequest) (*wire.PrepareResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_prepare, func(request *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerPromise(ask)
+		return m.handlePrepare(request)
 	})
-	host.Handle(table, wire.Kind_accept, func(ask *wire.AcceptRequest) (*wire.AcceptResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_accept, func(request *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerAccept(ask)
+		return m.handleAccept(request)
 	})
-	host.Handle(table, wire.Kind_lease, func(ask *wire.LeaseRequest) (*wire.LeaseResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_lease, func(request *wire.LeaseRequest) (*wire.LeaseResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerTenure(ask)
+		return m.handleLease(request)
 	})
-	host.Handle(table, wire.Kind_join, func(ask *wire.JoinRequest) (*wire.JoinResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_join, func(request *wire.JoinRequest) (*wire.JoinResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerEnroll(ask)
+		return m.handleJoin(request)
 	})
-	host.Handle(table, wire.Kind_replicate, func(ask *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_replicate, func(request *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerReplicate(ask)
+		return m.handleReplicate(request)
 	})
-	host.Handle(table, wire.Kind_install_snapshot, func(ask *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_install_snapshot, func(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		return member.answerInstall(ask)
+		return m.handleInstall(request)
 	})
-	host.Handle(table, wire.Kind_handover, func(ask *wire.HandoverRequest) (*wire.HandoverResponse, error) {
-		if err := addressed(member, ask.To); err != nil {
+	host.Handle(table, wire.Kind_handover, func(request *wire.HandoverRequest) (*wire.HandoverResponse, error) {
+		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
 		}
-		if member.env.Handed != nil {
-			member.env.Handed(ask.Epoch, ask.Content)
+		if m.config.OnHandover != nil {
+			m.config.OnHandover(request.Epoch, request.Content)
 		}
-		member.lock.Lock()
-		member.lastHeard, member.young = -monotonic.Minute, false
-		now := member.env.Place.Now()
-		if ask.LeavingMember != "" {
-			member.leavers[ask.LeavingMember] = now
+		m.mu.Lock()
+		m.lastLeaderContact, m.coldStart = -monotonic.Minute, false
+		now := m.config.Host.Now()
+		if request.LeavingMember != "" {
+			m.leaving[request.LeavingMember] = now
 		}
-		for _, name := range ask.WaitingMembers {
-			member.applicants[name] = applicant{at: now, joined: true}
+		for _, name := range request.WaitingMembers {
+			m.standbys[name] = standby{lastContact: now, hasRegister: true}
 		}
-		member.lock.Unlock()
-		member.nudge.Fire()
+		m.mu.Unlock()
+		m.wakeup.Fire()
 		return &wire.HandoverResponse{Accepted: true}, nil
 	})
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -7,77 +7,77 @@
 )
 
 // renew asks every voter for the primary's tenure, counted from before the ask.
-func (member *Member) renew() {
-	place := member.env.Place
-	member.lock.Lock()
-	epoch, ballot := member.lead.epoch, member.lead.ballot
-	member.lock.Unlock()
-	asked := place.Now()
-	present, replies := member.askTenure(epoch, ballot, false)
-	granted := present.decides(granters(replies, (*wire.LeaseResponse).GetGranted))
+func (m *Member) renewLease() {
+	h := m.config.Host
+	m.mu.Lock()
+	epoch, proposal := m.leadership.epoch, m.leadership.proposal
+	m.mu.Unlock()
+	requestedAt := h.Now()
+	current, replies := m.requestLease(epoch, proposal, false)
+	granted := current.hasQuorum(grantedBy(replies, (*wire.LeaseResponse).GetGranted))
 	overtaken := false
 	for _, reply := range replies {
-		member.sawBallot(reply.Promised)
+		m.observeProposal(reply.Promised)
 		if reply.Value != nil && reply.Value.Epoch > epoch {
 			overtaken = true
 		}
 		if !reply.Granted {
-			member.learn(reply.Accepted, reply.Value)
+			m.observeRegister(reply.Accepted, reply.Value)
 		}
-		if !reply.Granted && reply.Promised > ballot {
-			member.lock.Lock()
-			member.lead.outbid = true
-			member.lock.Unlock()
+		if !reply.Granted && reply.Promised > proposal {
+			m.mu.Lock()
+			m.leadership.preempted = true
+			m.mu.Unlock()
 		}
 	}
-	member.lock.Lock()
-	if granted && member.lead.epoch == epoch {
-		member.lead.until, member.lead.leased = asked+member.env.Tenure, present
+	m.mu.Lock()
+	if granted && m.leadership.epoch == epoch {
+		m.leadership.leaseUntil, m.leadership.leaseConfiguration = requestedAt+m.config.LeaseDuration, current
 	}
-	expired := member.lead.epoch == epoch && place.Now() >= member.lead.until
-	outbid := member.lead.outbid
-	member.lock.Unlock()
+	expired := m.leadership.epoch == epoch && h.Now() >= m.leadership.leaseUntil
+	outbid := m.leadership.preempted
+	m.mu.Unlock()
 	if expired && overtaken {
-		member.stepDown(epoch, "another epoch began")
+		m.stepDown(epoch, "another epoch began")
 		return
 	}
 	if !granted && outbid {
 		// A rival's ballot that came to nothing stands in the way: write the same value under a higher one.
-		value, fresh, err := member.change(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
-			if value == nil || value.Epoch != epoch || !sameHolder(value.Primary, member.self()) {
-				return nil, errUnchanged
+		value, fresh, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
+			if value == nil || value.Epoch != epoch || !sameMember(value.Primary, m.self()) {
+				return nil, errRegisterChanged
 			}
 			return value, nil
 		})
 		if err == nil {
-			member.won(epoch, fresh, value)
-		} else if errors.Is(err, errUnchanged) {
-			member.learn(fresh, value)
-			member.stepDown(epoch, "another epoch began")
+			m.adoptRegister(epoch, fresh, value)
+		} else if errors.Is(err, errRegisterChanged) {
+			m.observeRegister(fresh, value)
+			m.stepDown(epoch, "another epoch began")
 		}
 	}
 }
 
-// askTenure asks everybody who votes, and tells by which configuration it asked.
-func (member *Member) askTenure(epoch, ballot uint64, release bool) (configuration, map[string]*wire.LeaseResponse) {
-	self, patience := member.self(), member.env.Tenure
+// requestLease asks everybody who votes, and tells by which configuration it asked.
+func (m *Member) requestLease(epoch, proposal uint64, release bool) (configuration, map[string]*wire.LeaseResponse) {
+	self, timeout := m.self(), m.config.LeaseDuration
 	if release {
-		patience = member.env.Patience
+		timeout = m.config.CallTimeout
 	}
-	present, known := member.configuration()
-	return present, gather(member, present.all(), patience, func(name string) (*wire.LeaseResponse, error) {
-		ask := &wire.LeaseRequest{To: name, Epoch: epoch, Proposal: ballot, Leader: self, Release: release,
-			Voters: present.voters, JointVoters: present.joint, KnownProposal: known, ProcessId: member.life}
-		if name == member.env.Name {
-			return member.answerTenure(ask)
+	current, known := m.configuration()
+	return current, gatherResponses(m, current.members(), timeout, func(name string) (*wire.LeaseResponse, error) {
+		request := &wire.LeaseRequest{To: name, Epoch: epoch, Proposal: proposal, Leader: self, Release: release,
+			Voters: current.voters, JointVoters: current.joint, KnownProposal: known, ProcessId: m.processID}
+		if name == m.config.Name {
+			return m.handleLease(request)
 		}
-		tell := &wire.LeaseResponse{}
-		err := member.env.Book.Call(name, wire.Kind_lease, ask, tell, patience)
+		response := &wire.LeaseResponse{}
+		err := m.config.Resolver.Call(name, wire.Kind_lease, request, response, timeout)
 		if err == nil {
-			member.hear(name)
+			m.recordResponse(name)
 		}
-		return tell, err
+		return response, err
 	}, func(replies map[string]*wire.LeaseResponse, _ int) bool {
-		return present.decides(granters(replies, (*wire.LeaseResponse).GetGranted))
+		return current.hasQuorum(grantedBy(replies, (*wire.LeaseResponse).GetGranted))
 	})
 }
--- a/internal/replication/lease_search_test.go
+++ b/internal/replication/lease_search_test.go
@@ -11,86 +11,86 @@
 // loses nothing, since a life that is over stays over.
 
 const (
-	leaseLength = 2 // ticks
-	leaseLives  = 3 // of the first holder; the second has one less
+	leaseLength  = 2 // ticks
+	maxProcesses = 3 // of the first holder; the second has one less
 )
 
 // leaseGrantee is a life of a holder; life 0 is none.
-type leaseGrantee struct{ holder, life uint8 }
+type leaseGrantee struct{ holder, process uint8 }
 
 type leaseState struct {
-	lives [2]uint8                    // the present life of each holder, 1 and up; 0: down
-	last  [2]uint8                    // its last life
-	left  [2][leaseLives + 1]uint8    // what is truly left of leases granted here, by holder and life
-	disk  [2][leaseLives + 1]bool     // the grantees on disk
-	some  bool                        // there are some on disk
-	grant leaseGrantee                // in memory
-	until uint8                       // what is left of it, by the voter
-	wait  uint8                       // nothing is promised before
-	own   bool                        // the wait stands for an earlier life's grants alone, and the disk tells of them
-	seen  [2]uint8                    // the life that each holder last answered a read with, in this life of the voter
-	known [2][leaseLives + 1]bool     // lives that ever asked something: their asks may come again, late
-	over  [2][leaseLives + 1]bool     // lives that ended
-	early bool                        // a wait was cut short: the search got somewhere
-	done  struct{ voter, disk uint8 } // how often the voter restarted, lost its disk
+	running      [2]uint8                    // the present life of each holder, 1 and up; 0: down
+	lastProcess  [2]uint8                    // its last life
+	remaining    [2][maxProcesses + 1]uint8  // what is truly left of leases granted here, by holder and life
+	disk         [2][maxProcesses + 1]bool   // the grantees on disk
+	anyOnDisk    bool                        // there are some on disk
+	grant        leaseGrantee                // in memory
+	until        uint8                       // what is left of it, by the voter
+	wait         uint8                       // nothing is promised before
+	inherited    bool                        // the wait stands for an earlier life's grants alone, and the disk tells of them
+	seen         [2]uint8                    // the life that each holder last answered a read with, in this life of the voter
+	hasRequested [2][maxProcesses + 1]bool   // lives that ever asked something: their asks may come again, late
+	ended        [2][maxProcesses + 1]bool   // lives that ended
+	cutShort     bool                        // a wait was cut short: the search got somewhere
+	done         struct{ voter, disk uint8 } // how often the voter restarted, lost its disk
 }
 
 // leaseRules are what may be left out.
 type leaseRules struct {
-	noWait      bool // a voter that restarted votes at once
-	byAsk       bool // an ask of another life counts like a read
-	anyAnswer   bool // any answer of a grantee's name counts, of the same life too
-	blankVotes  bool // a lost disk counts as nothing granted
-	afterwards  bool // grantees are written down only with the next promise
-	replaced    bool // the one who asks replaces all grantees, though a grant stands
-	one         bool // one grantee that's over is enough
-	anyRelease  bool // a release counts though other lives may hold leases too
-	lateRelease bool // a release counts for whatever life of its process holds the lease
+	noWait          bool // a voter that restarted votes at once
+	requestsCount   bool // an ask of another life counts like a read
+	anyAnswer       bool // any answer of a grantee's name counts, of the same life too
+	blankVotes      bool // a lost disk counts as nothing granted
+	recordLate      bool // grantees are written down only with the next promise
+	replaceGrantees bool // the one who asks replaces all grantees, though a grant stands
+	oneEnded        bool // one grantee that's over is enough
+	anyRelease      bool // a release counts though other lives may hold leases too
+	lateRelease     bool // a release counts for whatever life of its process holds the lease
 }
 
-func (state *leaseState) standing() bool { return state.grant.life > 0 && state.until > 0 }
+func (state *leaseState) granted() bool { return state.grant.process > 0 && state.until > 0 }
 
 // alone tells whether a life is the only grantee.
-func (state *leaseState) alone(holder, life uint8) bool {
-	var only [2][leaseLives + 1]bool
-	only[holder][life] = true
+func (state *leaseState) onlyGrantee(holder, processID uint8) bool {
+	var only [2][maxProcesses + 1]bool
+	only[holder][processID] = true
 	return state.disk == only
 }
 
 // note writes a grantee down.
-func (state *leaseState) note(holder, life uint8, rules leaseRules) {
-	if !state.standing() || rules.replaced {
-		state.disk = [2][leaseLives + 1]bool{}
+func (state *leaseState) recordGrantee(holder, processID uint8, rules leaseRules) {
+	if !state.granted() || rules.replaceGrantees {
+		state.disk = [2][maxProcesses + 1]bool{}
 	}
-	state.disk[holder][life], state.some = true, true
+	state.disk[holder][processID], state.anyOnDisk = true, true
 }
 
 // inherit cuts the wait short, where it may.
-func (state *leaseState) inherit(rules leaseRules) {
-	if !state.own {
+func (state *leaseState) endInheritedWait(rules leaseRules) {
+	if !state.inherited {
 		return
 	}
 	any, all := false, true
-	for holder, lives := range state.disk {
-		for life, noted := range lives {
+	for holder, processIDs := range state.disk {
+		for processID, noted := range processIDs {
 			if !noted {
 				continue
 			}
-			over := state.seen[holder] != 0 && (state.seen[holder] != uint8(life) || rules.anyAnswer)
+			over := state.seen[holder] != 0 && (state.seen[holder] != uint8(processID) || rules.anyAnswer)
 			any, all = any || over, all && over
 		}
 	}
-	if all || rules.one && any {
-		state.early = state.early || state.wait > 0
-		state.wait, state.own = 0, false
+	if all || rules.oneEnded && any {
+		state.cutShort = state.cutShort || state.wait > 0
+		state.wait, state.inherited = 0, false
 	}
 }
 
 // broken tells whether somebody else than a holder's life is served though that life has a lease here.
-func (state *leaseState) broken(holder, life uint8) bool {
+func (state *leaseState) broken(holder, processID uint8) bool {
 	for other := range uint8(2) {
-		for one := range uint8(leaseLives + 1) {
-			if state.left[other][one] > 0 && state.lives[other] == one && (other != holder || one != life) && !state.over[holder][life] {
+		for one := range uint8(maxProcesses + 1) {
+			if state.remaining[other][one] > 0 && state.running[other] == one && (other != holder || one != processID) && !state.ended[holder][processID] {
 				return true
 			}
 		}
@@ -100,61 +100,61 @@
 
 func (state leaseState) next(rules leaseRules, visit func(fresh leaseState, broken bool)) {
 	for holder := range uint8(2) {
-		for life := uint8(1); life <= leaseLives; life++ {
+		for processID := uint8(1); processID <= maxProcesses; processID++ {
 			// Asks of the present life, and late ones of lives that ended.
-			if state.lives[holder] != life && !state.known[holder][life] {
+			if state.running[holder] != processID && !state.hasRequested[holder][processID] {
 				continue
 			}
 			fresh := state
-			fresh.known[holder][life] = true
-			if rules.byAsk {
-				fresh.seen[holder] = life
-				fresh.inherit(rules)
+			fresh.hasRequested[holder][processID] = true
+			if rules.requestsCount {
+				fresh.seen[holder] = processID
+				fresh.endInheritedWait(rules)
 			}
-			if fresh.grant.holder == holder && (fresh.grant.life == life && (fresh.alone(holder, life) || rules.anyRelease) || fresh.grant.life > 0 && rules.lateRelease) {
+			if fresh.grant.holder == holder && (fresh.grant.process == processID && (fresh.onlyGrantee(holder, processID) || rules.anyRelease) || fresh.grant.process > 0 && rules.lateRelease) {
 				released := fresh
-				released.grant, released.until, released.left[holder][life] = leaseGrantee{}, 0, 0
+				released.grant, released.until, released.remaining[holder][processID] = leaseGrantee{}, 0, 0
 				visit(released, false)
 			}
-			if fresh.wait > 0 || fresh.standing() && fresh.grant.holder != holder {
-				if rules.byAsk {
+			if fresh.wait > 0 || fresh.granted() && fresh.grant.holder != holder {
+				if rules.requestsCount {
 					visit(fresh, false)
 				}
 				continue
 			}
 			promised, granted := fresh, fresh
-			promised.note(holder, life, rules)
-			visit(promised, promised.broken(holder, life))
-			if !rules.afterwards {
-				granted.note(holder, life, rules)
+			promised.recordGrantee(holder, processID, rules)
+			visit(promised, promised.broken(holder, processID))
+			if !rules.recordLate {
+				granted.recordGrantee(holder, processID, rules)
 			}
-			granted.grant, granted.until, granted.left[holder][life] = leaseGrantee{holder, life}, leaseLength, leaseLength
-			visit(granted, state.broken(holder, life))
+			granted.grant, granted.until, granted.remaining[holder][processID] = leaseGrantee{holder, processID}, leaseLength, leaseLength
+			visit(granted, state.broken(holder, processID))
 		}
-		if state.lives[holder] > 0 {
+		if state.running[holder] > 0 {
 			fresh := state
-			fresh.over[holder][state.lives[holder]] = true
-			fresh.lives[holder] = 0
+			fresh.ended[holder][state.running[holder]] = true
+			fresh.running[holder] = 0
 			visit(fresh, false)
 			read := state
-			read.seen[holder] = state.lives[holder]
-			read.inherit(rules)
+			read.seen[holder] = state.running[holder]
+			read.endInheritedWait(rules)
 			visit(read, false)
-		} else if state.last[holder] < leaseLives-holder {
+		} else if state.lastProcess[holder] < maxProcesses-holder {
 			fresh := state
-			fresh.last[holder]++
-			fresh.lives[holder] = fresh.last[holder]
+			fresh.lastProcess[holder]++
+			fresh.running[holder] = fresh.lastProcess[holder]
 			visit(fresh, false)
 		}
 	}
 	// Time passes alike for the leases and for the voter; a lease's holder counts from before its ask, so less is left there.
 	tick := state
-	for holder := range tick.left {
-		for life := range tick.left[holder] {
-			tick.left[holder][life] = less1(tick.left[holder][life])
+	for holder := range tick.remaining {
+		for processID := range tick.remaining[holder] {
+			tick.remaining[holder][processID] = decrement(tick.remaining[holder][processID])
 		}
 	}
-	tick.until, tick.wait = less1(tick.until), less1(tick.wait)
+	tick.until, tick.wait = decrement(tick.until), decrement(tick.wait)
 	visit(tick, false)
 	for lost := range 2 {
 		fresh := state
@@ -163,25 +163,25 @@
 				continue
 			}
 			fresh.done.disk++
-			fresh.disk, fresh.some = [2][leaseLives + 1]bool{}, rules.blankVotes
+			fresh.disk, fresh.anyOnDisk = [2][maxProcesses + 1]bool{}, rules.blankVotes
 		}
 		if fresh.done.voter == 2 {
 			continue
 		}
 		fresh.done.voter++
 		fresh.grant, fresh.until, fresh.seen = leaseGrantee{}, 0, [2]uint8{}
-		fresh.wait, fresh.own = leaseLength, fresh.some
+		fresh.wait, fresh.inherited = leaseLength, fresh.anyOnDisk
 		if rules.noWait {
 			fresh.wait = 0
 		}
 		if rules.blankVotes && lost == 1 {
-			fresh.inherit(rules)
+			fresh.endInheritedWait(rules)
 		}
 		visit(fresh, false)
 	}
 }
 
-func less1(left uint8) uint8 {
+func decrement(left uint8) uint8 {
 	if left > 0 {
 		return left - 1
 	}
@@ -190,13 +190,13 @@
 
 // searchLeases explores to the end.
 func searchLeases(rules leaseRules) (states int, early, broken bool) {
-	start := leaseState{lives: [2]uint8{1, 1}, last: [2]uint8{1, 1}}
+	start := leaseState{running: [2]uint8{1, 1}, lastProcess: [2]uint8{1, 1}}
 	seen, edge := map[leaseState]struct{}{start: {}}, []leaseState{start}
 	for len(edge) > 0 && !broken {
 		state := edge[len(edge)-1]
 		edge = edge[:len(edge)-1]
 		state.next(rules, func(fresh leaseState, wrong bool) {
-			broken, early = broken || wrong, early || fresh.early
+			broken, early = broken || wrong, early || fresh.cutShort
 			if _, known := seen[fresh]; !known && !broken {
 				seen[fresh] = struct{}{}
 				edge = append(edge, fresh)
@@ -215,14 +215,14 @@
 	}{
 		"the rules as they are":                     {leaseRules{}, false},
 		"a voter that restarted votes at once":      {leaseRules{noWait: true}, true},
-		"an ask counts like a read":                 {leaseRules{byAsk: true}, true},
+		"an ask counts like a read":                 {leaseRules{requestsCount: true}, true},
 		"the same life's answer counts":             {leaseRules{anyAnswer: true}, true},
 		"a lost disk counts as nothing granted":     {leaseRules{blankVotes: true}, true},
-		"grantees are written down afterwards":      {leaseRules{afterwards: true}, true},
-		"the last to ask replaces the grantees":     {leaseRules{replaced: true}, true},
+		"grantees are written down afterwards":      {leaseRules{recordLate: true}, true},
+		"the last to ask replaces the grantees":     {leaseRules{replaceGrantees: true}, true},
 		"a release though others are grantees":      {leaseRules{anyRelease: true}, true},
 		"a late release ends the next life's lease": {leaseRules{lateRelease: true}, true},
-		"one grantee that is over is enough":        {leaseRules{one: true}, true},
+		"one grantee that is over is enough":        {leaseRules{oneEnded: true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			states, early, broken := searchLeases(one.rules)
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -11,79 +11,79 @@
 const (
 	// LeaveLimit is how long a planned stop waits at most for its copy and seat to be taken over.
 	LeaveLimit = 2500 * monotonic.Millisecond
-	// leavePause is how often a member that stops as planned asks whether it may go.
-	leavePause = 50 * monotonic.Millisecond
-	// applicantPause is how long a process that waits for a seat may take to tell a new primary so.
-	applicantPause = 1500 * monotonic.Millisecond
-	// leavePatience is how long after its last word a process counts as leaving: its next life is none that leaves.
-	leavePatience = monotonic.Second
+	// leavePollInterval is how often a member that stops as planned asks whether it may go.
+	leavePollInterval = 50 * monotonic.Millisecond
+	// standbyReportInterval is how long a process that waits for a seat may take to tell a new primary so.
+	standbyReportInterval = 1500 * monotonic.Millisecond
+	// leaveTimeout is how long after its last word a process counts as leaving: its next life is none that leaves.
+	leaveTimeout = monotonic.Second
 )
 
 // Leave is for a planned stop. It hands the lead over and returns once this member holds no copy that is counted on, and its seat is taken by
 // a successor if one waits; or when the limit has passed, since the process is ended then in any case.
-func (member *Member) Leave(why string, limit monotonic.Micros) {
-	place := member.env.Place
-	cutoff := place.Now() + limit
-	member.lock.Lock()
-	member.stopping = true
-	member.lock.Unlock()
-	member.handOverTo(why, member.env.Name)
-	for place.Now() < cutoff && !member.env.Abandon {
-		if member.askLeave(cutoff - place.Now()) {
-			place.Report(eventlog.MemberReleased, map[string]any{"group": member.env.Group})
+func (m *Member) Leave(why string, limit monotonic.Micros) {
+	h := m.config.Host
+	deadline := h.Now() + limit
+	m.mu.Lock()
+	m.stopping = true
+	m.mu.Unlock()
+	m.transferLeadershipAs(why, m.config.Name)
+	for h.Now() < deadline && !m.config.LeaveAtOnce {
+		if m.requestLeave(deadline - h.Now()) {
+			h.Report(eventlog.MemberReleased, map[string]any{"group": m.config.Group})
 			return
 		}
-		place.Sleep(min(leavePause, max(0, cutoff-place.Now())))
+		h.Sleep(min(leavePollInterval, max(0, deadline-h.Now())))
 	}
-	place.Report(eventlog.MemberNotReleased, map[string]any{"group": member.env.Group})
+	h.Report(eventlog.MemberNotReleased, map[string]any{"group": m.config.Group})
 }
 
-// askLeave asks the primary whether this member may go.
-func (member *Member) askLeave(patience monotonic.Micros) bool {
-	leader := member.env.Book.Leader(member.env.Group)
-	if leader == "" || leader == member.env.Name {
-		member.env.Book.Ask()
+// requestLeave asks the primary whether this member may go.
+func (m *Member) requestLeave(timeout monotonic.Micros) bool {
+	leader := m.config.Resolver.Leader(m.config.Group)
+	if leader == "" || leader == m.config.Name {
+		m.config.Resolver.Ask()
 		return false
 	}
-	tell := &wire.JoinResponse{}
-	ask := &wire.JoinRequest{To: leader, Name: member.env.Name, Leaving: true}
-	err := member.env.Book.Call(leader, wire.Kind_join, ask, tell, min(patience, member.env.Patience))
-	return err == nil && tell.Released
+	response := &wire.JoinResponse{}
+	request := &wire.JoinRequest{To: leader, Name: m.config.Name, Leaving: true}
+	err := m.config.Resolver.Call(leader, wire.Kind_join, request, response, min(timeout, m.config.CallTimeout))
+	return err == nil && response.Released
 }
 
-// answerLeave notes that a process stops as planned, and tells whether it may go: it holds no copy that is counted on, and no seat that a
+// handleLeave notes that a process stops as planned, and tells whether it may go: it holds no copy that is counted on, and no seat that a
 // process that waits could take.
-func (member *Member) answerLeave(name string) *wire.JoinResponse {
-	if !member.Answering() {
+func (m *Member) handleLeave(name string) *wire.JoinResponse {
+	if !m.Serving() {
 		return &wire.JoinResponse{}
 	}
-	now := member.env.Place.Now()
-	member.lock.Lock()
-	member.leavers[name] = now
-	delete(member.applicants, name)
-	state := member.lead
-	member.lock.Unlock()
-	if slices.Contains(names(state.backups), name) {
-		member.inbox.Put(nil) // the work task gives the copy to another
-		return &wire.JoinResponse{Released: !member.spare(state.backups)}
+	now := m.config.Host.Now()
+	m.mu.Lock()
+	m.leaving[name] = now
+	delete(m.standbys, name)
+	state := m.leadership
+	m.mu.Unlock()
+	if slices.Contains(memberNames(state.backups), name) {
+		m.writes.Put(nil) // the work task gives the copy to another
+		return &wire.JoinResponse{Released: !m.hasSpareVoter(state.backups)}
 	}
-	_, present, _, found := member.observe()
+	_, current, _, found := m.membershipState()
 	// A young primary doesn't know yet who waits.
-	alone := len(found.waiting) == 0 && now-state.since >= applicantPause
-	stuck := len(found.waiting) > 0 && found.next() == nil
-	released := state.answering && len(present.joint) == 0 && (!slices.Contains(present.voters, name) || alone || stuck)
+	alone := len(found.standbys) == 0 && now-state.since >= standbyReportInterval
+	stuck := len(found.standbys) > 0 && found.nextVoters() == nil
+	released := state.serving && len(current.joint) == 0 && (!slices.Contains(current.voters, name) || alone || stuck)
 	if !released {
-		member.nudge.Fire()
+		m.wakeup.Fire()
 	}
 	return &wire.JoinResponse{Released: released}
 }
 
-// leavingNow lists the processes that said lately that they stop as planned. The caller holds the lock.
-func (member *Member) leavingNow(now monotonic.Micros) map[string]bool {
+// leavingMembers lists the processes that said lately that they stop as planned. The caller holds the lock.
+func (m *Member) leavingMembers(now monotonic.Micros) map[string]bool {
 	leaving := map[string]bool{}
-	for name, at := range member.leavers {
-		if now-at > leavePatience {
-			delete(member.leavers, name)
+	for name, at := range m.leaving {
+		if now-at > leaveTimeout {
+			delete(m.leaving, name)
 			continue
 		}
 		leaving[name] = true
@@ -91,13 +91,13 @@
 	return leaving
 }
 
-// relieveLeavers gives the copies of backups that stop as planned to other voters, before those that leave are let go.
-func (member *Member) relieveLeavers() {
-	member.lock.Lock()
-	state, leaving := member.lead, member.leavingNow(member.env.Place.Now())
-	member.lock.Unlock()
+// replaceLeavingBackups gives the copies of backups that stop as planned to other voters, before those that leave are let go.
+func (m *Member) replaceLeavingBackups() {
+	m.mu.Lock()
+	state, leaving := m.leadership, m.leavingMembers(m.config.Host.Now())
+	m.mu.Unlock()
 	leaves := func(backup *wire.MemberID) bool { return leaving[backup.Name] }
-	if !state.answering || !slices.ContainsFunc(state.backups, leaves) || !member.spare(state.backups) {
+	if !state.serving || !slices.ContainsFunc(state.backups, leaves) || !m.hasSpareVoter(state.backups) {
 		return
 	}
 	var going []*wire.MemberID
@@ -106,6 +106,6 @@
 			going = append(going, backup)
 		}
 	}
-	member.dropBackups(going, "it stops as planned")
-	member.settle(nil)
+	m.dropBackups(going, "it stops as planned")
+	m.establishBackups(nil)
 }
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -18,7 +18,7 @@
 	ErrUnknown = errors.New("replication: outcome unknown")
 )
 
-type proposal struct {
+type writeRequest struct {
 	command []byte
 	result  []byte
 	err     error
@@ -26,15 +26,15 @@
 }
 
 // Propose has a command applied by the primary, here, and gives its result once both copies have synced it.
-func (member *Member) Propose(command []byte) ([]byte, error) {
-	if !member.Answering() {
+func (m *Member) Propose(command []byte) ([]byte, error) {
+	if !m.Serving() {
 		return nil, ErrNotPrimary
 	}
-	request := &proposal{command: command, done: member.env.Place.NewSignal()}
-	member.inbox.Put(request)
-	for !request.done.Wait(monotonic.Forever) {
+	w := &writeRequest{command: command, done: m.config.Host.NewSignal()}
+	m.writes.Put(w)
+	for !w.done.Wait(monotonic.Forever) {
 	}
-	return request.result, request.err
+	return w.result, w.err
 }
 
 // Outcome is what became of one of several commands proposed together.
@@ -44,34 +44,34 @@
 }
 
 // ProposeAll has commands applied by the primary, here, each as if proposed alone, and waits for all of them.
-func (member *Member) ProposeAll(commands [][]byte) []Outcome {
+func (m *Member) ProposeAll(commands [][]byte) []Outcome {
 	outcomes := make([]Outcome, len(commands))
-	if !member.Answering() {
+	if !m.Serving() {
 		for index := range outcomes {
 			outcomes[index].Err = ErrNotPrimary
 		}
 		return outcomes
 	}
-	requests := make([]*proposal, len(commands))
+	writes := make([]*writeRequest, len(commands))
 	for index, command := range commands {
-		requests[index] = &proposal{command: command, done: member.env.Place.NewSignal()}
-		member.inbox.Put(requests[index])
+		writes[index] = &writeRequest{command: command, done: m.config.Host.NewSignal()}
+		m.writes.Put(writes[index])
 	}
-	for index, request := range requests {
-		for !request.done.Wait(monotonic.Forever) {
+	for index, w := range writes {
+		for !w.done.Wait(monotonic.Forever) {
 		}
-		outcomes[index] = Outcome{request.result, request.err}
+		outcomes[index] = Outcome{w.result, w.err}
 	}
 	return outcomes
 }
 
 // Submit proposes a command that is a message, and decodes its result.
-func (member *Member) Submit(command, result proto.Message) error {
+func (m *Member) Submit(command, result proto.Message) error {
 	content, err := proto.Marshal(command)
 	if err != nil {
 		return err
 	}
-	answer, err := member.Propose(content)
+	answer, err := m.Propose(content)
 	if errors.Is(err, ErrNotPrimary) {
 		return apierror.Refused.New("not the primary")
 	}
@@ -81,56 +81,56 @@
 	return proto.Unmarshal(answer, result)
 }
 
-// Answering tells whether this member may answer now.
-func (member *Member) Answering() bool {
-	member.lock.Lock()
-	defer member.lock.Unlock()
-	return member.lead.answering && (member.env.Unleased || member.env.Place.Now() < member.lead.until && !member.Vigil.Behind())
+// Serving tells whether this member may answer now.
+func (m *Member) Serving() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.leadership.serving && (m.config.IgnoreLease || m.config.Host.Now() < m.leadership.leaseUntil && !m.ClockWatch.Behind())
 }
 
 // Epoch is the epoch this member leads, or zero.
-func (member *Member) Epoch() uint64 {
-	member.lock.Lock()
-	defer member.lock.Unlock()
-	return member.lead.epoch
+func (m *Member) Epoch() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.leadership.epoch
 }
 
-// HolderTime is the group's time as its primary counts it; it goes on across failovers.
-func (member *Member) HolderTime() monotonic.Micros {
-	member.lock.Lock()
-	defer member.lock.Unlock()
-	return member.lead.told(member.env.Place.Now())
+// LeaderClock is the group's time as its primary counts it; it goes on across failovers.
+func (m *Member) LeaderClock() monotonic.Micros {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.leadership.confirmedClock(m.config.Host.Now())
 }
 
 // Read looks at the machine under a live tenure. It tells whether it did.
-func (member *Member) Read(look func(epoch uint64, now monotonic.Micros)) bool {
-	if !member.Answering() {
+func (m *Member) Read(read func(epoch uint64, now monotonic.Micros)) bool {
+	if !m.Serving() {
 		return false
 	}
-	epoch, now := member.Epoch(), member.HolderTime()
-	member.machineLock.Lock()
-	look(epoch, now)
-	member.machineLock.Unlock()
-	return member.Answering() && member.Epoch() == epoch
+	epoch, now := m.Epoch(), m.LeaderClock()
+	m.stateMachineMu.Lock()
+	read(epoch, now)
+	m.stateMachineMu.Unlock()
+	return m.Serving() && m.Epoch() == epoch
 }
 
-// peekWithin is how lately a majority must have been seen by who shows its copy without leading.
-const peekWithin = monotonic.Second
+// staleReadWindow is how lately a majority must have been seen by who shows its copy without leading.
+const staleReadWindow = monotonic.Second
 
-// Peek looks at this member's own copy, whoever leads, if the newest register that a majority told of lately names it as a holder: it has whatever was
+// ReadStale looks at this member's own copy, whoever leads, if the newest register that a majority told of lately names it as a holder: it has whatever was
 // answered before that, and may have what never was. It tells whether it looked.
-func (member *Member) Peek(look func()) bool {
-	if !member.majoritySeen(peekWithin) {
+func (m *Member) ReadStale(read func()) bool {
+	if !m.quorumSeen(staleReadWindow) {
 		return false
 	}
-	member.lock.Lock()
-	value, self := member.value, member.self()
-	member.lock.Unlock()
-	if value == nil || !sameHolder(value.Primary, self) && !holds(backupsOf(value), self) {
+	m.mu.Lock()
+	value, self := m.register, m.self()
+	m.mu.Unlock()
+	if value == nil || !sameMember(value.Primary, self) && !containsMember(backupsOf(value), self) {
 		return false
 	}
-	member.machineLock.Lock()
-	defer member.machineLock.Unlock()
-	look()
+	m.stateMachineMu.Lock()
+	defer m.stateMachineMu.Unlock()
+	read()
 	return true
 }
--- a/internal/replication/weights.go
+++ b/internal/replication/quorum.go
@@ -8,43 +8,43 @@
 // Invariants, tried out for every subset by TestWeights: any two quorums share a voter; the loss of any one voter leaves a quorum;
 // voters of the reading weight share a voter with every quorum; of two parts at most one is a quorum, and of an even split's
 // two halves exactly one.
-type roster []string
+type voterSet []string
 
 // weight is how much a voter counts; who isn't one counts nothing.
-func (roster roster) weight(name string) int {
-	if !slices.Contains(roster, name) {
+func (v voterSet) weight(name string) int {
+	if !slices.Contains(v, name) {
 		return 0
 	}
-	if name == roster.heavy() {
+	if name == v.tieBreaker() {
 		return 2
 	}
 	return 1
 }
 
 // of sums voters' weights.
-func (roster roster) of(names []string) (sum int) {
+func (v voterSet) weightOf(names []string) (sum int) {
 	for _, name := range names {
-		sum += roster.weight(name)
+		sum += v.weight(name)
 	}
 	return sum
 }
 
 // quorum is the weight that decides.
-func (roster roster) quorum() int { return roster.of(roster)/2 + 1 }
+func (v voterSet) quorum() int { return v.weightOf(v)/2 + 1 }
 
 // reading is the weight of others that a voter with a blank folder must hear: whatever was decided, one of them knows.
-func (roster roster) reading() int { return roster.of(roster) - roster.quorum() + 1 }
+func (v voterSet) readQuorum() int { return v.weightOf(v) - v.quorum() + 1 }
 
 // heavy is the voter that counts double, or nothing.
-func (roster roster) heavy() string {
-	if len(roster) == 0 || len(roster)%2 != 0 {
+func (v voterSet) tieBreaker() string {
+	if len(v) == 0 || len(v)%2 != 0 {
 		return ""
 	}
-	return roster[0]
+	return v[0]
 }
 
 // granters lists who granted something.
-func granters[Reply any](replies map[string]Reply, granted func(reply Reply) bool) (names []string) {
+func grantedBy[Reply any](replies map[string]Reply, granted func(reply Reply) bool) (names []string) {
 	for name, reply := range replies {
 		if granted(reply) {
 			names = append(names, name)
@@ -53,5 +53,7 @@
 	return names
 }
 
-// Decides tells whether some of a group's voters are a quorum of it.
-func Decides(voters, some []string) bool { return roster(voters).of(some) >= roster(voters).quorum() }
+// HasQuorum tells whether some of a group's voters are a quorum of it.
+func HasQuorum(voters, some []string) bool {
+	return voterSet(voters).weightOf(some) >= voterSet(voters).quorum()
+}
--- a/internal/replication/weights_test.go
+++ b/internal/replication/quorum_test.go
@@ -14,7 +14,7 @@
 )
 
 // subsets lists every subset of voters.
-func subsets(voters roster) (all [][]string) {
+func subsets(voters voterSet) (all [][]string) {
 	for mask := range 1 << len(voters) {
 		var names []string
 		for index, name := range voters {
@@ -41,9 +41,9 @@
 // TestWeights tries every subset of three and four voters. The quorums of builds that counted heads are looked at too, since a
 // fleet is upgraded one process after another.
 func TestWeights(t *testing.T) {
-	for _, voters := range []roster{{"a", "b", "c"}, {"a", "b", "c", "d"}} {
+	for _, voters := range []voterSet{{"a", "b", "c"}, {"a", "b", "c", "d"}} {
 		heads := len(voters)/2 + 1
-		quorum := func(names []string) bool { return voters.of(names) >= voters.quorum() }
+		quorum := func(names []string) bool { return voters.weightOf(names) >= voters.quorum() }
 		for _, one := range subsets(voters) {
 			if len(one) == len(voters)-1 && !quorum(one) {
 				t.Errorf("%d voters: without one of them %v is no quorum", len(voters), one)
@@ -52,7 +52,7 @@
 				if (quorum(one) || len(one) >= heads) && (quorum(other) || len(other) >= heads) && !meet(one, other) {
 					t.Errorf("%d voters: %v and %v decide apart", len(voters), one, other)
 				}
-				if voters.of(one) >= voters.reading() && quorum(other) && !meet(one, other) {
+				if voters.weightOf(one) >= voters.readQuorum() && quorum(other) && !meet(one, other) {
 					t.Errorf("%d voters: %v would not hear of what %v decided", len(voters), one, other)
 				}
 				apart := len(one)+len(other) == len(voters) && !meet(one, other)
@@ -63,7 +63,7 @@
 		}
 		// With any one voter blank, the others together are enough to hear from.
 		for _, blank := range voters {
-			if voters.of(voters)-voters.weight(blank) < voters.reading() {
+			if voters.weightOf(voters)-voters.weight(blank) < voters.readQuorum() {
 				t.Errorf("%d voters: %s could never join again", len(voters), blank)
 			}
 		}
@@ -74,37 +74,37 @@
 func TestRostersThatDiffer(t *testing.T) {
 	simulated := world.New(1)
 	defer simulated.Close()
-	reports, asked := 0, false
+	reports, checked := 0, false
 	simulated.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) {
 		if number == eventlog.VotersDiffer {
 			reports++
 		}
 	}
-	simulated.Start(simulated.Add("a", "a", "a", func(place *world.Place) (host.Table, error) {
-		member, err := Open(Env{Place: place, Book: discovery.New(place, nil, nil), Group: "test", Name: "a", Voters: []string{"a", "b", "c", "d"}, Machine: &heavy{}})
+	simulated.Start(simulated.Add("a", "a", "a", func(h *world.Place) (host.Table, error) {
+		m, err := Open(Config{Host: h, Resolver: discovery.New(h, nil, nil), Group: "test", Name: "a", InitialVoters: []string{"a", "b", "c", "d"}, StateMachine: &largeState{}})
 		if err != nil {
 			return nil, err
 		}
 		for _, voters := range [][]string{{"b", "a", "c", "d"}, {"a", "b", "c"}} {
-			promise, _ := member.answerPromise(&wire.PrepareRequest{Proposal: 9, Voters: voters})
-			tenure, _ := member.answerTenure(&wire.LeaseRequest{Voters: voters})
-			_, unread := member.answerRegisterRead(&wire.RegisterReadRequest{Voters: voters})
-			for _, why := range []string{promise.Reason, tenure.Reason, fmt.Sprint(unread)} {
+			promise, _ := m.handlePrepare(&wire.PrepareRequest{Proposal: 9, Voters: voters})
+			lease, _ := m.handleLease(&wire.LeaseRequest{Voters: voters})
+			_, unread := m.handleRegisterRead(&wire.RegisterReadRequest{Voters: voters})
+			for _, why := range []string{promise.Reason, lease.Reason, fmt.Sprint(unread)} {
 				if !strings.Contains(why, fmt.Sprint(voters)) || !strings.Contains(why, "[a b c d]") {
 					t.Errorf("%v: %q doesn't tell both rosters", voters, why)
 				}
 			}
 		}
 		for _, voters := range [][]string{nil, {"a", "b", "c", "d"}} {
-			if _, err := member.answerRegisterRead(&wire.RegisterReadRequest{Voters: voters}); err != nil {
+			if _, err := m.handleRegisterRead(&wire.RegisterReadRequest{Voters: voters}); err != nil {
 				t.Errorf("%v: %v", voters, err)
 			}
 		}
-		asked = true
+		checked = true
 		return host.Table{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Second)
-	if !asked || reports != 2 {
-		t.Errorf("asked %v, %d reports for two rosters that differ; %v", asked, reports, simulated.Panicked)
+	if !checked || reports != 2 {
+		t.Errorf("asked %v, %d reports for two rosters that differ; %v", checked, reports, simulated.Panicked)
 	}
 }
--- a/internal/replication/copy_test.go
+++ b/internal/replication/replica_test.go
@@ -12,28 +12,28 @@
 )
 
 // heavy is a state that stays large whatever is applied.
-type heavy struct{ content []byte }
+type largeState struct{ content []byte }
 
-func (heavy *heavy) Apply(uint64, monotonic.Micros, []byte) []byte { return nil }
-func (heavy *heavy) View() []byte                                  { return heavy.content }
-func (heavy *heavy) Restore([]byte) error                          { return nil }
-func (heavy *heavy) Waiting() bool                                 { return false }
+func (s *largeState) Apply(uint64, monotonic.Micros, []byte) []byte { return nil }
+func (s *largeState) Snapshot() []byte                              { return s.content }
+func (s *largeState) Restore([]byte) error                          { return nil }
+func (s *largeState) HasTimers() bool                               { return false }
 
 // TestLargeStateIsNotRewrittenWithEveryBatch fills a journal whose view alone is longer than the least length.
 func TestLargeStateIsNotRewrittenWithEveryBatch(t *testing.T) {
 	simulated := world.New(1)
 	stored := 0
-	node := simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
-		member, err := Open(Env{Place: place, Book: discovery.New(place, nil, nil), Group: "test", Name: "one", Voters: []string{"one"},
-			Machine: &heavy{content: bytes.Repeat([]byte("x"), 100<<10)}, CompactFrom: 1 << 10})
+	node := simulated.Add("one", "one", "one", func(h *world.Place) (host.Table, error) {
+		m, err := Open(Config{Host: h, Resolver: discovery.New(h, nil, nil), Group: "test", Name: "one", InitialVoters: []string{"one"},
+			StateMachine: &largeState{content: bytes.Repeat([]byte("x"), 100<<10)}, CompactionThreshold: 1 << 10})
 		if err != nil {
 			return nil, err
 		}
 		for sequence := uint64(1); sequence <= 1000; sequence++ {
 			entry := &wire.Entry{Epoch: 1, Sequence: sequence, Command: bytes.Repeat([]byte("c"), 1<<10)}
-			member.keeper.Do(func() {
-				if err = member.store([]*wire.Entry{entry}); err == nil {
-					member.apply(entry)
+			m.replicaExecutor.Do(func() {
+				if err = m.appendEntries([]*wire.Entry{entry}); err == nil {
+					m.apply(entry)
 					stored++
 				}
 			})
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -21,200 +21,200 @@
 //   - a ballot is accepted only if it is exactly the one promised, in this life, within the last tenure: a voter that
 //     lost its disk thus can't complete a ballot that its older self promised;
 //   - grant is never shortened but by its holder, and no rival of its holder is promised anything before grant.until;
-//   - nothing is promised, accepted or granted before votesFrom, because an earlier life may have granted a tenure;
+//   - nothing is promised, accepted or granted before votesAfter, because an earlier life may have granted a tenure;
 //   - whoever may hold a lease granted here is among record.Grantees, on disk before the grant is answered;
-//   - votesFrom is only cut short while it stands for an earlier life's grants alone, and once each of the grantees is known to be
+//   - votesAfter is only cut short while it stands for an earlier life's grants alone, and once each of the grantees is known to be
 //     over: a lease is held by one life of a process, and ends with it.
 type voter struct {
-	log        *wal.Log
-	record     *wire.RegisterRecord
-	promisedAt monotonic.Micros
-	promisedTo *wire.MemberID // in this life
-	votesFrom  monotonic.Micros
-	inherited  bool // votesFrom stands for an earlier life's grants, of which record.Grantees tells
-	grant      grant
+	log            *wal.Log
+	record         *wire.RegisterRecord
+	promisedAt     monotonic.Micros
+	promisedTo     *wire.MemberID // in this life
+	votesAfter     monotonic.Micros
+	awaitsGrantees bool // votesAfter stands for an earlier life's grants, of which record.Grantees tells
+	grant          leaseGrant
 }
 
-// waitOut has nothing promised before some moment, whatever becomes known.
-func (voter *voter) waitOut(until monotonic.Micros) {
-	voter.votesFrom, voter.inherited = max(voter.votesFrom, until), false
+// deferVotes has nothing promised before some moment, whatever becomes known.
+func (v *voter) deferVotes(until monotonic.Micros) {
+	v.votesAfter, v.awaitsGrantees = max(v.votesAfter, until), false
 }
 
-type grant struct {
+type leaseGrant struct {
 	holder *wire.MemberID
 	until  monotonic.Micros
 }
 
 const registerFile = "register"
 
-func (member *Member) openVoter() error {
-	place := member.env.Place
-	member.voter.record = &wire.RegisterRecord{}
-	log, err := wal.Open(place.Disk(), member.file(registerFile), func(content []byte) error {
+func (m *Member) openVoter() error {
+	h := m.config.Host
+	m.voter.record = &wire.RegisterRecord{}
+	log, err := wal.Open(h.Disk(), m.fileName(registerFile), func(content []byte) error {
 		record := &wire.RegisterRecord{}
 		if err := proto.Unmarshal(content, record); err != nil {
 			return err
 		}
-		member.voter.record = record
+		m.voter.record = record
 		return nil
 	})
-	if isDamaged(err) {
-		place.Report(eventlog.DiskDamaged, map[string]any{"file": member.file(registerFile), "error": err.Error()})
-		member.voter.record = &wire.RegisterRecord{}
-		log, err = wal.Discard(place.Disk(), member.file(registerFile))
+	if isCorrupt(err) {
+		h.Report(eventlog.DiskDamaged, map[string]any{"file": m.fileName(registerFile), "error": err.Error()})
+		m.voter.record = &wire.RegisterRecord{}
+		log, err = wal.Recreate(h.Disk(), m.fileName(registerFile))
 	}
 	if err != nil {
 		return err
 	}
-	if log.Cut > 0 {
-		place.Report(eventlog.DiskTornTail, map[string]any{"file": member.file(registerFile), "bytes": log.Cut})
+	if log.TruncatedBytes > 0 {
+		h.Report(eventlog.DiskTornTail, map[string]any{"file": m.fileName(registerFile), "bytes": log.TruncatedBytes})
 	}
-	member.voter.log = log
-	record := member.voter.record
-	if record.Name != "" && record.Name != member.env.Name {
-		return apierror.Invalid.New("data folder belongs to %s, not to %s", record.Name, member.env.Name)
+	m.voter.log = log
+	record := m.voter.record
+	if record.Name != "" && record.Name != m.config.Name {
+		return apierror.Invalid.New("data folder belongs to %s, not to %s", record.Name, m.config.Name)
 	}
 	// Who votes may stand nowhere but here: after a start of the whole core nobody else could tell.
-	member.learn(record.Accepted, record.Value)
-	member.sawBallot(record.Promised)
-	member.voter.votesFrom, member.voter.inherited = place.Now()+member.env.Tenure, record.Joined && len(record.Grantees) > 0
+	m.observeRegister(record.Accepted, record.Value)
+	m.observeProposal(record.Promised)
+	m.voter.votesAfter, m.voter.awaitsGrantees = h.Now()+m.config.LeaseDuration, record.Joined && len(record.Grantees) > 0
 	if record.Incarnation == 0 {
-		record.Name, record.Incarnation = member.env.Name, place.Random()|1
-		return member.keepRecord(record)
+		record.Name, record.Incarnation = m.config.Name, h.Random()|1
+		return m.saveRecord(record)
 	}
 	return nil
 }
 
-// keepRecord syncs a new register record. On failure the process stops: what the disk holds is unknown.
-func (member *Member) keepRecord(record *wire.RegisterRecord) error {
+// saveRecord syncs a new register record. On failure the process stops: what the disk holds is unknown.
+func (m *Member) saveRecord(record *wire.RegisterRecord) error {
 	content, err := proto.Marshal(record)
 	if err != nil {
 		return err
 	}
-	log := member.voter.log
+	log := m.voter.log
 	if log.Size() > 64<<10 {
 		err = log.Rewrite(content)
 	} else if err = log.Append(content); err == nil {
 		err = log.Sync()
 	}
-	if isFull(err) && member.releaseReserve() {
+	if isDiskFull(err) && m.releaseReserve() {
 		err = log.Rewrite(content)
 	}
 	if err != nil {
-		if isPoisoned(err) {
-			member.stop("register: " + err.Error())
+		if isSyncFailure(err) {
+			m.stop("register: " + err.Error())
 		}
 		return err
 	}
-	member.voter.record = record
-	member.learn(record.Accepted, record.Value)
-	member.sawBallot(record.Promised) // a rival's too: a ballot of one's own must be above it
+	m.voter.record = record
+	m.observeRegister(record.Accepted, record.Value)
+	m.observeProposal(record.Promised) // a rival's too: a ballot of one's own must be above it
 	return nil
 }
 
-func (member *Member) changeRecord(change func(record *wire.RegisterRecord)) error {
-	record := proto.Clone(member.voter.record).(*wire.RegisterRecord)
+func (m *Member) updateRecord(change func(record *wire.RegisterRecord)) error {
+	record := proto.Clone(m.voter.record).(*wire.RegisterRecord)
 	change(record)
-	return member.keepRecord(record)
+	return m.saveRecord(record)
 }
 
-func (member *Member) votes() bool {
-	return member.voter.record.Joined && member.env.Place.Now() >= member.voter.votesFrom
+func (m *Member) canVote() bool {
+	return m.voter.record.Joined && m.config.Host.Now() >= m.voter.votesAfter
 }
 
-func (member *Member) rivalHeld(proposer *wire.MemberID) bool {
-	standing := member.voter.grant
-	return standing.holder != nil && member.env.Place.Now() < standing.until && !sameHolder(standing.holder, proposer)
+func (m *Member) leasedToOther(proposer *wire.MemberID) bool {
+	lease := m.voter.grant
+	return lease.holder != nil && m.config.Host.Now() < lease.until && !sameMember(lease.holder, proposer)
 }
 
-func (member *Member) answerRegisterRead(ask *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
-	tell := &wire.RegisterReadResponse{}
+func (m *Member) handleRegisterRead(request *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
+	response := &wire.RegisterReadResponse{}
 	var why string
-	member.seat.Do(func() {
-		record := member.voter.record
+	m.voterExecutor.Do(func() {
+		record := m.voter.record
 		// A reader by an older roster is told of the newer one. Only settings that differ are a fault.
 		if record.Value == nil {
-			if why = member.differs(ask.Voters); why != "" {
+			if why = m.initialVotersMismatch(request.Voters); why != "" {
 				return
 			}
 		}
-		if present := member.position(); member.copy.incarnation.Load() != 0 {
-			tell.HasReplica, tell.ReplicaEpoch, tell.ReplicaSequence = true, present.epoch, present.sequence
+		if current := m.position(); m.replica.incarnation.Load() != 0 {
+			response.HasReplica, response.ReplicaEpoch, response.ReplicaSequence = true, current.epoch, current.sequence
 		}
-		tell.CanBootstrap, tell.ProcessId = member.env.Genesis, member.life
-		tell.LeaseRemaining, tell.LeaseGrantedTo = member.bound()
-		tell.Intact, tell.Blank = record.Joined, !record.Joined
-		tell.Incarnation, tell.Promised, tell.Accepted, tell.Value = record.Incarnation, record.Promised, record.Accepted, record.Value
+		response.CanBootstrap, response.ProcessId = m.config.Bootstrap, m.processID
+		response.LeaseRemaining, response.LeaseGrantedTo = m.pledge()
+		response.Intact, response.Blank = record.Joined, !record.Joined
+		response.Incarnation, response.Promised, response.Accepted, response.Value = record.Incarnation, record.Promised, record.Accepted, record.Value
 	})
 	if why != "" {
 		return nil, apierror.Invalid.New("%s", why)
 	}
-	return tell, nil
+	return response, nil
 }
 
-func (member *Member) answerPromise(ask *wire.PrepareRequest) (*wire.PrepareResponse, error) {
-	tell := &wire.PrepareResponse{}
+func (m *Member) handlePrepare(request *wire.PrepareRequest) (*wire.PrepareResponse, error) {
+	response := &wire.PrepareResponse{}
 	var err error
-	member.seat.Do(func() {
-		record := member.voter.record
-		tell.Promised, tell.Incarnation = record.Promised, record.Incarnation
-		if tell.Reason = member.outdated(configuration{ask.Voters, ask.JointVoters}, ask.KnownProposal); tell.Reason != "" {
-			tell.Accepted, tell.Value = record.Accepted, record.Value
+	m.voterExecutor.Do(func() {
+		record := m.voter.record
+		response.Promised, response.Incarnation = record.Promised, record.Incarnation
+		if response.Reason = m.configurationMismatch(configuration{request.Voters, request.JointVoters}, request.KnownProposal); response.Reason != "" {
+			response.Accepted, response.Value = record.Accepted, record.Value
 			return
 		}
-		if tell.Reason = member.objection(ask.Proposer, ask.Proposal <= record.Promised); tell.Reason != "" {
+		if response.Reason = m.rejectionReason(request.Proposer, request.Proposal <= record.Promised); response.Reason != "" {
 			return
 		}
-		if err = member.changeRecord(func(record *wire.RegisterRecord) {
-			record.Promised, record.Grantees = ask.Proposal, member.grantees(ask.Proposer.Name, ask.ProcessId)
+		if err = m.updateRecord(func(record *wire.RegisterRecord) {
+			record.Promised, record.Grantees = request.Proposal, m.granteesWith(request.Proposer.Name, request.ProcessId)
 		}); err != nil {
 			return
 		}
-		member.voter.promisedAt, member.voter.promisedTo = member.env.Place.Now(), ask.Proposer
-		record = member.voter.record
-		tell.Granted, tell.Promised, tell.Accepted, tell.Value = true, record.Promised, record.Accepted, record.Value
+		m.voter.promisedAt, m.voter.promisedTo = m.config.Host.Now(), request.Proposer
+		record = m.voter.record
+		response.Granted, response.Promised, response.Accepted, response.Value = true, record.Promised, record.Accepted, record.Value
 	})
-	return tell, err
+	return response, err
 }
 
 // outdated names why an asker's configuration isn't heard: this seat accepted a newer one, which the asker is told, or the two
 // processes' settings differ.
-func (member *Member) outdated(asked configuration, known uint64) string {
-	record := member.voter.record
+func (m *Member) configurationMismatch(requested configuration, known uint64) string {
+	record := m.voter.record
 	switch {
-	case len(asked.voters) == 0 || known > record.Accepted || asked.same(member.configurationOf(record.Value)):
+	case len(requested.voters) == 0 || known > record.Accepted || requested.equal(m.configurationOf(record.Value)):
 		return ""
 	case record.Value == nil || known == 0 && len(record.Value.Voters) == 0:
-		return member.differs(asked.voters)
+		return m.initialVotersMismatch(requested.voters)
 	}
 	return fmt.Sprintf("the voters are others by now: %v", record.Value.Voters)
 }
 
 // differs tells both rosters where an asker's isn't this voter's: by two rosters two parts could each think themselves a
 // quorum.
-func (member *Member) differs(voters []string) string {
-	if len(voters) == 0 || slices.Equal(voters, member.env.Voters) {
+func (m *Member) initialVotersMismatch(voters []string) string {
+	if len(voters) == 0 || slices.Equal(voters, m.config.InitialVoters) {
 		return ""
 	}
-	why := fmt.Sprintf("voters differ: there %v, here %v", voters, member.env.Voters)
-	member.lock.Lock()
-	told := member.told
-	member.told = why
-	member.lock.Unlock()
-	if told != why {
-		member.env.Place.Report(eventlog.VotersDiffer, map[string]any{"group": member.env.Group, "why": why})
+	why := fmt.Sprintf("voters differ: there %v, here %v", voters, m.config.InitialVoters)
+	m.mu.Lock()
+	reported := m.reportedMismatch
+	m.reportedMismatch = why
+	m.mu.Unlock()
+	if reported != why {
+		m.config.Host.Report(eventlog.VotersDiffer, map[string]any{"group": m.config.Group, "why": why})
 	}
 	return why
 }
 
 // objection names why a proposer isn't heard, or nothing.
-func (member *Member) objection(proposer *wire.MemberID, stale bool) string {
+func (m *Member) rejectionReason(proposer *wire.MemberID, stale bool) string {
 	switch {
-	case !member.votes():
+	case !m.canVote():
 		return "not voting yet"
-	case !member.Vigil.Steady():
+	case !m.ClockWatch.Steady():
 		return "the clock may have leapt"
-	case member.rivalHeld(proposer):
+	case m.leasedToOther(proposer):
 		return "a tenure stands"
 	case stale:
 		return "a higher ballot was promised"
@@ -222,84 +222,84 @@
 	return ""
 }
 
-func (member *Member) answerAccept(ask *wire.AcceptRequest) (*wire.AcceptResponse, error) {
-	tell := &wire.AcceptResponse{}
+func (m *Member) handleAccept(request *wire.AcceptRequest) (*wire.AcceptResponse, error) {
+	response := &wire.AcceptResponse{}
 	var err error
-	member.seat.Do(func() {
-		voter := &member.voter
-		tell.Promised = voter.record.Promised
-		fresh := voter.promisedTo != nil && member.env.Place.Now()-voter.promisedAt <= member.env.Tenure
-		if tell.Reason = member.objection(ask.Proposer, ask.Proposal != voter.record.Promised || !fresh || !sameHolder(ask.Proposer, voter.promisedTo)); tell.Reason != "" {
+	m.voterExecutor.Do(func() {
+		v := &m.voter
+		response.Promised = v.record.Promised
+		fresh := v.promisedTo != nil && m.config.Host.Now()-v.promisedAt <= m.config.LeaseDuration
+		if response.Reason = m.rejectionReason(request.Proposer, request.Proposal != v.record.Promised || !fresh || !sameMember(request.Proposer, v.promisedTo)); response.Reason != "" {
 			return
 		}
-		err = member.changeRecord(func(record *wire.RegisterRecord) {
-			record.Accepted, record.Value = ask.Proposal, ask.Value
+		err = m.updateRecord(func(record *wire.RegisterRecord) {
+			record.Accepted, record.Value = request.Proposal, request.Value
 		})
-		tell.Granted = err == nil
+		response.Granted = err == nil
 	})
-	return tell, err
+	return response, err
 }
 
-func (member *Member) answerTenure(ask *wire.LeaseRequest) (*wire.LeaseResponse, error) {
-	tell := &wire.LeaseResponse{}
+func (m *Member) handleLease(request *wire.LeaseRequest) (*wire.LeaseResponse, error) {
+	response := &wire.LeaseResponse{}
 	var err error
-	member.seat.Do(func() {
-		voter := &member.voter
-		tell.Promised, tell.Accepted, tell.Value = voter.record.Promised, voter.record.Accepted, voter.record.Value
-		if ask.Release {
+	m.voterExecutor.Do(func() {
+		v := &m.voter
+		response.Promised, response.Accepted, response.Value = v.record.Promised, v.record.Accepted, v.record.Value
+		if request.Release {
 			// A life that ended may be asking late, and the lease be its process's next one's.
-			if sameHolder(voter.grant.holder, ask.Leader) && sameGrantees(voter.record.Grantees, []*wire.Grantee{{Name: ask.Leader.Name, ProcessId: ask.ProcessId}}) {
-				voter.grant = grant{}
+			if sameMember(v.grant.holder, request.Leader) && sameGrantees(v.record.Grantees, []*wire.Grantee{{Name: request.Leader.Name, ProcessId: request.ProcessId}}) {
+				v.grant = leaseGrant{}
 			}
 			return
 		}
-		if tell.Reason = member.outdated(configuration{ask.Voters, ask.JointVoters}, ask.KnownProposal); tell.Reason != "" {
+		if response.Reason = m.configurationMismatch(configuration{request.Voters, request.JointVoters}, request.KnownProposal); response.Reason != "" {
 			return
 		}
 		// A primary's own ballot, under way or accepted, doesn't stand in the way of its tenure: it's the only one that
 		// can bring that ballot about, and it answers nothing until it knows what came of it.
-		rival := voter.record.Promised > ask.Proposal && !sameHolder(voter.promisedTo, ask.Leader)
-		newer := voter.record.Value != nil && voter.record.Value.Epoch > ask.Epoch && !sameHolder(voter.record.Value.Primary, ask.Leader)
-		if tell.Reason = member.objection(ask.Leader, rival || newer); tell.Reason != "" {
+		rival := v.record.Promised > request.Proposal && !sameMember(v.promisedTo, request.Leader)
+		newer := v.record.Value != nil && v.record.Value.Epoch > request.Epoch && !sameMember(v.record.Value.Primary, request.Leader)
+		if response.Reason = m.rejectionReason(request.Leader, rival || newer); response.Reason != "" {
 			return
 		}
-		if grantees := member.grantees(ask.Leader.Name, ask.ProcessId); !sameGrantees(grantees, voter.record.Grantees) {
-			if err = member.changeRecord(func(record *wire.RegisterRecord) { record.Grantees = grantees }); err != nil {
+		if grantees := m.granteesWith(request.Leader.Name, request.ProcessId); !sameGrantees(grantees, v.record.Grantees) {
+			if err = m.updateRecord(func(record *wire.RegisterRecord) { record.Grantees = grantees }); err != nil {
 				return
 			}
 		}
-		voter.grant = grant{holder: ask.Leader, until: member.env.Place.Now() + member.env.Tenure}
-		tell.Granted = true
-		if ask.Leader.Name != member.env.Name {
-			member.grown()
+		v.grant = leaseGrant{holder: request.Leader, until: m.config.Host.Now() + m.config.LeaseDuration}
+		response.Granted = true
+		if request.Leader.Name != m.config.Name {
+			m.endColdStart()
 		}
-		member.leads(ask.Epoch, ask.Leader.Name)
-		member.catchUp(ask.Leader.Name, ask.KnownProposal)
+		m.hintLeader(request.Epoch, request.Leader.Name)
+		m.catchUpRegister(request.Leader.Name, request.KnownProposal)
 	})
-	return tell, err
+	return response, err
 }
 
 // join brings a process with a blank folder in: at genesis, when every voter of the settings is blank, in contact and there for
 // it; later, where the roster names it, from the register of enough intact others that any majority of the past is among them;
 // and where no roster names it, by asking the primary.
-func (member *Member) join() {
+func (m *Member) joinAsVoter() {
 	// An earlier life of this seat may have accepted a ballot that others haven't yet. Within a tenure they have or never will, so
 	// what is read before that isn't whole.
-	whole := false
-	member.seat.Do(func() { whole = member.env.Place.Now() >= member.voter.votesFrom })
-	others := member.acquaintances()
-	replies := gather(member, others, member.env.Patience, member.read, nil)
-	intact, virgin := []string{}, member.env.Genesis && slices.Contains(member.env.Voters, member.env.Name)
+	waited := false
+	m.voterExecutor.Do(func() { waited = m.config.Host.Now() >= m.voter.votesAfter })
+	others := m.knownPeers()
+	replies := gatherResponses(m, others, m.config.CallTimeout, m.readRegister, nil)
+	intact, bootstrap := []string{}, m.config.Bootstrap && slices.Contains(m.config.InitialVoters, m.config.Name)
 	var highestPromise, highestAccepted uint64
 	var value *wire.RegisterValue
 	for _, name := range others {
 		reply := replies[name]
 		if reply == nil {
-			virgin = virgin && !slices.Contains(member.env.Voters, name)
+			bootstrap = bootstrap && !slices.Contains(m.config.InitialVoters, name)
 			continue
 		}
 		// A promise alone is no value: a first ballot may have failed because this voter hadn't joined yet.
-		virgin = virgin && reply.Accepted == 0 && (reply.CanBootstrap || !slices.Contains(member.env.Voters, name))
+		bootstrap = bootstrap && reply.Accepted == 0 && (reply.CanBootstrap || !slices.Contains(m.config.InitialVoters, name))
 		highestPromise = max(highestPromise, reply.Promised)
 		if !reply.Intact {
 			continue
@@ -309,54 +309,54 @@
 			highestAccepted, value = reply.Accepted, reply.Value
 		}
 	}
-	if !virgin && !whole {
-		member.learn(highestAccepted, value)
+	if !bootstrap && !waited {
+		m.observeRegister(highestAccepted, value)
 		return
 	}
-	present := member.configurationOf(value)
-	if !virgin && !present.has(member.env.Name) {
-		member.learn(highestAccepted, value)
-		member.enroll(false)
+	current := m.configurationOf(value)
+	if !bootstrap && !current.contains(m.config.Name) {
+		m.observeRegister(highestAccepted, value)
+		m.requestJoin(false)
 		return
 	}
-	if !virgin && !present.heard(intact) {
+	if !bootstrap && !current.hasReadQuorum(intact) {
 		return
 	}
-	member.seat.Do(func() {
-		if !virgin {
-			member.voter.waitOut(member.env.Place.Now() + member.env.Tenure)
+	m.voterExecutor.Do(func() {
+		if !bootstrap {
+			m.voter.deferVotes(m.config.Host.Now() + m.config.LeaseDuration)
 		} else {
-			member.voter.votesFrom = member.env.Place.Now()
+			m.voter.votesAfter = m.config.Host.Now()
 		}
-		err := member.changeRecord(func(record *wire.RegisterRecord) {
+		err := m.updateRecord(func(record *wire.RegisterRecord) {
 			record.Joined, record.Promised, record.Accepted, record.Value = true, highestPromise, highestAccepted, value
 		})
 		if err == nil {
-			member.env.Place.Report(eventlog.VoterJoined, map[string]any{"group": member.env.Group, "genesis": virgin, "promised": highestPromise})
+			m.config.Host.Report(eventlog.VoterJoined, map[string]any{"group": m.config.Group, "genesis": bootstrap, "promised": highestPromise})
 		}
 	})
 }
 
-// catchUp asks a primary for a value that this seat has missed, so that it knows whom to ask when the primary is gone.
-func (member *Member) catchUp(primary string, known uint64) {
-	member.lock.Lock()
-	behind := member.valueBallot < known
-	member.lock.Unlock()
-	if behind && primary != member.env.Name {
-		member.env.Place.Go(func() {
-			if reply, err := member.read(primary); err == nil {
-				member.learn(reply.Accepted, reply.Value)
+// catchUpRegister asks a primary for a value that this seat has missed, so that it knows whom to ask when the primary is gone.
+func (m *Member) catchUpRegister(primary string, known uint64) {
+	m.mu.Lock()
+	behind := m.registerProposal < known
+	m.mu.Unlock()
+	if behind && primary != m.config.Name {
+		m.config.Host.Go(func() {
+			if reply, err := m.readRegister(primary); err == nil {
+				m.observeRegister(reply.Accepted, reply.Value)
 			}
 		})
 	}
 }
 
 // read asks another process for its register.
-func (member *Member) read(name string) (*wire.RegisterReadResponse, error) {
-	tell := &wire.RegisterReadResponse{}
-	err := member.call(name, wire.Kind_register_read, &wire.RegisterReadRequest{To: name, From: member.env.Name, Voters: member.env.Voters}, tell)
+func (m *Member) readRegister(name string) (*wire.RegisterReadResponse, error) {
+	response := &wire.RegisterReadResponse{}
+	err := m.call(name, wire.Kind_register_read, &wire.RegisterReadRequest{To: name, From: m.config.Name, Voters: m.config.InitialVoters}, response)
 	if err == nil {
-		member.sighted(name, tell)
+		m.recordPeer(name, response)
 	}
-	return tell, err
+	return response, err
 }
--- a/internal/simulation/scenario/course.go
+++ b/internal/simulation/scenario/course.go
@@ -94,10 +94,10 @@
 		if !node.Up() {
 			continue
 		}
-		if one := mesh.sorters[node.Name]; group == "sorter" && one != nil && one.Member.Answering() {
+		if one := mesh.sorters[node.Name]; group == "sorter" && one != nil && one.Member.Serving() {
 			return node
 		}
-		if one := mesh.masters[node.Name]; group == "postmaster" && one != nil && one.Member.Answering() {
+		if one := mesh.masters[node.Name]; group == "postmaster" && one != nil && one.Member.Serving() {
 			return node
 		}
 	}
@@ -156,8 +156,8 @@
 	}}
 	slowDisk = fault{"slow a core disk", func(mesh *Mesh) {
 		disk := pick(mesh, mesh.allCore()).Disk
-		disk.Delay = mesh.span(100*monotonic.Millisecond, monotonic.Second)
-		mesh.later(mesh.span(monotonic.Second, 8*monotonic.Second), func() { disk.Delay = mesh.sync })
+		disk.SyncDelay = mesh.span(100*monotonic.Millisecond, monotonic.Second)
+		mesh.later(mesh.span(monotonic.Second, 8*monotonic.Second), func() { disk.SyncDelay = mesh.sync })
 	}}
 	fullDisk = fault{"fill a core disk", func(mesh *Mesh) {
 		disk := pick(mesh, mesh.allCore()).Disk
@@ -449,9 +449,9 @@
 		mesh.Outside.Go(func() {
 			_, _ = mesh.Outside.Transact(node.Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
 				if one := mesh.sorters[node.Name]; one != nil {
-					one.Member.HandOver("planned")
+					one.Member.TransferLeadership("planned")
 				} else {
-					mesh.masters[node.Name].Member.HandOver("planned")
+					mesh.masters[node.Name].Member.TransferLeadership("planned")
 				}
 				return nil, nil
 			})
@@ -517,7 +517,7 @@
 		node := pick(mesh, mesh.allCore())
 		mesh.down([]*world.Node{node}, monotonic.Second, mesh.World.Kill)
 		group := strings.SplitN(node.Name, "-", 2)[0]
-		node.Disk.Damage(group+".journal", mesh.World.Chance().IntN(40))
+		node.Disk.Corrupt(group+".journal", mesh.World.Chance().IntN(40))
 	}}
 )
 
@@ -530,7 +530,7 @@
 		}
 	}
 	for _, node := range mesh.coreNodes(mesh.addMachine(seeds)) {
-		node.Disk.Delay = mesh.sync
+		node.Disk.SyncDelay = mesh.sync
 		mesh.World.Start(node)
 	}
 }
@@ -652,7 +652,7 @@
 	result := Result{Seed: seed, Course: course.Name, Taken: map[string][]monotonic.Micros{}}
 	mesh.sync = max(course.Sync, 200)
 	for _, node := range mesh.allCore() {
-		node.Disk.Delay = mesh.sync
+		node.Disk.SyncDelay = mesh.sync
 	}
 	content := course.Content
 	if content == nil {
@@ -728,7 +728,7 @@
 func (mesh *Mesh) heal() {
 	mesh.World.Mend()
 	for _, node := range mesh.World.Nodes() {
-		node.Disk.Capacity, node.Disk.FailSyncs, node.Disk.Delay = 0, 0, mesh.sync
+		node.Disk.Capacity, node.Disk.FailSyncs, node.Disk.SyncDelay = 0, 0, mesh.sync
 		mesh.World.Thaw(node)
 		if mesh.retired[node.Machine] {
 			continue
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -54,7 +54,7 @@
 	sync        monotonic.Micros  // the core disks' ordinary time for a sync
 	lossFrom    monotonic.Micros  // no disk is lost before
 	troubled    map[string]string // carriers whose own network is in trouble, and how
-	adjust      func(*replication.Env)
+	adjust      func(*replication.Config)
 	retired     map[string]bool                                                                     // core machines that are gone for good
 	genesis     map[string][]string                                                                 // the voters of the first start, by group
 	afterWrite  func(node *world.Node, kind wire.Kind)                                              // told of each write that a sorter acknowledges, if set
@@ -89,7 +89,7 @@
 	Bounds configstore.Bounds
 	// Found has the core know its voters at its first start only, as where nobody configures them.
 	Found bool
-	// Copies, Voters and Gone are the core's own settings, its defaults if left out.
+	// Replicas, Voters and Gone are the core's own settings, its defaults if left out.
 	Copies, Voters int
 	Gone           monotonic.Micros
 	// Domains are the core machines' failure domains, in their order; none are known if left out.
@@ -242,10 +242,10 @@
 		mesh.started[name] = true
 		book.Register(table)
 		place.Go(func() { book.Roam(monotonic.Second) })
-		adjust := func(env *replication.Env) {
-			env.CompactFrom, env.Unwitnessed = 8<<10, mesh.breakage.TrustClock
-			env.Unleased, env.Unheld, env.Abandon = mesh.breakage.NoLease, mesh.breakage.AnySuccessor, mesh.breakage.Abandon
-			env.Copies, env.Size, env.Gone = mesh.sizes.Copies, mesh.sizes.Voters, mesh.sizes.Gone
+		adjust := func(env *replication.Config) {
+			env.CompactionThreshold, env.UnverifiedClock = 8<<10, mesh.breakage.TrustClock
+			env.IgnoreLease, env.AnyVoterMayLead, env.LeaveAtOnce = mesh.breakage.NoLease, mesh.breakage.AnySuccessor, mesh.breakage.Abandon
+			env.Replicas, env.VoterCount, env.VoterTimeout = mesh.sizes.Copies, mesh.sizes.Voters, mesh.sizes.Gone
 			if len(mesh.sizes.Domains) > 0 {
 				env.Zone = book.Domain
 			}
@@ -262,7 +262,7 @@
 				return nil, err
 			}
 			mesh.sorters[name] = one
-			one.Member.Vigil.Trusting(mesh.breakage.TrustClock)
+			one.Member.ClockWatch.Trusting(mesh.breakage.TrustClock)
 			one.Register(table)
 			mesh.listen(place.Node(), table)
 			mesh.direct(name, table)
@@ -275,7 +275,7 @@
 			return nil, err
 		}
 		mesh.masters[name], mesh.doors[name] = one, api.NewStore(place, book)
-		one.Member.Vigil.Trusting(mesh.breakage.TrustClock)
+		one.Member.ClockWatch.Trusting(mesh.breakage.TrustClock)
 		one.Register(table)
 		mesh.overhear(table)
 		one.Start()
@@ -476,7 +476,7 @@
 		for {
 			mesh.Outside.Sleep(100 * monotonic.Millisecond)
 			for _, name := range slices.Sorted(maps.Keys(mesh.sorters)) {
-				if !mesh.World.Node(name).Up() || !mesh.sorters[name].Member.Answering() {
+				if !mesh.World.Node(name).Up() || !mesh.sorters[name].Member.Serving() {
 					continue
 				}
 				for _, record := range mesh.sorters[name].Guards() {
--- a/internal/simulation/scenario/return_test.go
+++ b/internal/simulation/scenario/return_test.go
@@ -26,7 +26,7 @@
 func quickCore(seed uint64, cores int) *Mesh {
 	mesh := Build(seed, Sizes{Cores: cores, Carriers: 1, Zones: 1, Backends: 1}, Breakage{})
 	mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
-	mesh.adjust = func(env *replication.Env) { env.Tenure = 600 * monotonic.Millisecond }
+	mesh.adjust = func(env *replication.Config) { env.LeaseDuration = 600 * monotonic.Millisecond }
 	for _, node := range mesh.allCore() {
 		mesh.World.Kill(node)
 		mesh.World.Start(node)
@@ -155,7 +155,7 @@
 		settled int
 	}{
 		{"gone", func(mesh *Mesh, node *world.Node) { mesh.World.Freeze(node, monotonic.Minute) }, 0, 350 * monotonic.Millisecond, 1},
-		{"slow", func(mesh *Mesh, node *world.Node) { node.Disk.Delay = 280 * monotonic.Millisecond }, 280 * monotonic.Millisecond, 350 * monotonic.Millisecond, 0},
+		{"slow", func(mesh *Mesh, node *world.Node) { node.Disk.SyncDelay = 280 * monotonic.Millisecond }, 280 * monotonic.Millisecond, 350 * monotonic.Millisecond, 0},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/scenario/round_test.go
+++ b/internal/simulation/scenario/round_test.go
@@ -191,7 +191,7 @@
 func slowAndDown(slow, down int, sync monotonic.Micros) fault {
 	return fault{"slow one core machine and end another", func(mesh *Mesh) {
 		for _, node := range mesh.coreNodes(mesh.cores[slow]) {
-			node.Disk.Delay = sync
+			node.Disk.SyncDelay = sync
 		}
 		for _, node := range mesh.coreNodes(mesh.cores[down]) {
 			mesh.World.Kill(node)
@@ -283,7 +283,7 @@
 			node := mesh.leader("postmaster")
 			mesh.Outside.Go(func() {
 				_, _ = mesh.Outside.Transact(node.Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
-					mesh.masters[node.Name].Member.HandOver("planned")
+					mesh.masters[node.Name].Member.TransferLeadership("planned")
 					return nil, nil
 				})
 				mesh.World.At(mesh.World.Now(), func() { mesh.World.Kill(node) })
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -251,7 +251,7 @@
 				case node == primary || node.Name != left && !one.majority:
 					mesh.World.Kill(node)
 				default:
-					node.Disk.Delay = 5 * monotonic.Second // so that no ballot comes to an end
+					node.Disk.SyncDelay = 5 * monotonic.Second // so that no ballot comes to an end
 				}
 			}
 			node := mesh.World.Node(mesh.carriers[0])
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -179,8 +179,8 @@
 		chance: rand.New(rand.NewPCG(world.chance.Uint64(), world.chance.Uint64()))}
 	node.offset = monotonic.Micros(world.chance.Uint64N(uint64(10 * monotonic.Minute)))
 	node.drift = (world.chance.Float64() - 0.5) / 5000 // up to 100 parts in a million
-	node.Disk.Tear = func(length int) int { return world.chance.IntN(length + 1) }
-	node.Disk.Wait = func(span monotonic.Micros) {
+	node.Disk.TornLength = func(length int) int { return world.chance.IntN(length + 1) }
+	node.Disk.Sleep = func(span monotonic.Micros) {
 		if world.current == nil {
 			return
 		}
@@ -245,7 +245,7 @@
 // LoseDisk kills a node and empties its disk.
 func (world *World) LoseDisk(node *Node) {
 	world.Kill(node)
-	node.Disk.Lose()
+	node.Disk.Wipe()
 }
 
 // Freeze stops a node for a while; everything it would have done happens late.
--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -186,7 +186,7 @@
 		if core.Epoch >= newest[core.Group].Epoch {
 			newest[core.Group] = core
 		}
-		if core.Answering {
+		if core.Serving {
 			primaries[core.Group] = append(primaries[core.Group], core.Name)
 		}
 	}
@@ -203,11 +203,11 @@
 		}
 		// A witness may lag: a quorum decides without it, and it asks when it's to decide itself.
 		latest := newest[core.Group]
-		if core.Epoch+1 < latest.Epoch && slices.Contains(latest.Copies(), core.Name) {
+		if core.Epoch+1 < latest.Epoch && slices.Contains(latest.ReplicaNames(), core.Name) {
 			found = append(found, Finding{Level: Watch, What: fmt.Sprintf("%s knows epoch %d, others %d", core.Name, core.Epoch, latest.Epoch),
 				Advice: "check the network between it and the other core machines"})
 		}
-		if core.Answering && !core.Settled {
+		if core.Serving && !core.BackupsInSync {
 			found = append(found, Finding{Level: Ill, What: core.Name + " leads without a backup in step", Advice: "start another core machine of the group"})
 		}
 	}
@@ -279,7 +279,7 @@
 // answering is the sorter that answers, which alone shows guards.
 func answering(mesh Mesh) (registry.Status, bool) {
 	for _, name := range slices.Sorted(maps.Keys(mesh.Sorters)) {
-		if status := mesh.Sorters[name]; status.Core.Answering {
+		if status := mesh.Sorters[name]; status.Core.Serving {
 			return status, true
 		}
 	}
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -15,7 +15,7 @@
 func healthy() Mesh {
 	mesh := Mesh{Postmasters: map[string]configstore.Status{}, Sorters: map[string]registry.Status{}, Asked: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
-		core := replication.Status{Joined: true, Epoch: 4, Settled: true, Answering: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.Asked}
+		core := replication.Status{Joined: true, Epoch: 4, BackupsInSync: true, Serving: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.Asked}
 		master, registry := configstore.Status{Core: core, Serial: 3}, registry.Status{Core: core, Now: int64(monotonic.Minute)}
 		master.Core.Primary, master.Core.Backup = "postmaster-1", "postmaster-2"
 		registry.Core.Primary, registry.Core.Backup = "sorter-1", "sorter-2"
@@ -49,10 +49,10 @@
 			delete(mesh.Sorters, "sorter-2")
 		}},
 		{"copies", Ill, "0 sorters answer", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.Answering = false })
+			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.Serving = false })
 		}},
 		{"copies", Ill, "2 sorters answer", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Core.Answering = true })
+			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Core.Serving = true })
 		}},
 		{"copies", Watch, "knows epoch 1", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Core.Epoch = 1 })
@@ -129,7 +129,7 @@
 		}},
 		{"no backup in step", "no primary answers", machine, func(mesh Mesh) {
 			for name := range mesh.Sorters {
-				spoilSorter(mesh, name, func(status *registry.Status) { status.Core.Settled = false })
+				spoilSorter(mesh, name, func(status *registry.Status) { status.Core.BackupsInSync = false })
 			}
 		}},
 	} {
--- a/internal/snowctl/doctor/sight.go
+++ b/internal/snowctl/doctor/sight.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		what := fmt.Sprintf("from this desk %v can be seen and %v can't", present.seen, present.missing)
-		if replication.Decides(present.voters, present.seen) {
+		if replication.HasQuorum(present.voters, present.seen) {
 			findings = append(findings, Finding{Watch, "split", what + ": those seen can decide", "bring the others back, or their way to these; until then no further machine may go"})
 		} else {
 			findings = append(findings, Finding{Ill, "split", what + ": those seen can't decide", "ask a desk on the other side, which may go on; bring the ways between them back"})
@@ -77,19 +77,19 @@
 		}
 		newest, answering := replication.Status{}, 0
 		for _, name := range present.seen {
-			if member := present.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Answering {
+			if member := present.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
 				newest = member
 			}
 		}
 		for _, name := range present.seen {
 			member := present.members[name]
-			if member.Answering {
+			if member.Serving {
 				answering++
 			}
 			if !member.Joined && !slices.Contains(names, name) {
 				object("%s has not joined again yet", name)
 			}
-			copies := slices.Contains(newest.Copies(), name) // a witness may lag: whoever decides asks others too
+			copies := slices.Contains(newest.ReplicaNames(), name) // a witness may lag: whoever decides asks others too
 			if copies && member.Epoch != newest.Epoch && !slices.Contains(names, name) {
 				object("%s is behind, at epoch %d of %d", name, member.Epoch, newest.Epoch)
 			}
@@ -99,10 +99,10 @@
 				object("%s doesn't answer", name)
 			}
 		}
-		if answering != 1 || !newest.Settled {
+		if answering != 1 || !newest.BackupsInSync {
 			object("no primary answers with a backup in step")
 		}
-		for _, name := range newest.Copies() {
+		for _, name := range newest.ReplicaNames() {
 			if _, seen := present.members[name]; !seen && !slices.Contains(names, name) {
 				object("the copy at %q can't be seen", name)
 			}
--- a/internal/snowctl/rollout/rollout.go
+++ b/internal/snowctl/rollout/rollout.go
@@ -22,7 +22,7 @@
 // Look finds the primary among what the postmasters told.
 func Look(statuses map[string]configstore.Status) (Progress, bool) {
 	for name, status := range statuses {
-		if !status.Core.Answering {
+		if !status.Core.Serving {
 			continue
 		}
 		progress := Progress{Primary: name, Version: status.Serial, Nodes: slices.Clone(status.Holders)}
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -7,9 +7,9 @@
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncFolder() error
-	// Free tells the bytes left, for the doctor and for early handover.
-	Free() (uint64, error)
+	SyncDirectory() error
+	// FreeBytes tells the bytes left, for the doctor and for early handover.
+	FreeBytes() (uint64, error)
 }
 
 // File is one file. What was written lasts only once Sync has returned nil.
@@ -21,11 +21,11 @@
 	Close() error
 }
 
-// ErrFull marks a disk without room.
-var ErrFull = errors.New("wal: disk full")
+// ErrDiskFull marks a disk without room.
+var ErrDiskFull = errors.New("wal: disk full")
 
-// ErrPoisoned marks a log whose sync failed: what it holds on disk is unknown, so it's not used again in this life.
-var ErrPoisoned = errors.New("wal: a sync failed, the file is not to be trusted")
+// ErrSyncFailed marks a log whose sync failed: what it holds on disk is unknown, so it's not used again in this life.
+var ErrSyncFailed = errors.New("wal: a sync failed, the file is not to be trusted")
 
-// ErrDamaged marks a file with damage before its synced end. The copy is to be discarded.
-var ErrDamaged = errors.New("wal: damage before the end of the file")
+// ErrCorrupt marks a file with damage before its synced end. The copy is to be discarded.
+var ErrCorrupt = errors.New("wal: damage before the end of the file")
--- a/internal/wal/folder/folder.go
+++ b/internal/wal/folder/folder.go
@@ -20,15 +20,17 @@
 	prefix string
 	lock   *os.File
 	// linger is added to each sync, to rehearse a slow disk.
-	linger time.Duration
+	syncDelay time.Duration
 }
 
 // Open makes and locks the folder. A second process on it is turned away. linger is added to each sync.
-func Open(path string, linger time.Duration) (*Folder, error) { return OpenShared(path, "", linger) }
+func Open(path string, syncDelay time.Duration) (*Folder, error) {
+	return OpenShared(path, "", syncDelay)
+}
 
 // OpenShared makes the folder and locks an owner's part of it, where a machine has one folder for several programs. No folder
 // is made inside it.
-func OpenShared(path, owner string, linger time.Duration) (*Folder, error) {
+func OpenShared(path, owner string, syncDelay time.Duration) (*Folder, error) {
 	prefix := ""
 	if owner != "" {
 		prefix = owner + "-"
@@ -43,84 +45,84 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return nil, errors.Join(fmt.Errorf("data folder %s is held by another process: %w", path, err), lock.Close())
 	}
-	return &Folder{path: path, prefix: prefix, lock: lock, linger: linger}, nil
+	return &Folder{path: path, prefix: prefix, lock: lock, syncDelay: syncDelay}, nil
 }
 
 // Open opens or makes a file.
-func (folder *Folder) Open(name string) (wal.File, error) {
-	file, err := os.OpenFile(filepath.Join(folder.path, folder.prefix+name), os.O_CREATE|os.O_RDWR, 0o640)
+func (f *Folder) Open(name string) (wal.File, error) {
+	file, err := os.OpenFile(filepath.Join(f.path, f.prefix+name), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
-		return nil, full(err)
+		return nil, wrapDiskFull(err)
 	}
-	return &handle{file: file, linger: folder.linger}, nil
+	return &handle{file: file, syncDelay: f.syncDelay}, nil
 }
 
 // Rename moves a file over another.
-func (folder *Folder) Rename(from, to string) error {
-	return os.Rename(filepath.Join(folder.path, folder.prefix+from), filepath.Join(folder.path, folder.prefix+to))
+func (f *Folder) Rename(from, to string) error {
+	return os.Rename(filepath.Join(f.path, f.prefix+from), filepath.Join(f.path, f.prefix+to))
 }
 
 // Remove removes a file; a missing one is fine.
-func (folder *Folder) Remove(name string) error {
-	if err := os.Remove(filepath.Join(folder.path, folder.prefix+name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+func (f *Folder) Remove(name string) error {
+	if err := os.Remove(filepath.Join(f.path, f.prefix+name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	return nil
 }
 
-// SyncFolder makes renames and removals last.
-func (folder *Folder) SyncFolder() error {
-	if folder.linger > 0 {
-		time.Sleep(folder.linger)
+// SyncDirectory makes renames and removals last.
+func (f *Folder) SyncDirectory() error {
+	if f.syncDelay > 0 {
+		time.Sleep(f.syncDelay)
 	}
-	directory, err := os.Open(folder.path)
+	directory, err := os.Open(f.path)
 	if err != nil {
 		return err
 	}
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// Free tells the bytes left.
-func (folder *Folder) Free() (uint64, error) {
+// FreeBytes tells the bytes left.
+func (f *Folder) FreeBytes() (uint64, error) {
 	var status syscall.Statfs_t
-	if err := syscall.Statfs(folder.path, &status); err != nil {
+	if err := syscall.Statfs(f.path, &status); err != nil {
 		return 0, err
 	}
 	return status.Bavail * uint64(status.Bsize), nil
 }
 
 type handle struct {
-	file   *os.File
-	linger time.Duration
+	file      *os.File
+	syncDelay time.Duration
 }
 
-func (handle *handle) ReadAll() ([]byte, error) {
-	if _, err := handle.file.Seek(0, io.SeekStart); err != nil {
+func (h *handle) ReadAll() ([]byte, error) {
+	if _, err := h.file.Seek(0, io.SeekStart); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(handle.file)
+	return io.ReadAll(h.file)
 }
 
-func (handle *handle) WriteAt(content []byte, offset int64) error {
-	_, err := handle.file.WriteAt(content, offset)
-	return full(err)
+func (h *handle) WriteAt(content []byte, offset int64) error {
+	_, err := h.file.WriteAt(content, offset)
+	return wrapDiskFull(err)
 }
 
-func (handle *handle) Truncate(size int64) error { return handle.file.Truncate(size) }
+func (h *handle) Truncate(size int64) error { return h.file.Truncate(size) }
 
-func (handle *handle) Sync() error {
-	if handle.linger > 0 {
-		time.Sleep(handle.linger)
+func (h *handle) Sync() error {
+	if h.syncDelay > 0 {
+		time.Sleep(h.syncDelay)
 	}
-	return handle.file.Sync()
+	return h.file.Sync()
 }
 
-func (handle *handle) Close() error { return handle.file.Close() }
+func (h *handle) Close() error { return h.file.Close() }
 
 // full tells a disk, a quota or a file limit that is used up from other trouble.
-func full(err error) error {
+func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
-		return fmt.Errorf("%w: %w", wal.ErrFull, err)
+		return fmt.Errorf("%w: %w", wal.ErrDiskFull, err)
 	}
 	return err
 }
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -14,24 +14,24 @@
 // Disk is one simulated folder.
 //
 // Invariants: durable holds what a power loss leaves, content what the process sees; a rename or removal is only
-// durable after SyncFolder; used counts content's bytes.
+// durable after SyncDirectory; used counts content's bytes.
 type Disk struct {
 	files map[string]*file
 	// folder is the durable directory: names to files.
-	folder map[string]*file
+	durableFiles map[string]*file
 	// Capacity bounds the bytes, zero for no bound.
 	Capacity int
-	// Delay is how long a sync takes; Wait is called with it.
-	Delay monotonic.Micros
-	Wait  func(monotonic.Micros)
+	// SyncDelay is how long a sync takes; Wait is called with it.
+	SyncDelay monotonic.Micros
+	Sleep     func(monotonic.Micros)
 	// FailSyncs makes the next syncs fail.
 	FailSyncs int
 	// Renames counts how often a file took another's place.
 	Renames int
 	// IgnoreSyncs makes syncs do nothing while saying that they did; it's there to show that checkers see it.
 	IgnoreSyncs bool
-	// Tear is called at a power loss with the unsynced tail's length, and gives how much of it lasts.
-	Tear func(length int) int
+	// TornLength is called at a power loss with the unsynced tail's length, and gives how much of it lasts.
+	TornLength func(length int) int
 }
 
 type file struct {
@@ -41,103 +41,103 @@
 
 // New makes an empty disk.
 func New() *Disk {
-	return &Disk{files: map[string]*file{}, folder: map[string]*file{}, Wait: func(monotonic.Micros) {}, Tear: func(int) int { return 0 }}
+	return &Disk{files: map[string]*file{}, durableFiles: map[string]*file{}, Sleep: func(monotonic.Micros) {}, TornLength: func(int) int { return 0 }}
 }
 
 // PowerLoss leaves only what was synced, and perhaps a part of an unsynced tail.
-func (disk *Disk) PowerLoss() {
-	disk.files = map[string]*file{}
+func (d *Disk) PowerLoss() {
+	d.files = map[string]*file{}
 	// By name: Tear draws from the run's chance, and a replay must draw in the same order.
-	for _, name := range slices.Sorted(maps.Keys(disk.folder)) {
-		kept := disk.folder[name]
-		content := append([]byte(nil), kept.durable...)
-		if tail := len(kept.content) - len(kept.durable); tail > 0 && len(kept.durable) <= len(kept.content) {
-			content = append(content, kept.content[len(kept.durable):len(kept.durable)+disk.Tear(tail)]...)
+	for _, name := range slices.Sorted(maps.Keys(d.durableFiles)) {
+		stored := d.durableFiles[name]
+		content := append([]byte(nil), stored.durable...)
+		if tail := len(stored.content) - len(stored.durable); tail > 0 && len(stored.durable) <= len(stored.content) {
+			content = append(content, stored.content[len(stored.durable):len(stored.durable)+d.TornLength(tail)]...)
 		}
-		disk.files[name] = &file{content: content, durable: append([]byte(nil), content...)}
-		disk.folder[name] = disk.files[name]
+		d.files[name] = &file{content: content, durable: append([]byte(nil), content...)}
+		d.durableFiles[name] = d.files[name]
 	}
 }
 
-// Lose empties the disk.
-func (disk *Disk) Lose() {
-	disk.files, disk.folder = map[string]*file{}, map[string]*file{}
+// Wipe empties the disk.
+func (d *Disk) Wipe() {
+	d.files, d.durableFiles = map[string]*file{}, map[string]*file{}
 }
 
-// Damage flips a byte of a file where it lies.
-func (disk *Disk) Damage(name string, offset int) {
-	if present := disk.files[name]; present != nil && offset < len(present.content) {
-		present.content[offset] ^= 0x55
-		if offset < len(present.durable) {
-			present.durable[offset] ^= 0x55
+// Corrupt flips a byte of a file where it lies.
+func (d *Disk) Corrupt(name string, offset int) {
+	if existing := d.files[name]; existing != nil && offset < len(existing.content) {
+		existing.content[offset] ^= 0x55
+		if offset < len(existing.durable) {
+			existing.durable[offset] ^= 0x55
 		}
 	}
 }
 
 // Size is a file's length, as the process sees it.
-func (disk *Disk) Size(name string) int {
-	if present := disk.files[name]; present != nil {
-		return len(present.content)
+func (d *Disk) Size(name string) int {
+	if existing := d.files[name]; existing != nil {
+		return len(existing.content)
 	}
 	return 0
 }
 
-func (disk *Disk) used() (total int) {
-	for _, present := range disk.files {
-		total += len(present.content)
+func (d *Disk) used() (total int) {
+	for _, existing := range d.files {
+		total += len(existing.content)
 	}
 	return total
 }
 
 // Open opens or makes a file.
-func (disk *Disk) Open(name string) (wal.File, error) {
-	if disk.files[name] == nil {
-		disk.files[name] = &file{}
+func (d *Disk) Open(name string) (wal.File, error) {
+	if d.files[name] == nil {
+		d.files[name] = &file{}
 	}
-	return &handle{disk: disk, file: disk.files[name]}, nil
+	return &handle{disk: d, file: d.files[name]}, nil
 }
 
 // Rename moves a file over another.
-func (disk *Disk) Rename(from, to string) error {
-	if disk.files[from] == nil {
+func (d *Disk) Rename(from, to string) error {
+	if d.files[from] == nil {
 		return fmt.Errorf("no file %s", from)
 	}
-	disk.Renames++
-	disk.files[to] = disk.files[from]
-	delete(disk.files, from)
+	d.Renames++
+	d.files[to] = d.files[from]
+	delete(d.files, from)
 	return nil
 }
 
 // Remove removes a file; a missing one is fine.
-func (disk *Disk) Remove(name string) error {
-	delete(disk.files, name)
+func (d *Disk) Remove(name string) error {
+	delete(d.files, name)
 	return nil
 }
 
-// SyncFolder makes names last.
-func (disk *Disk) SyncFolder() error {
-	if err := disk.sync(); err != nil {
+// SyncDirectory makes names last.
+func (d *Disk) SyncDirectory() error {
+	if err := d.sync(); err != nil {
 		return err
 	}
-	disk.folder = map[string]*file{}
-	for name, present := range disk.files {
-		disk.folder[name] = present
+	d.durableFiles = map[string]*file{}
+	for name, existing := range d.files {
+		d.durableFiles[name] = existing
 	}
 	return nil
 }
 
-// Free tells the bytes left.
-func (disk *Disk) Free() (uint64, error) {
-	if disk.Capacity == 0 {
+// FreeBytes tells the bytes left.
+func (d *Disk) FreeBytes() (uint64, error) {
+	if d.Capacity == 0 {
 		return 1 << 40, nil
 	}
-	return uint64(max(0, disk.Capacity-disk.used())), nil
+	return uint64(max(0, d.Capacity-d.used())), nil
 }
 
-func (disk *Disk) sync() error {
-	disk.Wait(disk.Delay)
-	if disk.FailSyncs > 0 {
-		disk.FailSyncs--
+func (d *Disk) sync() error {
+	d.Sleep(d.SyncDelay)
+	if d.FailSyncs > 0 {
+		d.FailSyncs--
 		return errors.New("input/output error")
 	}
 	return nil
@@ -148,41 +148,41 @@
 	file *file
 }
 
-func (handle *handle) ReadAll() ([]byte, error) {
-	return append([]byte(nil), handle.file.content...), nil
+func (h *handle) ReadAll() ([]byte, error) {
+	return append([]byte(nil), h.file.content...), nil
 }
 
-func (handle *handle) WriteAt(content []byte, offset int64) error {
-	grown := int(offset) + len(content) - len(handle.file.content)
-	if grown > 0 && handle.disk.Capacity > 0 && handle.disk.used()+grown > handle.disk.Capacity {
-		return wal.ErrFull
+func (h *handle) WriteAt(content []byte, offset int64) error {
+	growth := int(offset) + len(content) - len(h.file.content)
+	if growth > 0 && h.disk.Capacity > 0 && h.disk.used()+growth > h.disk.Capacity {
+		return wal.ErrDiskFull
 	}
-	if grown > 0 {
-		handle.file.content = append(handle.file.content, make([]byte, grown)...)
+	if growth > 0 {
+		h.file.content = append(h.file.content, make([]byte, growth)...)
 	}
-	copy(handle.file.content[offset:], content)
+	copy(h.file.content[offset:], content)
 	return nil
 }
 
-func (handle *handle) Truncate(size int64) error {
-	handle.file.content = handle.file.content[:size]
+func (h *handle) Truncate(size int64) error {
+	h.file.content = h.file.content[:size]
 	return nil
 }
 
-func (handle *handle) Sync() error {
+func (h *handle) Sync() error {
 	// What is written while the sync runs is not part of it.
-	reached := append([]byte(nil), handle.file.content...)
-	if err := handle.disk.sync(); err != nil {
+	snapshot := append([]byte(nil), h.file.content...)
+	if err := h.disk.sync(); err != nil {
 		return err
 	}
-	if handle.disk.IgnoreSyncs {
+	if h.disk.IgnoreSyncs {
 		return nil
 	}
-	handle.file.durable = reached
+	h.file.durable = snapshot
 	return nil
 }
 
-func (handle *handle) Close() error { return nil }
+func (h *handle) Close() error { return nil }
 
 // Used tells how many bytes the disk holds.
-func (disk *Disk) Used() int { return disk.used() }
+func (d *Disk) Used() int { return d.used() }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -9,13 +9,13 @@
 	"hash/crc32"
 )
 
-// recordMark begins each record.
-const recordMark uint32 = 0x534e4f57
+// recordMagic begins each record.
+const recordMagic uint32 = 0x534e4f57
 
 const (
-	headerLength = 32
-	// Longest is the longest record that is read back.
-	Longest = 64 << 20
+	headerSize = 32
+	// MaxRecordSize is the longest record that is read back.
+	MaxRecordSize = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -23,15 +23,15 @@
 // Log is an append-only file of records. It has one owner; it isn't safe for two tasks at once.
 // Invariants: records on disk are numbered without gaps from 1; synced <= last; size is the offset behind the last record.
 type Log struct {
-	disk     Disk
-	name     string
-	file     File
-	size     int64
-	last     uint64
-	synced   uint64
-	poisoned bool
-	// Cut tells how many bytes of a torn tail were cut when it was opened.
-	Cut int64
+	disk       Disk
+	name       string
+	file       File
+	size       int64
+	last       uint64
+	synced     uint64
+	syncFailed bool
+	// TruncatedBytes tells how many bytes of a torn tail were cut when it was opened.
+	TruncatedBytes int64
 }
 
 // Open reads a log and gives its records to visit, oldest first.
@@ -44,160 +44,160 @@
 	if err != nil {
 		return nil, err
 	}
-	log := &Log{disk: disk, name: name, file: file}
+	l := &Log{disk: disk, name: name, file: file}
 	content, err := file.ReadAll()
 	if err != nil {
 		return nil, err
 	}
 	offset := int64(0)
 	for offset < int64(len(content)) {
-		number, payload, length, valid := parse(content[offset:])
-		if !valid || number != log.last+1 {
-			if evidence := syncedBeyond(content[offset:], log.last); evidence {
-				return nil, fmt.Errorf("%w: %s at byte %d", ErrDamaged, name, offset)
+		number, payload, length, valid := decodeRecord(content[offset:])
+		if !valid || number != l.last+1 {
+			if corrupt := hasSyncedRecordAfter(content[offset:], l.last); corrupt {
+				return nil, fmt.Errorf("%w: %s at byte %d", ErrCorrupt, name, offset)
 			}
-			log.Cut = int64(len(content)) - offset
+			l.TruncatedBytes = int64(len(content)) - offset
 			break
 		}
 		if err := visit(payload); err != nil {
-			return nil, fmt.Errorf("%w: %s at byte %d: %w", ErrDamaged, name, offset, err)
+			return nil, fmt.Errorf("%w: %s at byte %d: %w", ErrCorrupt, name, offset, err)
 		}
-		log.last = number
+		l.last = number
 		offset += length
 	}
-	log.size = offset
-	if log.Cut > 0 {
+	l.size = offset
+	if l.TruncatedBytes > 0 {
 		if err := file.Truncate(offset); err != nil {
 			return nil, err
 		}
 	}
 	// What was read may never have been synced; it's counted as kept only once it has been.
-	if err := errors.Join(file.Sync(), disk.SyncFolder()); err != nil {
+	if err := errors.Join(file.Sync(), disk.SyncDirectory()); err != nil {
 		return nil, err
 	}
-	log.synced = log.last
-	return log, nil
+	l.synced = l.last
+	return l, nil
 }
 
-func parse(content []byte) (number uint64, payload []byte, length int64, valid bool) {
-	if len(content) < headerLength || binary.LittleEndian.Uint32(content) != recordMark {
+func decodeRecord(content []byte) (number uint64, payload []byte, length int64, valid bool) {
+	if len(content) < headerSize || binary.LittleEndian.Uint32(content) != recordMagic {
 		return 0, nil, 0, false
 	}
 	number = binary.LittleEndian.Uint64(content[8:])
 	size := int64(binary.LittleEndian.Uint32(content[24:]))
-	if size > Longest || headerLength+size > int64(len(content)) {
+	if size > MaxRecordSize || headerSize+size > int64(len(content)) {
 		return 0, nil, 0, false
 	}
-	payload = content[headerLength : headerLength+size]
-	sum := crc32.Update(crc32.Checksum(content[8:headerLength], castagnoli), castagnoli, payload)
-	return number, payload, headerLength + size, sum == binary.LittleEndian.Uint32(content[4:])
+	payload = content[headerSize : headerSize+size]
+	sum := crc32.Update(crc32.Checksum(content[8:headerSize], castagnoli), castagnoli, payload)
+	return number, payload, headerSize + size, sum == binary.LittleEndian.Uint32(content[4:])
 }
 
-// syncedBeyond looks past a bad record for a whole one that was written when the bad one was already synced.
-func syncedBeyond(content []byte, last uint64) bool {
-	for offset := 1; offset+headerLength <= len(content); offset++ {
-		if binary.LittleEndian.Uint32(content[offset:]) != recordMark {
+// hasSyncedRecordAfter looks past a bad record for a whole one that was written when the bad one was already synced.
+func hasSyncedRecordAfter(content []byte, last uint64) bool {
+	for offset := 1; offset+headerSize <= len(content); offset++ {
+		if binary.LittleEndian.Uint32(content[offset:]) != recordMagic {
 			continue
 		}
-		if _, _, _, valid := parse(content[offset:]); valid && binary.LittleEndian.Uint64(content[offset+16:]) > last {
+		if _, _, _, valid := decodeRecord(content[offset:]); valid && binary.LittleEndian.Uint64(content[offset+16:]) > last {
 			return true
 		}
 	}
 	return false
 }
 
-func frame(number, synced uint64, payload []byte) []byte {
-	record := make([]byte, headerLength, headerLength+len(payload))
-	binary.LittleEndian.PutUint32(record, recordMark)
+func encodeRecord(number, synced uint64, payload []byte) []byte {
+	record := make([]byte, headerSize, headerSize+len(payload))
+	binary.LittleEndian.PutUint32(record, recordMagic)
 	binary.LittleEndian.PutUint64(record[8:], number)
 	binary.LittleEndian.PutUint64(record[16:], synced)
 	binary.LittleEndian.PutUint32(record[24:], uint32(len(payload)))
-	sum := crc32.Update(crc32.Checksum(record[8:headerLength], castagnoli), castagnoli, payload)
+	sum := crc32.Update(crc32.Checksum(record[8:headerSize], castagnoli), castagnoli, payload)
 	binary.LittleEndian.PutUint32(record[4:], sum)
 	return append(record, payload...)
 }
 
 // Append writes records behind the last one. They last only after Sync.
-func (log *Log) Append(payloads ...[]byte) error {
-	if log.poisoned {
-		return ErrPoisoned
+func (l *Log) Append(payloads ...[]byte) error {
+	if l.syncFailed {
+		return ErrSyncFailed
 	}
 	var content []byte
 	for index, payload := range payloads {
-		content = append(content, frame(log.last+1+uint64(index), log.synced, payload)...)
+		content = append(content, encodeRecord(l.last+1+uint64(index), l.synced, payload)...)
 	}
-	if err := log.file.WriteAt(content, log.size); err != nil {
+	if err := l.file.WriteAt(content, l.size); err != nil {
 		// A part may have been written; it's cut so that the next append starts clean.
-		if cutErr := log.file.Truncate(log.size); cutErr != nil {
-			log.poisoned = true
+		if cutErr := l.file.Truncate(l.size); cutErr != nil {
+			l.syncFailed = true
 		}
 		return err
 	}
-	log.size += int64(len(content))
-	log.last += uint64(len(payloads))
+	l.size += int64(len(content))
+	l.last += uint64(len(payloads))
 	return nil
 }
 
 // Sync makes all that was appended last. A failed sync poisons the log.
-func (log *Log) Sync() error {
-	if log.poisoned {
-		return ErrPoisoned
+func (l *Log) Sync() error {
+	if l.syncFailed {
+		return ErrSyncFailed
 	}
-	last := log.last
-	if err := log.file.Sync(); err != nil {
-		log.poisoned = true
-		return fmt.Errorf("%w: %w", ErrPoisoned, err)
+	last := l.last
+	if err := l.file.Sync(); err != nil {
+		l.syncFailed = true
+		return fmt.Errorf("%w: %w", ErrSyncFailed, err)
 	}
-	log.synced = last
+	l.synced = last
 	return nil
 }
 
 // Size is the length of the file in bytes.
-func (log *Log) Size() int64 { return log.size }
+func (l *Log) Size() int64 { return l.size }
 
 // Rewrite replaces the file by one that holds just these records, synced before it takes the old one's place.
-func (log *Log) Rewrite(payloads ...[]byte) error {
-	if log.poisoned {
-		return ErrPoisoned
+func (l *Log) Rewrite(payloads ...[]byte) error {
+	if l.syncFailed {
+		return ErrSyncFailed
 	}
-	fresh := log.name + ".new"
-	if err := log.disk.Remove(fresh); err != nil {
+	fresh := l.name + ".new"
+	if err := l.disk.Remove(fresh); err != nil {
 		return err
 	}
-	file, err := log.disk.Open(fresh)
+	file, err := l.disk.Open(fresh)
 	if err != nil {
 		return err
 	}
 	var content []byte
 	for index, payload := range payloads {
-		content = append(content, frame(uint64(index+1), 0, payload)...)
+		content = append(content, encodeRecord(uint64(index+1), 0, payload)...)
 	}
 	if err := errors.Join(file.WriteAt(content, 0), file.Sync()); err != nil {
-		return errors.Join(err, file.Close(), log.disk.Remove(fresh))
+		return errors.Join(err, file.Close(), l.disk.Remove(fresh))
 	}
 	// From here on the name may stand for either file, so a failure leaves the log unusable in this life.
-	if err := errors.Join(log.disk.Rename(fresh, log.name), log.disk.SyncFolder()); err != nil {
-		log.poisoned = true
-		return fmt.Errorf("%w: %w", ErrPoisoned, err)
+	if err := errors.Join(l.disk.Rename(fresh, l.name), l.disk.SyncDirectory()); err != nil {
+		l.syncFailed = true
+		return fmt.Errorf("%w: %w", ErrSyncFailed, err)
 	}
-	old := log.file
-	log.file, log.size, log.last, log.synced = file, int64(len(content)), uint64(len(payloads)), uint64(len(payloads))
+	old := l.file
+	l.file, l.size, l.last, l.synced = file, int64(len(content)), uint64(len(payloads)), uint64(len(payloads))
 	return old.Close()
 }
 
 // Close closes the file.
-func (log *Log) Close() error { return log.file.Close() }
+func (l *Log) Close() error { return l.file.Close() }
 
-// Discard removes a damaged log's file and opens an empty one in its place.
-func Discard(disk Disk, name string) (*Log, error) {
-	if err := errors.Join(disk.Remove(name), disk.SyncFolder()); err != nil {
+// Recreate removes a damaged log's file and opens an empty one in its place.
+func Recreate(disk Disk, name string) (*Log, error) {
+	if err := errors.Join(disk.Remove(name), disk.SyncDirectory()); err != nil {
 		return nil, err
 	}
 	return Open(disk, name, func([]byte) error { return nil })
 }
 
-// Reserve keeps a file of this many bytes, which ReleaseReserve gives up when the disk is full and a rewrite must fit.
-func Reserve(disk Disk, size int) error {
+// ReserveSpace keeps a file of this many bytes, which ReleaseReservedSpace gives up when the disk is full and a rewrite must fit.
+func ReserveSpace(disk Disk, size int) error {
 	file, err := disk.Open("reserve")
 	if err != nil {
 		return err
@@ -209,5 +209,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// ReleaseReserve gives the reserved bytes back to the disk.
-func ReleaseReserve(disk Disk) error { return errors.Join(disk.Remove("reserve"), disk.SyncFolder()) }
+// ReleaseReservedSpace gives the reserved bytes back to the disk.
+func ReleaseReservedSpace(disk Disk) error {
+	return errors.Join(disk.Remove("reserve"), disk.SyncDirectory())
+}
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -12,54 +12,54 @@
 func open(t *testing.T, disk *memory.Disk) (*wal.Log, []string, error) {
 	t.Helper()
 	var records []string
-	log, err := wal.Open(disk, "log", func(content []byte) error {
+	l, err := wal.Open(disk, "log", func(content []byte) error {
 		records = append(records, string(content))
 		return nil
 	})
-	return log, records, err
+	return l, records, err
 }
 
 func fill(t *testing.T, disk *memory.Disk, count int) *wal.Log {
 	t.Helper()
-	log, _, err := open(t, disk)
+	l, _, err := open(t, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for index := range count {
-		if err := errors.Join(log.Append([]byte(fmt.Sprintf("record %d", index))), log.Sync()); err != nil {
+		if err := errors.Join(l.Append([]byte(fmt.Sprintf("record %d", index))), l.Sync()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return log
+	return l
 }
 
 // TestTornTailIsCutAtEveryLength writes one more record without a sync and lets a power loss keep each part of it.
 func TestTornTailIsCutAtEveryLength(t *testing.T) {
-	const whole = 32 + len("unsynced")
-	for kept := 0; kept <= whole; kept++ {
+	const fullLength = 32 + len("unsynced")
+	for storedBytes := 0; storedBytes <= fullLength; storedBytes++ {
 		disk := memory.New()
-		log := fill(t, disk, 3)
-		if err := log.Append([]byte("unsynced")); err != nil {
+		l := fill(t, disk, 3)
+		if err := l.Append([]byte("unsynced")); err != nil {
 			t.Fatal(err)
 		}
-		disk.Tear = func(int) int { return kept }
+		disk.TornLength = func(int) int { return storedBytes }
 		disk.PowerLoss()
-		log, records, err := open(t, disk)
+		l, records, err := open(t, disk)
 		if err != nil {
-			t.Fatalf("kept %d: %v", kept, err)
+			t.Fatalf("kept %d: %v", storedBytes, err)
 		}
 		want := 3
-		if kept == whole {
+		if storedBytes == fullLength {
 			want = 4
 		}
-		if len(records) != want || (kept > 0 && kept < whole) != (log.Cut > 0) {
-			t.Fatalf("kept %d: %q, cut %d", kept, records, log.Cut)
+		if len(records) != want || (storedBytes > 0 && storedBytes < fullLength) != (l.TruncatedBytes > 0) {
+			t.Fatalf("kept %d: %q, cut %d", storedBytes, records, l.TruncatedBytes)
 		}
-		if err := errors.Join(log.Append([]byte("next")), log.Sync()); err != nil {
+		if err := errors.Join(l.Append([]byte("next")), l.Sync()); err != nil {
 			t.Fatal(err)
 		}
 		if _, again, err := open(t, disk); err != nil || len(again) != want+1 {
-			t.Fatalf("kept %d: after appending %q %v", kept, again, err)
+			t.Fatalf("kept %d: after appending %q %v", storedBytes, again, err)
 		}
 	}
 }
@@ -75,10 +75,10 @@
 	for offset := range length {
 		disk := memory.New()
 		fill(t, disk, 4)
-		disk.Damage("log", offset)
+		disk.Corrupt("log", offset)
 		_, records, err := open(t, disk)
 		last := length * 3 / 4
-		if offset < last && !errors.Is(err, wal.ErrDamaged) {
+		if offset < last && !errors.Is(err, wal.ErrCorrupt) {
 			t.Fatalf("byte %d: damage was not seen: %q %v", offset, records, err)
 		}
 	}
@@ -86,35 +86,35 @@
 
 func TestFailedSyncPoisons(t *testing.T) {
 	disk := memory.New()
-	log := fill(t, disk, 1)
-	if err := log.Append([]byte("lost")); err != nil {
+	l := fill(t, disk, 1)
+	if err := l.Append([]byte("lost")); err != nil {
 		t.Fatal(err)
 	}
 	disk.FailSyncs = 1
-	if err := log.Sync(); !errors.Is(err, wal.ErrPoisoned) {
+	if err := l.Sync(); !errors.Is(err, wal.ErrSyncFailed) {
 		t.Fatal(err)
 	}
-	if err := log.Sync(); !errors.Is(err, wal.ErrPoisoned) {
+	if err := l.Sync(); !errors.Is(err, wal.ErrSyncFailed) {
 		t.Fatalf("a second sync must not look as if it mended the first: %v", err)
 	}
-	if err := log.Append([]byte("more")); !errors.Is(err, wal.ErrPoisoned) {
+	if err := l.Append([]byte("more")); !errors.Is(err, wal.ErrSyncFailed) {
 		t.Fatal(err)
 	}
 }
 
-func TestRewriteLeavesOldOrNewWhole(t *testing.T) {
+func TestRewriteIsAtomic(t *testing.T) {
 	disk := memory.New()
-	log := fill(t, disk, 5)
-	if err := log.Rewrite([]byte("all of it")); err != nil {
+	l := fill(t, disk, 5)
+	if err := l.Rewrite([]byte("all of it")); err != nil {
 		t.Fatal(err)
 	}
 	disk.PowerLoss()
 	if _, records, err := open(t, disk); err != nil || len(records) != 1 || records[0] != "all of it" {
 		t.Fatalf("%q %v", records, err)
 	}
-	log, _, _ = open(t, disk)
+	l, _, _ = open(t, disk)
 	disk.FailSyncs = 1
-	if err := log.Rewrite([]byte("newer")); err == nil {
+	if err := l.Rewrite([]byte("newer")); err == nil {
 		t.Fatal("a rewrite whose file was not synced must fail")
 	}
 	disk.PowerLoss()
@@ -125,13 +125,13 @@
 
 func TestFullDiskKeepsWhatWasThere(t *testing.T) {
 	disk := memory.New()
-	log := fill(t, disk, 2)
+	l := fill(t, disk, 2)
 	disk.Capacity = disk.Size("log") + 10
-	if err := log.Append([]byte("does not fit")); !errors.Is(err, wal.ErrFull) {
+	if err := l.Append([]byte("does not fit")); !errors.Is(err, wal.ErrDiskFull) {
 		t.Fatal(err)
 	}
 	disk.Capacity = 0
-	if err := errors.Join(log.Append([]byte("fits")), log.Sync()); err != nil {
+	if err := errors.Join(l.Append([]byte("fits")), l.Sync()); err != nil {
 		t.Fatal(err)
 	}
 	if _, records, err := open(t, disk); err != nil || len(records) != 3 {
