--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -24,16 +24,16 @@
 	objects := archive.Open(filepath.Join(home.Values["data"], "desired.git"), func(err error) {
 		home.Place.Report(eventlog.ObjectStoreTrouble, map[string]any{"error": err.Error()})
 	})
-	store, err := configstore.Open(configstore.Env{Place: home.Place, Book: home.Book, Name: home.Values["name"], Voters: home.Values.List("voters"),
-		Genesis: slices.Contains(home.Values.List("voters"), home.Values["name"]),
-		Kept:    objects.Keep, Adopted: home.TakeUp()})
+	store, err := configstore.Open(configstore.Options{Host: home.Place, Resolver: home.Book, Name: home.Values["name"], Voters: home.Values.List("voters"),
+		Bootstrap:  slices.Contains(home.Values.List("voters"), home.Values["name"]),
+		OnAccepted: objects.Enqueue, OnAdopted: home.TakeUp()})
 	if err != nil {
 		return err
 	}
 	store.Register(home.Table)
 	home.CoreGauges(store.Member)
 	pages := api.New(home.Place, home.Book, home.Metrics(), func() any { return store.Status() }, config.Parse)
-	if err := home.HTTP(home.Values["desk"], api.Server(pages)); err != nil {
+	if err := home.HTTP(home.Values["desk"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	store.Start()
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -26,7 +26,7 @@
 		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(mover.Passage.Running()) }},
 		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(mover.Gate.Running()) }},
 		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: mover.Hutch.Ejected},
-		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { serial, _ := mover.Desk.Serial(); return float64(serial) }},
+		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { serial, _ := mover.Desk.Version(); return float64(serial) }},
 	})
 	backDoor := backendapi.New(home.Place, mover, home.Metrics(), home.Stop)
 	if err := home.HTTP(home.Values["desk"], ingress.Server(backDoor)); err != nil {
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -28,7 +28,7 @@
 	pages.Handle("/metrics", home.Metrics())
 	pages.Handle("/local", daemon.Page(func() any { return registry.Status() }))
 	pages.Handle("/live", daemon.Page(func() any { return map[string]bool{"live": true} }))
-	if err := home.HTTP(home.Values["desk"], api.Server(pages)); err != nil {
+	if err := home.HTTP(home.Values["desk"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	registry.Start()
--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -62,7 +62,7 @@
 // keep hands states to an archive and waits until it holds so many commits.
 func keep(t *testing.T, path string, states []*wire.StoredConfig) (contents, hashes []string) {
 	t.Helper()
-	archive.Open(path, func(err error) { t.Error(err) }).Keep(states)
+	archive.Open(path, func(err error) { t.Error(err) }).Enqueue(states)
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if contents, hashes = archived(t, path); len(contents) == len(states) {
 			return contents, hashes
--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -57,7 +57,7 @@
 }
 
 func openConfigStore(process *process, config openConfig) (*replication.Member, error) {
-	opened, err := configstore.Open(configstore.Env{Place: config.place, Book: config.book, Name: config.name, Voters: memberNames, Genesis: true, Adjust: config.adjust})
+	opened, err := configstore.Open(configstore.Options{Host: config.place, Resolver: config.book, Name: config.name, Voters: memberNames, Bootstrap: true, AdjustReplication: config.adjust})
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 	place       *world.Place
 	member      *replication.Member
 	registry    *registry.Sorter
-	configStore *configstore.Postmaster
+	configStore *configstore.Server
 }
 
 // cluster is a group's three members in a simulated world, which is at the mercy of the test alone.
--- a/internal/config/changes/changes.go
+++ b/internal/config/changes/changes.go
@@ -25,9 +25,9 @@
 
 // The kinds of resources, as their keys begin.
 const (
-	Route   = "route"
-	Service = "service"
-	Path    = "path"
+	KindRoute   = "route"
+	KindService = "service"
+	KindPath    = "path"
 )
 
 var deterministic = proto.MarshalOptions{Deterministic: true}
@@ -39,62 +39,62 @@
 	return written
 }
 
-func routeResource(route *wire.Route) (*Resource, error) {
-	return resource.New(Route+"/"+route.Name, route)
+func newRouteResource(route *wire.Route) (*Resource, error) {
+	return resource.New(KindRoute+"/"+route.Name, route)
 }
-func serviceResource(service *wire.ServiceInForce) (*Resource, error) {
-	return resource.New(Service+"/"+service.Name, service)
+func newServiceResource(service *wire.ServiceInForce) (*Resource, error) {
+	return resource.New(KindService+"/"+service.Name, service)
 }
-func pathResource(path *wire.ServicePath) (*Resource, error) {
-	return resource.New(Path+"/"+path.GetPath().GetMethod()+" "+path.GetPath().GetPrefix(), path)
+func newPathResource(path *wire.ServicePath) (*Resource, error) {
+	return resource.New(KindPath+"/"+path.GetPath().GetMethod()+" "+path.GetPath().GetPrefix(), path)
 }
 
-// ErrDoubtful: a desired state is no set of resources. Check refuses such states, but a build that checked less may have accepted one.
-var ErrDoubtful = resource.ErrDoubtful
+// ErrInvalidSet: a desired state is no set of resources. Check refuses such states, but a build that checked less may have accepted one.
+var ErrInvalidSet = resource.ErrInvalidSet
 
-// Read takes a desired state apart. What it holds must not be changed afterwards.
-func Read(state *wire.DesiredState) (*Set, error) {
-	var read []*Resource
-	var faults []error
-	note := func(one *Resource, err error) {
-		read, faults = append(read, one), append(faults, err)
+// NewSet takes a desired state apart. What it holds must not be changed afterwards.
+func NewSet(state *wire.DesiredState) (*Set, error) {
+	var resources []*Resource
+	var problems []error
+	add := func(one *Resource, err error) {
+		resources, problems = append(resources, one), append(problems, err)
 	}
-	services, places := map[string]bool{}, map[string]bool{}
-	place := func(host, method, prefix string) {
+	services, claimed := map[string]bool{}, map[string]bool{}
+	claimMatch := func(host, method, prefix string) {
 		at := host + " " + methodOf(method) + " " + prefix
-		if places[at] {
-			faults = append(faults, fmt.Errorf("%w: %s is there twice", ErrDoubtful, at))
+		if claimed[at] {
+			problems = append(problems, fmt.Errorf("%w: %s is there twice", ErrInvalidSet, at))
 		}
-		places[at] = true
+		claimed[at] = true
 	}
 	for _, group := range state.Groups {
 		for _, service := range group.Services {
-			inForce := config.InForce(group, service)
+			effective := config.EffectiveService(group, service)
 			services[service.Name] = true
-			note(serviceResource(&wire.ServiceInForce{Name: inForce.Name, Group: inForce.Group, Guard: inForce.Guard, Retry: inForce.Retry, Limits: inForce.Limits}))
+			add(newServiceResource(&wire.ServiceInForce{Name: effective.Name, Group: effective.Group, Guard: effective.Breaker, Retry: effective.Retry, Limits: effective.Limits}))
 			for _, path := range service.Paths {
-				place("", path.Method, path.Prefix)
-				note(pathResource(&wire.ServicePath{Service: service.Name, Path: path}))
+				claimMatch("", path.Method, path.Prefix)
+				add(newPathResource(&wire.ServicePath{Service: service.Name, Path: path}))
 			}
 		}
 	}
 	for _, route := range state.Routes {
-		place(route.Host, route.Method, route.Prefix)
+		claimMatch(route.Host, route.Method, route.Prefix)
 		sum := uint64(0)
 		for _, share := range route.Split {
 			if sum += uint64(share.Weight); !services[share.Service] {
-				faults = append(faults, fmt.Errorf("%w: route %q leads to service %q, which isn't there", ErrDoubtful, route.Name, share.Service))
+				problems = append(problems, fmt.Errorf("%w: route %q leads to service %q, which isn't there", ErrInvalidSet, route.Name, share.Service))
 			}
 		}
 		if sum == 0 {
-			faults = append(faults, fmt.Errorf("%w: route %q leads nowhere", ErrDoubtful, route.Name))
+			problems = append(problems, fmt.Errorf("%w: route %q leads nowhere", ErrInvalidSet, route.Name))
 		}
-		note(routeResource(route))
+		add(newRouteResource(route))
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(problems...); err != nil {
 		return nil, err
 	}
-	return (&Set{}).With(read, nil, len(read))
+	return (&Set{}).With(resources, nil, len(resources))
 }
 
 // Difference is in what a version differs from another, each list in the order of the keys.
@@ -119,23 +119,23 @@
 // kinds is what differs by the kind of a resource: how it's told, and how a view is told that it's gone. A service that only changed
 // isn't gone: the view finds its former self by its name.
 var kinds = map[string]struct {
-	tell func(told *wire.Difference, message proto.Message)
-	gone func(change *config.Change, message proto.Message, removed bool)
+	appendTo     func(encoded *wire.Difference, message proto.Message)
+	recordFormer func(change *config.Change, message proto.Message, removed bool)
 }{
-	Route: {func(told *wire.Difference, message proto.Message) {
-		told.Routes = append(told.Routes, message.(*wire.Route))
+	KindRoute: {func(encoded *wire.Difference, message proto.Message) {
+		encoded.Routes = append(encoded.Routes, message.(*wire.Route))
 	},
 		func(change *config.Change, message proto.Message, _ bool) {
-			change.GoneRoutes = append(change.GoneRoutes, message.(*wire.Route))
+			change.RemovedRoutes = append(change.RemovedRoutes, message.(*wire.Route))
 		}},
-	Path: {func(told *wire.Difference, message proto.Message) {
-		told.Paths = append(told.Paths, message.(*wire.ServicePath))
+	KindPath: {func(encoded *wire.Difference, message proto.Message) {
+		encoded.Paths = append(encoded.Paths, message.(*wire.ServicePath))
 	},
 		func(change *config.Change, message proto.Message, _ bool) {
-			change.GonePaths = append(change.GonePaths, message.(*wire.ServicePath))
+			change.RemovedPaths = append(change.RemovedPaths, message.(*wire.ServicePath))
 		}},
-	Service: {func(told *wire.Difference, message proto.Message) {
-		told.Services = append(told.Services, message.(*wire.ServiceInForce))
+	KindService: {func(encoded *wire.Difference, message proto.Message) {
+		encoded.Services = append(encoded.Services, message.(*wire.ServiceInForce))
 	},
 		func(change *config.Change, message proto.Message, removed bool) {
 			if removed {
@@ -145,99 +145,99 @@
 }
 
 // resources are those that a difference sets.
-func resources(told *wire.Difference) (put []*Resource, err error) {
-	var faults []error
-	note := func(one *Resource, err error) { put, faults = append(put, one), append(faults, err) }
-	for _, route := range told.Routes {
-		note(routeResource(route))
+func resources(encoded *wire.Difference) (updated []*Resource, err error) {
+	var problems []error
+	add := func(one *Resource, err error) { updated, problems = append(updated, one), append(problems, err) }
+	for _, route := range encoded.Routes {
+		add(newRouteResource(route))
 	}
-	for _, service := range told.Services {
-		note(serviceResource(service))
+	for _, service := range encoded.Services {
+		add(newServiceResource(service))
 	}
-	for _, path := range told.Paths {
-		note(pathResource(path))
+	for _, path := range encoded.Paths {
+		add(newPathResource(path))
 	}
-	return put, errors.Join(faults...)
+	return updated, errors.Join(problems...)
 }
 
-// Change is what a base's view has to change for a difference from that base.
-func Change(base *Set, difference *Difference) *config.Change {
+// SnapshotChange is what a base's view has to change for a difference from that base.
+func SnapshotChange(base *Set, difference *Difference) *config.Change {
 	change := &config.Change{}
-	put := &wire.Difference{}
+	updated := &wire.Difference{}
 	for _, one := range slices.Concat(difference.Added, difference.Changed) {
-		kinds[one.Kind()].tell(put, one.Message)
+		kinds[one.Kind()].appendTo(updated, one.Message)
 		if former := base.Get(one.Key); former != nil {
-			kinds[former.Kind()].gone(change, former.Message, false)
+			kinds[former.Kind()].recordFormer(change, former.Message, false)
 		}
 	}
 	for _, one := range difference.Removed {
-		kinds[one.Kind()].gone(change, one.Message, true)
+		kinds[one.Kind()].recordFormer(change, one.Message, true)
 	}
-	change.Routes, change.Services, change.Paths = put.Routes, put.Services, put.Paths
+	change.Routes, change.Services, change.Paths = updated.Routes, updated.Services, updated.Paths
 	return change
 }
 
 // Encode gives a difference as it's sent, for the version that it leads to.
 func Encode(difference *Difference, version uint64, contentDigest string) ([]byte, error) {
-	told := &wire.Difference{Base: difference.base[:], Digest: difference.digest[:], Version: version, ContentDigest: contentDigest}
+	encoded := &wire.Difference{Base: difference.base[:], Digest: difference.digest[:], Version: version, ContentDigest: contentDigest}
 	for _, one := range slices.Concat(difference.Added, difference.Changed) {
-		kinds[one.Kind()].tell(told, one.Message)
+		kinds[one.Kind()].appendTo(encoded, one.Message)
 	}
 	for _, one := range difference.Removed {
-		told.Removed = append(told.Removed, one.Key)
+		encoded.Removed = append(encoded.Removed, one.Key)
 	}
-	return deterministic.Marshal(told)
+	return deterministic.Marshal(encoded)
 }
 
 // The ways in which a difference is refused. Nothing of it is applied then.
 var (
-	ErrUnreadable = errors.New("changes: the difference can't be read")
-	ErrBase       = errors.New("changes: the difference is from another base")
-	ErrDigest     = errors.New("changes: the result isn't what the difference says")
+	ErrMalformed      = errors.New("changes: the difference can't be read")
+	ErrBaseMismatch   = errors.New("changes: the difference is from another base")
+	ErrDigestMismatch = errors.New("changes: the result isn't what the difference says")
 )
 
-// Step is a difference that was applied: the next version, and what a view has to change for it.
-type Step struct {
-	Set           *Set
-	Version       uint64
-	ContentDigest string
-	Resources     int // in which the two versions differ
-	Change        *config.Change
+// ApplyResult is a difference that was applied: the next version, and what a view has to change for it.
+type ApplyResult struct {
+	Set              *Set
+	Version          uint64
+	ContentDigest    string
+	ResourcesChanged int // in which the two versions differ
+	Change           *config.Change
 }
 
 // Apply makes the next version of a base and a difference as it was sent, or refuses it whole.
-func Apply(base *Set, content []byte) (*Step, error) {
-	told := &wire.Difference{}
-	if err := proto.Unmarshal(content, told); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
+func Apply(base *Set, content []byte) (*ApplyResult, error) {
+	encoded := &wire.Difference{}
+	if err := proto.Unmarshal(content, encoded); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if !bytes.Equal(told.Base, base.Digest()) {
-		return nil, ErrBase
+	if !bytes.Equal(encoded.Base, base.Digest()) {
+		return nil, ErrBaseMismatch
 	}
-	put, err := resources(told)
+	updated, err := resources(encoded)
 	if err != nil {
 		return nil, err
 	}
-	difference, size := &Difference{}, base.Len()-len(told.Removed)
-	for _, one := range put {
+	difference, size := &Difference{}, base.Len()-len(encoded.Removed)
+	for _, one := range updated {
 		if base.Get(one.Key) == nil {
 			size++
 		}
 	}
-	difference.Changed = put
-	for _, key := range told.Removed {
+	difference.Changed = updated
+	for _, key := range encoded.Removed {
 		former := base.Get(key)
 		if former == nil {
-			return nil, fmt.Errorf("%w: %s is to be removed and isn't there", ErrDigest, key)
+			return nil, fmt.Errorf("%w: %s is to be removed and isn't there", ErrDigestMismatch, key)
 		}
 		difference.Removed = append(difference.Removed, former)
 	}
-	next, err := base.With(put, told.Removed, size)
+	next, err := base.With(updated, encoded.Removed, size)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDigest, err)
+		return nil, fmt.Errorf("%w: %w", ErrDigestMismatch, err)
 	}
-	if !bytes.Equal(told.Digest, next.Digest()) {
-		return nil, ErrDigest
+	if !bytes.Equal(encoded.Digest, next.Digest()) {
+		return nil, ErrDigestMismatch
 	}
-	return &Step{Set: next, Version: told.Version, ContentDigest: told.ContentDigest, Resources: len(put) + len(told.Removed), Change: Change(base, difference)}, nil
+	return &ApplyResult{Set: next, Version: encoded.Version, ContentDigest: encoded.ContentDigest, ResourcesChanged: len(updated) + len(encoded.Removed), Change: SnapshotChange(base, difference)}, nil
 }
--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -17,19 +17,19 @@
 )
 
 // made is a random valid state of few names, so that two of them have much in common.
-func made(chance *rand.Rand) *wire.DesiredState {
-	pick := func(words ...string) string { return words[chance.IntN(len(words))] }
-	state := &wire.DesiredState{Note: fmt.Sprint(chance.Int())}
+func randomState(random *rand.Rand) *wire.DesiredState {
+	pick := func(words ...string) string { return words[random.IntN(len(words))] }
+	state := &wire.DesiredState{Note: fmt.Sprint(random.Int())}
 	var services []string
 	for _, name := range []string{"north", "south"} {
-		group := &wire.Group{Name: name, Guard: &wire.Breaker{WindowCalls: proto.Uint32(50 + uint32(chance.IntN(2)))}}
-		for index := range 2 + chance.IntN(4) {
+		group := &wire.Group{Name: name, Guard: &wire.Breaker{WindowCalls: proto.Uint32(50 + uint32(random.IntN(2)))}}
+		for index := range 2 + random.IntN(4) {
 			service := &wire.Service{Name: fmt.Sprint(name, "-", index)}
-			if chance.IntN(3) == 0 {
-				service.Retry = &wire.Retry{MostTries: proto.Uint32(1 + uint32(chance.IntN(3)))}
+			if random.IntN(3) == 0 {
+				service.Retry = &wire.Retry{MostTries: proto.Uint32(1 + uint32(random.IntN(3)))}
 			}
-			if chance.IntN(2) == 0 {
-				service.Paths = []*wire.Path{{Method: pick("GET", "POST"), Prefix: "/" + service.Name, Class: wire.Path_Class(1 + chance.IntN(2))}}
+			if random.IntN(2) == 0 {
+				service.Paths = []*wire.Path{{Method: pick("GET", "POST"), Prefix: "/" + service.Name, Class: wire.Path_Class(1 + random.IntN(2))}}
 			}
 			services = append(services, service.Name)
 			group.Services = append(group.Services, service)
@@ -37,17 +37,17 @@
 		state.Groups = append(state.Groups, group)
 	}
 	for number := range 30 {
-		if chance.IntN(4) == 0 {
+		if random.IntN(4) == 0 {
 			continue
 		}
-		route := &wire.Route{Name: fmt.Sprint("r-", number), Host: pick("", "x", "y"), Method: pick("", "GET"), Prefix: fmt.Sprintf("/r/%d/", number), Class: wire.Path_Class(1 + chance.IntN(3)),
-			Split: []*wire.Share{{Service: pick(services...), Weight: 1 + uint32(chance.IntN(3))}}}
-		if chance.IntN(3) == 0 {
-			route.Split = append(route.Split, &wire.Share{Service: pick(services...), Weight: uint32(chance.IntN(3))})
-			route.CutoffMicros = proto.Int64(1 + int64(chance.IntN(3)))
+		route := &wire.Route{Name: fmt.Sprint("r-", number), Host: pick("", "x", "y"), Method: pick("", "GET"), Prefix: fmt.Sprintf("/r/%d/", number), Class: wire.Path_Class(1 + random.IntN(3)),
+			Split: []*wire.Share{{Service: pick(services...), Weight: 1 + uint32(random.IntN(3))}}}
+		if random.IntN(3) == 0 {
+			route.Split = append(route.Split, &wire.Share{Service: pick(services...), Weight: uint32(random.IntN(3))})
+			route.CutoffMicros = proto.Int64(1 + int64(random.IntN(3)))
 		}
-		if chance.IntN(4) == 0 { // the same place under another name in another state: a route renamed
-			route.Name = fmt.Sprint("s-", chance.IntN(4)*100+number)
+		if random.IntN(4) == 0 { // the same place under another name in another state: a route renamed
+			route.Name = fmt.Sprint("s-", random.IntN(4)*100+number)
 		}
 		state.Routes = append(state.Routes, route)
 	}
@@ -55,10 +55,10 @@
 }
 
 // altered is a state a few steps on from another.
-func altered(chance *rand.Rand, state *wire.DesiredState) *wire.DesiredState {
+func mutate(random *rand.Rand, state *wire.DesiredState) *wire.DesiredState {
 	next := proto.CloneOf(state)
 	steps := []func(at int){
-		func(at int) { next.Routes[at].Priority = proto.Uint32(uint32(chance.IntN(9))) },
+		func(at int) { next.Routes[at].Priority = proto.Uint32(uint32(random.IntN(9))) },
 		func(at int) { next.Routes[at].Name += "-renamed" },
 		func(at int) { next.Routes[at].Split[0].Weight++ },
 		func(at int) { next.Routes[at].Split[0].Service = next.Groups[0].Services[0].Name },
@@ -66,15 +66,15 @@
 		func(at int) { next.Routes[at].Host = "y" },
 		func(int) { next.Groups[0].Services[0].Retry = &wire.Retry{MostTries: proto.Uint32(2)} },
 	}
-	for range 1 + chance.IntN(4) {
-		steps[chance.IntN(len(steps))](chance.IntN(len(next.Routes)))
+	for range 1 + random.IntN(4) {
+		steps[random.IntN(len(steps))](random.IntN(len(next.Routes)))
 	}
 	return next
 }
 
 func read(t testing.TB, state *wire.DesiredState) *changes.Set {
 	t.Helper()
-	set, err := changes.Read(state)
+	set, err := changes.NewSet(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,15 +116,15 @@
 // the same resources, digests, services and ways of requests. What the difference doesn't name is the same object in the next view,
 // and the view before answers as it did.
 func TestApplyGivesTheNewState(t *testing.T) {
-	chance := rand.New(rand.NewPCG(5, 6))
-	if faults := config.Check(made(chance)); len(faults) > 0 {
+	random := rand.New(rand.NewPCG(5, 6))
+	if faults := config.Validate(randomState(random)); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	shared, compiled := 0, 0
 	for round := range 400 {
-		before, after := made(chance), made(chance)
+		before, after := randomState(random), randomState(random)
 		if round%2 == 0 {
-			after = altered(chance, before)
+			after = mutate(random, before)
 		}
 		base, wanted := read(t, before), read(t, after)
 		step, err := changes.Apply(base, encode(t, base, wanted))
@@ -134,16 +134,16 @@
 		if !same(step.Set, wanted) || step.Version != 2 || step.ContentDigest != "content" || !same(base, read(t, before)) {
 			t.Fatal("the base and the difference don't come to the new state")
 		}
-		view := config.Compile(before, 1, "")
-		next, err := view.With(step.Change, 2, "content")
+		snapshot := config.Compile(before, 1, "")
+		next, err := snapshot.With(step.Change, 2, "content")
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole, former := config.Compile(after, 2, "content"), config.Compile(before, 1, "")
-		if !reflect.DeepEqual(names(next), names(whole)) || next.Serial != 2 || next.Digest != "content" {
-			t.Fatal(names(next), names(whole))
+		full, former := config.Compile(after, 2, "content"), config.Compile(before, 1, "")
+		if !reflect.DeepEqual(names(next), names(full)) || next.Version != 2 || next.Digest != "content" {
+			t.Fatal(names(next), names(full))
 		}
-		if next.Sum() != whole.Sum() || view.Sum() != former.Sum() || (view.Sum() == whole.Sum()) != same(base, wanted) {
+		if next.Fingerprint() != full.Fingerprint() || snapshot.Fingerprint() != former.Fingerprint() || (snapshot.Fingerprint() == full.Fingerprint()) != same(base, wanted) {
 			t.Fatal("the views serve otherwise than the states say")
 		}
 		touched := map[string]bool{}
@@ -151,17 +151,17 @@
 		for _, one := range slices.Concat(difference.Added, difference.Changed) {
 			touched[one.Key] = true
 		}
-		for name, service := range whole.Services {
+		for name, service := range full.Services {
 			if !alike(next.Services[name], service) {
 				t.Fatalf("%v in place of %v", next.Services[name], service)
 			}
-			if unchanged := !touched["service/"+name]; unchanged != (next.Services[name] == view.Services[name]) {
+			if unchanged := !touched["service/"+name]; unchanged != (next.Services[name] == snapshot.Services[name]) {
 				t.Fatalf("service %s: unchanged %v, the same object %v", name, unchanged, !unchanged)
 			}
 		}
 		requests(func(host, method, path string) {
-			found, wanted, earlier := next.Entry(host, method, path), whole.Entry(host, method, path), view.Entry(host, method, path)
-			if !entryAlike(found, wanted) || !entryAlike(earlier, former.Entry(host, method, path)) {
+			found, wanted, earlier := next.Lookup(host, method, path), full.Lookup(host, method, path), snapshot.Lookup(host, method, path)
+			if !entryAlike(found, wanted) || !entryAlike(earlier, former.Lookup(host, method, path)) {
 				t.Fatalf("%s %s%s: %v, wanted %v", method, host, path, found, wanted)
 			}
 			if found == nil || found.Name == "" {
@@ -187,8 +187,8 @@
 	}
 }
 
-func names(view *config.View) (names []string) {
-	for name := range view.Services {
+func names(snapshot *config.Snapshot) (names []string) {
+	for name := range snapshot.Services {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -196,15 +196,15 @@
 }
 
 func alike(one, other *config.Service) bool {
-	return one != nil && other != nil && one.Name == other.Name && one.Group == other.Group && proto.Equal(one.Guard, other.Guard) && proto.Equal(one.Retry, other.Retry) && proto.Equal(one.Limits, other.Limits)
+	return one != nil && other != nil && one.Name == other.Name && one.Group == other.Group && proto.Equal(one.Breaker, other.Breaker) && proto.Equal(one.Retry, other.Retry) && proto.Equal(one.Limits, other.Limits)
 }
 
-func entryAlike(one, other *config.Path) bool {
+func entryAlike(one, other *config.Route) bool {
 	if one == nil || other == nil {
 		return one == other
 	}
-	if !alike(one.Service, other.Service) || !slices.EqualFunc(one.Split, other.Split, func(one, other config.Share) bool {
-		return one.UpTo == other.UpTo && alike(one.Service, other.Service)
+	if !alike(one.Service, other.Service) || !slices.EqualFunc(one.Split, other.Split, func(one, other config.WeightedService) bool {
+		return one.CumulativeWeight == other.CumulativeWeight && alike(one.Service, other.Service)
 	}) {
 		return false
 	}
@@ -215,14 +215,14 @@
 
 // TestRefusals: a difference for another base, with another digest, or cut short anywhere, is refused.
 func TestRefusals(t *testing.T) {
-	chance := rand.New(rand.NewPCG(7, 8))
+	random := rand.New(rand.NewPCG(7, 8))
 	for range 20 {
-		base, wanted, other := read(t, made(chance)), read(t, made(chance)), read(t, made(chance))
+		base, wanted, other := read(t, randomState(random)), read(t, randomState(random)), read(t, randomState(random))
 		content := encode(t, base, wanted)
-		if _, err := changes.Apply(other, content); !errors.Is(err, changes.ErrBase) {
+		if _, err := changes.Apply(other, content); !errors.Is(err, changes.ErrBaseMismatch) {
 			t.Fatal(err)
 		}
-		if _, err := changes.Apply(wanted, content); !errors.Is(err, changes.ErrBase) {
+		if _, err := changes.Apply(wanted, content); !errors.Is(err, changes.ErrBaseMismatch) {
 			t.Fatal("applied twice: ", err)
 		}
 		for length := range content {
@@ -242,7 +242,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := changes.Apply(base, changed); !errors.Is(err, changes.ErrDigest) {
+			if _, err := changes.Apply(base, changed); !errors.Is(err, changes.ErrDigestMismatch) {
 				t.Fatal(err)
 			}
 		}
@@ -256,8 +256,8 @@
 	}
 }
 
-// TestDoubtfulStates: what a checking build refuses is no set, so that it's only ever sent whole.
-func TestDoubtfulStates(t *testing.T) {
+// TestInvalidStates: what a checking build refuses is no set, so that it's only ever sent whole.
+func TestInvalidStates(t *testing.T) {
 	split := []*wire.Share{{Service: "one", Weight: 1}}
 	for name, routes := range map[string][]*wire.Route{
 		"a name twice":       {{Name: "r", Prefix: "/a", Split: split}, {Name: "r", Prefix: "/b", Split: split}},
@@ -266,7 +266,7 @@
 		"no weight":          {{Name: "r", Prefix: "/a", Split: []*wire.Share{{Service: "one"}}}},
 	} {
 		state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Routes: routes}
-		if _, err := changes.Read(state); !errors.Is(err, changes.ErrDoubtful) {
+		if _, err := changes.NewSet(state); !errors.Is(err, changes.ErrInvalidSet) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -274,8 +274,8 @@
 
 // TestOrderAndNoteDontCount: states that say the same are the same set.
 func TestOrderAndNoteDontCount(t *testing.T) {
-	chance := rand.New(rand.NewPCG(9, 10))
-	state := made(chance)
+	random := rand.New(rand.NewPCG(9, 10))
+	state := randomState(random)
 	turned := proto.CloneOf(state)
 	slices.Reverse(turned.Routes)
 	slices.Reverse(turned.Groups)
@@ -287,10 +287,10 @@
 
 // TestForeignChangesAreRefused: a view takes no change that doesn't fit it.
 func TestForeignChangesAreRefused(t *testing.T) {
-	chance := rand.New(rand.NewPCG(11, 12))
+	random := rand.New(rand.NewPCG(11, 12))
 	refused := 0
 	for range 50 {
-		base, wanted, other := made(chance), made(chance), made(chance)
+		base, wanted, other := randomState(random), randomState(random), randomState(random)
 		step, err := changes.Apply(read(t, base), encode(t, read(t, base), read(t, wanted)))
 		if err != nil {
 			t.Fatal(err)
@@ -314,8 +314,8 @@
 	next.Groups[0].Services[1].Guard = &wire.Breaker{WindowCalls: proto.Uint32(7)}
 	base := read(t, state)
 	summary := changes.Summarize(base, changes.Diff(base, read(t, next)))
-	wanted := changes.Summary{Added: []changes.Altered{{Kind: "route", Name: "come"}}, Removed: []changes.Altered{{Kind: "route", Name: "gone"}},
-		Changed: []changes.Altered{{Kind: "route", Name: "moved", Fields: []string{"split", "cutoffMicros"}}, {Kind: "service", Name: "two", Fields: []string{"guard.windowCalls"}}}}
+	wanted := changes.Summary{Added: []changes.ResourceChange{{Kind: "route", Name: "come"}}, Removed: []changes.ResourceChange{{Kind: "route", Name: "gone"}},
+		Changed: []changes.ResourceChange{{Kind: "route", Name: "moved", Fields: []string{"split", "cutoffMicros"}}, {Kind: "service", Name: "two", Fields: []string{"guard.windowCalls"}}}}
 	if !reflect.DeepEqual(summary, wanted) {
 		t.Errorf("%+v", summary)
 	}
--- a/internal/config/changes/cost_test.go
+++ b/internal/config/changes/cost_test.go
@@ -15,7 +15,7 @@
 )
 
 // sized is a state of so many routes on a hundred hosts, some of which lead elsewhere.
-func sized(routes, altered int) *wire.DesiredState {
+func stateWithRoutes(routes, altered int) *wire.DesiredState {
 	state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "submission"}, {Name: "correction"}, {Name: "batches"}}}}}
 	for number := range routes {
 		service := "submission"
@@ -28,7 +28,7 @@
 	return state
 }
 
-func written(t testing.TB, state *wire.DesiredState) []byte {
+func marshal(t testing.TB, state *wire.DesiredState) []byte {
 	content, err := protojson.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
@@ -45,31 +45,31 @@
 func TestCostGoesByTheChange(t *testing.T) {
 	lengths, objects := map[int]int{}, map[int]float64{}
 	for _, routes := range []int{10, 100, 1000, 10000} {
-		base, next := sized(routes, 0), sized(routes, 1)
+		base, next := stateWithRoutes(routes, 0), stateWithRoutes(routes, 1)
 		from, to := read(t, base), read(t, next)
-		content, view := encode(t, from, to), config.Compile(base, 1, "")
+		content, snapshot := encode(t, from, to), config.Compile(base, 1, "")
 		lengths[routes] = len(content)
 		objects[routes] = testing.AllocsPerRun(20, func() {
 			step, err := changes.Apply(from, content)
 			if err == nil {
-				_, err = view.With(step.Change, 2, "")
+				_, err = snapshot.With(step.Change, 2, "")
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 		})
-		whole := len(written(t, next))
-		t.Logf("1 of %d routes: difference %d bytes, whole %d bytes, %.1f ms against %.1f ms on a line of 5 Mbit/s; %.0f objects made", routes, len(content), whole,
-			float64(len(content))*8/5e3, float64(whole)*8/5e3, objects[routes])
-		if len(content)*10 > whole && routes >= 100 {
-			t.Errorf("1 of %d routes: %d bytes of %d", routes, len(content), whole)
+		full := len(marshal(t, next))
+		t.Logf("1 of %d routes: difference %d bytes, whole %d bytes, %.1f ms against %.1f ms on a line of 5 Mbit/s; %.0f objects made", routes, len(content), full,
+			float64(len(content))*8/5e3, float64(full)*8/5e3, objects[routes])
+		if len(content)*10 > full && routes >= 100 {
+			t.Errorf("1 of %d routes: %d bytes of %d", routes, len(content), full)
 		}
 	}
 	if lengths[10000] > lengths[10]+20 || objects[10000] > 3*objects[10] {
 		t.Errorf("%v bytes, %v objects", lengths, objects)
 	}
 	for _, altered := range []int{10, 100, 1000} {
-		length := len(encode(t, read(t, sized(10000, 0)), read(t, sized(10000, altered))))
+		length := len(encode(t, read(t, stateWithRoutes(10000, 0)), read(t, stateWithRoutes(10000, altered))))
 		t.Logf("%d of 10000 routes: difference %d bytes", altered, length)
 		if length > altered*lengths[10000] {
 			t.Errorf("%d of 10000 routes: %d bytes", altered, length)
@@ -81,42 +81,42 @@
 // without any sharing, as it was before there were differences.
 func BenchmarkTakeUp(b *testing.B) {
 	for _, routes := range []int{10, 100, 1000, 10000} {
-		base, next := sized(routes, 0), sized(routes, 1)
+		base, next := stateWithRoutes(routes, 0), stateWithRoutes(routes, 1)
 		from := read(b, base)
-		difference, whole, view := encode(b, from, read(b, next)), written(b, next), config.Compile(base, 1, "")
-		for _, way := range []struct {
+		difference, full, snapshot := encode(b, from, read(b, next)), marshal(b, next), config.Compile(base, 1, "")
+		for _, test := range []struct {
 			name    string
 			content []byte
-			take    func() (*config.View, error)
+			take    func() (*config.Snapshot, error)
 		}{
-			{"difference", difference, func() (*config.View, error) {
+			{"difference", difference, func() (*config.Snapshot, error) {
 				step, err := changes.Apply(from, difference)
 				if err != nil {
 					return nil, err
 				}
-				return view.With(step.Change, 2, "")
+				return snapshot.With(step.Change, 2, "")
 			}},
-			{"whole", whole, func() (*config.View, error) {
-				state, _ := config.Accepted(whole)
-				set, err := changes.Read(state)
+			{"whole", full, func() (*config.Snapshot, error) {
+				state, _ := config.ParseAccepted(full)
+				set, err := changes.NewSet(state)
 				if err != nil {
 					return nil, err
 				}
-				return view.With(changes.Change(from, changes.Diff(from, set)), 2, config.Digest(whole))
+				return snapshot.With(changes.SnapshotChange(from, changes.Diff(from, set)), 2, config.Digest(full))
 			}},
-			{"before", whole, func() (*config.View, error) {
-				state, _ := config.Accepted(whole)
-				return config.Compile(state, 2, config.Digest(whole)), nil
+			{"before", full, func() (*config.Snapshot, error) {
+				state, _ := config.ParseAccepted(full)
+				return config.Compile(state, 2, config.Digest(full)), nil
 			}},
 		} {
-			b.Run(fmt.Sprintf("%s/%d", way.name, routes), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/%d", test.name, routes), func(b *testing.B) {
 				b.ReportAllocs()
 				for range b.N {
-					if _, err := way.take(); err != nil {
+					if _, err := test.take(); err != nil {
 						b.Fatal(err)
 					}
 				}
-				b.ReportMetric(float64(len(way.content)), "bytes")
+				b.ReportMetric(float64(len(test.content)), "bytes")
 			})
 		}
 	}
@@ -125,7 +125,7 @@
 // BenchmarkDiff measures what the primary does once for all carriers that have the same base, the new state being read already.
 func BenchmarkDiff(b *testing.B) {
 	for _, routes := range []int{10, 100, 1000, 10000} {
-		from, to := read(b, sized(routes, 0)), read(b, sized(routes, 1))
+		from, to := read(b, stateWithRoutes(routes, 0)), read(b, stateWithRoutes(routes, 1))
 		b.Run(fmt.Sprint(routes), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
--- a/internal/config/franking_test.go
+++ b/internal/config/config_test.go
@@ -17,21 +17,21 @@
 // TestDesiredStates keeps transcripts of what is read and refused, and of what services inherit.
 func TestDesiredStates(t *testing.T) {
 	datadriven.RunTest(t, "testdata/desired", func(t *testing.T, data *datadriven.TestData) string {
-		state, faults := config.Parse([]byte(data.Input))
+		state, fieldErrors := config.Parse([]byte(data.Input))
 		var text strings.Builder
-		for _, fault := range faults {
+		for _, fieldError := range fieldErrors {
 			// The JSON library varies its white space on purpose.
-			fmt.Fprintln(&text, strings.Join(strings.Fields(fault.String()), " "))
+			fmt.Fprintln(&text, strings.Join(strings.Fields(fieldError.String()), " "))
 		}
 		if data.Cmd == "adopt" || data.Cmd == "adopted-resolve" {
 			text.Reset()
-			if state, faults = config.Accepted([]byte(data.Input)); len(faults) > 0 {
-				t.Fatal(faults)
+			if state, fieldErrors = config.ParseAccepted([]byte(data.Input)); len(fieldErrors) > 0 {
+				t.Fatal(fieldErrors)
 			}
-		} else if len(faults) > 0 {
+		} else if len(fieldErrors) > 0 {
 			return text.String()
 		}
-		view := config.Compile(state, 7, "")
+		snapshot := config.Compile(state, 7, "")
 		if data.Cmd == "resolve" || data.Cmd == "adopted-resolve" {
 			method := "GET"
 			for _, argument := range data.CmdArgs {
@@ -40,7 +40,7 @@
 					continue
 				}
 				host, rest, _ := strings.Cut(argument.Key, "/")
-				path, found := view.Resolve(host, method, "/"+rest)
+				path, found := snapshot.Resolve(host, method, "/"+rest)
 				if !found {
 					fmt.Fprintf(&text, "%s: nowhere\n", argument.Key)
 					continue
@@ -51,29 +51,29 @@
 		}
 		if data.Cmd == "route" {
 			host, rest, _ := strings.Cut(data.CmdArgs[0].Key, "/")
-			path, _ := view.Resolve(host, "GET", "/"+rest)
-			fmt.Fprintf(&text, "%q once %v single %v cutoff %d aim %d priority %d tries %d, first %s\n", path.Name, path.Once, path.Single, path.Cutoff, path.Aim,
-				path.Priority, path.MostTries, path.Service.Name)
+			path, _ := snapshot.Resolve(host, "GET", "/"+rest)
+			fmt.Fprintf(&text, "%q once %v single %v cutoff %d aim %d priority %d tries %d, first %s\n", path.Name, path.Once, path.Single, path.Timeout, path.LatencyTarget,
+				path.Priority, path.MaxAttempts, path.Service.Name)
 			for random := range uint64(9) {
-				fmt.Fprintf(&text, "%s ", path.Pick(random).Name)
+				fmt.Fprintf(&text, "%s ", path.PickService(random).Name)
 			}
 			for _, name := range []string{"one", "two", "three", "four"} {
-				if service, has := path.Has(name); has {
+				if service, has := path.FindService(name); has {
 					fmt.Fprintf(&text, "has %s ", service.Name)
 				}
 			}
 			return strings.TrimSpace(text.String()) + "\n"
 		}
 		names := []string{}
-		for name := range view.Services {
+		for name := range snapshot.Services {
 			names = append(names, name)
 		}
 		sort.Strings(names)
 		for _, name := range names {
-			service := view.Services[name]
+			service := snapshot.Services[name]
 			fmt.Fprintf(&text, "%s of %s: window %d, minimum %d, rate %v, wait %d, probes %d, tries %d, cutoff %d\n", name, service.Group,
-				service.Guard.GetWindowCalls(), service.Guard.GetMinimumCalls(), service.Guard.GetFailureRate(), service.Guard.GetWaitOpenMicros(),
-				service.Guard.GetPermittedHalfOpen(), service.Retry.GetMostTries(), service.Limits.GetCutoffMicros())
+				service.Breaker.GetWindowCalls(), service.Breaker.GetMinimumCalls(), service.Breaker.GetFailureRate(), service.Breaker.GetWaitOpenMicros(),
+				service.Breaker.GetPermittedHalfOpen(), service.Retry.GetMostTries(), service.Limits.GetCutoffMicros())
 		}
 		return text.String()
 	})
@@ -86,8 +86,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, faults := config.Parse(content); len(faults) > 0 {
-			t.Errorf("%s: %v", name, faults)
+		if _, fieldErrors := config.Parse(content); len(fieldErrors) > 0 {
+			t.Errorf("%s: %v", name, fieldErrors)
 		}
 	}
 }
@@ -117,11 +117,11 @@
 // TestResolveFindsWhatAScanFinds compares the table with a plain scan over routes and requests made of few segments, so that
 // many of them meet.
 func TestResolveFindsWhatAScanFinds(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
-	pick := func(words ...string) string { return words[chance.IntN(len(words))] }
+	random := rand.New(rand.NewPCG(1, 2))
+	pick := func(words ...string) string { return words[random.IntN(len(words))] }
 	made := func() string {
 		path := ""
-		for range chance.IntN(5) {
+		for range random.IntN(5) {
 			path += "/" + pick("a", "b", "ab")
 		}
 		return path + pick("", "/")
@@ -135,10 +135,10 @@
 					Class: wire.Path_read, Split: []*wire.Share{{Service: "one", Weight: 1}}})
 			}
 		}
-		view := config.Compile(state, 1, "")
+		snapshot := config.Compile(state, 1, "")
 		for range 200 {
 			host, method, path := pick("", "x", "y", "z"), pick("GET", "POST", "PUT"), "/"+strings.TrimPrefix(made(), "/")
-			found, is := view.Resolve(host, method, path)
+			found, is := snapshot.Resolve(host, method, path)
 			wanted := scan(state, host, method, path)
 			if is != (wanted != "") || found.Name != wanted {
 				t.Fatalf("%s %s%s: %q, wanted %q of %v", method, host, path, found.Name, wanted, state.Routes)
@@ -155,15 +155,15 @@
 
 // TestPicksByWeight counts whom a split leads to.
 func TestPicksByWeight(t *testing.T) {
-	state, faults := config.Parse([]byte(`{"groups":[{"name":"field","services":[{"name":"one"},{"name":"two"},{"name":"three"}]}],
+	state, fieldErrors := config.Parse([]byte(`{"groups":[{"name":"field","services":[{"name":"one"},{"name":"two"},{"name":"three"}]}],
 "routes":[{"name":"r","prefix":"/","class":"read","split":[{"service":"one","weight":90},{"service":"two","weight":0},{"service":"three","weight":10}]}]}`))
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	if len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	path, _ := config.Compile(state, 1, "").Resolve("", "GET", "/")
-	chance, counts := rand.New(rand.NewPCG(3, 4)), map[string]int{}
+	random, counts := rand.New(rand.NewPCG(3, 4)), map[string]int{}
 	for range 100000 {
-		counts[path.Pick(chance.Uint64()).Name]++
+		counts[path.PickService(random.Uint64()).Name]++
 	}
 	if counts["two"] > 0 || counts["one"] < 89000 || counts["one"] > 91000 || counts["one"]+counts["three"] != 100000 {
 		t.Error(counts)
@@ -178,11 +178,11 @@
 			state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprint("r-", number), Host: fmt.Sprintf("h%d.example", number%100), Prefix: fmt.Sprintf("/lepu%d/", number),
 				Class: wire.Path_read, Split: []*wire.Share{{Service: "one", Weight: 1}}})
 		}
-		view := config.Compile(state, 1, "")
+		snapshot := config.Compile(state, 1, "")
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				if _, found := view.Resolve("h7.example", "GET", "/lepu7/items/42"); !found {
+				if _, found := snapshot.Resolve("h7.example", "GET", "/lepu7/items/42"); !found {
 					b.Fatal("not found")
 				}
 			}
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -9,17 +9,17 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Share is one service's part of a split.
-type Share struct {
+// WeightedService is one service's part of a split.
+type WeightedService struct {
 	Service *Service
-	// UpTo is the sum of the weights up to this service's own, which counts in.
-	UpTo uint64
+	// CumulativeWeight is the sum of the weights up to this service's own, which counts in.
+	CumulativeWeight uint64
 }
 
-// Path is one entry of the table that requests are resolved by: a service's own path, or a route.
-// Invariants: Service is the split's first with a weight; in Split UpTo never falls and ends above zero; Once and Single
-// are never both set. Zero leaves Cutoff and MostTries to the service.
-type Path struct {
+// Route is one entry of the table that requests are resolved by: a service's own path, or a route.
+// Invariants: Service is the split's first with a weight; in Split CumulativeWeight never falls and ends above zero; Once and Single
+// are never both set. Zero leaves Cutoff and MaxAttempts to the service.
+type Route struct {
 	Name   string // empty for a service's own path
 	Host   string // empty for any
 	Method string
@@ -27,32 +27,32 @@
 	// Once: it may run at most once, and brings a reference key that says so to everybody.
 	Once bool
 	// Single: it may run at most once, and has no key: it's never tried again unless it's certain that it has not run.
-	Single    bool
-	Cutoff    monotonic.Micros
-	Aim       monotonic.Micros
-	Priority  uint32
-	MostTries uint32
-	Service   *Service
-	Split     []Share
+	Single        bool
+	Timeout       monotonic.Micros
+	LatencyTarget monotonic.Micros
+	Priority      uint32
+	MaxAttempts   uint32
+	Service       *Service
+	Split         []WeightedService
 }
 
-// Pick gives each service of the split in proportion to its weight.
-func (path *Path) Pick(random uint64) *Service {
-	if len(path.Split) < 2 {
-		return path.Service
+// PickService gives each service of the split in proportion to its weight.
+func (r *Route) PickService(random uint64) *Service {
+	if len(r.Split) < 2 {
+		return r.Service
 	}
-	point := random % path.Split[len(path.Split)-1].UpTo
-	return path.Split[sort.Search(len(path.Split), func(index int) bool { return path.Split[index].UpTo > point })].Service
+	point := random % r.Split[len(r.Split)-1].CumulativeWeight
+	return r.Split[sort.Search(len(r.Split), func(index int) bool { return r.Split[index].CumulativeWeight > point })].Service
 }
 
-// Has tells whether a service has a weight in the split, and gives it.
-func (path *Path) Has(service string) (*Service, bool) {
+// FindService tells whether a service has a weight in the split, and gives it.
+func (r *Route) FindService(service string) (*Service, bool) {
 	before := uint64(0)
-	for _, share := range path.Split {
-		if share.Service.Name == service && share.UpTo > before {
+	for _, share := range r.Split {
+		if share.Service.Name == service && share.CumulativeWeight > before {
 			return share.Service, true
 		}
-		before = share.UpTo
+		before = share.CumulativeWeight
 	}
 	return nil, false
 }
@@ -67,8 +67,8 @@
 	return written
 }
 
-// Host gives a host its one spelling: small letters, without a port and without a dot at its end.
-func Host(sent string) string {
+// CanonicalHost gives a host its one spelling: small letters, without a port and without a dot at its end.
+func CanonicalHost(sent string) string {
 	host := sent
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.Contains(host[colon:], "]") {
 		host = host[:colon]
@@ -78,70 +78,70 @@
 
 // prefixes are the paths of one host. Invariants: longest is no less than the length of the longest prefix; the paths by method at
 // one prefix are never none, and never change once they are in a view.
-type prefixes struct {
-	paths   *shared.Map[map[string]*Path]
-	longest int
+type hostRoutes struct {
+	byPrefix        *shared.Map[map[string]*Route]
+	maxPrefixLength int
 }
 
 // routing is the table of all paths, by host, prefix and method. It never changes once a view is made; its versions share the
 // hosts, prefixes and paths in which they don't differ.
-type routing struct{ hosts *shared.Map[*prefixes] }
+type routeTable struct{ hosts *shared.Map[*hostRoutes] }
 
 // building is a table that is being filled, by host, prefix and method.
-type building map[string]map[string]map[string]*Path
+type tableBuilder map[string]map[string]map[string]*Route
 
 // add puts a path in; of two for the same requests the first stands.
-func (building building) add(path *Path) {
-	host := building[path.Host]
+func (b tableBuilder) add(path *Route) {
+	host := b[path.Host]
 	if host == nil {
-		host = map[string]map[string]*Path{}
-		building[path.Host] = host
+		host = map[string]map[string]*Route{}
+		b[path.Host] = host
 	}
 	methods := host[path.Prefix]
 	if methods == nil {
-		methods = map[string]*Path{}
+		methods = map[string]*Route{}
 		host[path.Prefix] = methods
 	}
-	if _, twice := methods[path.Method]; !twice {
+	if _, duplicate := methods[path.Method]; !duplicate {
 		methods[path.Method] = path
 	}
 }
 
-func (building building) routing() routing {
-	hosts := make(map[string]*prefixes, len(building))
-	for name, paths := range building {
-		host := &prefixes{paths: shared.Of(paths)}
+func (b tableBuilder) build() routeTable {
+	hosts := make(map[string]*hostRoutes, len(b))
+	for name, paths := range b {
+		host := &hostRoutes{byPrefix: shared.New(paths)}
 		for prefix := range paths {
-			host.longest = max(host.longest, len(prefix))
+			host.maxPrefixLength = max(host.maxPrefixLength, len(prefix))
 		}
 		hosts[name] = host
 	}
-	return routing{hosts: shared.Of(hosts)}
+	return routeTable{hosts: shared.New(hosts)}
 }
 
 // find looks up each beginning of a path that ends at a whole segment, the longest first: the path itself, then at each
 // slash with and without it. At one prefix a named method stands before any.
-func (host *prefixes) find(method, path string) *Path {
-	if len(path) <= host.longest {
-		if found := host.at(method, path); found != nil {
+func (h *hostRoutes) match(method, path string) *Route {
+	if len(path) <= h.maxPrefixLength {
+		if found := h.lookup(method, path); found != nil {
 			return found
 		}
 	}
-	beginning := path[:min(len(path), host.longest+1)]
+	beginning := path[:min(len(path), h.maxPrefixLength+1)]
 	for slash := strings.LastIndexByte(beginning, '/'); slash >= 0; slash = strings.LastIndexByte(path[:slash], '/') {
-		if found := host.at(method, path[:slash+1]); found != nil {
+		if found := h.lookup(method, path[:slash+1]); found != nil {
 			return found
 		}
-		if found := host.at(method, path[:slash]); found != nil {
+		if found := h.lookup(method, path[:slash]); found != nil {
 			return found
 		}
 	}
 	return nil
 }
 
-func (host *prefixes) at(method, prefix string) *Path {
-	methods, there := host.paths.Get(prefix)
-	if !there {
+func (h *hostRoutes) lookup(method, prefix string) *Route {
+	methods, found := h.byPrefix.Get(prefix)
+	if !found {
 		return nil
 	}
 	if found := methods[method]; found != nil {
@@ -152,20 +152,20 @@
 
 // Resolve finds the path for a request: among those of its host, then among those of any host, the longest prefix that ends
 // at a whole segment, and at one prefix a named method before any. The host is in its one spelling.
-func (view *View) Resolve(host, method, path string) (Path, bool) {
-	found := view.Entry(host, method, path)
+func (s *Snapshot) Resolve(host, method, path string) (Route, bool) {
+	found := s.Lookup(host, method, path)
 	if found == nil {
-		return Path{}, false
+		return Route{}, false
 	}
 	return *found, found.Service != nil
 }
 
-// Entry is the view's own path for a request, the same one in every version that it's unchanged in, or nothing. Nobody may
+// Lookup is the view's own path for a request, the same one in every version that it's unchanged in, or nothing. Nobody may
 // change it.
-func (view *View) Entry(host, method, path string) *Path {
+func (s *Snapshot) Lookup(host, method, path string) *Route {
 	for _, name := range [...]string{host, ""} {
-		if present, there := view.routing.hosts.Get(name); there {
-			if found := present.find(method, path); found != nil {
+		if present, found := s.table.hosts.Get(name); found {
+			if found := present.match(method, path); found != nil {
 				return found
 			}
 		}
@@ -176,18 +176,18 @@
 	return nil
 }
 
-// ownPath makes the path that a service has of its own.
-func ownPath(path *wire.Path, service *Service) *Path {
-	return &Path{Method: path.Method, Prefix: path.Prefix, Once: path.Class == wire.Path_once, Single: path.Class == wire.Path_single,
-		Service: service, Split: []Share{{Service: service, UpTo: 1}}}
+// pathRoute makes the path that a service has of its own.
+func pathRoute(path *wire.Path, service *Service) *Route {
+	return &Route{Method: path.Method, Prefix: path.Prefix, Once: path.Class == wire.Path_once, Single: path.Class == wire.Path_single,
+		Service: service, Split: []WeightedService{{Service: service, CumulativeWeight: 1}}}
 }
 
 // compile makes a route's path. One without any service that is known and has a weight leads nowhere; Check refuses it, so
 // only a state that a build which checked less has accepted can have it.
-func compileRoute(route *wire.Route, services map[string]*Service) *Path {
-	path := &Path{Name: route.Name, Host: route.Host, Method: methodOf(route.Method), Prefix: route.Prefix, Once: route.Class == wire.Path_once,
-		Single: route.Class == wire.Path_single, Cutoff: monotonic.Micros(route.GetCutoffMicros()), Aim: monotonic.Micros(route.GetAimMicros()),
-		Priority: route.GetPriority(), MostTries: route.GetMostTries()}
+func compileRoute(route *wire.Route, services map[string]*Service) *Route {
+	path := &Route{Name: route.Name, Host: route.Host, Method: methodOf(route.Method), Prefix: route.Prefix, Once: route.Class == wire.Path_once,
+		Single: route.Class == wire.Path_single, Timeout: monotonic.Micros(route.GetCutoffMicros()), LatencyTarget: monotonic.Micros(route.GetAimMicros()),
+		Priority: route.GetPriority(), MaxAttempts: route.GetMostTries()}
 	sum := uint64(0)
 	for _, share := range route.Split {
 		service := services[share.Service]
@@ -197,7 +197,7 @@
 		if sum += uint64(share.Weight); path.Service == nil && share.Weight > 0 {
 			path.Service = service
 		}
-		path.Split = append(path.Split, Share{Service: service, UpTo: sum})
+		path.Split = append(path.Split, WeightedService{Service: service, CumulativeWeight: sum})
 	}
 	return path
 }
--- a/internal/config/shared/shared_test.go
+++ b/internal/config/shared/shared_test.go
@@ -12,20 +12,20 @@
 
 // TestVersions compares a row of versions with plain maps: each holds what it should, and still does after the next was made.
 func TestVersions(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	var version *shared.Map[int]
 	plain := map[string]int{}
 	for round := range 400 {
 		set, removed := map[string]int{}, []string{}
-		for range chance.IntN(40) {
-			set[fmt.Sprint("k", chance.IntN(3000))] = chance.Int()
+		for range random.IntN(40) {
+			set[fmt.Sprint("k", random.IntN(3000))] = random.Int()
 		}
-		for range chance.IntN(20) {
-			if key := fmt.Sprint("k", chance.IntN(3000)); set[key] == 0 {
+		for range random.IntN(20) {
+			if key := fmt.Sprint("k", random.IntN(3000)); set[key] == 0 {
 				removed = append(removed, key)
 			}
 		}
-		earlier, kept := version, maps.Clone(plain)
+		earlier, previous := version, maps.Clone(plain)
 		for _, key := range removed {
 			delete(plain, key)
 		}
@@ -34,7 +34,7 @@
 		if !reflect.DeepEqual(maps.Collect(version.All), plain) || version.Len() != len(plain) {
 			t.Fatalf("round %d: %d entries, wanted %d", round, version.Len(), len(plain))
 		}
-		if len(kept) != earlier.Len() || len(kept) > 0 && !reflect.DeepEqual(maps.Collect(earlier.All), kept) {
+		if len(previous) != earlier.Len() || len(previous) > 0 && !reflect.DeepEqual(maps.Collect(earlier.All), previous) {
 			t.Fatalf("round %d: the version before has changed", round)
 		}
 		for key, value := range plain {
--- a/internal/configstore/api/api.go
+++ b/internal/configstore/api/api.go
@@ -27,206 +27,206 @@
 	RequestQuery  = "request"
 )
 
-type door struct {
-	store *forwarding
-	place host.Host
-	book  *discovery.Book
+type handler struct {
+	store    *forwardingStore
+	host     host.Host
+	resolver *discovery.Book
 	// reads reads contents in the dialect that they are stored in, with all their faults.
-	reads config.Reader
+	parse config.Parser
 }
 
-// Applied is the answer to an apply.
-type Applied struct {
-	Outcome string   `json:"outcome"`
-	Serial  uint64   `json:"serial"`
-	Digest  string   `json:"digest,omitempty"`
-	Request string   `json:"request,omitempty"`
-	Faults  []string `json:"faults,omitempty"`
+// ApplyResult is the answer to an apply.
+type ApplyResult struct {
+	Outcome   string   `json:"outcome"`
+	Version   uint64   `json:"serial"`
+	Digest    string   `json:"digest,omitempty"`
+	RequestID string   `json:"request,omitempty"`
+	Errors    []string `json:"faults,omitempty"`
 }
 
-// Kept is one accepted state.
-type Kept struct {
-	Serial  uint64          `json:"serial"`
-	Digest  string          `json:"digest"`
-	Request string          `json:"request,omitempty"`
-	Content json.RawMessage `json:"content,omitempty"`
+// StoredState is one accepted state.
+type StoredState struct {
+	Version   uint64          `json:"serial"`
+	Digest    string          `json:"digest"`
+	RequestID string          `json:"request,omitempty"`
+	Content   json.RawMessage `json:"content,omitempty"`
 }
 
-func write(writer http.ResponseWriter, status int, content any) {
-	writer.Header().Set("Content-Type", "application/json")
+func writeJSON(w http.ResponseWriter, status int, content any) {
+	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
-		writer.Header().Set("Retry-After", "2")
+		w.Header().Set("Retry-After", "2")
 	}
-	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(content)
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(content)
 }
 
 // New makes the handler. read reads contents in the dialect that they are stored in, with all their faults.
-func New(place host.Host, book *discovery.Book, metrics http.Handler, status func() any, read config.Reader) http.Handler {
-	door := &door{store: &forwarding{place: place, book: book}, place: place, book: book, reads: read}
+func New(host host.Host, resolver *discovery.Book, metrics http.Handler, status func() any, parse config.Parser) http.Handler {
+	h := &handler{store: &forwardingStore{host: host, resolver: resolver}, host: host, resolver: resolver, parse: parse}
 	router := chi.NewRouter()
-	router.Put("/desired-state", door.apply)
-	router.Post("/desired-state/check", door.check)
-	router.Get("/desired-state", func(writer http.ResponseWriter, _ *http.Request) { door.read(writer, 0) })
-	router.Get("/desired-state/{serial}", func(writer http.ResponseWriter, incoming *http.Request) {
-		serial, err := strconv.ParseUint(chi.URLParam(incoming, "serial"), 10, 64)
-		if err != nil || serial == 0 {
-			write(writer, http.StatusBadRequest, map[string]string{"error": "the serial must be a number from 1"})
+	router.Put("/desired-state", h.apply)
+	router.Post("/desired-state/check", h.check)
+	router.Get("/desired-state", func(w http.ResponseWriter, _ *http.Request) { h.readState(w, 0) })
+	router.Get("/desired-state/{serial}", func(w http.ResponseWriter, r *http.Request) {
+		version, err := strconv.ParseUint(chi.URLParam(r, "serial"), 10, 64)
+		if err != nil || version == 0 {
+			writeJSON(w, http.StatusBadRequest, map[string]string{"error": "the serial must be a number from 1"})
 			return
 		}
-		door.read(writer, serial)
+		h.readState(w, version)
 	})
-	router.Get("/history", door.history)
-	router.Get("/changes", door.between)
-	router.Post("/changes", door.preview)
-	router.Get("/status", func(writer http.ResponseWriter, _ *http.Request) { write(writer, http.StatusOK, door.status()) })
-	router.Get("/local", func(writer http.ResponseWriter, _ *http.Request) { write(writer, http.StatusOK, status()) })
-	router.Get("/live", func(writer http.ResponseWriter, _ *http.Request) {
-		write(writer, http.StatusOK, map[string]bool{"live": true})
+	router.Get("/history", h.listHistory)
+	router.Get("/changes", h.compareVersions)
+	router.Post("/changes", h.compareDraft)
+	router.Get("/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, h.status()) })
+	router.Get("/local", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, status()) })
+	router.Get("/live", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, http.StatusOK, map[string]bool{"live": true})
 	})
-	router.Get("/ready", func(writer http.ResponseWriter, _ *http.Request) {
-		if leader := book.Leader(configstore.Group); leader == "" {
-			write(writer, http.StatusServiceUnavailable, map[string]any{"ready": false, "why": "no primary is known"})
+	router.Get("/ready", func(w http.ResponseWriter, _ *http.Request) {
+		if leader := resolver.Leader(configstore.Group); leader == "" {
+			writeJSON(w, http.StatusServiceUnavailable, map[string]any{"ready": false, "why": "no primary is known"})
 			return
 		}
-		write(writer, http.StatusOK, map[string]bool{"ready": true})
+		writeJSON(w, http.StatusOK, map[string]bool{"ready": true})
 	})
 	router.Handle("/metrics", metrics)
 	return router
 }
 
-// Unreached is the outcome of an apply that wasn't passed on, since this door finds no primary.
-const Unreached = "unreached"
+// OutcomeUnreached is the outcome of an apply that wasn't passed on, since this door finds no primary.
+const OutcomeUnreached = "unreached"
 
-// applyPatience is how long an apply may take: reaching the primary, and being in force everywhere.
-const applyPatience = 24 * monotonic.Second
+// applyTimeout is how long an apply may take: reaching the primary, and being in force everywhere.
+const applyTimeout = 24 * monotonic.Second
 
-var statuses = map[string]int{versions.Accepted: http.StatusOK, versions.Conflict: http.StatusPreconditionFailed, versions.Invalid: http.StatusBadRequest}
+var statusCodes = map[string]int{versions.Accepted: http.StatusOK, versions.Conflict: http.StatusPreconditionFailed, versions.Invalid: http.StatusBadRequest}
 
-func (door *door) apply(writer http.ResponseWriter, incoming *http.Request) {
-	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, config.Longest))
+func (h *handler) apply(w http.ResponseWriter, r *http.Request) {
+	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxContentSize))
 	if err != nil {
-		write(writer, http.StatusRequestEntityTooLarge, Applied{Outcome: versions.Invalid, Faults: []string{err.Error()}})
+		writeJSON(w, http.StatusRequestEntityTooLarge, ApplyResult{Outcome: versions.Invalid, Errors: []string{err.Error()}})
 		return
 	}
-	query := incoming.URL.Query()
-	ask := &wire.ConfigApplyRequest{Content: content, Request: query.Get(RequestQuery)}
-	if ask.Request == "" {
-		ask.Request = uuid.NewString()
+	query := r.URL.Query()
+	request := &wire.ConfigApplyRequest{Content: content, Request: query.Get(RequestQuery)}
+	if request.Request == "" {
+		request.Request = uuid.NewString()
 	}
 	switch expected := query.Get(ExpectedQuery); expected {
 	case "":
-		write(writer, http.StatusBadRequest, Applied{Outcome: versions.Invalid, Faults: []string{"expected: the serial that this state follows must be named, or any"}})
+		writeJSON(w, http.StatusBadRequest, ApplyResult{Outcome: versions.Invalid, Errors: []string{"expected: the serial that this state follows must be named, or any"}})
 		return
 	case "any":
-		ask.AnyVersion = true
+		request.AnyVersion = true
 	default:
-		if ask.ExpectedVersion, err = strconv.ParseUint(expected, 10, 64); err != nil {
-			write(writer, http.StatusBadRequest, Applied{Outcome: versions.Invalid, Faults: []string{"expected: " + err.Error()}})
+		if request.ExpectedVersion, err = strconv.ParseUint(expected, 10, 64); err != nil {
+			writeJSON(w, http.StatusBadRequest, ApplyResult{Outcome: versions.Invalid, Errors: []string{"expected: " + err.Error()}})
 			return
 		}
 	}
-	if invalid(writer, content, ask.Request) {
+	if rejectInvalid(w, content, request.Request) {
 		return
 	}
-	tell, err := door.store.Apply(applyPatience, ask)
-	if errors.Is(err, ErrNotTaken) {
-		write(writer, http.StatusServiceUnavailable, Applied{Outcome: Unreached, Request: ask.Request, Faults: []string{err.Error()}})
+	response, err := h.store.Apply(applyTimeout, request)
+	if errors.Is(err, ErrNotAccepted) {
+		writeJSON(w, http.StatusServiceUnavailable, ApplyResult{Outcome: OutcomeUnreached, RequestID: request.Request, Errors: []string{err.Error()}})
 		return
 	}
 	if err != nil {
-		write(writer, http.StatusServiceUnavailable, Applied{Outcome: "unknown", Request: ask.Request, Faults: []string{err.Error()}})
+		writeJSON(w, http.StatusServiceUnavailable, ApplyResult{Outcome: "unknown", RequestID: request.Request, Errors: []string{err.Error()}})
 		return
 	}
-	write(writer, statuses[tell.Outcome], Applied{Outcome: tell.Outcome, Serial: tell.Version, Digest: tell.Digest, Request: ask.Request, Faults: tell.Errors})
+	writeJSON(w, statusCodes[response.Outcome], ApplyResult{Outcome: response.Outcome, Version: response.Version, Digest: response.Digest, RequestID: request.Request, Errors: response.Errors})
 }
 
-func (door *door) check(writer http.ResponseWriter, incoming *http.Request) {
-	content, err := io.ReadAll(http.MaxBytesReader(writer, incoming.Body, config.Longest))
+func (h *handler) check(w http.ResponseWriter, r *http.Request) {
+	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxContentSize))
 	if err != nil {
-		write(writer, http.StatusRequestEntityTooLarge, Applied{Outcome: versions.Invalid, Faults: []string{err.Error()}})
+		writeJSON(w, http.StatusRequestEntityTooLarge, ApplyResult{Outcome: versions.Invalid, Errors: []string{err.Error()}})
 		return
 	}
-	if !invalid(writer, content, "") {
-		write(writer, http.StatusOK, Applied{Outcome: "valid", Digest: config.Digest(content)})
+	if !rejectInvalid(w, content, "") {
+		writeJSON(w, http.StatusOK, ApplyResult{Outcome: "valid", Digest: config.Digest(content)})
 	}
 }
 
 // invalid turns a content down that has faults, and tells whether it did.
-func invalid(writer http.ResponseWriter, content []byte, request string) bool {
-	_, faults := config.Parse(content)
-	if len(faults) == 0 {
+func rejectInvalid(w http.ResponseWriter, content []byte, requestID string) bool {
+	_, fieldErrors := config.Parse(content)
+	if len(fieldErrors) == 0 {
 		return false
 	}
-	applied := Applied{Outcome: versions.Invalid, Request: request}
-	for _, fault := range faults {
-		applied.Faults = append(applied.Faults, fault.String())
+	result := ApplyResult{Outcome: versions.Invalid, RequestID: requestID}
+	for _, fieldError := range fieldErrors {
+		result.Errors = append(result.Errors, fieldError.String())
 	}
-	write(writer, http.StatusBadRequest, applied)
+	writeJSON(w, http.StatusBadRequest, result)
 	return true
 }
 
-func (door *door) read(writer http.ResponseWriter, serial uint64) {
-	tell := &wire.ConfigReadResponse{}
-	if err := door.store.primary(wire.Kind_config_read, &wire.ConfigReadRequest{Version: serial}, tell, 5*monotonic.Second); err != nil {
-		write(writer, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
+func (h *handler) readState(w http.ResponseWriter, version uint64) {
+	response := &wire.ConfigReadResponse{}
+	if err := h.store.callPrimary(wire.Kind_config_read, &wire.ConfigReadRequest{Version: version}, response, 5*monotonic.Second); err != nil {
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
-	if !tell.Found {
-		write(writer, http.StatusNotFound, map[string]string{"error": "no such serial"})
+	if !response.Found {
+		writeJSON(w, http.StatusNotFound, map[string]string{"error": "no such serial"})
 		return
 	}
-	kept := tell.Versions[0]
-	write(writer, http.StatusOK, Kept{Serial: kept.Version, Digest: kept.Digest, Request: kept.Request, Content: kept.Content})
+	stored := response.Versions[0]
+	writeJSON(w, http.StatusOK, StoredState{Version: stored.Version, Digest: stored.Digest, RequestID: stored.Request, Content: stored.Content})
 }
 
-func (door *door) history(writer http.ResponseWriter, _ *http.Request) {
-	tell := &wire.ConfigReadResponse{}
-	if err := door.store.primary(wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, tell, 5*monotonic.Second); err != nil {
-		write(writer, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
+func (h *handler) listHistory(w http.ResponseWriter, _ *http.Request) {
+	response := &wire.ConfigReadResponse{}
+	if err := h.store.callPrimary(wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, response, 5*monotonic.Second); err != nil {
+		writeJSON(w, http.StatusServiceUnavailable, map[string]string{"error": err.Error()})
 		return
 	}
-	history := []Kept{}
-	for _, kept := range tell.Versions {
-		history = append(history, Kept{Serial: kept.Version, Digest: kept.Digest, Request: kept.Request})
+	history := []StoredState{}
+	for _, stored := range response.Versions {
+		history = append(history, StoredState{Version: stored.Version, Digest: stored.Digest, RequestID: stored.Request})
 	}
-	write(writer, http.StatusOK, history)
+	writeJSON(w, http.StatusOK, history)
 }
 
 // Overview is the whole core as one postmaster sees it.
 type Overview struct {
-	Postmasters map[string]json.RawMessage `json:"postmasters"`
-	Sorters     map[string]json.RawMessage `json:"sorters"`
-	Missing     map[string]string          `json:"missing"`
-	Addresses   []*wire.PeerAddress        `json:"addresses"`
+	ConfigStores map[string]json.RawMessage `json:"postmasters"`
+	Registries   map[string]json.RawMessage `json:"sorters"`
+	Missing      map[string]string          `json:"missing"`
+	Addresses    []*wire.PeerAddress        `json:"addresses"`
 }
 
 // status asks every core process how it stands.
-func (door *door) status() Overview {
-	overview := Overview{Postmasters: map[string]json.RawMessage{}, Sorters: map[string]json.RawMessage{}, Missing: map[string]string{}, Addresses: door.book.Known()}
+func (h *handler) status() Overview {
+	overview := Overview{ConfigStores: map[string]json.RawMessage{}, Registries: map[string]json.RawMessage{}, Missing: map[string]string{}, Addresses: h.resolver.Known()}
 	kinds := []struct {
 		group string
 		kind  wire.Kind
 		into  map[string]json.RawMessage
-	}{{"postmaster", wire.Kind_configstore_status, overview.Postmasters}, {"sorter", wire.Kind_registry_status, overview.Sorters}}
-	for _, asked := range kinds {
-		members := door.book.Members(asked.group)
-		replies := host.Gather(door.place, members, 2*monotonic.Second, func(name string) (*wire.StatusResponse, error) {
-			tell := &wire.StatusResponse{}
-			return tell, door.book.Call(name, asked.kind, &wire.StatusRequest{}, tell, 1500*monotonic.Millisecond)
+	}{{"postmaster", wire.Kind_configstore_status, overview.ConfigStores}, {"sorter", wire.Kind_registry_status, overview.Registries}}
+	for _, target := range kinds {
+		members := h.resolver.Members(target.group)
+		replies := host.Gather(h.host, members, 2*monotonic.Second, func(name string) (*wire.StatusResponse, error) {
+			response := &wire.StatusResponse{}
+			return response, h.resolver.Call(name, target.kind, &wire.StatusRequest{}, response, 1500*monotonic.Millisecond)
 		}, func(map[string]*wire.StatusResponse, int) bool { return false })
 		for _, name := range members {
 			if reply := replies[name]; reply != nil {
-				asked.into[name] = reply.Json
+				target.into[name] = reply.Json
 			} else {
-				overview.Missing[asked.group+" "+name] = "no answer"
+				overview.Missing[target.group+" "+name] = "no answer"
 			}
 		}
 	}
 	return overview
 }
 
-// Server makes the HTTP server for the door.
-func Server(handler http.Handler) *http.Server {
+// NewServer makes the HTTP server for the door.
+func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: 60 * time.Second}
 }
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -15,131 +15,131 @@
 var ErrUnacknowledged = errors.New("postmaster: outcome unknown, ask again with the same request id")
 
 // Apply checks a desired state, has it kept in two copies, and waits until it's in force everywhere.
-func (master *Postmaster) Apply(ask *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
-	ask, known, err := master.whole(ask)
+func (s *Server) Apply(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
+	request, known, err := s.expandRequest(request)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
 		return &wire.ConfigApplyResponse{Outcome: versions.BaseUnknown}, nil
 	}
-	state, faults := master.env.Read(ask.Content)
-	if len(faults) > 0 {
-		tell := &wire.ConfigApplyResponse{Outcome: versions.Invalid}
-		for _, fault := range faults {
-			tell.Errors = append(tell.Errors, fault.String())
+	state, fieldErrors := s.options.Parse(request.Content)
+	if len(fieldErrors) > 0 {
+		response := &wire.ConfigApplyResponse{Outcome: versions.Invalid}
+		for _, fieldError := range fieldErrors {
+			response.Errors = append(response.Errors, fieldError.String())
 		}
-		master.env.Place.Report(eventlog.DesiredRefused, map[string]any{"faults": tell.Errors})
-		return tell, nil
+		s.options.Host.Report(eventlog.DesiredRefused, map[string]any{"faults": response.Errors})
+		return response, nil
 	}
-	master.versions.Know(ask.Content, state)
-	tell, err := master.submit(ask)
+	s.differences.Add(request.Content, state)
+	response, err := s.replicate(request)
 	if errors.Is(err, replication.ErrUnknown) {
 		return nil, ErrUnacknowledged
 	}
 	if err != nil {
 		return nil, err
 	}
-	if tell.Outcome != versions.Accepted {
-		return tell, nil
+	if response.Outcome != versions.Accepted {
+		return response, nil
 	}
-	master.seen(tell.Version)
-	master.tellKept()
-	if ask.Version > 0 && tell.Version != ask.Version {
-		return master.inForce(tell) // a higher one stands
+	s.recordVersion(response.Version)
+	s.notifyAccepted()
+	if request.Version > 0 && response.Version != request.Version {
+		return s.acknowledge(response) // a higher one stands
 	}
-	master.env.Place.Report(eventlog.DesiredAccepted, map[string]any{"serial": tell.Version, "digest": tell.Digest})
-	return master.inForce(tell)
+	s.options.Host.Report(eventlog.DesiredAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
+	return s.acknowledge(response)
 }
 
-// inForce acknowledges an accepted state once it's in force everywhere, or, where carriers serve on, once that was waited for.
-func (master *Postmaster) inForce(tell *wire.ConfigApplyResponse) (*wire.ConfigApplyResponse, error) {
-	tell.AdoptedEverywhere = master.spread(tell.Version)
-	if !tell.AdoptedEverywhere && !master.env.Bounds.ServeOn {
+// acknowledge acknowledges an accepted state once it's in force everywhere, or, where carriers serve on, once that was waited for.
+func (s *Server) acknowledge(response *wire.ConfigApplyResponse) (*wire.ConfigApplyResponse, error) {
+	response.AdoptedEverywhere = s.waitForAdoption(response.Version)
+	if !response.AdoptedEverywhere && !s.options.Timeouts.ServeStale {
 		return nil, ErrUnacknowledged
 	}
-	return tell, nil
+	return response, nil
 }
 
 // seen notes a serial that was accepted.
-func (master *Postmaster) seen(serial uint64) {
-	master.lock.Lock()
-	defer master.lock.Unlock()
-	if serial > master.newest {
-		master.newest, master.newestAt = serial, master.env.Place.Now()
+func (s *Server) recordVersion(version uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if version > s.latestVersion {
+		s.latestVersion, s.latestAt = version, s.options.Host.Now()
 	}
 }
 
-// waitFrom is the moment from which an apply of a serial waits to be in force everywhere. Where carriers serve on, that is the
+// waitStart is the moment from which an apply of a serial waits to be in force everywhere. Where carriers serve on, that is the
 // commit of the newest, as far as this process knows, so that asking again doesn't wait again.
-func (master *Postmaster) waitFrom(serial uint64) monotonic.Micros {
-	master.lock.Lock()
-	defer master.lock.Unlock()
-	now := master.env.Place.Now()
-	if serial > master.committed {
-		master.committed, master.committedAt = serial, now
+func (s *Server) waitStart(version uint64) monotonic.Micros {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.options.Host.Now()
+	if version > s.committedVersion {
+		s.committedVersion, s.committedAt = version, now
 	}
-	if master.env.Bounds.ServeOn {
-		return master.committedAt
+	if s.options.Timeouts.ServeStale {
+		return s.committedAt
 	}
 	return now
 }
 
 // spread waits until a serial is in force at every carrier that may serve. While this process isn't answering it
 // can't tell; when it answers again, settled has put ackFrom behind any tenure that another primary gave meanwhile.
-func (master *Postmaster) spread(serial uint64) bool {
-	place := master.env.Place
-	started, cutoff := place.Now(), master.waitFrom(serial)+master.env.Bounds.patience()
-	master.news.wake()
+func (s *Server) waitForAdoption(version uint64) bool {
+	host := s.options.Host
+	started, deadline := host.Now(), s.waitStart(version)+s.options.Timeouts.acknowledgeTimeout()
+	s.updates.notifyAll()
 	for {
 		wait := 100 * monotonic.Millisecond
-		word := master.words.join()
-		if master.Member.Serving() {
-			names, behind := master.behind(serial)
-			if len(names) == 0 && master.Member.Serving() {
-				master.words.leave(word)
-				place.Report(eventlog.DesiredSpread, map[string]any{"serial": serial, "micros": int64(place.Now() - started)})
+		signal := s.adoptions.subscribe()
+		if s.Member.Serving() {
+			names, behind := s.proxiesBehind(version)
+			if len(names) == 0 && s.Member.Serving() {
+				s.adoptions.unsubscribe(signal)
+				host.Report(eventlog.DesiredSpread, map[string]any{"serial": version, "micros": int64(host.Now() - started)})
 				return true
 			}
 			wait = min(max(behind, monotonic.Millisecond), 250*monotonic.Millisecond)
 		}
-		remaining := cutoff - place.Now()
+		remaining := deadline - host.Now()
 		if remaining > 0 {
-			word.Wait(min(wait, remaining))
+			signal.Wait(min(wait, remaining))
 		}
-		master.words.leave(word)
+		s.adoptions.unsubscribe(signal)
 		if remaining <= 0 {
 			return false
 		}
 	}
 }
 
-// ReadBack gives one accepted state, the newest for serial zero, or the list of all without their contents.
-func (master *Postmaster) ReadBack(ask *wire.ConfigReadRequest) (*wire.ConfigReadResponse, error) {
-	tell := &wire.ConfigReadResponse{}
+// ReadStates gives one accepted state, the newest for serial zero, or the list of all without their contents.
+func (s *Server) ReadStates(request *wire.ConfigReadRequest) (*wire.ConfigReadResponse, error) {
+	response := &wire.ConfigReadResponse{}
 	var base *wire.StoredConfig
-	done := master.Member.Read(func(uint64, monotonic.Micros) {
-		if ask.List {
-			tell.Found = true
-			for _, kept := range master.store.All() {
-				tell.Versions = append(tell.Versions, &wire.StoredConfig{Version: kept.Version, Digest: kept.Digest, Request: kept.Request})
+	done := s.Member.Read(func(uint64, monotonic.Micros) {
+		if request.List {
+			response.Found = true
+			for _, stored := range s.store.All() {
+				response.Versions = append(response.Versions, &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request})
 			}
 			return
 		}
-		serial := ask.Version
-		if serial == 0 {
-			serial = master.store.Serial()
+		version := request.Version
+		if version == 0 {
+			version = s.store.LatestVersion()
 		}
-		if kept := master.store.Find(serial); kept != nil {
-			tell.Found, tell.Versions = true, []*wire.StoredConfig{kept}
-			base = master.store.WithDigest(ask.BaseDigest)
+		if stored := s.store.Find(version); stored != nil {
+			response.Found, response.Versions = true, []*wire.StoredConfig{stored}
+			base = s.store.FindDigest(request.BaseDigest)
 		}
 	})
 	if !done {
 		return nil, apierror.Refused.New("not the primary")
 	}
-	if ask.Deltas && len(tell.Versions) == 1 && !ask.List {
-		tell.Versions[0] = shortened(tell.Versions[0], base)
+	if request.Deltas && len(response.Versions) == 1 && !request.List {
+		response.Versions[0] = deltaState(response.Versions[0], base)
 	}
-	return tell, nil
+	return response, nil
 }
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -21,58 +21,58 @@
 )
 
 const (
-	branch = plumbing.ReferenceName("refs/heads/main")
-	file   = "desired-state.json"
+	mainBranch  = plumbing.ReferenceName("refs/heads/main")
+	contentFile = "desired-state.json"
 )
 
 // Archive writes in a task of its own. Invariant: the branch's commits are accepted states in the order of their serials, from
 // the oldest that was kept when it was begun to some serial, none left out between.
 type Archive struct {
 	folder  string
-	pending chan []*wire.StoredConfig
-	trouble func(error)
-	written chan struct{}
+	queue   chan []*wire.StoredConfig
+	onError func(error)
+	writes  chan struct{}
 }
 
 // Open starts an archive in a folder; trouble is told what could not be written.
-func Open(folder string, trouble func(error)) *Archive {
-	archive := &Archive{folder: folder, pending: make(chan []*wire.StoredConfig, 16), trouble: trouble, written: make(chan struct{}, 1)}
+func Open(folder string, onError func(error)) *Archive {
+	a := &Archive{folder: folder, queue: make(chan []*wire.StoredConfig, 16), onError: onError, writes: make(chan struct{}, 1)}
 	go func() {
-		for states := range archive.pending {
-			if err := archive.write(states); err != nil {
-				trouble(err)
+		for states := range a.queue {
+			if err := a.write(states); err != nil {
+				onError(err)
 			}
 			select {
-			case archive.written <- struct{}{}:
+			case a.writes <- struct{}{}:
 			default:
 			}
 		}
 	}()
-	return archive
+	return a
 }
 
-// Keep hands over all accepted states, oldest first. It never waits: what is dropped here comes with the next one.
-func (archive *Archive) Keep(states []*wire.StoredConfig) {
+// Enqueue hands over all accepted states, oldest first. It never waits: what is dropped here comes with the next one.
+func (a *Archive) Enqueue(states []*wire.StoredConfig) {
 	select {
-	case archive.pending <- states:
+	case a.queue <- states:
 	default:
 	}
 }
 
-func (archive *Archive) write(states []*wire.StoredConfig) error {
-	repository, last, err := archive.open(states)
+func (a *Archive) write(states []*wire.StoredConfig) error {
+	repository, last, err := a.open(states)
 	if err != nil {
 		// Whatever is there can't be read or isn't ours: begin anew.
-		if err := os.RemoveAll(archive.folder); err != nil {
+		if err := os.RemoveAll(a.folder); err != nil {
 			return err
 		}
-		if repository, last, err = archive.open(states); err != nil {
+		if repository, last, err = a.open(states); err != nil {
 			return err
 		}
 	}
-	for _, kept := range states[last:] {
-		if err := commit(repository, kept); err != nil {
-			return fmt.Errorf("serial %d: %w", kept.Version, err)
+	for _, stored := range states[last:] {
+		if err := appendCommit(repository, stored); err != nil {
+			return fmt.Errorf("serial %d: %w", stored.Version, err)
 		}
 	}
 	return nil
@@ -80,32 +80,32 @@
 
 // open gives the repository and how many of the states it holds. A newest commit that isn't the state of its serial, or whose
 // serial isn't kept, is an error.
-func (archive *Archive) open(states []*wire.StoredConfig) (*git.Repository, int, error) {
-	repository, err := git.PlainOpen(archive.folder)
+func (a *Archive) open(states []*wire.StoredConfig) (*git.Repository, int, error) {
+	repository, err := git.PlainOpen(a.folder)
 	if errors.Is(err, git.ErrRepositoryNotExists) {
-		repository, err = git.PlainInit(archive.folder, true)
+		repository, err = git.PlainInit(a.folder, true)
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	reference, err := repository.Reference(branch, true)
+	reference, err := repository.Reference(mainBranch, true)
 	if errors.Is(err, plumbing.ErrReferenceNotFound) {
 		return repository, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	newest, err := repository.CommitObject(reference.Hash())
+	latest, err := repository.CommitObject(reference.Hash())
 	if err != nil {
 		return nil, 0, err
 	}
-	serial := uint64(0)
-	_, err = fmt.Sscanf(newest.Message, "serial %d", &serial)
-	index, kept := slices.BinarySearchFunc(states, serial, func(state *wire.StoredConfig, serial uint64) int { return cmp.Compare(state.Version, serial) })
-	if err != nil || !kept {
-		return nil, 0, fmt.Errorf("the newest commit %q is no state of this mesh", newest.Message)
+	version := uint64(0)
+	_, err = fmt.Sscanf(latest.Message, "serial %d", &version)
+	index, found := slices.BinarySearchFunc(states, version, func(state *wire.StoredConfig, version uint64) int { return cmp.Compare(state.Version, version) })
+	if err != nil || !found {
+		return nil, 0, fmt.Errorf("the newest commit %q is no state of this mesh", latest.Message)
 	}
-	entry, err := newest.File(file)
+	entry, err := latest.File(contentFile)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -114,45 +114,45 @@
 		return nil, 0, err
 	}
 	if content != string(states[index].Content) {
-		return nil, 0, fmt.Errorf("serial %d differs from the record file", serial)
+		return nil, 0, fmt.Errorf("serial %d differs from the record file", version)
 	}
 	return repository, index + 1, nil
 }
 
-func commit(repository *git.Repository, kept *wire.StoredConfig) error {
-	blob, err := store(repository, plumbing.BlobObject, func(encoded plumbing.EncodedObject) error {
+func appendCommit(repository *git.Repository, stored *wire.StoredConfig) error {
+	blob, err := storeObject(repository, plumbing.BlobObject, func(encoded plumbing.EncodedObject) error {
 		writer, err := encoded.Writer()
 		if err != nil {
 			return err
 		}
-		_, err = writer.Write(kept.Content)
-		return errors.Join(err, closed(writer))
+		_, err = writer.Write(stored.Content)
+		return errors.Join(err, closeWriter(writer))
 	})
 	if err != nil {
 		return err
 	}
-	tree, err := store(repository, plumbing.TreeObject, (&object.Tree{Entries: []object.TreeEntry{{Name: file, Mode: filemode.Regular, Hash: blob}}}).Encode)
+	tree, err := storeObject(repository, plumbing.TreeObject, (&object.Tree{Entries: []object.TreeEntry{{Name: contentFile, Mode: filemode.Regular, Hash: blob}}}).Encode)
 	if err != nil {
 		return err
 	}
 	// The record file keeps no wall-clock time, so neither does the copy: the same states make the same commits.
-	signature := object.Signature{Name: "snowflow postmaster", Email: "postmaster@snowflow", When: time.Unix(int64(kept.Version), 0).UTC()}
-	made := &object.Commit{Author: signature, Committer: signature, TreeHash: tree,
-		Message: fmt.Sprintf("serial %d\n\ndigest %s\nrequest %s\n", kept.Version, kept.Digest, kept.Request)}
-	if parent, err := repository.Reference(branch, true); err == nil {
-		made.ParentHashes = []plumbing.Hash{parent.Hash()}
+	signature := object.Signature{Name: "snowflow postmaster", Email: "postmaster@snowflow", When: time.Unix(int64(stored.Version), 0).UTC()}
+	commit := &object.Commit{Author: signature, Committer: signature, TreeHash: tree,
+		Message: fmt.Sprintf("serial %d\n\ndigest %s\nrequest %s\n", stored.Version, stored.Digest, stored.Request)}
+	if parent, err := repository.Reference(mainBranch, true); err == nil {
+		commit.ParentHashes = []plumbing.Hash{parent.Hash()}
 	}
-	hash, err := store(repository, plumbing.CommitObject, made.Encode)
+	hash, err := storeObject(repository, plumbing.CommitObject, commit.Encode)
 	if err != nil {
 		return err
 	}
-	return errors.Join(repository.Storer.SetReference(plumbing.NewHashReference(branch, hash)),
-		repository.Storer.SetReference(plumbing.NewSymbolicReference(plumbing.HEAD, branch)))
+	return errors.Join(repository.Storer.SetReference(plumbing.NewHashReference(mainBranch, hash)),
+		repository.Storer.SetReference(plumbing.NewSymbolicReference(plumbing.HEAD, mainBranch)))
 }
 
-func closed(writer io.Closer) error { return writer.Close() }
+func closeWriter(writer io.Closer) error { return writer.Close() }
 
-func store(repository *git.Repository, kind plumbing.ObjectType, encode func(plumbing.EncodedObject) error) (plumbing.Hash, error) {
+func storeObject(repository *git.Repository, kind plumbing.ObjectType, encode func(plumbing.EncodedObject) error) (plumbing.Hash, error) {
 	encoded := repository.Storer.NewEncodedObject()
 	encoded.SetType(kind)
 	if err := encode(encoded); err != nil {
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -12,8 +12,8 @@
 )
 
 func states(count int) (all []*wire.StoredConfig) {
-	for serial := range count {
-		all = append(all, &wire.StoredConfig{Version: uint64(serial + 1), Content: []byte(fmt.Sprintf(`{"note":"%d"}`, serial+1)), Digest: "d", Request: "r"})
+	for version := range count {
+		all = append(all, &wire.StoredConfig{Version: uint64(version + 1), Content: []byte(fmt.Sprintf(`{"note":"%d"}`, version+1)), Digest: "d", Request: "r"})
 	}
 	return all
 }
@@ -33,7 +33,7 @@
 		if err != nil {
 			return messages
 		}
-		content, err := entry.File(file)
+		content, err := entry.File(contentFile)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,11 +42,11 @@
 	}
 }
 
-// TestLostAndSpoiledArchivesAreWrittenAnew removes, cuts and replaces the store between writes.
-func TestLostAndSpoiledArchivesAreWrittenAnew(t *testing.T) {
+// TestLostAndCorruptArchivesAreRebuilt removes, cuts and replaces the store between writes.
+func TestLostAndCorruptArchivesAreRebuilt(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
-	archive := Open(folder, func(err error) { t.Error(err) })
-	for name, spoil := range map[string]func(){
+	a := Open(folder, func(err error) { t.Error(err) })
+	for name, corrupt := range map[string]func(){
 		"nothing": func() {},
 		"lost":    func() { _ = os.RemoveAll(folder) },
 		"cut":     func() { _ = os.RemoveAll(filepath.Join(folder, "objects")) },
@@ -60,13 +60,13 @@
 			}
 		},
 	} {
-		archive.Keep(states(3))
-		<-archive.written
-		spoil()
-		archive.Keep(states(5))
-		<-archive.written
-		if kept := history(t, folder); len(kept) != 5 || kept[0] != `{"note":"5"}` || kept[4] != `{"note":"1"}` {
-			t.Errorf("%s: %q", name, kept)
+		a.Enqueue(states(3))
+		<-a.writes
+		corrupt()
+		a.Enqueue(states(5))
+		<-a.writes
+		if contents := history(t, folder); len(contents) != 5 || contents[0] != `{"note":"5"}` || contents[4] != `{"note":"1"}` {
+			t.Errorf("%s: %q", name, contents)
 		}
 	}
 }
@@ -75,12 +75,12 @@
 // kept, or whose newest isn't kept, is written anew.
 func TestGapsAndBoundedHistories(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
-	archive := Open(folder, func(err error) { t.Error(err) })
-	state := func(serial uint64) *wire.StoredConfig {
-		return &wire.StoredConfig{Version: serial, Content: []byte(fmt.Sprint(serial)), Digest: "d"}
+	a := Open(folder, func(err error) { t.Error(err) })
+	state := func(version uint64) *wire.StoredConfig {
+		return &wire.StoredConfig{Version: version, Content: []byte(fmt.Sprint(version)), Digest: "d"}
 	}
 	for _, step := range []struct {
-		kept   []*wire.StoredConfig
+		stored []*wire.StoredConfig
 		wanted string
 	}{
 		{[]*wire.StoredConfig{state(7)}, "[7]"},
@@ -91,10 +91,10 @@
 		{[]*wire.StoredConfig{state(500), state(601)}, "[601 500]"},
 		{[]*wire.StoredConfig{state(2), state(3)}, "[3 2]"},
 	} {
-		archive.Keep(step.kept)
-		<-archive.written
-		if kept := fmt.Sprint(history(t, folder)); kept != step.wanted {
-			t.Errorf("%s, wanted %s", kept, step.wanted)
+		a.Enqueue(step.stored)
+		<-a.writes
+		if contents := fmt.Sprint(history(t, folder)); contents != step.wanted {
+			t.Errorf("%s, wanted %s", contents, step.wanted)
 		}
 	}
 }
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -20,112 +20,112 @@
 const Group = "postmaster"
 
 const (
-	// Tenure is how long a carrier may serve by what it last heard, counted from before its poll.
-	Tenure = 6 * monotonic.Second
-	// Slack is what may be left of an unheard carrier's tenure when a desired state is acknowledged: less than the
+	// DefaultLease is how long a carrier may serve by what it last heard, counted from before its poll.
+	DefaultLease = 6 * monotonic.Second
+	// DefaultLeaseSlack is what may be left of an unheard carrier's tenure when a desired state is acknowledged: less than the
 	// 2 s that are promised.
-	Slack = 1500 * monotonic.Millisecond
+	DefaultLeaseSlack = 1500 * monotonic.Millisecond
 )
 
 // Config is what a postmaster is made of.
-type Env struct {
-	Place  host.Host
-	Book   *discovery.Book
-	Name   string
-	Voters []string // of a first start
+type Options struct {
+	Host     host.Host
+	Resolver *discovery.Book
+	Name     string
+	Voters   []string // of a first start
 	// Bootstrap tells that this process may take part in a first start.
-	Genesis bool
-	Adjust  func(*replication.Config)
-	Bounds  Bounds
-	// Read reads contents as they are applied and stored, franking.Parse if left out.
-	Read config.Reader
-	// History is how many accepted states are kept at most, all for zero. It must be the same at every postmaster.
-	History int
-	// Versions bounds what is kept to tell carriers differences; what is left zero is as differences.Defaults has it.
-	Versions differences.Bounds
-	// AnyContent has the store confirm several contents under one number. Only rehearsals of the checkers set it.
-	AnyContent bool
-	// Adopted is told how long after its commit a carrier gave its word that it has adopted a version; it must not block.
-	Adopted func(carrier string, serial uint64, took monotonic.Micros)
-	// Kept is told all accepted states that are kept, oldest first, whenever this process as primary accepts one or starts to answer;
+	Bootstrap         bool
+	AdjustReplication func(*replication.Config)
+	Timeouts          Timeouts
+	// Parse reads contents as they are applied and stored, franking.Parse if left out.
+	Parse config.Parser
+	// HistoryLimit is how many accepted states are kept at most, all for zero. It must be the same at every postmaster.
+	HistoryLimit int
+	// DifferenceLimits bounds what is kept to tell carriers differences; what is left zero is as differences.Defaults has it.
+	DifferenceLimits differences.Limits
+	// AllowVersionReuse has the store confirm several contents under one number. Only rehearsals of the checkers set it.
+	AllowVersionReuse bool
+	// OnAdopted is told how long after its commit a carrier gave its word that it has adopted a version; it must not block.
+	OnAdopted func(proxy string, version uint64, adoptionTime monotonic.Micros)
+	// OnAccepted is told all accepted states that are kept, oldest first, whenever this process as primary accepts one or starts to answer;
 	// it must not block.
-	Kept func(states []*wire.StoredConfig)
+	OnAccepted func(states []*wire.StoredConfig)
 }
 
-// Postmaster is one store process.
-type Postmaster struct {
-	env    Env
-	Member *replication.Member
-	store  *versions.Store
+// Server is one store process.
+type Server struct {
+	options Options
+	Member  *replication.Member
+	store   *versions.Store
 	// versions are the states read lately, and what the newest changes in them.
-	versions *differences.Versions
+	differences *differences.Cache
 
-	packing packing
-	lock    sync.Mutex
-	holders map[string]*holder
-	news    *crowd // polls that wait for a new state
-	words   *crowd // applies that wait for carriers' word of adoption
-	// ackFrom is the moment from which no tenure that an earlier primary gave has more than Slack left.
-	ackFrom monotonic.Micros
-	epoch   uint64
+	compressed compressionCache
+	mu         sync.Mutex
+	leases     map[string]*proxyLease
+	updates    *broadcaster // polls that wait for a new state
+	adoptions  *broadcaster // applies that wait for carriers' word of adoption
+	// acknowledgeFrom is the moment from which no tenure that an earlier primary gave has more than Slack left.
+	acknowledgeFrom monotonic.Micros
+	epoch           uint64
 	// committedAt is when this process first knew that committed, the highest such serial, was accepted.
-	committed   uint64
-	committedAt monotonic.Micros
-	// newestAt is when this process first knew of newest, by whichever way.
-	newest   uint64
-	newestAt monotonic.Micros
-	// handed is what the primary of handedEpoch knew of tenures when it handed over, after it had given its last one.
-	handed      map[string]*holder
-	handedEpoch uint64
+	committedVersion uint64
+	committedAt      monotonic.Micros
+	// latestAt is when this process first knew of newest, by whichever way.
+	latestVersion uint64
+	latestAt      monotonic.Micros
+	// handed is what the primary of inheritedEpoch knew of tenures when it handed over, after it had given its last one.
+	inheritedLeases map[string]*proxyLease
+	inheritedEpoch  uint64
 }
 
 // Open reads the disk.
-func Open(env Env) (*Postmaster, error) {
-	if env.Read == nil {
-		env.Read = config.Parse
+func Open(options Options) (*Server, error) {
+	if options.Parse == nil {
+		options.Parse = config.Parse
 	}
-	env.Bounds = env.Bounds.filled()
-	if err := env.Bounds.check(); err != nil {
+	options.Timeouts = options.Timeouts.withDefaults()
+	if err := options.Timeouts.validate(); err != nil {
 		return nil, err
 	}
-	master := &Postmaster{env: env, store: versions.New(env.History), versions: differences.New(env.Read, env.Versions), holders: map[string]*holder{}, news: newCrowd(env.Place), words: newCrowd(env.Place)}
-	core := replication.Config{Host: env.Place, Resolver: env.Book, Group: Group, Name: env.Name, InitialVoters: env.Voters, Bootstrap: env.Genesis,
-		StateMachine: master.store, OnServing: master.settled, HandoverState: master.handing, OnHandover: master.takeHanded}
-	if env.Adjust != nil {
-		env.Adjust(&core)
+	s := &Server{options: options, store: versions.New(options.HistoryLimit), differences: differences.New(options.Parse, options.DifferenceLimits), leases: map[string]*proxyLease{}, updates: newBroadcaster(options.Host), adoptions: newBroadcaster(options.Host)}
+	replicationOptions := replication.Config{Host: options.Host, Resolver: options.Resolver, Group: Group, Name: options.Name, InitialVoters: options.Voters, Bootstrap: options.Bootstrap,
+		StateMachine: s.store, OnServing: s.onPrimary, HandoverState: s.exportLeases, OnHandover: s.importLeases}
+	if options.AdjustReplication != nil {
+		options.AdjustReplication(&replicationOptions)
 	}
-	env.Book.OfferDeltas()
-	master.store.Deltas, master.store.AnyContent = master.allTakeDeltas, env.AnyContent
-	member, err := replication.Open(core)
-	master.Member = member
+	options.Resolver.OfferDeltas()
+	s.store.UseDeltas, s.store.AllowVersionReuse = s.allVotersAcceptDeltas, options.AllowVersionReuse
+	member, err := replication.Open(replicationOptions)
+	s.Member = member
 	if err == nil {
-		member.ClockWatch.OnLeap(func(monotonic.Micros) { master.doubt() })
+		member.ClockWatch.OnLeap(func(monotonic.Micros) { s.deferAcknowledgements() })
 	}
-	return master, err
+	return s, err
 }
 
 // Start begins work.
-func (master *Postmaster) Start() { master.Member.Start() }
+func (s *Server) Start() { s.Member.Start() }
 
-func (master *Postmaster) tellKept() {
-	if master.env.Kept == nil {
+func (s *Server) notifyAccepted() {
+	if s.options.OnAccepted == nil {
 		return
 	}
-	master.Member.Read(func(uint64, monotonic.Micros) {
-		if states := master.store.All(); len(states) > 0 {
-			master.env.Kept(states)
+	s.Member.Read(func(uint64, monotonic.Micros) {
+		if states := s.store.All(); len(states) > 0 {
+			s.options.OnAccepted(states)
 		}
 	})
 }
 
 // Register adds the postmaster's handlers.
-func (master *Postmaster) Register(table host.Table) {
-	master.Member.Register(table)
-	host.Handle(table, wire.Kind_config_poll, master.Poll)
-	host.Handle(table, wire.Kind_config_apply, master.Apply)
-	host.Handle(table, wire.Kind_config_read, master.ReadBack)
+func (s *Server) Register(table host.Table) {
+	s.Member.Register(table)
+	host.Handle(table, wire.Kind_config_poll, s.Poll)
+	host.Handle(table, wire.Kind_config_apply, s.Apply)
+	host.Handle(table, wire.Kind_config_read, s.ReadStates)
 	host.Handle(table, wire.Kind_configstore_status, func(*wire.StatusRequest) (*wire.StatusResponse, error) {
-		content, err := json.Marshal(master.Status())
+		content, err := json.Marshal(s.Status())
 		return &wire.StatusResponse{Json: content}, err
 	})
 }
--- a/internal/configstore/delta/delta_test.go
+++ b/internal/configstore/delta/delta_test.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/configstore/delta"
 )
 
-const most = 4 << 20
+const maxSize = 4 << 20
 
 // routes makes a content of so many routes, of which one has another weight.
 func routes(count, changed int) []byte {
@@ -25,12 +25,12 @@
 	return text.Bytes()
 }
 
-// TestRoundTrip: whatever the base, the content comes back; one changed route of 900 takes less than a twentieth of the whole.
-func TestRoundTrip(t *testing.T) {
-	for _, one := range []struct {
+// TestEncodeDecode: whatever the base, the content comes back; one changed route of 900 takes less than a twentieth of the whole.
+func TestEncodeDecode(t *testing.T) {
+	for _, test := range []struct {
 		name          string
 		base, content []byte
-		share         int // of the content that the difference may be, one part in so many
+		minRatio      int // of the content that the difference may be, one part in so many
 	}{
 		{"from nothing", nil, routes(900, -1), 3},
 		{"nothing", nil, nil, 0},
@@ -41,44 +41,44 @@
 		{"one of 10,000", routes(10000, 2), routes(10000, 9000), 20},
 		{"another altogether", []byte("abc"), routes(900, 2), 3},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			encoded, err := delta.Encode(one.base, one.content)
+		t.Run(test.name, func(t *testing.T) {
+			encoded, err := delta.Encode(test.base, test.content)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%d bytes for %d", len(encoded), len(one.content))
-			decoded, err := delta.Decode(one.base, encoded, most)
-			if err != nil || !bytes.Equal(decoded, one.content) {
+			t.Logf("%d bytes for %d", len(encoded), len(test.content))
+			decoded, err := delta.Decode(test.base, encoded, maxSize)
+			if err != nil || !bytes.Equal(decoded, test.content) {
 				t.Fatalf("%d bytes came back, %v", len(decoded), err)
 			}
-			if one.share > 0 && len(encoded)*one.share > len(one.content) {
-				t.Errorf("%d bytes for %d", len(encoded), len(one.content))
+			if test.minRatio > 0 && len(encoded)*test.minRatio > len(test.content) {
+				t.Errorf("%d bytes for %d", len(encoded), len(test.content))
 			}
 		})
 	}
 }
 
-// TestDamage: each changed byte and each cut is told, or leaves the content as it is.
-func TestDamage(t *testing.T) {
+// TestCorruption: each changed byte and each cut is told, or leaves the content as it is.
+func TestCorruption(t *testing.T) {
 	base, content := routes(20, 3), routes(20, 4)
 	encoded, err := delta.Encode(base, content)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for index := range encoded {
-		spoilt := bytes.Clone(encoded)
-		spoilt[index] ^= 0x55
-		if decoded, err := delta.Decode(base, spoilt, most); err == nil && !bytes.Equal(decoded, content) {
+		corrupt := bytes.Clone(encoded)
+		corrupt[index] ^= 0x55
+		if decoded, err := delta.Decode(base, corrupt, maxSize); err == nil && !bytes.Equal(decoded, content) {
 			t.Errorf("byte %d: another content", index)
 		}
-		if decoded, err := delta.Decode(base, encoded[:index], most); err == nil && !bytes.Equal(decoded, content) && len(decoded) > 0 {
+		if decoded, err := delta.Decode(base, encoded[:index], maxSize); err == nil && !bytes.Equal(decoded, content) && len(decoded) > 0 {
 			t.Errorf("cut at %d: another content", index)
 		}
 	}
-	if decoded, err := delta.Decode(content, encoded, most); err == nil && !bytes.Equal(decoded, content) {
+	if decoded, err := delta.Decode(content, encoded, maxSize); err == nil && !bytes.Equal(decoded, content) {
 		t.Error("another base: another content")
 	}
-	if _, err := delta.Decode(base, encoded, len(content)-1); !errors.Is(err, delta.ErrDamaged) {
+	if _, err := delta.Decode(base, encoded, len(content)-1); !errors.Is(err, delta.ErrCorrupt) {
 		t.Errorf("too long a content: %v", err)
 	}
 }
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -11,73 +11,73 @@
 	"snowflow/internal/transport/wire"
 )
 
-// allTakeDeltas tells whether every voter is known to take contents as differences: copies of an earlier build don't.
-func (master *Postmaster) allTakeDeltas() bool {
-	if master.Member == nil {
+// allVotersAcceptDeltas tells whether every voter is known to take contents as differences: copies of an earlier build don't.
+func (s *Server) allVotersAcceptDeltas() bool {
+	if s.Member == nil {
 		return false // the journal is being read
 	}
-	voters := slices.Clone(master.Member.Voters())
-	return master.env.Book.TakeDeltas(append(voters, master.env.Name)...)
+	voters := slices.Clone(s.Member.Voters())
+	return s.options.Resolver.TakeDeltas(append(voters, s.options.Name)...)
 }
 
 // whole gives an apply with its content, if that came as a difference from one that is kept here.
-func (master *Postmaster) whole(ask *wire.ConfigApplyRequest) (whole *wire.ConfigApplyRequest, known bool, err error) {
-	if len(ask.Delta) == 0 {
-		return ask, true, nil
+func (s *Server) expandRequest(request *wire.ConfigApplyRequest) (full *wire.ConfigApplyRequest, known bool, err error) {
+	if len(request.Delta) == 0 {
+		return request, true, nil
 	}
-	whole = &wire.ConfigApplyRequest{ExpectedVersion: ask.ExpectedVersion, Request: ask.Request, AnyVersion: ask.AnyVersion, Version: ask.Version}
+	full = &wire.ConfigApplyRequest{ExpectedVersion: request.ExpectedVersion, Request: request.Request, AnyVersion: request.AnyVersion, Version: request.Version}
 	var base []byte
-	done := master.Member.Read(func(uint64, monotonic.Micros) {
-		if kept := master.store.WithDigest(ask.Base); kept != nil || ask.Base == "" {
-			base, known = kept.GetContent(), true
+	done := s.Member.Read(func(uint64, monotonic.Micros) {
+		if stored := s.store.FindDigest(request.Base); stored != nil || request.Base == "" {
+			base, known = stored.GetContent(), true
 		}
 	})
 	if !done {
 		return nil, false, apierror.Refused.New("not the primary")
 	}
 	if known {
-		whole.Content, err = delta.Decode(base, ask.Delta, config.Longest)
+		full.Content, err = delta.Decode(base, request.Delta, config.MaxContentSize)
 		known = err == nil
 	}
-	return whole, known, nil
+	return full, known, nil
 }
 
 // submit has every copy take an apply, as its difference from the newest state where all of them can.
-func (master *Postmaster) submit(ask *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
-	tell := &wire.ConfigApplyResponse{}
-	if short := master.short(ask); short != nil {
-		err := master.Member.Submit(&wire.ConfigCommand{Apply: short}, tell)
-		if err != nil || tell.Outcome != versions.BaseUnknown {
-			return tell, err
+func (s *Server) replicate(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
+	response := &wire.ConfigApplyResponse{}
+	if compact := s.deltaRequest(request); compact != nil {
+		err := s.Member.Submit(&wire.ConfigCommand{Apply: compact}, response)
+		if err != nil || response.Outcome != versions.BaseUnknown {
+			return response, err
 		}
-		tell = &wire.ConfigApplyResponse{} // so many changes came between that the base was let go
+		response = &wire.ConfigApplyResponse{} // so many changes came between that the base was let go
 	}
-	return tell, master.Member.Submit(&wire.ConfigCommand{Apply: ask}, tell)
+	return response, s.Member.Submit(&wire.ConfigCommand{Apply: request}, response)
 }
 
 // short is an apply whose content is told by its difference from the newest state, or nothing.
-func (master *Postmaster) short(ask *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
-	if len(ask.Content) < packFrom || !master.allTakeDeltas() {
+func (s *Server) deltaRequest(request *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
+	if len(request.Content) < minCompressedSize || !s.allVotersAcceptDeltas() {
 		return nil
 	}
-	var newest *wire.StoredConfig
-	master.Member.Read(func(uint64, monotonic.Micros) { newest = master.store.Newest() })
-	encoded, err := delta.Encode(newest.GetContent(), ask.Content)
+	var latest *wire.StoredConfig
+	s.Member.Read(func(uint64, monotonic.Micros) { latest = s.store.Latest() })
+	encoded, err := delta.Encode(latest.GetContent(), request.Content)
 	if err != nil {
 		return nil
 	}
-	return &wire.ConfigApplyRequest{ExpectedVersion: ask.ExpectedVersion, Request: ask.Request, AnyVersion: ask.AnyVersion, Version: ask.Version,
-		Delta: encoded, Base: newest.GetDigest()}
+	return &wire.ConfigApplyRequest{ExpectedVersion: request.ExpectedVersion, Request: request.Request, AnyVersion: request.AnyVersion, Version: request.Version,
+		Delta: encoded, Base: latest.GetDigest()}
 }
 
 // shortened tells a state by its difference from one that the asker has, or compressed where it has none that is known here.
-func shortened(kept, base *wire.StoredConfig) *wire.StoredConfig {
-	if len(kept.Content) < packFrom {
-		return kept
+func deltaState(stored, base *wire.StoredConfig) *wire.StoredConfig {
+	if len(stored.Content) < minCompressedSize {
+		return stored
 	}
-	encoded, err := delta.Encode(base.GetContent(), kept.Content)
+	encoded, err := delta.Encode(base.GetContent(), stored.Content)
 	if err != nil {
-		return kept
+		return stored
 	}
-	return &wire.StoredConfig{Version: kept.Version, Digest: kept.Digest, Request: kept.Request, Delta: encoded, Base: base.GetDigest()}
+	return &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request, Delta: encoded, Base: base.GetDigest()}
 }
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -6,67 +6,67 @@
 )
 
 // Poll renews a carrier's tenure, with the newest desired state if the carrier hasn't got it. It waits a while for news.
-func (master *Postmaster) Poll(ask *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
-	place := master.env.Place
-	if ask.Release {
-		return master.release(ask), nil
+func (s *Server) Poll(request *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
+	host := s.options.Host
+	if request.Release {
+		return s.releaseLease(request), nil
 	}
-	master.adopted(ask)
-	cutoff := place.Now() + master.env.Bounds.PollHold
+	s.recordAdoption(request)
+	deadline := host.Now() + s.options.Timeouts.LongPoll
 	for {
-		news := master.news.join()
-		tell := &wire.ConfigPollResponse{Primaries: master.env.Book.Primaries(), Lease: int64(master.env.Bounds.Lease), LongPoll: int64(master.env.Bounds.PollHold)}
-		var base, newest *wire.StoredConfig
-		tell.Primary = master.Member.Read(func(epoch uint64, _ monotonic.Micros) {
-			tell.Epoch, tell.Version = epoch, master.store.Serial()
-			master.seen(tell.Version)
-			if kept := master.store.Newest(); kept != nil && kept.Version != ask.CurrentVersion {
-				newest, base = kept, master.store.Find(ask.CurrentVersion)
+		signal := s.updates.subscribe()
+		response := &wire.ConfigPollResponse{Primaries: s.options.Resolver.Primaries(), Lease: int64(s.options.Timeouts.Lease), LongPoll: int64(s.options.Timeouts.LongPoll)}
+		var base, latest *wire.StoredConfig
+		response.Primary = s.Member.Read(func(epoch uint64, _ monotonic.Micros) {
+			response.Epoch, response.Version = epoch, s.store.LatestVersion()
+			s.recordVersion(response.Version)
+			if stored := s.store.Latest(); stored != nil && stored.Version != request.CurrentVersion {
+				latest, base = stored, s.store.Find(request.CurrentVersion)
 			}
 			// Noted under the same look that read the serial: an apply that comes later waits for this tenure.
-			master.grant(ask)
+			s.grantLease(request)
 		})
-		if !tell.Primary {
-			master.news.leave(news)
-			return master.hearsay(ask, tell.Primaries), nil
+		if !response.Primary {
+			s.updates.unsubscribe(signal)
+			return s.replicaResponse(request, response.Primaries), nil
 		}
-		remaining := cutoff - place.Now()
-		if tell.Version != ask.CurrentVersion || ask.First || remaining <= 0 {
-			master.news.leave(news)
-			master.content(ask, base, newest, tell)
-			return tell, nil
+		remaining := deadline - host.Now()
+		if response.Version != request.CurrentVersion || request.First || remaining <= 0 {
+			s.updates.unsubscribe(signal)
+			s.fillUpdate(request, base, latest, response)
+			return response, nil
 		}
-		news.Wait(remaining)
-		master.news.leave(news)
+		signal.Wait(remaining)
+		s.updates.unsubscribe(signal)
 	}
 }
 
 // hearsay is the answer of a postmaster that isn't the primary. A carrier that has nothing yet and may serve on while out of touch is
 // given what this copy holds: it's better served by that than by nothing until there's a primary again.
-func (master *Postmaster) hearsay(ask *wire.ConfigPollRequest, primaries []*wire.Primary) *wire.ConfigPollResponse {
-	tell := &wire.ConfigPollResponse{Primaries: primaries}
-	if ask.CurrentVersion > 0 || !master.env.Bounds.ServeOn {
-		return tell
+func (s *Server) replicaResponse(request *wire.ConfigPollRequest, primaries []*wire.Primary) *wire.ConfigPollResponse {
+	response := &wire.ConfigPollResponse{Primaries: primaries}
+	if request.CurrentVersion > 0 || !s.options.Timeouts.ServeStale {
+		return response
 	}
-	master.Member.ReadStale(func() {
-		if newest := master.store.Newest(); newest != nil {
-			tell.Version = newest.Version
-			master.packing.fill(tell, newest, ask.AcceptsCompressed)
+	s.Member.ReadStale(func() {
+		if latest := s.store.Latest(); latest != nil {
+			response.Version = latest.Version
+			s.compressed.fillContent(response, latest, request.AcceptsCompressed)
 		}
 	})
-	return tell
+	return response
 }
 
 // content puts the newest state into an answer: what it changes where that is known and wanted, otherwise the whole. The states don't
 // change, so no lock is needed for them.
-func (master *Postmaster) content(ask *wire.ConfigPollRequest, base, newest *wire.StoredConfig, tell *wire.ConfigPollResponse) {
-	if newest == nil {
+func (s *Server) fillUpdate(request *wire.ConfigPollRequest, base, latest *wire.StoredConfig, response *wire.ConfigPollResponse) {
+	if latest == nil {
 		return
 	}
-	if !ask.Full {
-		tell.Difference = master.versions.Difference(base, newest, ask.Digest)
+	if !request.Full {
+		response.Difference = s.differences.Difference(base, latest, request.Digest)
 	}
-	if tell.Difference == nil {
-		master.packing.fill(tell, newest, ask.AcceptsCompressed)
+	if response.Difference == nil {
+		s.compressed.fillContent(response, latest, request.AcceptsCompressed)
 	}
 }
--- a/internal/configstore/status.go
+++ b/internal/configstore/status.go
@@ -10,36 +10,36 @@
 // Status is what operators are shown of a postmaster.
 type Status struct {
 	Core    replication.Status `json:"core"`
-	Serial  uint64             `json:"serial"`
-	Holders []HolderStatus     `json:"tenure_holders,omitempty"`
-	// Computed counts the differences between versions that this process worked out.
-	Computed uint64 `json:"differences_computed"`
+	Version uint64             `json:"serial"`
+	Leases  []LeaseStatus      `json:"tenure_holders,omitempty"`
+	// DifferencesComputed counts the differences between versions that this process worked out.
+	DifferencesComputed uint64 `json:"differences_computed"`
 }
 
-// HolderStatus is one carrier's tenure.
-type HolderStatus struct {
-	Carrier string `json:"carrier"`
-	Adopted uint64 `json:"adopted"`
-	Since   int64  `json:"adopted_for_micros"`    // since this postmaster first heard that
-	Took    int64  `json:"took_micros,omitempty"` // from the commit to its word, where this postmaster saw both
-	Left    int64  `json:"left_micros"`
+// LeaseStatus is one carrier's tenure.
+type LeaseStatus struct {
+	Proxy            string `json:"carrier"`
+	AdoptedVersion   uint64 `json:"adopted"`
+	AdoptedForMicros int64  `json:"adopted_for_micros"`    // since this postmaster first heard that
+	AdoptionMicros   int64  `json:"took_micros,omitempty"` // from the commit to its word, where this postmaster saw both
+	RemainingMicros  int64  `json:"left_micros"`
 }
 
 // Status tells how this postmaster stands.
-func (master *Postmaster) Status() Status {
-	status := Status{Core: master.Member.Status(), Computed: master.Computed()}
-	master.Member.Read(func(uint64, monotonic.Micros) { status.Serial = master.store.Serial() })
-	master.lock.Lock()
-	defer master.lock.Unlock()
-	now := master.env.Place.Now()
-	for _, present := range master.holders {
-		if present.until > now && !present.released {
-			status.Holders = append(status.Holders, HolderStatus{Carrier: present.name, Adopted: present.adopted, Since: int64(now - present.since), Took: int64(present.took), Left: int64(present.until - now)})
+func (s *Server) Status() Status {
+	status := Status{Core: s.Member.Status(), DifferencesComputed: s.DifferencesComputed()}
+	s.Member.Read(func(uint64, monotonic.Micros) { status.Version = s.store.LatestVersion() })
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.options.Host.Now()
+	for _, lease := range s.leases {
+		if lease.expiresAt > now && !lease.released {
+			status.Leases = append(status.Leases, LeaseStatus{Proxy: lease.proxy, AdoptedVersion: lease.adoptedVersion, AdoptedForMicros: int64(now - lease.adoptedAt), AdoptionMicros: int64(lease.adoptionTime), RemainingMicros: int64(lease.expiresAt - now)})
 		}
 	}
-	sort.Slice(status.Holders, func(one, other int) bool { return status.Holders[one].Carrier < status.Holders[other].Carrier })
+	sort.Slice(status.Leases, func(one, other int) bool { return status.Leases[one].Proxy < status.Leases[other].Proxy })
 	return status
 }
 
-// Computed counts the differences between versions that this process worked out.
-func (master *Postmaster) Computed() uint64 { return master.versions.Computed() }
+// DifferencesComputed counts the differences between versions that this process worked out.
+func (s *Server) DifferencesComputed() uint64 { return s.differences.Computed() }
--- a/internal/configstore/versions/versions_test.go
+++ b/internal/configstore/versions/store_test.go
@@ -12,11 +12,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestLedger keeps transcripts of applies. Each line goes to two copies: one lives on, the other is given the whole state anew
+// TestTranscripts keeps transcripts of applies. Each line goes to two copies: one lives on, the other is given the whole state anew
 // before each command; what they answer and hold must be the same. Lines are
 //
 //	version NUMBER CONTENT [REQUEST] | expected SERIAL CONTENT [REQUEST] | any CONTENT [REQUEST] | find SERIAL | restore
-func TestLedger(t *testing.T) {
+func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, file string) {
 		var one *versions.Store
 		history := 0
@@ -36,60 +36,60 @@
 				if err := other.Restore(one.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				if told, again := carryOut(t, one, words), carryOut(t, other, words); told != again {
-					t.Errorf("%s: %q, and %q of a copy that was given the state anew", line, told, again)
+				if answer, again := execute(t, one, words), execute(t, other, words); answer != again {
+					t.Errorf("%s: %q, and %q of a copy that was given the state anew", line, answer, again)
 				} else {
-					fmt.Fprintln(&text, told)
+					fmt.Fprintln(&text, answer)
 				}
 				if string(one.Snapshot()) != string(other.Snapshot()) {
 					t.Errorf("%s: the copies differ", line)
 				}
 			}
-			for _, kept := range one.All() {
-				fmt.Fprintf(&text, " %d=%s", kept.Version, kept.Content)
+			for _, stored := range one.All() {
+				fmt.Fprintf(&text, " %d=%s", stored.Version, stored.Content)
 			}
 			return text.String() + "\n"
 		})
 	})
 }
 
-func carryOut(t *testing.T, one *versions.Store, words []string) string {
+func execute(t *testing.T, one *versions.Store, words []string) string {
 	t.Helper()
-	ask, rest := &wire.ConfigApplyRequest{}, words[2:]
+	request, rest := &wire.ConfigApplyRequest{}, words[2:]
 	number := uint64(0)
 	_, _ = fmt.Sscan(words[1], &number)
 	switch words[0] {
 	case "find":
-		if kept := one.Find(number); kept != nil {
-			return fmt.Sprintf("%s is %s", words[1], kept.Content)
+		if stored := one.Find(number); stored != nil {
+			return fmt.Sprintf("%s is %s", words[1], stored.Content)
 		}
 		return words[1] + " isn't there"
 	case "version":
-		ask.Version = number
+		request.Version = number
 	case "expected":
-		ask.ExpectedVersion = number
+		request.ExpectedVersion = number
 	case "any":
-		ask.AnyVersion, rest = true, words[1:]
+		request.AnyVersion, rest = true, words[1:]
 	default:
 		t.Fatal(words)
 	}
-	ask.Content = []byte(rest[0])
+	request.Content = []byte(rest[0])
 	if len(rest) > 1 {
-		ask.Request = rest[1]
+		request.Request = rest[1]
 	}
-	content, err := proto.Marshal(&wire.ConfigCommand{Apply: ask})
+	content, err := proto.Marshal(&wire.ConfigCommand{Apply: request})
 	if err != nil {
 		t.Fatal(err)
 	}
-	tell := &wire.ConfigApplyResponse{}
-	if err := proto.Unmarshal(one.Apply(1, 0, content), tell); err != nil {
+	response := &wire.ConfigApplyResponse{}
+	if err := proto.Unmarshal(one.Apply(1, 0, content), response); err != nil {
 		t.Fatal(err)
 	}
-	newest := one.Newest()
-	if newest == nil || newest.Version != one.Serial() || tell.Outcome == versions.Accepted && one.Find(tell.Version) != nil && one.Find(tell.Version).Digest != tell.Digest {
-		t.Errorf("%v: newest %v, serial %d, told %v", words, newest, one.Serial(), tell)
+	newest := one.Latest()
+	if newest == nil || newest.Version != one.LatestVersion() || response.Outcome == versions.Accepted && one.Find(response.Version) != nil && one.Find(response.Version).Digest != response.Digest {
+		t.Errorf("%v: newest %v, serial %d, told %v", words, newest, one.LatestVersion(), response)
 	}
-	return strings.TrimSpace(fmt.Sprintf("%s %d %s", tell.Outcome, tell.Version, strings.Join(tell.Errors, "; ")))
+	return strings.TrimSpace(fmt.Sprintf("%s %d %s", response.Outcome, response.Version, strings.Join(response.Errors, "; ")))
 }
 
 // TestOneNumberOneContent searches every order of orders by two operators: three numbers, two contents, resends, and a copy that is given the whole
@@ -100,7 +100,7 @@
 	var search func(path []string)
 	search = func(path []string) {
 		one := versions.New(1)
-		one.Deltas = func() bool { return false }
+		one.UseDeltas = func() bool { return false }
 		confirmed, newest := map[string]string{}, uint64(0)
 		for step, order := range path {
 			if step == len(path)/2 {
@@ -111,20 +111,20 @@
 				one = fresh
 			}
 			words := strings.Fields(order)
-			accepted := strings.HasPrefix(carryOut(t, one, words), versions.Accepted)
-			before, was := confirmed[words[1]]
+			accepted := strings.HasPrefix(execute(t, one, words), versions.Accepted)
+			previous, was := confirmed[words[1]]
 			switch {
-			case accepted && was && before != words[2]:
-				t.Fatalf("%v: %s is confirmed with %s and %s", path, words[1], before, words[2])
-			case !accepted && before == words[2]:
+			case accepted && was && previous != words[2]:
+				t.Fatalf("%v: %s is confirmed with %s and %s", path, words[1], previous, words[2])
+			case !accepted && previous == words[2]:
 				t.Fatalf("%v: %s is refused when it comes again", path, order)
 			case accepted:
 				confirmed[words[1]] = words[2]
 			}
-			if one.Serial() < newest || confirmed[fmt.Sprint(one.Serial())] != string(one.Newest().Content) {
-				t.Fatalf("%v: the newest is %d with %s", path, one.Serial(), one.Newest().Content)
+			if one.LatestVersion() < newest || confirmed[fmt.Sprint(one.LatestVersion())] != string(one.Latest().Content) {
+				t.Fatalf("%v: the newest is %d with %s", path, one.LatestVersion(), one.Latest().Content)
 			}
-			newest = one.Serial()
+			newest = one.LatestVersion()
 		}
 		if len(path) == depth {
 			return
@@ -136,27 +136,27 @@
 	search(nil)
 }
 
-// TestViews: a view without differences, as earlier builds make and read it, gives the same state; a damaged one is refused.
-func TestViews(t *testing.T) {
+// TestSnapshots: a view without differences, as earlier builds make and read it, gives the same state; a damaged one is refused.
+func TestSnapshots(t *testing.T) {
 	one := versions.New(3)
 	for _, order := range []string{"version 3 aaaa", "version 4 aaab", "any aaac", "version 9 aaad"} {
-		carryOut(t, one, strings.Fields(order))
+		execute(t, one, strings.Fields(order))
 	}
-	one.Deltas = func() bool { return false }
-	whole, other := one.Snapshot(), versions.New(3)
-	if err := other.Restore(whole); err != nil {
+	one.UseDeltas = func() bool { return false }
+	full, other := one.Snapshot(), versions.New(3)
+	if err := other.Restore(full); err != nil {
 		t.Fatal(err)
 	}
-	one.Deltas = nil
+	one.UseDeltas = nil
 	if string(other.Snapshot()) != string(one.Snapshot()) {
 		t.Error("the states differ")
 	}
-	view := &wire.ConfigSnapshot{}
-	if err := proto.Unmarshal(one.Snapshot(), view); err != nil {
+	snapshot := &wire.ConfigSnapshot{}
+	if err := proto.Unmarshal(one.Snapshot(), snapshot); err != nil {
 		t.Fatal(err)
 	}
-	view.Versions = view.Versions[1:]
-	content, err := proto.Marshal(view)
+	snapshot.Versions = snapshot.Versions[1:]
+	content, err := proto.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,25 +165,25 @@
 	}
 }
 
-// TestDamagedViews: a view with any byte changed, or cut anywhere, is refused, or gives the states that it was made of; and a refused one leaves what was there.
-func TestDamagedViews(t *testing.T) {
+// TestCorruptSnapshots: a view with any byte changed, or cut anywhere, is refused, or gives the states that it was made of; and a refused one leaves what was there.
+func TestCorruptSnapshots(t *testing.T) {
 	one := versions.New(3)
 	for _, order := range []string{"version 3 aaaaaaaaaaaaaaaaaaaa", "version 4 aaaaaaaaaaaaaaaaaaab", "version 9 aaaaaaaaaaaaaaaaaaac"} {
-		carryOut(t, one, strings.Fields(order))
+		execute(t, one, strings.Fields(order))
 	}
-	shown := func(store *versions.Store) (text string) {
-		for _, kept := range store.All() {
-			text += fmt.Sprintf(" %s", kept.Content)
+	shown := func(s *versions.Store) (text string) {
+		for _, stored := range s.All() {
+			text += fmt.Sprintf(" %s", stored.Content)
 		}
 		return text
 	}
-	whole, refused := one.Snapshot(), 0
-	for index := range whole {
-		spoilt := append([]byte(nil), whole...)
-		spoilt[index] ^= 0x41
-		for _, content := range [][]byte{spoilt, whole[:index]} {
+	full, refused := one.Snapshot(), 0
+	for index := range full {
+		corrupt := append([]byte(nil), full...)
+		corrupt[index] ^= 0x41
+		for _, content := range [][]byte{corrupt, full[:index]} {
 			other := versions.New(3)
-			carryOut(t, other, strings.Fields("version 1 before"))
+			execute(t, other, strings.Fields("version 1 before"))
 			if err := other.Restore(content); err != nil {
 				refused++
 				if shown(other) != " before" {
@@ -191,14 +191,14 @@
 				}
 				continue
 			}
-			for _, kept := range other.All() {
-				if !strings.Contains(shown(one), string(kept.Content)) {
-					t.Fatalf("byte %d: %q was taken", index, kept.Content)
+			for _, stored := range other.All() {
+				if !strings.Contains(shown(one), string(stored.Content)) {
+					t.Fatalf("byte %d: %q was taken", index, stored.Content)
 				}
 			}
 		}
 	}
-	if refused < len(whole)/2 {
-		t.Errorf("only %d of %d were refused", refused, 2*len(whole))
+	if refused < len(full)/2 {
+		t.Errorf("only %d of %d were refused", refused, 2*len(full))
 	}
 }
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -60,7 +60,7 @@
 	Place       host.Host
 	Carrier     string
 	Incarnation uint64
-	Desk        *configclient.Desk
+	Desk        *configclient.Client
 	Hutch       *localbackends.Hutch
 	Shelf       *replay.Shelf
 	Delivery    Delivery
@@ -149,11 +149,11 @@
 		if gate.env.ServeOn {
 			return nil
 		}
-		serial, age := gate.env.Desk.Serial()
+		serial, age := gate.env.Desk.Version()
 		if ask.ConfigVersion < serial && (ask.ConfigVersion+1 < serial || age > olderGrace) {
 			return apierror.New(apierror.SerialOlder, apierror.NotRun, "resolved by serial %d, %d is in force", ask.ConfigVersion, serial)
 		}
-		if ask.ConfigVersion > serial && !gate.env.Desk.Renew(ask.ConfigVersion, min(catchUp, monotonic.Micros(ask.Remaining))) {
+		if ask.ConfigVersion > serial && !gate.env.Desk.WaitForVersion(ask.ConfigVersion, min(catchUp, monotonic.Micros(ask.Remaining))) {
 			return apierror.New(apierror.SerialBehind, apierror.NotRun, "resolved by serial %d, this carrier has %d", ask.ConfigVersion, serial)
 		}
 		return nil
@@ -175,9 +175,9 @@
 		return view.Services[ask.Service], nil
 	}
 	if gate.env.ServeOn {
-		return config.Unlisted(ask.Service), nil // whoever resolved it has another view
+		return config.DefaultService(ask.Service), nil // whoever resolved it has another view
 	}
-	return nil, apierror.New(apierror.SerialOlder, apierror.NotRun, "service %s is not in serial %d", ask.Service, view.Serial)
+	return nil, apierror.New(apierror.SerialOlder, apierror.NotRun, "service %s is not in serial %d", ask.Service, view.Version)
 }
 
 // telling are the events of faults that operators should hear of, beyond the caller's refusal.
@@ -337,7 +337,7 @@
 }
 
 func (gate *Gate) refused(ask *wire.ForwardRequest, fault *apierror.Fault) *wire.ForwardResponse {
-	serial, _ := gate.env.Desk.Serial()
+	serial, _ := gate.env.Desk.Version()
 	return &wire.ForwardResponse{Id: ask.Id, Rejected: true, Cause: uint32(fault.Cause), Verdict: string(fault.Verdict), RetryAfter: int64(fault.RetryAfter),
 		BackendFault: fault.Backend, ConfigVersion: serial, Detail: fault.Detail}
 }
--- a/internal/proxy/admission/stay.go
+++ b/internal/proxy/admission/stay.go
@@ -24,7 +24,7 @@
 func (gate *Gate) stay(ask *wire.ForwardRequest, service *config.Service, cutoff monotonic.Micros) (*stay, *request.Answer, *apierror.Fault) {
 	admission := localbackends.Admission{Instance: ask.Instance, Service: ask.Service, Once: ask.RunOnce,
 		Ask: slots.Ask{Priority: ask.Priority, Aim: gate.env.Hutch.Remaining(ask.LatencyTarget), Cutoff: cutoff, Patient: ask.MayQueue, Kind: ask.Route}}
-	admission.StartBy = min(cutoff, gate.env.Place.Now()+monotonic.Micros(service.Guard.GetWaitOpenMicros())/guardShare)
+	admission.StartBy = min(cutoff, gate.env.Place.Now()+monotonic.Micros(service.Breaker.GetWaitOpenMicros())/guardShare)
 	claims := ask.RunOnce && !gate.unclaimed
 	if !gate.env.Hutch.Counted(ask.Instance) {
 		return gate.placed(ask, admission, claims, service.Limits.GetInFlightPerBackend())
--- a/internal/proxy/breaker/wicket.go
+++ b/internal/proxy/breaker/wicket.go
@@ -148,7 +148,7 @@
 	breaker := wicket.breaker(service.Name)
 	ticket := &Ticket{wicket: wicket, breaker: breaker, service: service, started: wicket.env.Place.Now()}
 	breaker.lock.Lock()
-	breaker.terms = service.Terms()
+	breaker.terms = service.BreakerTerms()
 	breaker.asked++
 	control := breaker.control
 	state := breakerstore.Closed
@@ -160,7 +160,7 @@
 	if control == ControlForceOpen {
 		return nil, apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is forced open on this node", service.Name)
 	}
-	if control != ControlNone || service.Guard.GetDisabled() {
+	if control != ControlNone || service.Breaker.GetDisabled() {
 		ticket.ignored = control != ControlMetricsOnly
 		return ticket, nil
 	}
@@ -175,7 +175,7 @@
 
 func (wicket *Wicket) admitOpen(breaker *breaker, ticket *Ticket) *apierror.Fault {
 	fault := apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is open", breaker.service)
-	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Guard.GetWaitOpenMicros()), monotonic.Second), 5*monotonic.Second)
+	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Breaker.GetWaitOpenMicros()), monotonic.Second), 5*monotonic.Second)
 	return fault
 }
 
@@ -214,8 +214,8 @@
 		return nil
 	}
 	now := wicket.env.Place.Now()
-	if own.state == breakerstore.Open && now-own.entered >= monotonic.Micros(ticket.service.Guard.GetWaitOpenMicros()) {
-		*own = local{state: breakerstore.HalfOpen, entered: now, left: int(ticket.service.Guard.GetPermittedHalfOpen())}
+	if own.state == breakerstore.Open && now-own.entered >= monotonic.Micros(ticket.service.Breaker.GetWaitOpenMicros()) {
+		*own = local{state: breakerstore.HalfOpen, entered: now, left: int(ticket.service.Breaker.GetPermittedHalfOpen())}
 	}
 	if own.state == breakerstore.HalfOpen && own.left > 0 {
 		own.left--
@@ -224,7 +224,7 @@
 		return nil
 	}
 	fault := apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is open on this node", breaker.service)
-	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Guard.GetWaitOpenMicros())-(now-own.entered), monotonic.Second), 5*monotonic.Second)
+	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Breaker.GetWaitOpenMicros())-(now-own.entered), monotonic.Second), 5*monotonic.Second)
 	return fault
 }
 
@@ -242,7 +242,7 @@
 func (ticket *Ticket) Done(outcome Outcome) {
 	wicket, breaker := ticket.wicket, ticket.breaker
 	took := wicket.env.Place.Now() - ticket.started
-	guard := ticket.service.Guard
+	guard := ticket.service.Breaker
 	slow := took > monotonic.Micros(guard.GetSlowMicros())
 	if ticket.probe != "" {
 		// Trouble of this node's own tells nothing, so its probe goes back.
@@ -251,7 +251,7 @@
 			verb = "return"
 		}
 		wicket.write(&wire.BreakerWriteRequest{Service: breaker.service, Verb: verb, ExpectedVersion: ticket.serial,
-			Id: ticket.probe, Success: outcome == Success && !slow, Settings: ticket.service.Terms()})
+			Id: ticket.probe, Success: outcome == Success && !slow, Settings: ticket.service.BreakerTerms()})
 		return
 	}
 	breaker.lock.Lock()
--- a/internal/proxy/breaker/wicket_test.go
+++ b/internal/proxy/breaker/wicket_test.go
@@ -216,7 +216,7 @@
 				scene.try(breaker.Failure)
 			}
 			former := scene.service
-			next, err := view.With(change(&wire.ServiceInForce{Name: "forms", Group: "field", Guard: proto.CloneOf(former.Guard), Retry: former.Retry, Limits: former.Limits}), 2, "")
+			next, err := view.With(change(&wire.ServiceInForce{Name: "forms", Group: "field", Guard: proto.CloneOf(former.Breaker), Retry: former.Retry, Limits: former.Limits}), 2, "")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/carrier.go
+++ b/internal/proxy/carrier.go
@@ -27,7 +27,7 @@
 	"go.uber.org/atomic"
 )
 
-// Env is what a carrier is made of.
+// Options is what a carrier is made of.
 type Env struct {
 	Place   host.Host
 	Book    *discovery.Book
@@ -38,9 +38,9 @@
 	// FarPenalty is what the way to another zone counts for, in the choice among backends that tell their slots.
 	FarPenalty monotonic.Micros
 	Delivery   admission.Delivery
-	// Read reads accepted desired states, franking.Accepted if left out.
-	Read config.Reader
-	// ServeOn: this carrier serves on while out of touch, by the newest desired state it has heard of. The postmasters must know.
+	// Parse reads accepted desired states, franking.Accepted if left out.
+	Read config.Parser
+	// ServeStale: this carrier serves on while out of touch, by the newest desired state it has heard of. The postmasters must know.
 	ServeOn  bool
 	Finished func(trip *forward.Trip, answer *request.Answer, fault *apierror.Fault)
 	// ClaimLife is how long answers to run-once requests are kept, two minutes if left out. It's as long as the sorters keep claims.
@@ -57,7 +57,7 @@
 type Carrier struct {
 	env         Env
 	incarnation uint64
-	Desk        *configclient.Desk
+	Desk        *configclient.Client
 	Roll        *session.Roll
 	Hutch       *localbackends.Hutch
 	Wicket      *breaker.Wicket
@@ -73,7 +73,7 @@
 // New makes a carrier.
 func New(env Env) *Carrier {
 	carrier := &Carrier{env: env, incarnation: env.Place.Random() | 1, vigil: clockwatch.New(env.Place)}
-	carrier.Desk = configclient.New(configclient.Env{Place: env.Place, Book: env.Book, Carrier: env.Name, Incarnation: carrier.incarnation, Vigil: carrier.vigil, Read: env.Read, ServeOn: env.ServeOn})
+	carrier.Desk = configclient.New(configclient.Options{Host: env.Place, Resolver: env.Book, Proxy: env.Name, Incarnation: carrier.incarnation, ClockWatch: carrier.vigil, Parse: env.Read, ServeStale: env.ServeOn})
 	carrier.Roll = session.New(env.Place, env.Book, carrier.session, carrier.vigil)
 	carrier.Hutch = localbackends.New(env.Place, carrier.Roll.Soon)
 	carrier.Wicket = breaker.New(breaker.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Call: carrier.callPrimaryOnce})
@@ -106,7 +106,7 @@
 func (carrier *Carrier) Start() {
 	carrier.vigil.Every(carrier.Passage.LookEvery(), carrier.Passage.Look)
 	carrier.vigil.Every(sweepEvery, carrier.Hutch.Sweep)
-	for _, task := range []func(){carrier.vigil.Watch, carrier.Desk.Follow, carrier.Roll.Follow, carrier.Wicket.Lane} {
+	for _, task := range []func(){carrier.vigil.Watch, carrier.Desk.Run, carrier.Roll.Follow, carrier.Wicket.Lane} {
 		carrier.env.Place.Go(task)
 	}
 }
@@ -115,7 +115,7 @@
 func (carrier *Carrier) Register(table host.Table) { carrier.Gate.Register(table) }
 
 func (carrier *Carrier) session() *wire.Session {
-	serial, _ := carrier.Desk.Serial()
+	serial, _ := carrier.Desk.Version()
 	return &wire.Session{Proxy: carrier.env.Name, Incarnation: carrier.incarnation, Address: carrier.env.Address, Domain: carrier.env.Domain,
 		Backends: carrier.Hutch.Told(), Leaving: carrier.leaving.Load(), ConfigVersion: serial, Release: release.Version}
 }
@@ -218,7 +218,7 @@
 	Serial      uint64                   `json:"desired_serial"`
 	Check       string                   `json:"desired_check,omitempty"` // digest of the resources in force
 	Age         int64                    `json:"desired_age_micros"`      // since it was taken up
-	Taken       configclient.Taken       `json:"desired_taken"`
+	Taken       configclient.Stats       `json:"desired_taken"`
 	Running     int64                    `json:"requests_running"`
 	Passes      int64                    `json:"passes_running"`
 	Backends    []*wire.Backend          `json:"backends"`
@@ -234,7 +234,7 @@
 	status := Status{Name: carrier.env.Name, Domain: carrier.env.Domain, Incarnation: carrier.incarnation, Running: carrier.Passage.Running(),
 		Passes: carrier.Gate.Running(), Backends: carrier.Hutch.Told(), Standings: carrier.Hutch.Standings(), Guards: carrier.Wicket.Show(), Degraded: carrier.Wicket.Degraded(), Members: carrier.Roll.Directory().Live}
 	status.Ready, status.Why = carrier.Ready()
-	serial, age, check := carrier.Desk.InForce()
-	status.Serial, status.Age, status.Check, status.Taken, status.Directory = serial, int64(age), check, carrier.Desk.Taken(), carrier.Roll.Taken()
+	serial, age, check := carrier.Desk.Adopted()
+	status.Serial, status.Age, status.Check, status.Taken, status.Directory = serial, int64(age), check, carrier.Desk.Stats(), carrier.Roll.Taken()
 	return status
 }
--- a/internal/proxy/forward/passage.go
+++ b/internal/proxy/forward/passage.go
@@ -38,7 +38,7 @@
 	Domain      string
 	Blind       bool
 	FarPenalty  monotonic.Micros // what the way to another zone counts for
-	Desk        *configclient.Desk
+	Desk        *configclient.Client
 	Roll        *session.Roll
 	Wicket      *breaker.Wicket
 	Purse       *retry.Purse
@@ -73,11 +73,11 @@
 	Request *request.Request
 	Host    string
 	Method  string
-	Address resourcepath.Address
+	Address resourcepath.RequestTarget
 	Began   monotonic.Micros
 	Cutoff  monotonic.Micros
-	View    *config.View
-	Path    config.Path
+	View    *config.Snapshot
+	Path    config.Route
 	Service *config.Service
 	Once    bool
 	// AtMostOnce: it may run at most once and nothing is claimed for it, so it's only tried again when certain that it has not run.
@@ -185,7 +185,7 @@
 }
 
 func (passage *Passage) carry(req *request.Request, errand *shutdown.Errand) (answer *request.Answer, fault *apierror.Fault) {
-	trip := &Trip{Request: req, errand: errand, Began: passage.env.Place.Now(), Host: config.Host(req.Host), Method: strings.ToUpper(req.Method)}
+	trip := &Trip{Request: req, errand: errand, Began: passage.env.Place.Now(), Host: config.CanonicalHost(req.Host), Method: strings.ToUpper(req.Method)}
 	trip.Cutoff = trip.Began + voidPatience // until the path's own limit is known
 	defer func() {
 		if passage.env.Finished != nil {
@@ -218,8 +218,8 @@
 
 // mostTries is the path's own where it has one, else the service's.
 func (trip *Trip) mostTries() int {
-	if trip.Path.MostTries > 0 {
-		return int(trip.Path.MostTries)
+	if trip.Path.MaxAttempts > 0 {
+		return int(trip.Path.MaxAttempts)
 	}
 	return int(trip.Service.Retry.GetMostTries())
 }
@@ -266,7 +266,7 @@
 
 // repin resolves a trip anew after a refusal for its serial; only the newest view may be used from then on.
 func (passage *Passage) repin(trip *Trip) {
-	passage.env.Desk.Renew(trip.View.Serial+1, 300*monotonic.Millisecond)
+	passage.env.Desk.WaitForVersion(trip.View.Version+1, 300*monotonic.Millisecond)
 	view, live := passage.env.Desk.Current()
 	if !live {
 		return
@@ -275,7 +275,7 @@
 	if !found || path.Name != trip.Path.Name || once(path, trip) != trip.Once || (path.Single && !trip.Once) != trip.Single {
 		return
 	}
-	if service, there := path.Has(trip.Service.Name); there {
+	if service, there := path.FindService(trip.Service.Name); there {
 		trip.View, trip.Path, trip.Service = view, path, service
 	}
 }
@@ -286,9 +286,9 @@
 	trip.last = true
 	view, live := passage.env.Desk.Current()
 	if !live {
-		return nil, apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Serial), false
+		return nil, apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Version), false
 	}
-	if view.Serial != trip.View.Serial {
+	if view.Version != trip.View.Version {
 		passage.repin(trip)
 	}
 	ticket, fault := passage.env.Wicket.Admit(trip.Service)
@@ -296,7 +296,7 @@
 		return nil, fault, false
 	}
 	candidate, last, leave, fault := passage.choices.choose(passage.env.Roll.Directory(),
-		wish{service: trip.Service.Name, route: trip.Path.Name, aim: trip.Path.Aim, avoid: avoid})
+		wish{service: trip.Service.Name, route: trip.Path.Name, aim: trip.Path.LatencyTarget, avoid: avoid})
 	if fault != nil {
 		ticket.Done(breaker.Neutral)
 		return nil, fault, false
@@ -312,8 +312,8 @@
 		ticket.Done(breaker.Neutral)
 		return nil, apierror.New(apierror.CutoffReached, apierror.NotRun, "the cutoff was reached before the pass"), false
 	}
-	ask := &wire.ForwardRequest{Id: trip.Request.ID + "." + strconv.Itoa(trip.Tries), ConfigVersion: trip.View.Serial, Service: trip.Service.Name,
-		Instance: candidate.Instance, Method: trip.Method, Target: trip.Address.Target, Headers: trip.Request.Headers,
+	ask := &wire.ForwardRequest{Id: trip.Request.ID + "." + strconv.Itoa(trip.Tries), ConfigVersion: trip.View.Version, Service: trip.Service.Name,
+		Instance: candidate.Instance, Method: trip.Method, Target: trip.Address.Encoded, Headers: trip.Request.Headers,
 		Body: trip.Request.Body, RunOnce: trip.Once, Scope: trip.Scope, Digest: trip.Digest, Remaining: int64(remaining),
 		ReadAt: trip.Request.ReadAt, AttemptNumber: uint32(trip.Tries), From: passage.env.Carrier, ToIncarnation: candidate.Incarnation,
 		AnswerLimit: trip.Service.Limits.GetAnswerBytes(), Priority: trip.Path.Priority, LatencyTarget: trip.aim(place.Now()), AtMostOnce: trip.Single, MayQueue: trip.last, Route: trip.Path.Name,
@@ -354,7 +354,7 @@
 	}
 	ticket.Done(outcome)
 	passage.choices.judge(candidate.Instance, outcome == breaker.Failure)
-	answer = &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance, Serial: trip.View.Serial}
+	answer = &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance, Serial: trip.View.Version}
 	if trip.Once && passage.env.Keep != nil {
 		passage.env.Keep(trip.Scope, trip.Digest, answer)
 	}
@@ -376,8 +376,8 @@
 
 // aim is what is left of the time that the route wants its answers in; at least a microsecond, for zero says that it has none.
 func (trip *Trip) aim(now monotonic.Micros) int64 {
-	if trip.Path.Aim == 0 {
+	if trip.Path.LatencyTarget == 0 {
 		return 0
 	}
-	return int64(max(1, trip.Path.Aim-(now-trip.Began)))
+	return int64(max(1, trip.Path.LatencyTarget-(now-trip.Began)))
 }
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -56,7 +56,7 @@
 		return apierror.New(apierror.NotReady, apierror.NotRun, "no desired state is adopted yet")
 	}
 	if !live {
-		return apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Serial)
+		return apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Version)
 	}
 	path, found := view.Resolve(trip.Host, trip.Method, trip.Address.Path)
 	if !found {
@@ -64,13 +64,13 @@
 	}
 	trip.View, trip.Path, trip.Service = view, path, path.Service
 	if len(path.Split) > 1 {
-		trip.Service = path.Pick(passage.env.Place.Random())
+		trip.Service = path.PickService(passage.env.Place.Random())
 	}
 	trip.Once = once(path, trip)
 	trip.Single = path.Single && !trip.Once
 	trip.Cutoff = trip.Began + monotonic.Micros(trip.Service.Limits.GetCutoffMicros())
-	if path.Cutoff > 0 {
-		trip.Cutoff = min(trip.Cutoff, trip.Began+path.Cutoff)
+	if path.Timeout > 0 {
+		trip.Cutoff = min(trip.Cutoff, trip.Began+path.Timeout)
 	}
 	if trip.Request.Cutoff > 0 {
 		trip.Cutoff = min(trip.Cutoff, trip.Request.Cutoff)
@@ -87,7 +87,7 @@
 		return apierror.New(apierror.NoKey, apierror.NotRun, "%s needs a reference key of at most 200 bytes in %s", trip.Address.Path, request.KeyHeader)
 	}
 	sum := sha256.New()
-	sum.Write([]byte(trip.Method + " " + trip.Address.Target + "\n"))
+	sum.Write([]byte(trip.Method + " " + trip.Address.Encoded + "\n"))
 	sum.Write(trip.Request.Body)
 	trip.Digest = sum.Sum(nil)
 	return nil
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -77,7 +77,7 @@
 	if trip.Request.Scope != "" {
 		return trip.Request.Scope
 	}
-	return resourcepath.Resource(trip.Address.Path) + "\n" + trip.Request.Key
+	return resourcepath.TrimTrailingSlash(trip.Address.Path) + "\n" + trip.Request.Key
 }
 
 // harmless are the methods that promise to change nothing.
@@ -86,7 +86,7 @@
 // once tells whether a request may run only once: on a path of that class, and on any path when it carries a key and its
 // method may change something. The second keeps a key that ran under one desired state from running again under
 // another that has the path as read.
-func once(path config.Path, trip *Trip) bool {
+func once(path config.Route, trip *Trip) bool {
 	return path.Once || trip.Request.Key != "" && !harmless[trip.Method]
 }
 
--- a/internal/proxy/request/letter.go
+++ b/internal/proxy/request/letter.go
@@ -28,8 +28,8 @@
 	Key     string
 	// Cutoff is this process's clock at which the caller gives up; zero leaves it to the service's limit.
 	Cutoff monotonic.Micros
-	// Address is the request's own spelling where that must not be changed; nil has it spelled in the one way of the mesh.
-	Address *resourcepath.Address
+	// RequestTarget is the request's own spelling where that must not be changed; nil has it spelled in the one way of the mesh.
+	Address *resourcepath.RequestTarget
 	// Scope names what may run once where the key alone does; empty has it made of resource and key.
 	Scope string
 	// Alone has a refusal speak of this request only, not of its key: a later request with the key may still run.
--- a/internal/proxy/session/held.go
+++ b/internal/proxy/session/held.go
@@ -26,7 +26,7 @@
 	if !present.sure {
 		return 0
 	}
-	return present.set.Sum().Check()
+	return present.set.Sum().Short()
 }
 
 // doubt has the whole asked for. The serial is none of any sorter's, so that it isn't answered with nothing.
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -78,7 +78,7 @@
 // New makes a directory; source tells its serials from those of another life.
 func New(clock monotonic.Clock, source uint64) *Directory {
 	return &Directory{clock: clock, source: source, born: clock.Now(), sessions: map[string]*entry{}, activity: lately{}, demand: lately{},
-		shown: resource.Empty, versions: []version{{check: resource.Empty.Sum().Check()}}}
+		shown: resource.Empty, versions: []version{{check: resource.Empty.Sum().Short()}}}
 }
 
 // Tell takes a session as heard age ago. It tells whether the session is new here.
@@ -138,7 +138,7 @@
 		return // one resource comes, changes or goes, and is counted so
 	}
 	directory.shown = next
-	directory.versions = append(directory.versions, version{carrier: carrier, check: next.Sum().Check()})
+	directory.versions = append(directory.versions, version{carrier: carrier, check: next.Sum().Short()})
 	if spare := len(directory.versions) - keptVersions; spare >= keptVersions/4 {
 		directory.versions = append([]version(nil), directory.versions[spare:]...)
 		directory.forgot += uint64(spare)
--- a/internal/rehearse/hollow/crowd.go
+++ b/internal/rehearse/hollow/crowd.go
@@ -177,7 +177,7 @@
 // Trip has a carrier report trouble with a service, after which the service's guard has a shared record.
 func (crowd *Crowd) Trip(index, service int) error {
 	present := crowd.present()[index]
-	ask := &wire.BreakerWriteRequest{Service: Service(service), Verb: "trip", Proxy: present.name, Incarnation: present.carrier.Incarnation(), Settings: config.Unlisted(Service(service)).Terms()}
+	ask := &wire.BreakerWriteRequest{Service: Service(service), Verb: "trip", Proxy: present.name, Incarnation: present.carrier.Incarnation(), Settings: config.DefaultService(Service(service)).BreakerTerms()}
 	return present.carrier.Roll.CallPrimary(wire.Kind_breaker_write, ask, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
--- a/internal/rehearse/scenario/friday.go
+++ b/internal/rehearse/scenario/friday.go
@@ -116,7 +116,7 @@
 	Outcome string
 }, err error) {
 	told, err := stage.Operator.Apply(workload.Content(state), expected, 40*time.Second)
-	applied.Serial, applied.Outcome = told.Serial, told.Outcome
+	applied.Serial, applied.Outcome = told.Version, told.Outcome
 	return applied, err
 }
 
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -34,7 +34,7 @@
 }
 
 // Apply applies a content and notes the outcome.
-func (operator *Operator) Apply(content []byte, expected string, patience time.Duration) (api.Applied, error) {
+func (operator *Operator) Apply(content []byte, expected string, patience time.Duration) (api.ApplyResult, error) {
 	state, faults := config.Parse(content)
 	if state != nil && len(faults) == 0 {
 		operator.allow(content)
@@ -45,8 +45,8 @@
 	for turn := rand.IntN(len(operator.Fleet.Postmasters)); ; turn++ {
 		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
 		applied, err := operator.once(master, content, expected, req)
-		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.Unreached {
-			operator.History.Apply(invariants.Applied{Serial: applied.Serial, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
+		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.OutcomeUnreached {
+			operator.History.Apply(invariants.Applied{Serial: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
 			return applied, nil
 		}
 		if time.Now().After(cutoff) {
@@ -61,7 +61,7 @@
 	if state == nil {
 		return ""
 	}
-	set, err := changes.Read(state)
+	set, err := changes.NewSet(state)
 	if err != nil {
 		return ""
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-func (operator *Operator) once(master *fleet.Process, content []byte, expected, req string) (api.Applied, error) {
-	var applied api.Applied
+func (operator *Operator) once(master *fleet.Process, content []byte, expected, req string) (api.ApplyResult, error) {
+	var applied api.ApplyResult
 	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", master.Desk, expected, req)
 	ask, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(content))
 	if err != nil {
@@ -100,12 +100,12 @@
 	var last error
 	for turn := range 40 {
 		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
-		var kept []api.Kept
+		var kept []api.StoredState
 		if last = operator.Get(master, "/history", &kept); last == nil {
 			operator.History.End(func() {
 				operator.History.Read = true
 				for _, state := range kept {
-					operator.History.ReadBack = append(operator.History.ReadBack, invariants.ReadBack{Serial: state.Serial, Digest: state.Digest})
+					operator.History.ReadBack = append(operator.History.ReadBack, invariants.ReadBack{Serial: state.Version, Digest: state.Digest})
 				}
 			})
 			return nil
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -18,8 +18,8 @@
 // Digest is a SHA-256 sum.
 type Digest [sha256.Size]byte
 
-// Check is a digest cut short, for naming a version that its holder may have. Zero names none.
-func (digest Digest) Check() uint64 { return binary.BigEndian.Uint64(digest[:8]) }
+// Short is a digest cut short, for naming a version that its holder may have. Zero names none.
+func (d Digest) Short() uint64 { return binary.BigEndian.Uint64(d[:8]) }
 
 // Resource is one named message of a set. Invariants: the message never changes; the digest is over its deterministic encoding.
 type Resource struct {
@@ -29,14 +29,14 @@
 }
 
 // Kind and Name are the two parts of a resource's key.
-func (resource *Resource) Kind() string { kind, _, _ := strings.Cut(resource.Key, "/"); return kind }
+func (r *Resource) Kind() string { kind, _, _ := strings.Cut(r.Key, "/"); return kind }
 
 // Name is what the resource is known by among those of its kind.
-func (resource *Resource) Name() string { _, name, _ := strings.Cut(resource.Key, "/"); return name }
+func (r *Resource) Name() string { _, name, _ := strings.Cut(r.Key, "/"); return name }
 
 // buckets is the number of parts that a set's digest is made of. It's told to nobody, yet both sides of a difference must have the
 // same, so it never changes.
-const buckets = 256
+const bucketCount = 256
 
 // bucket holds the resources whose keys' hashes name it. Invariants: it never changes once it's in a set; the digest is over
 // the keys and digests of its resources, in the order of the keys.
@@ -48,31 +48,31 @@
 // Set is one version of a set. The empty one is Empty. Invariants: it never changes once made; two sets share the buckets in which they
 // don't differ; digest is over the buckets' digests, in their order.
 type Set struct {
-	buckets [buckets]*bucket
+	buckets [bucketCount]*bucket
 	size    int
 	digest  Digest
 }
 
 // Sum is the digest of the whole.
-func (set *Set) Sum() Digest { return set.digest }
+func (s *Set) Sum() Digest { return s.digest }
 
 // Digest is the digest of the whole: two sets have the same one only if all their resources are the same.
-func (set *Set) Digest() []byte { return set.digest[:] }
+func (s *Set) Digest() []byte { return s.digest[:] }
 
 // Len is the number of resources.
-func (set *Set) Len() int { return set.size }
+func (s *Set) Len() int { return s.size }
 
 // Get finds a resource by its key, or nothing.
-func (set *Set) Get(key string) *Resource {
-	if present := set.buckets[index(key)]; present != nil {
+func (s *Set) Get(key string) *Resource {
+	if present := s.buckets[bucketIndex(key)]; present != nil {
 		return present.resources[key]
 	}
 	return nil
 }
 
 // All lists the resources in the order of their keys.
-func (set *Set) All() (all []*Resource) {
-	for _, present := range set.buckets {
+func (s *Set) All() (all []*Resource) {
+	for _, present := range s.buckets {
 		if present != nil {
 			all = slices.AppendSeq(all, maps.Values(present.resources))
 		}
@@ -83,7 +83,7 @@
 
 func byKey(one, other *Resource) int { return strings.Compare(one.Key, other.Key) }
 
-func index(key string) int { return int(xxhash.Sum64String(key) % buckets) }
+func bucketIndex(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
 var deterministic = proto.MarshalOptions{Deterministic: true}
 
@@ -96,11 +96,11 @@
 	return &Resource{Key: key, Message: message, digest: sha256.Sum256(content)}, nil
 }
 
-// Same tells whether two resources have the same digest.
-func (resource *Resource) Same(other *Resource) bool { return resource.digest == other.digest }
+// SameDigest tells whether two resources have the same digest.
+func (r *Resource) SameDigest(other *Resource) bool { return r.digest == other.digest }
 
-// ErrDoubtful: what was given is no set of resources.
-var ErrDoubtful = errors.New("resource: no set of resources")
+// ErrInvalidSet: what was given is no set of resources.
+var ErrInvalidSet = errors.New("resource: no set of resources")
 
 // Empty is the set without resources.
 var Empty = func() *Set {
@@ -112,11 +112,11 @@
 }()
 
 // With is the set in which some resources are set and some removed, and which then has to have so many.
-func (set *Set) With(put []*Resource, removed []string, size int) (*Set, error) {
-	next := &Set{buckets: set.buckets, size: set.size}
+func (s *Set) With(updated []*Resource, removed []string, size int) (*Set, error) {
+	next := &Set{buckets: s.buckets, size: s.size}
 	touched := map[int]bool{}
-	open := func(key string) *bucket {
-		at := index(key)
+	editBucket := func(key string) *bucket {
+		at := bucketIndex(key)
 		if !touched[at] {
 			touched[at] = true
 			fresh := &bucket{resources: map[string]*Resource{}}
@@ -128,53 +128,53 @@
 		return next.buckets[at]
 	}
 	for _, key := range removed {
-		present := open(key)
+		present := editBucket(key)
 		if present.resources[key] != nil {
 			next.size--
 		}
 		delete(present.resources, key)
 	}
-	for _, one := range put {
-		present := open(one.Key)
+	for _, one := range updated {
+		present := editBucket(one.Key)
 		if present.resources[one.Key] == nil {
 			next.size++
 		}
 		present.resources[one.Key] = one
 	}
 	if next.size != size {
-		return nil, fmt.Errorf("%w: %d resources in place of %d, some key is there twice", ErrDoubtful, next.size, size)
+		return nil, fmt.Errorf("%w: %d resources in place of %d, some key is there twice", ErrInvalidSet, next.size, size)
 	}
 	for at := range touched {
-		next.buckets[at].seal()
+		next.buckets[at].computeDigest()
 		if len(next.buckets[at].resources) == 0 {
 			next.buckets[at] = nil
 		}
 	}
-	whole := sha256.New()
+	hash := sha256.New()
 	for _, present := range next.buckets {
 		if present == nil {
 			present = &bucket{}
 		}
-		whole.Write(present.digest[:])
+		hash.Write(present.digest[:])
 	}
-	whole.Sum(next.digest[:0])
+	hash.Sum(next.digest[:0])
 	return next, nil
 }
 
-func (bucket *bucket) seal() {
-	sum := sha256.New()
-	for _, key := range slices.Sorted(maps.Keys(bucket.resources)) {
+func (b *bucket) computeDigest() {
+	hash := sha256.New()
+	for _, key := range slices.Sorted(maps.Keys(b.resources)) {
 		name := sha256.Sum256([]byte(key))
-		sum.Write(name[:])
-		sum.Write(bucket.resources[key].digest[:])
+		hash.Write(name[:])
+		hash.Write(b.resources[key].digest[:])
 	}
-	sum.Sum(bucket.digest[:0])
+	hash.Sum(b.digest[:0])
 }
 
 // Diff compares two versions, each list in the order of the keys. Buckets that are the same aren't looked into.
-func Diff(old, new *Set) (added, changed, removed []*Resource) {
-	for at := range buckets {
-		former, present := old.buckets[at], new.buckets[at]
+func Diff(base, target *Set) (added, changed, removed []*Resource) {
+	for at := range bucketCount {
+		former, present := base.buckets[at], target.buckets[at]
 		if former == nil {
 			former = &bucket{}
 		}
--- a/internal/resourcepath/postcode.go
+++ b/internal/resourcepath/resourcepath.go
@@ -9,30 +9,30 @@
 	"snowflow/internal/apierror"
 )
 
-// Address is a request's target in its one spelling.
+// RequestTarget is a request's target in its one spelling.
 // Invariants: Path starts with a slash and has no empty, "." or ".." segment; a decoded Path has exactly one Target,
 // leaving the query aside.
-type Address struct {
-	Path   string // decoded, without the query
-	Target string // as it goes out: escaped path and query
+type RequestTarget struct {
+	Path    string // decoded, without the query
+	Encoded string // as it goes out: escaped path and query
 }
 
 // Parse takes a target as it was sent. Escapes are resolved, doubled slashes and dot segments taken out. What different
 // readers would take for different resources is turned down: an escaped slash, a backslash, a control character.
-func Parse(target string) (Address, error) {
+func Parse(target string) (RequestTarget, error) {
 	escaped, query, _ := strings.Cut(target, "?")
 	if !strings.HasPrefix(escaped, "/") {
-		return Address{}, apierror.Invalid.New("a target must start with /")
+		return RequestTarget{}, apierror.Invalid.New("a target must start with /")
 	}
 	segments := []string{}
 	trailing := false
 	for _, part := range strings.Split(escaped[1:], "/") {
 		segment, err := url.PathUnescape(part)
 		if err != nil {
-			return Address{}, apierror.Invalid.New("unreadable escape in %q", part)
+			return RequestTarget{}, apierror.Invalid.New("unreadable escape in %q", part)
 		}
 		if strings.ContainsFunc(segment, ambiguous) {
-			return Address{}, apierror.Invalid.New("%q holds a slash, a backslash or a control character", part)
+			return RequestTarget{}, apierror.Invalid.New("%q holds a slash, a backslash or a control character", part)
 		}
 		trailing = segment == "" || segment == "." || segment == ".."
 		switch {
@@ -46,19 +46,19 @@
 	if trailing && len(segments) > 0 {
 		path += "/"
 	}
-	spelled := Address{Path: path, Target: (&url.URL{Path: path}).EscapedPath()}
+	canonical := RequestTarget{Path: path, Encoded: (&url.URL{Path: path}).EscapedPath()}
 	if query != "" {
-		spelled.Target += "?" + query
+		canonical.Encoded += "?" + query
 	}
-	return spelled, nil
+	return canonical, nil
 }
 
 func ambiguous(character rune) bool {
 	return character == '/' || character == '\\' || character < ' ' || character == 0x7f
 }
 
-// Resource is a path without what only some readers take for a difference: a slash at its end.
-func Resource(path string) string {
+// TrimTrailingSlash is a path without what only some readers take for a difference: a slash at its end.
+func TrimTrailingSlash(path string) string {
 	if trimmed := strings.TrimRight(path, "/"); trimmed != "" {
 		return trimmed
 	}
--- a/internal/resourcepath/postcode_test.go
+++ b/internal/resourcepath/resourcepath_test.go
@@ -21,10 +21,10 @@
 				continue
 			}
 			// The one spelling of a spelling is itself.
-			if again, err := resourcepath.Parse(address.Target); err != nil || again != address {
+			if again, err := resourcepath.Parse(address.Encoded); err != nil || again != address {
 				t.Errorf("%s: %v, then %v %v", target, address, again, err)
 			}
-			fmt.Fprintf(&text, "%s: path %s, resource %s, sent as %s\n", target, address.Path, resourcepath.Resource(address.Path), address.Target)
+			fmt.Fprintf(&text, "%s: path %s, resource %s, sent as %s\n", target, address.Path, resourcepath.TrimTrailingSlash(address.Path), address.Encoded)
 		}
 		return text.String()
 	})
--- a/internal/simulation/scenario/behind_test.go
+++ b/internal/simulation/scenario/behind_test.go
@@ -43,7 +43,7 @@
 		mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
 		if view, live := mesh.lives[victim].Desk.Current(); !live {
 			t.Fatalf("seed %d: it doesn't serve on", seed)
-		} else if view.Serial == 11 {
+		} else if view.Version == 11 {
 			taken = mesh.World.Now()
 		}
 	}
@@ -122,9 +122,9 @@
 			}
 			for until := mesh.World.Now() + 3*monotonic.Second; mesh.World.Now() < until; {
 				mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
-				if view, live := mesh.lives[name].Desk.Current(); live && view.Serial < uint64(20+10*turn) {
+				if view, live := mesh.lives[name].Desk.Current(); live && view.Version < uint64(20+10*turn) {
 					older++
-					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, view.Serial, 20+10*turn)
+					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, view.Version, 20+10*turn)
 					break
 				}
 			}
--- a/internal/simulation/scenario/changes_test.go
+++ b/internal/simulation/scenario/changes_test.go
@@ -56,13 +56,13 @@
 	t      *testing.T
 	mesh   *Mesh
 	events map[int]int
-	before map[string]*config.View
+	before map[string]*config.Snapshot
 	calls  map[string]uint64
 	funds  map[string]float64 // the budget for further tries of forms
 }
 
 func take(t *testing.T) *taking {
-	scene := &taking{t: t, mesh: Build(1, Sizes{Cores: 3, Carriers: 8, Zones: 2, Backends: 3}, Breakage{}), events: map[int]int{}, before: map[string]*config.View{}, calls: map[string]uint64{}, funds: map[string]float64{}}
+	scene := &taking{t: t, mesh: Build(1, Sizes{Cores: 3, Carriers: 8, Zones: 2, Backends: 3}, Breakage{}), events: map[int]int{}, before: map[string]*config.Snapshot{}, calls: map[string]uint64{}, funds: map[string]float64{}}
 	scene.mesh.World.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
 	scene.apply(wide(t, 400, nil), 8*monotonic.Second)
 	scene.mesh.serve(60)
@@ -106,8 +106,8 @@
 	t.Helper()
 	for _, name := range scene.mesh.carriers {
 		view, live := scene.mesh.lives[name].Desk.Current()
-		if !live || view.Serial != serial || view.Digest != config.Digest(content) {
-			t.Errorf("%s: serial %d, live %v", name, view.Serial, live)
+		if !live || view.Version != serial || view.Digest != config.Digest(content) {
+			t.Errorf("%s: serial %d, live %v", name, view.Version, live)
 			continue
 		}
 		before := scene.before[name]
@@ -118,11 +118,11 @@
 		}
 		for number := range 400 {
 			host, path := fmt.Sprintf("h%d.example", number%10), fmt.Sprintf("/batches/%d/1", number)
-			if changed := number == 47; changed == (view.Entry(host, "GET", path) == before.Entry(host, "GET", path)) {
+			if changed := number == 47; changed == (view.Lookup(host, "GET", path) == before.Lookup(host, "GET", path)) {
 				t.Errorf("%s: batch-%d: changed %v, the same object %v", name, number, changed, !changed)
 			}
 		}
-		if found := view.Entry("h7.example", "GET", "/batches/47/1"); found == nil || found.Service != view.Services["households"] {
+		if found := view.Lookup("h7.example", "GET", "/batches/47/1"); found == nil || found.Service != view.Services["households"] {
 			t.Errorf("%s: the route leads to %v", name, found)
 		}
 		if now := scene.counted(name); now < scene.calls[name] {
@@ -137,11 +137,11 @@
 
 func (scene *taking) sums() (sum struct{ differences, wholes, refused, computed uint64 }) {
 	for _, name := range scene.mesh.carriers {
-		taken := scene.mesh.lives[name].Desk.Taken()
-		sum.differences, sum.wholes, sum.refused = sum.differences+taken.Differences, sum.wholes+taken.Wholes, sum.refused+taken.Refused
+		taken := scene.mesh.lives[name].Desk.Stats()
+		sum.differences, sum.wholes, sum.refused = sum.differences+taken.Differences, sum.wholes+taken.FullStates, sum.refused+taken.Rejected
 	}
 	for _, one := range scene.mesh.masters {
-		sum.computed += one.Computed()
+		sum.computed += one.DifferencesComputed()
 	}
 	return sum
 }
@@ -230,7 +230,7 @@
 	scene.run(10 * monotonic.Second)
 	delete(scene.before, "carrier-3")
 	view, _ := mesh.lives["carrier-3"].Desk.Current()
-	if view == nil || view.Serial != 1 {
+	if view == nil || view.Version != 1 {
 		t.Fatal("the carrier hasn't taken up the version in force")
 	}
 	scene.before["carrier-3"], scene.calls["carrier-3"] = view, 0
@@ -370,14 +370,14 @@
 		}
 		return recorder.Code
 	}
-	told := api.Changes{}
-	moved := changes.Summary{Added: []changes.Altered{}, Removed: []changes.Altered{}, Changed: []changes.Altered{{Kind: "route", Name: "batch-47", Fields: []string{"split"}}}}
-	if code := ask("GET", "/changes?from=1&to=2", nil, &told); code != 200 || !reflect.DeepEqual(told.Summary, moved) || told.To != 2 || told.Nodes != 8 || told.Bytes > 300 || told.Whole < 30000 {
+	told := api.Comparison{}
+	moved := changes.Summary{Added: []changes.ResourceChange{}, Removed: []changes.ResourceChange{}, Changed: []changes.ResourceChange{{Kind: "route", Name: "batch-47", Fields: []string{"split"}}}}
+	if code := ask("GET", "/changes?from=1&to=2", nil, &told); code != 200 || !reflect.DeepEqual(told.Summary, moved) || told.To != 2 || told.Proxies != 8 || told.DifferenceBytes > 300 || told.FullBytes < 30000 {
 		t.Errorf("%d %+v", code, told)
 	}
-	preview := api.Changes{}
+	preview := api.Comparison{}
 	content := wide(t, 400, func(state *wire.DesiredState) { state.Routes = state.Routes[:400] })
-	if code := ask("POST", "/changes", content, &preview); code != 200 || preview.From != 2 || preview.To != 0 || len(preview.Summary.Changed) != 1 || len(preview.Summary.Removed) != 3 || preview.Nodes != 8 {
+	if code := ask("POST", "/changes", content, &preview); code != 200 || preview.From != 2 || preview.To != 0 || len(preview.Summary.Changed) != 1 || len(preview.Summary.Removed) != 3 || preview.Proxies != 8 {
 		t.Errorf("%d %+v", code, preview)
 	}
 	if mesh.latest != 2 {
@@ -396,7 +396,7 @@
 	overview := api.Overview{}
 	ask("GET", "/status", nil, &overview)
 	statuses := map[string]configstore.Status{}
-	for name, content := range overview.Postmasters {
+	for name, content := range overview.ConfigStores {
 		status := configstore.Status{}
 		if err := json.Unmarshal(content, &status); err != nil {
 			t.Fatal(err)
@@ -408,7 +408,7 @@
 		t.Errorf("%+v", progress)
 	}
 	for _, node := range progress.Nodes {
-		if node.Adopted != 2 || node.Took <= 0 || node.Took > 20000 || node.Since < 10000000 {
+		if node.AdoptedVersion != 2 || node.AdoptionMicros <= 0 || node.AdoptionMicros > 20000 || node.AdoptedForMicros < 10000000 {
 			t.Errorf("%+v", node)
 		}
 	}
--- a/internal/simulation/scenario/friday.go
+++ b/internal/simulation/scenario/friday.go
@@ -179,7 +179,7 @@
 	contents[last] = fridayState()
 	mesh.handed = func(content []byte) {
 		digest := config.Digest(content)
-		contents[digest], _ = config.Accepted(content)
+		contents[digest], _ = config.ParseAccepted(content)
 		before[digest], last = last, digest
 	}
 	mesh.polled = func(ask *wire.ConfigPollRequest, tell *wire.ConfigPollResponse) {
@@ -203,7 +203,7 @@
 	sets := make([]*changes.Set, 3)
 	for index, state := range []*wire.DesiredState{base, former, newest} {
 		var err error
-		if sets[index], err = changes.Read(state); err != nil {
+		if sets[index], err = changes.NewSet(state); err != nil {
 			return nil
 		}
 	}
@@ -217,11 +217,11 @@
 		wrong.Routes = append(wrong.Routes, one.Message.(*wire.Route))
 	}
 	for _, route := range base.Routes {
-		if !gone[changes.Route+"/"+route.Name] {
+		if !gone[changes.KindRoute+"/"+route.Name] {
 			wrong.Routes = append(wrong.Routes, route)
 		}
 	}
-	set, err := changes.Read(wrong)
+	set, err := changes.NewSet(wrong)
 	if err != nil {
 		return nil
 	}
@@ -235,7 +235,7 @@
 func init() {
 	altered := []fault{routeAlone, routeAlone, routeStorm, routeRace, routeStormUnheard}
 	add(Course{Name: "friday-routes", Short: "routes of submissions, corrections and downloads change alone, in storms and raced, while carriers restart and a primary dies",
-		Sizes:  Sizes{Cores: 4, Carriers: 12, Zones: 4, Backends: 4, Services: fridayServices(), Bounds: configstore.Bounds{ServeOn: true}},
+		Sizes:  Sizes{Cores: 4, Carriers: 12, Zones: 4, Backends: 4, Services: fridayServices(), Bounds: configstore.Timeouts{ServeStale: true}},
 		Length: 40 * monotonic.Second, Rate: 300, Every: 900 * monotonic.Millisecond, Rules: []int{1, 3, 5, 6, 7}, Traffic: fridayTraffic, Prepare: fridayPrepare,
 		Content: func(int) []byte { return workload.Content(fridayState()) }, Checks: []invariants.Check{invariants.KeysKept, invariants.TakenUp, invariants.CountersKept},
 		First: append(slices.Clone(altered[:4]), killMaster, dieCarrier, drainCarrier), Faults: append(slices.Clone(altered), routeAlone, dieCarrier, drainCarrier, killMaster)})
--- a/internal/simulation/scenario/friday_test.go
+++ b/internal/simulation/scenario/friday_test.go
@@ -52,8 +52,8 @@
 		}
 		differences, wholes := uint64(0), uint64(0)
 		for _, name := range busy.carriers {
-			taken := busy.lives[name].Desk.Taken()
-			differences, wholes = differences+taken.Differences, wholes+taken.Wholes
+			taken := busy.lives[name].Desk.Stats()
+			differences, wholes = differences+taken.Differences, wholes+taken.FullStates
 		}
 		t.Logf("seed %d: carriers took up %d differences and %d wholes", seed, differences, wholes)
 		if wholes != uint64(len(busy.carriers)) || differences < 20*wholes {
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -39,7 +39,7 @@
 	carriers    []string // nodes
 	lives       map[string]*proxy.Carrier
 	begun       map[string]monotonic.Micros // when each life of a carrier began, by its own clock
-	masters     map[string]*configstore.Postmaster
+	masters     map[string]*configstore.Server
 	doors       map[string]api.Store // the operators' doors on the postmasters' processes
 	sorters     map[string]*registry.Sorter
 	backends    []*backend
@@ -66,11 +66,11 @@
 	grace       monotonic.Micros // what a carrier's planned stop may take
 	breakage    Breakage
 	log         []string
-	samples     []sample                // requests of each kind, to see where a desired state sends them
-	sums        map[*config.View]string // of the views that were looked at
-	counting    bool                    // what guards have counted is noted
-	atOrder     func()                  // happens at the next order's acknowledgement, once, if set
-	handed      func(content []byte)    // told of each content that an operator hands in, if set
+	samples     []sample                    // requests of each kind, to see where a desired state sends them
+	sums        map[*config.Snapshot]string // of the views that were looked at
+	counting    bool                        // what guards have counted is noted
+	atOrder     func()                      // happens at the next order's acknowledgement, once, if set
+	handed      func(content []byte)        // told of each content that an operator hands in, if set
 	friday      *fridays
 }
 
@@ -85,8 +85,8 @@
 	Backends               int      // per service
 	Services               []string // forms and households if left out
 	Slots                  uint32   // how many requests each backend says that it runs at once; zero: it doesn't say
-	// Bounds are the postmasters'; carriers serve on where they say so.
-	Bounds configstore.Bounds
+	// Timeouts are the postmasters'; carriers serve on where they say so.
+	Bounds configstore.Timeouts
 	// Found has the core know its voters at its first start only, as where nobody configures them.
 	Found bool
 	// Replicas, Voters and Gone are the core's own settings, its defaults if left out.
@@ -94,7 +94,7 @@
 	Gone           monotonic.Micros
 	// Domains are the core machines' failure domains, in their order; none are known if left out.
 	Domains []string
-	// History is how many configurations the core keeps, all for zero.
+	// HistoryLimit is how many configurations the core keeps, all for zero.
 	History int
 	// Linger is how long a carrier that stops as planned goes on before it turns callers away.
 	Linger monotonic.Micros
@@ -165,8 +165,8 @@
 
 // Build makes a mesh and starts its nodes.
 func Build(seed uint64, sizes Sizes, breakage Breakage) *Mesh {
-	mesh := &Mesh{samples: samples, sums: map[*config.View]string{}, World: world.New(seed), History: &invariants.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*proxy.Carrier{}, begun: map[string]monotonic.Micros{}, troubled: map[string]string{},
-		masters: map[string]*configstore.Postmaster{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Sorter{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.Grace, breakage: breakage}
+	mesh := &Mesh{samples: samples, sums: map[*config.Snapshot]string{}, World: world.New(seed), History: &invariants.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*proxy.Carrier{}, begun: map[string]monotonic.Micros{}, troubled: map[string]string{},
+		masters: map[string]*configstore.Server{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Sorter{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.Grace, breakage: breakage}
 	mesh.World.Trace = func(at monotonic.Micros, node string, number int, fields map[string]any) {
 		if number == 601 {
 			return
@@ -269,8 +269,8 @@
 			one.Start()
 			return table, nil
 		}
-		one, err := configstore.Open(configstore.Env{Place: place, Book: book, Name: name, Voters: voters, Genesis: slices.Contains(voters, name), Adjust: adjust, Bounds: mesh.sizes.Bounds,
-			AnyContent: mesh.breakage.AnyContent, History: mesh.sizes.History})
+		one, err := configstore.Open(configstore.Options{Host: place, Resolver: book, Name: name, Voters: voters, Bootstrap: slices.Contains(voters, name), AdjustReplication: adjust, Timeouts: mesh.sizes.Bounds,
+			AllowVersionReuse: mesh.breakage.AnyContent, HistoryLimit: mesh.sizes.History})
 		if err != nil {
 			return nil, err
 		}
@@ -355,10 +355,10 @@
 		book.Register(table)
 		place.Go(func() { book.Roam(monotonic.Second) })
 		one := proxy.New(proxy.Env{Place: place, Book: book, Name: name, Domain: fmt.Sprintf("zone-%d", index%mesh.sizes.Zones+1),
-			Address: name + ":carrier", Delivery: &courier{mesh: mesh, place: place}, ServeOn: mesh.sizes.Bounds.ServeOn, Linger: mesh.sizes.Linger})
+			Address: name + ":carrier", Delivery: &courier{mesh: mesh, place: place}, ServeOn: mesh.sizes.Bounds.ServeStale, Linger: mesh.sizes.Linger})
 		one.Gate.Unclaimed(mesh.breakage.NoClaims)
 		one.Gate.ByService(mesh.breakage.ByService)
-		one.Desk.Untenured(mesh.breakage.NoTenure)
+		one.Desk.IgnoreLease(mesh.breakage.NoTenure)
 		one.Roll.Unchecked(mesh.breakage.Unchecked)
 		one.Rota.Stubborn(mesh.breakage.Stubborn)
 		one.Purse.Unlimited(mesh.breakage.NoBudget)
@@ -493,17 +493,17 @@
 }
 
 // see notes by what a carrier serves, and what its guards have counted.
-func (mesh *Mesh) see(name string, view *config.View) {
+func (mesh *Mesh) see(name string, view *config.Snapshot) {
 	now, life := mesh.World.Now(), mesh.lives[name]
 	if mesh.sums[view] == "" {
-		mesh.sums[view] = view.Sum()
+		mesh.sums[view] = view.Fingerprint()
 		for _, shown := range life.Wicket.Show() {
 			if mesh.breakage.Forgetful {
 				_ = life.Wicket.Control(shown.Service, "reset")
 			}
 		}
 	}
-	mesh.History.Serves(invariants.Adopted{Carrier: name, Serial: view.Serial, At: now, Sum: mesh.sums[view]})
+	mesh.History.Serves(invariants.Adopted{Carrier: name, Serial: view.Version, At: now, Sum: mesh.sums[view]})
 	if !mesh.counting {
 		return
 	}
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -35,7 +35,7 @@
 }
 
 // permit notes where a content sends each kind of traffic, and tells what it does; or what is wrong with it.
-func (mesh *Mesh) permit(content []byte) (sum string, faults []config.Fault) {
+func (mesh *Mesh) permit(content []byte) (sum string, faults []config.FieldError) {
 	state, faults := config.Parse(content)
 	if state == nil || len(faults) > 0 {
 		return "", faults
@@ -44,12 +44,12 @@
 	for _, sample := range mesh.samples {
 		path, _ := view.Resolve("", sample.method, sample.path)
 		for _, share := range path.Split {
-			if _, has := path.Has(share.Service.Name); has {
+			if _, has := path.FindService(share.Service.Name); has {
 				mesh.History.Allow(sample.kind, share.Service.Name, mesh.World.Now())
 			}
 		}
 	}
-	return view.Sum(), nil
+	return view.Fingerprint(), nil
 }
 
 // readBack reads the history of desired states at the end.
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -15,15 +15,15 @@
 	"snowflow/internal/transport/wire"
 )
 
-var servingOn = configstore.Bounds{ServeOn: true, PollHold: 2 * monotonic.Second}
+var servingOn = configstore.Timeouts{ServeStale: true, LongPoll: 2 * monotonic.Second}
 
 // started makes a small mesh that has adopted a first desired state, under version 10.
-func started(t *testing.T, bounds configstore.Bounds) *Mesh {
+func started(t *testing.T, bounds configstore.Timeouts) *Mesh {
 	t.Helper()
 	return startedBy(t, 3, bounds)
 }
 
-func startedBy(t *testing.T, seed uint64, bounds configstore.Bounds) *Mesh {
+func startedBy(t *testing.T, seed uint64, bounds configstore.Timeouts) *Mesh {
 	t.Helper()
 	sizes := small
 	sizes.Bounds = bounds
@@ -58,7 +58,7 @@
 func TestServeOnAcknowledgement(t *testing.T) {
 	t.Parallel()
 	mesh := started(t, servingOn)
-	wait := configstore.Defaults.Wait
+	wait := configstore.DefaultTimeouts.AdoptionTimeout
 	raise := func(what string, version, serial uint64, least, most monotonic.Micros, everywhere bool) {
 		t.Helper()
 		tell, took, err := mesh.raise(version, 10*monotonic.Second)
@@ -78,12 +78,12 @@
 	mesh.World.Run(mesh.World.Now() + 2*monotonic.Second)
 	raise("it's back in another life", 35, 35, 0, wait/4, true)
 	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
-	mesh.World.Run(mesh.World.Now() + configstore.Tenure + servingOn.PollHold) // a poll that it left behind is answered, and counts, when its hold ends
+	mesh.World.Run(mesh.World.Now() + configstore.DefaultLease + servingOn.LongPoll) // a poll that it left behind is answered, and counts, when its hold ends
 	raise("one long dead", 40, 40, 0, wait/4, true)
 	mesh.World.Kill(mesh.leader("postmaster"))
 	raise("the primary just dead", 50, 50, 0, 8*monotonic.Second, false)
 	raise("a new primary", 51, 51, 0, wait+wait/4, false)
-	mesh.World.Run(mesh.World.Now() + configstore.Tenure)
+	mesh.World.Run(mesh.World.Now() + configstore.DefaultLease)
 	raise("a primary of some time", 60, 60, 0, wait/4, true)
 }
 
@@ -91,9 +91,9 @@
 // time for that says that it doesn't know.
 func TestLeasedAcknowledgement(t *testing.T) {
 	t.Parallel()
-	mesh := started(t, configstore.Bounds{Lease: 5 * monotonic.Second, Slack: monotonic.Second})
+	mesh := started(t, configstore.Timeouts{Lease: 5 * monotonic.Second, LeaseSlack: monotonic.Second})
 	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
-	if tell, took, err := mesh.raise(20, 2*monotonic.Second); !errors.Is(err, api.ErrUnknown) || took > 2100*monotonic.Millisecond {
+	if tell, took, err := mesh.raise(20, 2*monotonic.Second); !errors.Is(err, api.ErrOutcomeUnknown) || took > 2100*monotonic.Millisecond {
 		t.Errorf("%v, %v after %d microseconds", tell, err, took)
 	}
 	tell, took, err := mesh.raise(15, 10*monotonic.Second)
@@ -110,7 +110,7 @@
 	read := func(patience monotonic.Micros) (kept *wire.StoredConfig, err error) {
 		done := false
 		mesh.Outside.Go(func() {
-			kept, err = api.NewStore(mesh.Outside, mesh.book).Newest(patience)
+			kept, err = api.NewStore(mesh.Outside, mesh.book).Latest(patience)
 			done = true
 		})
 		began := mesh.World.Now()
@@ -128,7 +128,7 @@
 	for _, core := range mesh.cores {
 		mesh.World.Cut("outside", core)
 	}
-	if tell, took, err := mesh.raise(20, 3*monotonic.Second); !errors.Is(err, api.ErrNotTaken) || took > 3100*monotonic.Millisecond {
+	if tell, took, err := mesh.raise(20, 3*monotonic.Second); !errors.Is(err, api.ErrNotAccepted) || took > 3100*monotonic.Millisecond {
 		t.Errorf("cut off: %v, %v after %d microseconds", tell, err, took)
 	}
 	if _, err := read(2 * monotonic.Second); err == nil {
@@ -179,7 +179,7 @@
 // TestServeOnOutOfTouch: a carrier that is cut off from the core serves on past its lease, by the state it has, and passes go both
 // ways between it and those that have a newer one, also for a service that the other side doesn't know. Otherwise it refuses.
 func TestServeOnOutOfTouch(t *testing.T) {
-	for name, bounds := range map[string]configstore.Bounds{"serving on": servingOn, "by leases": {}} {
+	for name, bounds := range map[string]configstore.Timeouts{"serving on": servingOn, "by leases": {}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			mesh := started(t, bounds)
@@ -191,7 +191,7 @@
 			if _, _, err := mesh.raise(20, 10*monotonic.Second); err != nil {
 				t.Fatal(err)
 			}
-			if serial, _ := mesh.lives[cut].Desk.Serial(); serial != 10 {
+			if serial, _ := mesh.lives[cut].Desk.Version(); serial != 10 {
 				t.Fatalf("%s has serial %d", cut, serial)
 			}
 			served := map[string]int{}
@@ -204,12 +204,12 @@
 				}
 			}
 			t.Logf("served %v", served)
-			wanted := map[bool]int{true: 20, false: 0}[bounds.ServeOn]
+			wanted := map[bool]int{true: 20, false: 0}[bounds.ServeStale]
 			if served[cut] != wanted || served[mesh.carriers[1]] != 20 {
 				t.Errorf("served %v", served)
 			}
 			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
-			if serial, _ := mesh.lives[cut].Desk.Serial(); serial != 20 {
+			if serial, _ := mesh.lives[cut].Desk.Version(); serial != 20 {
 				t.Errorf("%s has serial %d after its return", cut, serial)
 			}
 			if _, live := mesh.lives[cut].Desk.Current(); !live {
@@ -221,7 +221,7 @@
 
 // TestUnlistedServices: where carriers serve on, a pass for a service that this side's view doesn't have is judged by the default.
 func TestUnlistedServices(t *testing.T) {
-	service := config.Unlisted("gone")
+	service := config.DefaultService("gone")
 	if service.Name != "gone" || service.Limits.GetInFlightPerBackend() != 64 || service.Limits.GetCutoffMicros() != int64(5*monotonic.Second) {
 		t.Errorf("%+v", service)
 	}
@@ -232,14 +232,14 @@
 // minority, is nobody's source: others may have gone on without it.
 func TestServeOnWithoutPrimary(t *testing.T) {
 	for name, one := range map[string]struct {
-		bounds   configstore.Bounds
+		bounds   configstore.Timeouts
 		majority bool
 		wanted   uint64
 	}{
 		"serving on, a majority is left":     {servingOn, true, 10},
 		"serving on, one copy alone is left": {servingOn, false, 0},
-		"by leases, a majority is left":      {configstore.Bounds{}, true, 0},
-		"by leases, one copy alone is left":  {configstore.Bounds{}, false, 0},
+		"by leases, a majority is left":      {configstore.Timeouts{}, true, 0},
+		"by leases, one copy alone is left":  {configstore.Timeouts{}, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			mesh := started(t, one.bounds)
@@ -262,7 +262,7 @@
 			if mesh.leader(configstore.Group) != nil {
 				t.Error("there is a primary, so nothing was shown")
 			}
-			if serial, _ := mesh.lives[mesh.carriers[0]].Desk.Serial(); serial != one.wanted {
+			if serial, _ := mesh.lives[mesh.carriers[0]].Desk.Version(); serial != one.wanted {
 				t.Errorf("with %s left it has serial %d", left, serial)
 			}
 		})
--- a/internal/simulation/scenario/worst_days.go
+++ b/internal/simulation/scenario/worst_days.go
@@ -95,7 +95,7 @@
 		outcome = invariants.Confirmed
 	case err == nil && tell.Outcome == versions.Conflict:
 		outcome = invariants.Declined
-	case errors.Is(err, api.ErrNotTaken):
+	case errors.Is(err, api.ErrNotAccepted):
 		outcome = invariants.NotTaken
 	}
 	if happen := mesh.atOrder; outcome == invariants.Confirmed && happen != nil {
@@ -110,7 +110,7 @@
 	node, sent := mesh.doorOf(machine), mesh.World.Now()
 	var kept *wire.StoredConfig
 	_, err := mesh.Outside.Transact(node.Address, 3*monotonic.Second, func(node *world.Node) ([]byte, error) {
-		found, err := mesh.doors[node.Name].Newest(900 * monotonic.Millisecond)
+		found, err := mesh.doors[node.Name].Latest(900 * monotonic.Millisecond)
 		kept = found
 		return nil, err
 	})
@@ -283,7 +283,7 @@
 
 // worstSizes is a core as the platform has it: found at its first start only, a few configurations kept, carriers that serve on.
 func worstSizes(cores, copies int) Sizes {
-	return Sizes{Cores: cores, Carriers: 2, Zones: 2, Backends: 1, Found: true, Copies: copies, Gone: syncTime / 2, History: 3, Bounds: configstore.Bounds{ServeOn: true}}
+	return Sizes{Cores: cores, Carriers: 2, Zones: 2, Backends: 1, Found: true, Copies: copies, Gone: syncTime / 2, History: 3, Bounds: configstore.Timeouts{ServeStale: true}}
 }
 
 // worstDay is a course of the control side's troubles alone, among operators that order and read at every door.
--- a/internal/snowctl/changes.go
+++ b/internal/snowctl/changes.go
@@ -20,10 +20,10 @@
 )
 
 // printed shows a comparison, one resource a line.
-func printed(told api.Changes) {
+func printed(told api.Comparison) {
 	for _, list := range []struct {
 		sign  string
-		items []changes.Altered
+		items []changes.ResourceChange
 	}{{"+", told.Summary.Added}, {"~", told.Summary.Changed}, {"-", told.Summary.Removed}} {
 		for _, one := range list.items {
 			fmt.Printf("%s %s %s", list.sign, one.Kind, one.Name)
@@ -33,11 +33,11 @@
 			fmt.Println()
 		}
 	}
-	fmt.Printf("%d added, %d changed, %d removed; %d bytes, the whole has %d\n", len(told.Summary.Added), len(told.Summary.Changed), len(told.Summary.Removed), told.Bytes, told.Whole)
+	fmt.Printf("%d added, %d changed, %d removed; %d bytes, the whole has %d\n", len(told.Summary.Added), len(told.Summary.Changed), len(told.Summary.Removed), told.DifferenceBytes, told.FullBytes)
 }
 
-func compared(shared *desks, method, path string, content []byte) (api.Changes, error) {
-	var told api.Changes
+func compared(shared *desks, method, path string, content []byte) (api.Comparison, error) {
+	var told api.Comparison
 	code, answer, err := shared.ask(method, path, content)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("status %d: %s", code, answer)
@@ -55,7 +55,7 @@
 		return err
 	}
 	printed(told)
-	fmt.Printf("it would follow serial %d, and go to %d nodes; nothing was applied\n", told.From, told.Nodes)
+	fmt.Printf("it would follow serial %d, and go to %d nodes; nothing was applied\n", told.From, told.Proxies)
 	return nil
 }
 
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, 0, daemon.Misused(err)
 	}
-	set, err := api.Set(config.Parse, content)
+	set, err := api.ParseSet(config.Parse, content)
 	return set, len(content), err
 }
 
@@ -85,7 +85,7 @@
 		if (base == nil) != (next == nil) {
 			return daemon.Misused(errors.New("name two files or two serials; a file against the newest serial is apply --preview"))
 		}
-		told := api.Changes{Whole: length}
+		told := api.Comparison{FullBytes: length}
 		if base == nil {
 			if told, err = compared(shared, http.MethodGet, "/changes?from="+arguments[0]+"&to="+arguments[1], nil); err != nil {
 				return err
@@ -97,7 +97,7 @@
 			if err != nil {
 				return err
 			}
-			told.Bytes = len(content)
+			told.DifferenceBytes = len(content)
 		}
 		printed(told)
 		return nil
--- a/internal/snowctl/clerk.go
+++ b/internal/snowctl/clerk.go
@@ -99,18 +99,18 @@
 			if err != nil {
 				return fmt.Errorf("no certain outcome; apply again with --request %s: %w", request, err)
 			}
-			var applied api.Applied
+			var applied api.ApplyResult
 			if err := json.Unmarshal(answer, &applied); err != nil {
 				return fmt.Errorf("status %d: %s", code, answer)
 			}
 			switch applied.Outcome {
 			case "accepted":
-				fmt.Printf("accepted as serial %d, digest %s\n", applied.Serial, applied.Digest)
+				fmt.Printf("accepted as serial %d, digest %s\n", applied.Version, applied.Digest)
 				return nil
 			case "conflict":
-				return fmt.Errorf("conflict: the serial is %d now %s", applied.Serial, strings.Join(applied.Faults, "; "))
+				return fmt.Errorf("conflict: the serial is %d now %s", applied.Version, strings.Join(applied.Errors, "; "))
 			}
-			return fmt.Errorf("%s:\n  %s", applied.Outcome, strings.Join(applied.Faults, "\n  "))
+			return fmt.Errorf("%s:\n  %s", applied.Outcome, strings.Join(applied.Errors, "\n  "))
 		}}
 	command.Flags().StringVar(&expected, "expected", "", "the serial that this state follows, or any")
 	command.Flags().BoolVar(&before, "preview", false, "only show what it would change: routes, services and nodes")
--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -113,13 +113,13 @@
 }
 
 func (mesh *Mesh) decode() {
-	for name, content := range mesh.Overview.Postmasters {
+	for name, content := range mesh.Overview.ConfigStores {
 		var status configstore.Status
 		if json.Unmarshal(content, &status) == nil {
 			mesh.Postmasters[name] = status
 		}
 	}
-	for name, content := range mesh.Overview.Sorters {
+	for name, content := range mesh.Overview.Registries {
 		var status registry.Status
 		if json.Unmarshal(content, &status) == nil {
 			mesh.Sorters[name] = status
@@ -258,7 +258,7 @@
 func carriers(mesh Mesh) (found []Finding) {
 	newest := uint64(0)
 	for _, master := range mesh.Postmasters {
-		newest = max(newest, master.Serial)
+		newest = max(newest, master.Version)
 	}
 	if newest == 0 {
 		return []Finding{{Level: Ill, What: "no desired state has been accepted", Advice: "apply one: clerk apply FILE --expected 0"}}
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -16,7 +16,7 @@
 	mesh := Mesh{Postmasters: map[string]configstore.Status{}, Sorters: map[string]registry.Status{}, Asked: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
 		core := replication.Status{Joined: true, Epoch: 4, BackupsInSync: true, Serving: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.Asked}
-		master, registry := configstore.Status{Core: core, Serial: 3}, registry.Status{Core: core, Now: int64(monotonic.Minute)}
+		master, registry := configstore.Status{Core: core, Version: 3}, registry.Status{Core: core, Now: int64(monotonic.Minute)}
 		master.Core.Primary, master.Core.Backup = "postmaster-1", "postmaster-2"
 		registry.Core.Primary, registry.Core.Backup = "sorter-1", "sorter-2"
 		master.Core.Group, master.Core.Name, master.Core.Voters = "postmaster", "postmaster-"+number, []string{"postmaster-1", "postmaster-2", "postmaster-3"}
--- a/internal/snowctl/rollout/rollout.go
+++ b/internal/snowctl/rollout/rollout.go
@@ -15,8 +15,8 @@
 	Primary string `json:"primary"`
 	Version uint64 `json:"version"`
 	// Nodes are those that hold a lease, those furthest behind first, then those that took longest.
-	Nodes []configstore.HolderStatus `json:"nodes"`
-	There int                        `json:"there"` // nodes that have the newest
+	Nodes []configstore.LeaseStatus `json:"nodes"`
+	There int                       `json:"there"` // nodes that have the newest
 }
 
 // Look finds the primary among what the postmasters told.
@@ -25,18 +25,18 @@
 		if !status.Core.Serving {
 			continue
 		}
-		progress := Progress{Primary: name, Version: status.Serial, Nodes: slices.Clone(status.Holders)}
-		slices.SortFunc(progress.Nodes, func(one, other configstore.HolderStatus) int {
-			if one.Adopted != other.Adopted {
-				return compare(one.Adopted, other.Adopted)
+		progress := Progress{Primary: name, Version: status.Version, Nodes: slices.Clone(status.Leases)}
+		slices.SortFunc(progress.Nodes, func(one, other configstore.LeaseStatus) int {
+			if one.AdoptedVersion != other.AdoptedVersion {
+				return compare(one.AdoptedVersion, other.AdoptedVersion)
 			}
-			if one.Took != other.Took {
-				return compare(other.Took, one.Took)
+			if one.AdoptionMicros != other.AdoptionMicros {
+				return compare(other.AdoptionMicros, one.AdoptionMicros)
 			}
-			return strings.Compare(one.Carrier, other.Carrier)
+			return strings.Compare(one.Proxy, other.Proxy)
 		})
 		for _, node := range progress.Nodes {
-			if node.Adopted >= progress.Version {
+			if node.AdoptedVersion >= progress.Version {
 				progress.There++
 			}
 		}
@@ -62,11 +62,11 @@
 		return text
 	}
 	slowest := progress.Nodes[0]
-	if slowest.Adopted < progress.Version {
-		return text + fmt.Sprintf(", furthest behind %s at version %d", slowest.Carrier, slowest.Adopted)
+	if slowest.AdoptedVersion < progress.Version {
+		return text + fmt.Sprintf(", furthest behind %s at version %d", slowest.Proxy, slowest.AdoptedVersion)
 	}
-	if slowest.Took > 0 {
-		text += fmt.Sprintf(", slowest %s after %s", slowest.Carrier, micros(slowest.Took))
+	if slowest.AdoptionMicros > 0 {
+		text += fmt.Sprintf(", slowest %s after %s", slowest.Proxy, micros(slowest.AdoptionMicros))
 	}
 	return text
 }
@@ -77,10 +77,10 @@
 	fmt.Fprintf(&text, "%-24s %10s %12s %12s\n", "node", "version", "ago", "took")
 	for _, node := range progress.Nodes {
 		took := "-" // this primary didn't see the commit
-		if node.Took > 0 {
-			took = micros(node.Took)
+		if node.AdoptionMicros > 0 {
+			took = micros(node.AdoptionMicros)
 		}
-		fmt.Fprintf(&text, "%-24s %10d %12s %12s\n", node.Carrier, node.Adopted, micros(node.Since), took)
+		fmt.Fprintf(&text, "%-24s %10d %12s %12s\n", node.Proxy, node.AdoptedVersion, micros(node.AdoptedForMicros), took)
 	}
 	return text.String()
 }
--- a/internal/snowctl/rollout/rollout_test.go
+++ b/internal/snowctl/rollout/rollout_test.go
@@ -11,8 +11,8 @@
 
 // TestProgress: the primary's word counts, and who is furthest behind or took longest comes first.
 func TestProgress(t *testing.T) {
-	holders := []configstore.HolderStatus{{Carrier: "b", Adopted: 7, Since: 2000000, Took: 3100}, {Carrier: "a", Adopted: 7, Since: 61000000, Took: 4200}, {Carrier: "c", Adopted: 6, Since: 900000000}}
-	statuses := map[string]configstore.Status{"postmaster-1": {Serial: 6}, "postmaster-2": {Core: replication.Status{Serving: true}, Serial: 7, Holders: holders}}
+	holders := []configstore.LeaseStatus{{Proxy: "b", AdoptedVersion: 7, AdoptedForMicros: 2000000, AdoptionMicros: 3100}, {Proxy: "a", AdoptedVersion: 7, AdoptedForMicros: 61000000, AdoptionMicros: 4200}, {Proxy: "c", AdoptedVersion: 6, AdoptedForMicros: 900000000}}
+	statuses := map[string]configstore.Status{"postmaster-1": {Version: 6}, "postmaster-2": {Core: replication.Status{Serving: true}, Version: 7, Leases: holders}}
 	progress, found := rollout.Look(statuses)
 	if !found || progress.Done() || progress.Line() != "version 7: 2 of 3 nodes, furthest behind c at version 6" {
 		t.Error(progress, found, progress.Line())
@@ -23,7 +23,7 @@
 			t.Errorf("%q, wanted %q", got, wanted)
 		}
 	}
-	statuses["postmaster-2"] = configstore.Status{Core: replication.Status{Serving: true}, Serial: 7, Holders: holders[:2]}
+	statuses["postmaster-2"] = configstore.Status{Core: replication.Status{Serving: true}, Version: 7, Leases: holders[:2]}
 	if progress, _ := rollout.Look(statuses); !progress.Done() || progress.Line() != "version 7: 2 of 2 nodes, slowest a after 4.2ms" {
 		t.Error(progress.Line())
 	}
