--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -16,24 +16,24 @@
 )
 
 func main() {
-	daemon.Main(daemon.Command("configstore", "the store of desired states and the operators' door", settings.Core(), configstore.Group, build))
+	daemon.Main(daemon.Command("configstore", "the store of desired states and the operators' door", settings.ControlPlaneFields(), configstore.Group, build))
 }
 
-func build(home *daemon.House) error {
+func build(home *daemon.Daemon) error {
 	// Best effort by design: the record file decides, and the archive is written anew from it.
-	objects := archive.Open(filepath.Join(home.Values["data"], "desired.git"), func(err error) {
-		home.Place.Report(eventlog.ObjectStoreTrouble, map[string]any{"error": err.Error()})
+	objects := archive.Open(filepath.Join(home.Settings["data"], "desired.git"), func(err error) {
+		home.Host.Report(eventlog.ObjectStoreFailed, map[string]any{"error": err.Error()})
 	})
-	store, err := configstore.Open(configstore.Options{Host: home.Place, Resolver: home.Book, Name: home.Values["name"], Voters: home.Values.List("voters"),
-		Bootstrap:  slices.Contains(home.Values.List("voters"), home.Values["name"]),
-		OnAccepted: objects.Enqueue, OnAdopted: home.TakeUp()})
+	store, err := configstore.Open(configstore.Options{Host: home.Host, Resolver: home.Resolver, Name: home.Settings["name"], Voters: home.Settings.List("voters"),
+		Bootstrap:  slices.Contains(home.Settings.List("voters"), home.Settings["name"]),
+		OnAccepted: objects.Enqueue, OnAdopted: home.AdoptionObserver()})
 	if err != nil {
 		return err
 	}
-	store.Register(home.Table)
-	home.CoreGauges(store.Member)
-	pages := api.New(home.Place, home.Book, home.Metrics(), func() any { return store.Status() }, config.Parse)
-	if err := home.HTTP(home.Values["desk"], api.NewServer(pages)); err != nil {
+	store.Register(home.Handlers)
+	home.AddReplicationGauges(store.Member)
+	pages := api.New(home.Host, home.Resolver, home.Metrics(), func() any { return store.Status() }, config.Parse)
+	if err := home.ServeHTTP(home.Settings["desk"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	store.Start()
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -13,22 +13,22 @@
 )
 
 func main() {
-	daemon.Main(daemon.Command("registry", "the registry of carriers, backends and guards", settings.Core(), registry.Group, build))
+	daemon.Main(daemon.Command("registry", "the registry of carriers, backends and guards", settings.ControlPlaneFields(), registry.Group, build))
 }
 
-func build(home *daemon.House) error {
-	registry, err := registry.Open(registry.Env{Place: home.Place, Book: home.Book, Name: home.Values["name"], Voters: home.Values.List("voters"),
-		Genesis: slices.Contains(home.Values.List("voters"), home.Values["name"])})
+func build(home *daemon.Daemon) error {
+	registry, err := registry.Open(registry.Config{Host: home.Host, Resolver: home.Resolver, Name: home.Settings["name"], Voters: home.Settings.List("voters"),
+		Bootstrap: slices.Contains(home.Settings.List("voters"), home.Settings["name"])})
 	if err != nil {
 		return err
 	}
-	registry.Register(home.Table)
-	home.CoreGauges(registry.Member)
+	registry.Register(home.Handlers)
+	home.AddReplicationGauges(registry.Member)
 	pages := http.NewServeMux()
 	pages.Handle("/metrics", home.Metrics())
-	pages.Handle("/local", daemon.Page(func() any { return registry.Status() }))
-	pages.Handle("/live", daemon.Page(func() any { return map[string]bool{"live": true} }))
-	if err := home.HTTP(home.Values["desk"], api.NewServer(pages)); err != nil {
+	pages.Handle("/local", daemon.StatusPage(func() any { return registry.Status() }))
+	pages.Handle("/live", daemon.StatusPage(func() any { return map[string]bool{"live": true} }))
+	if err := home.ServeHTTP(home.Settings["desk"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	registry.Start()
--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -17,15 +17,15 @@
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		points, err := sweep.Results(results)
 		if err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		content, err := os.ReadFile(page)
 		if err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		text, err := capacity.Render(string(content), points)
 		if err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		if err := capacity.Plots(points, filepath.Clean(results)); err != nil {
 			return err
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -19,7 +19,7 @@
 func main() {
 	root := &cobra.Command{Use: "rehearse", Short: "rehearsals: a fleet on loopback, its outside, failures and checkers", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	root.AddCommand(run(), list(), measuring(), hollow(), writing(), comparing())
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.Misused(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.NewUsageError(err) })
 	daemon.Main(root)
 }
 
@@ -28,13 +28,13 @@
 	asJSON := false
 	command := &cobra.Command{Use: "run", Short: "run one scenario on a fresh fleet", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		if _, err := layout.Find(options.Layout); err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		if _, known := scenario.All[options.Scenario]; !known {
-			return daemon.Misused(fmt.Errorf("no scenario %q; there are %v", options.Scenario, scenario.Names()))
+			return daemon.NewUsageError(fmt.Errorf("no scenario %q; there are %v", options.Scenario, scenario.Names()))
 		}
 		if options.Length <= 0 || options.Factor <= 0 || options.Linger < 0 || options.Base < 1 || options.Base > 254 {
-			return daemon.Misused(errors.New("length and factor must be above zero, linger not below, base from 1 to 254"))
+			return daemon.NewUsageError(errors.New("length and factor must be above zero, linger not below, base from 1 to 254"))
 		}
 		if options.Binaries == "" {
 			own, err := os.Executable()
@@ -54,7 +54,7 @@
 			fmt.Fprintf(os.Stderr, time.Now().Format("15:04:05 ")+format+"\n", arguments...)
 		})
 		if err != nil && !errors.Is(err, scenario.ErrFindings) {
-			return daemon.Misused(err) // the fleet could not be brought up or the scenario not be played: no verdict
+			return daemon.NewUsageError(err) // the fleet could not be brought up or the scenario not be played: no verdict
 		}
 		if asJSON {
 			fmt.Println(report.JSON())
--- a/cmd/rehearse/pairs.go
+++ b/cmd/rehearse/pairs.go
@@ -20,15 +20,15 @@
 	var quiet, busy []string
 	command := &cobra.Command{Use: "compare", Short: "set lookups in runs with changes against runs without, by their reports", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		if len(quiet) == 0 || len(quiet) != len(busy) {
-			return daemon.Misused(errors.New("name as many reports without changes as with, one at least"))
+			return daemon.NewUsageError(errors.New("name as many reports without changes as with, one at least"))
 		}
 		without, err := reports(quiet)
 		if err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		with, err := reports(busy)
 		if err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		worse := false
 		for _, compared := range scenario.Compare(without, with, scenario.Lookup) {
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -39,25 +39,25 @@
 			binaries = filepath.Dir(own)
 		}
 		if base < 1 || base > 254 {
-			return daemon.Misused(errors.New("base must be from 1 to 254"))
+			return daemon.NewUsageError(errors.New("base must be from 1 to 254"))
 		}
 		if patience <= 0 {
-			return daemon.Misused(errors.New("patience must be above zero"))
+			return daemon.NewUsageError(errors.New("patience must be above zero"))
 		}
 		if len(plan.Sizes) > 0 && len(names) != 1 {
-			return daemon.Misused(errors.New("sizes need one dimension that they are of"))
+			return daemon.NewUsageError(errors.New("sizes need one dimension that they are of"))
 		}
 		plans := []sweep.Plan{}
 		for _, name := range names {
 			one := plan
 			if one.Dimension, err = sweep.Find(name); err != nil {
-				return daemon.Misused(err)
+				return daemon.NewUsageError(err)
 			}
 			if len(one.Sizes) == 0 {
 				one.Sizes = one.Dimension.Sizes
 			}
 			if err := one.Check(bounds); err != nil {
-				return daemon.Misused(err)
+				return daemon.NewUsageError(err)
 			}
 			plans = append(plans, one)
 		}
@@ -115,7 +115,7 @@
 	return &cobra.Command{Use: "hollow RUN", Short: "play one run of a sweep", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, arguments []string) error {
 		asked := hollowRun{}
 		if err := json.Unmarshal([]byte(arguments[0]), &asked); err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		run, err := sweep.Play(asked.Size, asked.Options, asked.Number)
 		if err != nil {
--- a/cmd/rehearse/sweep_test.go
+++ b/cmd/rehearse/sweep_test.go
@@ -24,7 +24,7 @@
 		command.SilenceUsage, command.SilenceErrors = true, true
 		command.SetArgs(strings.Fields(course.arguments))
 		err := command.Execute()
-		if use := new(daemon.BadUse); !errors.As(err, &use) || !strings.Contains(err.Error(), course.want) {
+		if use := new(daemon.UsageError); !errors.As(err, &use) || !strings.Contains(err.Error(), course.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/apierror/seal.go
+++ b/internal/apierror/apierror.go
@@ -43,14 +43,14 @@
 	Detail     string
 	// Backend is true when the fault is the backend's, and so counts against its guard.
 	Backend bool
-	// Measured is true when RetryAfter is a wait that a gate measured, not the catalogue's.
-	Measured bool
+	// RetryAfterMeasured is true when RetryAfter is a wait that a gate measured, not the catalogue's.
+	RetryAfterMeasured bool
 	// Local is true when the fault says nothing of how the backend does: it lies with the network, or a connection that it had forgotten.
 	Local bool
 }
 
-func (fault *Fault) Error() string {
-	return fmt.Sprintf("cause %d %s (%s): %s", fault.Cause, fault.Cause.Name(), fault.Verdict, fault.Detail)
+func (f *Fault) Error() string {
+	return fmt.Sprintf("cause %d %s (%s): %s", f.Cause, f.Cause.Name(), f.Verdict, f.Detail)
 }
 
 // New makes a fault from the catalogue's defaults.
@@ -61,10 +61,10 @@
 }
 
 // NotRun reports the verdict as a boolean.
-func (fault *Fault) NotRun() bool { return fault.Verdict == NotRun }
+func (f *Fault) NotRun() bool { return f.Verdict == NotRun }
 
 // Status is the HTTP status a caller sees.
-func (fault *Fault) Status() int { return catalogue[fault.Cause].status }
+func (f *Fault) Status() int { return catalogue[f.Cause].status }
 
 // IsUnreachable tells whether a call's message certainly never reached the other process.
 func IsUnreachable(err error) bool { return errorx.IsOfType(err, Unreachable) }
--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -35,8 +35,8 @@
 // openConfig is what the programs of both groups are opened with.
 type openConfig struct {
 	place  host.Host
-	book   *discovery.Book
-	table  host.Table
+	book   *discovery.Resolver
+	table  host.Handlers
 	name   string
 	adjust func(*replication.Config)
 }
@@ -46,7 +46,7 @@
 var configStoreGroup = storedGroup{title: "configstore", name: configstore.Group, files: []string{"postmaster.register", "postmaster.journal", "addresses"}, compactFrom: 900, open: openConfigStore}
 
 func openRegistry(process *process, config openConfig) (*replication.Member, error) {
-	opened, err := registry.Open(registry.Env{Place: config.place, Book: config.book, Name: config.name, Voters: memberNames, Genesis: true, Adjust: config.adjust})
+	opened, err := registry.Open(registry.Config{Host: config.place, Resolver: config.book, Name: config.name, Voters: memberNames, Bootstrap: true, ConfigureReplication: config.adjust})
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 	node        *world.Node
 	place       *world.Place
 	member      *replication.Member
-	registry    *registry.Sorter
+	registry    *registry.Registry
 	configStore *configstore.Server
 }
 
@@ -90,13 +90,13 @@
 	started.world.Stopped = func(node *world.Node, why string) { started.stopped = append(started.stopped, node.Name+": "+why) }
 	for index, name := range memberNames {
 		one := &process{}
-		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Place) (host.Table, error) {
-			config := openConfig{place: place, name: name, table: host.Table{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
+		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Place) (host.Handlers, error) {
+			config := openConfig{place: place, name: name, table: host.Handlers{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
 			one.place = place
 			config.book = discovery.New(place, &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group.name}, seedAddresses(group))
-			config.book.Remember(place.Disk())
+			config.book.Persist(place.Disk())
 			config.book.Register(config.table)
-			place.Go(func() { config.book.Roam(monotonic.Second) })
+			place.Go(func() { config.book.Run(monotonic.Second) })
 			member, err := group.open(one, config)
 			one.member = member
 			return config.table, err
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -158,7 +158,7 @@
 	t.Helper()
 	var answers []string
 	started.onLeader(t, func(leader *process) error {
-		for _, record := range leader.registry.Guards() {
+		for _, record := range leader.registry.Breakers() {
 			answers = append(answers, "breaker "+encoded(record))
 		}
 		for _, query := range registryQueries {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -165,7 +165,7 @@
 }
 
 func (v *validator) checkName(location, name string, seen map[string]string) {
-	if settings.Name(name) != nil {
+	if settings.CheckName(name) != nil {
 		v.addf(location+".name", "%q must be a lower-case letter, then up to 62 letters, digits or hyphens", name)
 	}
 	if other, duplicate := seen[name]; duplicate {
--- a/internal/configstore/api/api.go
+++ b/internal/configstore/api/api.go
@@ -30,7 +30,7 @@
 type handler struct {
 	store    *forwardingStore
 	host     host.Host
-	resolver *discovery.Book
+	resolver *discovery.Resolver
 	// reads reads contents in the dialect that they are stored in, with all their faults.
 	parse config.Parser
 }
@@ -62,7 +62,7 @@
 }
 
 // New makes the handler. read reads contents in the dialect that they are stored in, with all their faults.
-func New(host host.Host, resolver *discovery.Book, metrics http.Handler, status func() any, parse config.Parser) http.Handler {
+func New(host host.Host, resolver *discovery.Resolver, metrics http.Handler, status func() any, parse config.Parser) http.Handler {
 	h := &handler{store: &forwardingStore{host: host, resolver: resolver}, host: host, resolver: resolver, parse: parse}
 	router := chi.NewRouter()
 	router.Put("/desired-state", h.apply)
@@ -203,7 +203,7 @@
 
 // status asks every core process how it stands.
 func (h *handler) status() Overview {
-	overview := Overview{ConfigStores: map[string]json.RawMessage{}, Registries: map[string]json.RawMessage{}, Missing: map[string]string{}, Addresses: h.resolver.Known()}
+	overview := Overview{ConfigStores: map[string]json.RawMessage{}, Registries: map[string]json.RawMessage{}, Missing: map[string]string{}, Addresses: h.resolver.Peers()}
 	kinds := []struct {
 		group string
 		kind  wire.Kind
--- a/internal/configstore/api/deltas.go
+++ b/internal/configstore/api/deltas.go
@@ -37,7 +37,7 @@
 // short is an apply as it goes to a primary: its content told by the difference from the recent one, or compressed if that wasn't known
 // there. A primary of an earlier build gets it as it is.
 func (s *forwardingStore) encodeContent(leader string, request *wire.ConfigApplyRequest, full bool) *wire.ConfigApplyRequest {
-	if len(request.Content) < minDeltaSize || !s.resolver.TakeDeltas(leader) {
+	if len(request.Content) < minDeltaSize || !s.resolver.AllSupportDeltas(leader) {
 		return request
 	}
 	digest, base := s.recent.get()
--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -36,20 +36,20 @@
 // forwardingStore is a store that any postmaster's process has: it passes everything on to the primary.
 type forwardingStore struct {
 	host     host.Host
-	resolver *discovery.Book
+	resolver *discovery.Resolver
 	// recent is the state that last went to or came from a primary. It's no more than a base for differences: what is answered is always
 	// what a primary tells of now.
 	recent recentContent
 }
 
 // NewStore makes a store that passes everything on to the primary.
-func NewStore(host host.Host, resolver *discovery.Book) Store {
+func NewStore(host host.Host, resolver *discovery.Resolver) Store {
 	return &forwardingStore{host: host, resolver: resolver}
 }
 
 // pause passes the time until it makes sense to ask again. Meanwhile somebody is asked who leads; a silent one isn't waited for.
 func (s *forwardingStore) waitBeforeRetry(deadline monotonic.Micros) {
-	s.host.Go(s.resolver.Ask)
+	s.host.Go(s.resolver.Refresh)
 	s.host.Sleep(max(0, min(100*monotonic.Millisecond, deadline-s.host.Now())))
 }
 
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -29,7 +29,7 @@
 		for _, fieldError := range fieldErrors {
 			response.Errors = append(response.Errors, fieldError.String())
 		}
-		s.options.Host.Report(eventlog.DesiredRefused, map[string]any{"faults": response.Errors})
+		s.options.Host.Report(eventlog.ConfigRejected, map[string]any{"faults": response.Errors})
 		return response, nil
 	}
 	s.differences.Add(request.Content, state)
@@ -48,7 +48,7 @@
 	if request.Version > 0 && response.Version != request.Version {
 		return s.acknowledge(response) // a higher one stands
 	}
-	s.options.Host.Report(eventlog.DesiredAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
+	s.options.Host.Report(eventlog.ConfigAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
 	return s.acknowledge(response)
 }
 
@@ -98,7 +98,7 @@
 			names, behind := s.proxiesBehind(version)
 			if len(names) == 0 && s.Member.Serving() {
 				s.adoptions.unsubscribe(signal)
-				host.Report(eventlog.DesiredSpread, map[string]any{"serial": version, "micros": int64(host.Now() - started)})
+				host.Report(eventlog.ConfigPropagated, map[string]any{"serial": version, "micros": int64(host.Now() - started)})
 				return true
 			}
 			wait = min(max(behind, monotonic.Millisecond), 250*monotonic.Millisecond)
--- a/internal/configstore/configstore.go
+++ b/internal/configstore/configstore.go
@@ -30,7 +30,7 @@
 // Config is what a postmaster is made of.
 type Options struct {
 	Host     host.Host
-	Resolver *discovery.Book
+	Resolver *discovery.Resolver
 	Name     string
 	Voters   []string // of a first start
 	// Bootstrap tells that this process may take part in a first start.
@@ -94,12 +94,12 @@
 	if options.AdjustReplication != nil {
 		options.AdjustReplication(&replicationOptions)
 	}
-	options.Resolver.OfferDeltas()
+	options.Resolver.AdvertiseDeltas()
 	s.store.UseDeltas, s.store.AllowVersionReuse = s.allVotersAcceptDeltas, options.AllowVersionReuse
 	member, err := replication.Open(replicationOptions)
 	s.Member = member
 	if err == nil {
-		member.ClockWatch.OnLeap(func(monotonic.Micros) { s.deferAcknowledgements() })
+		member.ClockWatch.OnJump(func(monotonic.Micros) { s.deferAcknowledgements() })
 	}
 	return s, err
 }
@@ -119,7 +119,7 @@
 }
 
 // Register adds the postmaster's handlers.
-func (s *Server) Register(table host.Table) {
+func (s *Server) Register(table host.Handlers) {
 	s.Member.Register(table)
 	host.Handle(table, wire.Kind_config_poll, s.Poll)
 	host.Handle(table, wire.Kind_config_apply, s.Apply)
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -17,7 +17,7 @@
 		return false // the journal is being read
 	}
 	voters := slices.Clone(s.Member.Voters())
-	return s.options.Resolver.TakeDeltas(append(voters, s.options.Name)...)
+	return s.options.Resolver.AllSupportDeltas(append(voters, s.options.Name)...)
 }
 
 // whole gives an apply with its content, if that came as a difference from one that is kept here.
--- a/internal/daemon/governor.go
+++ b/internal/daemon/governor.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	governEvery = 100 * monotonic.Millisecond
+	governInterval = 100 * monotonic.Millisecond
 	// busy is the share of the processors in use from which more are taken at once.
-	busy = 0.6
-	// calm is the share under which half of them would do, and calmSpans how many spans in a row it takes to believe it.
-	calm      = 0.25
-	calmSpans = 50
+	highUsage = 0.6
+	// calm is the share under which half of them would do, and lowUsagePeriods how many spans in a row it takes to believe it.
+	lowUsage        = 0.25
+	lowUsagePeriods = 50
 )
 
 // governor decides on how many processors a daemon runs. At ordinary load nearly all of a carrier's work is short, and
@@ -21,40 +21,40 @@
 // soon as those in use are busy, and gives them back slowly.
 // Invariant: 1 <= present <= most.
 type governor struct {
-	most, present int
-	calmFor       int
+	limit, current int
+	lowPeriods     int
 }
 
 // next gives the processors for the next span, from the share of the present ones that the last one used.
-func (governor *governor) next(share float64) int {
-	governor.calmFor++
-	if share >= calm {
-		governor.calmFor = 0
+func (g *governor) next(share float64) int {
+	g.lowPeriods++
+	if share >= lowUsage {
+		g.lowPeriods = 0
 	}
-	if share > busy {
-		governor.present = min(governor.most, 2*governor.present)
+	if share > highUsage {
+		g.current = min(g.limit, 2*g.current)
 	}
-	if governor.calmFor >= calmSpans {
-		governor.present, governor.calmFor = max(1, governor.present/2), 0
+	if g.lowPeriods >= lowUsagePeriods {
+		g.current, g.lowPeriods = max(1, g.current/2), 0
 	}
-	return governor.present
+	return g.current
 }
 
 // govern never returns.
-func (house *House) govern() {
-	most := runtime.GOMAXPROCS(0)
-	if told := house.Values.Number("processors"); told > 0 {
-		most = min(most, told)
+func (d *Daemon) adjustProcessors() {
+	limit := runtime.GOMAXPROCS(0)
+	if number := d.Settings.Int("processors"); number > 0 {
+		limit = min(limit, number)
 	}
-	governor := &governor{most: most, present: 1}
-	runtime.GOMAXPROCS(governor.present)
-	used, at := processorTime(), house.Place.Now()
+	governor := &governor{limit: limit, current: 1}
+	runtime.GOMAXPROCS(governor.current)
+	used, at := processorTime(), d.Host.Now()
 	for {
-		house.Place.Sleep(governEvery)
-		before, began := used, at
-		used, at = processorTime(), house.Place.Now()
-		present := governor.present
-		if next := governor.next(float64(used-before) / float64(max(1, at-began)) / float64(present)); next != present {
+		d.Host.Sleep(governInterval)
+		previousUsed, previousTime := used, at
+		used, at = processorTime(), d.Host.Now()
+		current := governor.current
+		if next := governor.next(float64(used-previousUsed) / float64(max(1, at-previousTime)) / float64(current)); next != current {
 			runtime.GOMAXPROCS(next)
 		}
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,22 +13,22 @@
 var processOptions = collectors.ProcessCollectorOpts{}
 
 // eventCounter shows how often each numbered event happened.
-type eventCounter struct{ board *eventlog.Board }
+type eventCounter struct{ events *eventlog.EventLog }
 
 var eventsDescription = prometheus.NewDesc("snowflow_events_total", "Events by their number in the catalogue.", []string{"event"}, nil)
 
-func (counter *eventCounter) Describe(descriptions chan<- *prometheus.Desc) {
+func (c *eventCounter) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- eventsDescription
 }
 
-func (counter *eventCounter) Collect(metrics chan<- prometheus.Metric) {
-	for number, count := range counter.board.Counts() {
+func (c *eventCounter) Collect(metrics chan<- prometheus.Metric) {
+	for number, count := range c.events.Counts() {
 		metrics <- prometheus.MustNewConstMetric(eventsDescription, prometheus.CounterValue, float64(count), strconv.Itoa(number))
 	}
 }
 
 // peerCounter shows the bytes exchanged with each process called.
-type peerCounter struct{ place *machine.Machine }
+type peerCounter struct{ host *machine.Machine }
 
 var (
 	sentDescription         = prometheus.NewDesc("snowflow_peer_sent_bytes_total", "Bytes of calls sent, by address.", []string{"address"}, nil)
@@ -37,19 +37,19 @@
 	kindBytesDescription    = prometheus.NewDesc("snowflow_kind_bytes_total", "Bytes exchanged with other processes, by kind and direction.", []string{"kind", "direction"}, nil)
 )
 
-func (counter *peerCounter) Describe(descriptions chan<- *prometheus.Desc) {
+func (c *peerCounter) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- sentDescription
 	descriptions <- receivedDescription
 	descriptions <- kindMessagesDescription
 	descriptions <- kindBytesDescription
 }
 
-func (counter *peerCounter) Collect(metrics chan<- prometheus.Metric) {
-	for address, totals := range counter.place.Traffic() {
+func (c *peerCounter) Collect(metrics chan<- prometheus.Metric) {
+	for address, totals := range c.host.Traffic() {
 		metrics <- prometheus.MustNewConstMetric(sentDescription, prometheus.CounterValue, float64(totals[0]), address)
 		metrics <- prometheus.MustNewConstMetric(receivedDescription, prometheus.CounterValue, float64(totals[1]), address)
 	}
-	for kind, total := range counter.place.Kinds() {
+	for kind, total := range c.host.MessageCounts() {
 		for direction, counts := range map[string][2]uint64{"sent": {total.Sent, total.SentBytes}, "received": {total.Received, total.ReceivedBytes}} {
 			metrics <- prometheus.MustNewConstMetric(kindMessagesDescription, prometheus.CounterValue, float64(counts[0]), kind.String(), direction)
 			metrics <- prometheus.MustNewConstMetric(kindBytesDescription, prometheus.CounterValue, float64(counts[1]), kind.String(), direction)
@@ -63,9 +63,9 @@
 	Read       func() float64
 }
 
-// Gauges registers figures.
-func (house *House) Gauges(gauges []Gauge) {
+// AddGauges registers figures.
+func (d *Daemon) AddGauges(gauges []Gauge) {
 	for _, gauge := range gauges {
-		house.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Read))
+		d.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Read))
 	}
 }
--- a/internal/daemon/pages.go
+++ b/internal/daemon/pages.go
@@ -14,17 +14,17 @@
 	"snowflow/internal/replication"
 )
 
-// Page shows a status as JSON.
-func Page(status func() any) http.Handler {
+// StatusPage shows a status as JSON.
+func StatusPage(status func() any) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(writer).Encode(status())
 	})
 }
 
-// CoreGauges shows how a member of the core stands.
-func (house *House) CoreGauges(member *replication.Member) {
-	house.Gauges([]Gauge{
+// AddReplicationGauges shows how a member of the core stands.
+func (d *Daemon) AddReplicationGauges(member *replication.Member) {
+	d.AddGauges([]Gauge{
 		{Name: "snowflow_core_epoch", Help: "The newest epoch heard of.", Read: func() float64 { return float64(member.Status().Epoch) }},
 		{Name: "snowflow_core_answering", Help: "1 while this process answers as primary.", Read: func() float64 {
 			if member.Serving() {
@@ -37,42 +37,42 @@
 	})
 }
 
-// TakeUp shows how long after its commit each carrier gave its word that it has adopted a version.
-func (house *House) TakeUp() func(carrier string, serial uint64, took monotonic.Micros) {
+// AdoptionObserver shows how long after its commit each carrier gave its word that it has adopted a version.
+func (d *Daemon) AdoptionObserver() func(proxy string, version uint64, duration monotonic.Micros) {
 	histogram := prometheus.NewHistogram(prometheus.HistogramOpts{Name: "snowflow_desired_take_up_micros",
 		Help: "Microseconds from the commit of a version to each carrier's word that it has adopted it.", Buckets: prometheus.ExponentialBuckets(500, 2, 17)})
-	house.Registry.MustRegister(histogram)
-	return func(_ string, _ uint64, took monotonic.Micros) { histogram.Observe(float64(took)) }
+	d.Registry.MustRegister(histogram)
+	return func(_ string, _ uint64, duration monotonic.Micros) { histogram.Observe(float64(duration)) }
 }
 
-// Tally counts requests by service and outcome.
-type Tally struct {
+// RequestCounters counts requests by service and outcome.
+type RequestCounters struct {
 	requests *prometheus.CounterVec
-	tries    *prometheus.CounterVec
+	attempts *prometheus.CounterVec
 }
 
-// NewTally registers the counters.
-func NewTally(registry *prometheus.Registry) *Tally {
-	tally := &Tally{
+// NewRequestCounters registers the counters.
+func NewRequestCounters(registry *prometheus.Registry) *RequestCounters {
+	counters := &RequestCounters{
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "snowflow_requests_total", Help: "Callers' requests by service, cause (0 for a backend's answer) and verdict."}, []string{"service", "cause", "verdict"}),
-		tries:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "snowflow_tries_total", Help: "Tries by service, first and further."}, []string{"service", "which"}),
+		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "snowflow_tries_total", Help: "Tries by service, first and further."}, []string{"service", "which"}),
 	}
-	registry.MustRegister(tally.requests, tally.tries)
-	return tally
+	registry.MustRegister(counters.requests, counters.attempts)
+	return counters
 }
 
-// Finished counts one outcome.
-func (tally *Tally) Finished(trip *forward.Trip, _ *request.Answer, fault *apierror.Fault) {
+// CountRequest counts one outcome.
+func (c *RequestCounters) CountRequest(exchange *forward.Trip, _ *request.Answer, fault *apierror.Fault) {
 	service, cause, verdict := "", "0", ""
-	if trip.Service != nil {
-		service = trip.Service.Name
+	if exchange.Service != nil {
+		service = exchange.Service.Name
 	}
 	if fault != nil {
 		cause, verdict = strconv.Itoa(int(fault.Cause)), string(fault.Verdict)
 	}
-	tally.requests.WithLabelValues(service, cause, verdict).Inc()
-	if trip.Tries > 0 {
-		tally.tries.WithLabelValues(service, "first").Inc()
-		tally.tries.WithLabelValues(service, "further").Add(float64(trip.Tries - 1))
+	c.requests.WithLabelValues(service, cause, verdict).Inc()
+	if exchange.Tries > 0 {
+		c.attempts.WithLabelValues(service, "first").Inc()
+		c.attempts.WithLabelValues(service, "further").Add(float64(exchange.Tries - 1))
 	}
 }
--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -47,7 +47,7 @@
 
 func TestSettingsAreListed(t *testing.T) {
 	page := read(t, "settings.md")
-	for _, field := range append(settings.Core(), settings.Carrier()...) {
+	for _, field := range append(settings.ControlPlaneFields(), settings.ProxyFields()...) {
 		if !strings.Contains(page, "`"+field.Name+"`") {
 			t.Errorf("setting %s is not in docs/settings.md", field.Name)
 		}
@@ -56,9 +56,9 @@
 
 // TestExampleSettings: what operators are shown to start from is taken.
 func TestExampleSettings(t *testing.T) {
-	for program, fields := range map[string][]settings.Field{"sorter": settings.Core(), "postmaster": settings.Core(), "carrier": settings.Carrier()} {
+	for program, fields := range map[string][]settings.Field{"sorter": settings.ControlPlaneFields(), "postmaster": settings.ControlPlaneFields(), "carrier": settings.ProxyFields()} {
 		flags := pflag.NewFlagSet(program, pflag.ContinueOnError)
-		settings.Flags(flags, fields)
+		settings.AddFlags(flags, fields)
 		if err := flags.Set("env", "../../examples/env/"+program+"-1.json"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/eventlog/bulletin.go
+++ b/internal/eventlog/eventlog.go
@@ -18,84 +18,84 @@
 
 const topic = "bulletin"
 
-// Board publishes events and counts them by number.
-type Board struct {
+// EventLog publishes events and counts them by number.
+type EventLog struct {
 	channel *gochannel.GoChannel
 	logger  *log.Logger
 	lock    sync.Mutex
 	counts  map[int]uint64
-	posts   chan *message.Message
+	queue   chan *message.Message
 	closed  bool // posts is closed; nothing is sent on it under another than lock
 	done    chan struct{}
 }
 
-// NewBoard starts a board that logs to standard error.
-func NewBoard(program, name, level string) (*Board, error) {
-	return newBoard(program, name, level, os.Stderr)
+// New starts a board that logs to standard error.
+func New(program, name, level string) (*EventLog, error) {
+	return newEventLog(program, name, level, os.Stderr)
 }
 
-func newBoard(program, name, level string, output io.Writer) (*Board, error) {
+func newEventLog(program, name, level string, output io.Writer) (*EventLog, error) {
 	threshold, err := log.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	board := &Board{
+	events := &EventLog{
 		// One at a time: otherwise events overtake one another, and closing the channel throws away those still on their way.
 		channel: gochannel.NewGoChannel(gochannel.Config{BlockPublishUntilSubscriberAck: true}, watermill.NopLogger{}),
 		logger:  &log.Logger{Handler: jsonhandler.New(output), Level: threshold},
-		counts:  map[int]uint64{}, posts: make(chan *message.Message, 4096), done: make(chan struct{}),
+		counts:  map[int]uint64{}, queue: make(chan *message.Message, 4096), done: make(chan struct{}),
 	}
-	entries, err := board.channel.Subscribe(context.Background(), topic)
+	entries, err := events.channel.Subscribe(context.Background(), topic)
 	if err != nil {
 		return nil, err
 	}
 	go func() {
-		for post := range board.posts {
-			_ = board.channel.Publish(topic, post)
+		for entry := range events.queue {
+			_ = events.channel.Publish(topic, entry)
 		}
-		_ = board.channel.Close()
+		_ = events.channel.Close()
 	}()
 	go func() {
-		defer close(board.done)
+		defer close(events.done)
 		for entry := range entries {
-			board.write(program, name, entry)
+			events.write(program, name, entry)
 			entry.Ack()
 		}
 	}()
-	return board, nil
+	return events, nil
 }
 
-// Post publishes one event. It never blocks: when the board is swamped the event is only counted.
-func (board *Board) Post(number int, fields map[string]any) {
-	if board == nil {
+// Publish publishes one event. It never blocks: when the board is swamped the event is only counted.
+func (l *EventLog) Publish(number int, attributes map[string]any) {
+	if l == nil {
 		return
 	}
-	if Catalogue[number].Level < board.logger.Level {
+	if Catalogue[number].Level < l.logger.Level {
 		// Nobody will read it: it's only counted.
-		board.lock.Lock()
-		board.counts[number]++
-		board.lock.Unlock()
+		l.lock.Lock()
+		l.counts[number]++
+		l.lock.Unlock()
 		return
 	}
-	payload, err := json.Marshal(fields)
+	payload, err := json.Marshal(attributes)
 	if err != nil {
 		payload = []byte(`{"unprintable":true}`)
 	}
-	post := message.NewMessage(watermill.NewShortUUID(), payload)
-	post.Metadata.Set("number", strconv.Itoa(number))
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	board.counts[number]++
-	if board.closed {
+	entry := message.NewMessage(watermill.NewShortUUID(), payload)
+	entry.Metadata.Set("number", strconv.Itoa(number))
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	l.counts[number]++
+	if l.closed {
 		return
 	}
 	select {
-	case board.posts <- post:
+	case l.queue <- entry:
 	default:
 	}
 }
 
-func (board *Board) write(program, name string, entry *message.Message) {
+func (l *EventLog) write(program, name string, entry *message.Message) {
 	number, _ := strconv.Atoi(entry.Metadata.Get("number"))
 	fields := log.Fields{"event": number, "program": program, "name": name}
 	var details map[string]any
@@ -104,8 +104,8 @@
 			fields[key] = value
 		}
 	}
-	listed := Catalogue[number]
-	writers[listed.Level](board.logger.WithFields(fields), listed.Text)
+	event := Catalogue[number]
+	writers[event.Level](l.logger.WithFields(fields), event.Text)
 }
 
 var writers = map[log.Level]func(*log.Entry, string){
@@ -116,21 +116,21 @@
 }
 
 // Counts tells how often each event was posted.
-func (board *Board) Counts() map[int]uint64 {
-	board.lock.Lock()
-	defer board.lock.Unlock()
-	copied := map[int]uint64{}
-	for number, count := range board.counts {
-		copied[number] = count
+func (l *EventLog) Counts() map[int]uint64 {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	counts := map[int]uint64{}
+	for number, count := range l.counts {
+		counts[number] = count
 	}
-	return copied
+	return counts
 }
 
 // Close writes what is still queued.
-func (board *Board) Close() {
-	board.lock.Lock()
-	board.closed = true
-	close(board.posts)
-	board.lock.Unlock()
-	<-board.done
+func (l *EventLog) Close() {
+	l.lock.Lock()
+	l.closed = true
+	close(l.queue)
+	l.lock.Unlock()
+	<-l.done
 }
--- /dev/null
+++ b/internal/eventlog/eventlog_test.go
@@ -0,0 +1,31 @@
+package eventlog
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+)
+
+// TestEventsBeforeCloseAreLogged: what a process reports right before it ends is in its log, in the order of the reports.
+func TestEventsBeforeCloseAreLogged(t *testing.T) {
+	var output bytes.Buffer
+	events, err := newEventLog("carrier", "carrier-1", "info", &output)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const entryCount = 500
+	for number := range entryCount {
+		events.Publish(ProcessDrained, map[string]any{"number": number})
+	}
+	events.Close()
+	lines := bytes.Split(bytes.TrimSpace(output.Bytes()), []byte("\n"))
+	if len(lines) != entryCount {
+		t.Fatalf("%d of %d were logged", len(lines), entryCount)
+	}
+	for number, line := range lines {
+		var logged struct{ Fields struct{ Number int } }
+		if err := json.Unmarshal(line, &logged); err != nil || logged.Fields.Number != number {
+			t.Fatalf("line %d: %s (%v)", number, line, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/host/clockwatch/clockwatch_test.go
@@ -0,0 +1,37 @@
+package clockwatch
+
+import (
+	"slices"
+	"testing"
+
+	"snowflow/internal/host"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/simulation/world"
+)
+
+// watched runs a watch in a simulated process for a span.
+func runWatcher(t *testing.T, duration monotonic.Micros, prepare func(watcher *Watcher)) {
+	t.Helper()
+	simulated := world.New(1)
+	simulated.Start(simulated.Add("one", "one", "one", func(h *world.Place) (host.Handlers, error) {
+		watcher := New(h)
+		prepare(watcher)
+		h.Go(watcher.Run)
+		return host.Handlers{}, nil
+	}))
+	simulated.Run(simulated.Now() + duration)
+	simulated.Close()
+}
+
+// TestPeriodicTasksRunAtCheckMultiples: a task is done at whole beats, as near to its span as they allow, and never less often.
+func TestPeriodicTasksRunAtCheckMultiples(t *testing.T) {
+	counts := make([]int, 3)
+	runWatcher(t, 10*monotonic.Second, func(watcher *Watcher) {
+		for index, interval := range []monotonic.Micros{10 * monotonic.Millisecond, 200 * monotonic.Millisecond, 500 * monotonic.Millisecond} {
+			watcher.Every(interval, func() { counts[index]++ })
+		}
+	})
+	if counts[0] < 90 || counts[0] > 100 || !slices.Equal([]int{counts[0] / 2, counts[0] / 5}, counts[1:]) {
+		t.Errorf("in ten seconds they were done %v times", counts)
+	}
+}
--- /dev/null
+++ b/internal/host/machine/counters_test.go
@@ -0,0 +1,73 @@
+package machine
+
+import (
+	"testing"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/host"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/frame"
+	"snowflow/internal/transport/wire"
+)
+
+// TestMessagesAreCountedByKind: each message counts once at each end, under its own kind, with the bytes of its whole frame.
+func TestMessagesAreCountedByKind(t *testing.T) {
+	handlers := host.Handlers{}
+	host.Handle(handlers, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+		return &wire.ClaimResponse{Outcome: request.Scope}, nil
+	})
+	host.Handle(handlers, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) { return nil, apierror.Invalid.New("no") })
+	server, address, _ := startServer(t, handlers)
+	client := New(nil, nil, nil)
+	for range 3 {
+		if err := client.Call(address, wire.Kind_claim, &wire.ClaimRequest{Scope: "ab"}, &wire.ClaimResponse{}, 10*monotonic.Second); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := client.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 10*monotonic.Second); !apierror.IsRefused(err) {
+		t.Fatal(err)
+	}
+	const claim = frame.HeaderLength + 4 // one field: its number, its length and two letters
+	if got, want := client.MessageCounts()[wire.Kind_claim], (MessageCount{Sent: 3, SentBytes: 3 * claim, Received: 3, ReceivedBytes: 3 * claim}); got != want {
+		t.Errorf("the caller counts %+v, not %+v", got, want)
+	}
+	if got, want := server.MessageCounts()[wire.Kind_claim], client.MessageCounts()[wire.Kind_claim]; got != want {
+		t.Errorf("the called counts %+v, not %+v", got, want)
+	}
+	if got := client.MessageCounts()[wire.Kind_discover]; got.Sent != 1 || got.Received != 1 || got.ReceivedBytes <= frame.HeaderLength {
+		t.Errorf("a refusal counts as %+v", got)
+	}
+	if len(client.MessageCounts()) != 2 {
+		t.Errorf("other kinds count too: %v", client.MessageCounts())
+	}
+	for kind := range wire.Kind_name {
+		if kind >= maxKinds {
+			t.Errorf("kind %d isn't counted", kind)
+		}
+	}
+}
+
+// TestCloseConnections: who waits on a connection that this process ends is told that it's lost, and the next call dials anew.
+func TestCloseConnections(t *testing.T) {
+	handlers, received, release := host.Handlers{}, make(chan struct{}), make(chan struct{})
+	host.Handle(handlers, wire.Kind_forward, func(*wire.ForwardRequest) (*wire.ForwardResponse, error) {
+		close(received)
+		<-release
+		return &wire.ForwardResponse{}, nil
+	})
+	host.Handle(handlers, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) { return &wire.DiscoverResponse{}, nil })
+	_, address, _ := startServer(t, handlers)
+	defer close(release)
+	client, result := New(nil, nil, nil), make(chan error, 1)
+	go func() {
+		result <- client.Call(address, wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, monotonic.Minute)
+	}()
+	<-received
+	client.CloseConnections()
+	if err := <-result; !apierror.IsLost(err) {
+		t.Errorf("the call ended with %v", err)
+	}
+	if err := client.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 10*monotonic.Second); err != nil {
+		t.Errorf("the next call: %v", err)
+	}
+}
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -14,43 +14,43 @@
 
 // Machine is the real host of one process.
 type Machine struct {
-	*monotonic.Machine
+	*monotonic.SystemClock
 	*Peers
-	disk     wal.Disk
-	bulletin *eventlog.Board
-	stop     func(why string)
-	crew     crew
+	disk    wal.Disk
+	events  *eventlog.EventLog
+	stop    func(reason string)
+	workers workerPool
 }
 
 // New makes an host. disk may be nil where a process keeps nothing.
-func New(disk wal.Disk, board *eventlog.Board, stop func(why string)) *Machine {
-	machine := &Machine{Machine: monotonic.NewMachine(), disk: disk, bulletin: board, stop: stop}
+func New(disk wal.Disk, events *eventlog.EventLog, stop func(reason string)) *Machine {
+	machine := &Machine{SystemClock: monotonic.NewSystemClock(), disk: disk, events: events, stop: stop}
 	machine.Peers = newPeers(machine)
 	return machine
 }
 
 // Sleep waits.
-func (machine *Machine) Sleep(span monotonic.Micros) { time.Sleep(span.Duration()) }
+func (m *Machine) Sleep(duration monotonic.Micros) { time.Sleep(duration.Duration()) }
 
 // Go starts a task.
-func (machine *Machine) Go(task func()) { machine.crew.start(task) }
+func (m *Machine) Go(task func()) { m.workers.start(task) }
 
 // Random gives 64 random bits.
-func (machine *Machine) Random() uint64 { return rand.Uint64() }
+func (m *Machine) Random() uint64 { return rand.Uint64() }
 
 // Disk is the data folder.
-func (machine *Machine) Disk() wal.Disk { return machine.disk }
+func (m *Machine) Disk() wal.Disk { return m.disk }
 
 // Report publishes a numbered event.
-func (machine *Machine) Report(number int, fields map[string]any) {
-	machine.bulletin.Post(number, fields)
+func (m *Machine) Report(number int, attributes map[string]any) {
+	m.events.Publish(number, attributes)
 }
 
 // Stop ends the process.
-func (machine *Machine) Stop(why string) {
-	machine.Report(eventlog.ProcessStopped, map[string]any{"why": why})
-	if machine.stop != nil {
-		machine.stop(why)
+func (m *Machine) Stop(reason string) {
+	m.Report(eventlog.ProcessStopped, map[string]any{"why": reason})
+	if m.stop != nil {
+		m.stop(reason)
 		return
 	}
 	os.Exit(3)
@@ -59,32 +59,32 @@
 type signal struct{ channel chan struct{} }
 
 // NewSignal makes a signal.
-func (machine *Machine) NewSignal() host.Signal { return &signal{channel: make(chan struct{}, 1)} }
+func (m *Machine) NewSignal() host.Signal { return &signal{channel: make(chan struct{}, 1)} }
 
-func (signal *signal) Fire() {
+func (s *signal) Fire() {
 	select {
-	case signal.channel <- struct{}{}:
+	case s.channel <- struct{}{}:
 	default:
 	}
 }
 
-func (signal *signal) Wait(patience monotonic.Micros) bool {
+func (s *signal) Wait(timeout monotonic.Micros) bool {
 	select {
-	case <-signal.channel:
+	case <-s.channel:
 		return true
 	default:
 	}
-	if patience <= 0 {
+	if timeout <= 0 {
 		return false
 	}
-	if patience >= monotonic.Forever {
-		<-signal.channel
+	if timeout >= monotonic.Forever {
+		<-s.channel
 		return true
 	}
-	timer := time.NewTimer(patience.Duration())
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
 	select {
-	case <-signal.channel:
+	case <-s.channel:
 		return true
 	case <-timer.C:
 		return false
--- a/internal/host/machine/peers.go
+++ b/internal/host/machine/peers.go
@@ -20,27 +20,27 @@
 	"snowflow/internal/transport/wire"
 )
 
-// frameLimit bounds one message between processes.
-const frameLimit = 64 << 20
+// maxFrameSize bounds one message between processes.
+const maxFrameSize = 64 << 20
 
-// readAhead is what is read at once from each connection; a longer message is read into its own room.
-const readAhead = 16 << 10
+// readBufferSize is what is read at once from each connection; a longer message is read into its own room.
+const readBufferSize = 16 << 10
 
 // Peers holds this process's connections to others, one per address.
 // Invariant: a link in links is either being dialled or was open when it was last looked at.
 type Peers struct {
-	machine *Machine
-	lock    sync.Mutex
-	links   map[lane]*link
-	counts  map[string]*traffic
-	tallies tallies
-	busy    atomic.Int64  // requests of others whose reply isn't written yet
-	dialFor time.Duration // the most that a dial may take
-	from    net.Addr      // the own number that connections go out from; nil leaves it to the system
+	machine          *Machine
+	lock             sync.Mutex
+	connections      map[connectionKey]*peerConnection
+	trafficByAddress map[string]*traffic
+	messageCounters  messageCounters
+	inFlight         atomic.Int64  // requests of others whose reply isn't written yet
+	dialTimeout      time.Duration // the most that a dial may take
+	localAddress     net.Addr      // the own number that connections go out from; nil leaves it to the system
 }
 
 // lane is a way to an address. Large answers have one of their own: what is small must not wait behind them.
-type lane struct {
+type connectionKey struct {
 	address string
 	bulk    bool
 }
@@ -48,94 +48,94 @@
 type traffic struct{ sent, received atomic.Uint64 }
 
 // link is one outgoing connection. Its dial happens once; waiting callers share it.
-type link struct {
-	lane       lane
-	address    string
-	dialled    chan struct{}
-	dialError  error
-	connection net.Conn
-	writing    sync.Mutex
-	lock       sync.Mutex
-	pending    map[uint64]chan frame.Frame
-	next       uint64
-	closed     bool
-	heard      atomic.Int64
-	counts     *traffic
+type peerConnection struct {
+	key           connectionKey
+	address       string
+	dialled       chan struct{}
+	dialErr       error
+	socket        net.Conn
+	writeLock     sync.Mutex
+	lock          sync.Mutex
+	pending       map[uint64]chan frame.Frame
+	lastRequestID uint64
+	closed        bool
+	lastReceived  atomic.Int64
+	traffic       *traffic
 }
 
 func newPeers(machine *Machine) *Peers {
-	return &Peers{dialFor: 2 * time.Second, machine: machine, links: map[lane]*link{}, counts: map[string]*traffic{}}
+	return &Peers{dialTimeout: 2 * time.Second, machine: machine, connections: map[connectionKey]*peerConnection{}, trafficByAddress: map[string]*traffic{}}
 }
 
-// From makes connections go out from the host of an own address.
-func (peers *Peers) From(address string) {
+// SetLocalAddress makes connections go out from the host of an own address.
+func (p *Peers) SetLocalAddress(address string) {
 	host, _, _ := net.SplitHostPort(address)
-	if number := net.ParseIP(host); number != nil && !number.IsUnspecified() {
-		peers.from = &net.TCPAddr{IP: number}
+	if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
+		p.localAddress = &net.TCPAddr{IP: ip}
 	}
 }
 
-// DialWithin bounds what a dial may take: where the ways are short, a machine that doesn't answer one soon isn't there.
-func (peers *Peers) DialWithin(most monotonic.Micros) { peers.dialFor = most.Duration() }
+// SetDialTimeout bounds what a dial may take: where the ways are short, a machine that doesn't answer one soon isn't there.
+func (p *Peers) SetDialTimeout(timeout monotonic.Micros) { p.dialTimeout = timeout.Duration() }
 
 // Traffic tells the bytes exchanged with each address this process called.
-func (peers *Peers) Traffic() map[string][2]uint64 {
-	peers.lock.Lock()
-	defer peers.lock.Unlock()
+func (p *Peers) Traffic() map[string][2]uint64 {
+	p.lock.Lock()
+	defer p.lock.Unlock()
 	totals := map[string][2]uint64{}
-	for address, counts := range peers.counts {
+	for address, counts := range p.trafficByAddress {
 		totals[address] = [2]uint64{counts.sent.Load(), counts.received.Load()}
 	}
 	return totals
 }
 
-func (peers *Peers) link(lane lane, patience time.Duration) *link {
-	peers.lock.Lock()
-	defer peers.lock.Unlock()
-	address := lane.address
-	if present := peers.links[lane]; present != nil {
+func (p *Peers) connectionFor(key connectionKey, timeout time.Duration) *peerConnection {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	address := key.address
+	if present := p.connections[key]; present != nil {
 		return present
 	}
-	counts := peers.counts[address]
+	counts := p.trafficByAddress[address]
 	if counts == nil {
 		counts = &traffic{}
-		peers.counts[address] = counts
+		p.trafficByAddress[address] = counts
 	}
-	fresh := &link{lane: lane, address: address, dialled: make(chan struct{}), pending: map[uint64]chan frame.Frame{}, counts: counts}
-	peers.links[lane] = fresh
-	go peers.dial(fresh, min(patience, peers.dialFor))
-	return fresh
+	created := &peerConnection{key: key, address: address, dialled: make(chan struct{}), pending: map[uint64]chan frame.Frame{}, traffic: counts}
+	p.connections[key] = created
+	go p.dial(created, min(timeout, p.dialTimeout))
+	return created
 }
 
-func (peers *Peers) dial(link *link, patience time.Duration) {
-	dialer := net.Dialer{Timeout: max(patience, 50*time.Millisecond), LocalAddr: peers.from}
-	connection, err := dialer.Dial("tcp", link.address)
+func (p *Peers) dial(peer *peerConnection, timeout time.Duration) {
+	dialer := net.Dialer{Timeout: max(timeout, 50*time.Millisecond), LocalAddr: p.localAddress}
+	connection, err := dialer.Dial("tcp", peer.address)
 	if err != nil {
-		link.dialError = err
-		peers.drop(link)
-		close(link.dialled)
+		peer.dialErr = err
+		p.remove(peer)
+		close(peer.dialled)
 		return
 	}
 	connection = socket.Wrap(connection)
-	link.connection = connection
-	link.heard.Store(int64(peers.machine.Now()))
-	close(link.dialled)
-	reader := bufio.NewReaderSize(&ear{link: link, clock: peers.machine}, readAhead)
+	peer.socket = connection
+	peer.lastReceived.Store(int64(p.machine.Now()))
+	close(peer.dialled)
+	reader := bufio.NewReaderSize(&activityReader{connection: peer, clock: p.machine}, readBufferSize)
 	for {
-		incoming, err := frame.Read(reader, frameLimit)
+		incoming, err := frame.Read(reader, maxFrameSize)
 		if err != nil {
 			if errors.Is(err, frame.ErrMalformed) {
-				peers.machine.Report(eventlog.MalformedFrame, map[string]any{"address": link.address, "error": err.Error()})
+				p.machine.Report(eventlog.MalformedFrame, map[string]any{"address": peer.address, "error": err.Error()})
 			}
-			peers.drop(link)
+			p.remove(peer)
 			return
 		}
-		link.counts.received.Add(uint64(len(incoming.Content) + frame.HeaderLength))
-		peers.tallies.received(incoming.Kind, len(incoming.Content)+frame.HeaderLength)
-		link.lock.Lock()
-		waiter := link.pending[incoming.Number]
-		delete(link.pending, incoming.Number)
-		link.lock.Unlock()
+		peer.traffic.received.Add(uint64(len(incoming.Content) + frame.HeaderLength))
+		p.messageCounters.countReceived(incoming.Kind, len(incoming.Content)+frame.HeaderLength)
+		peer.lock.Lock()
+		waiter := peer.pending[incoming.RequestID]
+		delete(peer.pending, incoming.RequestID)
+		peer.lock.Unlock()
 		if waiter != nil {
 			waiter <- incoming
 		}
@@ -143,83 +143,83 @@
 }
 
 // ear reads a link's connection and notes when it heard something: a part of a long frame is a sign of life too.
-type ear struct {
-	link  *link
-	clock monotonic.Clock
+type activityReader struct {
+	connection *peerConnection
+	clock      monotonic.Clock
 }
 
-func (ear *ear) Read(into []byte) (int, error) {
-	count, err := ear.link.connection.Read(into)
+func (r *activityReader) Read(buffer []byte) (int, error) {
+	count, err := r.connection.socket.Read(buffer)
 	if count > 0 {
-		ear.link.heard.Store(int64(ear.clock.Now()))
+		r.connection.lastReceived.Store(int64(r.clock.Now()))
 	}
 	return count, err
 }
 
 // drop forgets a link and wakes all who wait on it.
-func (peers *Peers) drop(link *link) {
-	peers.lock.Lock()
-	if peers.links[link.lane] == link {
-		delete(peers.links, link.lane)
+func (p *Peers) remove(peer *peerConnection) {
+	p.lock.Lock()
+	if p.connections[peer.key] == peer {
+		delete(p.connections, peer.key)
 	}
-	peers.lock.Unlock()
-	link.lock.Lock()
-	defer link.lock.Unlock()
-	if link.closed {
+	p.lock.Unlock()
+	peer.lock.Lock()
+	defer peer.lock.Unlock()
+	if peer.closed {
 		return
 	}
-	link.closed = true
-	if link.connection != nil {
-		_ = link.connection.Close()
+	peer.closed = true
+	if peer.socket != nil {
+		_ = peer.socket.Close()
 	}
-	for _, waiter := range link.pending {
+	for _, waiter := range peer.pending {
 		close(waiter)
 	}
-	link.pending = nil
+	peer.pending = nil
 }
 
 // Call sends a request and waits for its reply.
-func (peers *Peers) Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error {
+func (p *Peers) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	if address == "" {
 		return apierror.Unreachable.New("no address")
 	}
-	started := peers.machine.Now()
-	timer := time.NewTimer(patience.Duration())
+	started := p.machine.Now()
+	timer := time.NewTimer(timeout.Duration())
 	defer timer.Stop()
-	link := peers.link(lane{address, kind == wire.Kind_forward_bulk}, patience.Duration())
+	peer := p.connectionFor(connectionKey{address, kind == wire.Kind_forward_bulk}, timeout.Duration())
 	if kind == wire.Kind_forward_bulk {
 		kind = wire.Kind_forward // the other side need not know which connection it came by
 	}
 	select {
-	case <-link.dialled:
+	case <-peer.dialled:
 	case <-timer.C:
 		return apierror.Unreachable.New("dialling %s took too long", address)
 	}
-	if link.dialError != nil {
-		return apierror.Unreachable.Wrap(link.dialError, "dialling %s", address)
+	if peer.dialErr != nil {
+		return apierror.Unreachable.Wrap(peer.dialErr, "dialling %s", address)
 	}
 	waiter := make(chan frame.Frame, 1)
-	link.lock.Lock()
-	if link.closed {
-		link.lock.Unlock()
+	peer.lock.Lock()
+	if peer.closed {
+		peer.lock.Unlock()
 		return apierror.Unreachable.New("connection to %s had ended", address)
 	}
-	link.next++
-	number := link.next
-	link.pending[number] = waiter
-	link.lock.Unlock()
-	encoded, err := frame.AppendMessage(nil, frame.Frame{Kind: kind, Number: number}, request)
+	peer.lastRequestID++
+	requestID := peer.lastRequestID
+	peer.pending[requestID] = waiter
+	peer.lock.Unlock()
+	encoded, err := frame.AppendMessage(nil, frame.Frame{Kind: kind, RequestID: requestID}, request)
 	if err != nil {
-		link.forget(number)
+		peer.cancel(requestID)
 		return apierror.Invalid.Wrap(err, "encoding %s", kind)
 	}
-	link.writing.Lock()
-	err = socket.WriteWithin(link.connection, encoded, patience.Duration())
-	link.writing.Unlock()
-	link.counts.sent.Add(uint64(len(encoded)))
-	peers.tallies.sent(kind, len(encoded))
+	peer.writeLock.Lock()
+	err = socket.WriteWithin(peer.socket, encoded, timeout.Duration())
+	peer.writeLock.Unlock()
+	peer.traffic.sent.Add(uint64(len(encoded)))
+	p.messageCounters.countSent(kind, len(encoded))
 	if err != nil {
-		peers.drop(link)
+		p.remove(peer)
 		return apierror.Lost.Wrap(err, "writing to %s", address)
 	}
 	select {
@@ -231,7 +231,7 @@
 			return apierror.Refused.New("%s: %s", address, incoming.Content)
 		}
 		if incoming.Kind != kind {
-			peers.drop(link)
+			p.remove(peer)
 			return apierror.Lost.New("%s answered %s with %s", address, kind, incoming.Kind)
 		}
 		if err := proto.Unmarshal(incoming.Content, reply); err != nil {
@@ -239,31 +239,31 @@
 		}
 		return nil
 	case <-timer.C:
-		link.forget(number)
+		peer.cancel(requestID)
 		// Nothing at all was heard since the request went out: the connection may be dead, so the next call dials anew.
-		if link.heard.Load() < int64(started) {
-			peers.drop(link)
+		if peer.lastReceived.Load() < int64(started) {
+			p.remove(peer)
 		}
-		return apierror.Lost.New("no answer from %s within %v", address, patience.Duration())
+		return apierror.Lost.New("no answer from %s within %v", address, timeout.Duration())
 	}
 }
 
 // forget has nobody wait for an answer any more.
-func (link *link) forget(number uint64) {
-	link.lock.Lock()
-	defer link.lock.Unlock()
-	delete(link.pending, number)
+func (c *peerConnection) cancel(requestID uint64) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	delete(c.pending, requestID)
 }
 
-// Settle waits, at most patience, until every request of others has its reply written.
-func (peers *Peers) Settle(patience monotonic.Micros) {
-	for cutoff := peers.machine.Now() + patience; peers.busy.Load() > 0 && peers.machine.Now() < cutoff; {
-		peers.machine.Sleep(2 * monotonic.Millisecond)
+// WaitForReplies waits, at most patience, until every request of others has its reply written.
+func (p *Peers) WaitForReplies(timeout monotonic.Micros) {
+	for deadline := p.machine.Now() + timeout; p.inFlight.Load() > 0 && p.machine.Now() < deadline; {
+		p.machine.Sleep(2 * monotonic.Millisecond)
 	}
 }
 
 // Serve answers requests on a listener until it's closed.
-func (peers *Peers) Serve(listener net.Listener, table host.Table) error {
+func (p *Peers) Serve(listener net.Listener, handlers host.Handlers) error {
 	for {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -273,33 +273,33 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		go peers.answer(socket.Wrap(connection), table)
+		go p.serveConnection(socket.Wrap(connection), handlers)
 	}
 }
 
-func (peers *Peers) answer(connection net.Conn, table host.Table) {
+func (p *Peers) serveConnection(connection net.Conn, handlers host.Handlers) {
 	defer connection.Close()
-	reader := bufio.NewReaderSize(connection, readAhead)
-	var writing sync.Mutex
+	reader := bufio.NewReaderSize(connection, readBufferSize)
+	var writeLock sync.Mutex
 	for {
-		incoming, err := frame.Read(reader, frameLimit)
-		if err == nil && (table[incoming.Kind] == nil || incoming.Flags&frame.Reply != 0) {
+		incoming, err := frame.Read(reader, maxFrameSize)
+		if err == nil && (handlers[incoming.Kind] == nil || incoming.Flags&frame.Reply != 0) {
 			err = frame.ErrMalformed
 		}
 		if err != nil {
 			if errors.Is(err, frame.ErrMalformed) {
-				peers.machine.Report(eventlog.MalformedFrame, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error(), "kind": int(incoming.Kind)})
+				p.machine.Report(eventlog.MalformedFrame, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error(), "kind": int(incoming.Kind)})
 			} else if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				peers.machine.Report(eventlog.ConnectionLost, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error()})
+				p.machine.Report(eventlog.ConnectionLost, map[string]any{"address": connection.RemoteAddr().String(), "error": err.Error()})
 			}
 			return
 		}
-		peers.tallies.received(incoming.Kind, len(incoming.Content)+frame.HeaderLength)
-		peers.busy.Inc()
-		peers.machine.Go(func() {
-			defer peers.busy.Dec()
-			outgoing := frame.Frame{Kind: incoming.Kind, Flags: frame.Reply, Number: incoming.Number}
-			reply, err := table[incoming.Kind](incoming.Content)
+		p.messageCounters.countReceived(incoming.Kind, len(incoming.Content)+frame.HeaderLength)
+		p.inFlight.Inc()
+		p.machine.Go(func() {
+			defer p.inFlight.Dec()
+			outgoing := frame.Frame{Kind: incoming.Kind, Flags: frame.Reply, RequestID: incoming.RequestID}
+			reply, err := handlers[incoming.Kind](incoming.Content)
 			var encoded []byte
 			if err == nil {
 				encoded, err = frame.AppendMessage(nil, outgoing, reply)
@@ -309,9 +309,9 @@
 				outgoing.Content = []byte(err.Error())
 				encoded = frame.Append(make([]byte, 0, len(outgoing.Content)+frame.HeaderLength), outgoing)
 			}
-			writing.Lock()
-			defer writing.Unlock()
-			peers.tallies.sent(outgoing.Kind, len(encoded))
+			writeLock.Lock()
+			defer writeLock.Unlock()
+			p.messageCounters.countSent(outgoing.Kind, len(encoded))
 			if err := socket.WriteWithin(connection, encoded, 10*time.Second); err != nil {
 				_ = connection.Close()
 			}
--- a/internal/host/machine/peers_test.go
+++ b/internal/host/machine/peers_test.go
@@ -17,34 +17,34 @@
 	"snowflow/internal/transport/wire"
 )
 
-func served(t *testing.T, table host.Table) (*Machine, string, *eventlog.Board) {
+func startServer(t *testing.T, handlers host.Handlers) (*Machine, string, *eventlog.EventLog) {
 	t.Helper()
-	board, err := eventlog.NewBoard("test", "test", "error")
+	events, err := eventlog.New("test", "test", "error")
 	if err != nil {
 		t.Fatal(err)
 	}
-	machine := New(nil, board, nil)
+	machine := New(nil, events, nil)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close(); board.Close() })
-	go func() { _ = machine.Serve(listener, table) }()
-	return machine, listener.Addr().String(), board
+	t.Cleanup(func() { _ = listener.Close(); events.Close() })
+	go func() { _ = machine.Serve(listener, handlers) }()
+	return machine, listener.Addr().String(), events
 }
 
 // TestMalformedFramesCloseTheConnection sends what is no frame, a frame cut by a flipped bit, an unknown kind and a
 // version that isn't adjacent; each closes the connection and is told as an event.
 func TestMalformedFramesCloseTheConnection(t *testing.T) {
-	_, address, board := served(t, host.Table{wire.Kind_discover: nil})
-	good := frame.Append(nil, frame.Frame{Kind: wire.Kind_forward, Number: 1, Content: []byte("abc")})
-	flipped := append([]byte(nil), good...)
+	_, address, events := startServer(t, host.Handlers{wire.Kind_discover: nil})
+	valid := frame.Append(nil, frame.Frame{Kind: wire.Kind_forward, RequestID: 1, Content: []byte("abc")})
+	flipped := append([]byte(nil), valid...)
 	flipped[len(flipped)-1] ^= 1
-	distant := append([]byte(nil), good...)
+	distant := append([]byte(nil), valid...)
 	distant[5] = byte(frame.Version + 2)
 	for name, content := range map[string][]byte{"no frame": []byte("GET / HTTP/1.1\r\nHost: somebody\r\n\r\n"), "a flipped bit": flipped,
-		"an unknown kind": good, "a distant version": distant} {
-		before := board.Counts()[eventlog.MalformedFrame]
+		"an unknown kind": valid, "a distant version": distant} {
+		before := events.Counts()[eventlog.MalformedFrame]
 		connection, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 			t.Errorf("%s: the connection stays open: %v", name, err)
 		}
 		_ = connection.Close()
-		if board.Counts()[eventlog.MalformedFrame] != before+1 {
+		if events.Counts()[eventlog.MalformedFrame] != before+1 {
 			t.Errorf("%s: no event", name)
 		}
 	}
@@ -66,17 +66,20 @@
 	return errors.As(err, &operation) && !operation.Timeout()
 }
 
-// TestCallsSayWhatMayHaveHappened: refused, unreachable and lost are told apart.
-func TestCallsSayWhatMayHaveHappened(t *testing.T) {
-	table := host.Table{}
-	held := make(chan struct{})
-	host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) { return nil, errors.New("no") })
-	host.Handle(table, wire.Kind_forward, func(*wire.ForwardRequest) (*wire.ForwardResponse, error) { <-held; return &wire.ForwardResponse{}, nil })
-	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-		return &wire.ClaimResponse{Outcome: ask.Scope}, nil
+// TestCallErrorsAreDistinguished: refused, unreachable and lost are told apart.
+func TestCallErrorsAreDistinguished(t *testing.T) {
+	handlers := host.Handlers{}
+	release := make(chan struct{})
+	host.Handle(handlers, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) { return nil, errors.New("no") })
+	host.Handle(handlers, wire.Kind_forward, func(*wire.ForwardRequest) (*wire.ForwardResponse, error) {
+		<-release
+		return &wire.ForwardResponse{}, nil
 	})
-	machine, address, _ := served(t, table)
-	defer close(held)
+	host.Handle(handlers, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+		return &wire.ClaimResponse{Outcome: request.Scope}, nil
+	})
+	machine, address, _ := startServer(t, handlers)
+	defer close(release)
 	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, monotonic.Second); !apierror.IsRefused(err) {
 		t.Errorf("refused: %v", err)
 	}
@@ -90,9 +93,9 @@
 	done := make(chan bool)
 	for number := range 50 {
 		go func() {
-			tell, scope := &wire.ClaimResponse{}, string(rune('a'+number))
-			err := machine.Call(address, wire.Kind_claim, &wire.ClaimRequest{Scope: scope}, tell, 10*monotonic.Second)
-			done <- err == nil && tell.Outcome == scope
+			response, scope := &wire.ClaimResponse{}, string(rune('a'+number))
+			err := machine.Call(address, wire.Kind_claim, &wire.ClaimRequest{Scope: scope}, response, 10*monotonic.Second)
+			done <- err == nil && response.Outcome == scope
 		}()
 	}
 	for range 50 {
@@ -102,26 +105,26 @@
 	}
 }
 
-// TestLongAnswerOutlivesShortAsk: while a long answer comes in, a short ask on the same connection runs out of patience.
+// TestLongResponseSurvivesShortTimeout: while a long answer comes in, a short ask on the same connection runs out of patience.
 // The connection is alive, so the long answer must still arrive.
-func TestLongAnswerOutlivesShortAsk(t *testing.T) {
-	board, err := eventlog.NewBoard("test", "test", "error")
+func TestLongResponseSurvivesShortTimeout(t *testing.T) {
+	events, err := eventlog.New("test", "test", "error")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(board.Close)
+	t.Cleanup(events.Close)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	coming, ranOut := make(chan struct{}), make(chan struct{})
+	started, timedOut := make(chan struct{}), make(chan struct{})
 	go func() {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		ask, err := frame.Read(connection, 1<<20)
+		request, err := frame.Read(connection, 1<<20)
 		if err != nil {
 			return
 		}
@@ -129,30 +132,30 @@
 		if err != nil {
 			return
 		}
-		rest := frame.Append(nil, frame.Frame{Kind: ask.Kind, Flags: frame.Reply, Number: ask.Number, Content: answer})
-		close(coming)
-		for piece := 1; len(rest) > 0; rest = rest[piece:] {
+		remaining := frame.Append(nil, frame.Frame{Kind: request.Kind, Flags: frame.Reply, RequestID: request.RequestID, Content: answer})
+		close(started)
+		for size := 1; len(remaining) > 0; remaining = remaining[size:] {
 			select {
-			case <-ranOut:
-				piece = len(rest)
+			case <-timedOut:
+				size = len(remaining)
 			default:
 			}
-			if _, err := connection.Write(rest[:piece]); err != nil {
+			if _, err := connection.Write(remaining[:size]); err != nil {
 				return
 			}
 		}
 	}()
-	machine, address, tell := New(nil, board, nil), listener.Addr().String(), &wire.ForwardResponse{}
+	machine, address, response := New(nil, events, nil), listener.Addr().String(), &wire.ForwardResponse{}
 	long := make(chan error, 1)
 	go func() {
-		long <- machine.Call(address, wire.Kind_forward, &wire.ForwardRequest{}, tell, monotonic.Minute)
+		long <- machine.Call(address, wire.Kind_forward, &wire.ForwardRequest{}, response, monotonic.Minute)
 	}()
-	<-coming
+	<-started
 	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 100*monotonic.Millisecond); !apierror.IsLost(err) {
 		t.Errorf("the short ask: %v", err)
 	}
-	close(ranOut)
-	if err := <-long; err != nil || len(tell.Body) != 8<<20 {
+	close(timedOut)
+	if err := <-long; err != nil || len(response.Body) != 8<<20 {
 		t.Errorf("the long answer: %v", err)
 	}
 }
--- a/internal/host/machine/socket/socket_test.go
+++ b/internal/host/machine/socket/socket_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accepted, err := Listener(plain).Accept()
+	accepted, err := WrapListener(plain).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,92 +31,92 @@
 	return Wrap(dialled).(*Conn), accepted.(*Conn)
 }
 
-// TestMuchArrivesWhole: what is far beyond the windows of a connection arrives whole and in order, whichever way it's written.
-func TestMuchArrivesWhole(t *testing.T) {
-	one, other := pair(t)
+// TestLargeTransferArrivesComplete: what is far beyond the windows of a connection arrives whole and in order, whichever way it's written.
+func TestLargeTransferArrivesComplete(t *testing.T) {
+	client, server := pair(t)
 	content := make([]byte, 20<<20)
 	for index := range content {
 		content[index] = byte(index * 7 >> 3)
 	}
-	for what, write := range map[string]func() error{
-		"write":        func() error { _, err := one.Write(content); return err },
-		"write within": func() error { return one.WriteWithin(content, time.Minute) },
-		"read from":    func() error { _, err := io.Copy(one, bytes.NewReader(content)); return err },
+	for name, write := range map[string]func() error{
+		"write":        func() error { _, err := client.Write(content); return err },
+		"write within": func() error { return client.WriteWithin(content, time.Minute) },
+		"read from":    func() error { _, err := io.Copy(client, bytes.NewReader(content)); return err },
 	} {
-		told := make(chan error, 1)
-		go func() { told <- write() }()
+		result := make(chan error, 1)
+		go func() { result <- write() }()
 		arrived := make([]byte, len(content))
-		if _, err := io.ReadFull(other, arrived); err != nil || !bytes.Equal(arrived, content) {
-			t.Errorf("%s: %v, or other bytes", what, err)
+		if _, err := io.ReadFull(server, arrived); err != nil || !bytes.Equal(arrived, content) {
+			t.Errorf("%s: %v, or other bytes", name, err)
 		}
-		if err := <-told; err != nil {
-			t.Errorf("%s: %v", what, err)
+		if err := <-result; err != nil {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// TestEnds: an end is told as such, also with bytes before it; a reset is an error.
-func TestEnds(t *testing.T) {
-	one, other := pair(t)
-	if _, err := one.Write([]byte("last")); err != nil {
+// TestEndOfStreamAndReset: an end is told as such, also with bytes before it; a reset is an error.
+func TestEndOfStreamAndReset(t *testing.T) {
+	client, server := pair(t)
+	if _, err := client.Write([]byte("last")); err != nil {
 		t.Fatal(err)
 	}
-	_ = one.Close()
-	if all, err := io.ReadAll(other); err != nil || string(all) != "last" {
+	_ = client.Close()
+	if all, err := io.ReadAll(server); err != nil || string(all) != "last" {
 		t.Errorf("%q, %v", all, err)
 	}
-	one, other = pair(t)
-	_ = one.SetLinger(0)
-	_ = one.Close()
-	if _, err := other.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
+	client, server = pair(t)
+	_ = client.SetLinger(0)
+	_ = client.Close()
+	if _, err := server.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("a reset reads as %v", err)
 	}
-	if _, err := other.Write([]byte("x")); err == nil {
+	if _, err := server.Write([]byte("x")); err == nil {
 		t.Error("writing after a reset succeeds")
 	}
 }
 
 // TestDeadlines: reading and writing end at their deadline, and a close wakes who waits.
 func TestDeadlines(t *testing.T) {
-	one, other := pair(t)
-	_ = one.SetReadDeadline(time.Now().Add(time.Millisecond))
-	if _, err := one.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+	client, server := pair(t)
+	_ = client.SetReadDeadline(time.Now().Add(time.Millisecond))
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("reading ended with %v", err)
 	}
-	if err := one.WriteWithin(make([]byte, 64<<20), time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := client.WriteWithin(make([]byte, 64<<20), time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("writing to one who doesn't read ended with %v", err)
 	}
-	told := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		_, err := one.Read(make([]byte, 1))
-		told <- err
+		_, err := client.Read(make([]byte, 1))
+		result <- err
 	}()
-	_ = one.SetReadDeadline(time.Time{})
-	_ = one.Close()
-	if err := <-told; !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded) {
+	_ = client.SetReadDeadline(time.Time{})
+	_ = client.Close()
+	if err := <-result; !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a close ended reading with %v", err)
 	}
-	_ = other.Close()
+	_ = server.Close()
 }
 
-// TestQuiet: bytes that came unasked, and an end, are no quiet.
-func TestQuiet(t *testing.T) {
-	one, other := pair(t)
-	if !Quiet(one) {
+// TestIsIdle: bytes that came unasked, and an end, are no quiet.
+func TestIsIdle(t *testing.T) {
+	client, server := pair(t)
+	if !IsIdle(client) {
 		t.Error("nothing came, and it isn't quiet")
 	}
-	if _, err := other.Write([]byte("x")); err != nil {
+	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for Quiet(one) {
+	for IsIdle(client) {
 		runtime.Gosched() // it's on its way
 	}
-	one, other = pair(t)
-	_ = other.Close()
-	if _, err := one.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	client, server = pair(t)
+	_ = server.Close()
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
-	if Quiet(one) {
+	if IsIdle(client) {
 		t.Error("quiet after its end")
 	}
 }
--- a/internal/monotonic/postmark_test.go
+++ b/internal/monotonic/monotonic_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// TestMachine: the clock goes with the system's, in microseconds. Nothing here can suspend the machine; what a clock that
+// TestSystemClock: the clock goes with the system's, in microseconds. Nothing here can suspend the machine; what a clock that
 // stands still would do is shown by the simulator's variant.
-func TestMachine(t *testing.T) {
-	clock := NewMachine()
+func TestSystemClock(t *testing.T) {
+	clock := NewSystemClock()
 	before := clock.Now()
 	began := time.Now()
 	after := clock.Now()
 	for time.Since(began) < 5*time.Millisecond {
 	}
 	// Each bound was read on the outer side of the other clock, so a pause anywhere doesn't matter.
-	least := Of(time.Since(began))
+	least := FromDuration(time.Since(began))
 	now := clock.Now()
-	most := Of(time.Since(began))
+	most := FromDuration(time.Since(began))
 	if now-before < least-1 || now-after > most+2 {
 		t.Errorf("%d to %d microseconds by this clock, %d to %d by the library's", now-after, now-before, least, most)
 	}
 }
 
-func BenchmarkMachine(b *testing.B) {
-	clock := NewMachine()
+func BenchmarkSystemClock(b *testing.B) {
+	clock := NewSystemClock()
 	for b.Loop() {
 		clock.Now()
 	}
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -13,8 +13,8 @@
 
 // claimFaults are what the outcomes of a claim other than granted and held come to.
 var claimFaults = map[string]func(ask *wire.ForwardRequest) *apierror.Fault{
-	idempotency.OtherBody: func(ask *wire.ForwardRequest) *apierror.Fault {
-		return apierror.New(apierror.OtherBody, apierror.MayHaveRun, "the key was used with another body")
+	idempotency.BodyMismatch: func(ask *wire.ForwardRequest) *apierror.Fault {
+		return apierror.New(apierror.BodyMismatch, apierror.MayHaveRun, "the key was used with another body")
 	},
 	idempotency.Voided: func(ask *wire.ForwardRequest) *apierror.Fault {
 		return apierror.New(apierror.KeyFenced, apierror.NotRun, "try %s is void", ask.Attempt)
@@ -47,7 +47,7 @@
 			return min(asked+claimLife, cutoff), nil, nil
 		}
 		letGo()
-		if tell.Outcome == idempotency.Held {
+		if tell.Outcome == idempotency.Pending {
 			answer, cause := gate.recall(ask, tell, cutoff)
 			if answer != nil {
 				return 0, answer, nil
@@ -69,14 +69,14 @@
 func (gate *Gate) recall(ask *wire.ForwardRequest, held *wire.ClaimResponse, cutoff monotonic.Micros) (*request.Answer, apierror.Cause) {
 	until := min(cutoff, gate.env.Place.Now()+recallPatience)
 	answer, cause := gate.recallFrom(held.Owner, ask, held.Attempt, until-gate.env.Place.Now())
-	if answer != nil || cause == apierror.KeyHeld {
+	if answer != nil || cause == apierror.KeyPending {
 		return answer, cause
 	}
 	// The carrier that passed the request on keeps the answer too.
 	if sender := senderOf(held.Attempt); sender != "" && sender != held.Owner && gate.env.Place.Now() < until {
 		answer, _ = gate.recallFrom(sender, ask, held.Attempt, until-gate.env.Place.Now())
 	}
-	return answer, apierror.AnswerGone
+	return answer, apierror.ResponseExpired
 }
 
 // TryOf names a try of a carrier's; senderOf tells whose it is.
@@ -94,17 +94,17 @@
 	if carrier == gate.env.Carrier {
 		answer, busy := gate.recorded(ask.Scope, ask.Digest, patience)
 		if busy {
-			return answer, apierror.KeyHeld
+			return answer, apierror.KeyPending
 		}
-		return answer, apierror.AnswerGone
+		return answer, apierror.ResponseExpired
 	}
 	tell := &wire.ForwardResponse{}
 	err := gate.env.CallCarrier(carrier, wire.Kind_replay, &wire.ReplayRequest{Scope: ask.Scope, Digest: ask.Digest, Attempt: try}, tell, patience)
-	if err == nil && tell.Rejected && apierror.Cause(tell.Cause) == apierror.KeyHeld {
-		return nil, apierror.KeyHeld
+	if err == nil && tell.Rejected && apierror.Cause(tell.Cause) == apierror.KeyPending {
+		return nil, apierror.KeyPending
 	}
 	if err != nil || tell.Rejected || !Whole(tell) {
-		return nil, apierror.AnswerGone
+		return nil, apierror.ResponseExpired
 	}
 	return &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance}, 0
 }
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -96,7 +96,7 @@
 }
 
 // Register adds the handlers.
-func (gate *Gate) Register(table host.Table) {
+func (gate *Gate) Register(table host.Handlers) {
 	host.Handle(table, wire.Kind_forward, gate.Pass)
 	host.Handle(table, wire.Kind_forward_bulk, gate.Pass)
 	host.Handle(table, wire.Kind_forward_cancel, func(ask *wire.ForwardCancelRequest) (*wire.ForwardCancelResponse, error) {
@@ -107,9 +107,9 @@
 		if answer != nil {
 			return answered("", answer), nil
 		}
-		cause := apierror.AnswerGone
+		cause := apierror.ResponseExpired
 		if busy {
-			cause = apierror.KeyHeld
+			cause = apierror.KeyPending
 		}
 		return &wire.ForwardResponse{Rejected: true, Cause: uint32(cause), Verdict: string(apierror.MayHaveRun)}, nil
 	})
@@ -151,10 +151,10 @@
 		}
 		serial, age := gate.env.Desk.Version()
 		if ask.ConfigVersion < serial && (ask.ConfigVersion+1 < serial || age > olderGrace) {
-			return apierror.New(apierror.SerialOlder, apierror.NotRun, "resolved by serial %d, %d is in force", ask.ConfigVersion, serial)
+			return apierror.New(apierror.VersionOlder, apierror.NotRun, "resolved by serial %d, %d is in force", ask.ConfigVersion, serial)
 		}
 		if ask.ConfigVersion > serial && !gate.env.Desk.WaitForVersion(ask.ConfigVersion, min(catchUp, monotonic.Micros(ask.Remaining))) {
-			return apierror.New(apierror.SerialBehind, apierror.NotRun, "resolved by serial %d, this carrier has %d", ask.ConfigVersion, serial)
+			return apierror.New(apierror.VersionBehind, apierror.NotRun, "resolved by serial %d, this carrier has %d", ask.ConfigVersion, serial)
 		}
 		return nil
 	},
@@ -163,7 +163,7 @@
 // leased refuses without a tenure, where one is needed.
 func (gate *Gate) leased() *apierror.Fault {
 	if _, live := gate.env.Desk.Current(); !live && !gate.env.ServeOn {
-		return apierror.New(apierror.TenureEnded, apierror.NotRun, "carrier %s has no tenure to serve", gate.env.Carrier)
+		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "carrier %s has no tenure to serve", gate.env.Carrier)
 	}
 	return nil
 }
@@ -177,11 +177,11 @@
 	if gate.env.ServeOn {
 		return config.DefaultService(ask.Service), nil // whoever resolved it has another view
 	}
-	return nil, apierror.New(apierror.SerialOlder, apierror.NotRun, "service %s is not in serial %d", ask.Service, view.Version)
+	return nil, apierror.New(apierror.VersionOlder, apierror.NotRun, "service %s is not in serial %d", ask.Service, view.Version)
 }
 
 // telling are the events of faults that operators should hear of, beyond the caller's refusal.
-var telling = map[apierror.Cause]int{apierror.AnswerBroken: eventlog.AnswerBrokenSeen, apierror.BackendIdentity: eventlog.IdentityMismatch}
+var telling = map[apierror.Cause]int{apierror.ResponseBroken: eventlog.ResponseBroken, apierror.BackendIdentityMismatch: eventlog.IdentityMismatch}
 
 // Pass handles one request from another carrier, or from this one.
 func (gate *Gate) Pass(ask *wire.ForwardRequest) (*wire.ForwardResponse, error) {
@@ -201,7 +201,7 @@
 	if outcome == shutdown.Unstarted && !ask.RunOnce {
 		verdict = apierror.NotRun
 	}
-	return gate.refused(ask, apierror.New(apierror.StoppedUnderWay, verdict, "carrier %s stops, and can't wait any longer", gate.env.Carrier)), nil
+	return gate.refused(ask, apierror.New(apierror.StoppedInFlight, verdict, "carrier %s stops, and can't wait any longer", gate.env.Carrier)), nil
 }
 
 // GiveUp answers every pass still under way now.
@@ -257,10 +257,10 @@
 	}
 	order.Still = func() *apierror.Fault {
 		if cancel.cancelled() {
-			return apierror.New(apierror.CallerLeft, apierror.NotRun, "its caller left before it was handed over")
+			return apierror.New(apierror.ClientClosed, apierror.NotRun, "its caller left before it was handed over")
 		}
 		if gate.env.Place.Now() >= startBy {
-			return apierror.New(apierror.ClaimLate, apierror.NotRun, "too late to start")
+			return apierror.New(apierror.ClaimTimeout, apierror.NotRun, "too late to start")
 		}
 		if fault := gate.leased(); fault != nil {
 			return fault
@@ -269,14 +269,14 @@
 			return fault
 		}
 		if !errand.Start() {
-			return apierror.New(apierror.StoppedUnderWay, apierror.NotRun, "given up before the hand-over")
+			return apierror.New(apierror.StoppedInFlight, apierror.NotRun, "given up before the hand-over")
 		}
 		return nil
 	}
 	visit.Start()
 	answer, fault := gate.env.Delivery.Deliver(order)
 	if fault != nil && !fault.NotRun() && order.Cancelled != nil && cancel.cancelled() {
-		fault = apierror.New(apierror.CallerLeft, apierror.MayHaveRun, "its caller left while the backend was at work")
+		fault = apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "its caller left while the backend was at work")
 		fault.Local = true // that it was broken off says nothing of the backend
 	}
 	visit.Close(worth(answer, fault))
@@ -301,7 +301,7 @@
 }
 
 // knownOver are the causes of faults after which the backend has answered, though not as it should.
-var knownOver = map[apierror.Cause]bool{apierror.AnswerTooLarge: true, apierror.AnswerUnmatched: true}
+var knownOver = map[apierror.Cause]bool{apierror.ResponseTooLarge: true, apierror.ResponseMismatch: true}
 
 // ended tells what a delivery's end says of its slot. Errors are no measure: what fails at once would look quick.
 func ended(answer *request.Answer, fault *apierror.Fault) slots.End {
--- a/internal/proxy/admission/standing.go
+++ b/internal/proxy/admission/standing.go
@@ -26,8 +26,8 @@
 
 // silent are the causes of faults that say nothing of the backend: it was never asked, or the request had too little time; what
 // takes far longer than usual is counted as it happens.
-var silent = map[apierror.Cause]bool{apierror.AnswerLate: true, apierror.AnswerTooLarge: true, apierror.AnswerUnmatched: true, apierror.ClaimLate: true,
-	apierror.StoppedUnderWay: true, apierror.TenureEnded: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true}
+var silent = map[apierror.Cause]bool{apierror.ResponseTimeout: true, apierror.ResponseTooLarge: true, apierror.ResponseMismatch: true, apierror.ClaimTimeout: true,
+	apierror.StoppedInFlight: true, apierror.ConfigLeaseExpired: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true}
 
 // worth is what a delivery's end says of its backend. Errors and requests it turned down count like answers it lost.
 func worth(answer *request.Answer, fault *apierror.Fault) outlier.Outcome {
--- a/internal/proxy/breaker/wicket.go
+++ b/internal/proxy/breaker/wicket.go
@@ -46,7 +46,7 @@
 // Wicket holds the breakers of all services this carrier calls.
 type Wicket struct {
 	env  Env
-	lane *host.Inbox[*wire.BreakerWriteRequest]
+	lane *host.Queue[*wire.BreakerWriteRequest]
 
 	lock     sync.Mutex
 	breakers map[string]*breaker
@@ -104,7 +104,7 @@
 	if env.RetryMultiplier < 1 {
 		env.RetryMultiplier = 1
 	}
-	return &Wicket{env: env, lane: host.NewInbox[*wire.BreakerWriteRequest](env.Place), breakers: map[string]*breaker{}, idle: env.Place.NewSignal()}
+	return &Wicket{env: env, lane: host.NewQueue[*wire.BreakerWriteRequest](env.Place), breakers: map[string]*breaker{}, idle: env.Place.NewSignal()}
 }
 
 func (wicket *Wicket) breaker(service string) *breaker {
@@ -158,7 +158,7 @@
 	}
 	breaker.lock.Unlock()
 	if control == ControlForceOpen {
-		return nil, apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is forced open on this node", service.Name)
+		return nil, apierror.New(apierror.BreakerOpen, apierror.NotRun, "guard of %s is forced open on this node", service.Name)
 	}
 	if control != ControlNone || service.Breaker.GetDisabled() {
 		ticket.ignored = control != ControlMetricsOnly
@@ -174,7 +174,7 @@
 }
 
 func (wicket *Wicket) admitOpen(breaker *breaker, ticket *Ticket) *apierror.Fault {
-	fault := apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is open", breaker.service)
+	fault := apierror.New(apierror.BreakerOpen, apierror.NotRun, "guard of %s is open", breaker.service)
 	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Breaker.GetWaitOpenMicros()), monotonic.Second), 5*monotonic.Second)
 	return fault
 }
@@ -202,7 +202,7 @@
 		ticket.probe, ticket.serial = "", tell.Record.Version
 		return wicket.admitLocal(breaker, ticket)
 	}
-	return apierror.New(apierror.NoProbe, apierror.NotRun, "guard of %s has no probe left", breaker.service)
+	return apierror.New(apierror.NoProbeLeft, apierror.NotRun, "guard of %s has no probe left", breaker.service)
 }
 
 // admitLocal decides by this node's own breaker.
@@ -223,7 +223,7 @@
 		ticket.local = true
 		return nil
 	}
-	fault := apierror.New(apierror.GuardOpen, apierror.NotRun, "guard of %s is open on this node", breaker.service)
+	fault := apierror.New(apierror.BreakerOpen, apierror.NotRun, "guard of %s is open on this node", breaker.service)
 	fault.RetryAfter = min(max(monotonic.Micros(ticket.service.Breaker.GetWaitOpenMicros())-(now-own.entered), monotonic.Second), 5*monotonic.Second)
 	return fault
 }
@@ -283,7 +283,7 @@
 	if breaker.shared != nil {
 		serial = breaker.shared.Version
 	}
-	wicket.env.Place.Report(eventlog.GuardLocalTrip, map[string]any{"service": breaker.service})
+	wicket.env.Place.Report(eventlog.BreakerTrippedLocally, map[string]any{"service": breaker.service})
 	wicket.write(&wire.BreakerWriteRequest{Service: breaker.service, Verb: "trip", ExpectedVersion: serial, Settings: breaker.terms})
 }
 
@@ -329,7 +329,7 @@
 	}
 	breaker.window = newWindow(len(breaker.window.ring))
 	breaker.local = local{state: breakerstore.Closed}
-	wicket.env.Place.Report(eventlog.GuardChanged, map[string]any{"service": breaker.service, "state": record.State, "serial": record.Version})
+	wicket.env.Place.Report(eventlog.BreakerStateChanged, map[string]any{"service": breaker.service, "state": record.State, "serial": record.Version})
 }
 
 // Polled takes the poll's records, or nothing when the primary wasn't reached.
@@ -360,7 +360,7 @@
 	}
 	wicket.lock.Unlock()
 	if first {
-		wicket.env.Place.Report(eventlog.GuardDegraded, map[string]any{"error": cause.Error()})
+		wicket.env.Place.Report(eventlog.BreakerDegraded, map[string]any{"error": cause.Error()})
 	}
 }
 
@@ -370,7 +370,7 @@
 	wicket.degraded, wicket.failures = false, 0
 	wicket.lock.Unlock()
 	if was {
-		wicket.env.Place.Report(eventlog.GuardRecovered, map[string]any{})
+		wicket.env.Place.Report(eventlog.BreakerRecovered, map[string]any{})
 	}
 }
 
@@ -385,7 +385,7 @@
 	}
 	wicket.lock.Unlock()
 	if gated || full {
-		wicket.env.Place.Report(eventlog.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": gated})
+		wicket.env.Place.Report(eventlog.BreakerWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": gated})
 		return
 	}
 	wicket.lane.Put(ask)
@@ -394,7 +394,7 @@
 // Lane sends the writes, in order, for ever.
 func (wicket *Wicket) Lane() {
 	for {
-		for _, ask := range wicket.lane.Take(monotonic.Second) {
+		for _, ask := range wicket.lane.TakeAll(monotonic.Second) {
 			wicket.send(ask)
 			wicket.lock.Lock()
 			wicket.queued--
@@ -416,7 +416,7 @@
 
 func (wicket *Wicket) send(ask *wire.BreakerWriteRequest) {
 	if wicket.Degraded() {
-		wicket.env.Place.Report(eventlog.GuardWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": true})
+		wicket.env.Place.Report(eventlog.BreakerWriteDropped, map[string]any{"service": ask.Service, "verb": ask.Verb, "degraded": true})
 		return
 	}
 	tell := &wire.BreakerWriteResponse{}
@@ -426,13 +426,13 @@
 	}
 	wicket.learn(wicket.breaker(ask.Service), tell.Record)
 	if ask.Verb == "trip" && tell.Applied && tell.Record.State == breakerstore.Closed {
-		wicket.env.Place.Report(eventlog.GuardReported, map[string]any{"service": ask.Service, "reports": len(tell.Record.Reports)})
+		wicket.env.Place.Report(eventlog.BreakerTripReported, map[string]any{"service": ask.Service, "reports": len(tell.Record.Reports)})
 	}
 	if ask.Verb != "probe" || !tell.Applied || !tell.RoundComplete {
 		return
 	}
 	// This node's outcome was the round's last, so it decides, by the thresholds, fenced by the round's serial.
-	decision := &wire.BreakerWriteRequest{Service: ask.Service, Verb: "decide", ExpectedVersion: tell.Record.Version, Decision: breakerstore.Judge(tell.Record),
+	decision := &wire.BreakerWriteRequest{Service: ask.Service, Verb: "decide", ExpectedVersion: tell.Record.Version, Decision: breakerstore.JudgeRound(tell.Record),
 		Proxy: wicket.env.Carrier, Incarnation: wicket.env.Incarnation, Settings: ask.Settings}
 	decided := &wire.BreakerWriteResponse{}
 	if err := wicket.env.Call(wire.Kind_breaker_write, decision, decided, writePatience); err != nil {
@@ -475,7 +475,7 @@
 		breaker.window, breaker.local = newWindow(len(breaker.window.ring)), local{state: breakerstore.Closed}
 	}
 	breaker.lock.Unlock()
-	wicket.env.Place.Report(eventlog.GuardControl, map[string]any{"service": service, "control": verb})
+	wicket.env.Place.Report(eventlog.BreakerManualControl, map[string]any{"service": service, "control": verb})
 	return nil
 }
 
--- a/internal/proxy/breaker/wicket_test.go
+++ b/internal/proxy/breaker/wicket_test.go
@@ -39,7 +39,7 @@
 	}
 	scene.service = config.Compile(state, 1, "").Services["forms"]
 	played := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		scene.place = place
 		scene.guard = breaker.New(breaker.Env{Place: place, Carrier: "one", Incarnation: 1, Call: func(kind wire.Kind, _, tell proto.Message, _ monotonic.Micros) error {
 			scene.calls = append(scene.calls, kind)
@@ -47,7 +47,7 @@
 		}})
 		course(scene)
 		played = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Minute)
 	defer simulated.Close()
@@ -84,7 +84,7 @@
 		}
 		scene.guard.Polled(record("open", 2), true)
 		for range 20 {
-			scene.expect("open", scene.try(breaker.Success), apierror.GuardOpen)
+			scene.expect("open", scene.try(breaker.Success), apierror.BreakerOpen)
 		}
 		scene.expect("calls", len(scene.calls), 0)
 		scene.guard.Polled(record("half_open", 3), true)
@@ -92,10 +92,10 @@
 			tell.(*wire.ProbeLeaseResponse).Record = record("half_open", 3)[0]
 			return nil
 		}
-		scene.expect("no probe left", scene.try(breaker.Success), apierror.NoProbe)
+		scene.expect("no probe left", scene.try(breaker.Success), apierror.NoProbeLeft)
 		scene.expect("one call for one try", len(scene.calls), 1)
 		scene.guard.Polled(record("open", 2), true)
-		scene.expect("an older record is not taken", scene.try(breaker.Success), apierror.NoProbe)
+		scene.expect("an older record is not taken", scene.try(breaker.Success), apierror.NoProbeLeft)
 	})
 }
 
@@ -108,12 +108,12 @@
 			scene.expect("neutral outcomes say nothing", scene.try(breaker.Neutral), apierror.Cause(0))
 		}
 		scene.expect("the fifth failure", scene.try(breaker.Failure), apierror.Cause(0))
-		scene.expect("open by itself", scene.try(breaker.Success), apierror.GuardOpen)
+		scene.expect("open by itself", scene.try(breaker.Success), apierror.BreakerOpen)
 		scene.place.Sleep(2100 * monotonic.Millisecond)
 		scene.expect("first local probe", scene.try(breaker.Success), apierror.Cause(0))
 		scene.expect("second local probe", scene.try(breaker.Success), apierror.Cause(0))
 		scene.expect("closed again", scene.guard.Show()[0].Local, "closed")
-		scene.expect("reported once", scene.events[eventlog.GuardLocalTrip], 1)
+		scene.expect("reported once", scene.events[eventlog.BreakerTrippedLocally], 1)
 	})
 }
 
@@ -125,7 +125,7 @@
 			}
 		}
 		control("force_open")
-		scene.expect("forced open", scene.try(breaker.Success), apierror.GuardOpen)
+		scene.expect("forced open", scene.try(breaker.Success), apierror.BreakerOpen)
 		scene.guard.Polled(record("half_open", 2), true)
 		for _, verb := range []string{"disable", "metrics_only"} {
 			control(verb)
@@ -137,7 +137,7 @@
 		scene.expect("counted by metrics_only alone", scene.guard.Show()[0].Calls, uint64(30))
 		control("reset")
 		scene.guard.Polled(record("open", 3), true)
-		scene.expect("reset goes back to the shared verdict", scene.try(breaker.Success), apierror.GuardOpen)
+		scene.expect("reset goes back to the shared verdict", scene.try(breaker.Success), apierror.BreakerOpen)
 		if scene.guard.Control("forms", "smash") == nil {
 			scene.t.Error("an unknown control was taken")
 		}
@@ -154,10 +154,10 @@
 		for range 10 {
 			scene.try(breaker.Failure)
 		}
-		scene.expect("writes are dropped and told", scene.events[eventlog.GuardWriteDropped], 1)
+		scene.expect("writes are dropped and told", scene.events[eventlog.BreakerWriteDropped], 1)
 		scene.guard.Polled(record("open", 3), true)
-		scene.expect("recovered", scene.events[eventlog.GuardRecovered], 1)
-		scene.expect("the shared verdict counts again", scene.try(breaker.Success), apierror.GuardOpen)
+		scene.expect("recovered", scene.events[eventlog.BreakerRecovered], 1)
+		scene.expect("the shared verdict counts again", scene.try(breaker.Success), apierror.BreakerOpen)
 	})
 }
 
@@ -176,7 +176,7 @@
 		for range 200 { // nothing drains the lane yet
 			scene.try(breaker.Success)
 		}
-		scene.expect("dropped beyond 128", scene.events[eventlog.GuardWriteDropped], 72)
+		scene.expect("dropped beyond 128", scene.events[eventlog.BreakerWriteDropped], 72)
 		scene.place.Go(scene.guard.Lane)
 		scene.guard.Close(5 * monotonic.Second)
 		written := 0
@@ -222,9 +222,9 @@
 			}
 			scene.service = next.Services["forms"]
 			scene.expect(name+": the same service", scene.service == former, name == "a route")
-			scene.expect(name+": trips before", scene.events[eventlog.GuardLocalTrip], 0)
+			scene.expect(name+": trips before", scene.events[eventlog.BreakerTrippedLocally], 0)
 			scene.try(breaker.Failure)
-			scene.expect(name+": trips after", scene.events[eventlog.GuardLocalTrip], 1)
+			scene.expect(name+": trips after", scene.events[eventlog.BreakerTrippedLocally], 1)
 			scene.expect(name+": calls", scene.guard.Show()[0].Calls, uint64(5))
 			under.Done(breaker.Success) // it ends under the version it began with
 			scene.expect(name+": calls with the one under way", scene.guard.Show()[0].Calls, uint64(6))
--- a/internal/proxy/carrier.go
+++ b/internal/proxy/carrier.go
@@ -30,7 +30,7 @@
 // Options is what a carrier is made of.
 type Env struct {
 	Place   host.Host
-	Book    *discovery.Book
+	Book    *discovery.Resolver
 	Name    string
 	Domain  string
 	Address string
@@ -67,7 +67,7 @@
 	Passage     *forward.Passage
 	draining    atomic.Bool // it's to be sent no more callers
 	leaving     atomic.Bool // and its backends are to be chosen no more
-	vigil       *clockwatch.Vigil
+	vigil       *clockwatch.Watcher
 }
 
 // New makes a carrier.
@@ -90,14 +90,14 @@
 	carrier.Passage = forward.New(forward.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Address: env.Address,
 		Domain: env.Domain, Blind: env.Blind, FarPenalty: env.FarPenalty, Desk: carrier.Desk, Roll: carrier.Roll, Wicket: carrier.Wicket, Purse: carrier.Purse, Gate: carrier.Gate,
 		CallPrimary: carrier.Roll.CallPrimary, Keep: shelf.Put, Finished: env.Finished, Silence: env.Silence})
-	carrier.vigil.OnLeap(carrier.Hutch.Forgive)
-	carrier.vigil.OnLeap(func(monotonic.Micros) { carrier.Purse.Forfeit() })
-	carrier.vigil.OnLeap(func(monotonic.Micros) { carrier.Roll.Doubt() })
+	carrier.vigil.OnJump(carrier.Hutch.Forgive)
+	carrier.vigil.OnJump(func(monotonic.Micros) { carrier.Purse.Forfeit() })
+	carrier.vigil.OnJump(func(monotonic.Micros) { carrier.Roll.Doubt() })
 	return carrier
 }
 
 // TrustClock takes whatever the clock shows, to show that a checker sees what comes of it. No program sets it.
-func (carrier *Carrier) TrustClock(broken bool) { carrier.vigil.Trusting(broken) }
+func (carrier *Carrier) TrustClock(broken bool) { carrier.vigil.TrustClock(broken) }
 
 // sweepEvery is how often silent backends are looked for.
 const sweepEvery = 500 * monotonic.Millisecond
@@ -106,13 +106,13 @@
 func (carrier *Carrier) Start() {
 	carrier.vigil.Every(carrier.Passage.LookEvery(), carrier.Passage.Look)
 	carrier.vigil.Every(sweepEvery, carrier.Hutch.Sweep)
-	for _, task := range []func(){carrier.vigil.Watch, carrier.Desk.Run, carrier.Roll.Follow, carrier.Wicket.Lane} {
+	for _, task := range []func(){carrier.vigil.Run, carrier.Desk.Run, carrier.Roll.Follow, carrier.Wicket.Lane} {
 		carrier.env.Place.Go(task)
 	}
 }
 
 // Register adds the carrier's handlers.
-func (carrier *Carrier) Register(table host.Table) { carrier.Gate.Register(table) }
+func (carrier *Carrier) Register(table host.Handlers) { carrier.Gate.Register(table) }
 
 func (carrier *Carrier) session() *wire.Session {
 	serial, _ := carrier.Desk.Version()
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -25,10 +25,10 @@
 // Options is what a desk is made of.
 type Options struct {
 	Host        host.Host
-	Resolver    *discovery.Book
+	Resolver    *discovery.Resolver
 	Proxy       string
 	Incarnation uint64
-	ClockWatch  *clockwatch.Vigil
+	ClockWatch  *clockwatch.Watcher
 	// Parse reads accepted contents, franking.Accepted if left out.
 	Parse config.Parser
 	// ServeStale: a view is served by for as long as none newer is heard of, tenure or not.
@@ -41,7 +41,7 @@
 type Client struct {
 	options  Options
 	host     host.Host
-	resolver *discovery.Book
+	resolver *discovery.Resolver
 
 	mu            sync.Mutex
 	snapshot      *config.Snapshot
@@ -96,7 +96,7 @@
 func (c *Client) Current() (snapshot *config.Snapshot, live bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.snapshot, c.snapshot != nil && (c.ignoreLease || c.options.ServeStale && !c.released && !c.unconfirmed() || c.host.Now() < c.leaseExpiry && !c.options.ClockWatch.Behind())
+	return c.snapshot, c.snapshot != nil && (c.ignoreLease || c.options.ServeStale && !c.released && !c.unconfirmed() || c.host.Now() < c.leaseExpiry && !c.options.ClockWatch.WentBack())
 }
 
 // Version is the adopted serial and how long ago it was adopted.
@@ -173,11 +173,11 @@
 	}
 	name := c.pollTarget(have)
 	if name == "" {
-		c.resolver.Ask()
+		c.resolver.Refresh()
 		return false
 	}
 	if first && have > 0 && !c.ping(name) {
-		c.resolver.Ask()
+		c.resolver.Refresh()
 		return false
 	}
 	c.mu.Lock()
@@ -191,19 +191,19 @@
 	}
 	err := c.resolver.Call(name, wire.Kind_config_poll, request, response, timeout)
 	if err != nil {
-		c.resolver.Ask()
+		c.resolver.Refresh()
 		return false
 	}
-	c.resolver.Hint(response.Primaries)
+	c.resolver.ObservePrimaries(response.Primaries)
 	if err := decompress(response); err != nil {
-		c.host.Report(eventlog.DesiredRefused, map[string]any{"serial": response.Version, "error": err.Error()})
+		c.host.Report(eventlog.ConfigRejected, map[string]any{"serial": response.Version, "error": err.Error()})
 		return false
 	}
 	if !response.Primary {
 		if have == 0 && c.options.ServeStale && response.Version > version {
 			c.adopt(response, 0)
 		}
-		c.resolver.Ask()
+		c.resolver.Refresh()
 		return false
 	}
 	return c.adopt(response, requestedAt+monotonic.Micros(response.Lease))
@@ -219,7 +219,7 @@
 	if c.resolver.Call(name, wire.Kind_discover, &wire.DiscoverRequest{}, response, pingTimeout) != nil {
 		return false
 	}
-	c.resolver.Hint(response.Primaries)
+	c.resolver.ObservePrimaries(response.Primaries)
 	return true
 }
 
@@ -314,14 +314,14 @@
 			c.mu.Lock()
 			c.stats.Rejected++
 			c.mu.Unlock()
-			c.host.Report(eventlog.DifferenceRefused, map[string]any{"serial": response.Version, "have": version, "bytes": len(response.Difference), "error": err.Error()})
+			c.host.Report(eventlog.DeltaRejected, map[string]any{"serial": response.Version, "have": version, "bytes": len(response.Difference), "error": err.Error()})
 			return true // the next poll, at once, asks for the whole; nothing is renewed until then
 		}
 		next = applied
 	} else if response.Version > version {
 		state, fieldErrors := c.options.Parse(response.Content)
 		if len(fieldErrors) > 0 {
-			c.host.Report(eventlog.DesiredRefused, map[string]any{"serial": response.Version, "error": fieldErrors[0].String(), "faults": len(fieldErrors)})
+			c.host.Report(eventlog.ConfigRejected, map[string]any{"serial": response.Version, "error": fieldErrors[0].String(), "faults": len(fieldErrors)})
 			return false
 		}
 		next = c.applyFull(state, response)
@@ -351,7 +351,7 @@
 		for _, waiter := range waiters {
 			waiter.Fire()
 		}
-		c.host.Report(eventlog.DesiredAdopted, map[string]any{"serial": next.snapshot.Version, "difference": len(response.Difference) > 0, "bytes": max(len(response.Difference), len(response.Content)), "resources": next.changedCount})
+		c.host.Report(eventlog.ConfigAdopted, map[string]any{"serial": next.snapshot.Version, "difference": len(response.Difference) > 0, "bytes": max(len(response.Difference), len(response.Content)), "resources": next.changedCount})
 	}
 	return true
 }
@@ -373,6 +373,6 @@
 	c.lapseReported = c.lapseReported || expired
 	c.mu.Unlock()
 	if expired {
-		c.host.Report(eventlog.DesiredTenureLost, map[string]any{})
+		c.host.Report(eventlog.ConfigLeaseExpired, map[string]any{})
 	}
 }
--- a/internal/proxy/forward/ailing_test.go
+++ b/internal/proxy/forward/ailing_test.go
@@ -39,7 +39,7 @@
 func (ailing ailing) run(t *testing.T, seed uint64) (result toll) {
 	simulated := world.New(seed)
 	defer simulated.Close()
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		began := place.Now()
 		keeper := localbackends.New(place, func() {})
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, Carriers: map[string]int{}, Live: ailing.callers}
@@ -77,7 +77,7 @@
 				}
 			})
 		}
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + 30*monotonic.Second)
 	if simulated.Panicked != nil {
@@ -141,7 +141,7 @@
 	visit, fault := keeper.Visit(candidate.Instance, outlier.Ask{Domain: choices.domain, Kind: "forms", Aim: began + 400*ms - place.Now(), Repeatable: true, Insists: last || ailing.without,
 		Peers: outlier.Peers{Known: int(peers.Known), Ejected: int(peers.Ejected), Faults: float64(peers.FaultRate) / 1000, Pace: float64(peers.LatencyRatio) / 1000}})
 	if fault != nil {
-		if fault.Cause == apierror.BackendAiling {
+		if fault.Cause == apierror.BackendUnhealthy {
 			choices.shun(candidate.Instance)
 		}
 		return false, false
--- a/internal/proxy/forward/later.go
+++ b/internal/proxy/forward/later.go
@@ -35,7 +35,7 @@
 
 // put gives a refusal the time after which its caller should come back, if coming back helps at all.
 func (later *later) put(fault *apierror.Fault) {
-	if fault.RetryAfter == 0 || fault.Measured || later.together {
+	if fault.RetryAfter == 0 || fault.RetryAfterMeasured || later.together {
 		return
 	}
 	later.lock.Lock()
--- a/internal/proxy/forward/left.go
+++ b/internal/proxy/forward/left.go
@@ -57,7 +57,7 @@
 	trip.leaving.lock.Lock()
 	defer trip.leaving.lock.Unlock()
 	if trip.leaving.left && !trip.Once {
-		return apierror.New(apierror.CallerLeft, apierror.NotRun, "its caller left")
+		return apierror.New(apierror.ClientClosed, apierror.NotRun, "its caller left")
 	}
 	trip.leaving.under = &underWay{candidate, id}
 	return nil
--- a/internal/proxy/forward/moves.go
+++ b/internal/proxy/forward/moves.go
@@ -12,7 +12,7 @@
 
 // movable are the causes of refusals after which another backend is asked at once: nothing of the request came as far as a
 // backend, and another one may well take it.
-var movable = map[apierror.Cause]bool{apierror.Overloaded: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true, apierror.Draining: true, apierror.PassUnreachable: true, apierror.BackendAiling: true}
+var movable = map[apierror.Cause]bool{apierror.Overloaded: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true, apierror.Draining: true, apierror.ForwardUnreachable: true, apierror.BackendUnhealthy: true}
 
 // moves keeps account of a request's tries. The first one is free, a further one is paid for out of the retry budget, and a move
 // is part of the try that was turned down: whatever that one cost stays spent, and nothing is added.
--- a/internal/proxy/forward/moves_test.go
+++ b/internal/proxy/forward/moves_test.go
@@ -29,8 +29,8 @@
 // TestMoves: a request that no backend has seen moves on without cost, at most so often, and only while another backend is
 // left. What may have reached one never does, and whatever a further try cost stays spent unless none was reached.
 func TestMoves(t *testing.T) {
-	unreached, lost := apierror.New(apierror.PassUnreachable, apierror.NotRun, ""), apierror.New(apierror.PassLost, apierror.MayHaveRun, "")
-	declined, older := apierror.New(apierror.NotExecuted, apierror.NotRun, ""), apierror.New(apierror.SerialOlder, apierror.NotRun, "")
+	unreached, lost := apierror.New(apierror.ForwardUnreachable, apierror.NotRun, ""), apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "")
+	declined, older := apierror.New(apierror.NotExecuted, apierror.NotRun, ""), apierror.New(apierror.VersionOlder, apierror.NotRun, "")
 	type try struct {
 		fault *apierror.Fault
 		last  bool
@@ -87,12 +87,12 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		spread := newLater(place)
 		for range 20 {
 			spread.put(overloaded(70 * ms))
 			measured := overloaded(70 * ms)
-			measured.Measured = true
+			measured.RetryAfterMeasured = true
 			spread.put(measured)
 			if measured.RetryAfter != 70*ms {
 				t.Errorf("told %d", measured.RetryAfter)
@@ -100,7 +100,7 @@
 			place.Sleep(monotonic.Second)
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !ended {
@@ -113,7 +113,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		choices := newChooser(place, "a", false, 0)
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}}
 		for index := range 4 {
@@ -133,7 +133,7 @@
 			leave()
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Second)
 	if !ended {
@@ -147,7 +147,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		choices := newChooser(place, "a", false, 20*ms)
 		near, far := session.Candidate{Instance: "near", Domain: "a", Slots: 6}, session.Candidate{Instance: "far", Domain: "b", Slots: 6}
 		pick := func() string {
@@ -188,7 +188,7 @@
 			t.Error("not heard of for long, it's never asked again")
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + 2*monotonic.Minute)
 	if !ended {
@@ -202,7 +202,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		choices := newChooser(place, "a", false, 20*ms)
 		near, far := session.Candidate{Instance: "near", Domain: "a", Slots: 6}, session.Candidate{Instance: "far", Domain: "b", Slots: 6}
 		pick := func(route string) string {
@@ -229,7 +229,7 @@
 			t.Error("what was heard of submissions counts for lookups")
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Second)
 	if !ended {
@@ -243,7 +243,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		choices := newChooser(place, "a", false, 20*ms)
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{"packs": {{Carrier: "home", Instance: "home", Domain: "a", Slots: 2}, {Carrier: "away", Instance: "away", Domain: "b", Slots: 2}}}}
 		choices.inFlight["home"] = 1
@@ -267,7 +267,7 @@
 			t.Errorf("with nobody fit at home a large one goes %s", chosen)
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Second)
 	if !ended {
--- a/internal/proxy/forward/passage.go
+++ b/internal/proxy/forward/passage.go
@@ -116,7 +116,7 @@
 		place.Go(func() {
 			err := place.Call(owed.address, wire.Kind_discover, &wire.DiscoverRequest{HealthCheck: true}, &wire.DiscoverResponse{}, max(leastSign, passage.choices.silence*5/7))
 			if err != nil {
-				place.Report(eventlog.CarrierQuiet, map[string]any{"address": owed.address, "error": err.Error()})
+				place.Report(eventlog.PeerProxySilent, map[string]any{"address": owed.address, "error": err.Error()})
 			}
 			passage.choices.lives(owed, err == nil)
 		})
@@ -165,7 +165,7 @@
 	defer func() {
 		if fault != nil {
 			passage.later.put(fault)
-			passage.env.Place.Report(eventlog.RequestRefused, map[string]any{"request": req.ID, "cause": int(fault.Cause), "verdict": string(fault.Verdict), "detail": fault.Detail})
+			passage.env.Place.Report(eventlog.RequestRejected, map[string]any{"request": req.ID, "cause": int(fault.Cause), "verdict": string(fault.Verdict), "detail": fault.Detail})
 		}
 		if passage.running.Dec() == 0 {
 			passage.idle.Fire()
@@ -177,7 +177,7 @@
 	if outcome == shutdown.Done {
 		return carried, failed
 	}
-	fault = apierror.New(apierror.StoppedUnderWay, apierror.MayHaveRun, "carrier %s stops, and can't wait any longer", passage.env.Carrier)
+	fault = apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun, "carrier %s stops, and can't wait any longer", passage.env.Carrier)
 	if outcome == shutdown.Unstarted && req.Key == "" {
 		fault.Verdict = apierror.NotRun
 	}
@@ -197,7 +197,7 @@
 	} else {
 		var err error
 		if trip.Address, err = resourcepath.Parse(req.Target); err != nil {
-			return nil, apierror.New(apierror.Unreadable, apierror.NotRun, "%v", err)
+			return nil, apierror.New(apierror.MalformedRequest, apierror.NotRun, "%v", err)
 		}
 	}
 	trip.Scope = scope(trip)
@@ -253,11 +253,11 @@
 			return nil, fault
 		}
 		if !passage.env.Purse.Spend(trip.Service.Name, retry.GetAllowance()) {
-			spent := apierror.New(apierror.BudgetSpent, fault.Verdict, "no further try is left; the last said: %s", fault.Detail)
+			spent := apierror.New(apierror.RetryBudgetExhausted, fault.Verdict, "no further try is left; the last said: %s", fault.Detail)
 			return nil, spent
 		}
 		trip.moves.paid = true
-		if fault.Cause == apierror.SerialOlder || fault.Cause == apierror.SerialBehind {
+		if fault.Cause == apierror.VersionOlder || fault.Cause == apierror.VersionBehind {
 			passage.repin(trip)
 		}
 		place.Sleep(backoff)
@@ -286,7 +286,7 @@
 	trip.last = true
 	view, live := passage.env.Desk.Current()
 	if !live {
-		return nil, apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Version), false
+		return nil, apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Version), false
 	}
 	if view.Version != trip.View.Version {
 		passage.repin(trip)
@@ -310,7 +310,7 @@
 	remaining := trip.Cutoff - place.Now()
 	if remaining <= 0 {
 		ticket.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.CutoffReached, apierror.NotRun, "the cutoff was reached before the pass"), false
+		return nil, apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the cutoff was reached before the pass"), false
 	}
 	ask := &wire.ForwardRequest{Id: trip.Request.ID + "." + strconv.Itoa(trip.Tries), ConfigVersion: trip.View.Version, Service: trip.Service.Name,
 		Instance: candidate.Instance, Method: trip.Method, Target: trip.Address.Encoded, Headers: trip.Request.Headers,
@@ -323,7 +323,7 @@
 	}
 	if !trip.errand.Start() {
 		ticket.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.StoppedUnderWay, apierror.NotRun, "given up before the pass"), false
+		return nil, apierror.New(apierror.StoppedInFlight, apierror.NotRun, "given up before the pass"), false
 	}
 	if fault := trip.sending(candidate, ask.Id); fault != nil {
 		ticket.Done(breaker.Neutral)
@@ -333,7 +333,7 @@
 	if trip.sent() {
 		// How it ended says nothing of the backend, and nobody wants to know.
 		ticket.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.CallerLeft, apierror.MayHaveRun, "its caller left"), false
+		return nil, apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "its caller left"), false
 	}
 	if err != nil {
 		return passage.lost(trip, ticket, candidate, ask, err)
@@ -342,7 +342,7 @@
 	own := passage.choices.stands(passage.env.Roll.Directory(), trip.Service.Name, candidate.Instance, tell.Load)
 	if tell.Id != ask.Id || !tell.Rejected && !admission.Whole(tell) {
 		ticket.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.AnswerUnmatched, apierror.MayHaveRun, "the answer to pass %s is not whole or not its own", ask.Id), !trip.Once && !trip.Single
+		return nil, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "the answer to pass %s is not whole or not its own", ask.Id), !trip.Once && !trip.Single
 	}
 	if tell.Rejected {
 		return passage.turnedDown(trip, ticket, candidate, tell, own)
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -56,7 +56,7 @@
 		return apierror.New(apierror.NotReady, apierror.NotRun, "no desired state is adopted yet")
 	}
 	if !live {
-		return apierror.New(apierror.TenureEnded, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Version)
+		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "the tenure to serve by serial %d has ended", view.Version)
 	}
 	path, found := view.Resolve(trip.Host, trip.Method, trip.Address.Path)
 	if !found {
@@ -84,7 +84,7 @@
 		return nil
 	}
 	if trip.Request.Key == "" || len(trip.Request.Key) > 200 {
-		return apierror.New(apierror.NoKey, apierror.NotRun, "%s needs a reference key of at most 200 bytes in %s", trip.Address.Path, request.KeyHeader)
+		return apierror.New(apierror.MissingKey, apierror.NotRun, "%s needs a reference key of at most 200 bytes in %s", trip.Address.Path, request.KeyHeader)
 	}
 	sum := sha256.New()
 	sum.Write([]byte(trip.Method + " " + trip.Address.Encoded + "\n"))
--- a/internal/proxy/forward/spread_test.go
+++ b/internal/proxy/forward/spread_test.go
@@ -47,7 +47,7 @@
 	simulated := world.New(seed)
 	defer simulated.Close()
 	result.by = map[string]int{}
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		keeper := localbackends.New(place, func() {})
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, Carriers: map[string]int{}, Live: queueing.callers}
 		speeds := map[string]float64{}
@@ -96,7 +96,7 @@
 				}
 			})
 		}
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + queueing.length)
 	if simulated.Panicked != nil {
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -17,32 +17,32 @@
 	passage.choices.shun(candidate.Carrier)
 	ticket.Done(breaker.Neutral)
 	if apierror.IsUnreachable(cause) {
-		return nil, apierror.New(apierror.PassUnreachable, apierror.NotRun, "%s: %v", candidate.Carrier, cause), true
+		return nil, apierror.New(apierror.ForwardUnreachable, apierror.NotRun, "%s: %v", candidate.Carrier, cause), true
 	}
 	if !trip.Once {
-		fault := apierror.New(apierror.PassLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause)
+		fault := apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause)
 		if passage.env.Place.Now() >= trip.Cutoff {
-			fault = apierror.New(apierror.CutoffReached, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Carrier)
+			fault = apierror.New(apierror.DeadlineExceeded, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Carrier)
 		}
 		return nil, fault, !trip.Single
 	}
 	if passage.void(trip, ask.Attempt, false) == idempotency.Voided {
-		return nil, apierror.New(apierror.PassLost, apierror.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
+		return nil, apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
 	}
-	return nil, apierror.New(apierror.PassLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
+	return nil, apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
 }
 
 // turnedDown handles a refusal by the server's side.
 func (passage *Passage) turnedDown(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, tell *wire.ForwardResponse, own bool) (*request.Answer, *apierror.Fault, bool) {
 	fault := &apierror.Fault{Cause: apierror.Cause(tell.Cause), Verdict: apierror.Verdict(tell.Verdict), RetryAfter: monotonic.Micros(tell.RetryAfter),
-		Detail: tell.Detail, Backend: tell.BackendFault, Measured: apierror.Cause(tell.Cause) == apierror.Overloaded && tell.Load.GetSlots() > 0}
+		Detail: tell.Detail, Backend: tell.BackendFault, RetryAfterMeasured: apierror.Cause(tell.Cause) == apierror.Overloaded && tell.Load.GetSlots() > 0}
 	outcome := breaker.Neutral
 	if fault.Backend && !own {
 		outcome = breaker.Failure
 	}
 	ticket.Done(outcome)
 	passage.choices.judge(candidate.Instance, fault.Backend)
-	if fault.Cause == apierror.BackendDial || fault.Cause == apierror.BackendIdentity || fault.Cause == apierror.BackendLeaving || fault.Cause == apierror.BackendUnknown || fault.Cause == apierror.BackendAiling {
+	if fault.Cause == apierror.BackendDialFailed || fault.Cause == apierror.BackendIdentityMismatch || fault.Cause == apierror.BackendLeaving || fault.Cause == apierror.BackendUnknown || fault.Cause == apierror.BackendUnhealthy {
 		passage.choices.shun(candidate.Instance)
 	}
 	retriable := fault.NotRun() || !trip.Once && !trip.Single
--- a/internal/proxy/ingress/counter.go
+++ b/internal/proxy/ingress/counter.go
@@ -45,7 +45,7 @@
 	}
 	body, err := upstream.Whole(http.MaxBytesReader(writer, incoming.Body, longestBody), incoming.ContentLength)
 	if err != nil {
-		cause := apierror.Unreadable
+		cause := apierror.MalformedRequest
 		if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
 			cause = apierror.BodyTooLarge
 		}
@@ -57,7 +57,7 @@
 	if limit := incoming.Header.Get(request.CutoffHeader); limit != "" {
 		span, err := strconv.ParseInt(limit, 10, 64)
 		if err != nil || span <= 0 {
-			Refuse(writer, req.ID, apierror.New(apierror.Unreadable, apierror.NotRun, "%s is not a span in microseconds", request.CutoffHeader))
+			Refuse(writer, req.ID, apierror.New(apierror.MalformedRequest, apierror.NotRun, "%s is not a span in microseconds", request.CutoffHeader))
 			return
 		}
 		req.Cutoff = counter.clock.Now() + monotonic.Micros(span)
--- a/internal/proxy/localbackends/hutch.go
+++ b/internal/proxy/localbackends/hutch.go
@@ -172,7 +172,7 @@
 	maps.DeleteFunc(hutch.ended, func(_ string, stone tombstone) bool { return now >= stone.until })
 	hutch.lock.Unlock()
 	for _, instance := range overdue {
-		hutch.place.Report(eventlog.BackendOverdue, map[string]any{"instance": instance})
+		hutch.place.Report(eventlog.BackendHeartbeatOverdue, map[string]any{"instance": instance})
 	}
 	if len(overdue) > 0 {
 		hutch.changed()
--- a/internal/proxy/localbackends/hutch_test.go
+++ b/internal/proxy/localbackends/hutch_test.go
@@ -16,7 +16,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		backends := localbackends.New(place, func() {})
 		backend := localbackends.Backend{Service: "forms", Instance: "first", Address: "127.0.0.1:8000"}
 		register := func() {
@@ -50,7 +50,7 @@
 			t.Errorf("all had left, and it was refused: %v", fault)
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !ended {
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -17,10 +17,10 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		test(place, localbackends.New(place, func() {}))
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + 10*monotonic.Minute)
 	if !ended {
--- a/internal/proxy/localbackends/standing.go
+++ b/internal/proxy/localbackends/standing.go
@@ -26,7 +26,7 @@
 	visit, wait := present.standing.Enter(hutch.place.Now(), ask)
 	defer hutch.settle(present)
 	if visit == nil {
-		fault := apierror.New(apierror.BackendAiling, apierror.NotRun, "instance %s does worse than its like, only probes are let in", instance)
+		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun, "instance %s does worse than its like, only probes are let in", instance)
 		fault.RetryAfter = max(wait, monotonic.Millisecond)
 		return nil, fault
 	}
@@ -60,7 +60,7 @@
 	}
 	hutch.lock.Unlock()
 	for _, change := range changes {
-		number := eventlog.BackendReturned
+		number := eventlog.BackendReinstated
 		if change.Ejected {
 			number = eventlog.BackendEjected
 		}
--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -139,7 +139,7 @@
 // size is how many asks may go in one message to the present primary.
 func (batches *batches) size() int {
 	name := batches.roll.book.Leader(sorters)
-	if name == batches.alone && batches.roll.place.Now() < batches.until || !batches.roll.book.Batches(name) {
+	if name == batches.alone && batches.roll.place.Now() < batches.until || !batches.roll.book.SupportsBatches(name) {
 		return 1
 	}
 	return mostBatch
@@ -168,7 +168,7 @@
 	for {
 		name := book.Leader(sorters)
 		if name == "" {
-			place.Go(book.Ask) // whom it asks may be gone too, and isn't waited for
+			place.Go(book.Refresh) // whom it asks may be gone too, and isn't waited for
 			place.Sleep(lookAgain)
 			if batches.idle() {
 				return
@@ -185,7 +185,7 @@
 		if err == nil || name != book.Leader(sorters) {
 			continue
 		}
-		place.Go(book.Ask)
+		place.Go(book.Refresh)
 		if first {
 			place.Sleep(firstPause)
 		} else {
@@ -207,7 +207,7 @@
 
 // send brings calls to a primary in one message, and ends those that are answered. An error tells of the others.
 func (batches *batches) send(name string, calls []*pending) error {
-	if !batches.roll.book.Batches(name) || len(calls) == 1 {
+	if !batches.roll.book.SupportsBatches(name) || len(calls) == 1 {
 		only := calls[0]
 		tell := only.tell.ProtoReflect().New().Interface()
 		err := batches.roll.callWhileLeading(name, only.kind, only.ask, tell, messagePatience)
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -24,9 +24,9 @@
 			began := simulated.Now()
 			asks, answered, late := 0, 0, monotonic.Micros(0)
 			well := func() bool { return simulated.Now()-began >= 3*monotonic.Second }
-			primary := func(name string, answers func() bool) func(place *world.Place) (host.Table, error) {
-				return func(place *world.Place) (host.Table, error) {
-					table := host.Table{}
+			primary := func(name string, answers func() bool) func(place *world.Place) (host.Handlers, error) {
+				return func(place *world.Place) (host.Handlers, error) {
+					table := host.Handlers{}
 					host.Handle(table, wire.Kind_claim, func(*wire.ClaimRequest) (*wire.ClaimResponse, error) {
 						if asks++; !answers() {
 							return nil, errors.New("not the primary")
@@ -38,10 +38,10 @@
 			}
 			simulated.Start(simulated.Add("first", "first", "first", primary("first", func() bool { return well() && !moves })))
 			simulated.Start(simulated.Add("second", "second", "second", primary("second", well)))
-			simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+			simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 				book := discovery.New(place, nil, nil)
-				book.Learn([]*wire.PeerAddress{{Name: "first", Address: "first", Group: sorters}, {Name: "second", Address: "second", Group: sorters}})
-				book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
+				book.AddPeers([]*wire.PeerAddress{{Name: "first", Address: "first", Group: sorters}, {Name: "second", Address: "second", Group: sorters}})
+				book.ObservePrimaries([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
 				known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 				for range waiters {
 					place.Go(func() {
@@ -54,10 +54,10 @@
 				if moves {
 					place.Go(func() {
 						place.Sleep(3 * monotonic.Second)
-						book.Hint([]*wire.Primary{{Group: sorters, Epoch: 2, Name: "second"}})
+						book.ObservePrimaries([]*wire.Primary{{Group: sorters, Epoch: 2, Name: "second"}})
 					})
 				}
-				return host.Table{}, nil
+				return host.Handlers{}, nil
 			}))
 			simulated.Run(began + 6*monotonic.Second)
 			if simulated.Panicked != nil {
@@ -82,9 +82,9 @@
 	}{{50 * monotonic.Millisecond, false}, {600 * monotonic.Millisecond, true}} {
 		simulated := world.New(1)
 		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 			book := discovery.New(place, nil, nil)
-			book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
+			book.ObservePrimaries([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
 			batches := &batches{roll: New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))}
 			if first := batches.back(nil, apierror.Refused.New("not the primary"), monotonic.Millisecond); !first || batches.most() != 1 {
 				t.Errorf("%d messages go at once after a refusal, the first: %v", batches.most(), first)
@@ -96,7 +96,7 @@
 				t.Errorf("after a wait of %d ms in vain all go: %v", row.waited/monotonic.Millisecond, goes)
 			}
 			ended = true
-			return host.Table{}, nil
+			return host.Handlers{}, nil
 		}))
 		simulated.Run(simulated.Now() + monotonic.Second)
 		simulated.Close()
@@ -115,8 +115,8 @@
 			simulated := world.New(1)
 			defer simulated.Close()
 			messages, asks, present, most, answered, gone := 0, 0, 0, 0, 0, 0
-			simulated.Start(simulated.Add("first", "first", "first", func(place *world.Place) (host.Table, error) {
-				table := host.Table{}
+			simulated.Start(simulated.Add("first", "first", "first", func(place *world.Place) (host.Handlers, error) {
+				table := host.Handlers{}
 				serve := func(count int) {
 					messages, asks, present = messages+1, asks+count, present+1
 					most = max(most, present)
@@ -137,9 +137,9 @@
 				})
 				return table, nil
 			}))
-			simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+			simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 				book := discovery.New(place, nil, nil)
-				book.Learn([]*wire.PeerAddress{{Name: "first", Address: "first", Group: sorters, Batches: takes}})
+				book.AddPeers([]*wire.PeerAddress{{Name: "first", Address: "first", Group: sorters, Batches: takes}})
 				known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 				ask := func(scope string, patience monotonic.Micros, ended func(tell *wire.ClaimResponse, err error)) {
 					place.Go(func() {
@@ -166,9 +166,9 @@
 						})
 					}
 					place.Sleep(monotonic.Millisecond)
-					book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
+					book.ObservePrimaries([]*wire.Primary{{Group: sorters, Epoch: 1, Name: "first"}})
 				})
-				return host.Table{}, nil
+				return host.Handlers{}, nil
 			}))
 			simulated.Run(simulated.Now() + 4*monotonic.Second)
 			if simulated.Panicked != nil {
@@ -194,16 +194,16 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	answered, untaken, turned := 0, 0, false
-	simulated.Start(simulated.Add("first", "first", "first", func(place *world.Place) (host.Table, error) {
-		table := host.Table{}
+	simulated.Start(simulated.Add("first", "first", "first", func(place *world.Place) (host.Handlers, error) {
+		table := host.Handlers{}
 		host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 			place.Sleep(5 * monotonic.Millisecond)
 			return &wire.ClaimResponse{Outcome: ask.Scope}, nil
 		})
 		return table, nil
 	}))
-	simulated.Start(simulated.Add("second", "second", "second", func(place *world.Place) (host.Table, error) {
-		table := host.Table{}
+	simulated.Start(simulated.Add("second", "second", "second", func(place *world.Place) (host.Handlers, error) {
+		table := host.Handlers{}
 		host.Handle(table, wire.Kind_registry_batch, func(ask *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
 			turned = true
 			tell := &wire.RegistryBatchResponse{}
@@ -214,10 +214,10 @@
 		})
 		return table, nil
 	}))
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		for _, primary := range []string{"first", "second"} {
 			book := discovery.New(place, nil, nil)
-			book.Learn([]*wire.PeerAddress{{Name: primary, Address: primary, Group: sorters, Batches: true}})
+			book.AddPeers([]*wire.PeerAddress{{Name: primary, Address: primary, Group: sorters, Batches: true}})
 			known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 			for index := range 20 {
 				place.Go(func() {
@@ -233,10 +233,10 @@
 			}
 			place.Go(func() {
 				place.Sleep(monotonic.Millisecond)
-				book.Hint([]*wire.Primary{{Group: sorters, Epoch: 1, Name: primary}})
+				book.ObservePrimaries([]*wire.Primary{{Group: sorters, Epoch: 1, Name: primary}})
 			})
 		}
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + 3*monotonic.Second)
 	if simulated.Panicked != nil {
--- a/internal/proxy/session/held_test.go
+++ b/internal/proxy/session/held_test.go
@@ -22,12 +22,12 @@
 	simulated := world.New(seed)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		place.Go(func() {
 			body(place)
 			ended = true
 		})
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + 10*monotonic.Minute)
 	if !ended {
@@ -44,14 +44,14 @@
 type version struct{ source, serial uint64 }
 
 func (sorter *sorterOf) answer(ask *wire.RegistryPollRequest) *wire.RegistryPollResponse {
-	whole := sorter.View(directory.Base{})
-	if newest := (version{whole.Source, whole.Serial}); sorter.versions[newest] == nil {
+	whole := sorter.UpdateSince(directory.Base{})
+	if newest := (version{whole.Source, whole.Version}); sorter.versions[newest] == nil {
 		sorter.versions[newest] = Of(whole.Sessions)
 	}
-	view := sorter.View(directory.Base{Source: ask.DirectorySource, Serial: ask.DirectoryVersion, Check: ask.DirectoryChecksum, Grown: ask.DirectoryComplete})
-	tell := &wire.RegistryPollResponse{DirectoryAge: int64(sorter.Age()), DirectorySource: view.Source, DirectoryVersion: view.Serial, DirectoryUnchanged: view.Same,
-		Sessions: view.Sessions, DirectoryIsDelta: view.Changed, DirectoryRemoved: view.Gone, DirectoryDigest: view.Digest}
-	if view.Changed {
+	view := sorter.UpdateSince(directory.Base{Source: ask.DirectorySource, Version: ask.DirectoryVersion, Checksum: ask.DirectoryChecksum, SkipYoung: ask.DirectoryComplete})
+	tell := &wire.RegistryPollResponse{DirectoryAge: int64(sorter.Age()), DirectorySource: view.Source, DirectoryVersion: view.Version, DirectoryUnchanged: view.Unchanged,
+		Sessions: view.Sessions, DirectoryIsDelta: view.Incremental, DirectoryRemoved: view.Removed, DirectoryDigest: view.Digest}
+	if view.Incremental {
 		tell.DirectoryBaseSource, tell.DirectoryBaseVersion = ask.DirectorySource, ask.DirectoryVersion
 	}
 	return proto.CloneOf(tell)
@@ -107,8 +107,8 @@
 		if present.serial != 0 && !reflect.DeepEqual(roll.Directory(), sorter.versions[present]) {
 			return "what is held isn't the version that it's said to be"
 		}
-		newest := sorter.View(directory.Base{})
-		if fate == "come" && sorter.Age() >= grownUp && present != (version{newest.Source, newest.Serial}) {
+		newest := sorter.UpdateSince(directory.Base{})
+		if fate == "come" && sorter.Age() >= grownUp && present != (version{newest.Source, newest.Version}) {
 			return "an answer came, and its version isn't held"
 		}
 	}
@@ -174,16 +174,16 @@
 			for _, session := range sessions {
 				session.Heartbeat++
 				if at := sorters[0]; chance.IntN(3) > 0 {
-					at.Tell(session, true)
+					at.Observe(session, true)
 				}
 			}
 			if chance.IntN(3) > 0 { // they are in touch
-				for _, told := range sorters[0].Heard() {
-					sorters[1].Tell(told, false)
+				for _, told := range sorters[0].DirectSessions() {
+					sorters[1].Observe(told, false)
 				}
 			}
 			for _, sorter := range sorters {
-				sorter.Expire()
+				sorter.ExpireSessions()
 			}
 			for _, pair := range pairs {
 				if chance.IntN(2) > 0 {
@@ -252,7 +252,7 @@
 			within(t, 1, func(place *world.Place) {
 				sorter := &sorterOf{Directory: directory.New(place, 7), versions: map[version]*Directory{}}
 				for number := range 10 {
-					sorter.Tell(&wire.Session{Proxy: fmt.Sprint("carrier-", number), Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
+					sorter.Observe(&wire.Session{Proxy: fmt.Sprint("carrier-", number), Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
 				}
 				known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, nil)
 				ask := func(damage func(tell *wire.RegistryPollResponse)) error {
@@ -266,9 +266,9 @@
 					return known.take(tell, 0)
 				}
 				change := func(going, coming, moving string) {
-					sorter.Tell(&wire.Session{Proxy: coming, Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
-					sorter.Tell(&wire.Session{Proxy: moving, Incarnation: 1, Heartbeat: 2, Address: "there"}, true)
-					sorter.Tell(&wire.Session{Proxy: going, Incarnation: 1, Heartbeat: 2, Age: int64(directory.SessionLife)}, true)
+					sorter.Observe(&wire.Session{Proxy: coming, Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
+					sorter.Observe(&wire.Session{Proxy: moving, Incarnation: 1, Heartbeat: 2, Address: "there"}, true)
+					sorter.Observe(&wire.Session{Proxy: going, Incarnation: 1, Heartbeat: 2, Age: int64(directory.SessionTimeout)}, true)
 				}
 				if ask(nil) != nil {
 					t.Fatal("a whole was refused")
@@ -282,7 +282,7 @@
 					t.Errorf("%v, %+v", err, known.Taken())
 				}
 				change("carrier-5", "carrier-11", "carrier-6")
-				if err := ask(nil); err != nil || known.Taken() != (Taken{Changes: 1, Wholes: 2, Refused: 1}) || !reflect.DeepEqual(known.Directory(), Of(sorter.View(directory.Base{}).Sessions)) {
+				if err := ask(nil); err != nil || known.Taken() != (Taken{Changes: 1, Wholes: 2, Refused: 1}) || !reflect.DeepEqual(known.Directory(), Of(sorter.UpdateSince(directory.Base{}).Sessions)) {
 					t.Errorf("%v, %+v", err, known.Taken())
 				}
 			})
--- a/internal/proxy/session/roll.go
+++ b/internal/proxy/session/roll.go
@@ -27,7 +27,7 @@
 const shareMemory = 10 * monotonic.Second
 
 // grownUp is the age from which a sorter's directory is taken as whole: every carrier has polled, or its session has ended.
-const grownUp = directory.SessionLife
+const grownUp = directory.SessionTimeout
 
 // Candidate is one backend that may be chosen.
 type Candidate struct {
@@ -62,9 +62,9 @@
 // Roll follows the sorters.
 type Roll struct {
 	place   host.Host
-	book    *discovery.Book
+	book    *discovery.Resolver
 	session func() *wire.Session
-	vigil   *clockwatch.Vigil
+	vigil   *clockwatch.Watcher
 	// Activity gives what this carrier called since the last poll.
 	Activity func() []*wire.Activity
 	// Breakers takes the guards' records from the primary, those that changed since it last took some, or nothing when it couldn't be reached.
@@ -92,7 +92,7 @@
 }
 
 // New makes a roll; session gives this carrier's session as it is now.
-func New(place host.Host, book *discovery.Book, session func() *wire.Session, vigil *clockwatch.Vigil) *Roll {
+func New(place host.Host, book *discovery.Resolver, session func() *wire.Session, vigil *clockwatch.Watcher) *Roll {
 	roll := &Roll{place: place, book: book, session: session, vigil: vigil, soon: place.NewSignal(), directory: index(resource.Empty), held: nothing,
 		polled: -monotonic.Minute, born: place.Now()}
 	roll.batches.roll = roll
@@ -170,7 +170,7 @@
 	}
 	roll.Guards(nil, false)
 	if !reached || len(names) == 0 {
-		roll.book.Ask()
+		roll.book.Refresh()
 	}
 }
 
@@ -190,7 +190,7 @@
 
 // take takes an answer in. An error is told if the directory's changes in it were refused; the rest of it is taken all the same.
 func (roll *Roll) take(tell *wire.RegistryPollResponse, asked monotonic.Micros) error {
-	roll.book.Hint(tell.Primaries)
+	roll.book.ObservePrimaries(tell.Primaries)
 	roll.lock.Lock()
 	defer roll.lock.Unlock()
 	now := roll.place.Now()
@@ -217,7 +217,7 @@
 	if err != nil {
 		roll.taken.Refused++
 		roll.held.doubt()
-		roll.place.Report(eventlog.DirectoryRefused, map[string]any{"serial": tell.DirectoryVersion, "have": roll.held.serial, "error": err.Error()})
+		roll.place.Report(eventlog.DirectoryUpdateRejected, map[string]any{"serial": tell.DirectoryVersion, "have": roll.held.serial, "error": err.Error()})
 		return err
 	}
 	roll.grown = !young
@@ -394,7 +394,7 @@
 		case name != roll.book.Leader(sorters):
 			return apierror.Lost.New("%s doesn't lead any more", name)
 		}
-		roll.place.Go(roll.book.Ask)
+		roll.place.Go(roll.book.Refresh)
 	}
 }
 
@@ -427,7 +427,7 @@
 				continue
 			}
 		}
-		roll.place.Go(roll.book.Ask) // whom it asks may be gone too, and isn't waited for
+		roll.place.Go(roll.book.Refresh) // whom it asks may be gone too, and isn't waited for
 		roll.place.Sleep(min(pause, max(cutoff-roll.place.Now(), 0)))
 	}
 }
--- a/internal/proxy/session/roll_test.go
+++ b/internal/proxy/session/roll_test.go
@@ -18,7 +18,7 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		simulated := world.New(seed)
 		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 			known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, steady(place))
 			began, own := simulated.Now(), place.Now()
 			known.take(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: int64(began)}, own)
@@ -28,7 +28,7 @@
 				t.Errorf("seed %d: the moment is %d microseconds ahead of the holder", seed, moment.Time-int64(simulated.Now()))
 			}
 			ended = true
-			return host.Table{}, nil
+			return host.Handlers{}, nil
 		}))
 		simulated.Run(simulated.Now() + 2*monotonic.Minute)
 		simulated.Close()
@@ -47,7 +47,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 		known := New(place, discovery.New(place, nil, nil), func() *wire.Session { return &wire.Session{} }, steady(place))
 		known.take(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: 1000}, place.Now())
 		place.Sleep(monotonic.Second)
@@ -61,7 +61,7 @@
 			t.Errorf("an older moment was taken: %d", moment.Time)
 		}
 		ended = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !ended {
@@ -69,9 +69,9 @@
 	}
 }
 
-func steady(place *world.Place) *clockwatch.Vigil {
+func steady(place *world.Place) *clockwatch.Watcher {
 	watch := clockwatch.New(place)
-	place.Go(watch.Watch)
+	place.Go(watch.Run)
 	return watch
 }
 
@@ -82,8 +82,8 @@
 		simulated := world.New(seed)
 		succeeded := simulated.Now() + 300*monotonic.Millisecond
 		sorter := func(name string) {
-			simulated.Start(simulated.Add(name, name, name, func(place *world.Place) (host.Table, error) {
-				table := host.Table{}
+			simulated.Start(simulated.Add(name, name, name, func(place *world.Place) (host.Handlers, error) {
+				table := host.Handlers{}
 				host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
 					if simulated.Now() < succeeded {
 						return &wire.DiscoverResponse{}, nil
@@ -101,10 +101,10 @@
 		simulated.Run(simulated.Now() + monotonic.Millisecond)
 		simulated.Freeze(simulated.Node("gone"), monotonic.Minute)
 		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Table, error) {
+		simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
 			book := discovery.New(place, nil, []string{"gone", "next"})
-			book.Learn([]*wire.PeerAddress{{Name: "gone", Address: "gone", Group: "sorter"}, {Name: "next", Address: "next", Group: "sorter"}})
-			book.Hint([]*wire.Primary{{Group: "sorter", Epoch: 1, Name: "gone"}})
+			book.AddPeers([]*wire.PeerAddress{{Name: "gone", Address: "gone", Group: "sorter"}, {Name: "next", Address: "next", Group: "sorter"}})
+			book.ObservePrimaries([]*wire.Primary{{Group: "sorter", Epoch: 1, Name: "gone"}})
 			known := New(place, book, func() *wire.Session { return &wire.Session{} }, steady(place))
 			tell, began := &wire.ClaimResponse{}, place.Now()
 			err := known.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: "key"}, tell, 600*monotonic.Millisecond)
@@ -112,7 +112,7 @@
 				t.Errorf("seed %d: %v, %q after %d microseconds", seed, err, tell.Outcome, took)
 			}
 			ended = true
-			return host.Table{}, nil
+			return host.Handlers{}, nil
 		}))
 		simulated.Run(simulated.Now() + monotonic.Minute)
 		simulated.Close()
--- a/internal/proxy/singleton/rota.go
+++ b/internal/proxy/singleton/rota.go
@@ -53,7 +53,7 @@
 
 // Ask asks for a duty, or for more time in it. An error leaves what was granted before as it was.
 func (rota *Rota) Ask(duty, instance string, length monotonic.Micros) (Told, error) {
-	if settings.Name(duty) != nil {
+	if settings.CheckName(duty) != nil {
 		return Told{}, apierror.Invalid.New("a duty's name is a lower-case letter, then up to 62 letters, digits or hyphens")
 	}
 	if !rota.env.Present(instance) {
--- a/internal/proxy/upstream/delivery.go
+++ b/internal/proxy/upstream/delivery.go
@@ -120,13 +120,13 @@
 		if written == 0 {
 			verdict = apierror.NotRun
 		}
-		fault := apierror.New(apierror.AnswerBroken, verdict, "sending to %s: %v", order.Backend.Instance, err)
+		fault := apierror.New(apierror.ResponseBroken, verdict, "sending to %s: %v", order.Backend.Instance, err)
 		fault.Local = courier.forgot(order.Backend.Instance, connection.rested)
 		return nil, fault
 	}
 	answer, reusable, fault := connection.read(order, courier.dialect)
 	keep = reusable && fault == nil
-	if fault != nil && fault.Cause == apierror.AnswerBroken && connection.limited.N == connection.allowed {
+	if fault != nil && fault.Cause == apierror.ResponseBroken && connection.limited.N == connection.allowed {
 		fault.Local = courier.forgot(order.Backend.Instance, connection.rested)
 	}
 	return answer, fault
@@ -147,7 +147,7 @@
 	dialer := net.Dialer{Timeout: min(dialPatience, time.Until(cutoff)), KeepAlive: -1}
 	connection, err := dialer.Dial("tcp", order.Backend.Address)
 	if err != nil {
-		return nil, apierror.New(apierror.BackendDial, apierror.NotRun, "%v", err)
+		return nil, apierror.New(apierror.BackendDialFailed, apierror.NotRun, "%v", err)
 	}
 	connection = socket.Wrap(connection)
 	limited := &io.LimitedReader{R: connection, N: headRoom}
@@ -158,7 +158,7 @@
 	_ = connection.SetDeadline(minTime(cutoff, time.Now().Add(dialPatience)))
 	if err := fresh.identify(order); err != nil {
 		_ = connection.Close()
-		return nil, apierror.New(apierror.BackendIdentity, apierror.NotRun, "%s: %v", order.Backend.Address, err)
+		return nil, apierror.New(apierror.BackendIdentityMismatch, apierror.NotRun, "%s: %v", order.Backend.Address, err)
 	}
 	return fresh, nil
 }
@@ -216,7 +216,7 @@
 		return false
 	}
 	known, is := line.connection.(syscall.Conn)
-	return is && socket.Quiet(known)
+	return is && socket.IsIdle(known)
 }
 
 type identity struct {
@@ -284,7 +284,7 @@
 // read takes the answer off the connection. Whatever isn't whole, or says more than it announced, is no answer.
 func (line *line) read(order admission.Order, dialect Dialect) (answer *request.Answer, reusable bool, fault *apierror.Fault) {
 	broken := func(format string, arguments ...any) (*request.Answer, bool, *apierror.Fault) {
-		return nil, false, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "%s: %s", order.Backend.Instance, fmt.Sprintf(format, arguments...))
+		return nil, false, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", order.Backend.Instance, fmt.Sprintf(format, arguments...))
 	}
 	line.allowed = int64(order.AnswerLimit) + headRoom
 	line.limited.N = line.allowed
@@ -294,7 +294,7 @@
 		var err error
 		if response, err = http.ReadResponse(line.reader, req); err != nil {
 			if late(err) {
-				return nil, false, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "%s gave no answer before the cutoff", order.Backend.Instance)
+				return nil, false, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "%s gave no answer before the cutoff", order.Backend.Instance)
 			}
 			return broken("%v", err)
 		}
@@ -310,17 +310,17 @@
 		return broken("the answer's end can't be told from a broken connection")
 	}
 	if response.ContentLength > int64(order.AnswerLimit) {
-		return nil, false, apierror.New(apierror.AnswerTooLarge, apierror.MayHaveRun, "%s announced %d bytes, limit %d", order.Backend.Instance, response.ContentLength, order.AnswerLimit)
+		return nil, false, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun, "%s announced %d bytes, limit %d", order.Backend.Instance, response.ContentLength, order.AnswerLimit)
 	}
 	body, err := Whole(io.LimitReader(response.Body, int64(order.AnswerLimit)+1), response.ContentLength)
 	if err != nil {
 		if late(err) {
-			return nil, false, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "%s did not finish its answer before the cutoff", order.Backend.Instance)
+			return nil, false, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "%s did not finish its answer before the cutoff", order.Backend.Instance)
 		}
 		return broken("%v", err)
 	}
 	if uint64(len(body)) > order.AnswerLimit {
-		return nil, false, apierror.New(apierror.AnswerTooLarge, apierror.MayHaveRun, "%s sent more than %d bytes", order.Backend.Instance, order.AnswerLimit)
+		return nil, false, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun, "%s sent more than %d bytes", order.Backend.Instance, order.AnswerLimit)
 	}
 	line.since = time.Now()
 	surplus := line.reader.Buffered()
@@ -329,7 +329,7 @@
 	}
 	notRun, err := dialect.Judge(order, response)
 	if err != nil {
-		return nil, false, apierror.New(apierror.AnswerUnmatched, apierror.MayHaveRun, "%s: %v", order.Backend.Instance, err)
+		return nil, false, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "%s: %v", order.Backend.Instance, err)
 	}
 	if seconds, told := strings.CutPrefix(response.Header.Get("Keep-Alive"), "timeout="); told {
 		seconds, _, _ = strings.Cut(seconds, ",")
--- a/internal/proxy/upstream/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -133,7 +133,7 @@
 		if data.Cmd == "gone" {
 			_ = listener.Close()
 		}
-		clock := monotonic.NewMachine()
+		clock := monotonic.NewSystemClock()
 		courier := upstream.New(clock, dialect)
 		var text strings.Builder
 		for number := range times {
--- a/internal/registry/batch.go
+++ b/internal/registry/batch.go
@@ -10,40 +10,40 @@
 )
 
 // batched tells whether a command may come in a batch: those that carriers make for requests, in numbers.
-func batched(command *wire.RegistryCommand) bool {
+func isBatchable(command *wire.RegistryCommand) bool {
 	return (command.Claim != nil || command.Void != nil || command.Complete != nil) && command.ProbeLease == nil && command.Breaker == nil && command.Singleton == nil && command.Tick == nil
 }
 
 // batch carries out the commands of one message, each as if it had come alone. A message costs a core machine many times what a command does.
-func (sorter *Sorter) batch(ask *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
-	tell := &wire.RegistryBatchResponse{Outcomes: make([]*wire.RegistryOutcome, len(ask.Commands))}
-	var places []int
+func (r *Registry) handleBatch(request *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
+	response := &wire.RegistryBatchResponse{Outcomes: make([]*wire.RegistryOutcome, len(request.Commands))}
+	var positions []int
 	var proposals [][]byte
-	for index, command := range ask.Commands {
-		if !batched(command) {
-			tell.Outcomes[index] = &wire.RegistryOutcome{Error: "not for a batch", Rejected: true}
+	for index, command := range request.Commands {
+		if !isBatchable(command) {
+			response.Outcomes[index] = &wire.RegistryOutcome{Error: "not for a batch", Rejected: true}
 			continue
 		}
 		if command.Claim != nil {
-			if granted := sorter.granted(command.Claim); granted != nil {
-				tell.Outcomes[index] = &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: granted}}
+			if granted := r.repeatedGrant(command.Claim); granted != nil {
+				response.Outcomes[index] = &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: granted}}
 				continue
 			}
 		}
 		content, err := proto.Marshal(command)
 		if err != nil {
-			tell.Outcomes[index] = &wire.RegistryOutcome{Error: err.Error(), Rejected: true}
+			response.Outcomes[index] = &wire.RegistryOutcome{Error: err.Error(), Rejected: true}
 			continue
 		}
-		places, proposals = append(places, index), append(proposals, content)
+		positions, proposals = append(positions, index), append(proposals, content)
 	}
-	for place, outcome := range sorter.Member.ProposeAll(proposals) {
-		tell.Outcomes[places[place]] = told(outcome)
+	for proposalIndex, outcome := range r.Member.ProposeAll(proposals) {
+		response.Outcomes[positions[proposalIndex]] = batchOutcome(outcome)
 	}
-	return tell, nil
+	return response, nil
 }
 
-func told(outcome replication.Outcome) *wire.RegistryOutcome {
+func batchOutcome(outcome replication.Outcome) *wire.RegistryOutcome {
 	result := &wire.RegistryResult{}
 	err := outcome.Err
 	if err == nil {
--- a/internal/registry/breakerstore/breakerstore.go
+++ b/internal/registry/breakerstore/breakerstore.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// reportLife is how long a local trip counts towards opening the shared record.
-	reportLife = 10 * monotonic.Second
-	// decisionLife is how long a complete round waits for its last prober's decision before the holder decides itself.
-	decisionLife = 2 * monotonic.Second
-	// leftOver is how old a round must be before callers may take what others of their share left.
-	leftOver = monotonic.Second
+	// reportLifetime is how long a local trip counts towards opening the shared record.
+	reportLifetime = 10 * monotonic.Second
+	// decisionTimeout is how long a complete round waits for its last prober's decision before the holder decides itself.
+	decisionTimeout = 2 * monotonic.Second
+	// unusedShareDelay is how old a round must be before callers may take what others of their share left.
+	unusedShareDelay = monotonic.Second
 )
 
 // Table holds the records.
@@ -39,51 +39,51 @@
 //
 // And of the whole: touched rises with every call that may change a record.
 type Table struct {
-	records map[string]*wire.BreakerRecord
-	touched uint64
-	// Broken names the one thing that is wrong with this table; only rehearsals of the checkers set it.
-	Broken string
+	records  map[string]*wire.BreakerRecord
+	revision uint64
+	// InjectedFault names the one thing that is wrong with this table; only rehearsals of the checkers set it.
+	InjectedFault string
 }
 
 // What may be wrong with a table, to show that a checker sees it.
 const (
-	Leaky     = "leaky"     // slots that went back are lost
-	AnyTrip   = "any_trip"  // one carrier's trip opens for all
-	Greedy    = "greedy"    // no shares: one carrier may take a whole round, and reopens alone
-	Hasty     = "hasty"     // after the wait it closes without a trial
-	Impatient = "impatient" // a quarter of the wait is enough
-	Clinging  = "clinging"  // probes never go back
+	FaultLosesReturnedProbes = "leaky"     // slots that went back are lost
+	FaultOpensOnAnyTrip      = "any_trip"  // one carrier's trip opens for all
+	FaultNoProbeShares       = "greedy"    // no shares: one carrier may take a whole round, and reopens alone
+	FaultSkipsTrial          = "hasty"     // after the wait it closes without a trial
+	FaultShortWait           = "impatient" // a quarter of the wait is enough
+	FaultKeepsProbes         = "clinging"  // probes never go back
 )
 
 // New makes an empty table.
 func New() *Table { return &Table{records: map[string]*wire.BreakerRecord{}} }
 
 // Restore replaces the table's content.
-func (table *Table) Restore(records []*wire.BreakerRecord) {
-	table.touched++
-	table.records = map[string]*wire.BreakerRecord{}
+func (t *Table) Restore(records []*wire.BreakerRecord) {
+	t.revision++
+	t.records = map[string]*wire.BreakerRecord{}
 	for _, record := range records {
-		table.records[record.Service] = record
+		t.records[record.Service] = record
 	}
 }
 
-// Touched rises with whatever may have changed a record.
-func (table *Table) Touched() uint64 { return table.touched }
+// Revision rises with whatever may have changed a record.
+func (t *Table) Revision() uint64 { return t.revision }
 
 // Records lists copies of all records, by service.
-func (table *Table) Records() []*wire.BreakerRecord {
+func (t *Table) Records() []*wire.BreakerRecord {
 	var records []*wire.BreakerRecord
-	for _, service := range table.services() {
-		records = append(records, proto.Clone(table.records[service]).(*wire.BreakerRecord))
+	for _, service := range t.services() {
+		records = append(records, proto.Clone(t.records[service]).(*wire.BreakerRecord))
 	}
 	return records
 }
 
-func (table *Table) services() []string { return slices.Sorted(maps.Keys(table.records)) }
+func (t *Table) services() []string { return slices.Sorted(maps.Keys(t.records)) }
 
 // Waiting tells whether time matters to any record.
-func (table *Table) Waiting() bool {
-	for _, record := range table.records {
+func (t *Table) Waiting() bool {
+	for _, record := range t.records {
 		if record.State != Closed || len(record.Reports) > 0 {
 			return true
 		}
@@ -91,11 +91,11 @@
 	return false
 }
 
-func (table *Table) record(service string, terms *wire.BreakerSettings, now monotonic.Micros) *wire.BreakerRecord {
-	record := table.records[service]
+func (t *Table) recordFor(service string, terms *wire.BreakerSettings, now monotonic.Micros) *wire.BreakerRecord {
+	record := t.records[service]
 	if record == nil {
 		record = &wire.BreakerRecord{Service: service, State: Closed, Version: 1, EnteredAt: int64(now)}
-		table.records[service] = record
+		t.records[service] = record
 	}
 	if terms != nil {
 		record.Settings = terms
@@ -104,19 +104,19 @@
 }
 
 // touch refreshes the record's life, as every write does.
-func touch(record *wire.BreakerRecord, now monotonic.Micros) {
+func extendExpiry(record *wire.BreakerRecord, now monotonic.Micros) {
 	if record.Settings != nil {
 		record.ExpiresAt = int64(now) + record.Settings.StateTtl
 	}
 }
 
 // enter changes the state. Whose probes failed a round are its suspects until the next one is over.
-func enter(record *wire.BreakerRecord, state string, now monotonic.Micros) {
+func setState(record *wire.BreakerRecord, state string, now monotonic.Micros) {
 	if record.State != Open {
 		record.Suspects = nil
 	}
 	if record.State == HalfOpen && state == Open {
-		record.Suspects = carriersOf(failures(record))
+		record.Suspects = proxiesOf(failedProbes(record))
 	}
 	record.State, record.EnteredAt = state, int64(now)
 	record.Version++
@@ -127,7 +127,7 @@
 }
 
 // failures are the tallies of a round's failed probes.
-func failures(record *wire.BreakerRecord) (failed []*wire.ProbeResult) {
+func failedProbes(record *wire.BreakerRecord) (failed []*wire.ProbeResult) {
 	for _, entry := range record.ProbeResults {
 		if !entry.Success {
 			failed = append(failed, entry)
@@ -136,8 +136,8 @@
 	return failed
 }
 
-// carriersOf lists the carriers of tallies, each once.
-func carriersOf(tallies []*wire.ProbeResult) []string {
+// proxiesOf lists the carriers of tallies, each once.
+func proxiesOf(tallies []*wire.ProbeResult) []string {
 	names := map[string]bool{}
 	for _, entry := range tallies {
 		names[entry.Proxy] = true
@@ -145,49 +145,49 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-type verb func(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool
+type writeFunc func(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool
 
-var verbs = map[string]verb{"trip": trip, "probe": tally, "return": giveBack, "decide": decide}
+var writeFuncs = map[string]writeFunc{"trip": reportTrip, "probe": recordProbe, "return": returnProbe, "decide": decideRound}
 
 // Write carries out a fenced write. A serial that doesn't match changes nothing; either way the present record comes back.
-func (table *Table) Write(ask *wire.BreakerWriteRequest, now monotonic.Micros) *wire.BreakerWriteResponse {
-	table.touched++
-	record := table.record(ask.Service, ask.Settings, now)
-	tell := &wire.BreakerWriteResponse{}
-	if carryOut := verbs[ask.Verb]; carryOut != nil && ask.ExpectedVersion == record.Version {
-		if table.Broken == AnyTrip {
-			ask.Active = nil
+func (t *Table) Write(request *wire.BreakerWriteRequest, now monotonic.Micros) *wire.BreakerWriteResponse {
+	t.revision++
+	record := t.recordFor(request.Service, request.Settings, now)
+	response := &wire.BreakerWriteResponse{}
+	if apply := writeFuncs[request.Verb]; apply != nil && request.ExpectedVersion == record.Version {
+		if t.InjectedFault == FaultOpensOnAnyTrip {
+			request.Active = nil
 		}
-		if table.Broken == Clinging && ask.Verb == "return" {
-			carryOut = verbs["trip"] // which a half-open record turns down
+		if t.InjectedFault == FaultKeepsProbes && request.Verb == "return" {
+			apply = writeFuncs["trip"] // which a half-open record turns down
 		}
-		if table.Broken == Greedy && ask.Verb == "decide" && overRate(record) {
-			ask.Decision = Open
+		if t.InjectedFault == FaultNoProbeShares && request.Verb == "decide" && exceedsFailureRate(record) {
+			request.Decision = Open
 		}
-		if tell.Applied = carryOut(record, ask, now); tell.Applied {
-			touch(record, now)
+		if response.Applied = apply(record, request, now); response.Applied {
+			extendExpiry(record, now)
 		}
 	}
-	tell.RoundComplete = record.State == HalfOpen && record.RoundCompletedAt != 0
-	tell.Record = proto.Clone(record).(*wire.BreakerRecord)
-	return tell
+	response.RoundComplete = record.State == HalfOpen && record.RoundCompletedAt != 0
+	response.Record = proto.Clone(record).(*wire.BreakerRecord)
+	return response
 }
 
 // trip notes a carrier's report, and opens the record once enough of the active carriers report.
-func trip(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool {
+func reportTrip(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool {
 	if record.State != Closed || record.Settings == nil {
 		return false
 	}
-	kept := []*wire.TripReport{}
+	recent := []*wire.TripReport{}
 	for _, report := range record.Reports {
-		if report.Proxy != ask.Proxy && now-monotonic.Micros(report.At) < reportLife {
-			kept = append(kept, report)
+		if report.Proxy != request.Proxy && now-monotonic.Micros(report.At) < reportLifetime {
+			recent = append(recent, report)
 		}
 	}
-	record.Reports = append(kept, &wire.TripReport{Proxy: ask.Proxy, Incarnation: ask.Incarnation, At: int64(now)})
-	active := map[string]bool{ask.Proxy: true}
-	for _, carrier := range ask.Active {
-		active[carrier] = true
+	record.Reports = append(recent, &wire.TripReport{Proxy: request.Proxy, Incarnation: request.Incarnation, At: int64(now)})
+	active := map[string]bool{request.Proxy: true}
+	for _, proxy := range request.Active {
+		active[proxy] = true
 	}
 	reporting := 0
 	for _, report := range record.Reports {
@@ -196,39 +196,39 @@
 		}
 	}
 	if reporting >= max((len(active)+1)/2, min(2, len(active))) {
-		enter(record, Open, now)
+		setState(record, Open, now)
 	}
 	return true
 }
 
 // tally counts a leased probe's outcome, once.
-func tally(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool {
-	if !takeBack(record, ask) {
+func recordProbe(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool {
+	if !removeProbe(record, request) {
 		return false
 	}
-	record.ProbeResults = append(record.ProbeResults, &wire.ProbeResult{Id: ask.Id, Success: ask.Success, Proxy: ask.Proxy})
+	record.ProbeResults = append(record.ProbeResults, &wire.ProbeResult{Id: request.Id, Success: request.Success, Proxy: request.Proxy})
 	if len(record.ProbeResults) >= int(max(1, record.Settings.Permitted)) {
 		record.RoundCompletedAt = int64(now)
 	}
 	return true
 }
 
-// giveBack returns a leased probe that told nothing of the service.
-func giveBack(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, _ monotonic.Micros) bool {
-	if !takeBack(record, ask) {
+// returnProbe returns a leased probe that told nothing of the service.
+func returnProbe(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, _ monotonic.Micros) bool {
+	if !removeProbe(record, request) {
 		return false
 	}
-	returned(record, ask.Proxy)
+	refundProbe(record, request.Proxy)
 	return true
 }
 
-// takeBack ends the tenure of a probe, if its holder asks.
-func takeBack(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest) bool {
+// removeProbe ends the tenure of a probe, if its holder asks.
+func removeProbe(record *wire.BreakerRecord, request *wire.BreakerWriteRequest) bool {
 	if record.State != HalfOpen {
 		return false
 	}
 	for index, probe := range record.ProbeLeases {
-		if probe.Id == ask.Id && probe.Proxy == ask.Proxy && probe.Incarnation == ask.Incarnation {
+		if probe.Id == request.Id && probe.Proxy == request.Proxy && probe.Incarnation == request.Incarnation {
 			record.ProbeLeases = append(record.ProbeLeases[:index:index], record.ProbeLeases[index+1:]...)
 			return true
 		}
@@ -237,193 +237,193 @@
 }
 
 // returned puts a carrier's slot back into the budget.
-func returned(record *wire.BreakerRecord, carrier string) {
+func refundProbe(record *wire.BreakerRecord, proxy string) {
 	record.Budget++
-	share(record, carrier).Returned++
+	shareOf(record, proxy).Returned++
 }
 
 // share finds what a carrier had of the round under way.
-func share(record *wire.BreakerRecord, carrier string) *wire.ProbeShare {
+func shareOf(record *wire.BreakerRecord, proxy string) *wire.ProbeShare {
 	for _, present := range record.Shares {
-		if present.Proxy == carrier {
+		if present.Proxy == proxy {
 			return present
 		}
 	}
-	fresh := &wire.ProbeShare{Proxy: carrier}
-	record.Shares = append(record.Shares, fresh)
-	return fresh
+	created := &wire.ProbeShare{Proxy: proxy}
+	record.Shares = append(record.Shares, created)
+	return created
 }
 
-func decide(record *wire.BreakerRecord, ask *wire.BreakerWriteRequest, now monotonic.Micros) bool {
-	if record.State != HalfOpen || record.RoundCompletedAt == 0 || (ask.Decision != Closed && ask.Decision != Open) {
+func decideRound(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool {
+	if record.State != HalfOpen || record.RoundCompletedAt == 0 || (request.Decision != Closed && request.Decision != Open) {
 		return false
 	}
-	enter(record, ask.Decision, now)
+	setState(record, request.Decision, now)
 	return true
 }
 
-// Judge applies the thresholds to a complete round. The last prober and the holder both use it. As with a trip, one carrier
+// JudgeRound applies the thresholds to a complete round. The last prober and the holder both use it. As with a trip, one carrier
 // alone doesn't open the record for others who took part and fared well.
-func Judge(record *wire.BreakerRecord) string {
-	failed := failures(record)
+func JudgeRound(record *wire.BreakerRecord) string {
+	failed := failedProbes(record)
 	if len(record.ProbeResults) == 0 {
 		return Open
 	}
-	if overRate(record) && len(carriersOf(failed)) >= min(2, len(carriersOf(record.ProbeResults))) {
+	if exceedsFailureRate(record) && len(proxiesOf(failed)) >= min(2, len(proxiesOf(record.ProbeResults))) {
 		return Open
 	}
 	return Closed
 }
 
-// overRate tells whether a round's failures reach the threshold, whoever saw them.
-func overRate(record *wire.BreakerRecord) bool {
-	return float64(len(failures(record))) >= record.Settings.FailureRate*float64(len(record.ProbeResults))
+// exceedsFailureRate tells whether a round's failures reach the threshold, whoever saw them.
+func exceedsFailureRate(record *wire.BreakerRecord) bool {
+	return float64(len(failedProbes(record))) >= record.Settings.FailureRate*float64(len(record.ProbeResults))
 }
 
-// Lease takes one probe out of the budget. Asking again with the same id gives the same probe, not another.
-func (table *Table) Lease(ask *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
-	table.touched++
-	record := table.records[ask.Service]
-	tell := &wire.ProbeLeaseResponse{}
+// LeaseProbe takes one probe out of the budget. Asking again with the same id gives the same probe, not another.
+func (t *Table) LeaseProbe(request *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
+	t.revision++
+	record := t.records[request.Service]
+	response := &wire.ProbeLeaseResponse{}
 	if record == nil {
-		return tell
+		return response
 	}
 	for _, probe := range record.ProbeLeases {
-		tell.Granted = tell.Granted || probe.Id == ask.Id
+		response.Granted = response.Granted || probe.Id == request.Id
 	}
-	if !tell.Granted && (mayLease(record, ask, now) || table.Broken == Greedy && record.State == HalfOpen && record.Budget > 0) {
+	if !response.Granted && (canLeaseProbe(record, request, now) || t.InjectedFault == FaultNoProbeShares && record.State == HalfOpen && record.Budget > 0) {
 		record.Budget--
-		share(record, ask.Proxy).Granted++
-		record.ProbeLeases = append(record.ProbeLeases, &wire.ProbeLease{Id: ask.Id, Proxy: ask.Proxy, Incarnation: ask.Incarnation,
+		shareOf(record, request.Proxy).Granted++
+		record.ProbeLeases = append(record.ProbeLeases, &wire.ProbeLease{Id: request.Id, Proxy: request.Proxy, Incarnation: request.Incarnation,
 			Until: int64(now) + record.Settings.ProbeLease})
-		touch(record, now)
-		tell.Granted = true
+		extendExpiry(record, now)
+		response.Granted = true
 	}
-	tell.Record = proto.Clone(record).(*wire.BreakerRecord)
-	return tell
+	response.Record = proto.Clone(record).(*wire.BreakerRecord)
+	return response
 }
 
-// Denied answers an ask for a probe that the present record can't grant, so that nothing has to be written for it. It gives
+// DeniedProbe answers an ask for a probe that the present record can't grant, so that nothing has to be written for it. It gives
 // nothing where one might be granted.
-func (table *Table) Denied(ask *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
-	record := table.records[ask.Service]
+func (t *Table) DeniedProbe(request *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
+	record := t.records[request.Service]
 	if record == nil {
 		return &wire.ProbeLeaseResponse{}
 	}
-	if mayLease(record, ask, now) || table.Broken == Greedy || slices.ContainsFunc(record.ProbeLeases, func(probe *wire.ProbeLease) bool { return probe.Id == ask.Id }) {
+	if canLeaseProbe(record, request, now) || t.InjectedFault == FaultNoProbeShares || slices.ContainsFunc(record.ProbeLeases, func(probe *wire.ProbeLease) bool { return probe.Id == request.Id }) {
 		return nil
 	}
 	return &wire.ProbeLeaseResponse{Record: proto.Clone(record).(*wire.BreakerRecord)}
 }
 
-// mayLease tells whether a carrier may have a probe. While others want entry too, it has a share of the round. What is left
+// canLeaseProbe tells whether a carrier may have a probe. While others want entry too, it has a share of the round. What is left
 // of others' shares goes, after a while, to those whose own probes told something; and if nobody ends the round, to all. Those
 // whose probes failed the round before let the others go first: what is true of the service the others will see too.
-func mayLease(record *wire.BreakerRecord, ask *wire.ProbeLeaseRequest, now monotonic.Micros) bool {
+func canLeaseProbe(record *wire.BreakerRecord, request *wire.ProbeLeaseRequest, now monotonic.Micros) bool {
 	if record.State != HalfOpen || record.Budget == 0 {
 		return false
 	}
-	active := map[string]bool{ask.Proxy: true}
-	for _, carrier := range ask.Active {
-		active[carrier] = true
+	active := map[string]bool{request.Proxy: true}
+	for _, proxy := range request.Active {
+		active[proxy] = true
 	}
-	age, wanting := int64(now)-record.EnteredAt, len(active)
-	if wanting == 1 || age >= 2*record.Settings.ProbeLease {
+	age, contenders := int64(now)-record.EnteredAt, len(active)
+	if contenders == 1 || age >= 2*record.Settings.ProbeLease {
 		return true
 	}
-	for _, carrier := range record.Suspects {
-		delete(active, carrier)
+	for _, proxy := range record.Suspects {
+		delete(active, proxy)
 	}
-	if slices.Contains(record.Suspects, ask.Proxy) && len(active) > 0 && age < record.Settings.ProbeLease {
+	if slices.Contains(record.Suspects, request.Proxy) && len(active) > 0 && age < record.Settings.ProbeLease {
 		return false
 	}
 	own := &wire.ProbeShare{}
 	for _, present := range record.Shares {
-		if present.Proxy == ask.Proxy {
+		if present.Proxy == request.Proxy {
 			own = present
 		}
 	}
-	part := (max(1, record.Settings.Permitted) + uint32(wanting) - 1) / uint32(wanting)
-	return own.Granted < part || own.Returned == 0 && age >= int64(leftOver)
+	quota := (max(1, record.Settings.Permitted) + uint32(contenders) - 1) / uint32(contenders)
+	return own.Granted < quota || own.Returned == 0 && age >= int64(unusedShareDelay)
 }
 
 // Sweep lets time do its part: waits end, probes whose tenure ran out or whose holder is gone go back, complete rounds
 // that nobody decided are decided, and untouched records expire.
-func (table *Table) Sweep(ended []*wire.MemberID, now monotonic.Micros) {
-	table.touched++
-	gone := map[string]uint64{}
+func (t *Table) Sweep(ended []*wire.MemberID, now monotonic.Micros) {
+	t.revision++
+	endedProxies := map[string]uint64{}
 	for _, holder := range ended {
-		gone[holder.Name] = holder.Incarnation
+		endedProxies[holder.Name] = holder.Incarnation
 	}
-	for _, service := range table.services() {
-		record := table.records[service]
-		sweeps := sweeps
-		if broken := brokenSweeps[table.Broken]; broken != nil {
-			sweeps = broken
+	for _, service := range t.services() {
+		record := t.records[service]
+		sweeps := defaultSweeps
+		if faulty := faultySweeps[t.InjectedFault]; faulty != nil {
+			sweeps = faulty
 		}
-		sweep(record, sweeps, gone, now)
-		if table.Broken == Leaky && record.State == HalfOpen && len(record.ProbeResults) > 0 && record.Budget > 0 {
+		sweepRecord(record, sweeps, endedProxies, now)
+		if t.InjectedFault == FaultLosesReturnedProbes && record.State == HalfOpen && len(record.ProbeResults) > 0 && record.Budget > 0 {
 			record.Budget--
 		}
 	}
 }
 
-type sweepTable map[string]func(record *wire.BreakerRecord, gone map[string]uint64, now monotonic.Micros)
+type sweepsByState map[string]func(record *wire.BreakerRecord, endedProxies map[string]uint64, now monotonic.Micros)
 
-// brokenSweeps are what rehearsals of the checkers put in place of sweeps.
-var brokenSweeps = map[string]sweepTable{
-	Hasty: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.BreakerRecord, _ map[string]uint64, now monotonic.Micros) {
+// faultySweeps are what rehearsals of the checkers put in place of sweeps.
+var faultySweeps = map[string]sweepsByState{
+	FaultSkipsTrial: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.BreakerRecord, _ map[string]uint64, now monotonic.Micros) {
 		if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
-			enter(record, Closed, now)
+			setState(record, Closed, now)
 		}
 	}},
-	Impatient: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.BreakerRecord, gone map[string]uint64, now monotonic.Micros) {
-		sweepOpen(record, gone, now+monotonic.Micros(record.Settings.WaitOpen*3/4))
+	FaultShortWait: {Closed: sweepClosed, HalfOpen: sweepHalfOpen, Open: func(record *wire.BreakerRecord, endedProxies map[string]uint64, now monotonic.Micros) {
+		sweepOpen(record, endedProxies, now+monotonic.Micros(record.Settings.WaitOpen*3/4))
 	}},
-	Clinging: {Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepClosed},
+	FaultKeepsProbes: {Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepClosed},
 }
 
-func sweep(record *wire.BreakerRecord, sweeps sweepTable, gone map[string]uint64, now monotonic.Micros) {
+func sweepRecord(record *wire.BreakerRecord, sweeps sweepsByState, endedProxies map[string]uint64, now monotonic.Micros) {
 	if record.Settings == nil {
 		return
 	}
 	reports := []*wire.TripReport{}
 	for _, report := range record.Reports {
-		if now-monotonic.Micros(report.At) < reportLife {
+		if now-monotonic.Micros(report.At) < reportLifetime {
 			reports = append(reports, report)
 		}
 	}
 	record.Reports = reports
 	if record.State != Closed && int64(now) >= record.ExpiresAt {
-		enter(record, Closed, now)
+		setState(record, Closed, now)
 		return
 	}
-	sweeps[record.State](record, gone, now)
+	sweeps[record.State](record, endedProxies, now)
 }
 
-var sweeps = sweepTable{Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepHalfOpen}
+var defaultSweeps = sweepsByState{Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepHalfOpen}
 
 func sweepClosed(*wire.BreakerRecord, map[string]uint64, monotonic.Micros) {}
 
 func sweepOpen(record *wire.BreakerRecord, _ map[string]uint64, now monotonic.Micros) {
 	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
-		enter(record, HalfOpen, now)
-		touch(record, now)
+		setState(record, HalfOpen, now)
+		extendExpiry(record, now)
 	}
 }
 
-func sweepHalfOpen(record *wire.BreakerRecord, gone map[string]uint64, now monotonic.Micros) {
-	held := []*wire.ProbeLease{}
+func sweepHalfOpen(record *wire.BreakerRecord, endedProxies map[string]uint64, now monotonic.Micros) {
+	remaining := []*wire.ProbeLease{}
 	for _, probe := range record.ProbeLeases {
-		if incarnation, ended := gone[probe.Proxy]; int64(now) >= probe.Until || (ended && incarnation == probe.Incarnation) {
-			returned(record, probe.Proxy)
+		if incarnation, ended := endedProxies[probe.Proxy]; int64(now) >= probe.Until || (ended && incarnation == probe.Incarnation) {
+			refundProbe(record, probe.Proxy)
 			continue
 		}
-		held = append(held, probe)
+		remaining = append(remaining, probe)
 	}
-	record.ProbeLeases = held
-	if record.RoundCompletedAt != 0 && int64(now)-record.RoundCompletedAt >= int64(decisionLife) {
-		enter(record, Judge(record), now)
-		touch(record, now)
+	record.ProbeLeases = remaining
+	if record.RoundCompletedAt != 0 && int64(now)-record.RoundCompletedAt >= int64(decisionTimeout) {
+		setState(record, JudgeRound(record), now)
+		extendExpiry(record, now)
 	}
 }
