--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -15,138 +15,138 @@
 	"snowflow/internal/transport/wire"
 )
 
-// SessionLife is how long a carrier stays a member without being heard.
-const SessionLife = 3 * monotonic.Second
+// SessionTimeout is how long a carrier stays a member without being heard.
+const SessionTimeout = 3 * monotonic.Second
 
-// keepEnded is how long an ended session is remembered, so that old hearsay doesn't bring it back.
-const keepEnded = 30 * monotonic.Second
+// endedSessionRetention is how long an ended session is remembered, so that old hearsay doesn't bring it back.
+const endedSessionRetention = 30 * monotonic.Second
 
 // Directory is one sorter's table of sessions.
 // Invariants: of two tellings of one incarnation the one with the higher beat stands; of two incarnations the one
 // heard last; shown has what carriers see of each session that stands, and its last change made the newest version.
 type Directory struct {
-	clock    monotonic.Clock
-	source   uint64
-	lock     sync.Mutex
-	sessions map[string]*entry
-	activity lately // whose calls ended
-	demand   lately // whose tries wanted entry
-	shown    *resource.Set
-	versions []version // the newest last; there is always one
-	forgot   uint64    // the versions before them
-	born     monotonic.Micros
+	clock           monotonic.Clock
+	source          uint64
+	lock            sync.Mutex
+	sessions        map[string]*sessionEntry
+	activity        recentActivity // whose calls ended
+	demand          recentActivity // whose tries wanted entry
+	published       *resource.Set
+	versions        []version // the newest last; there is always one
+	droppedVersions uint64    // the versions before them
+	createdAt       monotonic.Micros
 }
 
 // version is one change of what carriers are shown. Its serial is one more than the one's before it.
 type version struct {
-	carrier string // which came, changed or went
-	check   uint64 // of the whole since
+	proxy    string // which came, changed or went
+	checksum uint64 // of the whole since
 }
 
-// keptVersions bounds the versions that carriers are told changes from.
-const keptVersions = 4096
+// maxVersions bounds the versions that carriers are told changes from.
+const maxVersions = 4096
 
 // lately holds, by service, when a carrier last did something.
-type lately map[string]map[string]monotonic.Micros
+type recentActivity map[string]map[string]monotonic.Micros
 
-func (lately lately) note(service, carrier string, now monotonic.Micros) {
-	if lately[service] == nil {
-		lately[service] = map[string]monotonic.Micros{}
+func (a recentActivity) record(service, proxy string, now monotonic.Micros) {
+	if a[service] == nil {
+		a[service] = map[string]monotonic.Micros{}
 	}
-	lately[service][carrier] = now
+	a[service][proxy] = now
 }
 
-func (lately lately) list(service string, now monotonic.Micros) (carriers []string) {
-	for carrier, called := range lately[service] {
-		if now-called >= activeLife {
-			delete(lately[service], carrier)
+func (a recentActivity) activeProxies(service string, now monotonic.Micros) (proxies []string) {
+	for proxy, called := range a[service] {
+		if now-called >= activityWindow {
+			delete(a[service], proxy)
 			continue
 		}
-		carriers = append(carriers, carrier)
+		proxies = append(proxies, proxy)
 	}
-	sort.Strings(carriers)
-	return carriers
+	sort.Strings(proxies)
+	return proxies
 }
 
-type entry struct {
-	session *wire.Session
-	heard   monotonic.Micros
-	direct  bool
-	ended   bool
+type sessionEntry struct {
+	session   *wire.Session
+	lastHeard monotonic.Micros
+	direct    bool
+	ended     bool
 }
 
 // New makes a directory; source tells its serials from those of another life.
 func New(clock monotonic.Clock, source uint64) *Directory {
-	return &Directory{clock: clock, source: source, born: clock.Now(), sessions: map[string]*entry{}, activity: lately{}, demand: lately{},
-		shown: resource.Empty, versions: []version{{check: resource.Empty.Sum().Short()}}}
+	return &Directory{clock: clock, source: source, createdAt: clock.Now(), sessions: map[string]*sessionEntry{}, activity: recentActivity{}, demand: recentActivity{},
+		published: resource.Empty, versions: []version{{checksum: resource.Empty.Sum().Short()}}}
 }
 
-// Tell takes a session as heard age ago. It tells whether the session is new here.
-func (directory *Directory) Tell(session *wire.Session, direct bool) bool {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	heard := directory.clock.Now() - monotonic.Micros(session.Age)
-	present := directory.sessions[session.Proxy]
+// Observe takes a session as heard age ago. It tells whether the session is new here.
+func (d *Directory) Observe(session *wire.Session, direct bool) bool {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	heard := d.clock.Now() - monotonic.Micros(session.Age)
+	present := d.sessions[session.Proxy]
 	if present != nil {
 		same := present.session.Incarnation == session.Incarnation
-		if same && session.Heartbeat < present.session.Heartbeat || same && session.Heartbeat == present.session.Heartbeat && heard <= present.heard {
+		if same && session.Heartbeat < present.session.Heartbeat || same && session.Heartbeat == present.session.Heartbeat && heard <= present.lastHeard {
 			return false
 		}
-		if !same && heard <= present.heard {
+		if !same && heard <= present.lastHeard {
 			return false
 		}
 	}
-	fresh := present == nil || present.ended || present.session.Incarnation != session.Incarnation
-	kept := proto.Clone(session).(*wire.Session)
-	kept.Age = 0
-	updated := &entry{session: kept, heard: heard, direct: direct}
-	if directory.clock.Now()-heard >= SessionLife {
+	isNew := present == nil || present.ended || present.session.Incarnation != session.Incarnation
+	stored := proto.Clone(session).(*wire.Session)
+	stored.Age = 0
+	updated := &sessionEntry{session: stored, lastHeard: heard, direct: direct}
+	if d.clock.Now()-heard >= SessionTimeout {
 		updated.ended = true
 	}
-	directory.sessions[session.Proxy] = updated
-	directory.show(session.Proxy)
-	return fresh && !updated.ended
+	d.sessions[session.Proxy] = updated
+	d.publish(session.Proxy)
+	return isNew && !updated.ended
 }
 
 // show makes the next version, if carriers now see something else of one of them.
-func (directory *Directory) show(carrier string) {
-	former, present := directory.shown.Get(carrier), directory.sessions[carrier]
-	var put []*resource.Resource
-	var gone []string
-	size := directory.shown.Len()
-	switch stands := present != nil && !present.ended; {
-	case !stands && former == nil:
+func (d *Directory) publish(proxy string) {
+	previous, present := d.published.Get(proxy), d.sessions[proxy]
+	var changed []*resource.Resource
+	var removed []string
+	size := d.published.Len()
+	switch active := present != nil && !present.ended; {
+	case !active && previous == nil:
 		return
-	case !stands:
-		gone, size = []string{carrier}, size-1
+	case !active:
+		removed, size = []string{proxy}, size-1
 	default:
-		visible := shown(present.session)
-		if former != nil && proto.Equal(former.Message, visible) {
+		visible := publicSession(present.session)
+		if previous != nil && proto.Equal(previous.Message, visible) {
 			return
 		}
-		if former == nil {
+		if previous == nil {
 			size++
 		}
-		one, err := resource.New(carrier, visible)
+		changedResource, err := resource.New(proxy, visible)
 		if err != nil {
 			return // it came as a message, so it can be written as one
 		}
-		put = []*resource.Resource{one}
+		changed = []*resource.Resource{changedResource}
 	}
-	next, err := directory.shown.With(put, gone, size)
+	next, err := d.published.With(changed, removed, size)
 	if err != nil {
 		return // one resource comes, changes or goes, and is counted so
 	}
-	directory.shown = next
-	directory.versions = append(directory.versions, version{carrier: carrier, check: next.Sum().Short()})
-	if spare := len(directory.versions) - keptVersions; spare >= keptVersions/4 {
-		directory.versions = append([]version(nil), directory.versions[spare:]...)
-		directory.forgot += uint64(spare)
+	d.published = next
+	d.versions = append(d.versions, version{proxy: proxy, checksum: next.Sum().Short()})
+	if excess := len(d.versions) - maxVersions; excess >= maxVersions/4 {
+		d.versions = append([]version(nil), d.versions[excess:]...)
+		d.droppedVersions += uint64(excess)
 	}
 }
 
 // shown is the part of a session that carriers see.
-func shown(session *wire.Session) *wire.Session {
+func publicSession(session *wire.Session) *wire.Session {
 	visible := &wire.Session{Proxy: session.Proxy, Incarnation: session.Incarnation, Address: session.Address,
 		Domain: session.Domain, Leaving: session.Leaving}
 	for _, backend := range session.Backends {
@@ -156,144 +156,144 @@
 	return visible
 }
 
-// Forgive takes a span that didn't pass, or in which nobody could be heard, off every session's silence.
-func (directory *Directory) Forgive(span monotonic.Micros) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	now := directory.clock.Now()
-	for _, present := range directory.sessions {
+// ExtendSessions takes a span that didn't pass, or in which nobody could be heard, off every session's silence.
+func (d *Directory) ExtendSessions(duration monotonic.Micros) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	now := d.clock.Now()
+	for _, present := range d.sessions {
 		if !present.ended {
-			present.heard = min(now, present.heard+span)
+			present.lastHeard = min(now, present.lastHeard+duration)
 		}
 	}
 }
 
-// Expire ends sessions that were not heard, and lists them.
-func (directory *Directory) Expire() (ended []*wire.MemberID) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	now := directory.clock.Now()
-	for _, name := range directory.names() {
-		present := directory.sessions[name]
-		if !present.ended && now-present.heard >= SessionLife {
+// ExpireSessions ends sessions that were not heard, and lists them.
+func (d *Directory) ExpireSessions() (ended []*wire.MemberID) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	now := d.clock.Now()
+	for _, name := range d.names() {
+		present := d.sessions[name]
+		if !present.ended && now-present.lastHeard >= SessionTimeout {
 			present.ended = true
-			directory.show(name)
+			d.publish(name)
 			ended = append(ended, &wire.MemberID{Name: name, Incarnation: present.session.Incarnation})
 		}
-		if now-present.heard >= keepEnded {
-			delete(directory.sessions, name)
+		if now-present.lastHeard >= endedSessionRetention {
+			delete(d.sessions, name)
 		}
 	}
 	return ended
 }
 
-func (directory *Directory) names() []string { return slices.Sorted(maps.Keys(directory.sessions)) }
+func (d *Directory) names() []string { return slices.Sorted(maps.Keys(d.sessions)) }
 
-// Heard lists the sessions that carriers told this sorter themselves, for telling the other sorters.
-func (directory *Directory) Heard() (sessions []*wire.Session) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	now := directory.clock.Now()
-	for _, name := range directory.names() {
-		present := directory.sessions[name]
+// DirectSessions lists the sessions that carriers told this sorter themselves, for telling the other sorters.
+func (d *Directory) DirectSessions() (sessions []*wire.Session) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	now := d.clock.Now()
+	for _, name := range d.names() {
+		present := d.sessions[name]
 		if !present.direct || present.ended {
 			continue
 		}
-		told := proto.Clone(present.session).(*wire.Session)
-		told.Age = int64(now - present.heard)
-		sessions = append(sessions, told)
+		reported := proto.Clone(present.session).(*wire.Session)
+		reported.Age = int64(now - present.lastHeard)
+		sessions = append(sessions, reported)
 	}
 	return sessions
 }
 
 // Base is what a carrier says that it has.
 type Base struct {
-	Source, Serial uint64
-	Check          uint64 // of what it has; zero where it takes wholes only
-	Grown          bool   // it passes over what a directory younger than SessionLife shows
+	Source, Version uint64
+	Checksum        uint64 // of what it has; zero where it takes wholes only
+	SkipYoung       bool   // it passes over what a directory younger than SessionTimeout shows
 }
 
-// View is what a carrier is told of the directory.
+// Update is what a carrier is told of the directory.
 // Invariant: with Changed, the base's sessions without Gone and with Sessions in place of those of their names are the whole, whose digest
 // is Digest; without, Sessions are the whole.
-type View struct {
-	Source, Serial uint64
-	Same           bool // what the carrier has stays
-	Changed        bool
-	Sessions       []*wire.Session
-	Gone           []string
-	Digest         []byte
+type Update struct {
+	Source, Version uint64
+	Unchanged       bool // what the carrier has stays
+	Incremental     bool
+	Sessions        []*wire.Session
+	Removed         []string
+	Digest          []byte
 }
 
-// View tells a carrier what it hasn't: nothing, what changed since the version that it has, or everything where that version isn't known
+// Update tells a carrier what it hasn't: nothing, what changed since the version that it has, or everything where that version isn't known
 // here any more, isn't what it says it is, or is hardly shorter to mend than to tell anew.
-func (directory *Directory) View(base Base) View {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	newest := directory.forgot + uint64(len(directory.versions))
-	view := View{Source: directory.source, Serial: newest}
-	if base.Source != directory.source && base.Grown && directory.clock.Now()-directory.born < SessionLife {
-		view.Same = true
-		return view
+func (d *Directory) UpdateSince(base Base) Update {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	newest := d.droppedVersions + uint64(len(d.versions))
+	update := Update{Source: d.source, Version: newest}
+	if base.Source != d.source && base.SkipYoung && d.clock.Now()-d.createdAt < SessionTimeout {
+		update.Unchanged = true
+		return update
 	}
-	if base.Source == directory.source && base.Serial == newest && (base.Check == 0 || base.Check == directory.versions[len(directory.versions)-1].check) {
-		view.Same = true
-		return view
+	if base.Source == d.source && base.Version == newest && (base.Checksum == 0 || base.Checksum == d.versions[len(d.versions)-1].checksum) {
+		update.Unchanged = true
+		return update
 	}
-	view.Digest = directory.shown.Digest()
-	if from, known := directory.known(base); known {
-		altered := map[string]bool{}
-		for _, one := range directory.versions[from+1:] {
-			altered[one.carrier] = true
+	update.Digest = d.published.Digest()
+	if from, found := d.findVersion(base); found {
+		changedProxies := map[string]bool{}
+		for _, change := range d.versions[from+1:] {
+			changedProxies[change.proxy] = true
 		}
-		if view.Changed = len(altered) <= directory.shown.Len()/2; view.Changed {
-			for _, name := range slices.Sorted(maps.Keys(altered)) {
-				if present := directory.shown.Get(name); present != nil {
-					view.Sessions = append(view.Sessions, present.Message.(*wire.Session))
+		if update.Incremental = len(changedProxies) <= d.published.Len()/2; update.Incremental {
+			for _, name := range slices.Sorted(maps.Keys(changedProxies)) {
+				if present := d.published.Get(name); present != nil {
+					update.Sessions = append(update.Sessions, present.Message.(*wire.Session))
 				} else {
-					view.Gone = append(view.Gone, name)
+					update.Removed = append(update.Removed, name)
 				}
 			}
-			return view
+			return update
 		}
 	}
-	for _, present := range directory.shown.All() {
-		view.Sessions = append(view.Sessions, present.Message.(*wire.Session))
+	for _, present := range d.published.All() {
+		update.Sessions = append(update.Sessions, present.Message.(*wire.Session))
 	}
-	return view
+	return update
 }
 
 // known finds the version that a carrier has: by its serial if it's of this life, and else by its content, since another sorter, or an
 // earlier life of this one, may have shown the same.
-func (directory *Directory) known(base Base) (index int, known bool) {
-	if base.Check == 0 {
+func (d *Directory) findVersion(base Base) (index int, found bool) {
+	if base.Checksum == 0 {
 		return 0, false
 	}
-	if base.Source != directory.source {
-		for index = len(directory.versions) - 1; index >= 0; index-- {
-			if directory.versions[index].check == base.Check {
+	if base.Source != d.source {
+		for index = len(d.versions) - 1; index >= 0; index-- {
+			if d.versions[index].checksum == base.Checksum {
 				return index, true
 			}
 		}
 		return 0, false
 	}
-	if base.Serial <= directory.forgot || base.Serial > directory.forgot+uint64(len(directory.versions)) {
+	if base.Version <= d.droppedVersions || base.Version > d.droppedVersions+uint64(len(d.versions)) {
 		return 0, false
 	}
-	index = int(base.Serial - directory.forgot - 1)
-	return index, directory.versions[index].check == base.Check
+	index = int(base.Version - d.droppedVersions - 1)
+	return index, d.versions[index].checksum == base.Checksum
 }
 
 // Age is how long this directory has been told of sessions; it's above zero.
-func (directory *Directory) Age() monotonic.Micros {
-	return max(1, directory.clock.Now()-directory.born)
+func (d *Directory) Age() monotonic.Micros {
+	return max(1, d.clock.Now()-d.createdAt)
 }
 
-// Live counts the members.
-func (directory *Directory) Live() (count int) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	for _, present := range directory.sessions {
+// LiveCount counts the members.
+func (d *Directory) LiveCount() (count int) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	for _, present := range d.sessions {
 		if !present.ended && !present.session.Leaving {
 			count++
 		}
@@ -301,59 +301,59 @@
 	return count
 }
 
-// activeLife is how long a call keeps its carrier counted as active on a service.
-const activeLife = 10 * monotonic.Second
+// activityWindow is how long a call keeps its carrier counted as active on a service.
+const activityWindow = 10 * monotonic.Second
 
-// Called notes that a carrier called services, or wanted to.
-func (directory *Directory) Called(carrier string, services []*wire.Activity) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
+// RecordActivity notes that a carrier called services, or wanted to.
+func (d *Directory) RecordActivity(proxy string, services []*wire.Activity) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
 	for _, activity := range services {
-		directory.demand.note(activity.Service, carrier, directory.clock.Now())
+		d.demand.record(activity.Service, proxy, d.clock.Now())
 		if activity.Calls > 0 {
-			directory.activity.note(activity.Service, carrier, directory.clock.Now())
+			d.activity.record(activity.Service, proxy, d.clock.Now())
 		}
 	}
 }
 
-// Active lists the carriers that called a service lately.
-func (directory *Directory) Active(service string) (carriers []string) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	return directory.activity.list(service, directory.clock.Now())
+// ActiveProxies lists the carriers that called a service lately.
+func (d *Directory) ActiveProxies(service string) (proxies []string) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return d.activity.activeProxies(service, d.clock.Now())
 }
 
-// Demand lists the carriers that lately wanted entry to a service, let in or not.
-func (directory *Directory) Demand(service string) []string {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	return directory.demand.list(service, directory.clock.Now())
+// ProxiesWithDemand lists the carriers that lately wanted entry to a service, let in or not.
+func (d *Directory) ProxiesWithDemand(service string) []string {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	return d.demand.activeProxies(service, d.clock.Now())
 }
 
 // Members lists the carriers that are there and not leaving.
-func (directory *Directory) Members() (carriers []string) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	for _, name := range directory.names() {
-		if present := directory.sessions[name]; !present.ended && !present.session.Leaving {
-			carriers = append(carriers, name)
+func (d *Directory) Members() (proxies []string) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	for _, name := range d.names() {
+		if present := d.sessions[name]; !present.ended && !present.session.Leaving {
+			proxies = append(proxies, name)
 		}
 	}
-	return carriers
+	return proxies
 }
 
 // Sessions lists everything, for status.
-func (directory *Directory) Sessions() (sessions []*wire.Session) {
-	directory.lock.Lock()
-	defer directory.lock.Unlock()
-	for _, name := range directory.names() {
-		present := directory.sessions[name]
+func (d *Directory) Sessions() (sessions []*wire.Session) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	for _, name := range d.names() {
+		present := d.sessions[name]
 		if present.ended {
 			continue
 		}
-		told := proto.Clone(present.session).(*wire.Session)
-		told.Age = int64(directory.clock.Now() - present.heard)
-		sessions = append(sessions, told)
+		reported := proto.Clone(present.session).(*wire.Session)
+		reported.Age = int64(d.clock.Now() - present.lastHeard)
+		sessions = append(sessions, reported)
 	}
 	return sessions
 }
--- a/internal/registry/directory/directory_test.go
+++ b/internal/registry/directory/directory_test.go
@@ -10,25 +10,25 @@
 
 type clock struct{ now monotonic.Micros }
 
-func (clock *clock) Now() monotonic.Micros { return clock.now }
+func (c *clock) Now() monotonic.Micros { return c.now }
 
-// TestShownSlots: carriers hear of a backend's slots and whether it's warming up, but not of every beat of its warm-up.
-func TestShownSlots(t *testing.T) {
+// TestPublishedSlots: carriers hear of a backend's slots and whether it's warming up, but not of every beat of its warm-up.
+func TestPublishedSlots(t *testing.T) {
 	time := &clock{now: monotonic.Minute}
 	sessions := directory.New(time, 1)
-	serial, beat := uint64(0), uint64(0)
-	tell := func(slots uint32, warm int64, inFlight uint32) (backend *wire.Backend, changed bool) {
-		beat++
+	version, heartbeat := uint64(0), uint64(0)
+	observe := func(slots uint32, warmUp int64, inFlight uint32) (backend *wire.Backend, changed bool) {
+		heartbeat++
 		time.now += monotonic.Second
-		sessions.Tell(&wire.Session{Proxy: "one", Incarnation: 1, Heartbeat: beat, Backends: []*wire.Backend{{Service: "forms", Instance: "first", Condition: "alive", Slots: slots, SlowStart: warm, InFlight: inFlight}}}, true)
-		view := sessions.View(directory.Base{})
-		changed, serial = view.Serial != serial, view.Serial
-		return view.Sessions[0].Backends[0], changed
+		sessions.Observe(&wire.Session{Proxy: "one", Incarnation: 1, Heartbeat: heartbeat, Backends: []*wire.Backend{{Service: "forms", Instance: "first", Condition: "alive", Slots: slots, SlowStart: warmUp, InFlight: inFlight}}}, true)
+		update := sessions.UpdateSince(directory.Base{})
+		changed, version = update.Version != version, update.Version
+		return update.Sessions[0].Backends[0], changed
 	}
-	for _, row := range []struct {
-		what     string
+	for _, test := range []struct {
+		name     string
 		slots    uint32
-		warm     int64
+		warmUp   int64
 		inFlight uint32
 		changes  bool
 	}{
@@ -38,9 +38,9 @@
 		{"warm as before", 6, 0, 2, false},
 		{"other slots", 8, 0, 2, true},
 	} {
-		backend, changed := tell(row.slots, row.warm, row.inFlight)
-		if changed != row.changes || backend.Slots != row.slots || backend.SlowStart > 0 != (row.warm > 0) {
-			t.Errorf("%s: changed %v, shown %v", row.what, changed, backend)
+		backend, changed := observe(test.slots, test.warmUp, test.inFlight)
+		if changed != test.changes || backend.Slots != test.slots || backend.SlowStart > 0 != (test.warmUp > 0) {
+			t.Errorf("%s: changed %v, shown %v", test.name, changed, backend)
 		}
 	}
 }
--- /dev/null
+++ b/internal/registry/idempotency/idempotency_test.go
@@ -0,0 +1,188 @@
+package idempotency_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"google.golang.org/protobuf/encoding/protowire"
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/registry/idempotency"
+	"snowflow/internal/transport/wire"
+)
+
+// TestConfiguredLifetime: a claim is held for as long as its table's life, a restored one too.
+func TestConfiguredLifetime(t *testing.T) {
+	for _, lifetime := range []monotonic.Micros{idempotency.DefaultLifetime, 270 * monotonic.Second} {
+		table := idempotency.New()
+		table.Lifetime = lifetime
+		claim := func(attempt string, now monotonic.Micros) string {
+			return table.Claim(&wire.ClaimRequest{Scope: "one", Attempt: attempt, Proxy: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome
+		}
+		start := monotonic.Minute
+		if got := claim("first", start); got != idempotency.Granted {
+			t.Fatal(got)
+		}
+		restoreFromSnapshot(t, table)
+		table.Sweep(start + lifetime - 1)
+		if got := claim("second", start+lifetime-1); got != idempotency.Pending {
+			t.Errorf("life %d: %s before its end", lifetime, got)
+		}
+		table.Sweep(start + lifetime)
+		if got := claim("third", start+lifetime); got != idempotency.Granted {
+			t.Errorf("life %d: %s after its end", lifetime, got)
+		}
+	}
+}
+
+// restored takes a table through a view and back.
+func restoreFromSnapshot(t *testing.T, table *idempotency.Table) {
+	t.Helper()
+	if err := table.Restore(decodeContents(t, table.AppendSnapshot(nil, 2))); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// contents are the encoded claims of a view, in its order.
+func decodeContents(t *testing.T, snapshot []byte) (contents [][]byte) {
+	t.Helper()
+	for len(snapshot) > 0 {
+		_, _, tag := protowire.ConsumeTag(snapshot)
+		content, length := protowire.ConsumeBytes(snapshot[tag:])
+		if length < 0 {
+			t.Fatal(protowire.ParseError(length))
+		}
+		contents, snapshot = append(contents, content), snapshot[tag+length:]
+	}
+	return contents
+}
+
+// model is the table as plain as can be: records by scope, and a sweep that looks at each.
+type model struct {
+	lifetime monotonic.Micros
+	records  map[string]*wire.ClaimRecord
+}
+
+func (m *model) record(scope string, now monotonic.Micros) *wire.ClaimRecord {
+	if m.records[scope] == nil {
+		m.records[scope] = &wire.ClaimRecord{Scope: scope, State: "free"}
+	}
+	m.records[scope].Expires = int64(now + m.lifetime)
+	return m.records[scope]
+}
+
+// TestTableMatchesModel plays random commands to a table and to a model of it, with views taken and restored between, also ones whose
+// records stand in another order, as an earlier build gave them.
+func TestTableMatchesModel(t *testing.T) {
+	for seed := range uint64(40) {
+		random := rand.New(rand.NewPCG(seed, 1))
+		table, reference := idempotency.New(), &model{lifetime: 50, records: map[string]*wire.ClaimRecord{}}
+		table.Lifetime = reference.lifetime
+		now := monotonic.Micros(0)
+		for step := range 400 {
+			now += monotonic.Micros(random.IntN(4))
+			scope, attempt := fmt.Sprintf("key-%d", random.IntN(30)), fmt.Sprintf("try-%d", random.IntN(4))
+			present := reference.records[scope]
+			pending := present != nil && present.State == "held"
+			voided := present != nil && slices.Contains(present.Voided, attempt)
+			switch random.IntN(5) {
+			case 0, 1:
+				outcome := idempotency.Granted
+				switch {
+				case voided:
+					outcome = idempotency.Voided
+				case pending && present.Attempt != attempt:
+					outcome = idempotency.Pending
+				case !pending:
+					record := reference.record(scope, now)
+					record.State, record.Attempt, record.Proxy, record.Incarnation, record.Digest = "held", attempt, "c", 1, []byte("d")
+				}
+				if got := table.Claim(&wire.ClaimRequest{Scope: scope, Attempt: attempt, Proxy: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome; got != outcome {
+					t.Fatalf("seed %d, step %d: claim %s, not %s", seed, step, got, outcome)
+				}
+			case 2:
+				outcome := idempotency.Voided
+				if pending {
+					outcome = idempotency.Claimed
+					if present.Attempt != attempt && !voided {
+						present.Voided = append(present.Voided, attempt)
+					}
+				} else if record := reference.record(scope, now); !voided {
+					record.Voided = append(record.Voided, attempt)
+				}
+				if got := table.Void(&wire.VoidClaimRequest{Scope: scope, Attempt: attempt}, 1, now).Outcome; got != outcome {
+					t.Fatalf("seed %d, step %d: void %s, not %s", seed, step, got, outcome)
+				}
+			case 3:
+				done := pending && present.Attempt == attempt
+				if done {
+					record := reference.record(scope, now)
+					record.State, record.Attempt, record.Proxy, record.Incarnation, record.Digest = "free", "", "", 0, nil
+					record.Voided = append(record.Voided, attempt)
+				}
+				if got := table.Complete(&wire.CompleteClaimRequest{Scope: scope, Attempt: attempt}, now).Done; got != done {
+					t.Fatalf("seed %d, step %d: settled %v, not %v", seed, step, got, done)
+				}
+			case 4:
+				table.Sweep(now)
+				for scope, record := range reference.records {
+					if int64(now) >= record.Expires {
+						delete(reference.records, scope)
+					}
+				}
+			}
+			stored := decodeContents(t, table.AppendSnapshot(nil, 2))
+			size, ends := 0, int64(0)
+			for _, content := range stored {
+				record := &wire.ClaimRecord{}
+				if err := proto.Unmarshal(content, record); err != nil {
+					t.Fatal(err)
+				}
+				if !proto.Equal(record, reference.records[record.Scope]) || record.Expires < ends {
+					t.Fatalf("seed %d, step %d: kept %v after %d, not %v", seed, step, record, ends, reference.records[record.Scope])
+				}
+				size, ends = size+len(content), record.Expires
+			}
+			if len(stored) != len(reference.records) || table.Len() != len(stored) || table.EncodedSize() != size {
+				t.Fatalf("seed %d, step %d: %d records of %d bytes, told as %d of %d, not %d", seed, step, len(stored), size, table.Len(), table.EncodedSize(), len(reference.records))
+			}
+			if random.IntN(10) == 0 {
+				if random.IntN(2) == 0 {
+					random.Shuffle(len(stored), func(one, other int) { stored[one], stored[other] = stored[other], stored[one] })
+				}
+				if err := table.Restore(stored); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}
+	}
+}
+
+// TestRestoreRejectsInvalidRecords: what couldn't be decoded later, or names a scope twice, is refused, and the table stays as it was.
+func TestRestoreRejectsInvalidRecords(t *testing.T) {
+	encoded := func(record *wire.ClaimRecord) []byte {
+		content, err := proto.Marshal(record)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return content
+	}
+	valid := encoded(&wire.ClaimRecord{Scope: "one", State: "held", Attempt: "t", Fence: &wire.LeaderTimestamp{Epoch: 1, Time: 2}, Expires: 9})
+	fence := protowire.AppendBytes(protowire.AppendTag(nil, 9, protowire.BytesType), []byte{0xff})
+	text := protowire.AppendBytes(protowire.AppendTag(nil, 4, protowire.BytesType), []byte{0xff})
+	table := idempotency.New()
+	if err := table.Restore([][]byte{valid}); err != nil {
+		t.Fatal(err)
+	}
+	for name, contents := range map[string][][]byte{"cut short": {valid[:len(valid)-1]}, "a scope twice": {valid, valid}, "a spoilt fence": {fence}, "a text that is none": {text}, "no message": {{0xff}}} {
+		if table.Restore(contents) == nil {
+			t.Errorf("%s is taken", name)
+		}
+	}
+	if got := table.Claim(&wire.ClaimRequest{Scope: "one", Attempt: "other"}, 1).Outcome; table.Len() != 1 || got != idempotency.Pending {
+		t.Errorf("%d claims, and a second try is %s", table.Len(), got)
+	}
+}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -22,219 +22,221 @@
 const Group = "sorter"
 
 // Config is what a sorter is made of.
-type Env struct {
-	Place  host.Host
-	Book   *discovery.Book
-	Name   string
-	Voters []string // of a first start
+type Config struct {
+	Host     host.Host
+	Resolver *discovery.Resolver
+	Name     string
+	Voters   []string // of a first start
 	// Bootstrap tells that this process may take part in a first start.
-	Genesis bool
-	// ClaimLife is how long run-once claims are kept, claims.Life if left out. It's the same at every sorter.
-	ClaimLife monotonic.Micros
-	// Adjust lets tests and the simulator change the core's figures.
-	Adjust func(*replication.Config)
-	// Prepare lets rehearsals of the checkers change the replicated state's manner.
-	Prepare func(*statemachine.Machine)
+	Bootstrap bool
+	// ClaimLifetime is how long run-once claims are kept, claims.Life if left out. It's the same at every sorter.
+	ClaimLifetime monotonic.Micros
+	// ConfigureReplication lets tests and the simulator change the core's figures.
+	ConfigureReplication func(*replication.Config)
+	// ConfigureState lets rehearsals of the checkers change the replicated state's manner.
+	ConfigureState func(*statemachine.Machine)
 }
 
-// Sorter is one registry process.
-type Sorter struct {
-	env       Env
-	Member    *replication.Member
-	machine   *statemachine.Machine
-	directory *directory.Directory
-	shown     *breakerstore.Shown // the guards' records, as carriers are told them
-	led       atomic.Int64        // when this process last began to answer as primary
+// Registry is one registry process.
+type Registry struct {
+	config         Config
+	Member         *replication.Member
+	machine        *statemachine.Machine
+	directory      *directory.Directory
+	breakerChanges *breakerstore.ChangeTracker // the guards' records, as carriers are told them
+	primarySince   atomic.Int64                // when this process last began to answer as primary
 }
 
 // Open reads the disk.
-func Open(env Env) (*Sorter, error) {
-	source := env.Place.Random()
-	sorter := &Sorter{env: env, machine: statemachine.New(), directory: directory.New(env.Place, source), shown: breakerstore.NewShown(source | 1)}
-	if env.ClaimLife > 0 {
-		sorter.machine.Claims.Life = env.ClaimLife
+func Open(config Config) (*Registry, error) {
+	source := config.Host.Random()
+	registry := &Registry{config: config, machine: statemachine.New(), directory: directory.New(config.Host, source), breakerChanges: breakerstore.NewChangeTracker(source | 1)}
+	if config.ClaimLifetime > 0 {
+		registry.machine.Claims.Lifetime = config.ClaimLifetime
 	}
-	if env.Prepare != nil {
-		env.Prepare(sorter.machine)
+	if config.ConfigureState != nil {
+		config.ConfigureState(registry.machine)
 	}
-	core := replication.Config{Host: env.Place, Resolver: env.Book, Group: Group, Name: env.Name, InitialVoters: env.Voters, Bootstrap: env.Genesis, StateMachine: sorter.machine,
-		OnServing: func(uint64, monotonic.Micros) { sorter.led.Store(int64(env.Place.Now())) }}
-	if env.Adjust != nil {
-		env.Adjust(&core)
+	replicationConfig := replication.Config{Host: config.Host, Resolver: config.Resolver, Group: Group, Name: config.Name, InitialVoters: config.Voters, Bootstrap: config.Bootstrap, StateMachine: registry.machine,
+		OnServing: func(uint64, monotonic.Micros) { registry.primarySince.Store(int64(config.Host.Now())) }}
+	if config.ConfigureReplication != nil {
+		config.ConfigureReplication(&replicationConfig)
 	}
-	member, err := replication.Open(core)
-	sorter.Member = member
+	member, err := replication.Open(replicationConfig)
+	registry.Member = member
 	if err == nil {
-		member.ClockWatch.OnLeap(sorter.directory.Forgive)
+		member.ClockWatch.OnJump(registry.directory.ExtendSessions)
 	}
-	return sorter, err
+	return registry, err
 }
 
 // Start begins work.
-func (sorter *Sorter) Start() {
-	sorter.Member.Start()
-	sorter.env.Place.Go(sorter.gossip)
-	sorter.env.Place.Go(sorter.expire)
+func (r *Registry) Start() {
+	r.Member.Start()
+	r.config.Host.Go(r.exchangeSessions)
+	r.config.Host.Go(r.expireSessions)
 }
 
 // Register adds the sorter's handlers.
-func (sorter *Sorter) Register(table host.Table) {
-	sorter.Member.Register(table)
-	sorter.env.Book.OfferBatches()
-	host.Handle(table, wire.Kind_registry_poll, sorter.poll)
-	host.Handle(table, wire.Kind_registry_batch, sorter.batch)
-	host.Handle(table, wire.Kind_sessions, sorter.told)
-	host.Handle(table, wire.Kind_claim, func(ask *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-		if tell := sorter.granted(ask); tell != nil {
-			return tell, nil
+func (r *Registry) Register(handlers host.Handlers) {
+	r.Member.Register(handlers)
+	r.config.Resolver.AdvertiseBatches()
+	host.Handle(handlers, wire.Kind_registry_poll, r.handlePoll)
+	host.Handle(handlers, wire.Kind_registry_batch, r.handleBatch)
+	host.Handle(handlers, wire.Kind_sessions, r.handleSessions)
+	host.Handle(handlers, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+		if response := r.repeatedGrant(request); response != nil {
+			return response, nil
 		}
-		result, err := sorter.propose(&wire.RegistryCommand{Claim: ask})
+		result, err := r.propose(&wire.RegistryCommand{Claim: request})
 		return result.GetClaim(), err
 	})
-	host.Handle(table, wire.Kind_void_claim, func(ask *wire.VoidClaimRequest) (*wire.VoidClaimResponse, error) {
-		result, err := sorter.propose(&wire.RegistryCommand{Void: ask})
+	host.Handle(handlers, wire.Kind_void_claim, func(request *wire.VoidClaimRequest) (*wire.VoidClaimResponse, error) {
+		result, err := r.propose(&wire.RegistryCommand{Void: request})
 		return result.GetVoid(), err
 	})
-	host.Handle(table, wire.Kind_complete_claim, func(ask *wire.CompleteClaimRequest) (*wire.CompleteClaimResponse, error) {
-		result, err := sorter.propose(&wire.RegistryCommand{Complete: ask})
+	host.Handle(handlers, wire.Kind_complete_claim, func(request *wire.CompleteClaimRequest) (*wire.CompleteClaimResponse, error) {
+		result, err := r.propose(&wire.RegistryCommand{Complete: request})
 		return result.GetComplete(), err
 	})
-	host.Handle(table, wire.Kind_probe_lease, func(ask *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
-		ask.Active = sorter.wanting(ask.Service)
-		if tell := sorter.denied(ask); tell != nil {
-			return tell, nil
+	host.Handle(handlers, wire.Kind_probe_lease, func(request *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
+		request.Active = r.probeContenders(request.Service)
+		if response := r.deniedProbe(request); response != nil {
+			return response, nil
 		}
-		result, err := sorter.propose(&wire.RegistryCommand{ProbeLease: ask})
+		result, err := r.propose(&wire.RegistryCommand{ProbeLease: request})
 		return result.GetProbeLease(), err
 	})
-	host.Handle(table, wire.Kind_breaker_write, func(ask *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
-		ask.Active = sorter.directory.Active(ask.Service)
-		if ask.Verb == "trip" && len(ask.Active) < 2 && sorter.directory.Live() > 1 {
-			return sorter.lonely(ask), nil
+	host.Handle(handlers, wire.Kind_breaker_write, func(request *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
+		request.Active = r.directory.ActiveProxies(request.Service)
+		if request.Verb == "trip" && len(request.Active) < 2 && r.directory.LiveCount() > 1 {
+			return r.deferTripReport(request), nil
 		}
-		result, err := sorter.propose(&wire.RegistryCommand{Breaker: ask})
+		result, err := r.propose(&wire.RegistryCommand{Breaker: request})
 		return result.GetBreaker(), err
 	})
-	host.Handle(table, wire.Kind_singleton_lease, func(ask *wire.SingletonLeaseRequest) (*wire.SingletonLeaseResponse, error) {
-		result, err := sorter.propose(&wire.RegistryCommand{Singleton: ask})
+	host.Handle(handlers, wire.Kind_singleton_lease, func(request *wire.SingletonLeaseRequest) (*wire.SingletonLeaseResponse, error) {
+		result, err := r.propose(&wire.RegistryCommand{Singleton: request})
 		return result.GetSingleton(), err
 	})
-	host.Handle(table, wire.Kind_registry_status, func(*wire.StatusRequest) (*wire.StatusResponse, error) {
-		content, err := json.Marshal(sorter.Status())
+	host.Handle(handlers, wire.Kind_registry_status, func(*wire.StatusRequest) (*wire.StatusResponse, error) {
+		content, err := json.Marshal(r.Status())
 		return &wire.StatusResponse{Json: content}, err
 	})
 }
 
 // granted tells a carrier that asks again what it was granted before. Where disks are slow, an ask may outlast its
 // asker's patience; the next one must not wait for a sync of its own.
-func (sorter *Sorter) granted(ask *wire.ClaimRequest) (tell *wire.ClaimResponse) {
-	if !sorter.Member.Read(func(uint64, monotonic.Micros) { tell = sorter.machine.Claims.Granted(ask) }) {
+func (r *Registry) repeatedGrant(request *wire.ClaimRequest) (response *wire.ClaimResponse) {
+	if !r.Member.Read(func(uint64, monotonic.Micros) { response = r.machine.Claims.RepeatedGrant(request) }) {
 		return nil
 	}
-	return tell
+	return response
 }
 
-// heardAll is how long after its start as primary a sorter has heard from every carrier: a poll and a half.
-const heardAll = 1500 * monotonic.Millisecond
+// allProxiesPolled is how long after its start as primary a sorter has heard from every carrier: a poll and a half.
+const allProxiesPolled = 1500 * monotonic.Millisecond
 
 // wanting lists the carriers among which a round of probes is shared. A primary that has only just begun counts every
 // member, since it hasn't heard yet who calls what.
-func (sorter *Sorter) wanting(service string) []string {
-	carriers := sorter.directory.Demand(service)
-	if sorter.env.Place.Now()-monotonic.Micros(sorter.led.Load()) < heardAll {
-		carriers = append(carriers, sorter.directory.Members()...)
+func (r *Registry) probeContenders(service string) []string {
+	proxies := r.directory.ProxiesWithDemand(service)
+	if r.config.Host.Now()-monotonic.Micros(r.primarySince.Load()) < allProxiesPolled {
+		proxies = append(proxies, r.directory.Members()...)
 	}
-	return carriers
+	return proxies
 }
 
 // denied turns an ask for a probe down without a write, if the record as it stands can't grant one.
-func (sorter *Sorter) denied(ask *wire.ProbeLeaseRequest) (tell *wire.ProbeLeaseResponse) {
-	if !sorter.Member.Read(func(_ uint64, now monotonic.Micros) { tell = sorter.machine.Guards.Denied(ask, now) }) {
+func (r *Registry) deniedProbe(request *wire.ProbeLeaseRequest) (response *wire.ProbeLeaseResponse) {
+	if !r.Member.Read(func(_ uint64, now monotonic.Micros) { response = r.machine.Breakers.DeniedProbe(request, now) }) {
 		return nil
 	}
-	return tell
+	return response
 }
 
 // lonely handles a trip that comes before any other carrier was heard to call the service. Others may call it and not
 // have told so yet, so the report waits until they have polled. If this process dies meanwhile, the reporter's next
 // trip makes up for it.
-func (sorter *Sorter) lonely(ask *wire.BreakerWriteRequest) *wire.BreakerWriteResponse {
-	sorter.env.Place.Go(func() {
-		sorter.env.Place.Sleep(heardAll)
-		ask.Active = sorter.directory.Active(ask.Service)
-		_, _ = sorter.propose(&wire.RegistryCommand{Breaker: ask})
+func (r *Registry) deferTripReport(request *wire.BreakerWriteRequest) *wire.BreakerWriteResponse {
+	r.config.Host.Go(func() {
+		r.config.Host.Sleep(allProxiesPolled)
+		request.Active = r.directory.ActiveProxies(request.Service)
+		_, _ = r.propose(&wire.RegistryCommand{Breaker: request})
 	})
-	tell := &wire.BreakerWriteResponse{}
-	for _, record := range sorter.Guards() {
-		if record.Service == ask.Service {
-			tell.Record = record
+	response := &wire.BreakerWriteResponse{}
+	for _, record := range r.Breakers() {
+		if record.Service == request.Service {
+			response.Record = record
 		}
 	}
-	return tell
+	return response
 }
 
 // propose has a command replicated. An error is told to the asker as a refusal, which leaves the outcome open unless
 // it was not taken at all.
-func (sorter *Sorter) propose(command *wire.RegistryCommand) (*wire.RegistryResult, error) {
+func (r *Registry) propose(command *wire.RegistryCommand) (*wire.RegistryResult, error) {
 	result := &wire.RegistryResult{}
-	return result, sorter.Member.Submit(command, result)
+	return result, r.Member.Submit(command, result)
 }
 
 // poll takes a carrier's session and gives what it may have missed.
-func (sorter *Sorter) poll(ask *wire.RegistryPollRequest) (*wire.RegistryPollResponse, error) {
-	if ask.Session == nil || ask.Session.Proxy == "" {
+func (r *Registry) handlePoll(request *wire.RegistryPollRequest) (*wire.RegistryPollResponse, error) {
+	if request.Session == nil || request.Session.Proxy == "" {
 		return nil, apierror.Invalid.New("a poll without a session")
 	}
-	ask.Session.Age = 0
-	if sorter.directory.Tell(ask.Session, true) {
-		sorter.env.Place.Report(eventlog.SessionOpened, map[string]any{"carrier": ask.Session.Proxy, "incarnation": ask.Session.Incarnation})
+	request.Session.Age = 0
+	if r.directory.Observe(request.Session, true) {
+		r.config.Host.Report(eventlog.SessionOpened, map[string]any{"carrier": request.Session.Proxy, "incarnation": request.Session.Incarnation})
 	}
-	sorter.directory.Called(ask.Session.Proxy, ask.Activity)
-	tell := &wire.RegistryPollResponse{Proxies: uint32(sorter.directory.Live()), Primaries: sorter.env.Book.Primaries()}
-	view := sorter.directory.View(directory.Base{Source: ask.DirectorySource, Serial: ask.DirectoryVersion, Check: ask.DirectoryChecksum, Grown: ask.DirectoryComplete})
-	tell.DirectorySource, tell.DirectoryVersion, tell.DirectoryUnchanged = view.Source, view.Serial, view.Same
-	tell.Sessions, tell.DirectoryIsDelta, tell.DirectoryRemoved, tell.DirectoryDigest = view.Sessions, view.Changed, view.Gone, view.Digest
-	if view.Changed {
-		tell.DirectoryBaseSource, tell.DirectoryBaseVersion = ask.DirectorySource, ask.DirectoryVersion
+	r.directory.RecordActivity(request.Session.Proxy, request.Activity)
+	response := &wire.RegistryPollResponse{Proxies: uint32(r.directory.LiveCount()), Primaries: r.config.Resolver.Primaries()}
+	update := r.directory.UpdateSince(directory.Base{Source: request.DirectorySource, Version: request.DirectoryVersion, Checksum: request.DirectoryChecksum, SkipYoung: request.DirectoryComplete})
+	response.DirectorySource, response.DirectoryVersion, response.DirectoryUnchanged = update.Source, update.Version, update.Unchanged
+	response.Sessions, response.DirectoryIsDelta, response.DirectoryRemoved, response.DirectoryDigest = update.Sessions, update.Incremental, update.Removed, update.Digest
+	if update.Incremental {
+		response.DirectoryBaseSource, response.DirectoryBaseVersion = request.DirectorySource, request.DirectoryVersion
 	}
-	tell.DirectoryAge = int64(sorter.directory.Age())
-	tell.Primary = sorter.Member.Read(func(epoch uint64, now monotonic.Micros) {
-		tell.Epoch, tell.LeaderClock = epoch, int64(now)
-		sorter.shown.Look(sorter.machine.Guards)
+	response.DirectoryAge = int64(r.directory.Age())
+	response.Primary = r.Member.Read(func(epoch uint64, now monotonic.Micros) {
+		response.Epoch, response.LeaderClock = epoch, int64(now)
+		r.breakerChanges.Observe(r.machine.Breakers)
 	})
-	if tell.Primary {
-		change := sorter.shown.Since(ask.BreakersSource, ask.BreakersVersion)
-		tell.Breakers, tell.BreakersAreDelta, tell.BreakersSource, tell.BreakersVersion = change.Records, change.Changes, change.Source, change.Version
+	if response.Primary {
+		change := r.breakerChanges.Since(request.BreakersSource, request.BreakersVersion)
+		response.Breakers, response.BreakersAreDelta, response.BreakersSource, response.BreakersVersion = change.Records, change.Incremental, change.Source, change.Version
 	}
-	return tell, nil
+	return response, nil
 }
 
-// Shown is the directory as a carrier that has nothing is told it.
-func (sorter *Sorter) Shown() directory.View { return sorter.directory.View(directory.Base{}) }
+// DirectorySnapshot is the directory as a carrier that has nothing is told it.
+func (r *Registry) DirectorySnapshot() directory.Update {
+	return r.directory.UpdateSince(directory.Base{})
+}
 
-func (sorter *Sorter) told(ask *wire.SessionsRequest) (*wire.SessionsResponse, error) {
-	for _, session := range ask.Sessions {
-		sorter.directory.Tell(session, false)
+func (r *Registry) handleSessions(request *wire.SessionsRequest) (*wire.SessionsResponse, error) {
+	for _, session := range request.Sessions {
+		r.directory.Observe(session, false)
 	}
-	return &wire.SessionsResponse{Sessions: sorter.directory.Heard()}, nil
+	return &wire.SessionsResponse{Sessions: r.directory.DirectSessions()}, nil
 }
 
 // gossip tells the other sorters the sessions that were opened here.
-func (sorter *Sorter) gossip() {
+func (r *Registry) exchangeSessions() {
 	for {
-		sorter.env.Place.Sleep(500 * monotonic.Millisecond)
-		for _, name := range sorter.Member.Voters() {
-			if name == sorter.env.Name {
+		r.config.Host.Sleep(500 * monotonic.Millisecond)
+		for _, name := range r.Member.Voters() {
+			if name == r.config.Name {
 				continue
 			}
-			sorter.env.Place.Go(func() {
-				tell := &wire.SessionsResponse{}
-				ask := &wire.SessionsRequest{From: sorter.env.Name, Sessions: sorter.directory.Heard()}
-				if sorter.env.Book.Call(name, wire.Kind_sessions, ask, tell, 500*monotonic.Millisecond) != nil {
+			r.config.Host.Go(func() {
+				response := &wire.SessionsResponse{}
+				request := &wire.SessionsRequest{From: r.config.Name, Sessions: r.directory.DirectSessions()}
+				if r.config.Resolver.Call(name, wire.Kind_sessions, request, response, 500*monotonic.Millisecond) != nil {
 					return
 				}
-				for _, session := range tell.Sessions {
-					sorter.directory.Tell(session, false)
+				for _, session := range response.Sessions {
+					r.directory.Observe(session, false)
 				}
 			})
 		}
@@ -242,28 +244,28 @@
 }
 
 // expire ends silent sessions; the primary gives their probes back.
-func (sorter *Sorter) expire() {
+func (r *Registry) expireSessions() {
 	for {
-		sorter.env.Place.Sleep(250 * monotonic.Millisecond)
-		if !sorter.Member.ClockWatch.Steady() {
+		r.config.Host.Sleep(250 * monotonic.Millisecond)
+		if !r.Member.ClockWatch.Steady() {
 			continue // nobody is silent only because this clock leapt
 		}
-		ended := sorter.directory.Expire()
+		ended := r.directory.ExpireSessions()
 		for _, holder := range ended {
-			sorter.env.Place.Report(eventlog.SessionEnded, map[string]any{"carrier": holder.Name, "incarnation": holder.Incarnation})
+			r.config.Host.Report(eventlog.SessionEnded, map[string]any{"carrier": holder.Name, "incarnation": holder.Incarnation})
 		}
-		if len(ended) > 0 && sorter.Member.Serving() {
-			sorter.env.Place.Go(func() {
+		if len(ended) > 0 && r.Member.Serving() {
+			r.config.Host.Go(func() {
 				// Best effort: what isn't given back here goes back when its tenure ends.
-				_, _ = sorter.propose(&wire.RegistryCommand{Tick: &wire.Tick{EndedSessions: ended}})
+				_, _ = r.propose(&wire.RegistryCommand{Tick: &wire.Tick{EndedSessions: ended}})
 			})
 		}
 	}
 }
 
 // Breakers gives the shared records while this sorter answers, or nothing.
-func (sorter *Sorter) Guards() (records []*wire.BreakerRecord) {
-	if !sorter.Member.Read(func(uint64, monotonic.Micros) { records = sorter.machine.Guards.Records() }) {
+func (r *Registry) Breakers() (records []*wire.BreakerRecord) {
+	if !r.Member.Read(func(uint64, monotonic.Micros) { records = r.machine.Breakers.Records() }) {
 		return nil
 	}
 	return records
@@ -271,20 +273,20 @@
 
 // Status is what operators are shown of a sorter.
 type Status struct {
-	Core     replication.Status           `json:"core"`
-	Carriers []*wire.Session              `json:"carriers"`
-	Guards   []*wire.BreakerRecord        `json:"guards,omitempty"`
-	Claims   int                          `json:"claims"`
-	Duties   []*wire.SingletonLeaseRecord `json:"duties,omitempty"`
-	Now      int64                        `json:"holder_time"`
+	Replication replication.Status           `json:"core"`
+	Proxies     []*wire.Session              `json:"carriers"`
+	Breakers    []*wire.BreakerRecord        `json:"guards,omitempty"`
+	Claims      int                          `json:"claims"`
+	Leases      []*wire.SingletonLeaseRecord `json:"duties,omitempty"`
+	LeaderTime  int64                        `json:"holder_time"`
 }
 
 // Status tells how this sorter stands.
-func (sorter *Sorter) Status() Status {
-	status := Status{Core: sorter.Member.Status(), Carriers: sorter.directory.Sessions()}
-	sorter.Member.Read(func(_ uint64, now monotonic.Micros) {
-		status.Guards, status.Claims, status.Duties = sorter.machine.Guards.Records(), sorter.machine.Claims.Length(), sorter.machine.Duties.Records()
-		status.Now = int64(now)
+func (r *Registry) Status() Status {
+	status := Status{Replication: r.Member.Status(), Proxies: r.directory.Sessions()}
+	r.Member.Read(func(_ uint64, now monotonic.Micros) {
+		status.Breakers, status.Claims, status.Leases = r.machine.Breakers.Records(), r.machine.Claims.Len(), r.machine.Leases.Records()
+		status.LeaderTime = int64(now)
 	})
 	return status
 }
--- a/internal/registry/statemachine/bench_test.go
+++ b/internal/registry/statemachine/bench_test.go
@@ -12,16 +12,16 @@
 )
 
 // full is a machine with as many claims as half a minute of a busy day leaves.
-func full(count int) *Machine {
-	made := New()
+func machineWithClaims(count int) *Machine {
+	machine := New()
 	for index := range count {
-		content, _ := proto.Marshal(&wire.RegistryCommand{Claim: claimOf(index)})
-		made.Apply(3, monotonic.Micros(index)*1500, content)
+		content, _ := proto.Marshal(&wire.RegistryCommand{Claim: claimRequest(index)})
+		machine.Apply(3, monotonic.Micros(index)*1500, content)
 	}
-	return made
+	return machine
 }
 
-func claimOf(index int) *wire.ClaimRequest {
+func claimRequest(index int) *wire.ClaimRequest {
 	return &wire.ClaimRequest{Scope: fmt.Sprintf("k-%016x", uint64(index)*0x9e3779b97f4a7c15), Digest: make([]byte, 32), Attempt: fmt.Sprintf("sidecar-fsd-a-%d-%016x", index%73, uint64(index)*0x2545F4914F6CDD1D),
 		Proxy: fmt.Sprintf("sidecar-fsd-a-%d", index%30), Incarnation: uint64(index%30+1) << 60, ReadAt: &wire.LeaderTimestamp{Epoch: 3, Time: int64(index) * 1500}}
 }
@@ -29,46 +29,46 @@
 // TestRestoreLeavesClaimsEncoded: a copy that is brought into step must not take each claim apart; on a core machine with a sixth of a
 // processor that alone took longer than a silent backup is waited for.
 func TestRestoreLeavesClaimsEncoded(t *testing.T) {
-	const claims = 2000
-	view := full(claims).Snapshot()
+	const claimCount = 2000
+	snapshot := machineWithClaims(claimCount).Snapshot()
 	machine := New()
-	if allocations := testing.AllocsPerRun(3, func() { _ = machine.Restore(view) }); allocations > 1.5*claims {
-		t.Errorf("%v allocations for %d claims", allocations, claims)
+	if allocations := testing.AllocsPerRun(3, func() { _ = machine.Restore(snapshot) }); allocations > 1.5*claimCount {
+		t.Errorf("%v allocations for %d claims", allocations, claimCount)
 	}
-	if again := machine.Snapshot(); !bytes.Equal(again, view) {
-		t.Errorf("a view of %d bytes came back as another of %d", len(view), len(again))
+	if restored := machine.Snapshot(); !bytes.Equal(restored, snapshot) {
+		t.Errorf("a view of %d bytes came back as another of %d", len(snapshot), len(restored))
 	}
 }
 
-func BenchmarkView(b *testing.B) {
-	made := full(18000)
+func BenchmarkSnapshot(b *testing.B) {
+	machine := machineWithClaims(18000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		b.SetBytes(int64(len(made.Snapshot())))
+		b.SetBytes(int64(len(machine.Snapshot())))
 	}
 }
 
 func BenchmarkRestore(b *testing.B) {
-	view := full(18000).Snapshot()
+	snapshot := machineWithClaims(18000).Snapshot()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if err := New().Restore(view); err != nil {
+		if err := New().Restore(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 func BenchmarkApply(b *testing.B) {
-	made := New()
+	machine := New()
 	contents := make([][]byte, b.N)
 	for index := range contents {
-		contents[index], _ = proto.Marshal(&wire.RegistryCommand{Claim: claimOf(index)})
+		contents[index], _ = proto.Marshal(&wire.RegistryCommand{Claim: claimRequest(index)})
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for index, content := range contents {
-		made.Apply(3, monotonic.Micros(index), content)
+		machine.Apply(3, monotonic.Micros(index), content)
 	}
 }
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -12,37 +12,37 @@
 	"snowflow/internal/transport/wire"
 )
 
-// sweepEvery is how far holder time moves between two sweeps. Sweeps happen inside Apply, so both copies make the same.
-const sweepEvery = 250 * monotonic.Millisecond
+// sweepInterval is how far holder time moves between two sweeps. Sweeps happen inside Apply, so both copies make the same.
+const sweepInterval = 250 * monotonic.Millisecond
 
 // Machine is the machine. Invariant: it changes only in Apply and Restore, and only by what they are given.
 type Machine struct {
-	Guards *breakerstore.Table
-	Claims *idempotency.Table
-	Duties *leases.Table
-	swept  monotonic.Micros
+	Breakers  *breakerstore.Table
+	Claims    *idempotency.Table
+	Leases    *leases.Table
+	lastSweep monotonic.Micros
 }
 
 // New makes an empty machine.
 func New() *Machine {
-	return &Machine{Guards: breakerstore.New(), Claims: idempotency.New(), Duties: leases.New()}
+	return &Machine{Breakers: breakerstore.New(), Claims: idempotency.New(), Leases: leases.New()}
 }
 
 // Apply carries out a command. An empty command is a tick.
-func (machine *Machine) Apply(epoch uint64, now monotonic.Micros, content []byte) []byte {
+func (m *Machine) Apply(epoch uint64, now monotonic.Micros, content []byte) []byte {
 	command := &wire.RegistryCommand{}
 	if err := proto.Unmarshal(content, command); err != nil {
 		return nil
 	}
-	if ended := command.GetTick().GetEndedSessions(); now-machine.swept >= sweepEvery || len(ended) > 0 {
-		machine.swept = now
-		machine.Guards.Sweep(ended, now)
-		machine.Claims.Sweep(now)
-		machine.Duties.Sweep(now)
+	if ended := command.GetTick().GetEndedSessions(); now-m.lastSweep >= sweepInterval || len(ended) > 0 {
+		m.lastSweep = now
+		m.Breakers.Sweep(ended, now)
+		m.Claims.Sweep(now)
+		m.Leases.Sweep(now)
 	}
 	result := &wire.RegistryResult{}
 	for _, step := range steps {
-		step(machine, epoch, now, command, result)
+		step(m, epoch, now, command, result)
 	}
 	encoded, err := proto.Marshal(result)
 	if err != nil {
@@ -65,22 +65,22 @@
 	},
 	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
 		if command.Complete != nil {
-			result.Complete = machine.Claims.Settle(command.Complete, now)
+			result.Complete = machine.Claims.Complete(command.Complete, now)
 		}
 	},
 	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
 		if command.ProbeLease != nil {
-			result.ProbeLease = machine.Guards.Lease(command.ProbeLease, now)
+			result.ProbeLease = machine.Breakers.LeaseProbe(command.ProbeLease, now)
 		}
 	},
 	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
 		if command.Breaker != nil {
-			result.Breaker = machine.Guards.Write(command.Breaker, now)
+			result.Breaker = machine.Breakers.Write(command.Breaker, now)
 		}
 	},
 	func(machine *Machine, _ uint64, now monotonic.Micros, command *wire.RegistryCommand, result *wire.RegistryResult) {
 		if command.Singleton != nil {
-			result.Singleton = machine.Duties.Ask(command.Singleton, now)
+			result.Singleton = machine.Leases.Acquire(command.Singleton, now)
 		}
 	},
 }
@@ -90,55 +90,55 @@
 
 // Snapshot gives the whole state.
 func (machine *Machine) Snapshot() []byte {
-	rest := &wire.RegistrySnapshot{Breakers: machine.Guards.Records(), Singletons: machine.Duties.Records(), SweptAt: int64(machine.swept)}
+	rest := &wire.RegistrySnapshot{Breakers: machine.Breakers.Records(), Singletons: machine.Leases.Records(), SweptAt: int64(machine.lastSweep)}
 	options := proto.MarshalOptions{}
-	room := options.Size(rest) + machine.Claims.Size() + machine.Claims.Length()*(protowire.SizeTag(claimsField)+protowire.SizeVarint(1<<20))
+	room := options.Size(rest) + machine.Claims.EncodedSize() + machine.Claims.Len()*(protowire.SizeTag(claimsField)+protowire.SizeVarint(1<<20))
 	content, err := options.MarshalAppend(make([]byte, 0, room), rest)
 	if err != nil {
 		panic(err) // the state is made of messages that were decoded or built here
 	}
-	return machine.Claims.AppendView(content, claimsField)
+	return machine.Claims.AppendSnapshot(content, claimsField)
 }
 
 // Restore replaces the state; nothing restores the empty one. The content is kept, not copied.
-func (machine *Machine) Restore(content []byte) error {
-	claims, rest, err := apart(content)
+func (m *Machine) Restore(content []byte) error {
+	claimRecords, others, err := splitSnapshot(content)
 	if err != nil {
 		return err
 	}
-	view := &wire.RegistrySnapshot{}
-	if err := proto.Unmarshal(rest, view); err != nil {
+	snapshot := &wire.RegistrySnapshot{}
+	if err := proto.Unmarshal(others, snapshot); err != nil {
 		return err
 	}
-	if err := machine.Claims.Restore(claims); err != nil {
+	if err := m.Claims.Restore(claimRecords); err != nil {
 		return err
 	}
-	machine.Guards.Restore(view.Breakers)
-	machine.Duties.Restore(view.Singletons)
-	machine.swept = monotonic.Micros(view.SweptAt)
+	m.Breakers.Restore(snapshot.Breakers)
+	m.Leases.Restore(snapshot.Singletons)
+	m.lastSweep = monotonic.Micros(snapshot.SweptAt)
 	return nil
 }
 
 // apart takes a view's encoded claims out of it.
-func apart(view []byte) (claims [][]byte, rest []byte, err error) {
-	for len(view) > 0 {
-		number, kind, length := protowire.ConsumeField(view)
+func splitSnapshot(snapshot []byte) (claimRecords [][]byte, others []byte, err error) {
+	for len(snapshot) > 0 {
+		number, kind, length := protowire.ConsumeField(snapshot)
 		if length < 0 {
 			return nil, nil, protowire.ParseError(length)
 		}
 		if number == claimsField && kind == protowire.BytesType {
-			_, _, tag := protowire.ConsumeTag(view)
-			claim, _ := protowire.ConsumeBytes(view[tag:])
-			claims = append(claims, claim)
+			_, _, tag := protowire.ConsumeTag(snapshot)
+			claim, _ := protowire.ConsumeBytes(snapshot[tag:])
+			claimRecords = append(claimRecords, claim)
 		} else {
-			rest = append(rest, view[:length]...)
+			others = append(others, snapshot[:length]...)
 		}
-		view = view[length:]
+		snapshot = snapshot[length:]
 	}
-	return claims, rest, nil
+	return claimRecords, others, nil
 }
 
 // HasTimers tells whether time matters.
 func (machine *Machine) HasTimers() bool {
-	return machine.Guards.Waiting() || machine.Claims.Length() > 0 || len(machine.Duties.Records()) > 0
+	return machine.Breakers.Waiting() || machine.Claims.Len() > 0 || len(machine.Leases.Records()) > 0
 }
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -13,20 +13,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestRack keeps transcripts of commands to the sorters' replicated state. Each line is one command at a second of holder
+// TestTranscripts keeps transcripts of commands to the sorters' replicated state. Each line is one command at a second of holder
 // time; after every one the state is taken through a view and back, as a failover would.
-func TestRack(t *testing.T) {
+func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		state := statemachine.New()
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			var text strings.Builder
 			for _, line := range strings.Split(strings.TrimSpace(data.Input), "\n") {
-				fmt.Fprintf(&text, "%s\n", play(t, state, strings.Fields(line)))
-				again := statemachine.New()
-				if err := again.Restore(state.Snapshot()); err != nil {
+				fmt.Fprintf(&text, "%s\n", applyLine(t, state, strings.Fields(line)))
+				restored := statemachine.New()
+				if err := restored.Restore(state.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				state = again
+				state = restored
 			}
 			return text.String()
 		})
@@ -36,7 +36,7 @@
 var terms = &wire.BreakerSettings{WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeLease: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second)}
 
 // play carries out "SECOND VERB ARGUMENTS...".
-func play(t *testing.T, state *statemachine.Machine, words []string) (text string) {
+func applyLine(t *testing.T, state *statemachine.Machine, words []string) (text string) {
 	var second float64
 	if _, err := fmt.Sscan(words[0], &second); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	case "lease": // carrier id active...
 		command.ProbeLease = &wire.ProbeLeaseRequest{Service: "forms", Proxy: words[2], Id: words[3], Active: words[4:]}
 		// A primary that turns an ask down without a write must not turn down what the write would grant, nor the reverse.
-		denied := state.Guards.Denied(command.ProbeLease, monotonic.Micros(second*1e6))
+		denied := state.Breakers.DeniedProbe(command.ProbeLease, monotonic.Micros(second*1e6))
 		defer func() {
 			if granted := strings.Contains(text, "granted true"); granted == (denied != nil) {
 				t.Errorf("%v: granted %v, denied beforehand %v", words, granted, denied != nil)
@@ -107,7 +107,7 @@
 	if result.Breaker != nil {
 		text += fmt.Sprintf(" applied %v", result.Breaker.Applied)
 	}
-	for _, record := range state.Guards.Records() {
+	for _, record := range state.Breakers.Records() {
 		text += fmt.Sprintf("; %s, serial %d, budget %d, out %d, tallied %d, reports %d", record.State, record.Version, record.Budget, len(record.ProbeLeases), len(record.ProbeResults), len(record.Reports))
 	}
 	return text
--- a/internal/rehearse/hollow/crowd.go
+++ b/internal/rehearse/hollow/crowd.go
@@ -34,19 +34,19 @@
 	settings Settings
 	lock     sync.Mutex
 	members  []*member
-	past     map[wire.Kind]machine.Tally // of lives that ended
+	past     map[wire.Kind]machine.MessageCount // of lives that ended
 }
 
 type member struct {
 	life    *life
 	name    string
 	carrier *proxy.Carrier
-	book    *discovery.Book
+	book    *discovery.Resolver
 }
 
 // NewCrowd makes a crowd that isn't there yet.
 func NewCrowd(settings Settings) *Crowd {
-	return &Crowd{settings: settings, past: map[wire.Kind]machine.Tally{}}
+	return &Crowd{settings: settings, past: map[wire.Kind]machine.MessageCount{}}
 }
 
 // Arrive starts every carrier anew, each so long after the one before; all at once for zero.
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	place.Go(func() { book.Roam(monotonic.Second) })
+	place.Go(func() { book.Run(monotonic.Second) })
 	place.Go(func() {
 		for {
 			place.Sleep(localbackends.BeatEvery)
@@ -154,13 +154,13 @@
 	return last, missing
 }
 
-// Kinds tells what all carriers have exchanged by kind, in all their lives.
-func (crowd *Crowd) Kinds() map[wire.Kind]machine.Tally {
+// MessageCounts tells what all carriers have exchanged by kind, in all their lives.
+func (crowd *Crowd) Kinds() map[wire.Kind]machine.MessageCount {
 	crowd.lock.Lock()
 	defer crowd.lock.Unlock()
 	totals := maps.Clone(crowd.past)
 	for _, present := range crowd.members {
-		add(totals, present.life.Kinds())
+		add(totals, present.life.MessageCounts())
 	}
 	return totals
 }
@@ -190,7 +190,7 @@
 func (crowd *Crowd) Restart(index int) error {
 	old := crowd.present()[index]
 	old.life.end()
-	totals := old.life.Kinds()
+	totals := old.life.MessageCounts()
 	fresh, err := crowd.start(index)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 	return nil
 }
 
-func add(totals, more map[wire.Kind]machine.Tally) {
+func add(totals, more map[wire.Kind]machine.MessageCount) {
 	for kind, counted := range more {
 		total := totals[kind]
 		total.Sent, total.SentBytes = total.Sent+counted.Sent, total.SentBytes+counted.SentBytes
--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -36,8 +36,8 @@
 // TestAdoptionsAreNoted: when a serial was adopted is known, and of nothing else.
 func TestAdoptionsAreNoted(t *testing.T) {
 	place := newLife()
-	place.Report(eventlog.DesiredAdopted, map[string]any{"serial": uint64(3)})
-	place.Report(eventlog.ClockStepped, map[string]any{"serial": uint64(4)})
+	place.Report(eventlog.ConfigAdopted, map[string]any{"serial": uint64(3)})
+	place.Report(eventlog.ClockSteppedBack, map[string]any{"serial": uint64(4)})
 	if _, known := place.when(3); !known {
 		t.Error("an adoption isn't known")
 	}
--- a/internal/rehearse/hollow/life.go
+++ b/internal/rehearse/hollow/life.go
@@ -69,7 +69,7 @@
 
 // Report notes when a desired state was adopted. Nothing else is kept: thousands of carriers share one log.
 func (life *life) Report(number int, fields map[string]any) {
-	if number != eventlog.DesiredAdopted {
+	if number != eventlog.ConfigAdopted {
 		return
 	}
 	serial, _ := fields["serial"].(uint64)
@@ -83,7 +83,7 @@
 
 func (life *life) end() {
 	if life.over.CompareAndSwap(false, true) {
-		life.HangUp()
+		life.CloseConnections()
 	}
 }
 
--- a/internal/rehearse/scenario/faults.go
+++ b/internal/rehearse/scenario/faults.go
@@ -160,7 +160,7 @@
 			stage.Say("%s finds a byte of its records damaged", victim.Name)
 			stage.restart(victim, 2*time.Second)
 			stage.Wait(stage.part(0.2))
-			told, err := stage.logged(victim, eventlog.DiskDamaged)
+			told, err := stage.logged(victim, eventlog.DiskCorrupted)
 			if err != nil || !told {
 				return fmt.Errorf("%s didn't tell that it discarded its damaged copy: %v", victim.Name, err)
 			}
--- a/internal/rehearse/scenario/guards.go
+++ b/internal/rehearse/scenario/guards.go
@@ -21,10 +21,10 @@
 	for cutoff := time.Now().Add(guardPatience); time.Now().Before(cutoff); time.Sleep(50 * time.Millisecond) {
 		for _, process := range stage.Fleet.Sorters {
 			var status registry.Status
-			if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Core.Serving {
+			if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Replication.Serving {
 				continue
 			}
-			for _, record := range status.Guards {
+			for _, record := range status.Breakers {
 				if record.Service == service && fits(record) {
 					return record
 				}
--- a/internal/rehearse/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -29,7 +29,7 @@
 // Stage is a running rehearsal.
 type Stage struct {
 	Fleet    *fleet.Fleet
-	Clock    *monotonic.Machine
+	Clock    *monotonic.SystemClock
 	History  *invariants.History
 	Callers  *standin.Callers
 	Operator *standin.Operator
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	stage := &Stage{Clock: monotonic.NewMachine(), History: &invariants.History{}, Say: say, Options: options, ports: map[string]int{},
+	stage := &Stage{Clock: monotonic.NewSystemClock(), History: &invariants.History{}, Say: say, Options: options, ports: map[string]int{},
 		processor: map[string]int64{}, watching: make(chan struct{})}
 	if stage.Fleet, err = fleet.New(chosen, options.Folder, options.Binaries, options.Base, options.Relays, options.Choice, cmp.Or(options.Level, "info")); err != nil {
 		return nil, err
@@ -220,10 +220,10 @@
 			}
 			for _, process := range stage.Fleet.Sorters {
 				var status registry.Status
-				if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Core.Serving {
+				if !process.Running() || stage.Operator.Get(process, "/local", &status) != nil || !status.Replication.Serving {
 					continue
 				}
-				for _, record := range status.Guards {
+				for _, record := range status.Breakers {
 					stage.History.See(invariants.Look(record, stage.Clock.Now(), process.Name, stage.astray))
 				}
 			}
--- a/internal/rehearse/standin/caller.go
+++ b/internal/rehearse/standin/caller.go
@@ -217,7 +217,7 @@
 		attempt.Ended = ended
 		if err != nil {
 			// On a connection that was used before the carrier may have ended it before it read anything.
-			attempt.Transport, attempt.Read = "lost", wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.Of(client.Timeout)
+			attempt.Transport, attempt.Read = "lost", wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(client.Timeout)
 			return
 		}
 		attempt.Status = response.StatusCode
--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -45,7 +45,7 @@
 }
 
 // kinds reads a process's counts by kind from its metrics.
-func kinds(process *fleet.Process) (map[string]machine.Tally, error) {
+func kinds(process *fleet.Process) (map[string]machine.MessageCount, error) {
 	response, err := client.Get("http://" + process.Desk + "/metrics")
 	if err != nil {
 		return nil, err
@@ -56,12 +56,12 @@
 	if err != nil {
 		return nil, err
 	}
-	totals := map[string]machine.Tally{}
-	for name, into := range map[string]func(tally *machine.Tally, direction string) *uint64{
-		"snowflow_kind_messages_total": func(tally *machine.Tally, direction string) *uint64 {
+	totals := map[string]machine.MessageCount{}
+	for name, into := range map[string]func(tally *machine.MessageCount, direction string) *uint64{
+		"snowflow_kind_messages_total": func(tally *machine.MessageCount, direction string) *uint64 {
 			return map[string]*uint64{"sent": &tally.Sent, "received": &tally.Received}[direction]
 		},
-		"snowflow_kind_bytes_total": func(tally *machine.Tally, direction string) *uint64 {
+		"snowflow_kind_bytes_total": func(tally *machine.MessageCount, direction string) *uint64 {
 			return map[string]*uint64{"sent": &tally.SentBytes, "received": &tally.ReceivedBytes}[direction]
 		},
 	} {
@@ -83,8 +83,8 @@
 	return totals, nil
 }
 
-func named(counted map[wire.Kind]machine.Tally) map[string]machine.Tally {
-	totals := map[string]machine.Tally{}
+func named(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
+	totals := map[string]machine.MessageCount{}
 	for kind, tally := range counted {
 		totals[recordedKind(kind.String())] = tally
 	}
@@ -92,7 +92,7 @@
 }
 
 // rates divides what came between two readings by time and processes.
-func rates(before, after map[string]machine.Tally, divisor float64) map[string]Traffic {
+func rates(before, after map[string]machine.MessageCount, divisor float64) map[string]Traffic {
 	traffic := map[string]Traffic{}
 	for kind, late := range after {
 		early := before[kind]
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -46,7 +46,7 @@
 	fleet   *fleet.Fleet
 	crowd   *hollow.Crowd
 	place   *machine.Machine // the operator's
-	book    *discovery.Book
+	book    *discovery.Resolver
 	run     *Run
 	serial  int     // of the changes' contents
 	alone   float64 // what this process had resident before the carriers came
@@ -61,7 +61,7 @@
 	}
 	defer made.End()
 	play := &play{size: size, options: options, fleet: made, run: &run, place: machine.New(nil, nil, nil)}
-	defer play.place.HangUp()
+	defer play.place.CloseConnections()
 	if err := made.StartAll(); err != nil {
 		return run, err
 	}
@@ -191,11 +191,11 @@
 	cutoff, err := time.Now().Add(patience), errors.New("no primary is known")
 	for time.Now().Before(cutoff) {
 		if name := play.book.Leader(group); name != "" {
-			if err = ask(name, monotonic.Of(time.Until(cutoff))); err == nil {
+			if err = ask(name, monotonic.FromDuration(time.Until(cutoff))); err == nil {
 				return nil
 			}
 		}
-		play.book.Ask()
+		play.book.Refresh()
 		time.Sleep(10 * time.Millisecond)
 	}
 	return err
@@ -223,11 +223,11 @@
 type reading struct {
 	at        time.Time
 	processor map[string]float64
-	kinds     map[string]map[string]machine.Tally
+	kinds     map[string]map[string]machine.MessageCount
 }
 
 func (play *play) read() (reading, error) {
-	taken := reading{at: time.Now(), processor: map[string]float64{carriers: processor()}, kinds: map[string]map[string]machine.Tally{carriers: named(play.crowd.Kinds())}}
+	taken := reading{at: time.Now(), processor: map[string]float64{carriers: processor()}, kinds: map[string]map[string]machine.MessageCount{carriers: named(play.crowd.Kinds())}}
 	for _, process := range play.fleet.Core() {
 		taken.processor[process.Name] = float64(process.Processor())
 		counted, err := kinds(process)
@@ -407,7 +407,7 @@
 	var work sync.WaitGroup
 	for into, ask := range map[**float64]func() error{
 		&result.Claims: func() error {
-			_, err := play.crowd.Claim(0, "service/after", monotonic.Of(play.options.Patience))
+			_, err := play.crowd.Claim(0, "service/after", monotonic.FromDuration(play.options.Patience))
 			return err
 		},
 		&result.Reads: func() error {
@@ -436,7 +436,7 @@
 		return err
 	}
 	play.crowd.Leave()
-	time.Sleep(directory.SessionLife.Duration() + time.Second) // all sessions end
+	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // all sessions end
 	return play.comeBack(result)
 }
 
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -47,7 +47,7 @@
 // disk alone, or take another backup; both only if there is a third voter.
 func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
 	slowOwn, slowBackup := false, len(slow) > 0
-	m.replicaExecutor.Do(func() { slowOwn = m.replica.lastSyncTime > m.config.SlowSyncThreshold })
+	m.replicaExecutor.Run(func() { slowOwn = m.replica.lastSyncTime > m.config.SlowSyncThreshold })
 	count := func(counter *int, slow bool) bool {
 		if *counter++; !slow {
 			*counter = 0
@@ -121,7 +121,7 @@
 	// A new backup's line begins at the view's holder time, which must be one that has certainly come, and none before what was told.
 	// Holder time goes on from there: what passed since is for the backup's own clock to say.
 	began, clock := m.config.Host.Now(), monotonic.Micros(0)
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		m.replica.leaderClock = max(m.replica.leaderClock, state.confirmedClock(began))
 		clock = m.replica.leaderClock
 	})
@@ -149,7 +149,7 @@
 	}
 	m.observeRegister(proposal, fresh)
 	// The copy's pair of epoch and sequence must match what the backups noted on installing.
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		m.stateMachineMu.Lock()
 		defer m.stateMachineMu.Unlock()
 		m.replica.epoch = max(m.replica.epoch, epoch)
@@ -174,7 +174,7 @@
 	m.leadership.serving = established
 	m.mu.Unlock()
 	if established {
-		m.config.Host.Report(eventlog.Settled, map[string]any{"group": m.config.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": memberNames(backups)})
+		m.config.Host.Report(eventlog.PrimaryReady, map[string]any{"group": m.config.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": memberNames(backups)})
 	}
 	return established
 }
@@ -220,7 +220,7 @@
 	if !seen.HasReplica || seen.ReplicaSequence == 0 {
 		return nil
 	}
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		if missed, known := m.replica.tail.entriesAfter(logPosition{seen.ReplicaEpoch, seen.ReplicaSequence}); known {
 			request = &wire.InstallSnapshotRequest{SinceEpoch: seen.ReplicaEpoch, SinceSequence: seen.ReplicaSequence, Entries: missed, LeaderClock: int64(m.replica.leaderClock)}
 		}
@@ -247,7 +247,7 @@
 
 // takeSnapshot is the whole state as it is applied here.
 func (m *Member) takeSnapshot() (view *wire.Snapshot) {
-	m.replicaExecutor.Do(func() { view = m.snapshot() })
+	m.replicaExecutor.Run(func() { view = m.snapshot() })
 	return view
 }
 
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -16,7 +16,7 @@
 	lastTick, lastWrite := monotonic.Micros(0), monotonic.Micros(0)
 	pause := m.config.HeartbeatInterval
 	for {
-		batch := slices.DeleteFunc(m.writes.Take(pause), func(w *writeRequest) bool { return w == nil })
+		batch := slices.DeleteFunc(m.writes.TakeAll(pause), func(w *writeRequest) bool { return w == nil })
 		now := m.config.Host.Now()
 		m.mu.Lock()
 		state := m.leadership
@@ -153,7 +153,7 @@
 	state = m.syncLeaderClock(state)
 	epoch, now := state.epoch, state.leaderClock(h.Now())
 	request := &wire.ReplicateRequest{From: m.self(), Epoch: epoch, LeaderClock: int64(now)}
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		request.PreviousEpoch, request.PreviousSequence = m.replica.epoch, m.replica.sequence
 		now = max(now, m.replica.leaderClock)
 	})
@@ -169,7 +169,7 @@
 	deliveries, wait := m.replicate(request, state.backups, timeout)
 	var local error
 	if len(batch) > 0 {
-		m.replicaExecutor.Do(func() {
+		m.replicaExecutor.Run(func() {
 			if m.replica.fenced > epoch || m.replica.sequence != request.PreviousSequence {
 				local = errors.New("another primary wrote this copy")
 			} else if local = m.appendEntries(request.Entries); local == nil {
@@ -236,7 +236,7 @@
 		return state
 	}
 	request := &wire.ReplicateRequest{From: m.self(), Epoch: state.epoch}
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		request.PreviousEpoch, request.PreviousSequence = m.replica.epoch, m.replica.sequence
 		request.LeaderClock = int64(max(m.replica.leaderClock, state.leaderClock(h.Now())))
 	})
@@ -257,8 +257,8 @@
 		}
 	}
 	if agreed < monotonic.Micros(request.LeaderClock) {
-		m.replicaExecutor.Do(func() { agreed = max(m.replica.leaderClock, agreed) })
-		m.config.Host.Report(eventlog.HolderTimeBound, map[string]any{"group": m.config.Group, "micros": request.LeaderClock - int64(agreed)})
+		m.replicaExecutor.Run(func() { agreed = max(m.replica.leaderClock, agreed) })
+		m.config.Host.Report(eventlog.LeaderClockBounded, map[string]any{"group": m.config.Group, "micros": request.LeaderClock - int64(agreed)})
 	}
 	state.clockBase, state.clockBaseAt, state.clockSyncedAt = agreed, h.Now(), h.Now()
 	m.mu.Lock()
@@ -282,7 +282,7 @@
 }
 
 func (m *Member) applyPending() (results [][]byte) {
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		for _, entry := range m.replica.pending {
 			results = append(results, m.apply(entry))
 		}
--- a/internal/replication/consensus.go
+++ b/internal/replication/consensus.go
@@ -39,7 +39,7 @@
 // change runs one ballot and gives the value with its ballot; with errRegisterChanged it gives what was read instead: it reads the register from a majority and writes what alter makes of it to the same voters.
 // alter must not keep or change its argument. The own seat is always part of the majority.
 func (m *Member) changeRegister(alter func(value *wire.RegisterValue) (*wire.RegisterValue, error)) (result *wire.RegisterValue, proposal uint64, err error) {
-	m.proposalExecutor.Do(func() { result, proposal, err = m.runProposal(alter) })
+	m.proposalExecutor.Run(func() { result, proposal, err = m.runProposal(alter) })
 	return result, proposal, err
 }
 
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -34,7 +34,7 @@
 			}
 			others = append([]*wire.MemberID{value.Primary}, slices.DeleteFunc(slices.Clone(others), func(one *wire.MemberID) bool { return sameMember(one, self) })...)
 		}
-		m.replicaExecutor.Do(func() { m.replica.fenced = max(m.replica.fenced, value.Epoch+1) })
+		m.replicaExecutor.Run(func() { m.replica.fenced = max(m.replica.fenced, value.Epoch+1) })
 		return nextRegister(value, value.Epoch+1, self, others), nil
 	})
 	if err != nil {
@@ -47,7 +47,7 @@
 		return
 	}
 	m.observeRegister(proposal, value)
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		for _, entry := range m.replica.pending {
 			m.apply(entry)
 		}
@@ -57,9 +57,9 @@
 		defer m.mu.Unlock()
 		m.leadership = leadership{epoch: value.Epoch, proposal: proposal, register: value, since: m.config.Host.Now(), clockBase: m.replica.leaderClock, clockBaseAt: m.config.Host.Now(), clockSyncedAt: m.config.Host.Now()}
 	})
-	number := eventlog.TookOver
+	number := eventlog.BecamePrimary
 	if value.Epoch == 1 {
-		number = eventlog.Genesis
+		number = eventlog.GroupBootstrapped
 	}
 	m.config.Host.Report(number, map[string]any{"group": m.config.Group, "epoch": value.Epoch})
 	m.renewLease()
@@ -101,7 +101,7 @@
 	m.requestLease(state.epoch, state.proposal, true)
 	if len(state.backups) > 0 {
 		successor := state.backups[0].Name
-		m.config.Host.Report(eventlog.HandedOver, map[string]any{"group": m.config.Group, "to": successor, "why": why})
+		m.config.Host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": why})
 		_ = m.call(successor, wire.Kind_handover, &wire.HandoverRequest{To: successor, Epoch: state.epoch, Content: content, LeavingMember: leaving, WaitingMembers: waiting}, &wire.HandoverResponse{})
 	}
 	m.mu.Lock()
--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -7,7 +7,7 @@
 )
 
 // Register adds the group's handlers.
-func (m *Member) Register(table host.Table) {
+func (m *Member) Register(table host.Handlers) {
 	host.Handle(table, wire.Kind_register_read, func(request *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
 		if err := checkAddressee(m, request.To); err != nil {
 			return nil, err
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -42,7 +42,7 @@
 func (m *Member) requestLeave(timeout monotonic.Micros) bool {
 	leader := m.config.Resolver.Leader(m.config.Group)
 	if leader == "" || leader == m.config.Name {
-		m.config.Resolver.Ask()
+		m.config.Resolver.Refresh()
 		return false
 	}
 	response := &wire.JoinResponse{}
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -34,7 +34,7 @@
 // Config is what a member is made of.
 type Config struct {
 	Host     host.Host
-	Resolver *discovery.Book
+	Resolver *discovery.Resolver
 	Group    string
 	Name     string
 	// InitialVoters is the roster of a first start, the same at all that take part in it. Later ones are in the register.
@@ -95,14 +95,14 @@
 // Member is one process's part in a group: its seat as a voter, its copy of the state, and its lead if it has one.
 type Member struct {
 	config           Config
-	voterExecutor    *host.Owner // owns voter
-	replicaExecutor  *host.Owner // owns copy's journal
-	proposalExecutor *host.Owner // runs ballots one at a time
-	writes           *host.Inbox[*writeRequest]
+	voterExecutor    *host.Executor // owns voter
+	replicaExecutor  *host.Executor // owns copy's journal
+	proposalExecutor *host.Executor // runs ballots one at a time
+	writes           *host.Queue[*writeRequest]
 	voter            voter
 	replica          replica
 	// ClockWatch watches this process's clock.
-	ClockWatch *clockwatch.Vigil
+	ClockWatch *clockwatch.Watcher
 
 	mu                 sync.Mutex
 	highestProposal    uint64
@@ -170,12 +170,12 @@
 	config.SetDefaults()
 	m := &Member{config: config, ClockWatch: clockwatch.New(config.Host), lastResponse: map[string]monotonic.Micros{}, standbys: map[string]standby{}, leaving: map[string]monotonic.Micros{}, proposedVoters: map[string]bool{},
 		peers: map[string]peerState{}, coldStart: true, processID: config.Host.Random() | 1}
-	m.ClockWatch.OnLeap(func(monotonic.Micros) {
+	m.ClockWatch.OnJump(func(monotonic.Micros) {
 		// What this seat granted may seem to be over and not be.
-		m.voterExecutor.Do(func() { m.voter.deferVotes(config.Host.Now() + config.LeaseDuration) })
+		m.voterExecutor.Run(func() { m.voter.deferVotes(config.Host.Now() + config.LeaseDuration) })
 	})
-	m.voterExecutor, m.replicaExecutor, m.proposalExecutor = host.NewOwner(config.Host), host.NewOwner(config.Host), host.NewOwner(config.Host)
-	m.writes, m.wakeup = host.NewInbox[*writeRequest](config.Host), config.Host.NewSignal()
+	m.voterExecutor, m.replicaExecutor, m.proposalExecutor = host.NewExecutor(config.Host), host.NewExecutor(config.Host), host.NewExecutor(config.Host)
+	m.writes, m.wakeup = host.NewQueue[*writeRequest](config.Host), config.Host.NewSignal()
 	if config.Bootstrap && m.initialRank() == 0 {
 		return nil, fmt.Errorf("%s is not among the voters of a first start of %s", config.Name, config.Group)
 	}
@@ -184,11 +184,11 @@
 		return nil, err
 	}
 	var err error
-	m.voterExecutor.Do(func() { err = m.openVoter() })
+	m.voterExecutor.Run(func() { err = m.openVoter() })
 	if err != nil {
 		return nil, err
 	}
-	m.replicaExecutor.Do(func() { err = m.openReplica() })
+	m.replicaExecutor.Run(func() { err = m.openReplica() })
 	if err != nil {
 		return nil, err
 	}
@@ -197,7 +197,7 @@
 
 // Start begins to take part.
 func (m *Member) Start() {
-	m.config.Host.Go(m.ClockWatch.Watch)
+	m.config.Host.Go(m.ClockWatch.Run)
 	m.config.Host.Go(m.run)
 	m.config.Host.Go(m.runWrites)
 }
@@ -250,7 +250,7 @@
 // leads notes who leads an epoch, from one who won it: a primary's own ballot, or its ask for a tenure. What a voter
 // merely accepted is no such word, since another value may have been chosen under the same epoch.
 func (m *Member) hintLeader(epoch uint64, name string) {
-	m.config.Resolver.Hint([]*wire.Primary{{Group: m.config.Group, Epoch: epoch, Name: name}})
+	m.config.Resolver.ObservePrimaries([]*wire.Primary{{Group: m.config.Group, Epoch: epoch, Name: name}})
 }
 
 func (m *Member) releaseReserve() bool {
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -258,7 +258,7 @@
 			m.proposedVoters = map[string]bool{} // what was proposed before is behind this value
 			m.mu.Unlock()
 		}
-		m.config.Host.Report(eventlog.RosterChanged, map[string]any{"group": m.config.Group, "voters": value.Voters, "joint": value.JointVoters})
+		m.config.Host.Report(eventlog.MembershipChanged, map[string]any{"group": m.config.Group, "voters": value.Voters, "joint": value.JointVoters})
 		m.renewLease()
 		m.wakeup.Fire() // the next step may be due
 	})
@@ -313,13 +313,13 @@
 	if joined || !response.Accepted || response.Value == nil || m.configurationOf(response.Value).contains(m.config.Name) {
 		return
 	}
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		m.voter.votesAfter = m.config.Host.Now() + m.config.LeaseDuration
 		err := m.updateRecord(func(record *wire.RegisterRecord) {
 			record.Joined, record.Promised, record.Accepted, record.Value = true, response.Proposal, response.Proposal, response.Value
 		})
 		if err == nil {
-			m.config.Host.Report(eventlog.Enrolled, map[string]any{"group": m.config.Group, "primary": leader, "voters": response.Value.Voters})
+			m.config.Host.Report(eventlog.VoterEnrolled, map[string]any{"group": m.config.Group, "primary": leader, "voters": response.Value.Voters})
 		}
 	})
 }
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -64,7 +64,7 @@
 		processIDs[other] = one.processID
 	}
 	m.mu.Unlock()
-	m.voterExecutor.Do(func() { m.endInheritedWait(processIDs) })
+	m.voterExecutor.Run(func() { m.endInheritedWait(processIDs) })
 }
 
 // inherit ends the wait for an earlier life's grants, if each life that may hold one is over.
@@ -83,7 +83,7 @@
 func (m *Member) quorumAvailable() (free bool, wait monotonic.Micros) {
 	current, _ := m.configuration()
 	now, until := m.config.Host.Now(), map[string]monotonic.Micros{}
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		left, to := m.pledge()
 		if m.voter.record.Joined {
 			until[m.config.Name] = now
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -85,7 +85,7 @@
 func (m *Member) Serving() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.leadership.serving && (m.config.IgnoreLease || m.config.Host.Now() < m.leadership.leaseUntil && !m.ClockWatch.Behind())
+	return m.leadership.serving && (m.config.IgnoreLease || m.config.Host.Now() < m.leadership.leaseUntil && !m.ClockWatch.WentBack())
 }
 
 // Epoch is the epoch this member leads, or zero.
--- a/internal/replication/quorum_test.go
+++ b/internal/replication/quorum_test.go
@@ -80,7 +80,7 @@
 			reports++
 		}
 	}
-	simulated.Start(simulated.Add("a", "a", "a", func(h *world.Place) (host.Table, error) {
+	simulated.Start(simulated.Add("a", "a", "a", func(h *world.Place) (host.Handlers, error) {
 		m, err := Open(Config{Host: h, Resolver: discovery.New(h, nil, nil), Group: "test", Name: "a", InitialVoters: []string{"a", "b", "c", "d"}, StateMachine: &largeState{}})
 		if err != nil {
 			return nil, err
@@ -101,7 +101,7 @@
 			}
 		}
 		checked = true
-		return host.Table{}, nil
+		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Second)
 	if !checked || reports != 2 {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -59,7 +59,7 @@
 		return nil
 	})
 	if isCorrupt(err) {
-		h.Report(eventlog.DiskDamaged, map[string]any{"file": name, "error": err.Error()})
+		h.Report(eventlog.DiskCorrupted, map[string]any{"file": name, "error": err.Error()})
 		m.replica = replica{}
 		if log, err = wal.Recreate(h.Disk(), name); err == nil {
 			err = m.config.StateMachine.Restore(nil)
@@ -190,7 +190,7 @@
 func (m *Member) handleReplicate(request *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
 	response := &wire.ReplicateResponse{}
 	var failure error
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		state := &m.replica
 		response.Incarnation = state.incarnation.Load()
 		if response.Reason = m.replicateRejection(request, state); response.Reason != "" {
@@ -259,7 +259,7 @@
 func (m *Member) handleInstall(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
 	response := &wire.InstallSnapshotResponse{}
 	var failure error
-	m.replicaExecutor.Do(func() {
+	m.replicaExecutor.Run(func() {
 		state := &m.replica
 		response.Incarnation = state.incarnation.Load()
 		if request.Epoch < state.fenced || request.Epoch < m.knownEpoch() || request.Epoch < state.epoch {
@@ -285,7 +285,7 @@
 		m.yieldToEpoch(request.Epoch)
 		response.Stored = true
 		m.recordLeaderContact()
-		m.config.Host.Report(eventlog.CopyInstalled, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "bytes": len(view.Content)})
+		m.config.Host.Report(eventlog.SnapshotInstalled, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "bytes": len(view.Content)})
 	})
 	return response, failure
 }
@@ -319,7 +319,7 @@
 	state.fenced = max(state.fenced, request.Epoch)
 	m.yieldToEpoch(request.Epoch)
 	m.recordLeaderContact()
-	m.config.Host.Report(eventlog.CopyCaughtUp, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "entries": len(request.Entries)})
+	m.config.Host.Report(eventlog.ReplicaCaughtUp, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "entries": len(request.Entries)})
 	return "", nil
 }
 
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -23,7 +23,7 @@
 func TestLargeStateIsNotRewrittenWithEveryBatch(t *testing.T) {
 	simulated := world.New(1)
 	stored := 0
-	node := simulated.Add("one", "one", "one", func(h *world.Place) (host.Table, error) {
+	node := simulated.Add("one", "one", "one", func(h *world.Place) (host.Handlers, error) {
 		m, err := Open(Config{Host: h, Resolver: discovery.New(h, nil, nil), Group: "test", Name: "one", InitialVoters: []string{"one"},
 			StateMachine: &largeState{content: bytes.Repeat([]byte("x"), 100<<10)}, CompactionThreshold: 1 << 10})
 		if err != nil {
@@ -31,14 +31,14 @@
 		}
 		for sequence := uint64(1); sequence <= 1000; sequence++ {
 			entry := &wire.Entry{Epoch: 1, Sequence: sequence, Command: bytes.Repeat([]byte("c"), 1<<10)}
-			m.replicaExecutor.Do(func() {
+			m.replicaExecutor.Run(func() {
 				if err = m.appendEntries([]*wire.Entry{entry}); err == nil {
 					m.apply(entry)
 					stored++
 				}
 			})
 		}
-		return host.Table{}, err
+		return host.Handlers{}, err
 	})
 	simulated.Start(node)
 	simulated.Run(simulated.Now() + monotonic.Minute)
--- a/internal/replication/run.go
+++ b/internal/replication/run.go
@@ -12,7 +12,7 @@
 		m.wakeup.Wait(pause)
 		soon = monotonic.Minute
 		joined := false
-		m.voterExecutor.Do(func() { joined = m.voter.record.Joined })
+		m.voterExecutor.Run(func() { joined = m.voter.record.Joined })
 		if !joined {
 			m.joinAsVoter()
 			if !m.isVoter() {
@@ -78,7 +78,7 @@
 // leaseStands tells whether this seat still grants somebody else's tenure, a sign of life of the primary.
 func (m *Member) leaseStands() (stands bool) {
 	self := m.self()
-	m.voterExecutor.Do(func() { stands = m.leasedToOther(self) })
+	m.voterExecutor.Run(func() { stands = m.leasedToOther(self) })
 	return stands
 }
 
@@ -93,7 +93,7 @@
 	m.mu.Unlock()
 	joined, stands := false, monotonic.Micros(0)
 	self := m.self()
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		joined = m.voter.record.Joined
 		if m.leasedToOther(self) {
 			stands = m.voter.grant.until - m.config.Host.Now()
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -48,8 +48,8 @@
 	status := Status{Group: m.config.Group, Name: m.config.Name, Voters: current.voters, Joint: current.joint,
 		Members: m.config.Resolver.Members(m.config.Group), Serving: m.Serving(),
 		Release: release.Version, Wire: frame.Version, Wall: time.Now().UnixMicro()}
-	m.voterExecutor.Do(func() { status.Joined = m.voter.record.Joined })
-	m.replicaExecutor.Do(func() {
+	m.voterExecutor.Run(func() { status.Joined = m.voter.record.Joined })
+	m.replicaExecutor.Run(func() {
 		status.Sequence, status.Journal, status.SyncTime = m.replica.sequence, m.replica.log.Size(), int64(m.replica.lastSyncTime)
 	})
 	m.mu.Lock()
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -59,7 +59,7 @@
 		return nil
 	})
 	if isCorrupt(err) {
-		h.Report(eventlog.DiskDamaged, map[string]any{"file": m.fileName(registerFile), "error": err.Error()})
+		h.Report(eventlog.DiskCorrupted, map[string]any{"file": m.fileName(registerFile), "error": err.Error()})
 		m.voter.record = &wire.RegisterRecord{}
 		log, err = wal.Recreate(h.Disk(), m.fileName(registerFile))
 	}
@@ -130,7 +130,7 @@
 func (m *Member) handleRegisterRead(request *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
 	response := &wire.RegisterReadResponse{}
 	var why string
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		record := m.voter.record
 		// A reader by an older roster is told of the newer one. Only settings that differ are a fault.
 		if record.Value == nil {
@@ -155,7 +155,7 @@
 func (m *Member) handlePrepare(request *wire.PrepareRequest) (*wire.PrepareResponse, error) {
 	response := &wire.PrepareResponse{}
 	var err error
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		record := m.voter.record
 		response.Promised, response.Incarnation = record.Promised, record.Incarnation
 		if response.Reason = m.configurationMismatch(configuration{request.Voters, request.JointVoters}, request.KnownProposal); response.Reason != "" {
@@ -225,7 +225,7 @@
 func (m *Member) handleAccept(request *wire.AcceptRequest) (*wire.AcceptResponse, error) {
 	response := &wire.AcceptResponse{}
 	var err error
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		v := &m.voter
 		response.Promised = v.record.Promised
 		fresh := v.promisedTo != nil && m.config.Host.Now()-v.promisedAt <= m.config.LeaseDuration
@@ -243,7 +243,7 @@
 func (m *Member) handleLease(request *wire.LeaseRequest) (*wire.LeaseResponse, error) {
 	response := &wire.LeaseResponse{}
 	var err error
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		v := &m.voter
 		response.Promised, response.Accepted, response.Value = v.record.Promised, v.record.Accepted, v.record.Value
 		if request.Release {
@@ -286,7 +286,7 @@
 	// An earlier life of this seat may have accepted a ballot that others haven't yet. Within a tenure they have or never will, so
 	// what is read before that isn't whole.
 	waited := false
-	m.voterExecutor.Do(func() { waited = m.config.Host.Now() >= m.voter.votesAfter })
+	m.voterExecutor.Run(func() { waited = m.config.Host.Now() >= m.voter.votesAfter })
 	others := m.knownPeers()
 	replies := gatherResponses(m, others, m.config.CallTimeout, m.readRegister, nil)
 	intact, bootstrap := []string{}, m.config.Bootstrap && slices.Contains(m.config.InitialVoters, m.config.Name)
@@ -322,7 +322,7 @@
 	if !bootstrap && !current.hasReadQuorum(intact) {
 		return
 	}
-	m.voterExecutor.Do(func() {
+	m.voterExecutor.Run(func() {
 		if !bootstrap {
 			m.voter.deferVotes(m.config.Host.Now() + m.config.LeaseDuration)
 		} else {
--- a/internal/settings/env.go
+++ b/internal/settings/settings.go
@@ -33,27 +33,27 @@
 type Values map[string]string
 
 // List splits a setting of several values.
-func (values Values) List(name string) []string {
-	if values[name] == "" {
+func (v Values) List(name string) []string {
+	if v[name] == "" {
 		return nil
 	}
-	return strings.Split(values[name], ",")
+	return strings.Split(v[name], ",")
 }
 
-// Span is a checked setting in microseconds.
-func (values Values) Span(name string) monotonic.Micros {
-	span, _ := time.ParseDuration(values[name])
-	return monotonic.Of(span)
+// CheckDuration is a checked setting in microseconds.
+func (v Values) Duration(name string) monotonic.Micros {
+	duration, _ := time.ParseDuration(v[name])
+	return monotonic.FromDuration(duration)
 }
 
-// Number is a checked whole number.
-func (values Values) Number(name string) int {
-	number, _ := strconv.Atoi(values[name])
+// Int is a checked whole number.
+func (v Values) Int(name string) int {
+	number, _ := strconv.Atoi(v[name])
 	return number
 }
 
-// Flags adds a flag for each field, and one for the file.
-func Flags(flags *pflag.FlagSet, fields []Field) {
+// AddFlags adds a flag for each field, and one for the file.
+func AddFlags(flags *pflag.FlagSet, fields []Field) {
 	flags.String("env", "", "settings file, JSON; flags go before it")
 	for _, field := range fields {
 		flags.String(field.Name, field.Default, field.Help)
@@ -62,7 +62,7 @@
 
 // Load reads the file and the flags, and checks everything. All faults are told at once.
 func Load(flags *pflag.FlagSet, fields []Field) (Values, error) {
-	values, faults := Values{}, []error{}
+	values, problems := Values{}, []error{}
 	fromFile := map[string]any{}
 	if path, _ := flags.GetString("env"); path != "" {
 		content, err := os.ReadFile(path)
@@ -70,17 +70,17 @@
 			err = json.Unmarshal(content, &fromFile)
 		}
 		if err != nil {
-			faults = append(faults, fmt.Errorf("settings file %s: %w", path, err))
+			problems = append(problems, fmt.Errorf("settings file %s: %w", path, err))
 		}
 	}
 	known := map[string]bool{}
 	for _, field := range fields {
 		known[field.Name] = true
 		values[field.Name] = field.Default
-		if told, present := fromFile[field.Name]; present {
-			text, err := plain(told)
+		if raw, present := fromFile[field.Name]; present {
+			text, err := formatValue(raw)
 			if err != nil {
-				faults = append(faults, fmt.Errorf("%s: %w", field.Name, err))
+				problems = append(problems, fmt.Errorf("%s: %w", field.Name, err))
 			}
 			values[field.Name] = text
 		}
@@ -89,13 +89,13 @@
 		}
 		if values[field.Name] == "" {
 			if !field.Optional {
-				faults = append(faults, fmt.Errorf("%s: must be set", field.Name))
+				problems = append(problems, fmt.Errorf("%s: must be set", field.Name))
 			}
 			continue
 		}
 		if field.Check != nil {
 			if err := field.Check(values[field.Name]); err != nil {
-				faults = append(faults, fmt.Errorf("%s: %w", field.Name, err))
+				problems = append(problems, fmt.Errorf("%s: %w", field.Name, err))
 			}
 		}
 	}
@@ -107,13 +107,13 @@
 	}
 	sort.Strings(unknown)
 	for _, name := range unknown {
-		faults = append(faults, fmt.Errorf("%s: no such setting", name))
+		problems = append(problems, fmt.Errorf("%s: no such setting", name))
 	}
-	return values, errors.Join(faults...)
+	return values, errors.Join(problems...)
 }
 
-func plain(told any) (string, error) {
-	switch value := told.(type) {
+func formatValue(raw any) (string, error) {
+	switch value := raw.(type) {
 	case string:
 		return value, nil
 	case float64:
@@ -131,11 +131,11 @@
 		}
 		return strings.Join(parts, ","), nil
 	}
-	return "", fmt.Errorf("%v is not a text, number, truth value or list of texts", told)
+	return "", fmt.Errorf("%v is not a text, number, truth value or list of texts", raw)
 }
 
-// Address checks an IP number with a port.
-func Address(value string) error {
+// CheckAddress checks an IP number with a port.
+func CheckAddress(value string) error {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil {
 		return err
@@ -149,53 +149,53 @@
 	return nil
 }
 
-// Addresses checks a list of addresses.
-func Addresses(value string) error {
-	var faults []error
+// CheckAddresses checks a list of addresses.
+func CheckAddresses(value string) error {
+	var problems []error
 	for _, address := range strings.Split(value, ",") {
-		if err := Address(address); err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", address, err))
+		if err := CheckAddress(address); err != nil {
+			problems = append(problems, fmt.Errorf("%s: %w", address, err))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
-var name = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// Name checks one name.
-func Name(value string) error {
-	if !name.MatchString(value) {
+// CheckName checks one name.
+func CheckName(value string) error {
+	if !namePattern.MatchString(value) {
 		return fmt.Errorf("%q must be a lower-case letter, then up to 62 letters, digits or hyphens", value)
 	}
 	return nil
 }
 
-// Names checks a list of different names.
-func Names(value string) error {
+// CheckNames checks a list of different names.
+func CheckNames(value string) error {
 	seen := map[string]bool{}
-	var faults []error
+	var problems []error
 	for _, part := range strings.Split(value, ",") {
-		if err := Name(part); err != nil {
-			faults = append(faults, err)
+		if err := CheckName(part); err != nil {
+			problems = append(problems, err)
 		}
 		if seen[part] {
-			faults = append(faults, fmt.Errorf("%q is there twice", part))
+			problems = append(problems, fmt.Errorf("%q is there twice", part))
 		}
 		seen[part] = true
 	}
-	return errors.Join(faults...)
+	return errors.Join(problems...)
 }
 
-// Voters checks a roster: three names at least, or no machine could be lost.
-func Voters(value string) error {
+// CheckVoters checks a roster: three names at least, or no machine could be lost.
+func CheckVoters(value string) error {
 	if count := len(strings.Split(value, ",")); count < 3 {
-		return errors.Join(fmt.Errorf("%d voters; there must be three at least, so that one may be lost", count), Names(value))
+		return errors.Join(fmt.Errorf("%d voters; there must be three at least, so that one may be lost", count), CheckNames(value))
 	}
-	return Names(value)
+	return CheckNames(value)
 }
 
-// Count checks a whole number from 1 to 1024.
-func Count(value string) error {
+// CheckCount checks a whole number from 1 to 1024.
+func CheckCount(value string) error {
 	number, err := strconv.Atoi(value)
 	if err == nil && (number < 1 || number > 1024) {
 		return fmt.Errorf("%d is not from 1 to 1024", number)
@@ -203,8 +203,8 @@
 	return err
 }
 
-// Penalty checks a number of microseconds from 0 to 10000000.
-func Penalty(value string) error {
+// CheckPenalty checks a number of microseconds from 0 to 10000000.
+func CheckPenalty(value string) error {
 	number, err := strconv.Atoi(value)
 	if err == nil && (number < 0 || number > 10000000) {
 		return fmt.Errorf("%d is not from 0 to 10000000", number)
@@ -212,17 +212,17 @@
 	return err
 }
 
-// Span checks a span of time such as 8s.
-func Span(value string) error {
-	span, err := time.ParseDuration(value)
-	if err == nil && (span <= 0 || span > time.Hour) {
+// CheckDuration checks a span of time such as 8s.
+func CheckDuration(value string) error {
+	duration, err := time.ParseDuration(value)
+	if err == nil && (duration <= 0 || duration > time.Hour) {
 		return fmt.Errorf("%s is not above zero and at most 1h", value)
 	}
 	return err
 }
 
-// OneOf checks a word against a list.
-func OneOf(words ...string) func(value string) error {
+// CheckOneOf checks a word against a list.
+func CheckOneOf(words ...string) func(value string) error {
 	return func(value string) error {
 		for _, word := range words {
 			if value == word {
@@ -233,44 +233,44 @@
 	}
 }
 
-// Level checks a log level.
-func Level(value string) error {
+// CheckLevel checks a log level.
+func CheckLevel(value string) error {
 	_, err := log.ParseLevel(value)
 	return err
 }
 
-// Common are the settings of every daemon.
-func Common() []Field {
+// CommonFields are the settings of every daemon.
+func CommonFields() []Field {
 	return []Field{
-		{Name: "name", Help: "this process's name, unique in its group", Check: Name},
-		{Name: "domain", Help: "the zone it runs in", Check: Name},
-		{Name: "listen", Help: "address for the mesh's other processes", Check: Address},
-		{Name: "advertise", Help: "address at which others reach listen; the same if left out", Check: Address, Optional: true},
-		{Name: "seeds", Help: "three addresses of other processes, with commas between; any process of the mesh will do", Check: Addresses},
+		{Name: "name", Help: "this process's name, unique in its group", Check: CheckName},
+		{Name: "domain", Help: "the zone it runs in", Check: CheckName},
+		{Name: "listen", Help: "address for the mesh's other processes", Check: CheckAddress},
+		{Name: "advertise", Help: "address at which others reach listen; the same if left out", Check: CheckAddress, Optional: true},
+		{Name: "seeds", Help: "three addresses of other processes, with commas between; any process of the mesh will do", Check: CheckAddresses},
 		{Name: "rehearse-clock", Help: "file of microseconds by which SIGUSR1 moves this process's clock, to rehearse a broken one; left out in earnest", Optional: true},
-		{Name: "processors", Help: "most processors to run on; as many as there are if left out", Check: Count, Optional: true},
-		{Name: "clock", Help: "boottime goes on while the machine is suspended; monotonic costs less, for machines that never are", Default: "boottime", Check: OneOf("boottime", "monotonic")},
-		{Name: "log", Help: "least level of events to log: debug, info, warn or error", Default: "info", Check: Level},
+		{Name: "processors", Help: "most processors to run on; as many as there are if left out", Check: CheckCount, Optional: true},
+		{Name: "clock", Help: "boottime goes on while the machine is suspended; monotonic costs less, for machines that never are", Default: "boottime", Check: CheckOneOf("boottime", "monotonic")},
+		{Name: "log", Help: "least level of events to log: debug, info, warn or error", Default: "info", Check: CheckLevel},
 	}
 }
 
-// Core are the further settings of sorters and postmasters.
-func Core() []Field {
-	return append(Common(),
-		Field{Name: "voters", Help: "names of all processes of this group, the same everywhere, with commas between; where their number is even the first counts double", Check: Voters},
+// ControlPlaneFields are the further settings of sorters and postmasters.
+func ControlPlaneFields() []Field {
+	return append(CommonFields(),
+		Field{Name: "voters", Help: "names of all processes of this group, the same everywhere, with commas between; where their number is even the first counts double", Check: CheckVoters},
 		Field{Name: "data", Help: "data folder, for this process alone"},
-		Field{Name: "rehearse-sync", Help: "added to each sync, to rehearse a slow disk; left out in earnest", Check: Span, Optional: true},
-		Field{Name: "desk", Help: "HTTP address for status, metrics and operators", Check: Address},
+		Field{Name: "rehearse-sync", Help: "added to each sync, to rehearse a slow disk; left out in earnest", Check: CheckDuration, Optional: true},
+		Field{Name: "desk", Help: "HTTP address for status, metrics and operators", Check: CheckAddress},
 	)
 }
 
-// Carrier are the settings of a carrier.
-func Carrier() []Field {
-	return append(Common(),
-		Field{Name: "callers", Help: "HTTP address for callers", Check: Address},
-		Field{Name: "choice", Help: "near prefers backends of the own zone while the load stays even; blind doesn't look at zones", Default: "near", Check: OneOf("near", "blind")},
-		Field{Name: "far-penalty", Help: "microseconds that the way to another zone counts for in the choice", Default: "20000", Check: Penalty},
-		Field{Name: "desk", Help: "HTTP address for this machine's backends, the platform and operators", Check: Address},
-		Field{Name: "grace", Help: "how long a planned stop may take", Default: "2.5s", Check: Span},
+// ProxyFields are the settings of a carrier.
+func ProxyFields() []Field {
+	return append(CommonFields(),
+		Field{Name: "callers", Help: "HTTP address for callers", Check: CheckAddress},
+		Field{Name: "choice", Help: "near prefers backends of the own zone while the load stays even; blind doesn't look at zones", Default: "near", Check: CheckOneOf("near", "blind")},
+		Field{Name: "far-penalty", Help: "microseconds that the way to another zone counts for in the choice", Default: "20000", Check: CheckPenalty},
+		Field{Name: "desk", Help: "HTTP address for this machine's backends, the platform and operators", Check: CheckAddress},
+		Field{Name: "grace", Help: "how long a planned stop may take", Default: "2.5s", Check: CheckDuration},
 	)
 }
--- a/internal/simulation/scenario/caller_left_test.go
+++ b/internal/simulation/scenario/caller_left_test.go
@@ -71,7 +71,7 @@
 				t.Errorf("%s, seed %d: %d runs, %d at work", one.name, seed, ran, running())
 			}
 			refused := new(apierror.Fault)
-			if !one.goesOn && (!errors.As(fault, &refused) || refused.Cause != apierror.CallerLeft || refused.NotRun()) {
+			if !one.goesOn && (!errors.As(fault, &refused) || refused.Cause != apierror.ClientClosed || refused.NotRun()) {
 				t.Errorf("%s, seed %d: %v", one.name, seed, fault)
 			}
 		}
--- a/internal/simulation/scenario/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -44,11 +44,11 @@
 				calm()
 				// The one that came in its place goes too, so that it's needed again.
 				second := mesh.World.Node(mesh.masters[primary.Name].Member.Backups()[0])
-				entries, whole := seen(eventlog.CopyCaughtUp, backup.Name), seen(eventlog.CopyInstalled, backup.Name)
+				entries, whole := seen(eventlog.ReplicaCaughtUp, backup.Name), seen(eventlog.SnapshotInstalled, backup.Name)
 				mesh.World.Kill(second)
 				calm()
 				change(3)
-				caughtUp, installed := seen(eventlog.CopyCaughtUp, backup.Name)-entries, seen(eventlog.CopyInstalled, backup.Name)-whole
+				caughtUp, installed := seen(eventlog.ReplicaCaughtUp, backup.Name)-entries, seen(eventlog.SnapshotInstalled, backup.Name)-whole
 				if lost && installed != 1 || !lost && (caughtUp != 1 || installed != 0) {
 					t.Errorf("turn %d: %s caught up %d times and was given everything %d times", turn, backup.Name, caughtUp, installed)
 				}
--- a/internal/simulation/scenario/changes_test.go
+++ b/internal/simulation/scenario/changes_test.go
@@ -187,8 +187,8 @@
 			content := wide(t, 400, turned)
 			scene.apply(content, 300*monotonic.Millisecond)
 			scene.taken(content, 2)
-			if sum := scene.sums(); sum.differences != 0 || sum.wholes != 16 || sum.refused != 8 || scene.events[eventlog.DifferenceRefused] != 8 {
-				t.Errorf("%+v, %d events", sum, scene.events[eventlog.DifferenceRefused])
+			if sum := scene.sums(); sum.differences != 0 || sum.wholes != 16 || sum.refused != 8 || scene.events[eventlog.DeltaRejected] != 8 {
+				t.Errorf("%+v, %d events", sum, scene.events[eventlog.DeltaRejected])
 			}
 			// The next change goes as a difference again.
 			scene.mesh.polled = nil
--- a/internal/simulation/scenario/courier.go
+++ b/internal/simulation/scenario/courier.go
@@ -42,10 +42,10 @@
 		}
 	}
 	if found == nil {
-		return nil, apierror.New(apierror.BackendDial, apierror.NotRun, "refused")
+		return nil, apierror.New(apierror.BackendDialFailed, apierror.NotRun, "refused")
 	}
 	if (found.instance != order.Backend.Instance || found.service != order.Backend.Service) && !mesh.breakage.NoIdentity {
-		return nil, apierror.New(apierror.BackendIdentity, apierror.NotRun, "it's %s", found.instance)
+		return nil, apierror.New(apierror.BackendIdentityMismatch, apierror.NotRun, "it's %s", found.instance)
 	}
 	if fault := order.Still(); fault != nil {
 		return nil, fault
@@ -56,10 +56,10 @@
 	defer func() { found.running-- }()
 	pause()
 	if courier.place.Now() >= order.Cutoff {
-		return nil, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "late")
+		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "late")
 	}
 	if !found.up {
-		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "reset")
+		return nil, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "reset")
 	}
 	position := strings.LastIndexByte(order.ID, '.')
 	try := 1
@@ -80,20 +80,20 @@
 		labour += 6 * monotonic.Second
 	}
 	if labour > 0 && courier.leaves(order, min(labour, order.Cutoff-courier.place.Now())) { // as a connection's own limit would end it
-		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "its connection was closed")
+		return nil, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "its connection was closed")
 	}
 	pause()
 	if courier.place.Now() >= order.Cutoff {
-		return nil, apierror.New(apierror.AnswerLate, apierror.MayHaveRun, "late")
+		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "late")
 	}
 	answer := &request.Answer{Status: 200, Body: body, Headers: []*wire.Header{{Name: "Sum", Value: sum(body)}, {Name: "Echo", Value: order.ID[:position]}}}
 	switch {
 	case manner == "losing" || !found.up:
-		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "lost")
+		return nil, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "lost")
 	case manner == "short" && mesh.breakage.TrustShort:
 		answer.Body = body[:4]
 	case manner == "short":
-		return nil, apierror.New(apierror.AnswerBroken, apierror.MayHaveRun, "short")
+		return nil, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "short")
 	case manner == "failing":
 		answer.Status = 500
 	case manner == "not_executed":
--- a/internal/simulation/scenario/directory_test.go
+++ b/internal/simulation/scenario/directory_test.go
@@ -62,8 +62,8 @@
 	type version struct{ source, serial uint64 }
 	shown, seen := map[version]*session.Directory{}, map[string]*session.Directory{}
 	mesh.directed = func(sorter string, _ *wire.RegistryPollRequest, _ *wire.RegistryPollResponse) {
-		view := mesh.sorters[sorter].Shown()
-		if newest := (version{view.Source, view.Serial}); shown[newest] == nil {
+		view := mesh.sorters[sorter].DirectorySnapshot()
+		if newest := (version{view.Source, view.Version}); shown[newest] == nil {
 			shown[newest] = session.Of(view.Sessions)
 		}
 	}
@@ -150,7 +150,7 @@
 		if wholes {
 			mesh.directed = func(sorter string, ask *wire.RegistryPollRequest, tell *wire.RegistryPollResponse) {
 				if tell.DirectoryIsDelta {
-					tell.Sessions, tell.DirectoryIsDelta = mesh.sorters[sorter].Shown().Sessions, false
+					tell.Sessions, tell.DirectoryIsDelta = mesh.sorters[sorter].DirectorySnapshot().Sessions, false
 				}
 			}
 		}
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -41,9 +41,9 @@
 	begun       map[string]monotonic.Micros // when each life of a carrier began, by its own clock
 	masters     map[string]*configstore.Server
 	doors       map[string]api.Store // the operators' doors on the postmasters' processes
-	sorters     map[string]*registry.Sorter
+	sorters     map[string]*registry.Registry
 	backends    []*backend
-	book        *discovery.Book
+	book        *discovery.Resolver
 	number      int
 	serving     bool
 	latest      uint64
@@ -166,7 +166,7 @@
 // Build makes a mesh and starts its nodes.
 func Build(seed uint64, sizes Sizes, breakage Breakage) *Mesh {
 	mesh := &Mesh{samples: samples, sums: map[*config.Snapshot]string{}, World: world.New(seed), History: &invariants.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*proxy.Carrier{}, begun: map[string]monotonic.Micros{}, troubled: map[string]string{},
-		masters: map[string]*configstore.Server{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Sorter{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.Grace, breakage: breakage}
+		masters: map[string]*configstore.Server{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Registry{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.Grace, breakage: breakage}
 	mesh.World.Trace = func(at monotonic.Micros, node string, number int, fields map[string]any) {
 		if number == 601 {
 			return
@@ -189,11 +189,11 @@
 	for index := range sizes.Carriers {
 		mesh.addCarrier(index, seeds)
 	}
-	outside := mesh.World.Add("outside", "outside", "outside", func(place *world.Place) (host.Table, error) {
+	outside := mesh.World.Add("outside", "outside", "outside", func(place *world.Place) (host.Handlers, error) {
 		mesh.Outside = place
 		mesh.book = discovery.New(place, nil, seeds)
-		place.Go(func() { mesh.book.Roam(300 * monotonic.Millisecond) })
-		return host.Table{}, nil
+		place.Go(func() { mesh.book.Run(300 * monotonic.Millisecond) })
+		return host.Handlers{}, nil
 	})
 	mesh.World.Start(outside)
 	for _, node := range mesh.World.Nodes() {
@@ -228,20 +228,20 @@
 func (mesh *Mesh) addCore(machine, group string, index int, voters, seeds []string) {
 	name := fmt.Sprintf("%s-%d", group, index+1)
 	address := machine + ":" + group
-	node := mesh.World.Add(name, address, machine, func(place *world.Place) (host.Table, error) {
+	node := mesh.World.Add(name, address, machine, func(place *world.Place) (host.Handlers, error) {
 		own := &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group}
 		if index < len(mesh.sizes.Domains) {
 			own.Domain = mesh.sizes.Domains[index]
 		}
 		book := discovery.New(place, own, mesh.seedsNow(seeds))
-		book.Remember(place.Disk())
-		table, voters := host.Table{}, voters
+		book.Persist(place.Disk())
+		table, voters := host.Handlers{}, voters
 		if mesh.sizes.Found && mesh.started[name] {
 			voters = nil
 		}
 		mesh.started[name] = true
 		book.Register(table)
-		place.Go(func() { book.Roam(monotonic.Second) })
+		place.Go(func() { book.Run(monotonic.Second) })
 		adjust := func(env *replication.Config) {
 			env.CompactionThreshold, env.UnverifiedClock = 8<<10, mesh.breakage.TrustClock
 			env.IgnoreLease, env.AnyVoterMayLead, env.LeaveAtOnce = mesh.breakage.NoLease, mesh.breakage.AnySuccessor, mesh.breakage.Abandon
@@ -254,15 +254,15 @@
 			}
 		}
 		if group == "sorter" {
-			one, err := registry.Open(registry.Env{Place: place, Book: book, Name: name, Voters: voters, Genesis: slices.Contains(voters, name), Adjust: adjust,
-				Prepare: func(state *statemachine.Machine) {
-					state.Guards.Broken = mesh.breakage.Guards
+			one, err := registry.Open(registry.Config{Host: place, Resolver: book, Name: name, Voters: voters, Bootstrap: slices.Contains(voters, name), ConfigureReplication: adjust,
+				ConfigureState: func(state *statemachine.Machine) {
+					state.Breakers.InjectedFault = mesh.breakage.Guards
 				}})
 			if err != nil {
 				return nil, err
 			}
 			mesh.sorters[name] = one
-			one.Member.ClockWatch.Trusting(mesh.breakage.TrustClock)
+			one.Member.ClockWatch.TrustClock(mesh.breakage.TrustClock)
 			one.Register(table)
 			mesh.listen(place.Node(), table)
 			mesh.direct(name, table)
@@ -275,7 +275,7 @@
 			return nil, err
 		}
 		mesh.masters[name], mesh.doors[name] = one, api.NewStore(place, book)
-		one.Member.ClockWatch.Trusting(mesh.breakage.TrustClock)
+		one.Member.ClockWatch.TrustClock(mesh.breakage.TrustClock)
 		one.Register(table)
 		mesh.overhear(table)
 		one.Start()
@@ -293,7 +293,7 @@
 }
 
 // listen has afterWrite told of each write that a sorter acknowledges, at the moment of its answer.
-func (mesh *Mesh) listen(node *world.Node, table host.Table) {
+func (mesh *Mesh) listen(node *world.Node, table host.Handlers) {
 	for _, kind := range []wire.Kind{wire.Kind_claim, wire.Kind_void_claim, wire.Kind_probe_lease, wire.Kind_breaker_write, wire.Kind_singleton_lease} {
 		answer := table[kind]
 		table[kind] = func(content []byte) (proto.Message, error) {
@@ -307,7 +307,7 @@
 }
 
 // overhear has polled told of each answer to a carrier's poll, on its way.
-func (mesh *Mesh) overhear(table host.Table) {
+func (mesh *Mesh) overhear(table host.Handlers) {
 	answer := table[wire.Kind_config_poll]
 	table[wire.Kind_config_poll] = func(content []byte) (proto.Message, error) {
 		reply, err := answer(content)
@@ -321,7 +321,7 @@
 }
 
 // direct has directed told of each answer of a sorter to a carrier's poll, on its way.
-func (mesh *Mesh) direct(sorter string, table host.Table) {
+func (mesh *Mesh) direct(sorter string, table host.Handlers) {
 	answer := table[wire.Kind_registry_poll]
 	table[wire.Kind_registry_poll] = func(content []byte) (proto.Message, error) {
 		reply, err := answer(content)
@@ -349,11 +349,11 @@
 func (mesh *Mesh) addCarrier(index int, seeds []string) {
 	name := fmt.Sprintf("carrier-%d", index+1)
 	mesh.carriers = append(mesh.carriers, name)
-	mesh.World.Add(name, name+":carrier", name, func(place *world.Place) (host.Table, error) {
+	mesh.World.Add(name, name+":carrier", name, func(place *world.Place) (host.Handlers, error) {
 		book := discovery.New(place, nil, mesh.seedsNow(seeds))
-		table := host.Table{}
+		table := host.Handlers{}
 		book.Register(table)
-		place.Go(func() { book.Roam(monotonic.Second) })
+		place.Go(func() { book.Run(monotonic.Second) })
 		one := proxy.New(proxy.Env{Place: place, Book: book, Name: name, Domain: fmt.Sprintf("zone-%d", index%mesh.sizes.Zones+1),
 			Address: name + ":carrier", Delivery: &courier{mesh: mesh, place: place}, ServeOn: mesh.sizes.Bounds.ServeStale, Linger: mesh.sizes.Linger})
 		one.Gate.Unclaimed(mesh.breakage.NoClaims)
@@ -479,7 +479,7 @@
 				if !mesh.World.Node(name).Up() || !mesh.sorters[name].Member.Serving() {
 					continue
 				}
-				for _, record := range mesh.sorters[name].Guards() {
+				for _, record := range mesh.sorters[name].Breakers() {
 					mesh.History.See(invariants.Look(record, mesh.World.Now(), name, mesh.astray()))
 				}
 			}
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -28,7 +28,7 @@
 			mesh.latest = max(mesh.latest, tell.Version)
 			return tell
 		}
-		mesh.book.Ask()
+		mesh.book.Refresh()
 		mesh.Outside.Sleep(200 * monotonic.Millisecond)
 	}
 	return nil
@@ -64,7 +64,7 @@
 			mesh.History.Read = true
 			return
 		}
-		mesh.book.Ask()
+		mesh.book.Refresh()
 		mesh.Outside.Sleep(300 * monotonic.Millisecond)
 	}
 }
--- a/internal/simulation/scenario/return_test.go
+++ b/internal/simulation/scenario/return_test.go
@@ -47,7 +47,7 @@
 		}
 		from := len(mesh.log)
 		mesh.World.Run(mesh.World.Now() + 10*monotonic.Second)
-		if settled := mesh.reports(from, "postmaster", eventlog.Settled); settled != 1 {
+		if settled := mesh.reports(from, "postmaster", eventlog.PrimaryReady); settled != 1 {
 			t.Errorf("seed %d: %d epochs with another backup, not one", seed, settled)
 		}
 		mesh.World.Close()
@@ -178,7 +178,7 @@
 				if took < one.least || took > one.most {
 					t.Errorf("seed %d: a write took %d microseconds", seed, took)
 				}
-				if settled := mesh.reports(from, "sorter", eventlog.Settled); settled != one.settled {
+				if settled := mesh.reports(from, "sorter", eventlog.PrimaryReady); settled != one.settled {
 					t.Errorf("seed %d: %d epochs with another backup, not %d", seed, settled, one.settled)
 				}
 				mesh.World.Close()
--- a/internal/simulation/scenario/roster_test.go
+++ b/internal/simulation/scenario/roster_test.go
@@ -195,7 +195,7 @@
 						mesh.World.Trace = func(at monotonic.Micros, name string, number int, fields map[string]any) {
 							trace(at, name, number, fields)
 							group := strings.SplitN(name, "-", 2)[0]
-							if joint, _ := fields["joint"].([]string); number != eventlog.RosterChanged || len(joint) == 0 || died[group] >= len(one.changes) {
+							if joint, _ := fields["joint"].([]string); number != eventlog.MembershipChanged || len(joint) == 0 || died[group] >= len(one.changes) {
 								return
 							}
 							died[group]++
--- a/internal/simulation/scenario/round_test.go
+++ b/internal/simulation/scenario/round_test.go
@@ -108,15 +108,15 @@
 		{"syncs that do nothing", 7, "acknowledged", Breakage{NoSync: true}, 1},
 		{"tries without a budget", 8, "backends", Breakage{NoBudget: true}, 1},
 		{"a planned stop that ends at once", 9, "drains", Breakage{NoDrain: true}, 1},
-		{"slots that leak", 10, "guards", Breakage{Guards: breakerstore.Leaky}, 1},
-		{"every trip opens for all", 11, "troubled", Breakage{Guards: breakerstore.AnyTrip}, 1},
+		{"slots that leak", 10, "guards", Breakage{Guards: breakerstore.FaultLosesReturnedProbes}, 1},
+		{"every trip opens for all", 11, "troubled", Breakage{Guards: breakerstore.FaultOpensOnAnyTrip}, 1},
 		{"syncs that do nothing, and verdicts lost with them", 10, "written", Breakage{NoSync: true}, 60},
 		{"a configuration acknowledged by a clock that leapt", 6, "clocks", Breakage{TrustClock: true}, 2},
 		{"a key run again after a leap", 1, "clocks", Breakage{TrustClock: true}, 11},
-		{"one carrier may take a round and reopen alone", 11, "trials", Breakage{Guards: breakerstore.Greedy}, 2},
-		{"closed without a trial", 10, "guards", Breakage{Guards: breakerstore.Hasty}, 1},
-		{"a wait cut short", 10, "guards", Breakage{Guards: breakerstore.Impatient}, 1},
-		{"probes that never go back", 10, "guards", Breakage{Guards: breakerstore.Clinging}, 1},
+		{"one carrier may take a round and reopen alone", 11, "trials", Breakage{Guards: breakerstore.FaultNoProbeShares}, 2},
+		{"closed without a trial", 10, "guards", Breakage{Guards: breakerstore.FaultSkipsTrial}, 1},
+		{"a wait cut short", 10, "guards", Breakage{Guards: breakerstore.FaultShortWait}, 1},
+		{"probes that never go back", 10, "guards", Breakage{Guards: breakerstore.FaultKeepsProbes}, 1},
 		{"calls in a trial without a probe", 10, "trials", Breakage{Unleased: true}, 1},
 		{"a core that stays away", 12, "core", Breakage{NoReturn: true}, 1},
 	}
@@ -210,8 +210,8 @@
 	}
 	degraded, changed := 0, 0
 	for _, line := range result.Log {
-		degraded += strings.Count(line, fmt.Sprintf(" %d {", eventlog.GuardDegraded))
-		changed += strings.Count(line, fmt.Sprintf(" %d {", eventlog.GuardChanged))
+		degraded += strings.Count(line, fmt.Sprintf(" %d {", eventlog.BreakerDegraded))
+		changed += strings.Count(line, fmt.Sprintf(" %d {", eventlog.BreakerStateChanged))
 	}
 	t.Logf("%d changes of a shared verdict learned, %d times degraded", changed, degraded)
 	if changed == 0 || degraded > 60 {
@@ -416,7 +416,7 @@
 	}
 	overloaded, longest := 0, monotonic.Micros(0)
 	for _, attempt := range mesh.History.Attempts {
-		if attempt.Cause == int(apierror.Overloaded) || attempt.Cause == int(apierror.BudgetSpent) {
+		if attempt.Cause == int(apierror.Overloaded) || attempt.Cause == int(apierror.RetryBudgetExhausted) {
 			overloaded++
 		}
 		longest = max(longest, attempt.Ended-attempt.Sent)
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -128,7 +128,7 @@
 				default:
 					counts["may have run"]++
 				}
-				if attempt.Cause == int(apierror.NoKey) || attempt.Cause == int(apierror.UnknownPath) {
+				if attempt.Cause == int(apierror.MissingKey) || attempt.Cause == int(apierror.UnknownPath) {
 					t.Errorf("%s was refused with cause %d", id, attempt.Cause)
 				}
 			}
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -96,7 +96,7 @@
 	Address string
 	Machine string
 	Disk    *memory.Disk
-	table   host.Table
+	table   host.Handlers
 	life    int
 	up      bool
 	frozen  monotonic.Micros // until then
@@ -104,7 +104,7 @@
 	drift   float64
 	chance  *rand.Rand
 	tasks   map[*task]bool
-	boot    func(place *Place) (host.Table, error)
+	boot    func(place *Place) (host.Handlers, error)
 }
 
 // New makes a world from a seed.
@@ -174,7 +174,7 @@
 func (world *World) Node(name string) *Node { return world.nodes[name] }
 
 // Add makes a node; Start brings it up.
-func (world *World) Add(name, address, machine string, boot func(place *Place) (host.Table, error)) *Node {
+func (world *World) Add(name, address, machine string, boot func(place *Place) (host.Handlers, error)) *Node {
 	node := &Node{world: world, Name: name, Address: address, Machine: machine, Disk: memory.New(), boot: boot, tasks: map[*task]bool{},
 		chance: rand.New(rand.NewPCG(world.chance.Uint64(), world.chance.Uint64()))}
 	node.offset = monotonic.Micros(world.chance.Uint64N(uint64(10 * monotonic.Minute)))
--- a/internal/snowctl/changes.go
+++ b/internal/snowctl/changes.go
@@ -66,7 +66,7 @@
 	}
 	content, err := os.ReadFile(argument)
 	if err != nil {
-		return nil, 0, daemon.Misused(err)
+		return nil, 0, daemon.NewUsageError(err)
 	}
 	set, err := api.ParseSet(config.Parse, content)
 	return set, len(content), err
@@ -83,7 +83,7 @@
 			return err
 		}
 		if (base == nil) != (next == nil) {
-			return daemon.Misused(errors.New("name two files or two serials; a file against the newest serial is apply --preview"))
+			return daemon.NewUsageError(errors.New("name two files or two serials; a file against the newest serial is apply --preview"))
 		}
 		told := api.Comparison{FullBytes: length}
 		if base == nil {
--- a/internal/snowctl/clerk.go
+++ b/internal/snowctl/clerk.go
@@ -30,8 +30,8 @@
 }
 
 func (desks *desks) list() ([]string, error) {
-	if err := settings.Addresses(desks.addresses); err != nil {
-		return nil, daemon.Misused(fmt.Errorf("--desks: %w", err))
+	if err := settings.CheckAddresses(desks.addresses); err != nil {
+		return nil, daemon.NewUsageError(fmt.Errorf("--desks: %w", err))
 	}
 	return strings.Split(desks.addresses, ","), nil
 }
@@ -73,7 +73,7 @@
 	shared := &desks{client: &http.Client{Timeout: 25 * time.Second}}
 	root := &cobra.Command{Use: "snowctl", Short: "the operators' command line of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	root.PersistentFlags().StringVar(&shared.addresses, "desks", "127.0.0.1:7201", "addresses of postmasters' desks, with commas between")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.Misused(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.NewUsageError(err) })
 	root.AddCommand(apply(shared), check(), get(shared), history(shared), diff(shared), rollOut(shared), status(shared), guard(), drain(), examine(shared), safe(shared))
 	return root
 }
@@ -84,13 +84,13 @@
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			content, err := os.ReadFile(arguments[0])
 			if err != nil {
-				return daemon.Misused(err)
+				return daemon.NewUsageError(err)
 			}
 			if before {
 				return preview(shared, content)
 			}
 			if expected == "" {
-				return daemon.Misused(errors.New("--expected is needed: the serial this state follows, or any"))
+				return daemon.NewUsageError(errors.New("--expected is needed: the serial this state follows, or any"))
 			}
 			if request == "" {
 				request = uuid.NewString()
@@ -122,7 +122,7 @@
 	return &cobra.Command{Use: "check FILE", Short: "check a desired state without a mesh", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, arguments []string) error {
 		content, err := os.ReadFile(arguments[0])
 		if err != nil {
-			return daemon.Misused(err)
+			return daemon.NewUsageError(err)
 		}
 		if _, faults := config.Parse(content); len(faults) > 0 {
 			texts := make([]string, len(faults))
@@ -180,8 +180,8 @@
 
 // carrier asks one carrier's desk.
 func carrier(address, method, path string) error {
-	if err := settings.Address(address); err != nil {
-		return daemon.Misused(err)
+	if err := settings.CheckAddress(address); err != nil {
+		return daemon.NewUsageError(err)
 	}
 	one := &desks{addresses: address, client: &http.Client{Timeout: 5 * time.Second}}
 	return show(one.ask(method, path, nil))
@@ -216,7 +216,7 @@
 				mesh, err := doctor.Look(addresses, 5*time.Second)
 				unknown, objections := doctor.Safe(mesh, names)
 				if err == nil && len(unknown) > 0 {
-					return daemon.Misused(fmt.Errorf("no process of the core is named %v", unknown))
+					return daemon.NewUsageError(fmt.Errorf("no process of the core is named %v", unknown))
 				}
 				if err == nil && len(objections) == 0 {
 					fmt.Println("safe")
@@ -245,7 +245,7 @@
 			return err
 		}
 		if patience <= 0 {
-			return daemon.Misused(errors.New("--patience must be above zero"))
+			return daemon.NewUsageError(errors.New("--patience must be above zero"))
 		}
 		findings := doctor.Examine(addresses, patience)
 		if asJSON {
--- a/internal/snowctl/doctor/cores.go
+++ b/internal/snowctl/doctor/cores.go
@@ -12,7 +12,7 @@
 		all = append(all, mesh.Postmasters[name].Core)
 	}
 	for _, name := range slices.Sorted(maps.Keys(mesh.Sorters)) {
-		all = append(all, mesh.Sorters[name].Core)
+		all = append(all, mesh.Sorters[name].Replication)
 	}
 	return all
 }
--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -279,7 +279,7 @@
 // answering is the sorter that answers, which alone shows guards.
 func answering(mesh Mesh) (registry.Status, bool) {
 	for _, name := range slices.Sorted(maps.Keys(mesh.Sorters)) {
-		if status := mesh.Sorters[name]; status.Core.Serving {
+		if status := mesh.Sorters[name]; status.Replication.Serving {
 			return status, true
 		}
 	}
@@ -289,10 +289,10 @@
 func sessions(mesh Mesh) []*wire.Session {
 	status, known := answering(mesh)
 	if known {
-		return status.Carriers
+		return status.Proxies
 	}
 	for _, name := range slices.Sorted(maps.Keys(mesh.Sorters)) {
-		return mesh.Sorters[name].Carriers
+		return mesh.Sorters[name].Proxies
 	}
 	return nil
 }
@@ -304,12 +304,12 @@
 	if !known {
 		return []Finding{{Level: Ill, What: "no sorter answers, so no shared verdict is known", Advice: "carriers judge by their own windows meanwhile; see the copies check"}}
 	}
-	for _, record := range status.Guards {
+	for _, record := range status.Breakers {
 		reporters := []string{}
 		for _, report := range record.Reports {
 			reporters = append(reporters, report.Proxy)
 		}
-		since := monotonic.Micros(status.Now - record.EnteredAt)
+		since := monotonic.Micros(status.LeaderTime - record.EnteredAt)
 		if record.State == "open" {
 			found = append(found, Finding{Level: Ill, What: fmt.Sprintf("the guard of %s is open, for %v", record.Service, since.Duration()),
 				Advice: "look at that service's backends; it's probed again by itself"})
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -16,14 +16,14 @@
 	mesh := Mesh{Postmasters: map[string]configstore.Status{}, Sorters: map[string]registry.Status{}, Asked: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
 		core := replication.Status{Joined: true, Epoch: 4, BackupsInSync: true, Serving: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.Asked}
-		master, registry := configstore.Status{Core: core, Version: 3}, registry.Status{Core: core, Now: int64(monotonic.Minute)}
+		master, registry := configstore.Status{Core: core, Version: 3}, registry.Status{Replication: core, LeaderTime: int64(monotonic.Minute)}
 		master.Core.Primary, master.Core.Backup = "postmaster-1", "postmaster-2"
-		registry.Core.Primary, registry.Core.Backup = "sorter-1", "sorter-2"
+		registry.Replication.Primary, registry.Replication.Backup = "sorter-1", "sorter-2"
 		master.Core.Group, master.Core.Name, master.Core.Voters = "postmaster", "postmaster-"+number, []string{"postmaster-1", "postmaster-2", "postmaster-3"}
-		registry.Core.Group, registry.Core.Name, registry.Core.Voters = "sorter", "sorter-"+number, []string{"sorter-1", "sorter-2", "sorter-3"}
-		registry.Carriers = []*wire.Session{{Proxy: "carrier-1", ConfigVersion: 3, Release: "a", Backends: []*wire.Backend{
+		registry.Replication.Group, registry.Replication.Name, registry.Replication.Voters = "sorter", "sorter-"+number, []string{"sorter-1", "sorter-2", "sorter-3"}
+		registry.Proxies = []*wire.Session{{Proxy: "carrier-1", ConfigVersion: 3, Release: "a", Backends: []*wire.Backend{
 			{Service: "forms", Instance: "one", Condition: "working"}, {Service: "forms", Instance: "two", Condition: "alive"}}}}
-		mesh.Postmasters[master.Core.Name], mesh.Sorters[registry.Core.Name] = master, registry
+		mesh.Postmasters[master.Core.Name], mesh.Sorters[registry.Replication.Name] = master, registry
 	}
 	return mesh
 }
@@ -49,48 +49,48 @@
 			delete(mesh.Sorters, "sorter-2")
 		}},
 		{"copies", Ill, "0 sorters answer", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.Serving = false })
+			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Serving = false })
 		}},
 		{"copies", Ill, "2 sorters answer", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Core.Serving = true })
+			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Serving = true })
 		}},
 		{"copies", Watch, "knows epoch 1", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Core.Epoch = 1 })
+			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Epoch = 1 })
 		}},
 		{"copies", Watch, "not joined", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Joined = false })
+			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Joined = false })
 		}},
 		{"versions", Watch, "release b", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Release = "b" })
+			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Release = "b" })
 		}},
 		{"clock", Watch, "wall clock", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Wall += int64(monotonic.Minute) })
+			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Wall += int64(monotonic.Minute) })
 		}},
 		{"disk", Ill, "1 MiB", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.FreeBytes = 1 << 20 })
+			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Replication.FreeBytes = 1 << 20 })
 		}},
 		{"disk", Watch, "last write", func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.SyncTime = int64(monotonic.Second) })
+			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Replication.SyncTime = int64(monotonic.Second) })
 		}},
-		{"carriers", Watch, "serial 2", func(mesh Mesh) { mesh.Sorters["sorter-1"].Carriers[0].ConfigVersion = 2 }},
+		{"carriers", Watch, "serial 2", func(mesh Mesh) { mesh.Sorters["sorter-1"].Proxies[0].ConfigVersion = 2 }},
 		{"guards", Ill, "forms is open", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-1", func(status *registry.Status) {
-				status.Guards = []*wire.BreakerRecord{{Service: "forms", State: "open"}}
+				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "open"}}
 			})
 		}},
 		{"guards", Watch, "half open", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-1", func(status *registry.Status) {
-				status.Guards = []*wire.BreakerRecord{{Service: "forms", State: "half_open"}}
+				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "half_open"}}
 			})
 		}},
 		{"guards", Watch, "stand alone", func(mesh Mesh) {
 			spoilSorter(mesh, "sorter-1", func(status *registry.Status) {
-				status.Guards = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
+				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
 			})
 		}},
-		{"backends", Watch, "stopped beating", func(mesh Mesh) { mesh.Sorters["sorter-1"].Carriers[0].Backends[0].Condition = "overdue" }},
+		{"backends", Watch, "stopped beating", func(mesh Mesh) { mesh.Sorters["sorter-1"].Proxies[0].Backends[0].Condition = "overdue" }},
 		{"backends", Watch, "single backend", func(mesh Mesh) {
-			mesh.Sorters["sorter-1"].Carriers[0].Backends = mesh.Sorters["sorter-1"].Carriers[0].Backends[:1]
+			mesh.Sorters["sorter-1"].Proxies[0].Backends = mesh.Sorters["sorter-1"].Proxies[0].Backends[:1]
 		}},
 	}
 	for _, one := range cases {
@@ -119,17 +119,17 @@
 		{"two of one group", "one process of a group", []string{"sorter-1", "sorter-2"}, func(Mesh) {}},
 		{"another is away", "sorter-3 doesn't answer", machine, func(mesh Mesh) { delete(mesh.Sorters, "sorter-3") }},
 		{"another is blank", "sorter-1 has not joined", machine, func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Core.Joined = false })
+			spoilSorter(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Joined = false })
 		}},
 		{"a witness is behind", "", machine, func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Core.Epoch = 3 })
+			spoilSorter(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
 		{"the other copy is behind", "sorter-2 is behind", []string{"sorter-3"}, func(mesh Mesh) {
-			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Core.Epoch = 3 })
+			spoilSorter(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
 		{"no backup in step", "no primary answers", machine, func(mesh Mesh) {
 			for name := range mesh.Sorters {
-				spoilSorter(mesh, name, func(status *registry.Status) { status.Core.BackupsInSync = false })
+				spoilSorter(mesh, name, func(status *registry.Status) { status.Replication.BackupsInSync = false })
 			}
 		}},
 	} {
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -17,7 +17,7 @@
 // Version is this build's wire version. A process talks with its own version and the ones next to it.
 const Version uint16 = 1
 
-const mark uint32 = 0x736e6f77
+const magic uint32 = 0x736e6f77
 
 // HeaderLength is what a frame takes besides its content.
 const HeaderLength = 28
@@ -33,10 +33,10 @@
 
 // Frame is one message on a connection.
 type Frame struct {
-	Kind    wire.Kind
-	Flags   uint16
-	Number  uint64
-	Content []byte
+	Kind      wire.Kind
+	Flags     uint16
+	RequestID uint64
+	Content   []byte
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -48,17 +48,17 @@
 func Append(buffer []byte, frame Frame) []byte {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, HeaderLength)...)
-	seal(buffer[start:], frame)
+	putHeader(buffer[start:], frame)
 	return append(buffer, frame.Content...)
 }
 
 // seal fills in the header of a frame.
-func seal(header []byte, frame Frame) {
-	binary.BigEndian.PutUint32(header, mark)
+func putHeader(header []byte, frame Frame) {
+	binary.BigEndian.PutUint32(header, magic)
 	binary.BigEndian.PutUint16(header[4:], Version)
 	binary.BigEndian.PutUint16(header[6:], frame.Flags)
 	binary.BigEndian.PutUint16(header[8:], uint16(frame.Kind))
-	binary.BigEndian.PutUint64(header[12:], frame.Number)
+	binary.BigEndian.PutUint64(header[12:], frame.RequestID)
 	binary.BigEndian.PutUint32(header[20:], uint32(len(frame.Content)))
 	binary.BigEndian.PutUint32(header[24:], crc32.Update(Checksum(header[:24]), castagnoli, frame.Content))
 }
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	frame.Content = buffer[start+HeaderLength:]
-	seal(buffer[start:], frame)
+	putHeader(buffer[start:], frame)
 	return buffer, nil
 }
 
@@ -81,7 +81,7 @@
 	if _, err := io.ReadFull(stream, header[:]); err != nil {
 		return Frame{}, err
 	}
-	if binary.BigEndian.Uint32(header[:]) != mark {
+	if binary.BigEndian.Uint32(header[:]) != magic {
 		return Frame{}, fmt.Errorf("%w: no mark", ErrMalformed)
 	}
 	if version := binary.BigEndian.Uint16(header[4:]); version+1 < Version || version > Version+1 {
@@ -100,6 +100,6 @@
 	}
 	return Frame{
 		Kind: wire.Kind(binary.BigEndian.Uint16(header[8:])), Flags: binary.BigEndian.Uint16(header[6:]),
-		Number: binary.BigEndian.Uint64(header[12:]), Content: content,
+		RequestID: binary.BigEndian.Uint64(header[12:]), Content: content,
 	}, nil
 }
