--- a/internal/daemon/pages.go
+++ b/internal/daemon/pages.go
@@ -62,7 +62,7 @@
 }
 
 // CountRequest counts one outcome.
-func (c *RequestCounters) CountRequest(exchange *forward.Trip, _ *request.Answer, fault *apierror.Fault) {
+func (c *RequestCounters) CountRequest(exchange *forward.Exchange, _ *request.Response, fault *apierror.Fault) {
 	service, cause, verdict := "", "0", ""
 	if exchange.Service != nil {
 		service = exchange.Service.Name
@@ -71,8 +71,8 @@
 		cause, verdict = strconv.Itoa(int(fault.Cause)), string(fault.Verdict)
 	}
 	c.requests.WithLabelValues(service, cause, verdict).Inc()
-	if exchange.Tries > 0 {
+	if exchange.Attempts > 0 {
 		c.attempts.WithLabelValues(service, "first").Inc()
-		c.attempts.WithLabelValues(service, "further").Add(float64(exchange.Tries - 1))
+		c.attempts.WithLabelValues(service, "further").Add(float64(exchange.Attempts - 1))
 	}
 }
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -27,7 +27,7 @@
 // claim asks for the right to run, right before the hand-over, until some moment. It gives the moment by which the request
 // must start, or the recorded answer of an earlier run. It may be asked again for the same try. letGo is called once it's known
 // that nothing is granted, before an earlier answer is looked for. unheard is set once a sorter may have granted it unheard.
-func (gate *Gate) claim(ask *wire.ForwardRequest, until, cutoff monotonic.Micros, unheard *bool, letGo func()) (startBy monotonic.Micros, earlier *request.Answer, fault *apierror.Fault) {
+func (gate *Gate) claim(ask *wire.ForwardRequest, until, cutoff monotonic.Micros, unheard *bool, letGo func()) (startBy monotonic.Micros, earlier *request.Response, fault *apierror.Fault) {
 	place := gate.env.Place
 	for {
 		asked := place.Now()
@@ -66,7 +66,7 @@
 
 // recall finds the answer of an earlier run, here or at the carrier that holds the key, or tells why there's none: the key is
 // at work, or nobody has its answer any more.
-func (gate *Gate) recall(ask *wire.ForwardRequest, held *wire.ClaimResponse, cutoff monotonic.Micros) (*request.Answer, apierror.Cause) {
+func (gate *Gate) recall(ask *wire.ForwardRequest, held *wire.ClaimResponse, cutoff monotonic.Micros) (*request.Response, apierror.Cause) {
 	until := min(cutoff, gate.env.Place.Now()+recallPatience)
 	answer, cause := gate.recallFrom(held.Owner, ask, held.Attempt, until-gate.env.Place.Now())
 	if answer != nil || cause == apierror.KeyPending {
@@ -90,7 +90,7 @@
 }
 
 // recallFrom asks one carrier, or this one, for a key's recorded answer.
-func (gate *Gate) recallFrom(carrier string, ask *wire.ForwardRequest, try string, patience monotonic.Micros) (*request.Answer, apierror.Cause) {
+func (gate *Gate) recallFrom(carrier string, ask *wire.ForwardRequest, try string, patience monotonic.Micros) (*request.Response, apierror.Cause) {
 	if carrier == gate.env.Carrier {
 		answer, busy := gate.recorded(ask.Scope, ask.Digest, patience)
 		if busy {
@@ -106,7 +106,7 @@
 	if err != nil || tell.Rejected || !Whole(tell) {
 		return nil, apierror.ResponseExpired
 	}
-	return &request.Answer{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance}, 0
+	return &request.Response{Status: tell.Status, Headers: tell.Headers, Body: tell.Body, Instance: tell.Instance}, 0
 }
 
 // free gives a key back after the backend, or this carrier, was certain that nothing ran. If the sorter can't be told,
--- a/internal/proxy/admission/gate.go
+++ b/internal/proxy/admission/gate.go
@@ -52,7 +52,7 @@
 
 // Delivery hands a request to a backend and reads its whole answer. Its faults say whether the request may have run.
 type Delivery interface {
-	Deliver(order Order) (*request.Answer, *apierror.Fault)
+	Deliver(order Order) (*request.Response, *apierror.Fault)
 }
 
 // Env is what a gate is made of.
@@ -62,7 +62,7 @@
 	Incarnation uint64
 	Desk        *configclient.Client
 	Hutch       *localbackends.Hutch
-	Shelf       *replay.Shelf
+	Shelf       *replay.Store
 	Delivery    Delivery
 	// Link is what this machine's link carries, in megabits a second; zero for one that isn't counted.
 	Link float64
@@ -304,7 +304,7 @@
 var knownOver = map[apierror.Cause]bool{apierror.ResponseTooLarge: true, apierror.ResponseMismatch: true}
 
 // ended tells what a delivery's end says of its slot. Errors are no measure: what fails at once would look quick.
-func ended(answer *request.Answer, fault *apierror.Fault) slots.End {
+func ended(answer *request.Response, fault *apierror.Fault) slots.End {
 	switch {
 	case fault == nil && answer.Status < 500:
 		return slots.Worked
@@ -342,7 +342,7 @@
 		BackendFault: fault.Backend, ConfigVersion: serial, Detail: fault.Detail}
 }
 
-func answered(id string, answer *request.Answer) *wire.ForwardResponse {
+func answered(id string, answer *request.Response) *wire.ForwardResponse {
 	return &wire.ForwardResponse{Id: id, Status: answer.Status, Headers: answer.Headers, Body: answer.Body, Length: uint64(len(answer.Body)),
 		Checksum: frame.Checksum(answer.Body), Instance: answer.Instance}
 }
--- a/internal/proxy/admission/standing.go
+++ b/internal/proxy/admission/standing.go
@@ -12,9 +12,9 @@
 // visit asks the backend's standing for a request. A caller that has no other backend to go to is let in always.
 func (gate *Gate) visit(ask *wire.ForwardRequest) (*localbackends.Visit, *apierror.Fault) {
 	peers := ask.Peers
-	return gate.env.Hutch.Visit(ask.Instance, outlier.Ask{Domain: ask.Domain, Kind: ask.Route, Aim: monotonic.Micros(ask.LatencyTarget),
-		Repeatable: !ask.RunOnce && !ask.AtMostOnce, Insists: ask.MayQueue,
-		Peers: outlier.Peers{Known: int(peers.GetKnown()), Ejected: int(peers.GetEjected()), Faults: float64(peers.GetFaultRate()) / 1000, Pace: float64(peers.GetLatencyRatio()) / 1000}})
+	return gate.env.Hutch.Visit(ask.Instance, outlier.RequestInfo{Domain: ask.Domain, Kind: ask.Route, LatencyTarget: monotonic.Micros(ask.LatencyTarget),
+		Idempotent: !ask.RunOnce && !ask.AtMostOnce, NoAlternative: ask.MayQueue,
+		Peers: outlier.Peers{Known: int(peers.GetKnown()), Ejected: int(peers.GetEjected()), FaultRate: float64(peers.GetFaultRate()) / 1000, LatencyRatio: float64(peers.GetLatencyRatio()) / 1000}})
 }
 
 // load tells how the asked backend stands.
@@ -30,12 +30,12 @@
 	apierror.StoppedInFlight: true, apierror.ConfigLeaseExpired: true, apierror.BackendLeaving: true, apierror.BackendUnknown: true}
 
 // worth is what a delivery's end says of its backend. Errors and requests it turned down count like answers it lost.
-func worth(answer *request.Answer, fault *apierror.Fault) outlier.Outcome {
+func worth(answer *request.Response, fault *apierror.Fault) outlier.Outcome {
 	switch {
 	case fault != nil && (fault.Local || silent[fault.Cause]):
 		return outlier.Unknown
 	case fault != nil || answer.NotRun || answer.Status >= 500:
-		return outlier.Faulty
+		return outlier.Failure
 	}
-	return outlier.Good
+	return outlier.Success
 }
--- a/internal/proxy/admission/stay.go
+++ b/internal/proxy/admission/stay.go
@@ -21,7 +21,7 @@
 const guardShare = 2
 
 // stay gets a request its place, or the recorded answer of an earlier run. On a fault neither slot nor claim is left behind.
-func (gate *Gate) stay(ask *wire.ForwardRequest, service *config.Service, cutoff monotonic.Micros) (*stay, *request.Answer, *apierror.Fault) {
+func (gate *Gate) stay(ask *wire.ForwardRequest, service *config.Service, cutoff monotonic.Micros) (*stay, *request.Response, *apierror.Fault) {
 	admission := localbackends.Admission{Instance: ask.Instance, Service: ask.Service, Once: ask.RunOnce,
 		Ask: slots.Ask{Priority: ask.Priority, Aim: gate.env.Hutch.Remaining(ask.LatencyTarget), Cutoff: cutoff, Patient: ask.MayQueue, Kind: ask.Route}}
 	admission.StartBy = min(cutoff, gate.env.Place.Now()+monotonic.Micros(service.Breaker.GetWaitOpenMicros())/guardShare)
@@ -43,7 +43,7 @@
 // a request that the queue then refuses costs a second such write to free it, and meanwhile nobody else may use
 // it. When the sorters fail over claims take seconds; then the slot is given back and asked for again once the
 // claim is there, or lookups would find every slot held by requests that can't start.
-func (gate *Gate) claimed(ask *wire.ForwardRequest, admission localbackends.Admission, pass *localbackends.Pass) (*stay, *request.Answer, *apierror.Fault) {
+func (gate *Gate) claimed(ask *wire.ForwardRequest, admission localbackends.Admission, pass *localbackends.Pass) (*stay, *request.Response, *apierror.Fault) {
 	cutoff := admission.Cutoff
 	unheard := false
 	startBy, earlier, fault := gate.claim(ask, min(cutoff, gate.env.Place.Now()+claimHold), cutoff, &unheard, func() { pass.Leave(slots.Over) })
@@ -66,7 +66,7 @@
 }
 
 // settled claims until the cutoff; a claim that may have been granted unheard, now or before, is freed.
-func (gate *Gate) settled(ask *wire.ForwardRequest, cutoff monotonic.Micros, unheard bool) (startBy monotonic.Micros, earlier *request.Answer, fault *apierror.Fault) {
+func (gate *Gate) settled(ask *wire.ForwardRequest, cutoff monotonic.Micros, unheard bool) (startBy monotonic.Micros, earlier *request.Response, fault *apierror.Fault) {
 	startBy, earlier, fault = gate.claim(ask, cutoff, cutoff, &unheard, func() {})
 	if fault != nil && fault.Cause == apierror.ClaimUnreachable && unheard {
 		gate.env.Place.Go(func() { gate.free(ask) })
@@ -76,13 +76,13 @@
 
 // placed is the way in to a backend of unknown slots. A claim may take long; no place is held meanwhile. Whom there is no place
 // for now isn't claimed for.
-func (gate *Gate) placed(ask *wire.ForwardRequest, admission localbackends.Admission, claims bool, limit uint32) (*stay, *request.Answer, *apierror.Fault) {
+func (gate *Gate) placed(ask *wire.ForwardRequest, admission localbackends.Admission, claims bool, limit uint32) (*stay, *request.Response, *apierror.Fault) {
 	startBy := admission.Cutoff
 	if fault := gate.env.Hutch.Room(ask.Instance, ask.Service, limit, ask.RunOnce); fault != nil {
 		return nil, nil, fault
 	}
 	if claims {
-		var earlier *request.Answer
+		var earlier *request.Response
 		var fault *apierror.Fault
 		if startBy, earlier, fault = gate.settled(ask, startBy, false); fault != nil || earlier != nil {
 			return nil, earlier, fault
--- a/internal/proxy/admission/work.go
+++ b/internal/proxy/admission/work.go
@@ -51,7 +51,7 @@
 }
 
 // recorded is the answer that a scope's run left here, waited for while it's at work.
-func (gate *Gate) recorded(scope string, digest []byte, patience monotonic.Micros) (answer *request.Answer, busy bool) {
+func (gate *Gate) recorded(scope string, digest []byte, patience monotonic.Micros) (answer *request.Response, busy bool) {
 	busy = gate.work.await(scope, patience)
-	return gate.env.Shelf.Find(scope, digest), busy
+	return gate.env.Shelf.Lookup(scope, digest), busy
 }
--- a/internal/proxy/backendapi/backdoor.go
+++ b/internal/proxy/backendapi/backdoor.go
@@ -133,13 +133,15 @@
 		stop()
 		Write(writer, http.StatusOK, map[string]bool{"draining": true})
 	})
-	router.Get("/guards", func(writer http.ResponseWriter, _ *http.Request) { Write(writer, http.StatusOK, carrier.Wicket.Show()) })
+	router.Get("/guards", func(writer http.ResponseWriter, _ *http.Request) {
+		Write(writer, http.StatusOK, carrier.Wicket.Statuses())
+	})
 	router.Post("/guards/{service}/{control}", func(writer http.ResponseWriter, incoming *http.Request) {
-		if err := carrier.Wicket.Control(chi.URLParam(incoming, "service"), chi.URLParam(incoming, "control")); err != nil {
+		if err := carrier.Wicket.SetControl(chi.URLParam(incoming, "service"), chi.URLParam(incoming, "control")); err != nil {
 			Complain(writer, err)
 			return
 		}
-		Write(writer, http.StatusOK, carrier.Wicket.Show())
+		Write(writer, http.StatusOK, carrier.Wicket.Statuses())
 	})
 	router.Handle("/metrics", metrics)
 	router.Mount("/debug", middleware.Profiler())
--- a/internal/proxy/carrier.go
+++ b/internal/proxy/carrier.go
@@ -35,21 +35,21 @@
 	Domain  string
 	Address string
 	Blind   bool // choose backends without looking at zones
-	// FarPenalty is what the way to another zone counts for, in the choice among backends that tell their slots.
+	// CrossDomainPenalty is what the way to another zone counts for, in the choice among backends that tell their slots.
 	FarPenalty monotonic.Micros
 	Delivery   admission.Delivery
 	// Parse reads accepted desired states, franking.Accepted if left out.
 	Read config.Parser
 	// ServeStale: this carrier serves on while out of touch, by the newest desired state it has heard of. The postmasters must know.
 	ServeOn  bool
-	Finished func(trip *forward.Trip, answer *request.Answer, fault *apierror.Fault)
+	Finished func(trip *forward.Exchange, answer *request.Response, fault *apierror.Fault)
 	// ClaimLife is how long answers to run-once requests are kept, two minutes if left out. It's as long as the sorters keep claims.
 	ClaimLife monotonic.Micros
 	// Linger is how long a stopping carrier still takes callers' requests, where whoever sends them needs that time to stay away.
 	Linger monotonic.Micros
 	// Link is what this machine's link carries, in megabits a second; zero for one that isn't counted.
 	Link float64
-	// Silence is how long a carrier may owe answers before it's asked for a sign of life, 700 ms if left out.
+	// SilenceTimeout is how long a carrier may owe answers before it's asked for a sign of life, 700 ms if left out.
 	Silence monotonic.Micros
 }
 
@@ -60,38 +60,38 @@
 	Desk        *configclient.Client
 	Roll        *session.Roll
 	Hutch       *localbackends.Hutch
-	Wicket      *breaker.Wicket
-	Purse       *retry.Purse
+	Wicket      *breaker.Set
+	Purse       *retry.Budget
 	Rota        *singleton.Rota
 	Gate        *admission.Gate
-	Passage     *forward.Passage
+	Passage     *forward.Forwarder
 	draining    atomic.Bool // it's to be sent no more callers
 	leaving     atomic.Bool // and its backends are to be chosen no more
 	vigil       *clockwatch.Watcher
 }
 
-// New makes a carrier.
+// NewBudget makes a carrier.
 func New(env Env) *Carrier {
 	carrier := &Carrier{env: env, incarnation: env.Place.Random() | 1, vigil: clockwatch.New(env.Place)}
 	carrier.Desk = configclient.New(configclient.Options{Host: env.Place, Resolver: env.Book, Proxy: env.Name, Incarnation: carrier.incarnation, ClockWatch: carrier.vigil, Parse: env.Read, ServeStale: env.ServeOn})
 	carrier.Roll = session.New(env.Place, env.Book, carrier.session, carrier.vigil)
 	carrier.Hutch = localbackends.New(env.Place, carrier.Roll.Soon)
-	carrier.Wicket = breaker.New(breaker.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Call: carrier.callPrimaryOnce})
-	carrier.Roll.Activity = carrier.Wicket.Activity
-	carrier.Roll.Guards = func(records []*wire.BreakerRecord, reached bool) { carrier.Wicket.Polled(records, reached) }
+	carrier.Wicket = breaker.NewSet(breaker.Config{Host: env.Place, Proxy: env.Name, Incarnation: carrier.incarnation, Call: carrier.callPrimaryOnce})
+	carrier.Roll.Activity = carrier.Wicket.TakeActivity
+	carrier.Roll.Guards = func(records []*wire.BreakerRecord, reached bool) { carrier.Wicket.ApplyPoll(records, reached) }
 	carrier.Rota = singleton.New(singleton.Env{Place: env.Place, Carrier: env.Name, Present: carrier.Hutch.Present, CallPrimary: carrier.Roll.CallPrimary})
-	carrier.Purse = retry.New(env.Place, carrier.Roll.Share)
+	carrier.Purse = retry.NewBudget(env.Place, carrier.Roll.Share)
 	shelf := replay.New(env.Place)
 	if env.ClaimLife > 0 {
-		shelf.Life = env.ClaimLife
+		shelf.TTL = env.ClaimLife
 	}
 	carrier.Gate = admission.New(admission.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Desk: carrier.Desk, ServeOn: env.ServeOn,
 		Hutch: carrier.Hutch, Shelf: shelf, Delivery: env.Delivery, Link: env.Link, CallPrimary: carrier.Roll.CallPrimary, CallCarrier: carrier.callCarrier})
-	carrier.Passage = forward.New(forward.Env{Place: env.Place, Carrier: env.Name, Incarnation: carrier.incarnation, Address: env.Address,
-		Domain: env.Domain, Blind: env.Blind, FarPenalty: env.FarPenalty, Desk: carrier.Desk, Roll: carrier.Roll, Wicket: carrier.Wicket, Purse: carrier.Purse, Gate: carrier.Gate,
-		CallPrimary: carrier.Roll.CallPrimary, Keep: shelf.Put, Finished: env.Finished, Silence: env.Silence})
+	carrier.Passage = forward.New(forward.Config{Host: env.Place, Proxy: env.Name, Incarnation: carrier.incarnation, Address: env.Address,
+		Domain: env.Domain, IgnoreDomains: env.Blind, CrossDomainPenalty: env.FarPenalty, ConfigClient: carrier.Desk, Session: carrier.Roll, Breakers: carrier.Wicket, RetryBudget: carrier.Purse, Admission: carrier.Gate,
+		CallPrimary: carrier.Roll.CallPrimary, StoreResponse: shelf.Put, OnFinished: env.Finished, SilenceTimeout: env.Silence})
 	carrier.vigil.OnJump(carrier.Hutch.Forgive)
-	carrier.vigil.OnJump(func(monotonic.Micros) { carrier.Purse.Forfeit() })
+	carrier.vigil.OnJump(func(monotonic.Micros) { carrier.Purse.Clear() })
 	carrier.vigil.OnJump(func(monotonic.Micros) { carrier.Roll.Doubt() })
 	return carrier
 }
@@ -104,9 +104,9 @@
 
 // Start begins work.
 func (carrier *Carrier) Start() {
-	carrier.vigil.Every(carrier.Passage.LookEvery(), carrier.Passage.Look)
+	carrier.vigil.Every(carrier.Passage.ProbeInterval(), carrier.Passage.ProbeSilentPeers)
 	carrier.vigil.Every(sweepEvery, carrier.Hutch.Sweep)
-	for _, task := range []func(){carrier.vigil.Run, carrier.Desk.Run, carrier.Roll.Follow, carrier.Wicket.Lane} {
+	for _, task := range []func(){carrier.vigil.Run, carrier.Desk.Run, carrier.Roll.Follow, carrier.Wicket.SendWrites} {
 		carrier.env.Place.Go(task)
 	}
 }
@@ -180,7 +180,7 @@
 	place := carrier.env.Place
 	cutoff := place.Now() + grace
 	last := cutoff - min(grace/5, lastWords)
-	place.Report(eventlog.ProcessDraining, map[string]any{"running": carrier.Passage.Running() + carrier.Gate.Running()})
+	place.Report(eventlog.ProcessDraining, map[string]any{"running": carrier.Passage.InFlight() + carrier.Gate.Running()})
 	carrier.draining.Store(true)
 	spread := spreadTime
 	if linger := min(carrier.env.Linger, last-place.Now()); linger > 0 {
@@ -190,7 +190,7 @@
 	carrier.leaving.Store(true)
 	carrier.Roll.Soon()
 	told := place.Now()
-	carrier.Passage.Refuse()
+	carrier.Passage.StopAccepting()
 	carrier.Passage.Drain(last - place.Now())
 	place.Sleep(min(spread-(place.Now()-told), last-place.Now()-lastWords))
 	carrier.Gate.Refuse()
@@ -198,7 +198,7 @@
 	whole := carrier.Gate.Drain(last - place.Now())
 	whole = carrier.Passage.Drain(last-place.Now()) && whole
 	// Whoever still waits is told now what is known, while this process can still tell it.
-	carrier.Passage.GiveUp()
+	carrier.Passage.Abort()
 	carrier.Gate.GiveUp()
 	answered := carrier.Passage.Drain(cutoff - place.Now())
 	answered = carrier.Gate.Drain(cutoff-place.Now()) && answered
@@ -223,7 +223,7 @@
 	Passes      int64                    `json:"passes_running"`
 	Backends    []*wire.Backend          `json:"backends"`
 	Standings   []localbackends.Standing `json:"standings"` // how they do, as their gate sees it
-	Guards      []breaker.Shown          `json:"guards"`
+	Guards      []breaker.Status         `json:"guards"`
 	Degraded    bool                     `json:"guards_degraded"` // it goes by its own windows
 	Members     int                      `json:"members_seen"`
 	Directory   session.Taken            `json:"directory_taken"`
@@ -231,8 +231,8 @@
 
 // Status tells how this carrier stands.
 func (carrier *Carrier) Status() Status {
-	status := Status{Name: carrier.env.Name, Domain: carrier.env.Domain, Incarnation: carrier.incarnation, Running: carrier.Passage.Running(),
-		Passes: carrier.Gate.Running(), Backends: carrier.Hutch.Told(), Standings: carrier.Hutch.Standings(), Guards: carrier.Wicket.Show(), Degraded: carrier.Wicket.Degraded(), Members: carrier.Roll.Directory().Live}
+	status := Status{Name: carrier.env.Name, Domain: carrier.env.Domain, Incarnation: carrier.incarnation, Running: carrier.Passage.InFlight(),
+		Passes: carrier.Gate.Running(), Backends: carrier.Hutch.Told(), Standings: carrier.Hutch.Standings(), Guards: carrier.Wicket.Statuses(), Degraded: carrier.Wicket.Degraded(), Members: carrier.Roll.Directory().Live}
 	status.Ready, status.Why = carrier.Ready()
 	serial, age, check := carrier.Desk.Adopted()
 	status.Serial, status.Age, status.Check, status.Taken, status.Directory = serial, int64(age), check, carrier.Desk.Stats(), carrier.Roll.Taken()
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -13,39 +13,39 @@
 )
 
 // lost handles a pass without an answer. A run-once pass is voided first: void means proof that it has not run and won't.
-func (passage *Passage) lost(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, ask *wire.ForwardRequest, cause error) (*request.Answer, *apierror.Fault, bool) {
-	passage.choices.shun(candidate.Carrier)
-	ticket.Done(breaker.Neutral)
+func (f *Forwarder) handleLostResponse(exchange *Exchange, permit *breaker.Permit, candidate session.Candidate, forwardRequest *wire.ForwardRequest, cause error) (*request.Response, *apierror.Fault, bool) {
+	f.balancer.markUnavailable(candidate.Carrier)
+	permit.Done(breaker.Neutral)
 	if apierror.IsUnreachable(cause) {
 		return nil, apierror.New(apierror.ForwardUnreachable, apierror.NotRun, "%s: %v", candidate.Carrier, cause), true
 	}
-	if !trip.Once {
+	if !exchange.RunOnce {
 		fault := apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause)
-		if passage.env.Place.Now() >= trip.Cutoff {
+		if f.config.Host.Now() >= exchange.Deadline {
 			fault = apierror.New(apierror.DeadlineExceeded, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Carrier)
 		}
-		return nil, fault, !trip.Single
+		return nil, fault, !exchange.AtMostOnce
 	}
-	if passage.void(trip, ask.Attempt, false) == idempotency.Voided {
+	if f.voidAttempt(exchange, forwardRequest.Attempt, false) == idempotency.Voided {
 		return nil, apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
 	}
 	return nil, apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
 }
 
-// turnedDown handles a refusal by the server's side.
-func (passage *Passage) turnedDown(trip *Trip, ticket *breaker.Ticket, candidate session.Candidate, tell *wire.ForwardResponse, own bool) (*request.Answer, *apierror.Fault, bool) {
-	fault := &apierror.Fault{Cause: apierror.Cause(tell.Cause), Verdict: apierror.Verdict(tell.Verdict), RetryAfter: monotonic.Micros(tell.RetryAfter),
-		Detail: tell.Detail, Backend: tell.BackendFault, RetryAfterMeasured: apierror.Cause(tell.Cause) == apierror.Overloaded && tell.Load.GetSlots() > 0}
+// handleRejection handles a refusal by the server's side.
+func (f *Forwarder) handleRejection(exchange *Exchange, permit *breaker.Permit, candidate session.Candidate, forwardResponse *wire.ForwardResponse, backendOnly bool) (*request.Response, *apierror.Fault, bool) {
+	fault := &apierror.Fault{Cause: apierror.Cause(forwardResponse.Cause), Verdict: apierror.Verdict(forwardResponse.Verdict), RetryAfter: monotonic.Micros(forwardResponse.RetryAfter),
+		Detail: forwardResponse.Detail, Backend: forwardResponse.BackendFault, RetryAfterMeasured: apierror.Cause(forwardResponse.Cause) == apierror.Overloaded && forwardResponse.Load.GetSlots() > 0}
 	outcome := breaker.Neutral
-	if fault.Backend && !own {
+	if fault.Backend && !backendOnly {
 		outcome = breaker.Failure
 	}
-	ticket.Done(outcome)
-	passage.choices.judge(candidate.Instance, fault.Backend)
+	permit.Done(outcome)
+	f.balancer.observeOutcome(candidate.Instance, fault.Backend)
 	if fault.Cause == apierror.BackendDialFailed || fault.Cause == apierror.BackendIdentityMismatch || fault.Cause == apierror.BackendLeaving || fault.Cause == apierror.BackendUnknown || fault.Cause == apierror.BackendUnhealthy {
-		passage.choices.shun(candidate.Instance)
+		f.balancer.markUnavailable(candidate.Instance)
 	}
-	retriable := fault.NotRun() || !trip.Once && !trip.Single
+	retriable := fault.NotRun() || !exchange.RunOnce && !exchange.AtMostOnce
 	if fault.Cause == apierror.KeyFenced || fault.Cause == apierror.ClaimUnreachable {
 		retriable = false
 	}
@@ -53,45 +53,45 @@
 }
 
 // void asks the sorter to make sure a try never runs. With fence it closes the key to every request read before now.
-func (passage *Passage) void(trip *Trip, try string, fence bool) string {
-	tell := &wire.VoidClaimResponse{}
-	patience := min(max(trip.Cutoff-passage.env.Place.Now(), 300*monotonic.Millisecond), voidPatience)
-	err := passage.env.CallPrimary(wire.Kind_void_claim, &wire.VoidClaimRequest{Scope: trip.Scope, Digest: trip.Digest, Attempt: try, Fence: fence}, tell, patience)
+func (f *Forwarder) voidAttempt(exchange *Exchange, attempt string, fence bool) string {
+	voidResponse := &wire.VoidClaimResponse{}
+	timeout := min(max(exchange.Deadline-f.config.Host.Now(), 300*monotonic.Millisecond), voidTimeout)
+	err := f.config.CallPrimary(wire.Kind_void_claim, &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence}, voidResponse, timeout)
 	if err != nil {
 		return ""
 	}
-	if tell.Fence != nil {
+	if voidResponse.Fence != nil {
 		// The caller may come back at once, to this carrier: what it sends then was read after the fence.
-		passage.env.Roll.Learn(&wire.LeaderTimestamp{Epoch: tell.Fence.Epoch, Time: tell.Fence.Time + 1})
+		f.config.Session.Learn(&wire.LeaderTimestamp{Epoch: voidResponse.Fence.Epoch, Time: voidResponse.Fence.Time + 1})
 	}
-	return tell.Outcome
+	return voidResponse.Outcome
 }
 
 // scope names what may run once: a key at a resource, however that is spelled. The service is no part of it: a key must not
 // run twice even when a new desired state sends its path to another service. It's known before the path is resolved, so
 // every refusal can speak of the key.
-func scope(trip *Trip) string {
-	if trip.Request.Key == "" {
+func idempotencyScope(exchange *Exchange) string {
+	if exchange.Request.IdempotencyKey == "" {
 		return ""
 	}
-	if trip.Request.Scope != "" {
-		return trip.Request.Scope
+	if exchange.Request.IdempotencyScope != "" {
+		return exchange.Request.IdempotencyScope
 	}
-	return resourcepath.TrimTrailingSlash(trip.Address.Path) + "\n" + trip.Request.Key
+	return resourcepath.TrimTrailingSlash(exchange.Target.Path) + "\n" + exchange.Request.IdempotencyKey
 }
 
 // harmless are the methods that promise to change nothing.
-var harmless = map[string]bool{"GET": true, "HEAD": true}
+var safeMethods = map[string]bool{"GET": true, "HEAD": true}
 
 // once tells whether a request may run only once: on a path of that class, and on any path when it carries a key and its
 // method may change something. The second keeps a key that ran under one desired state from running again under
 // another that has the path as read.
-func once(path config.Route, trip *Trip) bool {
-	return path.Once || trip.Request.Key != "" && !harmless[trip.Method]
+func runsOnce(route config.Route, exchange *Exchange) bool {
+	return route.Once || exchange.Request.IdempotencyKey != "" && !safeMethods[exchange.Method]
 }
 
 // doubtful is a fault that no longer says not run.
-func doubtful(fault *apierror.Fault) *apierror.Fault {
+func asMayHaveRun(fault *apierror.Fault) *apierror.Fault {
 	weaker := *fault
 	weaker.Verdict = apierror.MayHaveRun
 	return &weaker
@@ -99,16 +99,16 @@
 
 // final makes sure a verdict speaks of the key, not of one try: not run is only said of a run-once request once the
 // claims say the same and are fenced, so that nothing read before can run under the key later.
-func (passage *Passage) final(trip *Trip, fault *apierror.Fault) *apierror.Fault {
-	if trip.Doubt && fault.NotRun() {
-		return doubtful(fault)
+func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Fault) *apierror.Fault {
+	if exchange.MayHaveRun && fault.NotRun() {
+		return asMayHaveRun(fault)
 	}
-	if trip.Final || trip.Scope == "" || trip.Request.Alone || !fault.NotRun() {
+	if exchange.VerdictConfirmed || exchange.IdempotencyScope == "" || exchange.Request.VerdictPerRequest || !fault.NotRun() {
 		return fault
 	}
-	trip.Final = true
-	if passage.void(trip, "", true) != idempotency.Voided {
-		return doubtful(fault)
+	exchange.VerdictConfirmed = true
+	if f.voidAttempt(exchange, "", true) != idempotency.Voided {
+		return asMayHaveRun(fault)
 	}
 	return fault
 }
--- a/internal/proxy/localbackends/standing.go
+++ b/internal/proxy/localbackends/standing.go
@@ -8,22 +8,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Visit is a request that its backend's standing lets in. Its owner closes it once, whatever becomes of the request.
+// Call is a request that its backend's standing lets in. Its owner closes it once, whatever becomes of the request.
 type Visit struct {
 	hutch   *Hutch
 	present *entry
-	visit   *outlier.Visit
+	visit   *outlier.Call
 }
 
-// Visit asks a backend's standing for a request. A refusal is certain: nothing ran.
-func (hutch *Hutch) Visit(instance string, ask outlier.Ask) (*Visit, *apierror.Fault) {
+// Call asks a backend's standing for a request. A refusal is certain: nothing ran.
+func (hutch *Hutch) Visit(instance string, ask outlier.RequestInfo) (*Visit, *apierror.Fault) {
 	hutch.lock.Lock()
 	present := hutch.entries[instance]
 	if present == nil {
 		hutch.lock.Unlock()
 		return nil, apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s here", instance)
 	}
-	visit, wait := present.standing.Enter(hutch.place.Now(), ask)
+	visit, wait := present.standing.Admit(hutch.place.Now(), ask)
 	defer hutch.settle(present)
 	if visit == nil {
 		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun, "instance %s does worse than its like, only probes are let in", instance)
@@ -49,8 +49,8 @@
 
 // settle has whoever waits for an ejected backend go elsewhere, and reports. The lock is held, and let go.
 func (hutch *Hutch) settle(present *entry) {
-	changes := present.standing.Changes()
-	if present.standing.Quickened() {
+	changes := present.standing.TakeChanges()
+	if present.standing.TakeRecovered() {
 		present.slots.Relearn()
 	}
 	for _, change := range changes {
@@ -64,7 +64,7 @@
 		if change.Ejected {
 			number = eventlog.BackendEjected
 		}
-		hutch.place.Report(number, map[string]any{"service": present.Service, "instance": present.Instance, "callers": change.Domain, "faults": change.Faults, "times": change.Times})
+		hutch.place.Report(number, map[string]any{"service": present.Service, "instance": present.Instance, "callers": change.Domain, "faults": change.FaultRate, "times": change.RecentEjections})
 	}
 }
 
@@ -73,10 +73,10 @@
 	hutch.lock.Lock()
 	defer hutch.lock.Unlock()
 	if present := hutch.entries[instance]; present != nil && load != nil {
-		load.FaultRate, load.LatencyRatio = thousandths(present.standing.Faults(domain)), thousandths(present.standing.Pace())
+		load.FaultRate, load.LatencyRatio = thousandths(present.standing.FaultRate(domain)), thousandths(present.standing.LatencyRatio())
 		load.Ejected = present.standing.Ejected(domain)
-		if usual := present.standing.Usual(); load.Ejected && usual > 0 {
-			load.ServiceMicros, load.RouteMicros = int64(usual), int64(present.standing.UsualOf(route)) // its gate keeps requests away, but some must come to find out when it's well
+		if usual := present.standing.BaselineLatency(); load.Ejected && usual > 0 {
+			load.ServiceMicros, load.RouteMicros = int64(usual), int64(present.standing.BaselineLatencyOf(route)) // its gate keeps requests away, but some must come to find out when it's well
 		}
 	}
 }
@@ -100,8 +100,8 @@
 	defer hutch.lock.Unlock()
 	for _, instance := range hutch.instances() {
 		present := hutch.entries[instance]
-		standings = append(standings, Standing{Service: present.Service, Instance: instance, Faults: present.standing.Faults(""), Pace: present.standing.Pace(),
-			Ejected: present.standing.Ejected(""), Callers: present.standing.Apart()})
+		standings = append(standings, Standing{Service: present.Service, Instance: instance, Faults: present.standing.FaultRate(""), Pace: present.standing.LatencyRatio(),
+			Ejected: present.standing.Ejected(""), Callers: present.standing.EjectedDomains()})
 	}
 	return standings
 }
--- a/internal/proxy/upstream/delivery.go
+++ b/internal/proxy/upstream/delivery.go
@@ -65,10 +65,10 @@
 func Own() Dialect {
 	return Dialect{Greets: true,
 		Head: func(order admission.Order, _ monotonic.Micros) []*wire.Header {
-			return append(order.Headers[:len(order.Headers):len(order.Headers)], &wire.Header{Name: request.RequestHeader, Value: order.ID})
+			return append(order.Headers[:len(order.Headers):len(order.Headers)], &wire.Header{Name: request.RequestIDHeader, Value: order.ID})
 		},
 		Judge: func(order admission.Order, response *http.Response) (bool, error) {
-			if echoed := response.Header.Get(request.RequestHeader); echoed != "" && echoed != order.ID {
+			if echoed := response.Header.Get(request.RequestIDHeader); echoed != "" && echoed != order.ID {
 				return false, fmt.Errorf("answered request %s, not %s", echoed, order.ID)
 			}
 			return response.Header.Get(request.NotExecutedHeader) != "", nil
@@ -92,7 +92,7 @@
 }
 
 // Deliver hands one request over and reads the whole answer.
-func (courier *Courier) Deliver(order admission.Order) (*request.Answer, *apierror.Fault) {
+func (courier *Courier) Deliver(order admission.Order) (*request.Response, *apierror.Fault) {
 	cutoff := time.Now().Add((order.Cutoff - courier.clock.Now()).Duration())
 	connection, fault := courier.line(order, cutoff)
 	if fault != nil {
@@ -282,8 +282,8 @@
 }
 
 // read takes the answer off the connection. Whatever isn't whole, or says more than it announced, is no answer.
-func (line *line) read(order admission.Order, dialect Dialect) (answer *request.Answer, reusable bool, fault *apierror.Fault) {
-	broken := func(format string, arguments ...any) (*request.Answer, bool, *apierror.Fault) {
+func (line *line) read(order admission.Order, dialect Dialect) (answer *request.Response, reusable bool, fault *apierror.Fault) {
+	broken := func(format string, arguments ...any) (*request.Response, bool, *apierror.Fault) {
 		return nil, false, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", order.Backend.Instance, fmt.Sprintf(format, arguments...))
 	}
 	line.allowed = int64(order.AnswerLimit) + headRoom
@@ -337,7 +337,7 @@
 			line.life = min(idleLife, time.Duration(count)*time.Second-idleMargin)
 		}
 	}
-	return &request.Answer{Status: uint32(response.StatusCode), Headers: Kept(response.Header), Body: body, NotRun: notRun},
+	return &request.Response{Status: uint32(response.StatusCode), Headers: Kept(response.Header), Body: body, NotRun: notRun},
 		!response.Close && !bodyless && surplus == 0, nil
 }
 
@@ -363,7 +363,7 @@
 // hopByHop are the headers that belong to one connection, or that this mesh writes itself.
 var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Host": true, "Expect": true,
-	"Proxy-Connection": true, request.CutoffHeader: true}
+	"Proxy-Connection": true, request.DeadlineHeader: true}
 
 // Kept lists the headers that are passed on.
 func Kept(headers http.Header) (kept []*wire.Header) {
--- a/internal/rehearse/hollow/crowd.go
+++ b/internal/rehearse/hollow/crowd.go
@@ -183,7 +183,7 @@
 
 // Guarded counts the guards' records that a carrier was told of.
 func (crowd *Crowd) Guarded(index int) int {
-	return len(crowd.present()[index].carrier.Wicket.Show())
+	return len(crowd.present()[index].carrier.Wicket.Statuses())
 }
 
 // Restart ends one carrier without a word and starts it anew at once.
--- a/internal/rehearse/scenario/friday_test.go
+++ b/internal/rehearse/scenario/friday_test.go
@@ -218,7 +218,7 @@
 func TestFridayWatcherSees(t *testing.T) {
 	sound := func(serial uint64, calls uint64) proxy.Status {
 		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, Serial: serial, Check: fmt.Sprint("version ", serial),
-			Guards: []breaker.Shown{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
+			Guards: []breaker.Status{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
 	}
 	for name, one := range map[string]struct {
 		check invariants.Check
--- a/internal/rehearse/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -253,7 +253,7 @@
 	}
 	for _, shown := range status.Guards {
 		stage.History.Count(invariants.Counted{Carrier: name, Life: status.Incarnation, Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
-			Verdict: fmt.Sprint(shown.Shared, shown.Serial, shown.Local, shown.Control)})
+			Verdict: fmt.Sprint(shown.Shared, shown.Version, shown.Local, shown.Control)})
 	}
 }
 
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -169,9 +169,9 @@
 	if manner == Mixed {
 		manner = mixed[rand.IntN(len(mixed))]
 	}
-	attempt, try := split(incoming.Header.Get(request.RequestHeader))
+	attempt, try := split(incoming.Header.Get(request.RequestIDHeader))
 	answer := backend.body(attempt, body)
-	run := invariants.Run{Attempt: attempt, Try: try, Key: incoming.Header.Get(request.KeyHeader), Service: backend.Service.Name, Instance: backend.Instance,
+	run := invariants.Run{Attempt: attempt, Try: try, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: backend.Service.Name, Instance: backend.Instance,
 		Method: incoming.Method, Path: incoming.URL.Path, At: backend.clock.Now(), Executed: manner != NotExecuted}
 	if manners[manner] == nil {
 		run.Sum = Sum(answer)
--- a/internal/rehearse/standin/caller.go
+++ b/internal/rehearse/standin/caller.go
@@ -195,9 +195,9 @@
 	if err != nil {
 		return
 	}
-	req.Header.Set(request.RequestHeader, attempt.ID)
+	req.Header.Set(request.RequestIDHeader, attempt.ID)
 	if attempt.Key != "" {
-		req.Header.Set(request.KeyHeader, attempt.Key)
+		req.Header.Set(request.IdempotencyKeyHeader, attempt.Key)
 	}
 	var wrote, reused atomic.Bool
 	trace := &httptrace.ClientTrace{
@@ -222,13 +222,13 @@
 		}
 		attempt.Status = response.StatusCode
 		attempt.RetryTold = response.Header.Get("Retry-After") != ""
-		attempt.Serial, _ = strconv.ParseUint(response.Header.Get(request.SerialHeader), 10, 64)
+		attempt.Serial, _ = strconv.ParseUint(response.Header.Get(request.ConfigVersionHeader), 10, 64)
 		attempt.Instance = response.Header.Get(MarkHeader)
 		attempt.Echo = response.Header.Get(EchoHeader)
 		attempt.Sum = Sum(content)
 		attempt.Whole = response.Header.Get(SumHeader) == attempt.Sum
 		if attempt.Echo == "" {
-			var refusal ingress.Refusal
+			var refusal ingress.ErrorBody
 			if json.Unmarshal(content, &refusal) == nil && refusal.Cause > 0 {
 				attempt.Mesh, attempt.Cause, attempt.NotRun = true, int(refusal.Cause), refusal.Verdict == "not_run"
 			}
--- a/internal/simulation/scenario/caller_left_test.go
+++ b/internal/simulation/scenario/caller_left_test.go
@@ -19,14 +19,14 @@
 		goesOn  bool
 	}{
 		{"a read", request.Request{ID: "r-1", Method: "GET", Target: "/forms/1"}, false},
-		{"a submission", request.Request{ID: "s-1", Method: "POST", Target: "/households/1", Key: "k-1"}, true},
+		{"a submission", request.Request{ID: "s-1", Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}, true},
 	} {
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
 			mesh := startedBy(t, seed, servingOn)
 			mesh.labour = 3 * monotonic.Second
 			req, caller := one.request, mesh.carriers[0]
 			var leave func()
-			req.Left = func(happen func()) (stop func() bool) {
+			req.OnCallerLeft = func(happen func()) (stop func() bool) {
 				leave = happen
 				return func() bool { leave = nil; return true }
 			}
@@ -34,7 +34,7 @@
 			mesh.Outside.Go(func() {
 				_, fault = mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 					req.ReadAt = mesh.lives[caller].Moment()
-					if _, refused := mesh.lives[caller].Passage.Carry(&req); refused != nil {
+					if _, refused := mesh.lives[caller].Passage.Forward(&req); refused != nil {
 						return nil, refused
 					}
 					return nil, nil
@@ -85,7 +85,7 @@
 	for _, seed := range seeds(t, 1, 2, 3) {
 		mesh := startedBy(t, seed, servingOn)
 		mesh.labour = 8 * monotonic.Second
-		for _, req := range []request.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", Key: "k-1"}} {
+		for _, req := range []request.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}} {
 			began := mesh.World.Now()
 			_, fault := mesh.carry(mesh.carriers[0], &req)
 			refused := new(apierror.Fault)
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -54,16 +54,16 @@
 			return nil, apierror.Refused.New("the door is closed")
 		}
 		life, read = mesh.lives[attempt.Caller], true
-		req := &request.Request{ID: attempt.ID, Method: attempt.Method, Target: attempt.Path, Key: attempt.Key,
-			ReadAt: life.Moment(), Headers: []*wire.Header{{Name: request.KeyHeader, Value: attempt.Key}}}
+		req := &request.Request{ID: attempt.ID, Method: attempt.Method, Target: attempt.Path, IdempotencyKey: attempt.Key,
+			ReadAt: life.Moment(), Headers: []*wire.Header{{Name: request.IdempotencyKeyHeader, Value: attempt.Key}}}
 		if mesh.troubled[attempt.Caller] == "late" {
-			req.Cutoff = life.Now() + 3*monotonic.Millisecond
+			req.Deadline = life.Now() + 3*monotonic.Millisecond
 		}
-		answer, fault := life.Passage.Carry(req)
+		answer, fault := life.Passage.Forward(req)
 		if fault != nil {
 			return json.Marshal(told{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
 		}
-		return json.Marshal(told{Status: answer.Status, Serial: answer.Serial, Echo: request.Header(answer.Headers, "Echo"), Whole: request.Header(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
+		return json.Marshal(told{Status: answer.Status, Serial: answer.ConfigVersion, Echo: request.HeaderValue(answer.Headers, "Echo"), Whole: request.HeaderValue(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
 	})
 	attempt.Ended = mesh.World.Now()
 	attempt.Read = read && mesh.onlyPlanned
--- a/internal/simulation/scenario/changes_test.go
+++ b/internal/simulation/scenario/changes_test.go
@@ -69,7 +69,7 @@
 	scene.run(10 * monotonic.Second)
 	for name, life := range scene.mesh.lives {
 		scene.before[name], _ = life.Desk.Current()
-		scene.calls[name], scene.funds[name] = scene.counted(name), life.Purse.Held("forms")
+		scene.calls[name], scene.funds[name] = scene.counted(name), life.Purse.Balance("forms")
 	}
 	return scene
 }
@@ -93,7 +93,7 @@
 
 // counted is the number of calls that a carrier's guards have counted in all.
 func (scene *taking) counted(name string) (calls uint64) {
-	for _, shown := range scene.mesh.lives[name].Wicket.Show() {
+	for _, shown := range scene.mesh.lives[name].Wicket.Statuses() {
 		calls += shown.Calls
 	}
 	return calls
@@ -129,8 +129,8 @@
 			t.Errorf("%s: %d calls counted, %d before the change", name, now, scene.calls[name])
 		}
 		// Nobody spends any here, and first tries fill it up.
-		if held, known := scene.funds[name]; known && (scene.mesh.lives[name].Purse.Held("forms") < held || held == 0) {
-			t.Errorf("%s: the budget holds %v, %v before the change", name, scene.mesh.lives[name].Purse.Held("forms"), held)
+		if held, known := scene.funds[name]; known && (scene.mesh.lives[name].Purse.Balance("forms") < held || held == 0) {
+			t.Errorf("%s: the budget holds %v, %v before the change", name, scene.mesh.lives[name].Purse.Balance("forms"), held)
 		}
 	}
 }
--- a/internal/simulation/scenario/courier.go
+++ b/internal/simulation/scenario/courier.go
@@ -30,7 +30,7 @@
 	return left.Wait(span)
 }
 
-func (courier *courier) Deliver(order admission.Order) (*request.Answer, *apierror.Fault) {
+func (courier *courier) Deliver(order admission.Order) (*request.Response, *apierror.Fault) {
 	mesh := courier.mesh
 	chance := mesh.World.Chance()
 	pause := func() { courier.place.Sleep(monotonic.Micros(100 + chance.Uint64N(1500))) }
@@ -70,7 +70,7 @@
 	}
 	body := []byte(order.ID[:position] + " answered by " + found.instance)
 	given := map[string]string{"": sum(body), "slow": sum(body)}[manner]
-	mesh.History.Ran(invariants.Run{Sum: given, Attempt: order.ID[:position], Try: try, Key: request.Header(order.Headers, request.KeyHeader), Service: found.service,
+	mesh.History.Ran(invariants.Run{Sum: given, Attempt: order.ID[:position], Try: try, Key: request.HeaderValue(order.Headers, request.IdempotencyKeyHeader), Service: found.service,
 		Instance: found.instance, Method: order.Method, Path: order.Target, At: mesh.World.Now(), Executed: manner != "not_executed"})
 	if found.service == "households" && chance.IntN(4) == 0 {
 		mesh.lookup(order, found)
@@ -86,7 +86,7 @@
 	if courier.place.Now() >= order.Cutoff {
 		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "late")
 	}
-	answer := &request.Answer{Status: 200, Body: body, Headers: []*wire.Header{{Name: "Sum", Value: sum(body)}, {Name: "Echo", Value: order.ID[:position]}}}
+	answer := &request.Response{Status: 200, Body: body, Headers: []*wire.Header{{Name: "Sum", Value: sum(body)}, {Name: "Echo", Value: order.ID[:position]}}}
 	switch {
 	case manner == "losing" || !found.up:
 		return nil, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "lost")
@@ -108,7 +108,7 @@
 func (mesh *Mesh) lookup(order admission.Order, from *backend) {
 	mesh.number++
 	attempt := &invariants.Attempt{ID: fmt.Sprintf("lookup-%d", mesh.number), Kind: "lookup", Caller: from.carrier, Method: "GET", Path: fmt.Sprintf("/forms/%d", mesh.number), Sent: mesh.World.Now()}
-	if key := request.Header(order.Headers, request.KeyHeader); mesh.World.Chance().IntN(4) == 0 && key != "" {
+	if key := request.HeaderValue(order.Headers, request.IdempotencyKeyHeader); mesh.World.Chance().IntN(4) == 0 && key != "" {
 		attempt.Kind, attempt.Method, attempt.Path, attempt.Key = "submission", order.Method, order.Target, key
 	}
 	mesh.Outside.Go(func() {
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -361,10 +361,10 @@
 		one.Desk.IgnoreLease(mesh.breakage.NoTenure)
 		one.Roll.Unchecked(mesh.breakage.Unchecked)
 		one.Rota.Stubborn(mesh.breakage.Stubborn)
-		one.Purse.Unlimited(mesh.breakage.NoBudget)
-		one.Wicket.Unleased(mesh.breakage.Unleased)
+		one.Purse.SetUnlimited(mesh.breakage.NoBudget)
+		one.Wicket.SkipProbeLeases(mesh.breakage.Unleased)
 		one.TrustClock(mesh.breakage.TrustClock)
-		one.Passage.Together(mesh.breakage.Together)
+		one.Passage.DisableRetryAfterJitter(mesh.breakage.Together)
 		one.Register(table)
 		one.Start()
 		mesh.lives[name], mesh.begun[name] = one, place.Now()
@@ -497,9 +497,9 @@
 	now, life := mesh.World.Now(), mesh.lives[name]
 	if mesh.sums[view] == "" {
 		mesh.sums[view] = view.Fingerprint()
-		for _, shown := range life.Wicket.Show() {
+		for _, shown := range life.Wicket.Statuses() {
 			if mesh.breakage.Forgetful {
-				_ = life.Wicket.Control(shown.Service, "reset")
+				_ = life.Wicket.SetControl(shown.Service, "reset")
 			}
 		}
 	}
@@ -507,9 +507,9 @@
 	if !mesh.counting {
 		return
 	}
-	for _, shown := range life.Wicket.Show() {
+	for _, shown := range life.Wicket.Statuses() {
 		mesh.History.Count(invariants.Counted{Carrier: name, Life: life.Incarnation(), Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
-			Verdict: fmt.Sprint(shown.Shared, shown.Serial, shown.Local, shown.Control)})
+			Verdict: fmt.Sprint(shown.Shared, shown.Version, shown.Local, shown.Control)})
 	}
 }
 
--- a/internal/simulation/scenario/recall_test.go
+++ b/internal/simulation/scenario/recall_test.go
@@ -15,7 +15,7 @@
 			mesh := startedBy(t, seed, servingOn)
 			caller := mesh.carriers[0]
 			submission := func(id string) *request.Request {
-				return &request.Request{ID: id, Method: "POST", Target: "/households/1", Key: "k-1"}
+				return &request.Request{ID: id, Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}
 			}
 			first, fault := mesh.carry(caller, submission("first"))
 			if fault != nil {
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -59,14 +59,14 @@
 				mesh.History.Send(attempt)
 				content, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 					life, began := mesh.lives[caller], mesh.lives[caller].Now()
-					answer, fault := life.Passage.Carry(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.Moment()})
+					answer, fault := life.Passage.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.Moment()})
 					if life.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
 						late++
 					}
 					if fault != nil {
 						return json.Marshal(told{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
 					}
-					return json.Marshal(told{Status: answer.Status, Serial: answer.Serial, Echo: request.Header(answer.Headers, "Echo"), Whole: request.Header(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
+					return json.Marshal(told{Status: answer.Status, Serial: answer.ConfigVersion, Echo: request.HeaderValue(answer.Headers, "Echo"), Whole: request.HeaderValue(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
 				})
 				attempt.Ended = mesh.World.Now()
 				if err != nil {
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -156,12 +156,12 @@
 }
 
 // carry has a carrier carry a request without a key.
-func (mesh *Mesh) carry(caller string, req *request.Request) (answer *request.Answer, fault error) {
+func (mesh *Mesh) carry(caller string, req *request.Request) (answer *request.Response, fault error) {
 	done := false
 	mesh.Outside.Go(func() {
 		_, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 			req.ReadAt = mesh.lives[caller].Moment()
-			given, refused := mesh.lives[caller].Passage.Carry(req)
+			given, refused := mesh.lives[caller].Passage.Forward(req)
 			if refused != nil {
 				return nil, refused
 			}
