--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -19,14 +19,14 @@
 
 func build(home *daemon.Daemon) error {
 	tally := daemon.NewRequestCounters(home.Registry)
-	mover := proxy.New(proxy.Env{Place: home.Host, Book: home.Resolver, Name: home.Settings["name"], Domain: home.Settings["domain"],
-		Address: home.Settings["advertise"], Blind: home.Settings["choice"] == "blind", FarPenalty: monotonic.Micros(home.Settings.Int("far-penalty")), Delivery: upstream.New(home.Host, upstream.Own()), Finished: tally.CountRequest})
+	mover := proxy.New(proxy.Options{Host: home.Host, Resolver: home.Resolver, Name: home.Settings["name"], Domain: home.Settings["domain"],
+		Address: home.Settings["advertise"], IgnoreZones: home.Settings["choice"] == "blind", CrossZonePenalty: monotonic.Micros(home.Settings.Int("far-penalty")), Upstream: upstream.New(home.Host, upstream.DefaultDialect()), Finished: tally.CountRequest})
 	mover.Register(home.Handlers)
 	home.AddGauges([]daemon.Gauge{
-		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(mover.Passage.InFlight()) }},
-		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(mover.Gate.Running()) }},
-		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: mover.Hutch.Ejected},
-		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { serial, _ := mover.Desk.Version(); return float64(serial) }},
+		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(mover.Forwarder.InFlight()) }},
+		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(mover.Admission.Running()) }},
+		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: mover.LocalBackends.Ejected},
+		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { serial, _ := mover.ConfigClient.Version(); return float64(serial) }},
 	})
 	backDoor := backendapi.New(home.Host, mover, home.Metrics(), home.Stop)
 	if err := home.ServeHTTP(home.Settings["desk"], ingress.NewServer(backDoor)); err != nil {
--- a/internal/proxy/admission/cancel.go
+++ b/internal/proxy/admission/cancel.go
@@ -8,85 +8,85 @@
 
 // cancels are the passes under way that end when their callers leave. Run-once passes are not among them: their answers are kept for
 // whoever asks again.
-type cancels struct {
-	lock    sync.Mutex
-	present map[cancelKey]*cancel
+type cancellations struct {
+	mu     sync.Mutex
+	active map[cancelKey]*cancellation
 }
 
 // cancelKey names a pass by its sender and its own id.
 type cancelKey struct{ from, id string }
 
 // cancel is one pass's. A nil one is never cancelled. Invariant: happen is called once at most, and only after left was set.
-type cancel struct {
-	lock   sync.Mutex
-	left   bool
-	happen func()
+type cancellation struct {
+	mu       sync.Mutex
+	happened bool
+	callback func()
 }
 
-func newCancels() *cancels { return &cancels{present: map[cancelKey]*cancel{}} }
+func newCancellations() *cancellations { return &cancellations{active: map[cancelKey]*cancellation{}} }
 
-func (cancels *cancels) begin(ask *wire.ForwardRequest) *cancel {
-	if ask.RunOnce {
+func (c *cancellations) begin(req *wire.ForwardRequest) *cancellation {
+	if req.RunOnce {
 		return nil
 	}
-	fresh := &cancel{}
-	cancels.lock.Lock()
-	defer cancels.lock.Unlock()
-	cancels.present[cancelKey{ask.From, ask.Id}] = fresh
-	return fresh
+	created := &cancellation{}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.active[cancelKey{req.From, req.Id}] = created
+	return created
 }
 
-func (cancels *cancels) end(ask *wire.ForwardRequest) {
-	if ask.RunOnce {
+func (c *cancellations) end(req *wire.ForwardRequest) {
+	if req.RunOnce {
 		return
 	}
-	cancels.lock.Lock()
-	defer cancels.lock.Unlock()
-	delete(cancels.present, cancelKey{ask.From, ask.Id})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.active, cancelKey{req.From, req.Id})
 }
 
 // Cancel ends a pass whose caller has left, if it's under way here: it isn't handed over any more, and a backend that is at work on one that may
 // run again is let go. It tells whether there was such a pass.
-func (gate *Gate) Cancel(from, id string) bool {
-	gate.cancels.lock.Lock()
-	found := gate.cancels.present[cancelKey{from, id}]
-	gate.cancels.lock.Unlock()
+func (c *Controller) Cancel(from, id string) bool {
+	c.cancellations.mu.Lock()
+	found := c.cancellations.active[cancelKey{from, id}]
+	c.cancellations.mu.Unlock()
 	if found == nil {
 		return false
 	}
-	found.lock.Lock()
-	happen := found.happen
-	found.left, found.happen = true, nil
-	found.lock.Unlock()
-	if happen != nil {
-		happen()
+	found.mu.Lock()
+	callback := found.callback
+	found.happened, found.callback = true, nil
+	found.mu.Unlock()
+	if callback != nil {
+		callback()
 	}
 	return true
 }
 
-func (cancel *cancel) cancelled() bool {
-	if cancel == nil {
+func (c *cancellation) cancelled() bool {
+	if c == nil {
 		return false
 	}
-	cancel.lock.Lock()
-	defer cancel.lock.Unlock()
-	return cancel.left
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.happened
 }
 
 // then has something happen when the caller leaves, at once if it has.
-func (cancel *cancel) then(happen func()) (stop func()) {
-	cancel.lock.Lock()
-	left := cancel.left
-	if !left {
-		cancel.happen = happen
+func (c *cancellation) onCancel(callback func()) (stop func()) {
+	c.mu.Lock()
+	cancelled := c.happened
+	if !cancelled {
+		c.callback = callback
 	}
-	cancel.lock.Unlock()
-	if left {
-		happen()
+	c.mu.Unlock()
+	if cancelled {
+		callback()
 	}
 	return func() {
-		cancel.lock.Lock()
-		defer cancel.lock.Unlock()
-		cancel.happen = nil
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.callback = nil
 	}
 }
--- a/internal/proxy/admission/slots/slots.go
+++ b/internal/proxy/admission/slots/slots.go
@@ -8,44 +8,44 @@
 	"snowflow/internal/monotonic"
 )
 
-// Terms bound the waiting.
-type Terms struct {
-	// WaitingPerSlot bounds the queue's length.
-	WaitingPerSlot int
-	// FirstWork is taken for the mean work time before any was measured.
-	FirstWork monotonic.Micros
-	// AimShare is the part of the aim that a request may be expected to wait; RemainingShare is that of its remaining
+// Limits bound the waiting.
+type Limits struct {
+	// QueuePerSlot bounds the queue's length.
+	QueuePerSlot int
+	// InitialServiceTime is taken for the mean work time before any was measured.
+	InitialServiceTime monotonic.Micros
+	// LatencyTargetShare is the part of the aim that a request may be expected to wait; RemainingShare is that of its remaining
 	// time where it has no aim. A patient request may wait as long as it still ends before its cutoff.
-	AimShare, RemainingShare float64
-	// LatePerSlot bounds how many wait for each slot though they can't be answered within their aim any more.
-	LatePerSlot float64
-	// MostLinger bounds how long a slot stays taken after a delivery of which it isn't known whether the backend still
+	LatencyTargetShare, RemainingShare float64
+	// LateQueuePerSlot bounds how many wait for each slot though they can't be answered within their aim any more.
+	LateQueuePerSlot float64
+	// MaxLinger bounds how long a slot stays taken after a delivery of which it isn't known whether the backend still
 	// works on it. Zero: until the request's cutoff, at which backends stop working.
-	MostLinger monotonic.Micros
+	MaxLinger monotonic.Micros
 }
 
-// Default are the terms that nobody set.
-func Default() Terms {
-	return Terms{WaitingPerSlot: 8, FirstWork: 50 * monotonic.Millisecond, AimShare: 0.5, RemainingShare: 0.25, LatePerSlot: 0.5}
+// DefaultLimits are the terms that nobody set.
+func DefaultLimits() Limits {
+	return Limits{QueuePerSlot: 8, InitialServiceTime: 50 * monotonic.Millisecond, LatencyTargetShare: 0.5, RemainingShare: 0.25, LateQueuePerSlot: 0.5}
 }
 
 const (
 	// lingerMargin is what a backend may be late to notice a cutoff.
 	lingerMargin = 5 * monotonic.Millisecond
 	// memory is the number of requests over which the mean work time is taken, the newest weighing most.
-	memory = 16
+	meanWindow = 16
 	// least is the shortest time that a refusal names; zero would say not to come back.
-	least = monotonic.Millisecond
+	minRetryAfter = monotonic.Millisecond
 )
 
-// Ask is what a request brings along. Moments are on the owner's clock.
-type Ask struct {
-	Priority uint32           // zero goes first
-	Aim      monotonic.Micros // the moment up to which the answer has its full worth; zero if not known
-	Cutoff   monotonic.Micros
-	StartBy  monotonic.Micros // the moment by which it must have its slot; zero if only the cutoff bounds that
-	Patient  bool
-	Kind     string // requests of one kind take about as long
+// Request is what a request brings along. Moments are on the owner's clock.
+type Request struct {
+	Priority      uint32           // zero goes first
+	LatencyTarget monotonic.Micros // the moment up to which the answer has its full worth; zero if not known
+	Deadline      monotonic.Micros
+	StartBy       monotonic.Micros // the moment by which it must have its slot; zero if only the cutoff bounds that
+	Patient       bool
+	Kind          string // requests of one kind take about as long
 }
 
 // State is how far a ticket has come. It only ever rises.
@@ -55,358 +55,358 @@
 const (
 	Waiting State = iota
 	Running
-	Refused
+	Rejected
 	Ended
 )
 
-// End is how a request left its slot.
-type End int
+// Outcome is how a request left its slot.
+type Outcome int
 
 // The ends. Worked: the backend did its work. Over: it isn't working on it, and how long it had it says nothing of its pace.
 // Unsure: it may still be working on it.
 const (
-	Worked End = iota
-	Over
-	Unsure
+	Completed Outcome = iota
+	Released
+	Uncertain
 )
 
 // Ticket is one request at the gate.
 type Ticket struct {
 	// Wake is called when a waiting ticket has to look at its state and its wake-up again. The owner sets it.
-	Wake       func()
-	ask        Ask
-	arrived    monotonic.Micros
-	due        monotonic.Micros // the latest moment at which its answer is of full worth, as far as known
-	started    monotonic.Micros
-	work       monotonic.Micros // what its work is expected to take
-	behind     bool             // it was let wait though it would be late
-	alarm      monotonic.Micros // when a lingering slot comes free, for the one waiter that sees to it
-	state      State
-	retryAfter monotonic.Micros
+	Wake        func()
+	request     Request
+	arrivedAt   monotonic.Micros
+	dueAt       monotonic.Micros // the latest moment at which its answer is of full worth, as far as known
+	startedAt   monotonic.Micros
+	serviceTime monotonic.Micros // what its work is expected to take
+	queuedLate  bool             // it was let wait though it would be late
+	wakeAt      monotonic.Micros // when a lingering slot comes free, for the one waiter that sees to it
+	state       State
+	retryAfter  monotonic.Micros
 }
 
 // State tells how far the ticket has come.
-func (ticket *Ticket) State() State { return ticket.state }
+func (t *Ticket) State() State { return t.state }
 
 // RetryAfter is the wait that a refused ticket had to expect.
-func (ticket *Ticket) RetryAfter() monotonic.Micros { return ticket.retryAfter }
+func (t *Ticket) RetryAfter() monotonic.Micros { return t.retryAfter }
 
 // before is the order of the queue: by priority, then by who must start first; who came earlier goes before its like.
-func (ticket *Ticket) before(other *Ticket) bool {
-	if ticket.ask.Priority != other.ask.Priority {
-		return ticket.ask.Priority < other.ask.Priority
+func (t *Ticket) less(other *Ticket) bool {
+	if t.request.Priority != other.request.Priority {
+		return t.request.Priority < other.request.Priority
 	}
-	return ticket.due < other.due
+	return t.dueAt < other.dueAt
 }
 
 // late tells that the answer can't come within the aim any more, as far as can be expected.
-func (ticket *Ticket) late(now monotonic.Micros) bool {
-	return ticket.behind || ticket.ask.Aim > 0 && now+ticket.work > ticket.ask.Aim
+func (t *Ticket) late(now monotonic.Micros) bool {
+	return t.queuedLate || t.request.LatencyTarget > 0 && now+t.serviceTime > t.request.LatencyTarget
 }
 
 // mean is a mean work time in microseconds, the newest requests weighing most.
 type mean struct {
-	work     float64
-	measured int
+	average float64
+	samples int
 }
 
-func (mean *mean) take(work monotonic.Micros) {
-	mean.measured = min(mean.measured+1, memory)
-	mean.work += (float64(work) - mean.work) / float64(mean.measured)
+func (m *mean) add(sample monotonic.Micros) {
+	m.samples = min(m.samples+1, meanWindow)
+	m.average += (float64(sample) - m.average) / float64(m.samples)
 }
 
-// Slots is one backend's admission. Who can still be answered within the aim goes before who can't: under a lasting rush a queue
+// Pool is one backend's admission. Who can still be answered within the aim goes before who can't: under a lasting rush a queue
 // in order of arrival would answer everybody late.
 // Invariants: running + lingering <= count whenever a ticket is let in by Enter or from the queue; nobody waits while a slot is
 // free; the queue is sorted by before; running counts exactly the tickets in that state; while both are not empty,
 // keeper is a waiter whose alarm is the first end of a lingering slot.
-type Slots struct {
-	terms     Terms
-	count     int // zero: unknown, and then unbounded
-	running   int
-	lingering []monotonic.Micros // until when each is kept
-	queue     []*Ticket
-	keeper    *Ticket
-	work      mean
-	kinds     map[string]*mean // invariant: as many as there are routes to this backend, mostKinds at most
+type Pool struct {
+	limits        Limits
+	count         int // zero: unknown, and then unbounded
+	running       int
+	lingering     []monotonic.Micros // until when each is kept
+	queue         []*Ticket
+	lingerWatcher *Ticket
+	overall       mean
+	byKind        map[string]*mean // invariant: as many as there are routes to this backend, maxKinds at most
 }
 
 const (
-	// mostKinds bounds what is kept by kind.
-	mostKinds = 256
+	// maxKinds bounds what is kept by kind.
+	maxKinds = 256
 	// enough is how many requests of a kind make its own mean better than that of all.
-	enough = 4
+	minKindSamples = 4
 )
 
 // New makes the admission to a backend of which nothing is known yet.
-func New(terms Terms) *Slots { return &Slots{terms: terms, kinds: map[string]*mean{}} }
+func New(limits Limits) *Pool { return &Pool{limits: limits, byKind: map[string]*mean{}} }
 
 // SetCount takes the number of slots that the backend says it has.
-func (slots *Slots) SetCount(now monotonic.Micros, count uint32) {
-	slots.count = int(count)
-	slots.Advance(now)
+func (p *Pool) SetCount(now monotonic.Micros, count uint32) {
+	p.count = int(count)
+	p.Advance(now)
 }
 
 // Count is the number of slots, zero if unknown.
-func (slots *Slots) Count() uint32 { return uint32(slots.count) }
+func (p *Pool) Count() uint32 { return uint32(p.count) }
 
 // Taken is the number of slots that no new request may have now.
-func (slots *Slots) Taken() int { return slots.running + len(slots.lingering) }
+func (p *Pool) Taken() int { return p.running + len(p.lingering) }
 
 // Running is the number of requests that are in their slots.
-func (slots *Slots) Running() int { return slots.running }
+func (p *Pool) Running() int { return p.running }
 
 // Waiting is the length of the queue.
-func (slots *Slots) Waiting() int { return len(slots.queue) }
+func (p *Pool) Waiting() int { return len(p.queue) }
 
-// Work is the mean time for which a request holds its slot.
-func (slots *Slots) Work() monotonic.Micros {
-	if slots.work.measured == 0 {
-		return slots.terms.FirstWork
+// ServiceTime is the mean time for which a request holds its slot.
+func (p *Pool) ServiceTime() monotonic.Micros {
+	if p.overall.samples == 0 {
+		return p.limits.InitialServiceTime
 	}
-	return monotonic.Micros(slots.work.work)
+	return monotonic.Micros(p.overall.average)
 }
 
-// workOf is the mean for a kind, or for all while too few of it were measured.
-func (slots *Slots) workOf(kind string) monotonic.Micros {
-	if work := slots.WorkOf(kind); work > 0 {
+// expectedServiceTime is the mean for a kind, or for all while too few of it were measured.
+func (p *Pool) expectedServiceTime(kind string) monotonic.Micros {
+	if work := p.ServiceTimeOf(kind); work > 0 {
 		return work
 	}
-	return slots.Work()
+	return p.ServiceTime()
 }
 
-// WorkOf is the mean time for which a request of a kind holds its slot; zero while too few of it were measured.
-func (slots *Slots) WorkOf(kind string) monotonic.Micros {
-	if known := slots.kinds[kind]; known != nil && known.measured >= enough {
-		return monotonic.Micros(known.work)
+// ServiceTimeOf is the mean time for which a request of a kind holds its slot; zero while too few of it were measured.
+func (p *Pool) ServiceTimeOf(kind string) monotonic.Micros {
+	if known := p.byKind[kind]; known != nil && known.samples >= minKindSamples {
+		return monotonic.Micros(known.average)
 	}
 	return 0
 }
 
-// Relearn takes what was measured for hardly known: the backend isn't any more as it was then.
-func (slots *Slots) Relearn() {
-	slots.work.measured = min(slots.work.measured, 1)
-	for _, known := range slots.kinds {
-		known.measured = min(known.measured, 1)
+// DiscountMeasurements takes what was measured for hardly known: the backend isn't any more as it was then.
+func (p *Pool) DiscountMeasurements() {
+	p.overall.samples = min(p.overall.samples, 1)
+	for _, known := range p.byKind {
+		known.samples = min(known.samples, 1)
 	}
 }
 
 // Measured tells whether Work comes from requests that were worked on.
-func (slots *Slots) Measured() bool { return slots.work.measured > 0 }
+func (p *Pool) Measured() bool { return p.overall.samples > 0 }
 
-func (slots *Slots) free() bool { return slots.count == 0 || slots.Taken() < slots.count }
+func (p *Pool) hasFree() bool { return p.count == 0 || p.Taken() < p.count }
 
 // Enter brings a request. Its ticket is running, waiting or refused.
-func (slots *Slots) Enter(now monotonic.Micros, ask Ask) *Ticket {
-	slots.Advance(now)
-	ticket := &Ticket{ask: ask, arrived: now, due: ask.Aim, work: slots.workOf(ask.Kind)}
-	if slots.free() {
-		slots.run(now, ticket)
+func (p *Pool) Enter(now monotonic.Micros, request Request) *Ticket {
+	p.Advance(now)
+	ticket := &Ticket{request: request, arrivedAt: now, dueAt: request.LatencyTarget, serviceTime: p.expectedServiceTime(request.Kind)}
+	if p.hasFree() {
+		p.start(now, ticket)
 		return ticket
 	}
-	if ask.Aim <= now {
-		ticket.due = now + share(ask.Cutoff-now, slots.terms.RemainingShare)
+	if request.LatencyTarget <= now {
+		ticket.dueAt = now + fraction(request.Deadline-now, p.limits.RemainingShare)
 	}
-	place := len(slots.queue)
-	for place > 0 && ticket.before(slots.queue[place-1]) {
-		place--
+	position := len(p.queue)
+	for position > 0 && ticket.less(p.queue[position-1]) {
+		position--
 	}
-	wait, welcome := slots.welcome(now, ticket, place)
-	if !welcome || ask.StartBy > 0 && wait > ask.StartBy-now {
-		slots.refuse(ticket, wait)
+	wait, allowed := p.mayQueue(now, ticket, position)
+	if !allowed || request.StartBy > 0 && wait > request.StartBy-now {
+		p.reject(ticket, wait)
 		return ticket
 	}
-	if last := len(slots.queue) - 1; len(slots.queue) >= max(1, slots.count*slots.terms.WaitingPerSlot) {
-		if slots.queue[last].ask.Priority <= ask.Priority {
-			slots.refuse(ticket, wait)
+	if last := len(p.queue) - 1; len(p.queue) >= max(1, p.count*p.limits.QueuePerSlot) {
+		if p.queue[last].request.Priority <= request.Priority {
+			p.reject(ticket, wait)
 			return ticket
 		}
-		displaced := slots.queue[last]
-		slots.queue[last] = nil
-		slots.queue = slots.queue[:last]
-		slots.refuse(displaced, slots.wait(now, slots.ahead(slots.queue, func(*Ticket) bool { return true })))
+		displaced := p.queue[last]
+		p.queue[last] = nil
+		p.queue = p.queue[:last]
+		p.reject(displaced, p.expectedWait(now, p.workAhead(p.queue, func(*Ticket) bool { return true })))
 	}
-	slots.queue = slices.Insert(slots.queue, place, ticket)
-	slots.keep()
+	p.queue = slices.Insert(p.queue, position, ticket)
+	p.assignLingerWatcher()
 	return ticket
 }
 
 // welcome tells whether a request may wait at a place of the queue, and what wait it has to expect. It may where it will be
 // answered within its aim and, if it has another backend to go to, without waiting for long. One that has none left may also
 // wait to be answered late, behind all who can be answered in time, while few others do.
-func (slots *Slots) welcome(now monotonic.Micros, ticket *Ticket, place int) (wait monotonic.Micros, welcome bool) {
-	ask := ticket.ask
-	wait = slots.wait(now, slots.ahead(slots.queue[:place], func(other *Ticket) bool { return !other.late(now) }))
-	if ask.Aim <= now || wait+ticket.work <= ask.Aim-now {
-		return wait, wait+ticket.work <= ask.Cutoff-now && (ask.Patient || wait <= slots.mostWait(now, ask))
+func (p *Pool) mayQueue(now monotonic.Micros, ticket *Ticket, position int) (wait monotonic.Micros, allowed bool) {
+	request := ticket.request
+	wait = p.expectedWait(now, p.workAhead(p.queue[:position], func(other *Ticket) bool { return !other.late(now) }))
+	if request.LatencyTarget <= now || wait+ticket.serviceTime <= request.LatencyTarget-now {
+		return wait, wait+ticket.serviceTime <= request.Deadline-now && (request.Patient || wait <= p.maxWait(now, request))
 	}
 	waiting := 0
-	wait = slots.wait(now, slots.ahead(slots.queue, func(other *Ticket) bool {
+	wait = p.expectedWait(now, p.workAhead(p.queue, func(other *Ticket) bool {
 		if !other.late(now) {
 			return true
 		}
 		waiting++
-		return other.before(ticket)
+		return other.less(ticket)
 	}))
-	few := float64(waiting) < max(1, float64(slots.count)*slots.terms.LatePerSlot)
-	ticket.behind = true
-	return wait, ask.Patient && few && wait+ticket.work <= ask.Cutoff-now
+	few := float64(waiting) < max(1, float64(p.count)*p.limits.LateQueuePerSlot)
+	ticket.queuedLate = true
+	return wait, request.Patient && few && wait+ticket.serviceTime <= request.Deadline-now
 }
 
 // ahead sums the work of those that count.
-func (slots *Slots) ahead(queue []*Ticket, counts func(ticket *Ticket) bool) (work monotonic.Micros) {
+func (p *Pool) workAhead(queue []*Ticket, counts func(ticket *Ticket) bool) (total monotonic.Micros) {
 	for _, ticket := range queue {
 		if counts(ticket) {
-			work += ticket.work
+			total += ticket.serviceTime
 		}
 	}
-	return work
+	return total
 }
 
 // Force lets a request in whatever the count, for backends whose count isn't known.
-func (slots *Slots) Force(now monotonic.Micros, ask Ask) *Ticket {
-	slots.Advance(now)
-	ticket := &Ticket{ask: ask, arrived: now, work: slots.workOf(ask.Kind)}
-	slots.run(now, ticket)
+func (p *Pool) Force(now monotonic.Micros, request Request) *Ticket {
+	p.Advance(now)
+	ticket := &Ticket{request: request, arrivedAt: now, serviceTime: p.expectedServiceTime(request.Kind)}
+	p.start(now, ticket)
 	return ticket
 }
 
-func share(span monotonic.Micros, part float64) monotonic.Micros {
-	return monotonic.Micros(float64(span) * part)
+func fraction(duration monotonic.Micros, factor float64) monotonic.Micros {
+	return monotonic.Micros(float64(duration) * factor)
 }
 
-func (slots *Slots) mostWait(now monotonic.Micros, ask Ask) monotonic.Micros {
-	if ask.Aim > now {
-		return share(ask.Aim-now, slots.terms.AimShare)
+func (p *Pool) maxWait(now monotonic.Micros, request Request) monotonic.Micros {
+	if request.LatencyTarget > now {
+		return fraction(request.LatencyTarget-now, p.limits.LatencyTargetShare)
 	}
-	return share(ask.Cutoff-now, slots.terms.RemainingShare)
+	return fraction(request.Deadline-now, p.limits.RemainingShare)
 }
 
 // wait is what a request with so much work ahead of it has to expect: slots come free one by one, each after the mean work
 // time over their number. Lingering slots give nobody way before their end.
-func (slots *Slots) wait(now, ahead monotonic.Micros) monotonic.Micros {
-	if slots.count == 0 {
+func (p *Pool) expectedWait(now, ahead monotonic.Micros) monotonic.Micros {
+	if p.count == 0 {
 		return 0
 	}
-	working := slots.count - len(slots.lingering)
+	working := p.count - len(p.lingering)
 	if working > 0 {
-		return (slots.Work() + ahead) / monotonic.Micros(working)
+		return (p.ServiceTime() + ahead) / monotonic.Micros(working)
 	}
-	first := slices.Min(slots.lingering)
-	return first - now + ahead/monotonic.Micros(max(1, slots.count))
+	first := slices.Min(p.lingering)
+	return first - now + ahead/monotonic.Micros(max(1, p.count))
 }
 
-func (slots *Slots) run(now monotonic.Micros, ticket *Ticket) {
-	ticket.state, ticket.started = Running, now
-	slots.running++
+func (p *Pool) start(now monotonic.Micros, ticket *Ticket) {
+	ticket.state, ticket.startedAt = Running, now
+	p.running++
 }
 
-func (slots *Slots) refuse(ticket *Ticket, wait monotonic.Micros) {
-	ticket.state, ticket.retryAfter = Refused, max(wait, least)
+func (p *Pool) reject(ticket *Ticket, wait monotonic.Micros) {
+	ticket.state, ticket.retryAfter = Rejected, max(wait, minRetryAfter)
 	ticket.wake()
 }
 
-func (ticket *Ticket) wake() {
-	if ticket.Wake != nil {
-		ticket.Wake()
+func (t *Ticket) wake() {
+	if t.Wake != nil {
+		t.Wake()
 	}
 }
 
-// tooLate is the moment from which a waiter is no longer worth starting, or may not be.
-func (slots *Slots) tooLate(ticket *Ticket) monotonic.Micros {
-	moment := ticket.ask.Cutoff - slots.Work()/2
-	if ticket.ask.StartBy > 0 {
-		moment = min(moment, ticket.ask.StartBy)
+// latestStart is the moment from which a waiter is no longer worth starting, or may not be.
+func (p *Pool) latestStart(ticket *Ticket) monotonic.Micros {
+	at := ticket.request.Deadline - p.ServiceTime()/2
+	if ticket.request.StartBy > 0 {
+		at = min(at, ticket.request.StartBy)
 	}
-	return moment
+	return at
 }
 
 // Advance lets time pass: lingering slots come free, waiters that are too late are refused, and free slots are given out.
-func (slots *Slots) Advance(now monotonic.Micros) {
-	slots.lingering = slices.DeleteFunc(slots.lingering, func(until monotonic.Micros) bool { return now >= until })
-	kept := slots.queue[:0]
-	for _, ticket := range slots.queue {
-		if now >= slots.tooLate(ticket) {
-			slots.refuse(ticket, slots.wait(now, slots.ahead(kept, func(*Ticket) bool { return true })))
+func (p *Pool) Advance(now monotonic.Micros) {
+	p.lingering = slices.DeleteFunc(p.lingering, func(until monotonic.Micros) bool { return now >= until })
+	remaining := p.queue[:0]
+	for _, ticket := range p.queue {
+		if now >= p.latestStart(ticket) {
+			p.reject(ticket, p.expectedWait(now, p.workAhead(remaining, func(*Ticket) bool { return true })))
 			continue
 		}
-		kept = append(kept, ticket)
+		remaining = append(remaining, ticket)
 	}
-	clear(slots.queue[len(kept):])
-	slots.queue = kept
-	for slots.free() && len(slots.queue) > 0 {
-		place := max(0, slices.IndexFunc(slots.queue, func(ticket *Ticket) bool { return !ticket.late(now) }))
-		ticket := slots.queue[place]
-		slots.queue = slices.Delete(slots.queue, place, place+1)
-		slots.run(now, ticket)
+	clear(p.queue[len(remaining):])
+	p.queue = remaining
+	for p.hasFree() && len(p.queue) > 0 {
+		position := max(0, slices.IndexFunc(p.queue, func(ticket *Ticket) bool { return !ticket.late(now) }))
+		ticket := p.queue[position]
+		p.queue = slices.Delete(p.queue, position, position+1)
+		p.start(now, ticket)
 		ticket.wake()
 	}
-	slots.keep()
+	p.assignLingerWatcher()
 }
 
 // keep sees to it that one waiter wakes when the first lingering slot comes free: nobody else may call by then.
-func (slots *Slots) keep() {
-	if len(slots.queue) == 0 || len(slots.lingering) == 0 {
-		slots.keeper = nil
+func (p *Pool) assignLingerWatcher() {
+	if len(p.queue) == 0 || len(p.lingering) == 0 {
+		p.lingerWatcher = nil
 		return
 	}
-	first := slices.Min(slots.lingering)
-	if slots.keeper == nil || slots.keeper.state != Waiting {
-		slots.keeper = slots.queue[0]
-		slots.keeper.alarm = 0
+	first := slices.Min(p.lingering)
+	if p.lingerWatcher == nil || p.lingerWatcher.state != Waiting {
+		p.lingerWatcher = p.queue[0]
+		p.lingerWatcher.wakeAt = 0
 	}
-	sooner := slots.keeper.alarm == 0 || first < slots.keeper.alarm
-	slots.keeper.alarm = first
+	sooner := p.lingerWatcher.wakeAt == 0 || first < p.lingerWatcher.wakeAt
+	p.lingerWatcher.wakeAt = first
 	if sooner {
-		slots.keeper.wake()
+		p.lingerWatcher.wake()
 	}
 }
 
 // WakeAt is the moment at which a waiter has to call Advance by itself, if it isn't woken before.
-func (slots *Slots) WakeAt(ticket *Ticket) monotonic.Micros {
-	moment := slots.tooLate(ticket)
-	if ticket == slots.keeper {
-		moment = min(moment, ticket.alarm)
+func (p *Pool) WakeAt(ticket *Ticket) monotonic.Micros {
+	at := p.latestStart(ticket)
+	if ticket == p.lingerWatcher {
+		at = min(at, ticket.wakeAt)
 	}
-	return moment
+	return at
 }
 
-// Leave gives a slot back.
-func (slots *Slots) Leave(now monotonic.Micros, ticket *Ticket, end End) {
+// Release gives a slot back.
+func (p *Pool) Release(now monotonic.Micros, ticket *Ticket, outcome Outcome) {
 	if ticket.state != Running {
 		return
 	}
 	ticket.state = Ended
-	slots.running--
-	if end == Worked {
-		slots.work.take(now - ticket.started)
-		known := slots.kinds[ticket.ask.Kind]
-		if known == nil && len(slots.kinds) < mostKinds {
+	p.running--
+	if outcome == Completed {
+		p.overall.add(now - ticket.startedAt)
+		known := p.byKind[ticket.request.Kind]
+		if known == nil && len(p.byKind) < maxKinds {
 			known = &mean{}
-			slots.kinds[ticket.ask.Kind] = known
+			p.byKind[ticket.request.Kind] = known
 		}
 		if known != nil {
-			known.take(now - ticket.started)
+			known.add(now - ticket.startedAt)
 		}
 	}
-	if end == Unsure && slots.count > 0 {
-		until := ticket.ask.Cutoff + lingerMargin
-		if slots.terms.MostLinger > 0 {
-			until = min(until, now+slots.terms.MostLinger)
+	if outcome == Uncertain && p.count > 0 {
+		until := ticket.request.Deadline + lingerMargin
+		if p.limits.MaxLinger > 0 {
+			until = min(until, now+p.limits.MaxLinger)
 		}
 		if until > now {
-			slots.lingering = append(slots.lingering, until)
+			p.lingering = append(p.lingering, until)
 		}
 	}
-	slots.Advance(now)
+	p.Advance(now)
 }
 
 // Flush refuses all who wait.
-func (slots *Slots) Flush(now monotonic.Micros) {
-	flushed := slots.queue
-	slots.queue = nil
-	for place, ticket := range flushed {
-		slots.refuse(ticket, slots.wait(now, slots.ahead(flushed[:place], func(*Ticket) bool { return true })))
+func (p *Pool) Flush(now monotonic.Micros) {
+	flushed := p.queue
+	p.queue = nil
+	for position, ticket := range flushed {
+		p.reject(ticket, p.expectedWait(now, p.workAhead(flushed[:position], func(*Ticket) bool { return true })))
 	}
-	slots.keep()
+	p.assignLingerWatcher()
 }
--- a/internal/proxy/admission/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -10,11 +10,11 @@
 
 const (
 	// large is the usual size in bytes from which a route's answers are admitted by the link; smaller ones only count.
-	large = 8 << 10
+	largeResponse = 8 << 10
 	// memory is the number of answers over which a route's usual size is taken, the newest weighing most.
-	memory = 16
-	// mostRoutes bounds what is kept by route.
-	mostRoutes = 4096
+	sizeWindow = 16
+	// maxRoutes bounds what is kept by route.
+	maxRoutes = 4096
 	// overhead is what a byte of an answer counts for on the link: frames, headers and acknowledgements, and room for all that isn't
 	// counted, which must not wait behind large answers.
 	overhead = 1.5
@@ -25,9 +25,9 @@
 // link has sent all that was handed to it, if it sends at its rate and nothing else.
 type Uplink struct {
 	rate     float64 // bytes a microsecond; zero for a link that isn't counted
-	lock     sync.Mutex
-	free     monotonic.Micros
-	promised float64
+	mu       sync.Mutex
+	freeAt   monotonic.Micros
+	reserved float64
 	sizes    map[string]float64
 }
 
@@ -36,43 +36,43 @@
 
 // Admit takes a request whose answer is to be on its way within a limit, or tells how long the link is taken. size must be given
 // back to Done.
-func (uplink *Uplink) Admit(now monotonic.Micros, route string, limit monotonic.Micros) (size float64, wait monotonic.Micros, admitted bool) {
-	if uplink.rate == 0 {
+func (u *Uplink) Admit(now monotonic.Micros, route string, limit monotonic.Micros) (size float64, wait monotonic.Micros, admitted bool) {
+	if u.rate == 0 {
 		return 0, 0, true
 	}
-	uplink.lock.Lock()
-	defer uplink.lock.Unlock()
-	size = uplink.sizes[route]
-	wait = max(0, uplink.free-now) + uplink.time(uplink.promised)
-	if size >= large && wait+uplink.time(size) > limit {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	size = u.sizes[route]
+	wait = max(0, u.freeAt-now) + u.transmitTime(u.reserved)
+	if size >= largeResponse && wait+u.transmitTime(size) > limit {
 		return 0, wait, false
 	}
-	uplink.promised += size
+	u.reserved += size
 	return size, wait, true
 }
 
 // Done notes that an answer of so many bytes goes out, none for a request that had no answer.
-func (uplink *Uplink) Done(now monotonic.Micros, route string, size float64, bytes int) {
-	if uplink.rate == 0 {
+func (u *Uplink) Done(now monotonic.Micros, route string, size float64, bytes int) {
+	if u.rate == 0 {
 		return
 	}
-	uplink.lock.Lock()
-	defer uplink.lock.Unlock()
-	uplink.promised = max(0, uplink.promised-size)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.reserved = max(0, u.reserved-size)
 	if bytes == 0 {
 		return
 	}
-	uplink.free = max(uplink.free, now) + uplink.time(float64(bytes))
-	known, present := uplink.sizes[route]
-	if !present && len(uplink.sizes) >= mostRoutes {
-		clear(uplink.sizes)
+	u.freeAt = max(u.freeAt, now) + u.transmitTime(float64(bytes))
+	known, present := u.sizes[route]
+	if !present && len(u.sizes) >= maxRoutes {
+		clear(u.sizes)
 	}
 	if !present {
 		known = float64(bytes)
 	}
-	uplink.sizes[route] = known + (float64(bytes)-known)/memory
+	u.sizes[route] = known + (float64(bytes)-known)/sizeWindow
 }
 
-func (uplink *Uplink) time(bytes float64) monotonic.Micros {
-	return monotonic.Micros(bytes * overhead / uplink.rate)
+func (u *Uplink) transmitTime(bytes float64) monotonic.Micros {
+	return monotonic.Micros(bytes * overhead / u.rate)
 }
--- a/internal/proxy/admission/uplink/uplink_test.go
+++ b/internal/proxy/admission/uplink/uplink_test.go
@@ -19,16 +19,16 @@
 	}
 	narrow.Done(now, "packs", size, 100_000)
 	now += 200 * ms // it's sent
-	sizes, kept := []float64{}, 0
+	sizes, admittedCount := []float64{}, 0
 	for range 5 {
 		if size, wait, admitted := narrow.Admit(now, "packs", 480*ms); admitted {
-			sizes, kept = append(sizes, size), kept+1
+			sizes, admittedCount = append(sizes, size), admittedCount+1
 		} else if wait < 430*ms || wait > 470*ms {
 			t.Errorf("told to come back after %d", wait)
 		}
 	}
-	if kept != 3 {
-		t.Fatalf("%d of 100 kB admitted within 480 ms", kept)
+	if admittedCount != 3 {
+		t.Fatalf("%d of 100 kB admitted within 480 ms", admittedCount)
 	}
 	if _, _, admitted := narrow.Admit(now, "lookup", ms); !admitted {
 		t.Error("a small one was refused")
--- a/internal/proxy/forward/cancellation.go
+++ b/internal/proxy/forward/cancellation.go
@@ -44,7 +44,7 @@
 
 // cancel tells the server's side that nobody waits for a pass any more.
 func (f *Forwarder) cancelAttempt(inFlight *inFlightAttempt) {
-	if inFlight.candidate.Carrier == f.config.Proxy && inFlight.candidate.Incarnation == f.config.Incarnation {
+	if inFlight.candidate.Proxy == f.config.Proxy && inFlight.candidate.Incarnation == f.config.Incarnation {
 		f.config.Admission.Cancel(f.config.Proxy, inFlight.id)
 		return
 	}
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -39,10 +39,10 @@
 	IgnoreDomains      bool
 	CrossDomainPenalty monotonic.Micros // what the way to another zone counts for
 	ConfigClient       *configclient.Client
-	Session            *session.Roll
+	Session            *session.Client
 	Breakers           *breaker.Set
 	RetryBudget        *retry.Budget
-	Admission          *admission.Gate
+	Admission          *admission.Controller
 	// SilenceTimeout is how long a carrier may owe answers before it's asked for a sign of life, 700 ms if left out.
 	SilenceTimeout monotonic.Micros
 	CallPrimary    func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
@@ -59,7 +59,7 @@
 	draining          atomic.Bool
 	inFlight          atomic.Int64
 	idle              host.Signal
-	shutdown          *shutdown.Post
+	shutdown          *shutdown.Group
 	retryAfterJitter  *retryAfterJitter
 	inFlightByService sync.Map // service name to *atomic.Int64
 	balancer          *loadBalancer
@@ -87,7 +87,7 @@
 	Attempts         int
 	// MayHaveRun is set once some try may have run; from then on no refusal says not run.
 	MayHaveRun   bool
-	task         *shutdown.Errand
+	task         *shutdown.Task
 	retries      retryState
 	lastBackend  bool // the backend of this try is the last one it may be brought to
 	cancellation cancellation
@@ -157,7 +157,7 @@
 func (f *Forwarder) DisableRetryAfterJitter(disabled bool) { f.retryAfterJitter.disabled = disabled }
 
 // Abort gives every request still under way its final outcome now.
-func (f *Forwarder) Abort() { f.shutdown.GiveUp() }
+func (f *Forwarder) Abort() { f.shutdown.Abort() }
 
 // Forward gives a request its one outcome: the backend's own complete answer, or a fault.
 func (f *Forwarder) Forward(req *request.Request) (response *request.Response, fault *apierror.Fault) {
@@ -173,18 +173,18 @@
 	}()
 	var result *request.Response
 	var failure *apierror.Fault
-	outcome := f.shutdown.Run(func(task *shutdown.Errand) { result, failure = f.forward(req, task) })
+	outcome := f.shutdown.Run(func(task *shutdown.Task) { result, failure = f.forward(req, task) })
 	if outcome == shutdown.Done {
 		return result, failure
 	}
 	fault = apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun, "carrier %s stops, and can't wait any longer", f.config.Proxy)
-	if outcome == shutdown.Unstarted && req.IdempotencyKey == "" {
+	if outcome == shutdown.NotStarted && req.IdempotencyKey == "" {
 		fault.Verdict = apierror.NotRun
 	}
 	return nil, fault
 }
 
-func (f *Forwarder) forward(req *request.Request, task *shutdown.Errand) (response *request.Response, fault *apierror.Fault) {
+func (f *Forwarder) forward(req *request.Request, task *shutdown.Task) (response *request.Response, fault *apierror.Fault) {
 	exchange := &Exchange{Request: req, task: task, StartedAt: f.config.Host.Now(), Host: config.CanonicalHost(req.Host), Method: strings.ToUpper(req.Method)}
 	exchange.Deadline = exchange.StartedAt + voidTimeout // until the path's own limit is known
 	defer func() {
@@ -319,7 +319,7 @@
 		AnswerLimit: exchange.Service.Limits.GetAnswerBytes(), Priority: exchange.Route.Priority, LatencyTarget: exchange.remainingLatencyTarget(node.Now()), AtMostOnce: exchange.AtMostOnce, MayQueue: exchange.lastBackend, Route: exchange.Route.Name,
 		Domain: f.config.Domain, Peers: f.balancer.peersOf(f.config.Session.Directory(), exchange.Service.Name, candidate.Instance)}
 	if exchange.RunOnce {
-		forwardRequest.Attempt = admission.TryOf(f.config.Proxy, node.Random())
+		forwardRequest.Attempt = admission.NewAttemptID(f.config.Proxy, node.Random())
 	}
 	if !exchange.task.Start() {
 		permit.Done(breaker.Neutral)
@@ -340,7 +340,7 @@
 	}
 	f.balancer.observeLoad(candidate.Instance, exchange.Route.Name, forwardResponse.Load)
 	backendOnly := f.balancer.observeHealth(f.config.Session.Directory(), exchange.Service.Name, candidate.Instance, forwardResponse.Load)
-	if forwardResponse.Id != forwardRequest.Id || !forwardResponse.Rejected && !admission.Whole(forwardResponse) {
+	if forwardResponse.Id != forwardRequest.Id || !forwardResponse.Rejected && !admission.Complete(forwardResponse) {
 		permit.Done(breaker.Neutral)
 		return nil, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "the answer to pass %s is not whole or not its own", forwardRequest.Id), !exchange.RunOnce && !exchange.AtMostOnce
 	}
@@ -363,8 +363,8 @@
 
 // send passes a request on; to this carrier's own gate without a connection.
 func (f *Forwarder) send(candidate session.Candidate, forwardRequest *wire.ForwardRequest, timeout monotonic.Micros) (*wire.ForwardResponse, error) {
-	if candidate.Carrier == f.config.Proxy && candidate.Incarnation == f.config.Incarnation {
-		return f.config.Admission.Pass(forwardRequest)
+	if candidate.Proxy == f.config.Proxy && candidate.Incarnation == f.config.Incarnation {
+		return f.config.Admission.Serve(forwardRequest)
 	}
 	forwardResponse := &wire.ForwardResponse{}
 	kind := wire.Kind_forward
--- a/internal/proxy/forward/load_balancer.go
+++ b/internal/proxy/forward/load_balancer.go
@@ -220,10 +220,10 @@
 		chosen = b.pickLessLoadedOfTwo(b.preferLocalDomain(directory, eligible))
 	}
 	b.inFlight[chosen.Instance]++
-	pending := b.pendingByProxy[chosen.Carrier]
+	pending := b.pendingByProxy[chosen.Proxy]
 	if pending == nil {
 		pending = &pendingResponses{since: now, address: chosen.Address}
-		b.pendingByProxy[chosen.Carrier] = pending
+		b.pendingByProxy[chosen.Proxy] = pending
 	}
 	pending.requests++
 	return chosen, lastBackend, func() {
@@ -234,14 +234,14 @@
 		}
 		pending.since = b.host.Now()
 		if pending.requests--; pending.requests == 0 {
-			delete(b.pendingByProxy, chosen.Carrier)
+			delete(b.pendingByProxy, chosen.Proxy)
 		}
 	}, nil
 }
 
 // unfit tells whether a backend failed lately or its carrier is silent.
 func (b *loadBalancer) isIneligible(candidate session.Candidate, now monotonic.Micros) bool {
-	return b.isAvoided(candidate.Instance, now) || b.isAvoided(candidate.Carrier, now) || b.isUnresponsive(candidate.Carrier, now)
+	return b.isAvoided(candidate.Instance, now) || b.isAvoided(candidate.Proxy, now) || b.isUnresponsive(candidate.Proxy, now)
 }
 
 // near keeps to the own domain with the probability that makes every backend's load the same: the domain's share of the
@@ -257,10 +257,10 @@
 	}
 	spare := func(domain string) float64 {
 		backends := float64(len(byDomain[domain])) / float64(len(eligible))
-		return backends - float64(directory.Carriers[domain])/float64(max(1, directory.Live))
+		return backends - float64(directory.ProxiesByDomain[domain])/float64(max(1, directory.Live))
 	}
 	random := float64(b.host.Random()%1000000) / 1000000
-	callers := float64(max(1, directory.Carriers[b.domain])) / float64(max(1, directory.Live))
+	callers := float64(max(1, directory.ProxiesByDomain[b.domain])) / float64(max(1, directory.Live))
 	if share := float64(len(local)) / float64(len(eligible)); random < share/callers {
 		return local
 	}
--- a/internal/proxy/forward/load_balancer_outlier_test.go
+++ b/internal/proxy/forward/load_balancer_outlier_test.go
@@ -42,17 +42,17 @@
 	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
 		began := node.Now()
 		backends := localbackends.New(node, func() {})
-		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, Carriers: map[string]int{}, Live: r.callers}
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, ProxiesByDomain: map[string]int{}, Live: r.callers}
 		sendHeartbeats := func(sequence uint64) {
 			for index := range backendCount {
 				name := fmt.Sprintf("backend-%02d", index)
-				_, _ = backends.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: 4, Condition: localbackends.Alive, Sequence: sequence})
+				_, _ = backends.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: 4, Condition: localbackends.Alive, Sequence: sequence})
 			}
 		}
 		sendHeartbeats(1)
 		for index := range backendCount {
 			name := fmt.Sprintf("backend-%02d", index)
-			directory.Candidates["forms"] = append(directory.Candidates["forms"], session.Candidate{Carrier: "carrier-" + name, Domain: fmt.Sprint("zone-", index%3), Service: "forms", Instance: name, Slots: 4})
+			directory.Candidates["forms"] = append(directory.Candidates["forms"], session.Candidate{Proxy: "carrier-" + name, Domain: fmt.Sprint("zone-", index%3), Service: "forms", Instance: name, Slots: 4})
 		}
 		node.Go(func() {
 			for sequence := uint64(2); ; sequence++ {
@@ -65,7 +65,7 @@
 		rate := 0.6 * backendCount * 4 / meanWork
 		for index := range r.callers {
 			domain := fmt.Sprint("zone-", index%3)
-			directory.Carriers[domain]++
+			directory.ProxiesByDomain[domain]++
 			balancer := newLoadBalancer(node, domain, false, ms)
 			node.Go(func() {
 				for {
@@ -93,7 +93,7 @@
 }
 
 // request plays one request; at is its moment in the run.
-func (r unhealthyRun) request(node *world.Place, backends *localbackends.Hutch, balancer *loadBalancer, directory *session.Directory, at, work monotonic.Micros, random float64, result *requestCounts) {
+func (r unhealthyRun) request(node *world.Place, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, at, work monotonic.Micros, random float64, result *requestCounts) {
 	began, avoid := node.Now(), map[string]bool{}
 	during := at >= unhealthyFrom && at < unhealthyUntil
 	if during {
@@ -128,17 +128,17 @@
 }
 
 // visit plays what a gate does with a request.
-func (r unhealthyRun) visit(node *world.Place, backends *localbackends.Hutch, balancer *loadBalancer, directory *session.Directory, candidate session.Candidate, began, work monotonic.Micros, random float64, lastBackend, unhealthy bool) (reached, fine bool) {
+func (r unhealthyRun) visit(node *world.Place, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, candidate session.Candidate, began, work monotonic.Micros, random float64, lastBackend, unhealthy bool) (reached, fine bool) {
 	remaining := began + requestTimeout - node.Now()
 	peers := balancer.peersOf(directory, "forms", candidate.Instance)
 	defer func() {
 		load := backends.Load(candidate.Instance, "forms")
-		backends.Stand(load, candidate.Instance, balancer.domain, "forms")
+		backends.AddHealth(load, candidate.Instance, balancer.domain, "forms")
 		node.Sleep(ms / 2)
 		balancer.observeLoad(candidate.Instance, "forms", load)
 		balancer.observeHealth(directory, "forms", candidate.Instance, load)
 	}()
-	visit, fault := backends.Visit(candidate.Instance, outlier.RequestInfo{Domain: balancer.domain, Kind: "forms", LatencyTarget: began + 400*ms - node.Now(), Idempotent: true, NoAlternative: lastBackend || r.withoutEjection,
+	visit, fault := backends.Observe(candidate.Instance, outlier.RequestInfo{Domain: balancer.domain, Kind: "forms", LatencyTarget: began + 400*ms - node.Now(), Idempotent: true, NoAlternative: lastBackend || r.withoutEjection,
 		Peers: outlier.Peers{Known: int(peers.Known), Ejected: int(peers.Ejected), FaultRate: float64(peers.FaultRate) / 1000, LatencyRatio: float64(peers.LatencyRatio) / 1000}})
 	if fault != nil {
 		if fault.Cause == apierror.BackendUnhealthy {
@@ -147,7 +147,7 @@
 		return false, false
 	}
 	defer visit.Close(outlier.Unknown)
-	admitted, fault := backends.Admit(localbackends.Admission{Instance: candidate.Instance, Service: "forms", Ask: slots.Ask{Aim: began + 400*ms, Cutoff: began + requestTimeout, Patient: lastBackend}})
+	admitted, fault := backends.Admit(localbackends.Request{Instance: candidate.Instance, Service: "forms", Request: slots.Request{LatencyTarget: began + 400*ms, Deadline: began + requestTimeout, Patient: lastBackend}})
 	if fault != nil {
 		return false, false
 	}
@@ -161,15 +161,15 @@
 		}
 	}
 	node.Sleep(min(took, max(1, began+requestTimeout-node.Now())))
-	outcome, end := outlier.Success, slots.Worked
+	outcome, end := outlier.Success, slots.Completed
 	if fails {
-		outcome, end = outlier.Failure, slots.Over
+		outcome, end = outlier.Failure, slots.Released
 	}
 	if began+requestTimeout <= node.Now() {
-		outcome, end, fails = outlier.Unknown, slots.Over, true
+		outcome, end, fails = outlier.Unknown, slots.Released, true
 	}
 	visit.Close(outcome)
-	admitted.Leave(end)
+	admitted.Release(end)
 	balancer.observeOutcome(candidate.Instance, fails)
 	return true, !fails
 }
--- a/internal/proxy/forward/load_balancer_spread_test.go
+++ b/internal/proxy/forward/load_balancer_spread_test.go
@@ -49,14 +49,14 @@
 	result.byBackend = map[string]int{}
 	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
 		backends := localbackends.New(node, func() {})
-		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, Carriers: map[string]int{}, Live: r.callers}
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, ProxiesByDomain: map[string]int{}, Live: r.callers}
 		speeds := map[string]float64{}
 		total := 0.0
 		for index, speed := range r.speeds {
 			name := fmt.Sprintf("backend-%d", index)
 			speeds[name], total = speed, total+speed
-			_, _ = backends.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: r.slots, Condition: localbackends.Alive, Sequence: 1})
-			candidate := session.Candidate{Carrier: "carrier-" + name, Domain: fmt.Sprint("zone-", index%r.zones), Service: "forms", Instance: name, Slots: r.slots}
+			_, _ = backends.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: r.slots, Condition: localbackends.Alive, Sequence: 1})
+			candidate := session.Candidate{Proxy: "carrier-" + name, Domain: fmt.Sprint("zone-", index%r.zones), Service: "forms", Instance: name, Slots: r.slots}
 			if r.ownLoadOnly {
 				candidate.Slots = 0
 			}
@@ -66,7 +66,7 @@
 			for sequence := uint64(2); ; sequence++ {
 				node.Sleep(2 * monotonic.Second)
 				for name := range speeds {
-					_, _ = backends.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: r.slots, Condition: localbackends.Alive, Sequence: sequence})
+					_, _ = backends.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: name, Address: name}, Slots: r.slots, Condition: localbackends.Alive, Sequence: sequence})
 				}
 			}
 		})
@@ -83,7 +83,7 @@
 		random := simulated.Chance()
 		for index := range r.callers {
 			domain := fmt.Sprint("zone-", index%r.zones)
-			directory.Carriers[domain]++
+			directory.ProxiesByDomain[domain]++
 			balancer := newLoadBalancer(node, domain, false, 20*ms)
 			node.Go(func() {
 				for {
@@ -105,7 +105,7 @@
 	return result
 }
 
-func (r spreadRun) request(node *world.Place, backends *localbackends.Hutch, balancer *loadBalancer, directory *session.Directory, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
+func (r spreadRun) request(node *world.Place, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
 	began, avoid := node.Now(), map[string]bool{}
 	result.requests++
 	for made := 0; ; made++ {
@@ -117,10 +117,10 @@
 			delay = 2 * ms
 		}
 		node.Sleep(delay)
-		admitted, fault := backends.Admit(localbackends.Admission{Instance: candidate.Instance, Service: "forms", Ask: slots.Ask{Aim: began + r.latencyTarget, Cutoff: began + r.timeout, Patient: lastBackend}})
+		admitted, fault := backends.Admit(localbackends.Request{Instance: candidate.Instance, Service: "forms", Request: slots.Request{LatencyTarget: began + r.latencyTarget, Deadline: began + r.timeout, Patient: lastBackend}})
 		if fault == nil {
 			node.Sleep(monotonic.Micros(float64(work) / speeds[candidate.Instance]))
-			admitted.Leave(slots.Worked)
+			admitted.Release(slots.Completed)
 		}
 		load := backends.Load(candidate.Instance, "")
 		node.Sleep(delay)
--- a/internal/proxy/forward/retry_test.go
+++ b/internal/proxy/forward/retry_test.go
@@ -117,7 +117,7 @@
 		balancer := newLoadBalancer(node, "a", false, 0)
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}}
 		for index := range 4 {
-			directory.Candidates["forms"] = append(directory.Candidates["forms"], session.Candidate{Carrier: fmt.Sprint("carrier-", index), Instance: fmt.Sprint(index), Service: "forms", Slots: 2})
+			directory.Candidates["forms"] = append(directory.Candidates["forms"], session.Candidate{Proxy: fmt.Sprint("carrier-", index), Instance: fmt.Sprint(index), Service: "forms", Slots: 2})
 		}
 		balancer.markUnavailable("3")
 		avoid := map[string]bool{}
@@ -245,7 +245,7 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
 		balancer := newLoadBalancer(node, "a", false, 20*ms)
-		directory := &session.Directory{Candidates: map[string][]session.Candidate{"packs": {{Carrier: "home", Instance: "home", Domain: "a", Slots: 2}, {Carrier: "away", Instance: "away", Domain: "b", Slots: 2}}}}
+		directory := &session.Directory{Candidates: map[string][]session.Candidate{"packs": {{Proxy: "home", Instance: "home", Domain: "a", Slots: 2}, {Proxy: "away", Instance: "away", Domain: "b", Slots: 2}}}}
 		balancer.inFlight["home"] = 1
 		balancer.observeLoad("home", "", &wire.Load{Slots: 2, Running: 2, Waiting: 12, ServiceMicros: int64(100 * ms)})
 		balancer.observeLoad("away", "", &wire.Load{Slots: 2, ServiceMicros: int64(100 * ms)})
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -14,22 +14,22 @@
 
 // lost handles a pass without an answer. A run-once pass is voided first: void means proof that it has not run and won't.
 func (f *Forwarder) handleLostResponse(exchange *Exchange, permit *breaker.Permit, candidate session.Candidate, forwardRequest *wire.ForwardRequest, cause error) (*request.Response, *apierror.Fault, bool) {
-	f.balancer.markUnavailable(candidate.Carrier)
+	f.balancer.markUnavailable(candidate.Proxy)
 	permit.Done(breaker.Neutral)
 	if apierror.IsUnreachable(cause) {
-		return nil, apierror.New(apierror.ForwardUnreachable, apierror.NotRun, "%s: %v", candidate.Carrier, cause), true
+		return nil, apierror.New(apierror.ForwardUnreachable, apierror.NotRun, "%s: %v", candidate.Proxy, cause), true
 	}
 	if !exchange.RunOnce {
-		fault := apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause)
+		fault := apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Proxy, cause)
 		if f.config.Host.Now() >= exchange.Deadline {
-			fault = apierror.New(apierror.DeadlineExceeded, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Carrier)
+			fault = apierror.New(apierror.DeadlineExceeded, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Proxy)
 		}
 		return nil, fault, !exchange.AtMostOnce
 	}
 	if f.voidAttempt(exchange, forwardRequest.Attempt, false) == idempotency.Voided {
-		return nil, apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the try is void", candidate.Carrier, cause), true
+		return nil, apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the try is void", candidate.Proxy, cause), true
 	}
-	return nil, apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Carrier, cause), false
+	return nil, apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Proxy, cause), false
 }
 
 // handleRejection handles a refusal by the server's side.
@@ -62,7 +62,7 @@
 	}
 	if voidResponse.Fence != nil {
 		// The caller may come back at once, to this carrier: what it sends then was read after the fence.
-		f.config.Session.Learn(&wire.LeaderTimestamp{Epoch: voidResponse.Fence.Epoch, Time: voidResponse.Fence.Time + 1})
+		f.config.Session.ObserveLeaderClock(&wire.LeaderTimestamp{Epoch: voidResponse.Fence.Epoch, Time: voidResponse.Fence.Time + 1})
 	}
 	return voidResponse.Outcome
 }
--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -24,12 +24,12 @@
 
 // Handler is the door.
 type Handler struct {
-	proxy *proxy.Carrier
+	proxy *proxy.Proxy
 	clock monotonic.Clock
 }
 
 // New makes the door's handler.
-func New(sidecar *proxy.Carrier, clock monotonic.Clock) http.Handler {
+func New(sidecar *proxy.Proxy, clock monotonic.Clock) http.Handler {
 	h := &Handler{proxy: sidecar, clock: clock}
 	router := chi.NewRouter()
 	router.HandleFunc("/*", h.serveHTTP)
@@ -43,7 +43,7 @@
 	if req.ID == "" || len(req.ID) > 100 {
 		req.ID = uuid.NewString()
 	}
-	body, err := upstream.Whole(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
+	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
 	if err != nil {
 		cause := apierror.MalformedRequest
 		if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
@@ -53,7 +53,7 @@
 		return
 	}
 	// From here on the request counts as read, and gets an answer.
-	req.Body, req.Headers, req.ReadAt = body, upstream.Kept(withoutMeshHeaders(incoming.Header)), h.proxy.Moment()
+	req.Body, req.Headers, req.ReadAt = body, upstream.EndToEndHeaders(withoutMeshHeaders(incoming.Header)), h.proxy.LeaderClock()
 	if limit := incoming.Header.Get(request.DeadlineHeader); limit != "" {
 		timeoutMicros, err := strconv.ParseInt(limit, 10, 64)
 		if err != nil || timeoutMicros <= 0 {
@@ -62,7 +62,7 @@
 		}
 		req.Deadline = h.clock.Now() + monotonic.Micros(timeoutMicros)
 	}
-	response, fault := h.proxy.Passage.Forward(req)
+	response, fault := h.proxy.Forwarder.Forward(req)
 	if fault != nil {
 		WriteError(writer, req.ID, fault)
 		return
--- a/internal/proxy/localbackends/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -8,157 +8,157 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Admission is a request for a slot. Its moments are on this carrier's clock.
-type Admission struct {
+// Request is a request for a slot. Its moments are on this carrier's clock.
+type Request struct {
 	Instance string
 	Service  string
 	Once     bool
-	slots.Ask
+	slots.Request
 }
 
-// Pass is a request's slot at a backend. Leave gives it back.
-type Pass struct {
+// Slot is a request's slot at a backend. Leave gives it back.
+type Slot struct {
 	Backend Backend
-	hutch   *Hutch
-	present *entry
+	set     *Set
+	backend *backendState
 	ticket  *slots.Ticket
 	once    bool
 }
 
-// Leave gives the slot back; further calls do nothing.
-func (pass *Pass) Leave(end slots.End) {
-	pass.hutch.lock.Lock()
-	defer pass.hutch.lock.Unlock()
-	if pass.ticket.State() == slots.Running {
-		pass.present.classes[pass.once]--
+// Release gives the slot back; further calls do nothing.
+func (s *Slot) Release(end slots.Outcome) {
+	s.set.mu.Lock()
+	defer s.set.mu.Unlock()
+	if s.ticket.State() == slots.Running {
+		s.backend.inFlight[s.once]--
 	}
-	pass.present.slots.Leave(pass.hutch.place.Now(), pass.ticket, end)
+	s.backend.slots.Release(s.set.host.Now(), s.ticket, end)
 }
 
-func (hutch *Hutch) pass(present *entry, ticket *slots.Ticket, once bool) *Pass {
-	present.classes[once]++
-	return &Pass{Backend: present.Backend, hutch: hutch, present: present, ticket: ticket, once: once}
+func (s *Set) newSlot(state *backendState, ticket *slots.Ticket, once bool) *Slot {
+	state.inFlight[once]++
+	return &Slot{Backend: state.Backend, set: s, backend: state, ticket: ticket, once: once}
 }
 
-// Counted tells whether a backend has said how many slots it has.
-func (hutch *Hutch) Counted(instance string) bool {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
-	present := hutch.entries[instance]
-	return present != nil && present.slots.Count() > 0
+// HasSlotCount tells whether a backend has said how many slots it has.
+func (s *Set) HasSlotCount(instance string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.entries[instance]
+	return state != nil && state.slots.Count() > 0
 }
 
-// Place lets a request in to a backend of unknown slots while fewer than limit are there.
-func (hutch *Hutch) Place(ask Admission, limit uint32) (*Pass, *apierror.Fault) {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
-	present := hutch.entries[ask.Instance]
-	if fault := hutch.room(present, ask.Instance, ask.Service, limit, ask.Once); fault != nil {
+// AdmitUncounted lets a request in to a backend of unknown slots while fewer than limit are there.
+func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.entries[request.Instance]
+	if fault := s.checkCapacity(state, request.Instance, request.Service, limit, request.Once); fault != nil {
 		return nil, fault
 	}
-	return hutch.pass(present, present.slots.Force(hutch.place.Now(), ask.Ask), ask.Once), nil
+	return s.newSlot(state, state.slots.Force(s.host.Now(), request.Request), request.Once), nil
 }
 
 // Admit gives a request a slot, waits for one, or refuses. A refusal is certain: nothing ran.
-func (hutch *Hutch) Admit(ask Admission) (*Pass, *apierror.Fault) {
-	present, ticket, signal, fault := hutch.queue(ask)
+func (s *Set) Admit(request Request) (*Slot, *apierror.Fault) {
+	state, ticket, signal, fault := s.enqueue(request)
 	if fault != nil {
 		return nil, fault
 	}
 	for signal != nil {
-		patience, waits := hutch.patience(present, ticket)
+		timeout, waits := s.sleepTime(state, ticket)
 		if !waits {
 			break
 		}
-		signal.Wait(max(patience, 1))
+		signal.Wait(max(timeout, 1))
 	}
-	return hutch.admitted(present, ticket, ask)
+	return s.finishAdmission(state, ticket, request)
 }
 
 // queue brings a request to its backend's slots. There is a signal for it if it has to wait.
-func (hutch *Hutch) queue(ask Admission) (*entry, *slots.Ticket, host.Signal, *apierror.Fault) {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
-	present := hutch.entries[ask.Instance]
-	if fault := hutch.barred(present, ask); fault != nil {
+func (s *Set) enqueue(request Request) (*backendState, *slots.Ticket, host.Signal, *apierror.Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.entries[request.Instance]
+	if fault := s.checkOpen(state, request); fault != nil {
 		return nil, nil, nil, fault
 	}
-	ticket := present.slots.Enter(hutch.place.Now(), ask.Ask)
+	ticket := state.slots.Enter(s.host.Now(), request.Request)
 	if ticket.State() != slots.Waiting {
-		return present, ticket, nil, nil
+		return state, ticket, nil, nil
 	}
-	signal := hutch.place.NewSignal()
+	signal := s.host.NewSignal()
 	ticket.Wake = signal.Fire
-	return present, ticket, signal, nil
+	return state, ticket, signal, nil
 }
 
 // patience is how long a waiter may sleep.
-func (hutch *Hutch) patience(present *entry, ticket *slots.Ticket) (span monotonic.Micros, waits bool) {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
-	now := hutch.place.Now()
-	present.slots.Advance(now)
-	return present.slots.WakeAt(ticket) - now, ticket.State() == slots.Waiting
+func (s *Set) sleepTime(state *backendState, ticket *slots.Ticket) (duration monotonic.Micros, waits bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.host.Now()
+	state.slots.Advance(now)
+	return state.slots.WakeAt(ticket) - now, ticket.State() == slots.Waiting
 }
 
 // admitted gives a request whose ticket waits no more its pass, or tells why it gets none.
-func (hutch *Hutch) admitted(present *entry, ticket *slots.Ticket, ask Admission) (*Pass, *apierror.Fault) {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
+func (s *Set) finishAdmission(state *backendState, ticket *slots.Ticket, request Request) (*Slot, *apierror.Fault) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	// Who is at the address, and whether it may be sent to, may have changed meanwhile.
-	fault := hutch.barred(hutch.entries[ask.Instance], ask)
-	if fault == nil && hutch.entries[ask.Instance] != present {
-		fault = apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s was registered anew", ask.Instance)
+	fault := s.checkOpen(s.entries[request.Instance], request)
+	if fault == nil && s.entries[request.Instance] != state {
+		fault = apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s was registered anew", request.Instance)
 	}
 	if fault != nil {
-		present.slots.Leave(hutch.place.Now(), ticket, slots.Over)
+		state.slots.Release(s.host.Now(), ticket, slots.Released)
 		return nil, fault
 	}
-	if ticket.State() == slots.Refused {
-		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait", present.slots.Taken(), present.slots.Count(), ask.Instance, present.slots.Waiting())
+	if ticket.State() == slots.Rejected {
+		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait", state.slots.Taken(), state.slots.Count(), request.Instance, state.slots.Waiting())
 		fault.RetryAfter = ticket.RetryAfter()
 		return nil, fault
 	}
-	return hutch.pass(present, ticket, ask.Once), nil
+	return s.newSlot(state, ticket, request.Once), nil
 }
 
-func (hutch *Hutch) barred(present *entry, ask Admission) *apierror.Fault {
-	if hutch.closed {
+func (s *Set) checkOpen(state *backendState, request Request) *apierror.Fault {
+	if s.closed {
 		return apierror.New(apierror.Draining, apierror.NotRun, "this carrier is stopping")
 	}
-	return hutch.objection(present, ask.Instance, ask.Service)
+	return s.checkAvailable(state, request.Instance, request.Service)
 }
 
 // Close refuses all who wait for a slot, and whoever comes later.
-func (hutch *Hutch) Close() {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
-	hutch.closed = true
-	for _, instance := range hutch.instances() {
-		hutch.entries[instance].slots.Flush(hutch.place.Now())
+func (s *Set) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	for _, instance := range s.sortedInstances() {
+		s.entries[instance].slots.Flush(s.host.Now())
 	}
 }
 
 // Load is how a backend stands, for callers of a kind of request to choose by; nothing if it isn't here.
-func (hutch *Hutch) Load(instance, kind string) *wire.Load {
-	hutch.lock.Lock()
-	defer hutch.lock.Unlock()
-	present := hutch.entries[instance]
-	if present == nil {
+func (s *Set) Load(instance, kind string) *wire.Load {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.entries[instance]
+	if state == nil {
 		return nil
 	}
-	load := &wire.Load{Slots: present.slots.Count(), Running: uint32(present.slots.Taken()), Waiting: uint32(present.slots.Waiting()), SlowStartMicros: int64(hutch.warm(present)),
-		RouteMicros: int64(present.slots.WorkOf(kind))}
-	if present.slots.Measured() {
-		load.ServiceMicros = int64(present.slots.Work())
+	load := &wire.Load{Slots: state.slots.Count(), Running: uint32(state.slots.Taken()), Waiting: uint32(state.slots.Waiting()), SlowStartMicros: int64(s.warmupLeft(state)),
+		RouteMicros: int64(state.slots.ServiceTimeOf(kind))}
+	if state.slots.Measured() {
+		load.ServiceMicros = int64(state.slots.ServiceTime())
 	}
 	return load
 }
 
-// Remaining turns a span that a message told into a moment of this carrier's clock; none stays none.
-func (hutch *Hutch) Remaining(span int64) monotonic.Micros {
-	if span <= 0 {
+// DeadlineAfter turns a span that a message told into a moment of this carrier's clock; none stays none.
+func (s *Set) DeadlineAfter(duration int64) monotonic.Micros {
+	if duration <= 0 {
 		return 0
 	}
-	return hutch.place.Now() + monotonic.Micros(span)
+	return s.host.Now() + monotonic.Micros(duration)
 }
--- a/internal/proxy/localbackends/report.go
+++ b/internal/proxy/localbackends/report.go
@@ -20,94 +20,94 @@
 // tombstone keeps late reports of an instance from bringing it back. One that said goodbye doesn't come back by
 // registering either; one that only lost its address to another may register.
 type tombstone struct {
-	until monotonic.Micros
-	gone  bool
+	until    monotonic.Micros
+	departed bool
 }
 
-// Tell takes a backend's report: it registers it or notes a sign of life. A report that isn't newer than the last one of its
+// ApplyReport takes a backend's report: it registers it or notes a sign of life. A report that isn't newer than the last one of its
 // instance, or of an instance that ended, is ignored. changed tells whether others should hear of it; they are told.
-func (hutch *Hutch) Tell(report Report) (changed bool, err error) {
+func (s *Set) ApplyReport(report Report) (changed bool, err error) {
 	if !conditions[report.Condition] {
 		return false, apierror.Invalid.New("condition %q is not alive, working or leaving", report.Condition)
 	}
 	if report.Service == "" || report.Instance == "" || report.Address == "" {
 		return false, apierror.Invalid.New("a backend needs service, instance and address")
 	}
-	hutch.lock.Lock()
-	now, present := hutch.place.Now(), hutch.entries[report.Instance]
-	if stone, ended := hutch.ended[report.Instance]; ended && now < stone.until {
-		hutch.lock.Unlock()
+	s.mu.Lock()
+	now, state := s.host.Now(), s.entries[report.Instance]
+	if stone, ended := s.tombstones[report.Instance]; ended && now < stone.until {
+		s.mu.Unlock()
 		return false, nil
 	}
-	fresh := present == nil
-	if !fresh && (present.gone || present.reported && report.Sequence <= present.sequence) {
-		hutch.lock.Unlock()
+	fresh := state == nil
+	if !fresh && (state.departed || state.reported && report.Sequence <= state.sequence) {
+		s.mu.Unlock()
 		return false, nil
 	}
-	if !fresh && present.Backend != report.Backend {
-		hutch.lock.Unlock()
+	if !fresh && state.Backend != report.Backend {
+		s.mu.Unlock()
 		return false, apierror.Invalid.New("instance %s is registered otherwise; take a new instance id", report.Instance)
 	}
 	if fresh {
-		present = hutch.admit(report.Backend)
+		state = s.addBackend(report.Backend)
 	}
-	present.reported, present.sequence = true, report.Sequence
-	warm := present.warmUntil > now
-	present.warmUntil = now + max(report.Warmup, 0)
-	changed = fresh || present.slots.Count() != report.Slots || warm != (report.Warmup > 0)
-	present.slots.SetCount(now, report.Slots)
-	changed = hutch.beat(present, report.Condition) || changed
-	hutch.lock.Unlock()
+	state.reported, state.sequence = true, report.Sequence
+	warm := state.warmUntil > now
+	state.warmUntil = now + max(report.Warmup, 0)
+	changed = fresh || state.slots.Count() != report.Slots || warm != (report.Warmup > 0)
+	state.slots.SetCount(now, report.Slots)
+	changed = s.recordHeartbeat(state, report.Condition) || changed
+	s.mu.Unlock()
 	if fresh {
-		hutch.place.Report(eventlog.BackendRegistered, map[string]any{"service": report.Service, "instance": report.Instance, "address": report.Address})
+		s.host.Report(eventlog.BackendRegistered, map[string]any{"service": report.Service, "instance": report.Instance, "address": report.Address})
 	}
 	if changed && !fresh && report.Condition == Leaving {
-		hutch.place.Report(eventlog.BackendLeft, map[string]any{"instance": report.Instance, "condition": report.Condition})
+		s.host.Report(eventlog.BackendLeft, map[string]any{"instance": report.Instance, "condition": report.Condition})
 	}
 	if changed {
-		hutch.changed()
+		s.onChange()
 	}
 	return changed, nil
 }
 
-// Gone is a backend's goodbye. Nothing brings the instance back.
-func (hutch *Hutch) Gone(instance string) {
-	hutch.lock.Lock()
-	now, present := hutch.place.Now(), hutch.entries[instance]
-	if present == nil || present.gone {
-		if present == nil {
-			hutch.ended[instance] = tombstone{until: now + forget, gone: true}
+// Deregister is a backend's goodbye. Nothing brings the instance back.
+func (s *Set) Deregister(instance string) {
+	s.mu.Lock()
+	now, state := s.host.Now(), s.entries[instance]
+	if state == nil || state.departed {
+		if state == nil {
+			s.tombstones[instance] = tombstone{until: now + forgetAfter, departed: true}
 		}
-		hutch.lock.Unlock()
+		s.mu.Unlock()
 		return
 	}
 	// The entry itself is its tombstone until Sweep forgets it.
-	changed := present.condition != Leaving || present.overdue
-	present.condition, present.beat, present.overdue, present.gone = Leaving, now, false, true
-	present.slots.Flush(now)
-	hutch.lock.Unlock()
+	changed := state.condition != Leaving || state.overdue
+	state.condition, state.lastHeartbeat, state.overdue, state.departed = Leaving, now, false, true
+	state.slots.Flush(now)
+	s.mu.Unlock()
 	if changed {
-		hutch.place.Report(eventlog.BackendLeft, map[string]any{"instance": instance, "condition": Leaving})
-		hutch.changed()
+		s.host.Report(eventlog.BackendLeft, map[string]any{"instance": instance, "condition": Leaving})
+		s.onChange()
 	}
 }
 
 // admit makes an instance's entry. Whoever was at its address before has ended.
-func (hutch *Hutch) admit(backend Backend) *entry {
-	now := hutch.place.Now()
-	for instance, other := range hutch.entries {
+func (s *Set) addBackend(backend Backend) *backendState {
+	now := s.host.Now()
+	for instance, other := range s.entries {
 		if other.Address == backend.Address {
 			other.slots.Flush(now)
-			delete(hutch.entries, instance)
-			hutch.ended[instance] = tombstone{until: now + forget, gone: other.gone}
+			delete(s.entries, instance)
+			s.tombstones[instance] = tombstone{until: now + forgetAfter, departed: other.departed}
 		}
 	}
-	delete(hutch.ended, backend.Instance)
-	present := &entry{Backend: backend, classes: map[bool]uint32{}, slots: slots.New(hutch.Terms), standing: outlier.New()}
-	hutch.entries[backend.Instance] = present
-	return present
+	delete(s.tombstones, backend.Instance)
+	state := &backendState{Backend: backend, inFlight: map[bool]uint32{}, slots: slots.New(s.Limits), detector: outlier.New()}
+	s.entries[backend.Instance] = state
+	return state
 }
 
-func (hutch *Hutch) warm(present *entry) monotonic.Micros {
-	return max(present.warmUntil-hutch.place.Now(), 0)
+func (s *Set) warmupLeft(state *backendState) monotonic.Micros {
+	return max(state.warmUntil-s.host.Now(), 0)
 }
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -12,13 +12,13 @@
 )
 
 // within runs a test inside a simulated process.
-func within(t *testing.T, test func(place *world.Place, backends *localbackends.Hutch)) {
+func runInHost(t *testing.T, test func(process *world.Place, backends *localbackends.Set)) {
 	t.Helper()
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(place *world.Place) (host.Handlers, error) {
-		test(place, localbackends.New(place, func() {}))
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+		test(process, localbackends.New(process, func() {}))
 		ended = true
 		return host.Handlers{}, nil
 	}))
@@ -28,108 +28,108 @@
 	}
 }
 
-func word(instance string, sequence uint64, count uint32, condition string) localbackends.Report {
+func newReport(instance string, sequence uint64, count uint32, condition string) localbackends.Report {
 	return localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: instance, Address: "127.0.0.1:8000"}, Slots: count, Condition: condition, Sequence: sequence}
 }
 
-func TestReports(t *testing.T) {
-	within(t, func(place *world.Place, backends *localbackends.Hutch) {
-		tell := func(what string, report localbackends.Report, expected bool) {
+func TestApplyReport(t *testing.T) {
+	runInHost(t, func(process *world.Place, backends *localbackends.Set) {
+		apply := func(what string, report localbackends.Report, expected bool) {
 			t.Helper()
-			if changed, err := backends.Tell(report); err != nil || changed != expected {
+			if changed, err := backends.ApplyReport(report); err != nil || changed != expected {
 				t.Errorf("%s: changed %v, %v", what, changed, err)
 			}
 		}
 		shows := func(what, instance, condition string, count uint32) {
 			t.Helper()
-			for _, told := range backends.Told() {
-				if told.Instance == instance {
-					if told.Condition != condition || told.Slots != count {
-						t.Errorf("%s: %s with %d slots", what, told.Condition, told.Slots)
+			for _, backend := range backends.Backends() {
+				if backend.Instance == instance {
+					if backend.Condition != condition || backend.Slots != count {
+						t.Errorf("%s: %s with %d slots", what, backend.Condition, backend.Slots)
 					}
 					return
 				}
 			}
 			t.Errorf("%s: not there", what)
 		}
-		tell("the first", word("one", 5, 6, localbackends.Alive), true)
-		tell("the same", word("one", 5, 6, localbackends.Alive), false)
-		tell("a beat", word("one", 6, 6, localbackends.Working), false)
-		tell("an older one with other slots", word("one", 4, 2, localbackends.Leaving), false)
+		apply("the first", newReport("one", 5, 6, localbackends.Alive), true)
+		apply("the same", newReport("one", 5, 6, localbackends.Alive), false)
+		apply("a beat", newReport("one", 6, 6, localbackends.Working), false)
+		apply("an older one with other slots", newReport("one", 4, 2, localbackends.Leaving), false)
 		shows("after the older", "one", localbackends.Working, 6)
-		tell("more slots", word("one", 7, 8, localbackends.Working), true)
-		place.Sleep(localbackends.Overdue)
+		apply("more slots", newReport("one", 7, 8, localbackends.Working), true)
+		process.Sleep(localbackends.HeartbeatTimeout)
 		backends.Sweep()
 		shows("silent", "one", "overdue", 8)
-		tell("an old one is no sign of life", word("one", 7, 8, localbackends.Working), false)
+		apply("an old one is no sign of life", newReport("one", 7, 8, localbackends.Working), false)
 		shows("still silent", "one", "overdue", 8)
-		tell("back", word("one", 8, 8, localbackends.Working), true)
-		tell("leaving", word("one", 9, 8, localbackends.Leaving), true)
-		tell("not leaving any more", word("one", 10, 8, localbackends.Working), false)
+		apply("back", newReport("one", 8, 8, localbackends.Working), true)
+		apply("leaving", newReport("one", 9, 8, localbackends.Leaving), true)
+		apply("not leaving any more", newReport("one", 10, 8, localbackends.Working), false)
 		shows("leaving sticks", "one", localbackends.Leaving, 8)
-		if _, err := backends.Tell(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: "one", Address: "127.0.0.1:9000"}, Condition: localbackends.Alive, Sequence: 11}); err == nil {
+		if _, err := backends.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: "one", Address: "127.0.0.1:9000"}, Condition: localbackends.Alive, Sequence: 11}); err == nil {
 			t.Error("the instance moved")
 		}
-		tell("another at its address", word("two", 1, 6, localbackends.Alive), true)
-		tell("a late one of the first", word("one", 12, 6, localbackends.Alive), false)
+		apply("another at its address", newReport("two", 1, 6, localbackends.Alive), true)
+		apply("a late one of the first", newReport("one", 12, 6, localbackends.Alive), false)
 		shows("evicted others", "two", localbackends.Alive, 6)
-		if told := backends.Told(); len(told) != 1 {
-			t.Errorf("%d are there", len(told))
+		if backend := backends.Backends(); len(backend) != 1 {
+			t.Errorf("%d are there", len(backend))
 		}
-		backends.Gone("two")
-		tell("after its goodbye", word("two", 2, 6, localbackends.Alive), false)
+		backends.Deregister("two")
+		apply("after its goodbye", newReport("two", 2, 6, localbackends.Alive), false)
 		shows("goodbye", "two", localbackends.Leaving, 6)
-		if err := backends.Register(word("two", 0, 0, "").Backend, localbackends.Leaving); err == nil {
+		if err := backends.Register(newReport("two", 0, 0, "").Backend, localbackends.Leaving); err == nil {
 			t.Error("it registered after its goodbye")
 		}
-		backends.Gone("three")
-		tell("goodbye before the first word", word("three", 1, 6, localbackends.Alive), false)
-		place.Sleep(monotonic.Minute)
+		backends.Deregister("three")
+		apply("goodbye before the first word", newReport("three", 1, 6, localbackends.Alive), false)
+		process.Sleep(monotonic.Minute)
 		backends.Sweep()
-		if told := backends.Told(); len(told) != 0 {
-			t.Errorf("%d are remembered", len(told))
+		if backend := backends.Backends(); len(backend) != 0 {
+			t.Errorf("%d are remembered", len(backend))
 		}
-		tell("long after", word("three", 2, 6, localbackends.Alive), true)
+		apply("long after", newReport("three", 2, 6, localbackends.Alive), true)
 	})
 }
 
 func TestWarmup(t *testing.T) {
-	within(t, func(place *world.Place, backends *localbackends.Hutch) {
-		report := word("one", 1, 6, localbackends.Alive)
+	runInHost(t, func(process *world.Place, backends *localbackends.Set) {
+		report := newReport("one", 1, 6, localbackends.Alive)
 		report.Warmup = 3 * monotonic.Second
-		_, _ = backends.Tell(report)
-		place.Sleep(monotonic.Second)
+		_, _ = backends.ApplyReport(report)
+		process.Sleep(monotonic.Second)
 		if load := backends.Load("one", ""); load.SlowStartMicros > int64(2*monotonic.Second) || load.SlowStartMicros < int64(1900*monotonic.Millisecond) {
 			t.Errorf("%d left", load.SlowStartMicros)
 		}
-		place.Sleep(3 * monotonic.Second)
+		process.Sleep(3 * monotonic.Second)
 		if load := backends.Load("one", ""); load.SlowStartMicros != 0 || load.Slots != 6 {
 			t.Errorf("%v", load)
 		}
 	})
 }
 
-func ask(place *world.Place, instance string, remaining monotonic.Micros) localbackends.Admission {
-	return localbackends.Admission{Instance: instance, Service: "forms", Ask: slots.Ask{Cutoff: place.Now() + remaining, Patient: true}}
+func newRequest(h *world.Place, instance string, remaining monotonic.Micros) localbackends.Request {
+	return localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{Deadline: h.Now() + remaining, Patient: true}}
 }
 
-func TestAdmission(t *testing.T) {
-	within(t, func(place *world.Place, backends *localbackends.Hutch) {
-		_, _ = backends.Tell(word("one", 1, 2, localbackends.Alive))
-		first, fault := backends.Admit(ask(place, "one", monotonic.Second))
+func TestAdmit(t *testing.T) {
+	runInHost(t, func(process *world.Place, backends *localbackends.Set) {
+		_, _ = backends.ApplyReport(newReport("one", 1, 2, localbackends.Alive))
+		first, fault := backends.Admit(newRequest(process, "one", monotonic.Second))
 		if fault != nil {
 			t.Fatal(fault)
 		}
-		if _, fault = backends.Admit(ask(place, "one", monotonic.Second)); fault != nil {
+		if _, fault = backends.Admit(newRequest(process, "one", monotonic.Second)); fault != nil {
 			t.Fatal(fault)
 		}
 		order := []string{}
 		waits := func(name string, cause apierror.Cause) {
-			place.Go(func() {
-				pass, fault := backends.Admit(ask(place, "one", monotonic.Second))
+			process.Go(func() {
+				slot, fault := backends.Admit(newRequest(process, "one", monotonic.Second))
 				if fault == nil {
-					place.Sleep(50 * monotonic.Millisecond)
-					pass.Leave(slots.Worked)
+					process.Sleep(50 * monotonic.Millisecond)
+					slot.Release(slots.Completed)
 					order = append(order, name)
 				} else if fault.Cause == cause && fault.NotRun() {
 					order = append(order, name+" refused")
@@ -140,42 +140,42 @@
 		}
 		waits("a", 0)
 		waits("b", 0)
-		place.Sleep(10 * monotonic.Millisecond)
+		process.Sleep(10 * monotonic.Millisecond)
 		if load := backends.Load("one", ""); load.Running != 2 || load.Waiting != 2 {
 			t.Errorf("%v", load)
 		}
-		first.Leave(slots.Worked)
-		place.Sleep(200 * monotonic.Millisecond)
+		first.Release(slots.Completed)
+		process.Sleep(200 * monotonic.Millisecond)
 		if len(order) != 2 || order[0] != "a" || order[1] != "b" {
 			t.Errorf("%v", order)
 		}
-		if first, fault = backends.Admit(ask(place, "one", monotonic.Second)); fault != nil {
+		if first, fault = backends.Admit(newRequest(process, "one", monotonic.Second)); fault != nil {
 			t.Fatal(fault)
 		}
 		waits("c", apierror.BackendLeaving)
-		place.Sleep(10 * monotonic.Millisecond)
-		_, _ = backends.Tell(word("one", 2, 2, localbackends.Leaving))
-		place.Sleep(10 * monotonic.Millisecond)
+		process.Sleep(10 * monotonic.Millisecond)
+		_, _ = backends.ApplyReport(newReport("one", 2, 2, localbackends.Leaving))
+		process.Sleep(10 * monotonic.Millisecond)
 		if order[len(order)-1] != "c refused" {
 			t.Errorf("its backend leaves, and it waits on: %v", order)
 		}
-		first.Leave(slots.Worked)
+		first.Release(slots.Completed)
 		// The next one at the address starts empty, and what the last one still works on isn't its.
-		_, _ = backends.Tell(word("two", 1, 1, localbackends.Alive))
+		_, _ = backends.ApplyReport(newReport("two", 1, 1, localbackends.Alive))
 		if load := backends.Load("two", ""); load.Running != 0 {
 			t.Errorf("%v", load)
 		}
-		held, fault := backends.Admit(ask(place, "two", 300*monotonic.Millisecond))
+		released, fault := backends.Admit(newRequest(process, "two", 300*monotonic.Millisecond))
 		if fault != nil {
 			t.Fatal(fault)
 		}
-		held.Leave(slots.Unsure)
-		began := place.Now()
-		if _, fault = backends.Admit(ask(place, "two", monotonic.Second)); fault != nil || place.Now()-began < 300*monotonic.Millisecond || place.Now()-began > 320*monotonic.Millisecond {
-			t.Errorf("let in after %d at a slot that lingers: %v", place.Now()-began, fault)
+		released.Release(slots.Uncertain)
+		began := process.Now()
+		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault != nil || process.Now()-began < 300*monotonic.Millisecond || process.Now()-began > 320*monotonic.Millisecond {
+			t.Errorf("let in after %d at a slot that lingers: %v", process.Now()-began, fault)
 		}
 		backends.Close()
-		if _, fault = backends.Admit(ask(place, "two", monotonic.Second)); fault == nil || fault.Cause != apierror.Draining {
+		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault == nil || fault.Cause != apierror.Draining {
 			t.Errorf("closed: %v", fault)
 		}
 	})
--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -13,278 +13,278 @@
 )
 
 const (
-	// firstPause and nextPause are how long after a first, and a further, message in vain the next one goes out.
-	firstPause, nextPause = 50 * monotonic.Millisecond, 100 * monotonic.Millisecond
-	// slowAnswer is how long a message must have waited in vain to say that the primary takes asks, and is slow.
-	slowAnswer = 500 * monotonic.Millisecond
-	// messagePatience is how long one message waits for its answer. An ask may have more, and is then sent again.
-	messagePatience = 700 * monotonic.Millisecond
-	// mostBatch bounds the asks of one message, usualFlights the messages that leave at once, so that asks wait only where the primary
-	// is slower than they come. Then one more leaves each flightPause, up to mostFlights: a primary that is slow because it has much to
+	// firstRetryDelay and nextRetryDelay are how long after a first, and a further, message in vain the next one goes out.
+	firstRetryDelay, nextRetryDelay = 50 * monotonic.Millisecond, 100 * monotonic.Millisecond
+	// slowResponse is how long a message must have waited in vain to say that the primary takes asks, and is slow.
+	slowResponse = 500 * monotonic.Millisecond
+	// messageTimeout is how long one message waits for its answer. An ask may have more, and is then sent again.
+	messageTimeout = 700 * monotonic.Millisecond
+	// maxBatch bounds the asks of one message, usualSenders the messages that leave at once, so that asks wait only where the primary
+	// is slower than they come. Then one more leaves each extraSenderInterval, up to maxSenders: a primary that is slow because it has much to
 	// do is sent little, and one whose disk is slow has its asks in few syncs.
-	mostBatch, usualFlights, mostFlights = 64, 4, 16
-	flightPause                          = 50 * monotonic.Millisecond
-	// mostAlone is mostFlights for a primary that takes no batches.
-	mostAlone = 64
-	// aloneFor is how long asks go alone after a batch was lost: the primary may be of a build that knows none.
-	aloneFor = monotonic.Second
+	maxBatch, usualSenders, maxSenders = 64, 4, 16
+	extraSenderInterval                = 50 * monotonic.Millisecond
+	// maxSingleSenders is maxSenders for a primary that takes no batches.
+	maxSingleSenders = 64
+	// singleFor is how long asks go alone after a batch was lost: the primary may be of a build that knows none.
+	singleFor = monotonic.Second
 )
 
 // pending is one ask of the primary. Invariants: all but kind, ask, cutoff and done belong to the lock of its batches; once over, tell is
 // the asker's, and nothing here changes any more.
-type pending struct {
-	kind   wire.Kind
-	ask    proto.Message
-	tell   proto.Message
-	cutoff monotonic.Micros
-	done   host.Signal
-	over   bool
-	flying bool // it's on its way
-	taken  bool // a primary may have taken it, though it didn't say so
-	err    error
+type pendingCall struct {
+	kind       wire.Kind
+	request    proto.Message
+	response   proto.Message
+	deadline   monotonic.Micros
+	done       host.Signal
+	finished   bool
+	inFlight   bool // it's on its way
+	mayBeTaken bool // a primary may have taken it, though it didn't say so
+	err        error
 }
 
 // batches sends asks to the primary, several in one message when they come faster than it answers. A message costs a core machine many times
 // what the ask in it does, and asks that nobody waits for any more aren't sent at all.
 // Invariants: waiting holds calls that are not over and not on their way, the longest waiting first; flights counts the tasks that send,
-// mostFlights at most, and while anything waits there is one; while failing only one goes on.
-type batches struct {
-	roll    *Roll
-	lock    sync.Mutex
-	waiting []*pending
-	flights int
-	left    monotonic.Micros // when the last flight was started
-	failing bool
-	alone   string           // the primary to which asks go alone
-	until   monotonic.Micros // and until when
+// maxSenders at most, and while anything waits there is one; while failing only one goes on.
+type batcher struct {
+	client       *Client
+	mu           sync.Mutex
+	queue        []*pendingCall
+	senders      int
+	lastSenderAt monotonic.Micros // when the last flight was started
+	failing      bool
+	singleTarget string           // the primary to which asks go alone
+	singleUntil  monotonic.Micros // and until when
 }
 
 // parts give the part of a batch's command, and of its result, that is of a kind. Kinds without one go alone.
-var parts = map[wire.Kind]struct {
-	command func(ask proto.Message) *wire.RegistryCommand
+var batchedKinds = map[wire.Kind]struct {
+	command func(request proto.Message) *wire.RegistryCommand
 	result  func(result *wire.RegistryResult) proto.Message
 }{
-	wire.Kind_claim: {func(ask proto.Message) *wire.RegistryCommand {
-		return &wire.RegistryCommand{Claim: ask.(*wire.ClaimRequest)}
+	wire.Kind_claim: {func(request proto.Message) *wire.RegistryCommand {
+		return &wire.RegistryCommand{Claim: request.(*wire.ClaimRequest)}
 	},
 		func(result *wire.RegistryResult) proto.Message { return result.GetClaim() }},
-	wire.Kind_void_claim: {func(ask proto.Message) *wire.RegistryCommand {
-		return &wire.RegistryCommand{Void: ask.(*wire.VoidClaimRequest)}
+	wire.Kind_void_claim: {func(request proto.Message) *wire.RegistryCommand {
+		return &wire.RegistryCommand{Void: request.(*wire.VoidClaimRequest)}
 	},
 		func(result *wire.RegistryResult) proto.Message { return result.GetVoid() }},
-	wire.Kind_complete_claim: {func(ask proto.Message) *wire.RegistryCommand {
-		return &wire.RegistryCommand{Complete: ask.(*wire.CompleteClaimRequest)}
+	wire.Kind_complete_claim: {func(request proto.Message) *wire.RegistryCommand {
+		return &wire.RegistryCommand{Complete: request.(*wire.CompleteClaimRequest)}
 	},
 		func(result *wire.RegistryResult) proto.Message { return result.GetComplete() }},
 }
 
 // call has an ask answered by the primary, within patience. An error that is lost says that a primary may have taken it.
-func (batches *batches) call(kind wire.Kind, ask, tell proto.Message, patience monotonic.Micros) error {
-	place := batches.roll.place
-	pending := &pending{kind: kind, ask: ask, tell: tell, cutoff: place.Now() + patience, done: place.NewSignal()}
-	batches.lock.Lock()
-	batches.waiting = append(batches.waiting, pending)
-	batches.depart(1)
-	batches.lock.Unlock()
+func (b *batcher) call(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
+	h := b.client.host
+	call := &pendingCall{kind: kind, request: request, response: response, deadline: h.Now() + timeout, done: h.NewSignal()}
+	b.mu.Lock()
+	b.queue = append(b.queue, call)
+	b.startSenders(1)
+	b.mu.Unlock()
 	for {
-		pending.done.Wait(min(max(pending.cutoff-place.Now(), 0), flightPause))
-		batches.lock.Lock()
-		if pending.over || place.Now() >= pending.cutoff {
+		call.done.Wait(min(max(call.deadline-h.Now(), 0), extraSenderInterval))
+		b.mu.Lock()
+		if call.finished || h.Now() >= call.deadline {
 			break
 		}
-		if !pending.flying {
-			batches.depart(1)
+		if !call.inFlight {
+			b.startSenders(1)
 		}
-		batches.lock.Unlock()
+		b.mu.Unlock()
 	}
-	defer batches.lock.Unlock()
-	if pending.over {
-		return pending.err
+	defer b.mu.Unlock()
+	if call.finished {
+		return call.err
 	}
-	pending.over = true
-	if at := slices.Index(batches.waiting, pending); at >= 0 {
-		batches.waiting = slices.Delete(batches.waiting, at, at+1)
+	call.finished = true
+	if at := slices.Index(b.queue, call); at >= 0 {
+		b.queue = slices.Delete(b.queue, at, at+1)
 	}
 	switch {
-	case pending.flying || pending.taken:
+	case call.inFlight || call.mayBeTaken:
 		return apierror.Lost.New("no answer of a primary sorter in time")
-	case pending.err != nil:
-		return pending.err
+	case call.err != nil:
+		return call.err
 	}
 	return apierror.Unreachable.New("no primary sorter was asked in time")
 }
 
 // depart starts up to so many flights. The lock is held.
-func (batches *batches) depart(wanted int) {
-	now := batches.roll.place.Now()
-	for ; wanted > 0 && batches.flights < batches.most(); wanted-- {
-		if batches.flights >= usualFlights && batches.size() > 1 && now-batches.left < flightPause {
+func (b *batcher) startSenders(count int) {
+	now := b.client.host.Now()
+	for ; count > 0 && b.senders < b.senderLimit(); count-- {
+		if b.senders >= usualSenders && b.batchSize() > 1 && now-b.lastSenderAt < extraSenderInterval {
 			return
 		}
-		batches.flights, batches.left = batches.flights+1, now
-		batches.roll.place.Go(batches.fly)
+		b.senders, b.lastSenderAt = b.senders+1, now
+		b.client.host.Go(b.runSender)
 	}
 }
 
-func (batches *batches) most() int {
+func (b *batcher) senderLimit() int {
 	switch {
-	case batches.failing:
+	case b.failing:
 		return 1
-	case batches.size() == 1:
-		return mostAlone
+	case b.batchSize() == 1:
+		return maxSingleSenders
 	}
-	return mostFlights
+	return maxSenders
 }
 
 // size is how many asks may go in one message to the present primary.
-func (batches *batches) size() int {
-	name := batches.roll.book.Leader(sorters)
-	if name == batches.alone && batches.roll.place.Now() < batches.until || !batches.roll.book.SupportsBatches(name) {
+func (b *batcher) batchSize() int {
+	name := b.client.resolver.Leader(registryGroup)
+	if name == b.singleTarget && b.client.host.Now() < b.singleUntil || !b.client.resolver.SupportsBatches(name) {
 		return 1
 	}
-	return mostBatch
+	return maxBatch
 }
 
 // next takes the calls of the next message, or ends the flight if nothing waits or others go on.
-func (batches *batches) next() []*pending {
-	batches.lock.Lock()
-	defer batches.lock.Unlock()
-	if len(batches.waiting) == 0 || batches.flights > batches.most() {
-		batches.flights--
+func (b *batcher) takeBatch() []*pendingCall {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.queue) == 0 || b.senders > b.senderLimit() {
+		b.senders--
 		return nil
 	}
-	count := min(batches.size(), len(batches.waiting))
-	taken := slices.Clone(batches.waiting[:count])
-	batches.waiting = slices.Delete(batches.waiting, 0, count)
-	for _, pending := range taken {
-		pending.flying = true
+	count := min(b.batchSize(), len(b.queue))
+	calls := slices.Clone(b.queue[:count])
+	b.queue = slices.Delete(b.queue, 0, count)
+	for _, call := range calls {
+		call.inFlight = true
 	}
-	return taken
+	return calls
 }
 
 // fly sends messages until nothing waits.
-func (batches *batches) fly() {
-	place, book := batches.roll.place, batches.roll.book
+func (b *batcher) runSender() {
+	h, resolver := b.client.host, b.client.resolver
 	for {
-		name := book.Leader(sorters)
+		name := resolver.Leader(registryGroup)
 		if name == "" {
-			place.Go(book.Refresh) // whom it asks may be gone too, and isn't waited for
-			place.Sleep(lookAgain)
-			if batches.idle() {
+			h.Go(resolver.Refresh) // whom it asks may be gone too, and isn't waited for
+			h.Sleep(leaderCheckInterval)
+			if b.stopIfIdle() {
 				return
 			}
 			continue
 		}
-		calls := batches.next()
+		calls := b.takeBatch()
 		if calls == nil {
 			return
 		}
-		began := place.Now()
-		err := batches.send(name, calls)
-		first := batches.back(calls, err, place.Now()-began)
-		if err == nil || name != book.Leader(sorters) {
+		began := h.Now()
+		err := b.send(name, calls)
+		firstFailure := b.requeue(calls, err, h.Now()-began)
+		if err == nil || name != resolver.Leader(registryGroup) {
 			continue
 		}
-		place.Go(book.Refresh)
-		if first {
-			place.Sleep(firstPause)
+		h.Go(resolver.Refresh)
+		if firstFailure {
+			h.Sleep(firstRetryDelay)
 		} else {
-			place.Sleep(nextPause)
+			h.Sleep(nextRetryDelay)
 		}
 	}
 }
 
 // idle ends a flight that found no primary if nobody waits for one any more.
-func (batches *batches) idle() bool {
-	batches.lock.Lock()
-	defer batches.lock.Unlock()
-	if len(batches.waiting) > 0 && batches.flights <= batches.most() {
+func (b *batcher) stopIfIdle() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.queue) > 0 && b.senders <= b.senderLimit() {
 		return false
 	}
-	batches.flights--
+	b.senders--
 	return true
 }
 
 // send brings calls to a primary in one message, and ends those that are answered. An error tells of the others.
-func (batches *batches) send(name string, calls []*pending) error {
-	if !batches.roll.book.SupportsBatches(name) || len(calls) == 1 {
+func (b *batcher) send(name string, calls []*pendingCall) error {
+	if !b.client.resolver.SupportsBatches(name) || len(calls) == 1 {
 		only := calls[0]
-		tell := only.tell.ProtoReflect().New().Interface()
-		err := batches.roll.callWhileLeading(name, only.kind, only.ask, tell, messagePatience)
+		response := only.response.ProtoReflect().New().Interface()
+		err := b.client.callWhileLeading(name, only.kind, only.request, response, messageTimeout)
 		if err == nil {
-			batches.end(only, tell)
+			b.finish(only, response)
 		} else if apierror.IsRefused(err) {
-			batches.lock.Lock()
-			only.taken = true // such a refusal may say that the outcome isn't known
-			batches.lock.Unlock()
+			b.mu.Lock()
+			only.mayBeTaken = true // such a refusal may say that the outcome isn't known
+			b.mu.Unlock()
 		}
 		return err
 	}
-	ask := &wire.RegistryBatchRequest{}
-	for _, pending := range calls {
-		ask.Commands = append(ask.Commands, parts[pending.kind].command(pending.ask))
+	request := &wire.RegistryBatchRequest{}
+	for _, call := range calls {
+		request.Commands = append(request.Commands, batchedKinds[call.kind].command(call.request))
 	}
-	tell, began := &wire.RegistryBatchResponse{}, batches.roll.place.Now()
-	if err := batches.roll.callWhileLeading(name, wire.Kind_registry_batch, ask, tell, messagePatience); err != nil {
-		now := batches.roll.place.Now()
-		if name == batches.roll.book.Leader(sorters) && now-began < slowAnswer && !apierror.IsUnreachable(err) {
-			batches.lock.Lock()
-			batches.alone, batches.until = name, now+aloneFor
-			batches.lock.Unlock()
+	response, began := &wire.RegistryBatchResponse{}, b.client.host.Now()
+	if err := b.client.callWhileLeading(name, wire.Kind_registry_batch, request, response, messageTimeout); err != nil {
+		now := b.client.host.Now()
+		if name == b.client.resolver.Leader(registryGroup) && now-began < slowResponse && !apierror.IsUnreachable(err) {
+			b.mu.Lock()
+			b.singleTarget, b.singleUntil = name, now+singleFor
+			b.mu.Unlock()
 		}
 		return err
 	}
 	var refusal error
-	for index, pending := range calls {
+	for index, call := range calls {
 		outcome := &wire.RegistryOutcome{Error: "it answered too few"}
-		if index < len(tell.Outcomes) {
-			outcome = tell.Outcomes[index]
+		if index < len(response.Outcomes) {
+			outcome = response.Outcomes[index]
 		}
-		if answer := parts[pending.kind].result(outcome.GetResult()); answer.ProtoReflect().IsValid() {
-			batches.end(pending, answer)
+		if answer := batchedKinds[call.kind].result(outcome.GetResult()); answer.ProtoReflect().IsValid() {
+			b.finish(call, answer)
 			continue
 		}
 		refusal = apierror.Refused.New("%s: %s", name, outcome.Error)
-		batches.lock.Lock()
-		pending.err, pending.taken = refusal, pending.taken || !outcome.Rejected
-		batches.lock.Unlock()
+		b.mu.Lock()
+		call.err, call.mayBeTaken = refusal, call.mayBeTaken || !outcome.Rejected
+		b.mu.Unlock()
 	}
 	return refusal
 }
 
 // end gives a pending ask its answer, unless its asker waits no more.
-func (batches *batches) end(pending *pending, answer proto.Message) {
-	batches.lock.Lock()
-	defer batches.lock.Unlock()
-	if pending.over {
+func (b *batcher) finish(call *pendingCall, answer proto.Message) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if call.finished {
 		return
 	}
-	pending.over, pending.err = true, nil
-	proto.Merge(pending.tell, answer)
-	pending.done.Fire()
+	call.finished, call.err = true, nil
+	proto.Merge(call.response, answer)
+	call.done.Fire()
 }
 
 // back puts calls that were not answered before those that wait, and tells whether theirs is the first message in vain. Only a primary that
 // turns asks down or isn't there is left to one flight: one that takes them and is slow, as its disk may be, does best with all of them.
-func (batches *batches) back(calls []*pending, err error, waited monotonic.Micros) (first bool) {
-	batches.lock.Lock()
-	defer batches.lock.Unlock()
+func (b *batcher) requeue(calls []*pendingCall, err error, waited monotonic.Micros) (firstFailure bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	lost := apierror.IsLost(err)
-	first = !batches.failing
-	batches.failing = err != nil && !(lost && waited >= slowAnswer)
-	var again []*pending
-	for _, pending := range calls {
-		pending.flying = false
-		if pending.over {
+	firstFailure = !b.failing
+	b.failing = err != nil && !(lost && waited >= slowResponse)
+	var again []*pendingCall
+	for _, call := range calls {
+		call.inFlight = false
+		if call.finished {
 			continue
 		}
-		if lost || pending.err == nil {
-			pending.err = err
+		if lost || call.err == nil {
+			call.err = err
 		}
-		pending.taken = pending.taken || lost
-		again = append(again, pending)
+		call.mayBeTaken = call.mayBeTaken || lost
+		again = append(again, call)
 	}
-	batches.waiting = append(again, batches.waiting...)
-	batches.depart((len(batches.waiting) - 1) / batches.size())
-	return first
+	b.queue = append(again, b.queue...)
+	b.startSenders((len(b.queue) - 1) / b.batchSize())
+	return firstFailure
 }
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -15,8 +15,8 @@
 	"snowflow/internal/proxy/upstream"
 )
 
-// TestCancelled: a request whose caller leaves while its backend is at work ends with its connection, at once.
-func TestCancelled(t *testing.T) {
+// TestCancelClosesConnection: a request whose caller leaves while its backend is at work ends with its connection, at once.
+func TestCancelClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,22 +39,22 @@
 		_, err = reader.ReadByte()
 		ended <- err
 	}()
-	dialect := upstream.Own()
-	dialect.Greets = false
+	dialect := upstream.DefaultDialect()
+	dialect.ChecksIdentity = false
 	clock := machine.New(nil, nil, nil)
-	order := admission.Order{ID: "a.1", Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "GET", Target: "/a",
-		Cutoff: clock.Now() + monotonic.Minute, AnswerLimit: 1 << 20, Still: func() *apierror.Fault { return nil }}
+	backendRequest := admission.BackendRequest{ID: "a.1", Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "GET", Target: "/a",
+		Deadline: clock.Now() + monotonic.Minute, ResponseLimit: 1 << 20, BeforeSend: func() *apierror.Fault { return nil }}
 	stopped := false
-	order.Cancelled = func(happen func()) (stop func()) {
+	backendRequest.OnCancel = func(cancel func()) (stop func()) {
 		go func() {
 			<-working
-			happen()
+			cancel()
 		}()
 		return func() { stopped = true }
 	}
-	answer, fault := upstream.New(clock, dialect).Deliver(order)
-	if answer != nil || fault == nil || fault.NotRun() || !stopped {
-		t.Errorf("%v %v, stopped: %v", answer, fault, stopped)
+	response, fault := upstream.New(clock, dialect).RoundTrip(backendRequest)
+	if response != nil || fault == nil || fault.NotRun() || !stopped {
+		t.Errorf("%v %v, stopped: %v", response, fault, stopped)
 	}
 	if err := <-ended; err != io.EOF {
 		t.Errorf("the backend saw %v", err)
--- /dev/null
+++ b/internal/proxy/upstream/dialect_test.go
@@ -0,0 +1,18 @@
+package upstream_test
+
+import (
+	"testing"
+
+	"snowflow/internal/proxy/upstream"
+	"snowflow/internal/proxy/upstream/transcript"
+)
+
+func suite() *transcript.Suite {
+	return &transcript.Suite{Dialect: upstream.DefaultDialect(), OtherHeaders: "X-Snowflow-Request: other.1\r\n"}
+}
+
+// TestResponses keeps transcripts of what means the same in every dialect.
+func TestResponses(t *testing.T) { suite().Run(t, "testdata/answers") }
+
+// TestDefaultDialectResponses keeps those that only this product's own dialect has.
+func TestDefaultDialectResponses(t *testing.T) { suite().Run(t, "testdata/own") }
--- a/internal/proxy/upstream/early_test.go
+++ b/internal/proxy/upstream/early_response_test.go
@@ -17,9 +17,9 @@
 	"snowflow/internal/proxy/upstream"
 )
 
-// TestEarlyAnswer: a backend answers before it has read a long body, keeps the connection and reads on. What it reads is that body to its end, and
+// TestEarlyResponse: a backend answers before it has read a long body, keeps the connection and reads on. What it reads is that body to its end, and
 // behind it the next request or nothing.
-func TestEarlyAnswer(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -51,16 +51,16 @@
 			}()
 		}
 	}()
-	dialect := upstream.Own()
-	dialect.Greets = false
+	dialect := upstream.DefaultDialect()
+	dialect.ChecksIdentity = false
 	clock := machine.New(nil, nil, nil)
-	courier := upstream.New(clock, dialect)
+	transport := upstream.New(clock, dialect)
 	for turn := range 3 {
-		order := admission.Order{ID: fmt.Sprintf("a-%d.1", turn), Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "POST", Target: "/a", Body: body,
-			Cutoff: clock.Now() + monotonic.Minute, AnswerLimit: 1 << 20, Still: func() *apierror.Fault { return nil }}
-		answer, fault := courier.Deliver(order)
-		if fault != nil || answer.Status != http.StatusRequestEntityTooLarge {
-			t.Fatalf("turn %d: %v %v", turn, answer, fault)
+		backendRequest := admission.BackendRequest{ID: fmt.Sprintf("a-%d.1", turn), Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "POST", Target: "/a", Body: body,
+			Deadline: clock.Now() + monotonic.Minute, ResponseLimit: 1 << 20, BeforeSend: func() *apierror.Fault { return nil }}
+		response, fault := transport.RoundTrip(backendRequest)
+		if fault != nil || response.Status != http.StatusRequestEntityTooLarge {
+			t.Fatalf("turn %d: %v %v", turn, response, fault)
 		}
 		if err := <-read; err != nil {
 			t.Errorf("turn %d: the backend read %v", turn, err)
--- a/internal/rehearse/hollow/crowd.go
+++ b/internal/rehearse/hollow/crowd.go
@@ -40,7 +40,7 @@
 type member struct {
 	life    *life
 	name    string
-	carrier *proxy.Carrier
+	carrier *proxy.Proxy
 	book    *discovery.Resolver
 }
 
@@ -87,18 +87,18 @@
 	// Nobody passes a request to a hollow carrier, so nothing listens at its address; it only has to be its own.
 	address := fmt.Sprintf("10.%d.%d.%d:7300", index>>16, index>>8&255, index&255)
 	book := discovery.New(place, nil, crowd.settings.Seeds)
-	made := proxy.New(proxy.Env{Place: place, Book: book, Name: name, Domain: crowd.settings.Zones[index%len(crowd.settings.Zones)], Address: address})
-	made.Roll.Activity = func() []*wire.Activity { return crowd.activity(index) }
+	made := proxy.New(proxy.Options{Host: place, Resolver: book, Name: name, Domain: crowd.settings.Zones[index%len(crowd.settings.Zones)], Address: address})
+	made.Session.Activity = func() []*wire.Activity { return crowd.activity(index) }
 	instance := fmt.Sprintf("%016x", place.Random())
-	err := made.Hutch.Register(localbackends.Backend{Service: Service(index % crowd.settings.Services), Instance: instance, Address: address}, localbackends.Working)
+	err := made.LocalBackends.Register(localbackends.Backend{Service: Service(index % crowd.settings.Services), Instance: instance, Address: address}, localbackends.Working)
 	if err != nil {
 		return nil, err
 	}
 	place.Go(func() { book.Run(monotonic.Second) })
 	place.Go(func() {
 		for {
-			place.Sleep(localbackends.BeatEvery)
-			_ = made.Hutch.Beat(instance, localbackends.Working) // it's registered for as long as its carrier lives
+			place.Sleep(localbackends.HeartbeatInterval)
+			_ = made.LocalBackends.Heartbeat(instance, localbackends.Working) // it's registered for as long as its carrier lives
 		}
 	})
 	made.Start()
@@ -134,7 +134,7 @@
 // Whole counts the carriers that see every other one.
 func (crowd *Crowd) Whole() (count int) {
 	for _, present := range crowd.present() {
-		if present.carrier.Roll.Directory().Live == crowd.settings.Carriers {
+		if present.carrier.Session.Directory().Live == crowd.settings.Carriers {
 			count++
 		}
 	}
@@ -169,8 +169,8 @@
 func (crowd *Crowd) Claim(index int, scope string, patience monotonic.Micros) (granted bool, err error) {
 	present := crowd.present()[index]
 	tell := &wire.ClaimResponse{}
-	ask := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: present.name, Incarnation: present.carrier.Incarnation(), ReadAt: present.carrier.Moment()}
-	err = present.carrier.Roll.CallPrimary(wire.Kind_claim, ask, tell, patience)
+	ask := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: present.name, Incarnation: present.carrier.Incarnation(), ReadAt: present.carrier.LeaderClock()}
+	err = present.carrier.Session.CallPrimary(wire.Kind_claim, ask, tell, patience)
 	return tell.Outcome == "granted", err
 }
 
@@ -178,12 +178,12 @@
 func (crowd *Crowd) Trip(index, service int) error {
 	present := crowd.present()[index]
 	ask := &wire.BreakerWriteRequest{Service: Service(service), Verb: "trip", Proxy: present.name, Incarnation: present.carrier.Incarnation(), Settings: config.DefaultService(Service(service)).BreakerTerms()}
-	return present.carrier.Roll.CallPrimary(wire.Kind_breaker_write, ask, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
+	return present.carrier.Session.CallPrimary(wire.Kind_breaker_write, ask, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
 // Guarded counts the guards' records that a carrier was told of.
 func (crowd *Crowd) Guarded(index int) int {
-	return len(crowd.present()[index].carrier.Wicket.Statuses())
+	return len(crowd.present()[index].carrier.Breaker.Statuses())
 }
 
 // Restart ends one carrier without a word and starts it anew at once.
--- a/internal/rehearse/scenario/friday_test.go
+++ b/internal/rehearse/scenario/friday_test.go
@@ -217,8 +217,8 @@
 // watcher noted, and nothing in what a sound one tells.
 func TestFridayWatcherSees(t *testing.T) {
 	sound := func(serial uint64, calls uint64) proxy.Status {
-		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, Serial: serial, Check: fmt.Sprint("version ", serial),
-			Guards: []breaker.Status{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
+		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, ConfigVersion: serial, ConfigDigest: fmt.Sprint("version ", serial),
+			Breakers: []breaker.Status{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
 	}
 	for name, one := range map[string]struct {
 		check invariants.Check
@@ -226,9 +226,9 @@
 	}{
 		"nothing":                               {invariants.TakenUp, func(*proxy.Status) {}},
 		"stays at an older version":             {invariants.TakenUp, func(status *proxy.Status) { *status = sound(1, 9) }},
-		"a difference applied on a wrong base":  {invariants.AsTold, func(status *proxy.Status) { status.Check = "version 1" }},
-		"a whole that begins its windows anew":  {invariants.CountersKept, func(status *proxy.Status) { status.Guards[0].Window = 1 }},
-		"a whole that forgets what was counted": {invariants.CountersKept, func(status *proxy.Status) { status.Guards[0].Calls = 1 }},
+		"a difference applied on a wrong base":  {invariants.AsTold, func(status *proxy.Status) { status.ConfigDigest = "version 1" }},
+		"a whole that begins its windows anew":  {invariants.CountersKept, func(status *proxy.Status) { status.Breakers[0].Window = 1 }},
+		"a whole that forgets what was counted": {invariants.CountersKept, func(status *proxy.Status) { status.Breakers[0].Calls = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			told := sound(1, 4)
--- a/internal/rehearse/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -241,7 +241,7 @@
 			continue
 		}
 		stage.see(process.Name, status, stage.Clock.Now())
-		astray = astray || !status.Ready || status.Degraded
+		astray = astray || !status.Ready || status.BreakersDegraded
 	}
 	return astray
 }
@@ -249,9 +249,9 @@
 // see notes what a carrier serves by, and what its guards have counted.
 func (stage *Stage) see(name string, status proxy.Status, now monotonic.Micros) {
 	if status.Ready {
-		stage.History.Serves(invariants.Adopted{Carrier: name, Serial: status.Serial, At: now, Sum: status.Check})
+		stage.History.Serves(invariants.Adopted{Carrier: name, Serial: status.ConfigVersion, At: now, Sum: status.ConfigDigest})
 	}
-	for _, shown := range status.Guards {
+	for _, shown := range status.Breakers {
 		stage.History.Count(invariants.Counted{Carrier: name, Life: status.Incarnation, Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
 			Verdict: fmt.Sprint(shown.Shared, shown.Version, shown.Local, shown.Control)})
 	}
--- a/internal/simulation/scenario/behind_test.go
+++ b/internal/simulation/scenario/behind_test.go
@@ -41,7 +41,7 @@
 	acknowledged = mesh.World.Now()
 	for limit := mesh.World.Now() + 2*monotonic.Minute; taken == 0 && mesh.World.Now() < limit; {
 		mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
-		if view, live := mesh.lives[victim].Desk.Current(); !live {
+		if view, live := mesh.lives[victim].ConfigClient.Current(); !live {
 			t.Fatalf("seed %d: it doesn't serve on", seed)
 		} else if view.Version == 11 {
 			taken = mesh.World.Now()
@@ -122,7 +122,7 @@
 			}
 			for until := mesh.World.Now() + 3*monotonic.Second; mesh.World.Now() < until; {
 				mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
-				if view, live := mesh.lives[name].Desk.Current(); live && view.Version < uint64(20+10*turn) {
+				if view, live := mesh.lives[name].ConfigClient.Current(); live && view.Version < uint64(20+10*turn) {
 					older++
 					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, view.Version, 20+10*turn)
 					break
--- a/internal/simulation/scenario/caller_left_test.go
+++ b/internal/simulation/scenario/caller_left_test.go
@@ -33,8 +33,8 @@
 			var fault error
 			mesh.Outside.Go(func() {
 				_, fault = mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
-					req.ReadAt = mesh.lives[caller].Moment()
-					if _, refused := mesh.lives[caller].Passage.Forward(&req); refused != nil {
+					req.ReadAt = mesh.lives[caller].LeaderClock()
+					if _, refused := mesh.lives[caller].Forwarder.Forward(&req); refused != nil {
 						return nil, refused
 					}
 					return nil, nil
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -55,11 +55,11 @@
 		}
 		life, read = mesh.lives[attempt.Caller], true
 		req := &request.Request{ID: attempt.ID, Method: attempt.Method, Target: attempt.Path, IdempotencyKey: attempt.Key,
-			ReadAt: life.Moment(), Headers: []*wire.Header{{Name: request.IdempotencyKeyHeader, Value: attempt.Key}}}
+			ReadAt: life.LeaderClock(), Headers: []*wire.Header{{Name: request.IdempotencyKeyHeader, Value: attempt.Key}}}
 		if mesh.troubled[attempt.Caller] == "late" {
 			req.Deadline = life.Now() + 3*monotonic.Millisecond
 		}
-		answer, fault := life.Passage.Forward(req)
+		answer, fault := life.Forwarder.Forward(req)
 		if fault != nil {
 			return json.Marshal(told{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
 		}
--- a/internal/simulation/scenario/changes_test.go
+++ b/internal/simulation/scenario/changes_test.go
@@ -68,8 +68,8 @@
 	scene.mesh.serve(60)
 	scene.run(10 * monotonic.Second)
 	for name, life := range scene.mesh.lives {
-		scene.before[name], _ = life.Desk.Current()
-		scene.calls[name], scene.funds[name] = scene.counted(name), life.Purse.Balance("forms")
+		scene.before[name], _ = life.ConfigClient.Current()
+		scene.calls[name], scene.funds[name] = scene.counted(name), life.RetryBudget.Balance("forms")
 	}
 	return scene
 }
@@ -93,7 +93,7 @@
 
 // counted is the number of calls that a carrier's guards have counted in all.
 func (scene *taking) counted(name string) (calls uint64) {
-	for _, shown := range scene.mesh.lives[name].Wicket.Statuses() {
+	for _, shown := range scene.mesh.lives[name].Breaker.Statuses() {
 		calls += shown.Calls
 	}
 	return calls
@@ -105,7 +105,7 @@
 	t := scene.t
 	t.Helper()
 	for _, name := range scene.mesh.carriers {
-		view, live := scene.mesh.lives[name].Desk.Current()
+		view, live := scene.mesh.lives[name].ConfigClient.Current()
 		if !live || view.Version != serial || view.Digest != config.Digest(content) {
 			t.Errorf("%s: serial %d, live %v", name, view.Version, live)
 			continue
@@ -129,15 +129,15 @@
 			t.Errorf("%s: %d calls counted, %d before the change", name, now, scene.calls[name])
 		}
 		// Nobody spends any here, and first tries fill it up.
-		if held, known := scene.funds[name]; known && (scene.mesh.lives[name].Purse.Balance("forms") < held || held == 0) {
-			t.Errorf("%s: the budget holds %v, %v before the change", name, scene.mesh.lives[name].Purse.Balance("forms"), held)
+		if held, known := scene.funds[name]; known && (scene.mesh.lives[name].RetryBudget.Balance("forms") < held || held == 0) {
+			t.Errorf("%s: the budget holds %v, %v before the change", name, scene.mesh.lives[name].RetryBudget.Balance("forms"), held)
 		}
 	}
 }
 
 func (scene *taking) sums() (sum struct{ differences, wholes, refused, computed uint64 }) {
 	for _, name := range scene.mesh.carriers {
-		taken := scene.mesh.lives[name].Desk.Stats()
+		taken := scene.mesh.lives[name].ConfigClient.Stats()
 		sum.differences, sum.wholes, sum.refused = sum.differences+taken.Differences, sum.wholes+taken.FullStates, sum.refused+taken.Rejected
 	}
 	for _, one := range scene.mesh.masters {
@@ -229,7 +229,7 @@
 	mesh.World.Kill(primary)
 	scene.run(10 * monotonic.Second)
 	delete(scene.before, "carrier-3")
-	view, _ := mesh.lives["carrier-3"].Desk.Current()
+	view, _ := mesh.lives["carrier-3"].ConfigClient.Current()
 	if view == nil || view.Version != 1 {
 		t.Fatal("the carrier hasn't taken up the version in force")
 	}
--- a/internal/simulation/scenario/courier.go
+++ b/internal/simulation/scenario/courier.go
@@ -20,17 +20,17 @@
 }
 
 // leaves passes the time of a backend's work, and tells whether the caller left in it.
-func (courier *courier) leaves(order admission.Order, span monotonic.Micros) bool {
-	if order.Cancelled == nil {
+func (courier *courier) leaves(order admission.BackendRequest, span monotonic.Micros) bool {
+	if order.OnCancel == nil {
 		courier.place.Sleep(span)
 		return false
 	}
 	left := courier.place.NewSignal()
-	defer order.Cancelled(left.Fire)()
+	defer order.OnCancel(left.Fire)()
 	return left.Wait(span)
 }
 
-func (courier *courier) Deliver(order admission.Order) (*request.Response, *apierror.Fault) {
+func (courier *courier) RoundTrip(order admission.BackendRequest) (*request.Response, *apierror.Fault) {
 	mesh := courier.mesh
 	chance := mesh.World.Chance()
 	pause := func() { courier.place.Sleep(monotonic.Micros(100 + chance.Uint64N(1500))) }
@@ -47,7 +47,7 @@
 	if (found.instance != order.Backend.Instance || found.service != order.Backend.Service) && !mesh.breakage.NoIdentity {
 		return nil, apierror.New(apierror.BackendIdentityMismatch, apierror.NotRun, "it's %s", found.instance)
 	}
-	if fault := order.Still(); fault != nil {
+	if fault := order.BeforeSend(); fault != nil {
 		return nil, fault
 	}
 	// From here on the bytes are on their way.
@@ -55,7 +55,7 @@
 	found.most = max(found.most, found.running)
 	defer func() { found.running-- }()
 	pause()
-	if courier.place.Now() >= order.Cutoff {
+	if courier.place.Now() >= order.Deadline {
 		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "late")
 	}
 	if !found.up {
@@ -79,11 +79,11 @@
 	if manner == "slow" {
 		labour += 6 * monotonic.Second
 	}
-	if labour > 0 && courier.leaves(order, min(labour, order.Cutoff-courier.place.Now())) { // as a connection's own limit would end it
+	if labour > 0 && courier.leaves(order, min(labour, order.Deadline-courier.place.Now())) { // as a connection's own limit would end it
 		return nil, apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "its connection was closed")
 	}
 	pause()
-	if courier.place.Now() >= order.Cutoff {
+	if courier.place.Now() >= order.Deadline {
 		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "late")
 	}
 	answer := &request.Response{Status: 200, Body: body, Headers: []*wire.Header{{Name: "Sum", Value: sum(body)}, {Name: "Echo", Value: order.ID[:position]}}}
@@ -105,7 +105,7 @@
 
 // lookup is a backend's own call through the carrier beside it: mostly a quick read, at times the very submission that it
 // is running, which must not run again on that path either.
-func (mesh *Mesh) lookup(order admission.Order, from *backend) {
+func (mesh *Mesh) lookup(order admission.BackendRequest, from *backend) {
 	mesh.number++
 	attempt := &invariants.Attempt{ID: fmt.Sprintf("lookup-%d", mesh.number), Kind: "lookup", Caller: from.carrier, Method: "GET", Path: fmt.Sprintf("/forms/%d", mesh.number), Sent: mesh.World.Now()}
 	if key := request.HeaderValue(order.Headers, request.IdempotencyKeyHeader); mesh.World.Chance().IntN(4) == 0 && key != "" {
--- a/internal/simulation/scenario/directory_test.go
+++ b/internal/simulation/scenario/directory_test.go
@@ -64,16 +64,16 @@
 	mesh.directed = func(sorter string, _ *wire.RegistryPollRequest, _ *wire.RegistryPollResponse) {
 		view := mesh.sorters[sorter].DirectorySnapshot()
 		if newest := (version{view.Source, view.Version}); shown[newest] == nil {
-			shown[newest] = session.Of(view.Sessions)
+			shown[newest] = session.NewDirectory(view.Sessions)
 		}
 	}
 	mesh.Outside.Go(func() {
 		for {
 			mesh.Outside.Sleep(20 * monotonic.Millisecond)
 			for name, life := range mesh.lives {
-				source, serial := life.Roll.Version()
+				source, serial := life.Session.Version()
 				whole, known := shown[version{source, serial}]
-				present := life.Roll.Directory()
+				present := life.Session.Directory()
 				if !known || seen[name] == present {
 					continue // from before the looking began
 				}
@@ -94,7 +94,7 @@
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				course, looked, taken := Courses[name], 0, session.Taken{}
+				course, looked, taken := Courses[name], 0, session.UpdateCounts{}
 				prepare := course.Prepare
 				course.Prepare = func(mesh *Mesh) {
 					if prepare != nil {
@@ -105,8 +105,8 @@
 					})
 					mesh.later(course.Length+20*monotonic.Second, func() {
 						for _, life := range mesh.lives {
-							one := life.Roll.Taken()
-							taken.Changes, taken.Wholes, taken.Refused = taken.Changes+one.Changes, taken.Wholes+one.Wholes, taken.Refused+one.Refused
+							one := life.Session.UpdateCounts()
+							taken.Deltas, taken.Snapshots, taken.Rejected = taken.Deltas+one.Deltas, taken.Snapshots+one.Snapshots, taken.Rejected+one.Rejected
 						}
 					})
 				}
@@ -157,7 +157,7 @@
 		leaving, began := mesh.live("forms")[0], mesh.World.Now()
 		mesh.leave(leaving)
 		knows := func(name string) bool {
-			return slices.ContainsFunc(mesh.lives[name].Roll.Directory().Candidates["forms"], func(one session.Candidate) bool { return one.Instance == leaving.instance })
+			return slices.ContainsFunc(mesh.lives[name].Session.Directory().Candidates["forms"], func(one session.Candidate) bool { return one.Instance == leaving.instance })
 		}
 		for slices.ContainsFunc(mesh.carriers, knows) {
 			mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
--- a/internal/simulation/scenario/duties_test.go
+++ b/internal/simulation/scenario/duties_test.go
@@ -23,17 +23,17 @@
 		mesh.Outside.Sleep(500*monotonic.Millisecond + monotonic.Micros(mesh.World.Chance().Uint64N(uint64(monotonic.Second))))
 		asked := mesh.World.Now()
 		content, err := mesh.Outside.Transact(mesh.World.Node(one.carrier).Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
-			told, err := mesh.lives[one.carrier].Rota.Ask("tally", one.instance, 3*monotonic.Second)
+			told, err := mesh.lives[one.carrier].Singleton.Acquire("tally", one.instance, 3*monotonic.Second)
 			if err != nil {
 				return nil, err
 			}
 			return json.Marshal(told)
 		})
-		var told singleton.Told
-		if err != nil || json.Unmarshal(content, &told) != nil || !told.Granted || mesh.World.Now() >= asked+told.Left {
+		var told singleton.Grant
+		if err != nil || json.Unmarshal(content, &told) != nil || !told.Granted || mesh.World.Now() >= asked+told.Remaining {
 			continue
 		}
-		note(belief{doer: one.instance, from: mesh.World.Now(), until: asked + told.Left})
+		note(belief{doer: one.instance, from: mesh.World.Now(), until: asked + told.Remaining})
 		if mesh.World.Chance().IntN(6) == 0 {
 			// Now and then a doer hangs without a word, and others want its duty.
 			mesh.Outside.Sleep(4*monotonic.Second + monotonic.Micros(mesh.World.Chance().Uint64N(uint64(6*monotonic.Second))))
--- a/internal/simulation/scenario/friday.go
+++ b/internal/simulation/scenario/friday.go
@@ -187,7 +187,7 @@
 		if len(tell.Difference) == 0 || proto.Unmarshal(tell.Difference, told) != nil {
 			return
 		}
-		view, _ := mesh.lives[ask.Proxy].Desk.Current()
+		view, _ := mesh.lives[ask.Proxy].ConfigClient.Current()
 		base, former, newest := contents[view.Digest], contents[before[told.ContentDigest]], contents[told.ContentDigest]
 		if base == nil || former == nil || newest == nil {
 			return
--- a/internal/simulation/scenario/friday_test.go
+++ b/internal/simulation/scenario/friday_test.go
@@ -52,7 +52,7 @@
 		}
 		differences, wholes := uint64(0), uint64(0)
 		for _, name := range busy.carriers {
-			taken := busy.lives[name].Desk.Stats()
+			taken := busy.lives[name].ConfigClient.Stats()
 			differences, wholes = differences+taken.Differences, wholes+taken.FullStates
 		}
 		t.Logf("seed %d: carriers took up %d differences and %d wholes", seed, differences, wholes)
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -37,7 +37,7 @@
 	sizes       Sizes
 	cores       []string // machines
 	carriers    []string // nodes
-	lives       map[string]*proxy.Carrier
+	lives       map[string]*proxy.Proxy
 	begun       map[string]monotonic.Micros // when each life of a carrier began, by its own clock
 	masters     map[string]*configstore.Server
 	doors       map[string]api.Store // the operators' doors on the postmasters' processes
@@ -165,8 +165,8 @@
 
 // Build makes a mesh and starts its nodes.
 func Build(seed uint64, sizes Sizes, breakage Breakage) *Mesh {
-	mesh := &Mesh{samples: samples, sums: map[*config.Snapshot]string{}, World: world.New(seed), History: &invariants.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*proxy.Carrier{}, begun: map[string]monotonic.Micros{}, troubled: map[string]string{},
-		masters: map[string]*configstore.Server{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Registry{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.Grace, breakage: breakage}
+	mesh := &Mesh{samples: samples, sums: map[*config.Snapshot]string{}, World: world.New(seed), History: &invariants.History{Allowance: 10 + 2, Keeps: sizes.History}, sizes: sizes, lives: map[string]*proxy.Proxy{}, begun: map[string]monotonic.Micros{}, troubled: map[string]string{},
+		masters: map[string]*configstore.Server{}, doors: map[string]api.Store{}, sorters: map[string]*registry.Registry{}, started: map[string]bool{}, stopping: map[string]bool{}, retired: map[string]bool{}, genesis: map[string][]string{}, shut: map[string]bool{}, grace: proxy.DrainGrace, breakage: breakage}
 	mesh.World.Trace = func(at monotonic.Micros, node string, number int, fields map[string]any) {
 		if number == 601 {
 			return
@@ -354,17 +354,17 @@
 		table := host.Handlers{}
 		book.Register(table)
 		place.Go(func() { book.Run(monotonic.Second) })
-		one := proxy.New(proxy.Env{Place: place, Book: book, Name: name, Domain: fmt.Sprintf("zone-%d", index%mesh.sizes.Zones+1),
-			Address: name + ":carrier", Delivery: &courier{mesh: mesh, place: place}, ServeOn: mesh.sizes.Bounds.ServeStale, Linger: mesh.sizes.Linger})
-		one.Gate.Unclaimed(mesh.breakage.NoClaims)
-		one.Gate.ByService(mesh.breakage.ByService)
-		one.Desk.IgnoreLease(mesh.breakage.NoTenure)
-		one.Roll.Unchecked(mesh.breakage.Unchecked)
-		one.Rota.Stubborn(mesh.breakage.Stubborn)
-		one.Purse.SetUnlimited(mesh.breakage.NoBudget)
-		one.Wicket.SkipProbeLeases(mesh.breakage.Unleased)
+		one := proxy.New(proxy.Options{Host: place, Resolver: book, Name: name, Domain: fmt.Sprintf("zone-%d", index%mesh.sizes.Zones+1),
+			Address: name + ":carrier", Upstream: &courier{mesh: mesh, place: place}, ServeOn: mesh.sizes.Bounds.ServeStale, Linger: mesh.sizes.Linger})
+		one.Admission.SkipClaims(mesh.breakage.NoClaims)
+		one.Admission.ClaimPerService(mesh.breakage.ByService)
+		one.ConfigClient.IgnoreLease(mesh.breakage.NoTenure)
+		one.Session.SkipDigestChecks(mesh.breakage.Unchecked)
+		one.Singleton.IgnoreExpiry(mesh.breakage.Stubborn)
+		one.RetryBudget.SetUnlimited(mesh.breakage.NoBudget)
+		one.Breaker.SkipProbeLeases(mesh.breakage.Unleased)
 		one.TrustClock(mesh.breakage.TrustClock)
-		one.Passage.DisableRetryAfterJitter(mesh.breakage.Together)
+		one.Forwarder.DisableRetryAfterJitter(mesh.breakage.Together)
 		one.Register(table)
 		one.Start()
 		mesh.lives[name], mesh.begun[name] = one, place.Now()
@@ -387,20 +387,20 @@
 	for one.up {
 		node := mesh.World.Node(one.carrier)
 		_, err := mesh.Outside.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
-			keeper := mesh.lives[one.carrier].Hutch
+			keeper := mesh.lives[one.carrier].LocalBackends
 			condition := localbackends.Working
 			if one.leaving && !mesh.breakage.LeaveIgnored {
 				condition = localbackends.Leaving
 			}
 			if mesh.sizes.Slots > 0 {
 				one.reports++
-				_, err := keeper.Tell(localbackends.Report{Backend: localbackends.Backend{Service: one.service, Instance: one.instance, Address: one.address}, Slots: mesh.sizes.Slots, Condition: condition, Sequence: one.reports})
+				_, err := keeper.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: one.service, Instance: one.instance, Address: one.address}, Slots: mesh.sizes.Slots, Condition: condition, Sequence: one.reports})
 				return nil, err
 			}
 			if !registered {
 				return nil, keeper.Register(localbackends.Backend{Service: one.service, Instance: one.instance, Address: one.address}, condition)
 			}
-			return nil, keeper.Beat(one.instance, condition)
+			return nil, keeper.Heartbeat(one.instance, condition)
 		})
 		registered = err == nil || registered && !apierror.IsRefused(err)
 		pause := 2 * monotonic.Second
@@ -420,7 +420,7 @@
 			if mesh.breakage.LeaveIgnored {
 				return nil, nil
 			}
-			return nil, mesh.lives[one.carrier].Hutch.Beat(one.instance, localbackends.Leaving)
+			return nil, mesh.lives[one.carrier].LocalBackends.Heartbeat(one.instance, localbackends.Leaving)
 		})
 		if err == nil {
 			mesh.History.Leave(one.instance, mesh.World.Now())
@@ -484,7 +484,7 @@
 				}
 			}
 			for _, name := range mesh.carriers {
-				if view, live := mesh.lives[name].Desk.Current(); live && mesh.World.Node(name).Up() {
+				if view, live := mesh.lives[name].ConfigClient.Current(); live && mesh.World.Node(name).Up() {
 					mesh.see(name, view)
 				}
 			}
@@ -497,9 +497,9 @@
 	now, life := mesh.World.Now(), mesh.lives[name]
 	if mesh.sums[view] == "" {
 		mesh.sums[view] = view.Fingerprint()
-		for _, shown := range life.Wicket.Statuses() {
+		for _, shown := range life.Breaker.Statuses() {
 			if mesh.breakage.Forgetful {
-				_ = life.Wicket.SetControl(shown.Service, "reset")
+				_ = life.Breaker.SetControl(shown.Service, "reset")
 			}
 		}
 	}
@@ -507,7 +507,7 @@
 	if !mesh.counting {
 		return
 	}
-	for _, shown := range life.Wicket.Statuses() {
+	for _, shown := range life.Breaker.Statuses() {
 		mesh.History.Count(invariants.Counted{Carrier: name, Life: life.Incarnation(), Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
 			Verdict: fmt.Sprint(shown.Shared, shown.Version, shown.Local, shown.Control)})
 	}
@@ -517,6 +517,6 @@
 func (mesh *Mesh) astray() bool {
 	return slices.ContainsFunc(mesh.carriers, func(name string) bool {
 		node, life := mesh.World.Node(name), mesh.lives[name]
-		return !node.Up() || mesh.World.Frozen(node) || life.Wicket.Degraded() || life.Now()-mesh.begun[name] < 5*monotonic.Second
+		return !node.Up() || mesh.World.Frozen(node) || life.Breaker.Degraded() || life.Now()-mesh.begun[name] < 5*monotonic.Second
 	})
 }
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -59,7 +59,7 @@
 				mesh.History.Send(attempt)
 				content, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 					life, began := mesh.lives[caller], mesh.lives[caller].Now()
-					answer, fault := life.Passage.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.Moment()})
+					answer, fault := life.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.LeaderClock()})
 					if life.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
 						late++
 					}
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -160,8 +160,8 @@
 	done := false
 	mesh.Outside.Go(func() {
 		_, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
-			req.ReadAt = mesh.lives[caller].Moment()
-			given, refused := mesh.lives[caller].Passage.Forward(req)
+			req.ReadAt = mesh.lives[caller].LeaderClock()
+			given, refused := mesh.lives[caller].Forwarder.Forward(req)
 			if refused != nil {
 				return nil, refused
 			}
@@ -191,7 +191,7 @@
 			if _, _, err := mesh.raise(20, 10*monotonic.Second); err != nil {
 				t.Fatal(err)
 			}
-			if serial, _ := mesh.lives[cut].Desk.Version(); serial != 10 {
+			if serial, _ := mesh.lives[cut].ConfigClient.Version(); serial != 10 {
 				t.Fatalf("%s has serial %d", cut, serial)
 			}
 			served := map[string]int{}
@@ -209,10 +209,10 @@
 				t.Errorf("served %v", served)
 			}
 			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
-			if serial, _ := mesh.lives[cut].Desk.Version(); serial != 20 {
+			if serial, _ := mesh.lives[cut].ConfigClient.Version(); serial != 20 {
 				t.Errorf("%s has serial %d after its return", cut, serial)
 			}
-			if _, live := mesh.lives[cut].Desk.Current(); !live {
+			if _, live := mesh.lives[cut].ConfigClient.Current(); !live {
 				t.Error("no live view after its return")
 			}
 		})
@@ -262,7 +262,7 @@
 			if mesh.leader(configstore.Group) != nil {
 				t.Error("there is a primary, so nothing was shown")
 			}
-			if serial, _ := mesh.lives[mesh.carriers[0]].Desk.Version(); serial != one.wanted {
+			if serial, _ := mesh.lives[mesh.carriers[0]].ConfigClient.Version(); serial != one.wanted {
 				t.Errorf("with %s left it has serial %d", left, serial)
 			}
 		})
