--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -70,7 +70,7 @@
 // process is one member's process; registry or configStore is nil.
 type process struct {
 	node        *world.Node
-	place       *world.Place
+	place       *world.Host
 	member      *replication.Member
 	registry    *registry.Registry
 	configStore *configstore.Server
@@ -87,10 +87,10 @@
 func startCluster(t *testing.T, group storedGroup, folders []folder, compactFrom int64) *cluster {
 	t.Helper()
 	started := &cluster{world: world.New(1)}
-	started.world.Stopped = func(node *world.Node, why string) { started.stopped = append(started.stopped, node.Name+": "+why) }
+	started.world.OnStop = func(node *world.Node, why string) { started.stopped = append(started.stopped, node.Name+": "+why) }
 	for index, name := range memberNames {
 		one := &process{}
-		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Place) (host.Handlers, error) {
+		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Host) (host.Handlers, error) {
 			config := openConfig{place: place, name: name, table: host.Handlers{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
 			one.place = place
 			config.book = discovery.New(place, &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group.name}, seedAddresses(group))
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -16,14 +16,14 @@
 func TestHealthCheckOmitsPeers(t *testing.T) {
 	simulated := world.New(1)
 	defer simulated.Close()
-	server := simulated.Add("asked", "asked", "one", func(h *world.Place) (host.Handlers, error) {
+	server := simulated.Add("asked", "asked", "one", func(h *world.Host) (host.Handlers, error) {
 		resolver := New(h, &wire.PeerAddress{Name: "asked", Address: "asked", Group: "sorter"}, nil)
 		handlers := host.Handlers{}
 		resolver.Register(handlers)
 		return handlers, nil
 	})
 	var healthCheck, full *wire.DiscoverResponse
-	client := simulated.Add("asker", "asker", "one", func(h *world.Place) (host.Handlers, error) {
+	client := simulated.Add("asker", "asker", "one", func(h *world.Host) (host.Handlers, error) {
 		h.Go(func() {
 			healthCheck, full = &wire.DiscoverResponse{}, &wire.DiscoverResponse{}
 			for _, call := range []struct {
--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("scenario %s is not in docs/rules.md", name)
 		}
 	}
-	for name := range simulated.Courses {
+	for name := range simulated.Scenarios {
 		if !strings.Contains(page, "`"+name+"`") {
 			t.Errorf("course %s is not in docs/rules.md", name)
 		}
--- a/internal/host/clockwatch/clockwatch_test.go
+++ b/internal/host/clockwatch/clockwatch_test.go
@@ -13,7 +13,7 @@
 func runWatcher(t *testing.T, duration monotonic.Micros, prepare func(watcher *Watcher)) {
 	t.Helper()
 	simulated := world.New(1)
-	simulated.Start(simulated.Add("one", "one", "one", func(h *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(h *world.Host) (host.Handlers, error) {
 		watcher := New(h)
 		prepare(watcher)
 		h.Go(watcher.Run)
--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -30,7 +30,7 @@
 	Instance  string
 	Transport string // the error of an attempt that ended without an answer
 	RetryTold bool   // a Retry-After came along
-	// Read is true when the carrier had certainly read it, and was not ended but by a planned stop. Where no answer came to
+	// ReadBackComplete is true when the carrier had certainly read it, and was not ended but by a planned stop. Where no answer came to
 	// such a one, it was dropped.
 	Read bool
 }
@@ -49,14 +49,14 @@
 	Sum      string // of the answer's content, empty when it gave none whole
 }
 
-// Left is a backend's word that it is leaving.
-type Left struct {
+// Departure is a backend's word that it is leaving.
+type Departure struct {
 	Instance string
 	At       monotonic.Micros
 }
 
-// Applied is one apply as its operator saw it.
-type Applied struct {
+// AppliedConfig is one apply as its operator saw it.
+type AppliedConfig struct {
 	Serial  uint64
 	Digest  string
 	Valid   bool // whether what was sent was valid
@@ -71,39 +71,39 @@
 	Digest string
 }
 
-// Adopted is the desired state by which a carrier serves, as an observer saw it.
-type Adopted struct {
+// ActiveConfigs is the desired state by which a carrier serves, as an observer saw it.
+type ActiveConfig struct {
 	Carrier string
 	Serial  uint64
 	At      monotonic.Micros
 	Sum     string // over what it does there; empty if nobody looked
 }
 
-// Counted is what a carrier's guard of a service has counted, as an observer saw it.
-type Counted struct {
-	Carrier string
-	Life    uint64 // of the carrier
-	Service string
-	Verdict string // whatever may rightly begin a new window
-	Calls   uint64
-	Window  int // calls in the window
-	At      monotonic.Micros
+// CallCounts is what a carrier's guard of a service has counted, as an observer saw it.
+type CallCounts struct {
+	Proxy       string
+	Incarnation uint64 // of the carrier
+	Service     string
+	Verdict     string // whatever may rightly begin a new window
+	Calls       uint64
+	Window      int // calls in the window
+	At          monotonic.Micros
 }
 
-// Planned is a span in which some process stops as planned or a configuration changes. Until is zero while it lasts.
-type Planned struct {
+// PlannedChange is a span in which some process stops as planned or a configuration changes. Until is zero while it lasts.
+type PlannedChange struct {
 	What        string
 	From, Until monotonic.Micros
 }
 
-// Note is a moment that a scenario marks, for instance the machines' return.
-type Note struct {
+// Marker is a moment that a scenario marks, for instance the machines' return.
+type Marker struct {
 	What string
 	At   monotonic.Micros
 }
 
-// GuardSeen is a shared guard record as an observer read it.
-type GuardSeen struct {
+// BreakerObservation is a shared guard record as an observer read it.
+type BreakerObservation struct {
 	Service   string
 	State     string
 	Serial    uint64
@@ -123,10 +123,10 @@
 	Astray bool
 }
 
-// Look makes of a record what an observer notes of it.
-func Look(record *wire.BreakerRecord, at monotonic.Micros, source string, astray bool) GuardSeen {
+// ObserveBreaker makes of a record what an observer notes of it.
+func ObserveBreaker(record *wire.BreakerRecord, at monotonic.Micros, source string, astray bool) BreakerObservation {
 	terms := record.Settings
-	seen := GuardSeen{Service: record.Service, State: record.State, Serial: record.Version, Budget: int(record.Budget), Tallies: len(record.ProbeResults),
+	seen := BreakerObservation{Service: record.Service, State: record.State, Serial: record.Version, Budget: int(record.Budget), Tallies: len(record.ProbeResults),
 		Permitted: int(max(1, terms.GetPermitted())), Entered: monotonic.Micros(record.EnteredAt), Expires: monotonic.Micros(record.ExpiresAt), Wait: monotonic.Micros(terms.GetWaitOpen()),
 		Tenure: monotonic.Micros(terms.GetProbeLease()), At: at, Source: source, Astray: astray}
 	for _, probe := range record.ProbeLeases {
@@ -140,120 +140,120 @@
 
 // History is everything that was seen.
 type History struct {
-	lock     sync.Mutex
-	Attempts []*Attempt
-	Runs     []Run
-	Lefts    []Left
-	Applies  []Applied
-	ReadBack []ReadBack
-	Read     bool // the history was read back at the end
-	Notes    []Note
-	Guards   []GuardSeen
-	Adopted  []Adopted
-	Plans    []*Planned
-	Counts   []Counted
-	Orders   []Order
-	// Keeps is how many states the core keeps, all for zero: older ones needn't read back.
-	Keeps int
-	// Allowed tells since when a kind of traffic may run on a service: from when a configuration that sends it there was
+	lock             sync.Mutex
+	Attempts         []*Attempt
+	Runs             []Run
+	Departures       []Departure
+	AppliedConfigs   []AppliedConfig
+	ReadBack         []ReadBack
+	ReadBackComplete bool // the history was read back at the end
+	Markers          []Marker
+	Breakers         []BreakerObservation
+	ActiveConfigs    []ActiveConfig
+	PlannedChanges   []*PlannedChange
+	CallCounts       []CallCounts
+	OperatorCalls    []OperatorCall
+	// RetainedVersions is how many states the core keeps, all for zero: older ones needn't read back.
+	RetainedVersions int
+	// AllowedRoutes tells since when a kind of traffic may run on a service: from when a configuration that sends it there was
 	// first handed in.
-	Allowed map[string]map[string]monotonic.Micros
-	// Allowance is the sum of what a service's further tries may come to beyond the ratio.
-	Allowance int
+	AllowedRoutes map[string]map[string]monotonic.Micros
+	// RetryAllowance is the sum of what a service's further tries may come to beyond the ratio.
+	RetryAllowance int
 }
 
-// Send notes an attempt.
-func (history *History) Send(attempt *Attempt) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Attempts = append(history.Attempts, attempt)
+// RecordAttempt notes an attempt.
+func (h *History) RecordAttempt(attempt *Attempt) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Attempts = append(h.Attempts, attempt)
 }
 
-// End changes an attempt under the lock.
-func (history *History) End(change func()) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
+// Update changes an attempt under the lock.
+func (h *History) Update(change func()) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
 	change()
 }
 
-// Ran notes a run.
-func (history *History) Ran(run Run) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Runs = append(history.Runs, run)
+// RecordRun notes a run.
+func (h *History) RecordRun(run Run) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Runs = append(h.Runs, run)
 }
 
-// Leave notes a leaving.
-func (history *History) Leave(instance string, at monotonic.Micros) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Lefts = append(history.Lefts, Left{instance, at})
+// RecordDeparture notes a leaving.
+func (h *History) RecordDeparture(instance string, at monotonic.Micros) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Departures = append(h.Departures, Departure{instance, at})
 }
 
-// Apply notes an apply.
-func (history *History) Apply(applied Applied) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Applies = append(history.Applies, applied)
+// RecordApply notes an apply.
+func (h *History) RecordApply(applied AppliedConfig) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.AppliedConfigs = append(h.AppliedConfigs, applied)
 }
 
-// Mark notes a moment.
-func (history *History) Mark(what string, at monotonic.Micros) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Notes = append(history.Notes, Note{what, at})
+// RecordMarker notes a moment.
+func (h *History) RecordMarker(what string, at monotonic.Micros) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Markers = append(h.Markers, Marker{what, at})
 }
 
-// See notes a guard record.
-func (history *History) See(seen GuardSeen) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Guards = append(history.Guards, seen)
+// RecordBreaker notes a guard record.
+func (h *History) RecordBreaker(seen BreakerObservation) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Breakers = append(h.Breakers, seen)
 }
 
-// Adopt notes the desired state that a carrier serves by.
-func (history *History) Adopt(carrier string, serial uint64, at monotonic.Micros) {
-	history.Serves(Adopted{Carrier: carrier, Serial: serial, At: at})
+// RecordActiveVersion notes the desired state that a carrier serves by.
+func (h *History) RecordActiveVersion(proxyName string, version uint64, at monotonic.Micros) {
+	h.RecordActiveConfig(ActiveConfig{Carrier: proxyName, Serial: version, At: at})
 }
 
-// Serves notes by what a carrier serves, and what that does there.
-func (history *History) Serves(adopted Adopted) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Adopted = append(history.Adopted, adopted)
+// RecordActiveConfig notes by what a carrier serves, and what that does there.
+func (h *History) RecordActiveConfig(adopted ActiveConfig) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.ActiveConfigs = append(h.ActiveConfigs, adopted)
 }
 
-// Count notes what a guard has counted.
-func (history *History) Count(counted Counted) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	history.Counts = append(history.Counts, counted)
+// RecordCallCounts notes what a guard has counted.
+func (h *History) RecordCallCounts(counted CallCounts) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.CallCounts = append(h.CallCounts, counted)
 }
 
-// Plan notes that something planned begins; what it gives ends it.
-func (history *History) Plan(what string, from monotonic.Micros) func(until monotonic.Micros) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	fresh := &Planned{What: what, From: from}
-	history.Plans = append(history.Plans, fresh)
+// BeginPlannedChange notes that something planned begins; what it gives ends it.
+func (h *History) BeginPlannedChange(what string, from monotonic.Micros) func(until monotonic.Micros) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	fresh := &PlannedChange{What: what, From: from}
+	h.PlannedChanges = append(h.PlannedChanges, fresh)
 	return func(until monotonic.Micros) {
-		history.lock.Lock()
-		defer history.lock.Unlock()
+		h.lock.Lock()
+		defer h.lock.Unlock()
 		fresh.Until = until
 	}
 }
 
-// Allow notes that a configuration handed in at a moment sends a kind of traffic to a service.
-func (history *History) Allow(kind, service string, at monotonic.Micros) {
-	history.lock.Lock()
-	defer history.lock.Unlock()
-	if history.Allowed == nil {
-		history.Allowed = map[string]map[string]monotonic.Micros{}
+// AllowRoute notes that a configuration handed in at a moment sends a kind of traffic to a service.
+func (h *History) AllowRoute(kind, service string, at monotonic.Micros) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	if h.AllowedRoutes == nil {
+		h.AllowedRoutes = map[string]map[string]monotonic.Micros{}
 	}
-	if history.Allowed[kind] == nil {
-		history.Allowed[kind] = map[string]monotonic.Micros{}
+	if h.AllowedRoutes[kind] == nil {
+		h.AllowedRoutes[kind] = map[string]monotonic.Micros{}
 	}
-	if since, known := history.Allowed[kind][service]; !known || at < since {
-		history.Allowed[kind][service] = at
+	if since, known := h.AllowedRoutes[kind][service]; !known || at < since {
+		h.AllowedRoutes[kind][service] = at
 	}
 }
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -12,19 +12,19 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestClauses shows each rule's checker short histories, written by hand: for each clause one that breaks it, and beside it
+// TestRuleClauses shows each rule's checker short histories, written by hand: for each clause one that breaks it, and beside it
 // the nearest one that doesn't. A line is what was seen and its fields as JSON; times are in seconds.
-func TestClauses(t *testing.T) {
+func TestRuleClauses(t *testing.T) {
 	datadriven.RunTest(t, "testdata/clauses", func(t *testing.T, data *datadriven.TestData) string {
 		rule := 0
 		data.ScanArgs(t, "rule", &rule)
-		history := &invariants.History{Allowance: 1, Read: true}
+		history := &invariants.History{RetryAllowance: 1, ReadBackComplete: true}
 		for _, line := range strings.Split(strings.TrimSpace(data.Input), "\n") {
 			word, fields, _ := strings.Cut(line, " ")
-			if note[word] == nil {
+			if recorders[word] == nil {
 				t.Fatalf("nobody sees a %q", word)
 			}
-			note[word](t, history, []byte(fields))
+			recorders[word](t, history, []byte(fields))
 		}
 		findings, seen := invariants.Inspect(history, rule)
 		text := fmt.Sprintf("looked at %d\n", seen[rule])
@@ -35,7 +35,7 @@
 	})
 }
 
-func take[Seen any](add func(history *invariants.History, seen Seen)) func(t *testing.T, history *invariants.History, fields []byte) {
+func recorder[Seen any](add func(history *invariants.History, seen Seen)) func(t *testing.T, history *invariants.History, fields []byte) {
 	return func(t *testing.T, history *invariants.History, fields []byte) {
 		var seen Seen
 		decoder := json.NewDecoder(strings.NewReader(string(fields)))
@@ -48,17 +48,17 @@
 }
 
 // allowed is a kind of traffic that a configuration sends to a service.
-type allowed struct {
+type allowedRoute struct {
 	Kind, Service string
 	At            monotonic.Micros
 }
 
-var note = map[string]func(t *testing.T, history *invariants.History, fields []byte){
-	"attempt": take(func(history *invariants.History, seen invariants.Attempt) {
+var recorders = map[string]func(t *testing.T, history *invariants.History, fields []byte){
+	"attempt": recorder(func(history *invariants.History, seen invariants.Attempt) {
 		seen.Sent, seen.Ended = seen.Sent*monotonic.Second, seen.Ended*monotonic.Second
-		history.Send(&seen)
+		history.RecordAttempt(&seen)
 	}),
-	"attempts": take(func(history *invariants.History, seen struct {
+	"attempts": recorder(func(history *invariants.History, seen struct {
 		Count, Failed int
 		invariants.Attempt
 	}) {
@@ -69,46 +69,46 @@
 			if number < seen.Failed {
 				each.Status, each.Mesh = 503, true
 			}
-			history.Send(&each)
+			history.RecordAttempt(&each)
 		}
 	}),
-	"run": take(func(history *invariants.History, seen invariants.Run) {
+	"run": recorder(func(history *invariants.History, seen invariants.Run) {
 		seen.At *= monotonic.Second
-		history.Ran(seen)
+		history.RecordRun(seen)
 	}),
-	"left": take(func(history *invariants.History, seen invariants.Left) {
-		history.Leave(seen.Instance, seen.At*monotonic.Second)
+	"left": recorder(func(history *invariants.History, seen invariants.Departure) {
+		history.RecordDeparture(seen.Instance, seen.At*monotonic.Second)
 	}),
-	"allow": take(func(history *invariants.History, seen allowed) {
-		history.Allow(seen.Kind, seen.Service, seen.At*monotonic.Second)
+	"allow": recorder(func(history *invariants.History, seen allowedRoute) {
+		history.AllowRoute(seen.Kind, seen.Service, seen.At*monotonic.Second)
 	}),
-	"adopted": take(func(history *invariants.History, seen invariants.Adopted) {
-		history.Adopt(seen.Carrier, seen.Serial, seen.At*monotonic.Second)
+	"adopted": recorder(func(history *invariants.History, seen invariants.ActiveConfig) {
+		history.RecordActiveVersion(seen.Carrier, seen.Serial, seen.At*monotonic.Second)
 	}),
-	"mark": take(func(history *invariants.History, seen invariants.Note) {
-		history.Mark(seen.What, seen.At*monotonic.Second)
+	"mark": recorder(func(history *invariants.History, seen invariants.Marker) {
+		history.RecordMarker(seen.What, seen.At*monotonic.Second)
 	}),
-	"readback": take(func(history *invariants.History, seen invariants.ReadBack) {
+	"readback": recorder(func(history *invariants.History, seen invariants.ReadBack) {
 		history.ReadBack = append(history.ReadBack, seen)
 	}),
-	"planned": take(func(history *invariants.History, seen invariants.Planned) {
-		history.Plan(seen.What, seen.From*monotonic.Second)(seen.Until * monotonic.Second)
+	"planned": recorder(func(history *invariants.History, seen invariants.PlannedChange) {
+		history.BeginPlannedChange(seen.What, seen.From*monotonic.Second)(seen.Until * monotonic.Second)
 	}),
-	"applied": take(func(history *invariants.History, seen invariants.Applied) {
+	"applied": recorder(func(history *invariants.History, seen invariants.AppliedConfig) {
 		seen.At *= monotonic.Second
-		history.Apply(seen)
+		history.RecordApply(seen)
 	}),
 	// guard is read once at At, or every tenth of a second up to Until.
-	"guard": take(func(history *invariants.History, seen struct {
+	"guard": recorder(func(history *invariants.History, seen struct {
 		Until monotonic.Micros
-		invariants.GuardSeen
+		invariants.BreakerObservation
 	}) {
-		record := seen.GuardSeen
+		record := seen.BreakerObservation
 		for _, span := range []*monotonic.Micros{&record.At, &record.Entered, &record.Expires, &record.Wait, &record.Tenure} {
 			*span *= monotonic.Second
 		}
 		for until := max(record.At, seen.Until*monotonic.Second); record.At <= until; record.At += 100 * monotonic.Millisecond {
-			history.See(record)
+			history.RecordBreaker(record)
 		}
 	}),
 }
--- a/internal/proxy/breaker/breaker_test.go
+++ b/internal/proxy/breaker/breaker_test.go
@@ -20,7 +20,7 @@
 type breakerTest struct {
 	t        *testing.T
 	breakers *breaker.Set
-	node     *world.Place
+	node     *world.Host
 	service  *config.Service
 	calls    []wire.Kind
 	respond  func(kind wire.Kind, response proto.Message) error
@@ -39,7 +39,7 @@
 	}
 	bt.service = config.Compile(state, 1, "").Services["forms"]
 	finished := false
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		bt.node = node
 		bt.breakers = breaker.NewSet(breaker.Config{Host: node, Proxy: "one", Incarnation: 1, Call: func(kind wire.Kind, _, response proto.Message, _ monotonic.Micros) error {
 			bt.calls = append(bt.calls, kind)
--- a/internal/proxy/forward/load_balancer_outlier_test.go
+++ b/internal/proxy/forward/load_balancer_outlier_test.go
@@ -17,7 +17,7 @@
 // ailing is a run of many callers at a service of which one backend falls ill for a while: the real chooser at each caller, the
 // real slots and standing at each backend's gate. A request that fails is tried at one more backend.
 type unhealthyRun struct {
-	fault             func(node *world.Place, random float64, left monotonic.Micros, domain string) (fails bool, took monotonic.Micros)
+	fault             func(node *world.Host, random float64, left monotonic.Micros, domain string) (fails bool, took monotonic.Micros)
 	withoutEjection   bool // nobody is left out, for comparison
 	unhealthyBackends int  // how many backends fall ill
 	callers           int
@@ -39,7 +39,7 @@
 func (r unhealthyRun) run(t *testing.T, seed uint64) (result requestCounts) {
 	simulated := world.New(seed)
 	defer simulated.Close()
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		began := node.Now()
 		backends := localbackends.New(node, func() {})
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, ProxiesByDomain: map[string]int{}, Live: r.callers}
@@ -60,7 +60,7 @@
 				sendHeartbeats(sequence)
 			}
 		})
-		random := simulated.Chance()
+		random := simulated.Rand()
 		const meanWork = 70000.0
 		rate := 0.6 * backendCount * 4 / meanWork
 		for index := range r.callers {
@@ -93,7 +93,7 @@
 }
 
 // request plays one request; at is its moment in the run.
-func (r unhealthyRun) request(node *world.Place, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, at, work monotonic.Micros, random float64, result *requestCounts) {
+func (r unhealthyRun) request(node *world.Host, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, at, work monotonic.Micros, random float64, result *requestCounts) {
 	began, avoid := node.Now(), map[string]bool{}
 	during := at >= unhealthyFrom && at < unhealthyUntil
 	if during {
@@ -128,7 +128,7 @@
 }
 
 // visit plays what a gate does with a request.
-func (r unhealthyRun) visit(node *world.Place, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, candidate session.Candidate, began, work monotonic.Micros, random float64, lastBackend, unhealthy bool) (reached, fine bool) {
+func (r unhealthyRun) visit(node *world.Host, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, candidate session.Candidate, began, work monotonic.Micros, random float64, lastBackend, unhealthy bool) (reached, fine bool) {
 	remaining := began + requestTimeout - node.Now()
 	peers := balancer.peersOf(directory, "forms", candidate.Instance)
 	defer func() {
@@ -175,22 +175,22 @@
 }
 
 // illnesses are the ways in which a backend may be ill while it says that it's well. A negative time is a multiple of the usual one.
-var backendFaults = map[string]func(node *world.Place, random float64, left monotonic.Micros, domain string) (bool, monotonic.Micros){
-	"errors": func(*world.Place, float64, monotonic.Micros, string) (bool, monotonic.Micros) { return true, ms },
-	"four errors in ten": func(_ *world.Place, random float64, _ monotonic.Micros, _ string) (bool, monotonic.Micros) {
+var backendFaults = map[string]func(node *world.Host, random float64, left monotonic.Micros, domain string) (bool, monotonic.Micros){
+	"errors": func(*world.Host, float64, monotonic.Micros, string) (bool, monotonic.Micros) { return true, ms },
+	"four errors in ten": func(_ *world.Host, random float64, _ monotonic.Micros, _ string) (bool, monotonic.Micros) {
 		return random < 0.4, 0
 	},
-	"a third hangs": func(_ *world.Place, random float64, left monotonic.Micros, _ string) (bool, monotonic.Micros) {
+	"a third hangs": func(_ *world.Host, random float64, left monotonic.Micros, _ string) (bool, monotonic.Micros) {
 		if random < 0.34 {
 			return true, left
 		}
 		return false, 0
 	},
-	"all hangs": func(_ *world.Place, _ float64, left monotonic.Micros, _ string) (bool, monotonic.Micros) {
+	"all hangs": func(_ *world.Host, _ float64, left monotonic.Micros, _ string) (bool, monotonic.Micros) {
 		return true, left
 	},
-	"eight times slower": func(*world.Place, float64, monotonic.Micros, string) (bool, monotonic.Micros) { return false, -8 },
-	"errors for one zone": func(_ *world.Place, _ float64, _ monotonic.Micros, domain string) (bool, monotonic.Micros) {
+	"eight times slower": func(*world.Host, float64, monotonic.Micros, string) (bool, monotonic.Micros) { return false, -8 },
+	"errors for one zone": func(_ *world.Host, _ float64, _ monotonic.Micros, domain string) (bool, monotonic.Micros) {
 		if domain == "zone-0" {
 			return true, ms
 		}
--- a/internal/proxy/forward/load_balancer_spread_test.go
+++ b/internal/proxy/forward/load_balancer_spread_test.go
@@ -47,7 +47,7 @@
 	simulated := world.New(seed)
 	defer simulated.Close()
 	result.byBackend = map[string]int{}
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		backends := localbackends.New(node, func() {})
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}, ProxiesByDomain: map[string]int{}, Live: r.callers}
 		speeds := map[string]float64{}
@@ -80,7 +80,7 @@
 			}
 			sum += weights[index]
 		}
-		random := simulated.Chance()
+		random := simulated.Rand()
 		for index := range r.callers {
 			domain := fmt.Sprint("zone-", index%r.zones)
 			directory.ProxiesByDomain[domain]++
@@ -105,7 +105,7 @@
 	return result
 }
 
-func (r spreadRun) request(node *world.Place, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
+func (r spreadRun) request(node *world.Host, backends *localbackends.Set, balancer *loadBalancer, directory *session.Directory, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
 	began, avoid := node.Now(), map[string]bool{}
 	result.requests++
 	for made := 0; ; made++ {
--- a/internal/proxy/forward/retry_test.go
+++ b/internal/proxy/forward/retry_test.go
@@ -87,7 +87,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		jitter := newRetryAfterJitter(node)
 		for range 20 {
 			jitter.apply(overloaded(70 * ms))
@@ -113,7 +113,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		balancer := newLoadBalancer(node, "a", false, 0)
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{}}
 		for index := range 4 {
@@ -147,7 +147,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		balancer := newLoadBalancer(node, "a", false, 20*ms)
 		near, crossDomainPenalty := session.Candidate{Instance: "near", Domain: "a", Slots: 6}, session.Candidate{Instance: "far", Domain: "b", Slots: 6}
 		pick := func() string {
@@ -202,7 +202,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		balancer := newLoadBalancer(node, "a", false, 20*ms)
 		near, crossDomainPenalty := session.Candidate{Instance: "near", Domain: "a", Slots: 6}, session.Candidate{Instance: "far", Domain: "b", Slots: 6}
 		pick := func(route string) string {
@@ -243,7 +243,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		balancer := newLoadBalancer(node, "a", false, 20*ms)
 		directory := &session.Directory{Candidates: map[string][]session.Candidate{"packs": {{Proxy: "home", Instance: "home", Domain: "a", Slots: 2}, {Proxy: "away", Instance: "away", Domain: "b", Slots: 2}}}}
 		balancer.inFlight["home"] = 1
--- a/internal/proxy/localbackends/localbackends_test.go
+++ b/internal/proxy/localbackends/localbackends_test.go
@@ -16,7 +16,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		backends := localbackends.New(process, func() {})
 		backend := localbackends.Backend{Service: "forms", Instance: "first", Address: "127.0.0.1:8000"}
 		register := func() {
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -12,12 +12,12 @@
 )
 
 // within runs a test inside a simulated process.
-func runInHost(t *testing.T, test func(process *world.Place, backends *localbackends.Set)) {
+func runInHost(t *testing.T, test func(process *world.Host, backends *localbackends.Set)) {
 	t.Helper()
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		test(process, localbackends.New(process, func() {}))
 		ended = true
 		return host.Handlers{}, nil
@@ -33,7 +33,7 @@
 }
 
 func TestApplyReport(t *testing.T) {
-	runInHost(t, func(process *world.Place, backends *localbackends.Set) {
+	runInHost(t, func(process *world.Host, backends *localbackends.Set) {
 		apply := func(what string, report localbackends.Report, expected bool) {
 			t.Helper()
 			if changed, err := backends.ApplyReport(report); err != nil || changed != expected {
@@ -94,7 +94,7 @@
 }
 
 func TestWarmup(t *testing.T) {
-	runInHost(t, func(process *world.Place, backends *localbackends.Set) {
+	runInHost(t, func(process *world.Host, backends *localbackends.Set) {
 		report := newReport("one", 1, 6, localbackends.Alive)
 		report.Warmup = 3 * monotonic.Second
 		_, _ = backends.ApplyReport(report)
@@ -109,12 +109,12 @@
 	})
 }
 
-func newRequest(h *world.Place, instance string, remaining monotonic.Micros) localbackends.Request {
+func newRequest(h *world.Host, instance string, remaining monotonic.Micros) localbackends.Request {
 	return localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{Deadline: h.Now() + remaining, Patient: true}}
 }
 
 func TestAdmit(t *testing.T) {
-	runInHost(t, func(process *world.Place, backends *localbackends.Set) {
+	runInHost(t, func(process *world.Host, backends *localbackends.Set) {
 		_, _ = backends.ApplyReport(newReport("one", 1, 2, localbackends.Alive))
 		first, fault := backends.Admit(newRequest(process, "one", monotonic.Second))
 		if fault != nil {
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -24,8 +24,8 @@
 			began := simulated.Now()
 			requests, answered, late := 0, 0, monotonic.Micros(0)
 			well := func() bool { return simulated.Now()-began >= 3*monotonic.Second }
-			primary := func(name string, answers func() bool) func(process *world.Place) (host.Handlers, error) {
-				return func(process *world.Place) (host.Handlers, error) {
+			primary := func(name string, answers func() bool) func(process *world.Host) (host.Handlers, error) {
+				return func(process *world.Host) (host.Handlers, error) {
 					table := host.Handlers{}
 					host.Handle(table, wire.Kind_claim, func(*wire.ClaimRequest) (*wire.ClaimResponse, error) {
 						if requests++; !answers() {
@@ -38,7 +38,7 @@
 			}
 			simulated.Start(simulated.Add("first", "first", "first", primary("first", func() bool { return well() && !moves })))
 			simulated.Start(simulated.Add("second", "second", "second", primary("second", well)))
-			simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+			simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 				resolver := discovery.New(process, nil, nil)
 				resolver.AddPeers([]*wire.PeerAddress{{Name: "first", Address: "first", Group: registryGroup}, {Name: "second", Address: "second", Group: registryGroup}})
 				resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "first"}})
@@ -82,7 +82,7 @@
 	}{{50 * monotonic.Millisecond, false}, {600 * monotonic.Millisecond, true}} {
 		simulated := world.New(1)
 		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 			resolver := discovery.New(process, nil, nil)
 			resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "first"}})
 			b := &batcher{client: New(process, resolver, func() *wire.Session { return &wire.Session{} }, steadyClock(process))}
@@ -115,7 +115,7 @@
 			simulated := world.New(1)
 			defer simulated.Close()
 			messages, requests, present, peak, answered, gone := 0, 0, 0, 0, 0, 0
-			simulated.Start(simulated.Add("first", "first", "first", func(process *world.Place) (host.Handlers, error) {
+			simulated.Start(simulated.Add("first", "first", "first", func(process *world.Host) (host.Handlers, error) {
 				table := host.Handlers{}
 				serve := func(count int) {
 					messages, requests, present = messages+1, requests+count, present+1
@@ -137,7 +137,7 @@
 				})
 				return table, nil
 			}))
-			simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+			simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 				resolver := discovery.New(process, nil, nil)
 				resolver.AddPeers([]*wire.PeerAddress{{Name: "first", Address: "first", Group: registryGroup, Batches: takes}})
 				client := New(process, resolver, func() *wire.Session { return &wire.Session{} }, steadyClock(process))
@@ -194,7 +194,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	answered, untaken, turned := 0, 0, false
-	simulated.Start(simulated.Add("first", "first", "first", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("first", "first", "first", func(process *world.Host) (host.Handlers, error) {
 		table := host.Handlers{}
 		host.Handle(table, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 			process.Sleep(5 * monotonic.Millisecond)
@@ -202,7 +202,7 @@
 		})
 		return table, nil
 	}))
-	simulated.Start(simulated.Add("second", "second", "second", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("second", "second", "second", func(process *world.Host) (host.Handlers, error) {
 		table := host.Handlers{}
 		host.Handle(table, wire.Kind_registry_batch, func(request *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
 			turned = true
@@ -214,7 +214,7 @@
 		})
 		return table, nil
 	}))
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		for _, primary := range []string{"first", "second"} {
 			resolver := discovery.New(process, nil, nil)
 			resolver.AddPeers([]*wire.PeerAddress{{Name: primary, Address: primary, Group: registryGroup, Batches: true}})
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -18,7 +18,7 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		simulated := world.New(seed)
 		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 			client := New(process, discovery.New(process, nil, nil), func() *wire.Session { return &wire.Session{} }, steadyClock(process))
 			began, own := simulated.Now(), process.Now()
 			client.apply(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: int64(began)}, own)
@@ -47,7 +47,7 @@
 	simulated := world.New(1)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		client := New(process, discovery.New(process, nil, nil), func() *wire.Session { return &wire.Session{} }, steadyClock(process))
 		client.apply(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: 1000}, process.Now())
 		process.Sleep(monotonic.Second)
@@ -69,7 +69,7 @@
 	}
 }
 
-func steadyClock(process *world.Place) *clockwatch.Watcher {
+func steadyClock(process *world.Host) *clockwatch.Watcher {
 	watch := clockwatch.New(process)
 	process.Go(watch.Run)
 	return watch
@@ -82,7 +82,7 @@
 		simulated := world.New(seed)
 		succeeded := simulated.Now() + 300*monotonic.Millisecond
 		registry := func(name string) {
-			simulated.Start(simulated.Add(name, name, name, func(process *world.Place) (host.Handlers, error) {
+			simulated.Start(simulated.Add(name, name, name, func(process *world.Host) (host.Handlers, error) {
 				table := host.Handlers{}
 				host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
 					if simulated.Now() < succeeded {
@@ -101,7 +101,7 @@
 		simulated.Run(simulated.Now() + monotonic.Millisecond)
 		simulated.Freeze(simulated.Node("gone"), monotonic.Minute)
 		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 			resolver := discovery.New(process, nil, []string{"gone", "next"})
 			resolver.AddPeers([]*wire.PeerAddress{{Name: "gone", Address: "gone", Group: "sorter"}, {Name: "next", Address: "next", Group: "sorter"}})
 			resolver.ObservePrimaries([]*wire.Primary{{Group: "sorter", Epoch: 1, Name: "gone"}})
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -17,12 +17,12 @@
 )
 
 // within runs a test's body at a place of a simulated world.
-func within(t *testing.T, seed uint64, body func(process *world.Place)) {
+func within(t *testing.T, seed uint64, body func(process *world.Host)) {
 	t.Helper()
 	simulated := world.New(seed)
 	defer simulated.Close()
 	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		process.Go(func() {
 			body(process)
 			ended = true
@@ -123,7 +123,7 @@
 func runFaults(t *testing.T, seed uint64, unchecked bool) (wrong string, counts UpdateCounts) {
 	t.Helper()
 	versions := map[directoryVersion]*Directory{}
-	within(t, seed, func(process *world.Place) {
+	within(t, seed, func(process *world.Host) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		fresh := func() *registryStub {
 			return &registryStub{Directory: directory.New(process, random.Uint64()|1), versions: versions}
@@ -251,7 +251,7 @@
 		"no digest":      func(response *wire.RegistryPollResponse) { response.DirectoryDigest = nil },
 	} {
 		t.Run(name, func(t *testing.T) {
-			within(t, 1, func(process *world.Place) {
+			within(t, 1, func(process *world.Host) {
 				registry := &registryStub{Directory: directory.New(process, 7), versions: map[directoryVersion]*Directory{}}
 				for number := range 10 {
 					registry.Observe(&wire.Session{Proxy: fmt.Sprint("carrier-", number), Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
@@ -294,7 +294,7 @@
 
 // TestOlderRegistry: a sorter of a build that knows of no changes gives no digest. Its wholes are taken, and asked for again.
 func TestOlderRegistry(t *testing.T) {
-	within(t, 1, func(process *world.Place) {
+	within(t, 1, func(process *world.Host) {
 		client := New(process, discovery.New(process, nil, nil), func() *wire.Session { return &wire.Session{} }, nil)
 		response := &wire.RegistryPollResponse{DirectorySource: 4, DirectoryVersion: 9, Sessions: []*wire.Session{{Proxy: "one", Address: "here"}}}
 		if err := client.apply(response, 0); err != nil || client.Directory().Live != 1 {
--- a/internal/rehearse/scenario/faults.go
+++ b/internal/rehearse/scenario/faults.go
@@ -37,7 +37,7 @@
 
 // returned marks the machines' return and lets traffic go on for the 15 s that service has to come back in.
 func (stage *Stage) returned() {
-	stage.History.Mark("returned", stage.Clock.Now())
+	stage.History.RecordMarker("returned", stage.Clock.Now())
 	time.Sleep(17 * time.Second)
 }
 
@@ -562,7 +562,7 @@
 		}
 		victim := stage.Fleet.Carriers[1]
 		stage.Wait(stage.part(0.2))
-		stage.History.Mark("troubled "+victim.Name, stage.Clock.Now())
+		stage.History.RecordMarker("troubled "+victim.Name, stage.Clock.Now())
 		trouble := func(bring func(other *fleet.Process)) {
 			for _, other := range stage.Fleet.Carriers {
 				if other != victim {
@@ -580,7 +580,7 @@
 		stage.Fleet.Relays.Mend()
 		trouble(func(other *fleet.Process) { stage.Fleet.Relays.Cut(victim.Host, other.Host) })
 		stage.Fleet.Relays.Mend()
-		stage.History.Mark("untroubled", stage.Clock.Now())
+		stage.History.RecordMarker("untroubled", stage.Clock.Now())
 		stage.Wait(stage.part(0.2))
 		return nil
 	}})
@@ -612,10 +612,10 @@
 		stage.Wait(stage.part(0.2))
 		rush := standin.NewCallers(stage.Fleet, stage.Clock, stage.History)
 		rush.Again = 0
-		stage.History.Mark("rush", stage.Clock.Now())
+		stage.History.RecordMarker("rush", stage.Clock.Now())
 		rush.Start(stage.Options.Rush)
 		stage.Wait(stage.part(0.6))
-		stage.History.Mark("rushed", stage.Clock.Now())
+		stage.History.RecordMarker("rushed", stage.Clock.Now())
 		rush.Stop()
 		stage.Wait(stage.part(0.2))
 		return nil
--- a/internal/rehearse/scenario/friday.go
+++ b/internal/rehearse/scenario/friday.go
@@ -32,10 +32,10 @@
 const fridayPatience = 45 * time.Second
 
 // families are a layout's kinds whose routes change. Each may go to a service of its own besides.
-func families(chosen layout.Layout) (found []workload.Family) {
+func families(chosen layout.Layout) (found []workload.RouteFamily) {
 	for _, kind := range chosen.Kinds {
 		if slices.Contains(changing, kind.Name) {
-			found = append(found, workload.Family{Kind: kind.Name, Method: kind.Method, Prefix: kind.Path, Service: kind.Service, Other: kind.Service + "-next"})
+			found = append(found, workload.RouteFamily{Kind: kind.Name, Method: kind.Method, Prefix: kind.Path, Service: kind.Service, Alternate: kind.Service + "-next"})
 		}
 	}
 	return found
@@ -43,7 +43,7 @@
 
 // morning is the day's first state: the layout's own, with a route for each family in place of its service's path, the other services, and the
 // archive.
-func morning(state *wire.DesiredState, families []workload.Family) *wire.DesiredState {
+func morning(state *wire.DesiredState, families []workload.RouteFamily) *wire.DesiredState {
 	state = proto.CloneOf(state)
 	for _, one := range families {
 		for _, group := range state.Groups {
@@ -52,7 +52,7 @@
 				service := group.Services[index]
 				service.Paths = slices.DeleteFunc(service.Paths, func(path *wire.Path) bool { return path.Method == one.Method && path.Prefix+"/" == one.Prefix })
 				next := proto.CloneOf(service)
-				next.Name, next.Paths = one.Other, nil
+				next.Name, next.Paths = one.Alternate, nil
 				group.Services = append(group.Services, next)
 			}
 		}
@@ -70,7 +70,7 @@
 	if !slices.Contains(changing, kind.Name) {
 		return fmt.Sprint(kind.Path, number)
 	}
-	return fmt.Sprintf("%s%d/%d", kind.Path, number%workload.Regions, number)
+	return fmt.Sprintf("%s%d/%d", kind.Path, number%workload.RegionsPerFamily, number)
 }
 
 // prepareFriday starts the other services' backends and has the morning's state taken up.
@@ -85,19 +85,19 @@
 		return fmt.Errorf("%v", faults)
 	}
 	of := families(chosen)
-	stage.friday = workload.New(morning(state, of), of, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	stage.friday = workload.NewRouteChanges(morning(state, of), of, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	stage.Callers.Place, stage.Callers.Again, stage.Callers.Patience = region, math.MaxInt, fridayPatience
 	for _, one := range of {
 		index := slices.IndexFunc(chosen.Services, func(service layout.Service) bool { return service.Name == one.Service })
 		other := chosen.Services[index]
-		other.Name = one.Other
+		other.Name = one.Alternate
 		for number := range other.Backends {
 			if _, err := stage.AddBackend(other, chosen.Home(other, number)); err != nil {
 				return err
 			}
 		}
-		stage.History.Allow(one.Kind, one.Service, 0)
-		stage.History.Allow(one.Kind, one.Other, 0)
+		stage.History.AllowRoute(one.Kind, one.Service, 0)
+		stage.History.AllowRoute(one.Kind, one.Alternate, 0)
 	}
 	applied, err := stage.change(stage.friday.State, "any")
 	if err != nil || applied.Outcome != "accepted" {
@@ -115,7 +115,7 @@
 	Serial  uint64
 	Outcome string
 }, err error) {
-	told, err := stage.Operator.Apply(workload.Content(state), expected, 40*time.Second)
+	told, err := stage.Operator.Apply(workload.EncodeState(state), expected, 40*time.Second)
 	applied.Serial, applied.Outcome = told.Version, told.Outcome
 	return applied, err
 }
@@ -129,22 +129,22 @@
 
 // killed kills a process and has it start again.
 func (stage *Stage) killed(victim *fleet.Process, away time.Duration) {
-	stage.History.Mark(invariants.Killed+victim.Name, stage.Clock.Now())
+	stage.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, stage.Clock.Now())
 	victim.Kill()
-	stage.History.Mark(invariants.Killed+victim.Name, stage.Clock.Now())
+	stage.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, stage.Clock.Now())
 	stage.restart(victim, away)
 }
 
 var (
 	alone = deed{"a change of a route", true, func(stage *Stage) error {
-		stage.friday.State = stage.friday.Alter()
+		stage.friday.State = stage.friday.Next()
 		_, err := stage.change(stage.friday.State, "any")
 		return err
 	}}
 	storm = deed{"a storm of changes", true, func(stage *Stage) error {
 		ended := make(chan error, 8)
 		for range cap(ended) {
-			stage.friday.State = stage.friday.Alter()
+			stage.friday.State = stage.friday.Next()
 			state := stage.friday.State
 			go func() {
 				_, err := stage.change(state, "any")
@@ -160,7 +160,7 @@
 	}}
 	race = deed{"two operators race", true, func(stage *Stage) error {
 		// A change of its own first, whose serial both follow.
-		stage.friday.State = stage.friday.Alter()
+		stage.friday.State = stage.friday.Next()
 		first, err := stage.change(stage.friday.State, "any")
 		if err != nil {
 			return err
@@ -172,7 +172,7 @@
 		}
 		ended := make(chan end, 2)
 		for range cap(ended) {
-			state := stage.friday.Alter()
+			state := stage.friday.Next()
 			go func() {
 				applied, err := stage.change(state, strconv.FormatUint(first.Serial, 10))
 				ended <- end{state, applied.Outcome, err}
@@ -255,7 +255,7 @@
 func Lookup(kind string) bool { return strings.HasPrefix(kind, "lookup") }
 
 func init() {
-	checks := []invariants.Check{invariants.KeysKept, invariants.TakenUp, invariants.CountersKept}
+	checks := []invariants.Check{invariants.KeysExecutedOnce, invariants.VersionsAdopted, invariants.BreakerCountersMonotonic}
 	add(Scenario{Name: "friday-routes", Short: "routes of submissions, corrections and downloads change alone, in storms and raced, while carriers restart and a primary dies",
 		Rules: []int{1, 3, 5, 6, 7}, Checks: checks, Prepare: prepareFriday, Run: playFriday(true)})
 	add(Scenario{Name: "friday-quiet", Short: "friday-routes without its changes, to compare", Rules: []int{1, 3, 5}, Checks: checks, Prepare: prepareFriday, Run: playFriday(false)})
--- a/internal/rehearse/scenario/friday_test.go
+++ b/internal/rehearse/scenario/friday_test.go
@@ -41,10 +41,10 @@
 		if len(faults) > 0 || len(of) != wanted {
 			t.Fatal(name, faults, of)
 		}
-		day := workload.New(morning(state, of), of, rand.New(rand.NewPCG(1, 2)))
+		day := workload.NewRouteChanges(morning(state, of), of, rand.New(rand.NewPCG(1, 2)))
 		taken := 0
 		take := func(state *wire.DesiredState) error {
-			if _, faults := config.Parse(workload.Content(state)); len(faults) > 0 {
+			if _, faults := config.Parse(workload.EncodeState(state)); len(faults) > 0 {
 				return fmt.Errorf("%s: %v", state.Note, faults)
 			}
 			taken++
@@ -53,11 +53,11 @@
 		if err := take(day.State); err != nil {
 			t.Error(name, err)
 		}
-		if err := day.Each(take); err != nil || taken != day.Kinds()+1 || len(day.Counts) != day.Kinds() {
+		if err := day.ApplyEach(take); err != nil || taken != day.KindCount()+1 || len(day.Counts) != day.KindCount() {
 			t.Error(name, err, taken, day.Counts)
 		}
 		for range 200 {
-			day.State = day.Alter()
+			day.State = day.Next()
 			if err := take(day.State); err != nil {
 				t.Fatal(name, err)
 			}
@@ -106,7 +106,7 @@
 	}
 	meanwhile := map[int]deed{2: stopCarrier, 4: diePrimary}
 	turn := 0
-	err = stage.friday.Each(func(state *wire.DesiredState) error {
+	err = stage.friday.ApplyEach(func(state *wire.DesiredState) error {
 		turn++
 		ended := make(chan error, 1)
 		if also, is := meanwhile[turn]; is {
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	findings, seen := invariants.Inspect(stage.History, 1, 2, 3, 5, 7)
-	for _, check := range []invariants.Check{invariants.KeysKept, invariants.AsTold, invariants.CountersKept} {
+	for _, check := range []invariants.Check{invariants.KeysExecutedOnce, invariants.ContentMatchesVersion, invariants.BreakerCountersMonotonic} {
 		found, looked := check.Run(stage.History)
 		findings = append(findings, found...)
 		t.Logf("%s looked at %d", check.Name, looked)
@@ -173,7 +173,7 @@
 	cutoff := int64(1234567)
 	route.CutoffMicros = &cutoff
 	file := filepath.Join(t.TempDir(), "next.json")
-	if err := os.WriteFile(file, workload.Content(state), 0o600); err != nil {
+	if err := os.WriteFile(file, workload.EncodeState(state), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	told := ask(0, "apply", file, "--preview")
@@ -224,11 +224,11 @@
 		check invariants.Check
 		last  func(status *proxy.Status)
 	}{
-		"nothing":                               {invariants.TakenUp, func(*proxy.Status) {}},
-		"stays at an older version":             {invariants.TakenUp, func(status *proxy.Status) { *status = sound(1, 9) }},
-		"a difference applied on a wrong base":  {invariants.AsTold, func(status *proxy.Status) { status.ConfigDigest = "version 1" }},
-		"a whole that begins its windows anew":  {invariants.CountersKept, func(status *proxy.Status) { status.Breakers[0].Window = 1 }},
-		"a whole that forgets what was counted": {invariants.CountersKept, func(status *proxy.Status) { status.Breakers[0].Calls = 1 }},
+		"nothing":                               {invariants.VersionsAdopted, func(*proxy.Status) {}},
+		"stays at an older version":             {invariants.VersionsAdopted, func(status *proxy.Status) { *status = sound(1, 9) }},
+		"a difference applied on a wrong base":  {invariants.ContentMatchesVersion, func(status *proxy.Status) { status.ConfigDigest = "version 1" }},
+		"a whole that begins its windows anew":  {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Window = 1 }},
+		"a whole that forgets what was counted": {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Calls = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			told := sound(1, 4)
@@ -248,7 +248,7 @@
 				stage.see("proxy-1", status, monotonic.Micros(at))
 			}
 			for serial, at := range []int64{1000, 2000} {
-				stage.History.Apply(invariants.Applied{Serial: uint64(serial + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", serial+1)})
+				stage.History.RecordApply(invariants.AppliedConfig{Serial: uint64(serial + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", serial+1)})
 			}
 			ask(1500)
 			told = sound(2, 9)
@@ -258,7 +258,7 @@
 			if (len(found) > 0) != (name != "nothing") {
 				t.Errorf("%v", found)
 			}
-			for _, check := range []invariants.Check{invariants.TakenUp, invariants.CountersKept} {
+			for _, check := range []invariants.Check{invariants.VersionsAdopted, invariants.BreakerCountersMonotonic} {
 				if found, _ := check.Run(stage.History); name == "nothing" && len(found) > 0 {
 					t.Error(found)
 				}
--- a/internal/rehearse/scenario/guards.go
+++ b/internal/rehearse/scenario/guards.go
@@ -145,7 +145,7 @@
 			return fmt.Errorf("trials needs two carriers without backends, which %s hasn't got", stage.Fleet.Layout.Name)
 		}
 		for _, victim := range victims {
-			stage.History.Mark("troubled "+victim.Name, stage.Clock.Now())
+			stage.History.RecordMarker("troubled "+victim.Name, stage.Clock.Now())
 			for _, other := range stage.Fleet.Carriers {
 				if other != victim {
 					stage.Fleet.Relays.Delay(victim.Host, other.Host, 500*time.Millisecond)
@@ -156,16 +156,16 @@
 		stage.Callers.Prefer(victims)
 		for range 2 {
 			stage.Wait(stage.part(0.2))
-			stage.History.Mark("failing", stage.Clock.Now())
+			stage.History.RecordMarker("failing", stage.Clock.Now())
 			stage.manner(service, standin.Failing, 0)
 			stage.awaitGuard(service, breakerstore.Open, state(breakerstore.Open))
 			stage.Wait(3 * time.Second)
 			stage.manner(service, standin.Normal, 0)
-			stage.History.Mark("recovered", stage.Clock.Now())
+			stage.History.RecordMarker("recovered", stage.Clock.Now())
 			stage.Wait(18 * time.Second)
 		}
 		stage.Fleet.Relays.Mend()
-		stage.History.Mark("untroubled", stage.Clock.Now())
+		stage.History.RecordMarker("untroubled", stage.Clock.Now())
 		return nil
 	}})
 }
--- a/internal/rehearse/scenario/stage.go
+++ b/internal/rehearse/scenario/stage.go
@@ -42,7 +42,7 @@
 	processor map[string]int64
 	cleanups  []func()
 	findings  []string // what a scenario itself found
-	friday    *workload.Day
+	friday    *workload.RouteChanges
 	astray    bool // by the watcher's last look
 	watching  chan struct{}
 }
@@ -79,7 +79,7 @@
 	stage.cleanups = append(stage.cleanups, stage.Fleet.End)
 	for _, process := range stage.Fleet.All() {
 		process.Plan = func(what string) func() {
-			over := stage.History.Plan(what, stage.Clock.Now())
+			over := stage.History.BeginPlannedChange(what, stage.Clock.Now())
 			return func() { over(stage.Clock.Now()) }
 		}
 	}
@@ -122,7 +122,7 @@
 	if err != nil || applied.Outcome != "accepted" {
 		return stage, fmt.Errorf("the first desired state was not accepted: %v %w", applied, err)
 	}
-	stage.History.Allowance = 20 // the examples' allowance for each service
+	stage.History.RetryAllowance = 20 // the examples' allowance for each service
 	if err := fleet.Await(stage.Fleet.Carriers, 20*time.Second); err != nil {
 		return stage, err
 	}
@@ -224,7 +224,7 @@
 					continue
 				}
 				for _, record := range status.Breakers {
-					stage.History.See(invariants.Look(record, stage.Clock.Now(), process.Name, stage.astray))
+					stage.History.RecordBreaker(invariants.ObserveBreaker(record, stage.Clock.Now(), process.Name, stage.astray))
 				}
 			}
 			stage.astray = stage.adopted()
@@ -249,10 +249,10 @@
 // see notes what a carrier serves by, and what its guards have counted.
 func (stage *Stage) see(name string, status proxy.Status, now monotonic.Micros) {
 	if status.Ready {
-		stage.History.Serves(invariants.Adopted{Carrier: name, Serial: status.ConfigVersion, At: now, Sum: status.ConfigDigest})
+		stage.History.RecordActiveConfig(invariants.ActiveConfig{Carrier: name, Serial: status.ConfigVersion, At: now, Sum: status.ConfigDigest})
 	}
 	for _, shown := range status.Breakers {
-		stage.History.Count(invariants.Counted{Carrier: name, Life: status.Incarnation, Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
+		stage.History.RecordCallCounts(invariants.CallCounts{Proxy: name, Incarnation: status.Incarnation, Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
 			Verdict: fmt.Sprint(shown.Shared, shown.Version, shown.Local, shown.Control)})
 	}
 }
@@ -309,7 +309,7 @@
 func (stage *Stage) Conclude(began time.Time, checks ...invariants.Check) Report {
 	findings, seen := invariants.Inspect(stage.History)
 	report := Report{Layout: stage.Fleet.Layout.Name, Scenario: stage.Options.Scenario, Seconds: time.Since(began).Seconds(),
-		Kinds: map[string]map[string]int{}, Latency: map[string][3]int64{}, Seen: seen, Findings: []string{}, Tries: invariants.WorstTries(stage.History),
+		Kinds: map[string]map[string]int{}, Latency: map[string][3]int64{}, Seen: seen, Findings: []string{}, Tries: invariants.HighestRetryRatios(stage.History),
 		Processor: map[string]int64{}, Bytes: map[string]uint64{}}
 	report.Findings = append(report.Findings, stage.findings...)
 	for _, check := range checks {
@@ -364,7 +364,7 @@
 // after it. Who asks again is left out: it would weigh a refusal by its repeats.
 func (stage *Stage) shares() map[string][2]float64 {
 	back := monotonic.Micros(0)
-	for _, note := range stage.History.Notes {
+	for _, note := range stage.History.Markers {
 		if note.What == "returned" {
 			back = note.At
 		}
@@ -397,7 +397,7 @@
 // rushed gives each kind's successes a second before the rush and in its second half, when queues have grown.
 func (stage *Stage) rushed() map[string][2]float64 {
 	var from, until monotonic.Micros
-	for _, note := range stage.History.Notes {
+	for _, note := range stage.History.Markers {
 		if note.What == "rush" {
 			from = note.At
 		}
@@ -428,7 +428,7 @@
 // back gives how long after the machines' return each kind of traffic had its first success.
 func (stage *Stage) back() map[string]int64 {
 	first := map[string]int64{}
-	for _, note := range stage.History.Notes {
+	for _, note := range stage.History.Markers {
 		if note.What != "returned" {
 			continue
 		}
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -125,12 +125,12 @@
 	return response.StatusCode
 }
 
-// Leave says that this instance is leaving. It goes on answering what still comes.
+// RecordDeparture says that this instance is leaving. It goes on answering what still comes.
 func (backend *Backend) Leave() bool {
 	backend.leaving.Store(true)
 	noted := backend.tell("/backends/"+backend.Instance+"/leave", map[string]string{}) == http.StatusOK
 	if noted {
-		backend.history.Leave(backend.Instance, backend.clock.Now())
+		backend.history.RecordDeparture(backend.Instance, backend.clock.Now())
 	}
 	return noted
 }
@@ -176,7 +176,7 @@
 	if manners[manner] == nil {
 		run.Sum = Sum(answer)
 	}
-	backend.history.Ran(run)
+	backend.history.RecordRun(run)
 	served := backend.Served.Inc()
 	if misbehave := manners[manner]; misbehave != nil {
 		misbehave(backend, writer, attempt)
--- a/internal/rehearse/standin/caller.go
+++ b/internal/rehearse/standin/caller.go
@@ -190,7 +190,7 @@
 
 // send makes one attempt and notes how it ended.
 func send(client *http.Client, history *invariants.History, clock monotonic.Clock, carrier *fleet.Process, attempt *invariants.Attempt, body []byte) {
-	history.Send(attempt)
+	history.RecordAttempt(attempt)
 	req, err := http.NewRequest(attempt.Method, "http://"+carrier.Callers+attempt.Path, bytes.NewReader(body))
 	if err != nil {
 		return
@@ -213,7 +213,7 @@
 	}
 	ended := clock.Now()
 	killed := carrier.Killed()
-	history.End(func() {
+	history.Update(func() {
 		attempt.Ended = ended
 		if err != nil {
 			// On a connection that was used before the carrier may have ended it before it read anything.
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -33,20 +33,20 @@
 	return &Operator{Fleet: running, Clock: clock, History: history, Client: &http.Client{Timeout: 25 * time.Second}}
 }
 
-// Apply applies a content and notes the outcome.
+// RecordApply applies a content and notes the outcome.
 func (operator *Operator) Apply(content []byte, expected string, patience time.Duration) (api.ApplyResult, error) {
 	state, faults := config.Parse(content)
 	if state != nil && len(faults) == 0 {
 		operator.allow(content)
 	}
-	defer func(over func(monotonic.Micros)) { over(operator.Clock.Now()) }(operator.History.Plan("a change of the desired state", operator.Clock.Now()))
+	defer func(over func(monotonic.Micros)) { over(operator.Clock.Now()) }(operator.History.BeginPlannedChange("a change of the desired state", operator.Clock.Now()))
 	req := fmt.Sprintf("apply-%d", rand.Uint64())
 	cutoff := time.Now().Add(patience)
 	for turn := rand.IntN(len(operator.Fleet.Postmasters)); ; turn++ {
 		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
 		applied, err := operator.once(master, content, expected, req)
 		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.OutcomeUnreached {
-			operator.History.Apply(invariants.Applied{Serial: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
+			operator.History.RecordApply(invariants.AppliedConfig{Serial: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
 			return applied, nil
 		}
 		if time.Now().After(cutoff) {
@@ -75,7 +75,7 @@
 	kinds := append(operator.Fleet.Layout.Kinds, operator.Fleet.Layout.LookupKinds()...)
 	for _, kind := range kinds {
 		if path, found := view.Resolve("", kind.Method, strings.TrimSuffix(kind.Path, "/")+"/1"); found {
-			operator.History.Allow(kind.Name, path.Service.Name, operator.Clock.Now())
+			operator.History.AllowRoute(kind.Name, path.Service.Name, operator.Clock.Now())
 		}
 	}
 }
@@ -102,8 +102,8 @@
 		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
 		var kept []api.StoredState
 		if last = operator.Get(master, "/history", &kept); last == nil {
-			operator.History.End(func() {
-				operator.History.Read = true
+			operator.History.Update(func() {
+				operator.History.ReadBackComplete = true
 				for _, state := range kept {
 					operator.History.ReadBack = append(operator.History.ReadBack, invariants.ReadBack{Serial: state.Version, Digest: state.Digest})
 				}
--- a/internal/replication/quorum_test.go
+++ b/internal/replication/quorum_test.go
@@ -80,7 +80,7 @@
 			reports++
 		}
 	}
-	simulated.Start(simulated.Add("a", "a", "a", func(h *world.Place) (host.Handlers, error) {
+	simulated.Start(simulated.Add("a", "a", "a", func(h *world.Host) (host.Handlers, error) {
 		m, err := Open(Config{Host: h, Resolver: discovery.New(h, nil, nil), Group: "test", Name: "a", InitialVoters: []string{"a", "b", "c", "d"}, StateMachine: &largeState{}})
 		if err != nil {
 			return nil, err
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -23,7 +23,7 @@
 func TestLargeStateIsNotRewrittenWithEveryBatch(t *testing.T) {
 	simulated := world.New(1)
 	stored := 0
-	node := simulated.Add("one", "one", "one", func(h *world.Place) (host.Handlers, error) {
+	node := simulated.Add("one", "one", "one", func(h *world.Host) (host.Handlers, error) {
 		m, err := Open(Config{Host: h, Resolver: discovery.New(h, nil, nil), Group: "test", Name: "one", InitialVoters: []string{"one"},
 			StateMachine: &largeState{content: bytes.Repeat([]byte("x"), 100<<10)}, CompactionThreshold: 1 << 10})
 		if err != nil {
--- a/internal/simulation/scenario/bad_messages_test.go
+++ b/internal/simulation/scenario/bad_messages_test.go
@@ -14,17 +14,17 @@
 	"snowflow/internal/transport/wire"
 )
 
-// badMessages are messages between core members that are from an earlier epoch, another copy or another group, cut short, or garbage.
-func badMessages(to string, incarnation uint64) map[string]struct {
-	kind wire.Kind
-	ask  proto.Message
-	tell proto.Message
+// invalidMessages are messages between core members that are from an earlier epoch, another copy or another group, cut short, or garbage.
+func invalidMessages(to string, incarnation uint64) map[string]struct {
+	kind     wire.Kind
+	request  proto.Message
+	response proto.Message
 } {
 	entry := &wire.Entry{Epoch: 1, Sequence: 1, Command: []byte("garbage")}
 	type message = struct {
-		kind wire.Kind
-		ask  proto.Message
-		tell proto.Message
+		kind     wire.Kind
+		request  proto.Message
+		response proto.Message
 	}
 	return map[string]message{
 		"entries of an old epoch":         {wire.Kind_replicate, &wire.ReplicateRequest{To: to, ToIncarnation: incarnation, Epoch: 1, Entries: []*wire.Entry{entry}}, &wire.ReplicateResponse{}},
@@ -42,60 +42,60 @@
 	}
 }
 
-// TestBadMessages: whatever bad message comes to any core process, at any moment, nothing that was acknowledged is lost, and the core goes on.
-func TestBadMessages(t *testing.T) {
+// TestInvalidMessages: whatever bad message comes to any core process, at any moment, nothing that was acknowledged is lost, and the core goes on.
+func TestInvalidMessages(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			mesh := startedBy(t, seed, servingOn)
+			mesh := newServingMeshWithSeed(t, seed, servingOn)
 			version := uint64(100)
 			for range 4 {
-				for _, node := range mesh.allCore() {
+				for _, node := range mesh.allCoreNodes() {
 					seen := &wire.RegisterReadResponse{}
-					mesh.ask(node.Address, wire.Kind_register_read, &wire.RegisterReadRequest{To: node.Name, From: "outside"}, seen)
-					bad := badMessages(node.Name, seen.Incarnation)
+					mesh.sendMessage(node.Address, wire.Kind_register_read, &wire.RegisterReadRequest{To: node.Name, From: "outside"}, seen)
+					bad := invalidMessages(node.Name, seen.Incarnation)
 					for _, name := range slices.Sorted(maps.Keys(bad)) {
 						one := bad[name]
-						mesh.ask(node.Address, one.kind, one.ask, one.tell)
-						if tell, is := one.tell.(*wire.InstallSnapshotResponse); is && tell.Stored {
+						mesh.sendMessage(node.Address, one.kind, one.request, one.response)
+						if response, is := one.response.(*wire.InstallSnapshotResponse); is && response.Stored {
 							t.Errorf("%s took %s", node.Name, name)
 						}
-						if tell, is := one.tell.(*wire.ReplicateResponse); is && tell.Stored {
+						if response, is := one.response.(*wire.ReplicateResponse); is && response.Stored {
 							t.Errorf("%s took %s", node.Name, name)
 						}
-						if tell, is := one.tell.(*wire.AcceptResponse); is && tell.Granted {
+						if response, is := one.response.(*wire.AcceptResponse); is && response.Granted {
 							t.Errorf("%s granted %s", node.Name, name)
 						}
 					}
 				}
 				version++
-				if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Version != version {
-					t.Fatalf("version %d: %v %v", version, tell, err)
+				if response, _, err := mesh.applyVersion(version, 10*monotonic.Second); err != nil || response.Version != version {
+					t.Fatalf("version %d: %v %v", version, response, err)
 				}
-				mesh.World.Kill(mesh.leader("postmaster"))
+				mesh.World.Kill(mesh.primary("postmaster"))
 				mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
-				for _, node := range mesh.allCore() {
+				for _, node := range mesh.allCoreNodes() {
 					mesh.World.Start(node)
 				}
 				mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
 			}
-			tell := &wire.ConfigReadResponse{}
-			mesh.ask(mesh.leader(configstore.Group).Address, wire.Kind_config_read, &wire.ConfigReadRequest{}, tell)
-			if !tell.Found || tell.Versions[0].Version != version {
-				t.Errorf("%v, not version %d", tell, version)
+			response := &wire.ConfigReadResponse{}
+			mesh.sendMessage(mesh.primary(configstore.Group).Address, wire.Kind_config_read, &wire.ConfigReadRequest{}, response)
+			if !response.Found || response.Versions[0].Version != version {
+				t.Errorf("%v, not version %d", response, version)
 			}
 		})
 	}
 }
 
 // ask sends a message from the outside and waits for its answer, or for it to be turned down.
-func (mesh *Mesh) ask(address string, kind wire.Kind, ask, tell proto.Message) {
+func (m *Mesh) sendMessage(address string, kind wire.Kind, request, response proto.Message) {
 	done := false
-	mesh.Outside.Go(func() {
-		_ = mesh.Outside.Call(address, kind, ask, tell, monotonic.Second)
+	m.External.Go(func() {
+		_ = m.External.Call(address, kind, request, response, monotonic.Second)
 		done = true
 	})
-	for limit := mesh.World.Now() + 3*monotonic.Second; !done && mesh.World.Now() < limit; {
-		mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
+	for limit := m.World.Now() + 3*monotonic.Second; !done && m.World.Now() < limit; {
+		m.World.Run(m.World.Now() + 5*monotonic.Millisecond)
 	}
 }
--- a/internal/simulation/scenario/caller_left_test.go
+++ b/internal/simulation/scenario/caller_cancelled_test.go
@@ -10,9 +10,9 @@
 	"snowflow/internal/simulation/world"
 )
 
-// TestCallerLeaves: once a caller has left, a backend is at work no longer on what may run again, and no other one begins to; a run-once
+// TestCallerCancels: once a caller has left, a backend is at work no longer on what may run again, and no other one begins to; a run-once
 // request goes on, and its answer is kept for whoever asks with its key.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerCancels(t *testing.T) {
 	for _, one := range []struct {
 		name    string
 		request request.Request
@@ -22,19 +22,19 @@
 		{"a submission", request.Request{ID: "s-1", Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}, true},
 	} {
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
-			mesh := startedBy(t, seed, servingOn)
-			mesh.labour = 3 * monotonic.Second
-			req, caller := one.request, mesh.carriers[0]
+			mesh := newServingMeshWithSeed(t, seed, servingOn)
+			mesh.workDuration = 3 * monotonic.Second
+			req, caller := one.request, mesh.proxyNames[0]
 			var leave func()
-			req.OnCallerLeft = func(happen func()) (stop func() bool) {
-				leave = happen
+			req.OnCallerLeft = func(action func()) (stop func() bool) {
+				leave = action
 				return func() bool { leave = nil; return true }
 			}
 			var fault error
-			mesh.Outside.Go(func() {
-				_, fault = mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
-					req.ReadAt = mesh.lives[caller].LeaderClock()
-					if _, refused := mesh.lives[caller].Forwarder.Forward(&req); refused != nil {
+			mesh.External.Go(func() {
+				_, fault = mesh.External.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+					req.ReadAt = mesh.proxies[caller].LeaderClock()
+					if _, refused := mesh.proxies[caller].Forwarder.Forward(&req); refused != nil {
 						return nil, refused
 					}
 					return nil, nil
@@ -42,7 +42,7 @@
 			})
 			running := func() (count int) {
 				for _, backend := range mesh.backends {
-					count += backend.running
+					count += backend.inFlight
 				}
 				return count
 			}
@@ -50,8 +50,8 @@
 			if running() == 0 || leave == nil {
 				t.Fatalf("%s, seed %d: %d backends are at work", one.name, seed, running())
 			}
-			mesh.Outside.Go(func() {
-				_, _ = mesh.Outside.Transact(mesh.World.Node(caller).Address, monotonic.Second, func(*world.Node) ([]byte, error) {
+			mesh.External.Go(func() {
+				_, _ = mesh.External.Transact(mesh.World.Node(caller).Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 					leave()
 					return nil, nil
 				})
@@ -78,16 +78,16 @@
 	}
 }
 
-// TestCutoffIsKept: a request whose backend works on beyond its path's limit has its final answer half a second after it at the latest, and
+// TestDeadlineIsEnforced: a request whose backend works on beyond its path's limit has its final answer half a second after it at the latest, and
 // that says that it may have run.
-func TestCutoffIsKept(t *testing.T) {
+func TestDeadlineIsEnforced(t *testing.T) {
 	const cutoff = 4 * monotonic.Second // as Desired has it
 	for _, seed := range seeds(t, 1, 2, 3) {
-		mesh := startedBy(t, seed, servingOn)
-		mesh.labour = 8 * monotonic.Second
+		mesh := newServingMeshWithSeed(t, seed, servingOn)
+		mesh.workDuration = 8 * monotonic.Second
 		for _, req := range []request.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}} {
 			began := mesh.World.Now()
-			_, fault := mesh.carry(mesh.carriers[0], &req)
+			_, fault := mesh.forward(mesh.proxyNames[0], &req)
 			refused := new(apierror.Fault)
 			if took := mesh.World.Now() - began; took < cutoff-monotonic.Second || took > cutoff+500*monotonic.Millisecond || errors.As(fault, &refused) && refused.NotRun() {
 				t.Errorf("seed %d: %s ended after %d microseconds: %v", seed, req.ID, took, fault)
--- a/internal/simulation/scenario/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -15,13 +15,13 @@
 	for _, seed := range seeds(t, 1, 2, 3, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			mesh := startedBy(t, seed, servingOn)
+			mesh := newServingMeshWithSeed(t, seed, servingOn)
 			version := uint64(100)
 			change := func(times int) {
 				for range times {
 					version++
-					if tell, _, err := mesh.raise(version, 10*monotonic.Second); err != nil || tell.Version != version {
-						t.Fatalf("version %d: %v %v", version, tell, err)
+					if response, _, err := mesh.applyVersion(version, 10*monotonic.Second); err != nil || response.Version != version {
+						t.Fatalf("version %d: %v %v", version, response, err)
 					}
 				}
 			}
@@ -31,8 +31,8 @@
 			calm := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
 			change(10)
 			for turn := range 6 {
-				primary := mesh.leader("postmaster")
-				backup := mesh.World.Node(mesh.masters[primary.Name].Member.Backups()[0])
+				primary := mesh.primary("postmaster")
+				backup := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
 				lost := turn == 3
 				if lost {
 					mesh.World.LoseDisk(backup)
@@ -43,12 +43,12 @@
 				mesh.World.Start(backup)
 				calm()
 				// The one that came in its place goes too, so that it's needed again.
-				second := mesh.World.Node(mesh.masters[primary.Name].Member.Backups()[0])
-				entries, whole := seen(eventlog.ReplicaCaughtUp, backup.Name), seen(eventlog.SnapshotInstalled, backup.Name)
+				second := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
+				entries, complete := seen(eventlog.ReplicaCaughtUp, backup.Name), seen(eventlog.SnapshotInstalled, backup.Name)
 				mesh.World.Kill(second)
 				calm()
 				change(3)
-				caughtUp, installed := seen(eventlog.ReplicaCaughtUp, backup.Name)-entries, seen(eventlog.SnapshotInstalled, backup.Name)-whole
+				caughtUp, installed := seen(eventlog.ReplicaCaughtUp, backup.Name)-entries, seen(eventlog.SnapshotInstalled, backup.Name)-complete
 				if lost && installed != 1 || !lost && (caughtUp != 1 || installed != 0) {
 					t.Errorf("turn %d: %s caught up %d times and was given everything %d times", turn, backup.Name, caughtUp, installed)
 				}
--- a/internal/simulation/scenario/return_test.go
+++ b/internal/simulation/scenario/core_recovery_test.go
@@ -13,8 +13,8 @@
 )
 
 // reports counts an event of a group's processes in the log from some line on.
-func (mesh *Mesh) reports(from int, group string, number int) (count int) {
-	for _, line := range mesh.log[from:] {
+func (m *Mesh) countEvents(from int, group string, number int) (count int) {
+	for _, line := range m.log[from:] {
 		if fields := strings.SplitN(line, " ", 4); strings.HasPrefix(fields[1], group) && fields[2] == fmt.Sprint(number) {
 			count++
 		}
@@ -22,12 +22,12 @@
 	return count
 }
 
-// quickCore is a core with the platform's lease that has been quiet for a while, and a carrier.
-func quickCore(seed uint64, cores int) *Mesh {
-	mesh := Build(seed, Sizes{Cores: cores, Carriers: 1, Zones: 1, Backends: 1}, Breakage{})
+// idleCore is a core with the platform's lease that has been quiet for a while, and a carrier.
+func idleCore(seed uint64, cores int) *Mesh {
+	mesh := Build(seed, Topology{Cores: cores, Proxies: 1, Zones: 1, Backends: 1}, Defects{})
 	mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
-	mesh.adjust = func(env *replication.Config) { env.LeaseDuration = 600 * monotonic.Millisecond }
-	for _, node := range mesh.allCore() {
+	mesh.adjustReplication = func(env *replication.Config) { env.LeaseDuration = 600 * monotonic.Millisecond }
+	for _, node := range mesh.allCoreNodes() {
 		mesh.World.Kill(node)
 		mesh.World.Start(node)
 	}
@@ -39,40 +39,40 @@
 // Its view once had the holder time of its last write, so each new backup turned down what came next, again and again.
 func TestQuietPrimaryTakesAnotherBackup(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3) {
-		mesh := quickCore(seed, 4)
-		primary := mesh.leader("postmaster")
-		backup := mesh.World.Node(mesh.masters[primary.Name].Member.Backups()[0])
+		mesh := idleCore(seed, 4)
+		primary := mesh.primary("postmaster")
+		backup := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
 		for _, node := range mesh.coreNodes(backup.Machine) {
 			mesh.World.PowerLoss(node)
 		}
 		from := len(mesh.log)
 		mesh.World.Run(mesh.World.Now() + 10*monotonic.Second)
-		if settled := mesh.reports(from, "postmaster", eventlog.PrimaryReady); settled != 1 {
-			t.Errorf("seed %d: %d epochs with another backup, not one", seed, settled)
+		if newEpochs := mesh.countEvents(from, "postmaster", eventlog.PrimaryReady); newEpochs != 1 {
+			t.Errorf("seed %d: %d epochs with another backup, not one", seed, newEpochs)
 		}
 		mesh.World.Close()
 	}
 }
 
 // answers runs the world until a primary of each group answers, and tells how long that took.
-func (mesh *Mesh) answers(most monotonic.Micros) monotonic.Micros {
-	began := mesh.World.Now()
-	mesh.World.Run(began + 5*monotonic.Millisecond) // until then, who started is still shown as it was
-	for (mesh.leader("sorter") == nil || mesh.leader("postmaster") == nil) && mesh.World.Now()-began < most {
-		mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
+func (m *Mesh) runUntilPrimaries(most monotonic.Micros) monotonic.Micros {
+	began := m.World.Now()
+	m.World.Run(began + 5*monotonic.Millisecond) // until then, who started is still shown as it was
+	for (m.primary("sorter") == nil || m.primary("postmaster") == nil) && m.World.Now()-began < most {
+		m.World.Run(m.World.Now() + 5*monotonic.Millisecond)
 	}
-	return mesh.World.Now() - began
+	return m.World.Now() - began
 }
 
-// TestReturn: all of the core is down at once, or comes back with one disk lost; both groups answer soon after, since every life
+// TestCoreRecovery: all of the core is down at once, or comes back with one disk lost; both groups answer soon after, since every life
 // that may have held a lease is over. Where a machine stays away, its lease is waited out.
-func TestReturn(t *testing.T) {
+func TestCoreRecovery(t *testing.T) {
 	lease := 600 * monotonic.Millisecond
 	for _, one := range []struct {
-		name string
-		lost string // whose disk is lost, or who stays away
-		away bool
-		most monotonic.Micros
+		name        string
+		lostMachine string // whose disk is lost, or who stays away
+		away        bool
+		most        monotonic.Micros
 	}{
 		{"all are back", "", false, lease / 2},
 		{"the primary's disk is lost", "primary", false, lease / 2},
@@ -84,23 +84,23 @@
 				t.Parallel()
 				var longest, sum, count monotonic.Micros
 				for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6) {
-					mesh := quickCore(seed, cores)
-					primary := mesh.leader("sorter")
-					lost := map[string]string{"primary": primary.Machine, "backup": mesh.World.Node(mesh.sorters[primary.Name].Member.Backups()[0]).Machine}[one.lost]
-					mesh.World.Run(mesh.World.Now() + mesh.span(0, lease))
-					for _, node := range mesh.allCore() {
+					mesh := idleCore(seed, cores)
+					primary := mesh.primary("sorter")
+					lost := map[string]string{"primary": primary.Machine, "backup": mesh.World.Node(mesh.registries[primary.Name].Member.Backups()[0]).Machine}[one.lostMachine]
+					mesh.World.Run(mesh.World.Now() + mesh.randomDuration(0, lease))
+					for _, node := range mesh.allCoreNodes() {
 						mesh.World.PowerLoss(node)
 						if node.Machine == lost && !one.away {
 							mesh.World.LoseDisk(node)
 						}
 					}
-					mesh.World.Run(mesh.World.Now() + mesh.span(10*monotonic.Millisecond, monotonic.Second))
-					for _, node := range mesh.allCore() {
+					mesh.World.Run(mesh.World.Now() + mesh.randomDuration(10*monotonic.Millisecond, monotonic.Second))
+					for _, node := range mesh.allCoreNodes() {
 						if node.Machine != lost || !one.away {
 							mesh.World.Start(node)
 						}
 					}
-					took := mesh.answers(10 * monotonic.Second)
+					took := mesh.runUntilPrimaries(10 * monotonic.Second)
 					longest, sum, count = max(longest, took), sum+took, count+1
 					mesh.World.Close()
 				}
@@ -113,22 +113,22 @@
 	}
 }
 
-// TestLossOfBothPrimaries: the machine that leads a group is gone without a word; the other one leads soon after its lease.
-func TestLossOfBothPrimaries(t *testing.T) {
+// TestLossOfPrimaryMachine: the machine that leads a group is gone without a word; the other one leads soon after its lease.
+func TestLossOfPrimaryMachine(t *testing.T) {
 	lease := 600 * monotonic.Millisecond
 	for _, cores := range []int{3, 4} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
 			t.Parallel()
 			var longest, sum, count monotonic.Micros
 			for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6) {
-				mesh := quickCore(seed, cores)
+				mesh := idleCore(seed, cores)
 				for range 4 {
-					mesh.World.Run(mesh.World.Now() + mesh.span(5*monotonic.Second, 6*monotonic.Second))
-					machine := mesh.leader("sorter").Machine
+					mesh.World.Run(mesh.World.Now() + mesh.randomDuration(5*monotonic.Second, 6*monotonic.Second))
+					machine := mesh.primary("sorter").Machine
 					for _, node := range mesh.coreNodes(machine) {
 						mesh.World.PowerLoss(node)
 					}
-					took := mesh.answers(10 * monotonic.Second)
+					took := mesh.runUntilPrimaries(10 * monotonic.Second)
 					longest, sum, count = max(longest, took), sum+took, count+1
 					for _, node := range mesh.coreNodes(machine) {
 						mesh.World.Start(node)
@@ -144,15 +144,15 @@
 	}
 }
 
-// TestLostBackupHoldsWritesUpBriefly: the machine with the backup is gone without a word. Writes are answered again once it has
+// TestLostBackupDelaysWritesBriefly: the machine with the backup is gone without a word. Writes are answered again once it has
 // said nothing to two asks, with another backup; a backup that is only slow is waited for.
-func TestLostBackupHoldsWritesUpBriefly(t *testing.T) {
+func TestLostBackupDelaysWritesBriefly(t *testing.T) {
 	for _, one := range []struct {
-		name    string
-		harm    func(mesh *Mesh, node *world.Node)
-		least   monotonic.Micros
-		most    monotonic.Micros
-		settled int
+		name      string
+		harm      func(mesh *Mesh, node *world.Node)
+		least     monotonic.Micros
+		most      monotonic.Micros
+		newEpochs int
 	}{
 		{"gone", func(mesh *Mesh, node *world.Node) { mesh.World.Freeze(node, monotonic.Minute) }, 0, 350 * monotonic.Millisecond, 1},
 		{"slow", func(mesh *Mesh, node *world.Node) { node.Disk.SyncDelay = 280 * monotonic.Millisecond }, 280 * monotonic.Millisecond, 350 * monotonic.Millisecond, 0},
@@ -160,26 +160,26 @@
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
 			for _, seed := range seeds(t, 1, 2, 3, 4) {
-				mesh := quickCore(seed, 4)
-				leader := mesh.leader("sorter").Name
-				backup := mesh.World.Node(mesh.sorters[leader].Member.Backups()[0])
+				mesh := idleCore(seed, 4)
+				leader := mesh.primary("sorter").Name
+				backup := mesh.World.Node(mesh.registries[leader].Member.Backups()[0])
 				for _, node := range mesh.coreNodes(backup.Machine) {
 					one.harm(mesh, node)
 				}
 				from, took := len(mesh.log), monotonic.Minute
-				mesh.Outside.Go(func() {
-					began, tell := mesh.Outside.Now(), &wire.ClaimResponse{}
-					err := mesh.book.Call(leader, wire.Kind_claim, &wire.ClaimRequest{Scope: "path\nkey", Digest: []byte("d"), Attempt: "1", Proxy: "carrier-1"}, tell, 5*monotonic.Second)
-					if took = mesh.Outside.Now() - began; err != nil || tell.Outcome != "granted" {
-						t.Errorf("seed %d: %q, %v", seed, tell.Outcome, err)
+				mesh.External.Go(func() {
+					began, response := mesh.External.Now(), &wire.ClaimResponse{}
+					err := mesh.resolver.Call(leader, wire.Kind_claim, &wire.ClaimRequest{Scope: "path\nkey", Digest: []byte("d"), Attempt: "1", Proxy: "carrier-1"}, response, 5*monotonic.Second)
+					if took = mesh.External.Now() - began; err != nil || response.Outcome != "granted" {
+						t.Errorf("seed %d: %q, %v", seed, response.Outcome, err)
 					}
 				})
 				mesh.World.Run(mesh.World.Now() + 2*monotonic.Second)
 				if took < one.least || took > one.most {
 					t.Errorf("seed %d: a write took %d microseconds", seed, took)
 				}
-				if settled := mesh.reports(from, "sorter", eventlog.PrimaryReady); settled != one.settled {
-					t.Errorf("seed %d: %d epochs with another backup, not %d", seed, settled, one.settled)
+				if newEpochs := mesh.countEvents(from, "sorter", eventlog.PrimaryReady); newEpochs != one.newEpochs {
+					t.Errorf("seed %d: %d epochs with another backup, not %d", seed, newEpochs, one.newEpochs)
 				}
 				mesh.World.Close()
 			}
--- a/internal/simulation/scenario/linger_test.go
+++ b/internal/simulation/scenario/drain_linger_test.go
@@ -8,34 +8,34 @@
 	"snowflow/internal/simulation/world"
 )
 
-// TestLingeringBackendStays: while a carrier that stops as planned lingers, for its callers to be led elsewhere, the backend
+// TestLingeringProxyKeepsBackends: while a carrier that stops as planned lingers, for its callers to be led elsewhere, the backend
 // beside it is as good as before, and others go on choosing it. Here it's the only one of its service.
-func TestLingeringBackendStays(t *testing.T) {
+func TestLingeringProxyKeepsBackends(t *testing.T) {
 	t.Parallel()
 	const linger = 2200 * monotonic.Millisecond
 	var mesh *Mesh
 	var stopped, ended monotonic.Micros
 	stop := fault{"stop a carrier that lingers", func(mesh *Mesh) {
-		name := mesh.live("forms")[0].carrier
-		node, life := mesh.World.Node(name), mesh.lives[name]
-		over := mesh.History.Plan("planned stop of "+name, mesh.World.Now())
+		name := mesh.liveBackends("forms")[0].proxy
+		node, proxyProcess := mesh.World.Node(name), mesh.proxies[name]
+		over := mesh.History.BeginPlannedChange("planned stop of "+name, mesh.World.Now())
 		stopped = mesh.World.Now()
-		mesh.Outside.Go(func() {
-			_, _ = mesh.Outside.Transact(node.Address, 20*monotonic.Second, func(*world.Node) ([]byte, error) {
-				life.Drain(5300*monotonic.Millisecond, func() { mesh.shut[name] = true })
+		mesh.External.Go(func() {
+			_, _ = mesh.External.Transact(node.Address, 20*monotonic.Second, func(*world.Node) ([]byte, error) {
+				proxyProcess.Drain(5300*monotonic.Millisecond, func() { mesh.refusingCallers[name] = true })
 				ended = mesh.World.Now()
 				return nil, nil
 			})
 			mesh.World.Kill(node)
 			over(mesh.World.Now())
-			mesh.shut[name] = false
+			mesh.refusingCallers[name] = false
 			mesh.World.Start(node)
 		})
 	}}
-	sizes := small
-	sizes.Backends, sizes.Slots, sizes.Linger = 1, 6, linger
-	result := Run(Course{Name: "linger", Sizes: sizes, Length: 24 * monotonic.Second, Rate: 60, Every: 8 * monotonic.Second,
-		First: []fault{stop}, Faults: []fault{nothing}, Prepare: func(built *Mesh) { mesh = built }}, 1, Breakage{})
+	topology := smallTopology
+	topology.Backends, topology.Slots, topology.DrainLinger = 1, 6, linger
+	result := Run(Scenario{Name: "linger", Sizes: topology, Duration: 24 * monotonic.Second, Rate: 60, FaultInterval: 8 * monotonic.Second,
+		InitialFaults: []fault{stop}, Faults: []fault{noFault}, Prepare: func(built *Mesh) { mesh = built }}, 1, Defects{})
 	for _, finding := range result.Findings {
 		t.Error(finding)
 	}
--- a/internal/simulation/scenario/exchange_test.go
+++ b/internal/simulation/scenario/member_replacement_test.go
@@ -14,31 +14,31 @@
 	for _, seed := range seeds(t, 1, 2, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			sizes := found
-			sizes.Copies, sizes.Gone, sizes.Domains = 2, syncTime/2, []string{"a", "a", "b", "c"}
-			mesh := Build(seed, sizes, Breakage{})
+			topology := discoveredTopology
+			topology.Replicas, topology.RemoveAfter, topology.Domains = 2, catchUpAllowance/2, []string{"a", "a", "b", "c"}
+			mesh := Build(seed, topology, Defects{})
 			t.Cleanup(mesh.World.Close)
 			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
-			mesh.come()
+			mesh.startNewMachine()
 			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
 			for group, voters := range mesh.voters(t) {
 				stand := map[string]bool{}
 				for _, name := range voters {
-					stand[sizes.Domains[slices.Index([]string{group + "-1", group + "-2", group + "-3", group + "-4"}, name)]] = true
+					stand[topology.Domains[slices.Index([]string{group + "-1", group + "-2", group + "-3", group + "-4"}, name)]] = true
 				}
 				if len(voters) != 3 || len(stand) != 3 {
 					t.Errorf("the %ss' voters are %v", group, voters)
 				}
 			}
-			tell, _, err := mesh.raise(100, 10*monotonic.Second)
-			if err != nil || tell.Version != 100 {
-				t.Fatalf("%v %v", tell, err)
+			response, _, err := mesh.applyVersion(100, 10*monotonic.Second)
+			if err != nil || response.Version != 100 {
+				t.Fatalf("%v %v", response, err)
 			}
 			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
 			mesh.retire("core-1")
 			mesh.retire("core-2")
-			if tell, _, err = mesh.raise(101, 20*monotonic.Second); err != nil || tell.Version != 101 {
-				t.Errorf("after the zone's loss: %v %v", tell, err)
+			if response, _, err = mesh.applyVersion(101, 20*monotonic.Second); err != nil || response.Version != 101 {
+				t.Errorf("after the zone's loss: %v %v", response, err)
 			}
 		})
 	}
@@ -51,10 +51,10 @@
 		for _, seed := range seeds(t, 1, 2, 3) {
 			t.Run(fmt.Sprintf("%d/%d", one.cores, seed), func(t *testing.T) {
 				t.Parallel()
-				sizes := found
-				sizes.Cores, sizes.Copies, sizes.Gone = one.cores, one.copies, syncTime/2
-				mesh := rosterRun(t, Course{Name: "exchange then loss", Sizes: sizes, Length: 90 * monotonic.Second, Rate: 25, Every: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					First: []fault{plannedExchange, lossForGood, plannedExchange, lossForGood}, Faults: []fault{lossForGood, applyOne}}, seed)
+				topology := discoveredTopology
+				topology.Cores, topology.Replicas, topology.RemoveAfter = one.cores, one.copies, catchUpAllowance/2
+				mesh := membershipRun(t, Scenario{Name: "exchange then loss", Sizes: topology, Duration: 90 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+					InitialFaults: []fault{plannedReplacement, permanentLoss, plannedReplacement, permanentLoss}, Faults: []fault{permanentLoss, applyConfig}}, seed)
 				for group, voters := range mesh.voters(t) {
 					if wanted := max(2*one.copies-1, one.cores); len(voters) != wanted {
 						t.Errorf("the %ss' voters are %v, not %d", group, voters, wanted)
--- a/internal/simulation/scenario/roster_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -13,11 +13,11 @@
 )
 
 // voters gives the roster that the core's processes know at the end, by group; all that are there must know the same.
-func (mesh *Mesh) voters(t *testing.T) map[string][]string {
+func (m *Mesh) voters(t *testing.T) map[string][]string {
 	known := map[string][]string{}
 	note := func(group, name string, member *replication.Member) {
-		node := mesh.World.Node(name)
-		if mesh.retired[node.Machine] {
+		node := m.World.Node(name)
+		if m.retired[node.Machine] {
 			return
 		}
 		voters := member.Voters()
@@ -28,25 +28,25 @@
 			t.Errorf("%s knows the voters %v, another %v", name, voters, known[group])
 		}
 	}
-	for name, one := range mesh.sorters {
+	for name, one := range m.registries {
 		note("sorter", name, one.Member)
 	}
-	for name, one := range mesh.masters {
+	for name, one := range m.configStores {
 		note("postmaster", name, one.Member)
 	}
 	return known
 }
 
-// rosterRun plays a course and has a look at the mesh at its end.
-func rosterRun(t *testing.T, course Course, seed uint64) *Mesh {
+// membershipRun plays a course and has a look at the mesh at its end.
+func membershipRun(t *testing.T, scenario Scenario, seed uint64) *Mesh {
 	var mesh *Mesh
-	prepare := course.Prepare
-	course.Prepare = func(built *Mesh) {
+	prepare := scenario.Prepare
+	scenario.Prepare = func(built *Mesh) {
 		if mesh = built; prepare != nil {
 			prepare(built)
 		}
 	}
-	result := Run(course, seed, Breakage{})
+	result := Run(scenario, seed, Defects{})
 	for _, finding := range result.Findings {
 		t.Errorf("seed %d: %s", seed, finding)
 	}
@@ -59,10 +59,10 @@
 	for _, seed := range seeds(t, 1, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			sizes := small
-			sizes.Voters = 4
-			mesh := rosterRun(t, Course{Name: "fourth", Sizes: sizes, Length: 40 * monotonic.Second, Rate: 25, Every: 5 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-				First: []fault{machineComes}, Faults: []fault{killLeader, powerLoss, freezeLeader, cutCore, applyOne}}, seed)
+			topology := smallTopology
+			topology.Voters = 4
+			mesh := membershipRun(t, Scenario{Name: "fourth", Sizes: topology, Duration: 40 * monotonic.Second, Rate: 25, FaultInterval: 5 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+				InitialFaults: []fault{addCoreMachine}, Faults: []fault{killPrimary, powerOffCoreMachine, freezePrimary, partitionCore, applyConfig}}, seed)
 			for group, voters := range mesh.voters(t) {
 				if len(voters) != 4 {
 					t.Errorf("the %ss' voters are %v", group, voters)
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestMachinesExchanged: the machines of the first start go one after another, for good, and others come in their place, some
+// TestMachinesReplaced: the machines of the first start go one after another, for good, and others come in their place, some
 // seconds later or before. None of the seeds is left at the end.
-func TestMachinesExchanged(t *testing.T) {
+func TestMachinesReplaced(t *testing.T) {
 	for _, one := range []struct {
 		name         string
 		wanted       int
@@ -87,12 +87,12 @@
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", one.name, seed), func(t *testing.T) {
 				t.Parallel()
-				sizes := small
-				sizes.Gone, sizes.Voters = 4*monotonic.Second, one.wanted
+				topology := smallTopology
+				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, one.wanted
 				// Three pauses between faults may take 72 s; in a shorter run chance left out the third.
-				exchange := machineExchanged(one.ahead, one.after)
-				mesh := rosterRun(t, Course{Name: "exchange", Sizes: sizes, Length: 80 * monotonic.Second, Rate: 25, Every: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					First: []fault{exchange, exchange, exchange}, Faults: []fault{applyOne}}, seed)
+				exchange := replaceCoreMachine(one.ahead, one.after)
+				mesh := membershipRun(t, Scenario{Name: "exchange", Sizes: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+					InitialFaults: []fault{exchange, exchange, exchange}, Faults: []fault{applyConfig}}, seed)
 				if len(mesh.retired) != 3 {
 					t.Errorf("%d machines were exchanged", len(mesh.retired))
 				}
@@ -114,14 +114,14 @@
 	for _, one := range []struct {
 		cores, copies int
 		lose          fault
-	}{{3, 2, diskAtAcknowledgement}, {4, 2, diskAtAcknowledgement}, {5, 3, twoDisksAtAcknowledgement}} {
+	}{{3, 2, loseDiskAtAcknowledgement}, {4, 2, loseDiskAtAcknowledgement}, {5, 3, loseTwoDisksAtAcknowledgement}} {
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%d/%d", one.cores, seed), func(t *testing.T) {
 				t.Parallel()
-				sizes := small
-				sizes.Cores, sizes.Copies = one.cores, one.copies
-				mesh := rosterRun(t, Course{Name: "lost", Sizes: sizes, Length: 60 * monotonic.Second, Rate: 25, Every: 11 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					First: []fault{one.lose}, Faults: []fault{one.lose}}, seed)
+				topology := smallTopology
+				topology.Cores, topology.Replicas = one.cores, one.copies
+				mesh := membershipRun(t, Scenario{Name: "lost", Sizes: topology, Duration: 60 * monotonic.Second, Rate: 25, FaultInterval: 11 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+					InitialFaults: []fault{one.lose}, Faults: []fault{one.lose}}, seed)
 				joined := strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %d {", eventlog.VoterJoined))
 				// Each start has one join for each process; each lost disk has another.
 				if joined <= 2*one.cores {
@@ -137,22 +137,22 @@
 	for _, cores := range []int{3, 5} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
 			t.Parallel()
-			sizes := Sizes{Cores: cores, Carriers: 1, Zones: 1, Backends: 1, Copies: cores/2 + 1}
-			mesh := Build(1, sizes, Breakage{})
+			topology := Topology{Cores: cores, Proxies: 1, Zones: 1, Backends: 1, Replicas: cores/2 + 1}
+			mesh := Build(1, topology, Defects{})
 			defer mesh.World.Close()
 			mesh.World.Run(mesh.World.Now() + 10*monotonic.Second)
 			var longest, sum monotonic.Micros
 			const times = 20
 			for range times {
-				mesh.World.Run(mesh.World.Now() + mesh.span(8*monotonic.Second, 9*monotonic.Second))
+				mesh.World.Run(mesh.World.Now() + mesh.randomDuration(8*monotonic.Second, 9*monotonic.Second))
 				for _, group := range []string{"sorter", "postmaster"} {
-					primary := mesh.leader(group)
+					primary := mesh.primary(group)
 					if primary == nil {
 						t.Fatalf("no %s answers", group)
 					}
 					mesh.World.Kill(primary)
 					died := mesh.World.Now()
-					for mesh.leader(group) == nil && mesh.World.Now()-died < 10*monotonic.Second {
+					for mesh.primary(group) == nil && mesh.World.Now()-died < 10*monotonic.Second {
 						mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
 					}
 					took := mesh.World.Now() - died
@@ -179,18 +179,18 @@
 		wanted  int // voters
 		new     int // the number of the machine that must vote at the end
 	}{
-		{"a fourth comes", []fault{machineComes}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
-		{"one is exchanged", []fault{machineExchanged(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
-		{"a fourth comes, then one is exchanged", []fault{machineComes, machineExchanged(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
+		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
+		{"one is exchanged", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
+		{"a fourth comes, then one is exchanged", []fault{addCoreMachine, replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", one.name, seed), func(t *testing.T) {
 				t.Parallel()
 				died := map[string]int{}
-				sizes := small
-				sizes.Gone, sizes.Voters = 4*monotonic.Second, one.wanted
-				mesh := rosterRun(t, Course{Name: "halfway", Sizes: sizes, Length: 50 * monotonic.Second, Rate: 25, Every: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					First: one.changes, Faults: []fault{applyOne}, Prepare: func(mesh *Mesh) {
+				topology := smallTopology
+				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, one.wanted
+				mesh := membershipRun(t, Scenario{Name: "halfway", Sizes: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+					InitialFaults: one.changes, Faults: []fault{applyConfig}, Prepare: func(mesh *Mesh) {
 						trace := mesh.World.Trace
 						mesh.World.Trace = func(at monotonic.Micros, name string, number int, fields map[string]any) {
 							trace(at, name, number, fields)
@@ -200,8 +200,8 @@
 							}
 							died[group]++
 							end := pick(mesh, one.ends)
-							mesh.later(mesh.span(0, 3*monotonic.Millisecond), func() {
-								mesh.down([]*world.Node{mesh.World.Node(name)}, mesh.span(200*monotonic.Millisecond, 3*monotonic.Second),
+							mesh.after(mesh.randomDuration(0, 3*monotonic.Millisecond), func() {
+								mesh.restartAfter([]*world.Node{mesh.World.Node(name)}, mesh.randomDuration(200*monotonic.Millisecond, 3*monotonic.Second),
 									func(node *world.Node) { end(mesh.World, node) })
 							})
 						}
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -12,59 +12,59 @@
 
 // ---- operators ----
 // apply has an operator apply a content, asking again until the outcome is certain or patience ends.
-func (mesh *Mesh) apply(content []byte, any bool, expected uint64, patience monotonic.Micros) *wire.ConfigApplyResponse {
-	if mesh.handed != nil {
-		mesh.handed(content)
+func (m *Mesh) applyDesired(content []byte, any bool, expected uint64, timeout monotonic.Micros) *wire.ConfigApplyResponse {
+	if m.onSubmit != nil {
+		m.onSubmit(content)
 	}
-	sum, faults := mesh.permit(content)
-	ask := &wire.ConfigApplyRequest{Content: content, AnyVersion: any, ExpectedVersion: expected, Request: fmt.Sprintf("apply-%x", mesh.Outside.Random())}
-	defer func(over func(monotonic.Micros)) { over(mesh.World.Now()) }(mesh.History.Plan("a change of the desired state", mesh.World.Now()))
-	cutoff := mesh.World.Now() + patience
-	for mesh.World.Now() < cutoff {
-		leader := mesh.book.Leader(configstore.Group)
-		tell := &wire.ConfigApplyResponse{}
-		if leader != "" && mesh.book.Call(leader, wire.Kind_config_apply, ask, tell, 20*monotonic.Second) == nil {
-			mesh.History.Apply(invariants.Applied{Serial: tell.Version, Digest: tell.Digest, Valid: len(faults) == 0, Outcome: tell.Outcome, At: mesh.World.Now(), Sum: sum})
-			mesh.latest = max(mesh.latest, tell.Version)
-			return tell
+	sum, faults := m.recordRouting(content)
+	request := &wire.ConfigApplyRequest{Content: content, AnyVersion: any, ExpectedVersion: expected, Request: fmt.Sprintf("apply-%x", m.External.Random())}
+	defer func(over func(monotonic.Micros)) { over(m.World.Now()) }(m.History.BeginPlannedChange("a change of the desired state", m.World.Now()))
+	deadline := m.World.Now() + timeout
+	for m.World.Now() < deadline {
+		leader := m.resolver.Leader(configstore.Group)
+		response := &wire.ConfigApplyResponse{}
+		if leader != "" && m.resolver.Call(leader, wire.Kind_config_apply, request, response, 20*monotonic.Second) == nil {
+			m.History.RecordApply(invariants.AppliedConfig{Serial: response.Version, Digest: response.Digest, Valid: len(faults) == 0, Outcome: response.Outcome, At: m.World.Now(), Sum: sum})
+			m.latestVersion = max(m.latestVersion, response.Version)
+			return response
 		}
-		mesh.book.Refresh()
-		mesh.Outside.Sleep(200 * monotonic.Millisecond)
+		m.resolver.Refresh()
+		m.External.Sleep(200 * monotonic.Millisecond)
 	}
 	return nil
 }
 
 // permit notes where a content sends each kind of traffic, and tells what it does; or what is wrong with it.
-func (mesh *Mesh) permit(content []byte) (sum string, faults []config.FieldError) {
+func (m *Mesh) recordRouting(content []byte) (sum string, faults []config.FieldError) {
 	state, faults := config.Parse(content)
 	if state == nil || len(faults) > 0 {
 		return "", faults
 	}
 	view := config.Compile(state, 0, "")
-	for _, sample := range mesh.samples {
+	for _, sample := range m.samples {
 		path, _ := view.Resolve("", sample.method, sample.path)
 		for _, share := range path.Split {
 			if _, has := path.FindService(share.Service.Name); has {
-				mesh.History.Allow(sample.kind, share.Service.Name, mesh.World.Now())
+				m.History.AllowRoute(sample.kind, share.Service.Name, m.World.Now())
 			}
 		}
 	}
 	return view.Fingerprint(), nil
 }
 
-// readBack reads the history of desired states at the end.
-func (mesh *Mesh) readBack() {
+// readBackVersions reads the history of desired states at the end.
+func (m *Mesh) readBackVersions() {
 	for range 100 {
-		tell := &wire.ConfigReadResponse{}
-		leader := mesh.book.Leader(configstore.Group)
-		if leader != "" && mesh.book.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, tell, 2*monotonic.Second) == nil {
-			for _, kept := range tell.Versions {
-				mesh.History.ReadBack = append(mesh.History.ReadBack, invariants.ReadBack{Serial: kept.Version, Digest: kept.Digest})
+		response := &wire.ConfigReadResponse{}
+		leader := m.resolver.Leader(configstore.Group)
+		if leader != "" && m.resolver.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, response, 2*monotonic.Second) == nil {
+			for _, stored := range response.Versions {
+				m.History.ReadBack = append(m.History.ReadBack, invariants.ReadBack{Serial: stored.Version, Digest: stored.Digest})
 			}
-			mesh.History.Read = true
+			m.History.ReadBackComplete = true
 			return
 		}
-		mesh.book.Refresh()
-		mesh.Outside.Sleep(300 * monotonic.Millisecond)
+		m.resolver.Refresh()
+		m.External.Sleep(300 * monotonic.Millisecond)
 	}
 }
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -13,7 +13,7 @@
 )
 
 // routed is a desired state whose services have no paths, only routes.
-func routed(variant int) []byte {
+func desiredWithRoutes(variant int) []byte {
 	return []byte(fmt.Sprintf(`{"note":"variant %d","groups":[{"name":"field",
 "guard":{"windowCalls":30,"minimumCalls":8,"failureRate":0.5,"waitOpenMicros":2000000,"permittedHalfOpen":4,"probeTenureMicros":4000000},
 "retry":{"mostTries":3,"budgetRatio":0.2,"allowance":10},"limits":{"cutoffMicros":4000000},
@@ -34,65 +34,65 @@
 			singles := map[string]*invariants.Attempt{}
 			late, variant := 0, 0
 			losing := fault{"a backend loses its answers, another executes nothing", func(mesh *Mesh) {
-				for index, manner := range []string{"losing", "not_executed"} {
-					if live := mesh.live("forms"); index < len(live) {
-						live[index].manner = manner
-						mesh.later(2*monotonic.Second, func() { live[index].manner = "" })
+				for index, behavior := range []string{"losing", "not_executed"} {
+					if live := mesh.liveBackends("forms"); index < len(live) {
+						live[index].behavior = behavior
+						mesh.after(2*monotonic.Second, func() { live[index].behavior = "" })
 					}
 				}
 			}}
 			frozen := map[string]monotonic.Micros{} // until when, of each carrier that was: nobody can answer in time while frozen
 			freeze := fault{"freeze a carrier", func(mesh *Mesh) {
-				name, span := pick(mesh, mesh.carriers), mesh.span(300*monotonic.Millisecond, 8*monotonic.Second)
-				frozen[name] = max(frozen[name], mesh.World.Now()+span)
-				mesh.freeze(mesh.World.Node(name), span)
+				name, duration := pick(mesh, mesh.proxyNames), mesh.randomDuration(300*monotonic.Millisecond, 8*monotonic.Second)
+				frozen[name] = max(frozen[name], mesh.World.Now()+duration)
+				mesh.freezeNode(mesh.World.Node(name), duration)
 			}}
 			change := fault{"apply the next variant", func(mesh *Mesh) {
 				variant++
-				content := routed(variant)
-				mesh.Outside.Go(func() { mesh.apply(content, true, 0, 20*monotonic.Second) })
+				content := desiredWithRoutes(variant)
+				mesh.External.Go(func() { mesh.applyDesired(content, true, 0, 20*monotonic.Second) })
 			}}
 			send := func(number int) {
-				caller := pick(mesh, mesh.carriers)
+				caller := pick(mesh, mesh.proxyNames)
 				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
 				singles[attempt.ID] = attempt
-				mesh.History.Send(attempt)
-				content, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
-					life, began := mesh.lives[caller], mesh.lives[caller].Now()
-					answer, fault := life.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: life.LeaderClock()})
-					if life.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
+				mesh.History.RecordAttempt(attempt)
+				content, err := mesh.External.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+					proxyProcess, began := mesh.proxies[caller], mesh.proxies[caller].Now()
+					answer, fault := proxyProcess.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: proxyProcess.LeaderClock()})
+					if proxyProcess.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
 						late++
 					}
 					if fault != nil {
-						return json.Marshal(told{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
+						return json.Marshal(callerReply{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
 					}
-					return json.Marshal(told{Status: answer.Status, Serial: answer.ConfigVersion, Echo: request.HeaderValue(answer.Headers, "Echo"), Whole: request.HeaderValue(answer.Headers, "Sum") == sum(answer.Body), Sum: sum(answer.Body)})
+					return json.Marshal(callerReply{Status: answer.Status, Version: answer.ConfigVersion, Echo: request.HeaderValue(answer.Headers, "Echo"), Complete: request.HeaderValue(answer.Headers, "Sum") == checksum(answer.Body), Sum: checksum(answer.Body)})
 				})
 				attempt.Ended = mesh.World.Now()
 				if err != nil {
 					attempt.Transport = "lost"
 					return
 				}
-				var reply told
+				var reply callerReply
 				_ = json.Unmarshal(content, &reply)
-				attempt.Status, attempt.Serial, attempt.Echo, attempt.Whole, attempt.Sum = int(reply.Status), reply.Serial, reply.Echo, reply.Whole, reply.Sum
+				attempt.Status, attempt.Serial, attempt.Echo, attempt.Whole, attempt.Sum = int(reply.Status), reply.Version, reply.Echo, reply.Complete, reply.Sum
 				attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryTold = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
 			}
-			result := Run(Course{Name: "routes", Sizes: small, Length: 60 * monotonic.Second, Rate: 20, Every: 2 * monotonic.Second, Content: routed,
-				Rules: []int{1, 2, 3, 5, 8}, First: []fault{change, losing, manners, killCarrier},
-				Faults: []fault{change, change, manners, killCarrier, freeze, cutCarriers, replaceBackend, killLeader, serviceFails},
+			result := Run(Scenario{Name: "routes", Sizes: smallTopology, Duration: 60 * monotonic.Second, Rate: 20, FaultInterval: 2 * monotonic.Second, DesiredState: desiredWithRoutes,
+				Rules: []int{1, 2, 3, 5, 8}, InitialFaults: []fault{change, losing, misbehaveBackend, killProxy},
+				Faults: []fault{change, change, misbehaveBackend, killProxy, freeze, partitionProxies, replaceBackend, killPrimary, failService},
 				Prepare: func(built *Mesh) {
 					mesh = built
 					for _, service := range []string{"forms", "households"} {
-						mesh.History.Allow("single", service, 0)
+						mesh.History.AllowRoute("single", service, 0)
 					}
-					mesh.Outside.Go(func() {
+					mesh.External.Go(func() {
 						for number := 0; mesh.serving || number == 0; number++ {
-							mesh.Outside.Sleep(monotonic.Micros(mesh.World.Chance().Uint64N(uint64(60 * monotonic.Millisecond))))
-							mesh.Outside.Go(func() { send(number) })
+							mesh.External.Sleep(monotonic.Micros(mesh.World.Rand().Uint64N(uint64(60 * monotonic.Millisecond))))
+							mesh.External.Go(func() { send(number) })
 						}
 					})
-				}}, seed, Breakage{})
+				}}, seed, Defects{})
 			for _, finding := range result.Findings {
 				t.Error(finding)
 			}
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -18,69 +18,69 @@
 var servingOn = configstore.Timeouts{ServeStale: true, LongPoll: 2 * monotonic.Second}
 
 // started makes a small mesh that has adopted a first desired state, under version 10.
-func started(t *testing.T, bounds configstore.Timeouts) *Mesh {
+func newServingMesh(t *testing.T, bounds configstore.Timeouts) *Mesh {
 	t.Helper()
-	return startedBy(t, 3, bounds)
+	return newServingMeshWithSeed(t, 3, bounds)
 }
 
-func startedBy(t *testing.T, seed uint64, bounds configstore.Timeouts) *Mesh {
+func newServingMeshWithSeed(t *testing.T, seed uint64, bounds configstore.Timeouts) *Mesh {
 	t.Helper()
-	sizes := small
-	sizes.Bounds = bounds
-	mesh := Build(seed, sizes, Breakage{})
+	topology := smallTopology
+	topology.Bounds = bounds
+	mesh := Build(seed, topology, Defects{})
 	t.Cleanup(mesh.World.Close)
 	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
-	if tell, _, err := mesh.raise(10, 20*monotonic.Second); err != nil || tell.Outcome != versions.Accepted || tell.Version != 10 {
-		t.Fatalf("%v %v", tell, err)
+	if response, _, err := mesh.applyVersion(10, 20*monotonic.Second); err != nil || response.Outcome != versions.Accepted || response.Version != 10 {
+		t.Fatalf("%v %v", response, err)
 	}
 	mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
 	return mesh
 }
 
 // raise applies a state under a version through a door's store, and tells how long that took.
-func (mesh *Mesh) raise(version uint64, patience monotonic.Micros) (tell *wire.ConfigApplyResponse, took monotonic.Micros, err error) {
-	began, done := mesh.World.Now(), false
-	mesh.Outside.Go(func() {
-		tell, err = api.NewStore(mesh.Outside, mesh.book).Apply(patience, &wire.ConfigApplyRequest{Content: Desired(int(version)), Version: version})
-		took, done = mesh.World.Now()-began, true
+func (m *Mesh) applyVersion(version uint64, timeout monotonic.Micros) (response *wire.ConfigApplyResponse, took monotonic.Micros, err error) {
+	began, done := m.World.Now(), false
+	m.External.Go(func() {
+		response, err = api.NewStore(m.External, m.resolver).Apply(timeout, &wire.ConfigApplyRequest{Content: Desired(int(version)), Version: version})
+		took, done = m.World.Now()-began, true
 	})
-	for limit := began + patience + monotonic.Minute; !done && mesh.World.Now() < limit; {
-		mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
+	for limit := began + timeout + monotonic.Minute; !done && m.World.Now() < limit; {
+		m.World.Run(m.World.Now() + 10*monotonic.Millisecond)
 	}
 	if !done {
 		err = errors.New("it took no end")
 	}
-	return tell, took, err
+	return response, took, err
 }
 
 // TestServeOnAcknowledgement: where carriers serve on, a dead one delays an apply by about Wait, not by its lease, and only until
 // its lease has ended; one that comes again isn't delayed at all.
 func TestServeOnAcknowledgement(t *testing.T) {
 	t.Parallel()
-	mesh := started(t, servingOn)
+	mesh := newServingMesh(t, servingOn)
 	wait := configstore.DefaultTimeouts.AdoptionTimeout
-	raise := func(what string, version, serial uint64, least, most monotonic.Micros, everywhere bool) {
+	raise := func(what string, version, inForce uint64, least, most monotonic.Micros, everywhere bool) {
 		t.Helper()
-		tell, took, err := mesh.raise(version, 10*monotonic.Second)
+		response, took, err := mesh.applyVersion(version, 10*monotonic.Second)
 		t.Logf("%s: acknowledged after %d microseconds", what, took)
-		if err != nil || tell.Outcome != versions.Accepted || tell.Version != serial || tell.AdoptedEverywhere != everywhere || took < least || took > most {
-			t.Errorf("%s: %v, %v after %d microseconds", what, tell, err, took)
+		if err != nil || response.Outcome != versions.Accepted || response.Version != inForce || response.AdoptedEverywhere != everywhere || took < least || took > most {
+			t.Errorf("%s: %v, %v after %d microseconds", what, response, err, took)
 		}
 	}
 	raise("all there", 20, 20, 0, wait/4, true)
 	raise("an older one", 15, 20, 0, wait/4, true)
-	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
+	mesh.World.Kill(mesh.World.Node(mesh.proxyNames[2]))
 	raise("one just dead", 30, 30, wait, wait+wait/4, false)
 	raise("the same again", 30, 30, 0, wait/4, false)
 	raise("an older one again", 25, 30, 0, wait/4, false)
 	raise("one dead, the next", 31, 31, wait, wait+wait/4, false)
-	mesh.World.Start(mesh.World.Node(mesh.carriers[2]))
+	mesh.World.Start(mesh.World.Node(mesh.proxyNames[2]))
 	mesh.World.Run(mesh.World.Now() + 2*monotonic.Second)
 	raise("it's back in another life", 35, 35, 0, wait/4, true)
-	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
+	mesh.World.Kill(mesh.World.Node(mesh.proxyNames[2]))
 	mesh.World.Run(mesh.World.Now() + configstore.DefaultLease + servingOn.LongPoll) // a poll that it left behind is answered, and counts, when its hold ends
 	raise("one long dead", 40, 40, 0, wait/4, true)
-	mesh.World.Kill(mesh.leader("postmaster"))
+	mesh.World.Kill(mesh.primary("postmaster"))
 	raise("the primary just dead", 50, 50, 0, 8*monotonic.Second, false)
 	raise("a new primary", 51, 51, 0, wait+wait/4, false)
 	mesh.World.Run(mesh.World.Now() + configstore.DefaultLease)
@@ -91,61 +91,61 @@
 // time for that says that it doesn't know.
 func TestLeasedAcknowledgement(t *testing.T) {
 	t.Parallel()
-	mesh := started(t, configstore.Timeouts{Lease: 5 * monotonic.Second, LeaseSlack: monotonic.Second})
-	mesh.World.Kill(mesh.World.Node(mesh.carriers[2]))
-	if tell, took, err := mesh.raise(20, 2*monotonic.Second); !errors.Is(err, api.ErrOutcomeUnknown) || took > 2100*monotonic.Millisecond {
-		t.Errorf("%v, %v after %d microseconds", tell, err, took)
+	mesh := newServingMesh(t, configstore.Timeouts{Lease: 5 * monotonic.Second, LeaseSlack: monotonic.Second})
+	mesh.World.Kill(mesh.World.Node(mesh.proxyNames[2]))
+	if response, took, err := mesh.applyVersion(20, 2*monotonic.Second); !errors.Is(err, api.ErrOutcomeUnknown) || took > 2100*monotonic.Millisecond {
+		t.Errorf("%v, %v after %d microseconds", response, err, took)
 	}
-	tell, took, err := mesh.raise(15, 10*monotonic.Second)
+	response, took, err := mesh.applyVersion(15, 10*monotonic.Second)
 	t.Logf("acknowledged after %d microseconds more", took)
-	if err != nil || tell.Version != 20 || !tell.AdoptedEverywhere || took < monotonic.Second || took > 2500*monotonic.Millisecond {
-		t.Errorf("%v, %v after %d microseconds", tell, err, took)
+	if err != nil || response.Version != 20 || !response.AdoptedEverywhere || took < monotonic.Second || took > 2500*monotonic.Millisecond {
+		t.Errorf("%v, %v after %d microseconds", response, err, took)
 	}
 }
 
-// TestStoreTellsApartNotTakenAndUnknown: without a primary within reach nothing is sent, and that is certain.
-func TestStoreTellsApartNotTakenAndUnknown(t *testing.T) {
+// TestStoreDistinguishesRejectedAndUnknown: without a primary within reach nothing is sent, and that is certain.
+func TestStoreDistinguishesRejectedAndUnknown(t *testing.T) {
 	t.Parallel()
-	mesh := started(t, servingOn)
-	read := func(patience monotonic.Micros) (kept *wire.StoredConfig, err error) {
+	mesh := newServingMesh(t, servingOn)
+	read := func(timeout monotonic.Micros) (stored *wire.StoredConfig, err error) {
 		done := false
-		mesh.Outside.Go(func() {
-			kept, err = api.NewStore(mesh.Outside, mesh.book).Latest(patience)
+		mesh.External.Go(func() {
+			stored, err = api.NewStore(mesh.External, mesh.resolver).Latest(timeout)
 			done = true
 		})
 		began := mesh.World.Now()
-		for !done && mesh.World.Now() < began+patience+monotonic.Second {
+		for !done && mesh.World.Now() < began+timeout+monotonic.Second {
 			mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
 		}
 		if !done {
 			t.Errorf("a read took more than its patience")
 		}
-		return kept, err
+		return stored, err
 	}
-	if kept, err := read(2 * monotonic.Second); err != nil || kept.Version != 10 {
-		t.Errorf("%v %v", kept, err)
+	if stored, err := read(2 * monotonic.Second); err != nil || stored.Version != 10 {
+		t.Errorf("%v %v", stored, err)
 	}
-	for _, core := range mesh.cores {
-		mesh.World.Cut("outside", core)
+	for _, core := range mesh.coreMachines {
+		mesh.World.Partition("outside", core)
 	}
-	if tell, took, err := mesh.raise(20, 3*monotonic.Second); !errors.Is(err, api.ErrNotAccepted) || took > 3100*monotonic.Millisecond {
-		t.Errorf("cut off: %v, %v after %d microseconds", tell, err, took)
+	if response, took, err := mesh.applyVersion(20, 3*monotonic.Second); !errors.Is(err, api.ErrNotAccepted) || took > 3100*monotonic.Millisecond {
+		t.Errorf("cut off: %v, %v after %d microseconds", response, err, took)
 	}
 	if _, err := read(2 * monotonic.Second); err == nil {
 		t.Error("read while cut off")
 	}
-	for _, core := range mesh.cores {
-		mesh.World.Uncut("outside", core)
+	for _, core := range mesh.coreMachines {
+		mesh.World.HealPartition("outside", core)
 	}
-	if kept, err := read(2 * monotonic.Second); err != nil || kept.Version != 10 {
-		t.Errorf("%v %v", kept, err)
+	if stored, err := read(2 * monotonic.Second); err != nil || stored.Version != 10 {
+		t.Errorf("%v %v", stored, err)
 	}
 	// A content with faults is refused under any version.
 	done := false
-	mesh.Outside.Go(func() {
-		tell, err := api.NewStore(mesh.Outside, mesh.book).Apply(2*monotonic.Second, &wire.ConfigApplyRequest{Content: []byte(`{"groups":[]}`), Version: 3})
-		if err != nil || tell.Outcome != versions.Invalid || len(tell.Errors) != 1 {
-			t.Errorf("%v %v", tell, err)
+	mesh.External.Go(func() {
+		response, err := api.NewStore(mesh.External, mesh.resolver).Apply(2*monotonic.Second, &wire.ConfigApplyRequest{Content: []byte(`{"groups":[]}`), Version: 3})
+		if err != nil || response.Outcome != versions.Invalid || len(response.Errors) != 1 {
+			t.Errorf("%v %v", response, err)
 		}
 		done = true
 	})
@@ -156,12 +156,12 @@
 }
 
 // carry has a carrier carry a request without a key.
-func (mesh *Mesh) carry(caller string, req *request.Request) (answer *request.Response, fault error) {
+func (m *Mesh) forward(caller string, req *request.Request) (answer *request.Response, fault error) {
 	done := false
-	mesh.Outside.Go(func() {
-		_, err := mesh.Outside.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
-			req.ReadAt = mesh.lives[caller].LeaderClock()
-			given, refused := mesh.lives[caller].Forwarder.Forward(req)
+	m.External.Go(func() {
+		_, err := m.External.Transact(m.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+			req.ReadAt = m.proxies[caller].LeaderClock()
+			given, refused := m.proxies[caller].Forwarder.Forward(req)
 			if refused != nil {
 				return nil, refused
 			}
@@ -171,33 +171,33 @@
 		fault, done = err, true
 	})
 	for !done {
-		mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
+		m.World.Run(m.World.Now() + monotonic.Millisecond)
 	}
 	return answer, fault
 }
 
-// TestServeOnOutOfTouch: a carrier that is cut off from the core serves on past its lease, by the state it has, and passes go both
+// TestServeOnDuringPartition: a carrier that is cut off from the core serves on past its lease, by the state it has, and passes go both
 // ways between it and those that have a newer one, also for a service that the other side doesn't know. Otherwise it refuses.
-func TestServeOnOutOfTouch(t *testing.T) {
+func TestServeOnDuringPartition(t *testing.T) {
 	for name, bounds := range map[string]configstore.Timeouts{"serving on": servingOn, "by leases": {}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			mesh := started(t, bounds)
-			cut := mesh.carriers[0]
-			for _, core := range mesh.cores {
-				mesh.cutFor(cut, core, true, 20*monotonic.Second)
+			mesh := newServingMesh(t, bounds)
+			cut := mesh.proxyNames[0]
+			for _, core := range mesh.coreMachines {
+				mesh.partitionFor(cut, core, true, 20*monotonic.Second)
 			}
 			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
-			if _, _, err := mesh.raise(20, 10*monotonic.Second); err != nil {
+			if _, _, err := mesh.applyVersion(20, 10*monotonic.Second); err != nil {
 				t.Fatal(err)
 			}
-			if serial, _ := mesh.lives[cut].ConfigClient.Version(); serial != 10 {
-				t.Fatalf("%s has serial %d", cut, serial)
+			if version, _ := mesh.proxies[cut].ConfigClient.Version(); version != 10 {
+				t.Fatalf("%s has serial %d", cut, version)
 			}
 			served := map[string]int{}
 			for number := range 20 {
-				for _, caller := range []string{cut, mesh.carriers[1]} {
-					answer, err := mesh.carry(caller, &request.Request{ID: fmt.Sprintf("form-%s-%d", caller, number), Method: "GET", Target: fmt.Sprintf("/forms/%d", number)})
+				for _, caller := range []string{cut, mesh.proxyNames[1]} {
+					answer, err := mesh.forward(caller, &request.Request{ID: fmt.Sprintf("form-%s-%d", caller, number), Method: "GET", Target: fmt.Sprintf("/forms/%d", number)})
 					if err == nil && answer.Status == 200 {
 						served[caller]++
 					}
@@ -205,14 +205,14 @@
 			}
 			t.Logf("served %v", served)
 			wanted := map[bool]int{true: 20, false: 0}[bounds.ServeStale]
-			if served[cut] != wanted || served[mesh.carriers[1]] != 20 {
+			if served[cut] != wanted || served[mesh.proxyNames[1]] != 20 {
 				t.Errorf("served %v", served)
 			}
 			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
-			if serial, _ := mesh.lives[cut].ConfigClient.Version(); serial != 20 {
-				t.Errorf("%s has serial %d after its return", cut, serial)
+			if version, _ := mesh.proxies[cut].ConfigClient.Version(); version != 20 {
+				t.Errorf("%s has serial %d after its return", cut, version)
 			}
-			if _, live := mesh.lives[cut].ConfigClient.Current(); !live {
+			if _, live := mesh.proxies[cut].ConfigClient.Current(); !live {
 				t.Error("no live view after its return")
 			}
 		})
@@ -242,28 +242,28 @@
 		"by leases, one copy alone is left":  {configstore.Timeouts{}, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			mesh := started(t, one.bounds)
-			primary := mesh.leader(configstore.Group)
-			left := mesh.masters[primary.Name].Member.Backups()[0]
+			mesh := newServingMesh(t, one.bounds)
+			primary := mesh.primary(configstore.Group)
+			left := mesh.configStores[primary.Name].Member.Backups()[0]
 			for _, node := range mesh.World.Nodes() {
 				switch {
-				case mesh.masters[node.Name] == nil:
+				case mesh.configStores[node.Name] == nil:
 				case node == primary || node.Name != left && !one.majority:
 					mesh.World.Kill(node)
 				default:
 					node.Disk.SyncDelay = 5 * monotonic.Second // so that no ballot comes to an end
 				}
 			}
-			node := mesh.World.Node(mesh.carriers[0])
+			node := mesh.World.Node(mesh.proxyNames[0])
 			mesh.World.Kill(node)
 			mesh.World.Run(mesh.World.Now() + monotonic.Second)
 			mesh.World.Start(node)
 			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
-			if mesh.leader(configstore.Group) != nil {
+			if mesh.primary(configstore.Group) != nil {
 				t.Error("there is a primary, so nothing was shown")
 			}
-			if serial, _ := mesh.lives[mesh.carriers[0]].ConfigClient.Version(); serial != one.wanted {
-				t.Errorf("with %s left it has serial %d", left, serial)
+			if version, _ := mesh.proxies[mesh.proxyNames[0]].ConfigClient.Version(); version != one.wanted {
+				t.Errorf("with %s left it has serial %d", left, version)
 			}
 		})
 	}
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -23,21 +23,21 @@
 // World is one simulated run.
 // Invariants: events happen in the order of their time, then of their making; current is the only task that runs.
 type World struct {
-	now      monotonic.Micros
-	events   eventHeap
-	sequence uint64
-	chance   *rand.Rand
-	current  *task
-	yielded  chan struct{}
-	nodes    map[string]*Node
-	cuts     map[[2]string]bool
-	delays   map[[2]string]monotonic.Micros
-	// Lag bounds a message's ordinary time on the way.
-	Lag monotonic.Micros
+	now        monotonic.Micros
+	events     eventHeap
+	sequence   uint64
+	rng        *rand.Rand
+	current    *task
+	yielded    chan struct{}
+	nodes      map[string]*Node
+	partitions map[[2]string]bool
+	delays     map[[2]string]monotonic.Micros
+	// MaxLatency bounds a message's ordinary time on the way.
+	MaxLatency monotonic.Micros
 	// Trace is told every report of every node, if set.
 	Trace func(at monotonic.Micros, node string, number int, fields map[string]any)
-	// Stopped is told when a process ends itself.
-	Stopped func(node *Node, why string)
+	// OnStop is told when a process ends itself.
+	OnStop func(node *Node, reason string)
 	// Panicked holds what a task panicked with.
 	Panicked any
 	// Events counts what happened, as a measure of the run.
@@ -46,568 +46,568 @@
 	Calls map[string]map[wire.Kind]int
 	Bytes map[string]int
 	// links are the connections between processes, by caller and address.
-	links map[[2]string]*link
+	connections map[[2]string]*connection
 	// digest mixes every event's time and task, to compare replays.
 	digest uint64
 }
 
 type event struct {
-	at       monotonic.Micros
-	sequence uint64
-	happen   func()
-	node     *Node // a frozen node's events wait
-	life     int
+	due         monotonic.Micros
+	sequence    uint64
+	action      func()
+	node        *Node // a frozen node's events wait
+	incarnation int
 }
 
 type eventHeap []*event
 
-func (events eventHeap) Len() int { return len(events) }
-func (events eventHeap) Less(one, other int) bool {
-	if events[one].at != events[other].at {
-		return events[one].at < events[other].at
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].due != h[j].due {
+		return h[i].due < h[j].due
 	}
-	return events[one].sequence < events[other].sequence
+	return h[i].sequence < h[j].sequence
 }
-func (events eventHeap) Swap(one, other int) { events[one], events[other] = events[other], events[one] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push and Pop serve container/heap.
-func (events *eventHeap) Push(entry any) { *events = append(*events, entry.(*event)) }
+func (h *eventHeap) Push(item any) { *h = append(*h, item.(*event)) }
 
 // Pop takes the last entry.
-func (events *eventHeap) Pop() any {
-	old := *events
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*events = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
 type task struct {
-	node   *Node
-	life   int
-	resume chan struct{}
-	dead   bool
-	number uint64
+	node        *Node
+	incarnation int
+	resume      chan struct{}
+	dead        bool
+	number      uint64
 }
 
 // Node is one simulated process with its disk. Its life number rises with every start and every kill.
 type Node struct {
-	world   *World
-	Name    string
-	Address string
-	Machine string
-	Disk    *memory.Disk
-	table   host.Handlers
-	life    int
-	up      bool
-	frozen  monotonic.Micros // until then
-	offset  monotonic.Micros
-	drift   float64
-	chance  *rand.Rand
-	tasks   map[*task]bool
-	boot    func(place *Place) (host.Handlers, error)
+	world       *World
+	Name        string
+	Address     string
+	Machine     string
+	Disk        *memory.Disk
+	handlers    host.Handlers
+	incarnation int
+	up          bool
+	frozenUntil monotonic.Micros // until then
+	clockOffset monotonic.Micros
+	clockDrift  float64
+	rng         *rand.Rand
+	tasks       map[*task]bool
+	boot        func(h *Host) (host.Handlers, error)
 }
 
 // New makes a world from a seed.
 func New(seed uint64) *World {
-	return &World{now: monotonic.Minute, chance: rand.New(rand.NewPCG(seed, 0x736e6f77)), yielded: make(chan struct{}),
-		nodes: map[string]*Node{}, links: map[[2]string]*link{}, delays: map[[2]string]monotonic.Micros{}, cuts: map[[2]string]bool{}, Calls: map[string]map[wire.Kind]int{}, Bytes: map[string]int{}, Lag: 2 * monotonic.Millisecond}
+	return &World{now: monotonic.Minute, rng: rand.New(rand.NewPCG(seed, 0x736e6f77)), yielded: make(chan struct{}),
+		nodes: map[string]*Node{}, connections: map[[2]string]*connection{}, delays: map[[2]string]monotonic.Micros{}, partitions: map[[2]string]bool{}, Calls: map[string]map[wire.Kind]int{}, Bytes: map[string]int{}, MaxLatency: 2 * monotonic.Millisecond}
 }
 
 // Now is the observer's clock.
-func (world *World) Now() monotonic.Micros { return world.now }
+func (w *World) Now() monotonic.Micros { return w.now }
 
-// Chance is the source of everything that a scenario leaves to chance.
-func (world *World) Chance() *rand.Rand { return world.chance }
+// Rand is the source of everything that a scenario leaves to chance.
+func (w *World) Rand() *rand.Rand { return w.rng }
 
 // Digest names the course of the run so far.
-func (world *World) Digest() uint64 { return world.digest }
+func (w *World) Digest() uint64 { return w.digest }
 
 // At has something happen later, outside all nodes.
-func (world *World) At(at monotonic.Micros, happen func()) { world.push(at, nil, 0, happen) }
+func (w *World) At(at monotonic.Micros, action func()) { w.push(at, nil, 0, action) }
 
-func (world *World) push(at monotonic.Micros, node *Node, life int, happen func()) {
-	world.sequence++
-	heap.Push(&world.events, &event{at: max(at, world.now), sequence: world.sequence, happen: happen, node: node, life: life})
+func (w *World) push(at monotonic.Micros, node *Node, incarnation int, action func()) {
+	w.sequence++
+	heap.Push(&w.events, &event{due: max(at, w.now), sequence: w.sequence, action: action, node: node, incarnation: incarnation})
 }
 
 // Run lets the world go on until a moment.
-func (world *World) Run(until monotonic.Micros) {
-	for len(world.events) > 0 && world.events[0].at <= until && world.Panicked == nil {
-		next := heap.Pop(&world.events).(*event)
-		world.now = next.at
+func (w *World) Run(until monotonic.Micros) {
+	for len(w.events) > 0 && w.events[0].due <= until && w.Panicked == nil {
+		next := heap.Pop(&w.events).(*event)
+		w.now = next.due
 		if next.node != nil {
-			if next.node.life != next.life {
+			if next.node.incarnation != next.incarnation {
 				continue
 			}
-			if next.node.frozen > world.now {
-				world.push(next.node.frozen, next.node, next.life, next.happen)
+			if next.node.frozenUntil > w.now {
+				w.push(next.node.frozenUntil, next.node, next.incarnation, next.action)
 				continue
 			}
 		}
-		world.Events++
-		world.digest = world.digest*1099511628211 ^ uint64(next.at) ^ next.sequence<<20
-		next.happen()
+		w.Events++
+		w.digest = w.digest*1099511628211 ^ uint64(next.due) ^ next.sequence<<20
+		next.action()
 	}
-	world.now = max(world.now, until)
+	w.now = max(w.now, until)
 }
 
 // Close ends every task.
-func (world *World) Close() {
-	for _, node := range world.Nodes() {
+func (w *World) Close() {
+	for _, node := range w.Nodes() {
 		if node.up {
-			world.Kill(node)
+			w.Kill(node)
 		}
 	}
 }
 
 // Nodes lists all nodes by name.
-func (world *World) Nodes() []*Node {
-	nodes := make([]*Node, 0, len(world.nodes))
-	for _, node := range world.nodes {
+func (w *World) Nodes() []*Node {
+	nodes := make([]*Node, 0, len(w.nodes))
+	for _, node := range w.nodes {
 		nodes = append(nodes, node)
 	}
-	sort.Slice(nodes, func(one, other int) bool { return nodes[one].Name < nodes[other].Name })
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
 	return nodes
 }
 
 // Node finds a node.
-func (world *World) Node(name string) *Node { return world.nodes[name] }
+func (w *World) Node(name string) *Node { return w.nodes[name] }
 
 // Add makes a node; Start brings it up.
-func (world *World) Add(name, address, machine string, boot func(place *Place) (host.Handlers, error)) *Node {
-	node := &Node{world: world, Name: name, Address: address, Machine: machine, Disk: memory.New(), boot: boot, tasks: map[*task]bool{},
-		chance: rand.New(rand.NewPCG(world.chance.Uint64(), world.chance.Uint64()))}
-	node.offset = monotonic.Micros(world.chance.Uint64N(uint64(10 * monotonic.Minute)))
-	node.drift = (world.chance.Float64() - 0.5) / 5000 // up to 100 parts in a million
-	node.Disk.TornLength = func(length int) int { return world.chance.IntN(length + 1) }
-	node.Disk.Sleep = func(span monotonic.Micros) {
-		if world.current == nil {
+func (w *World) Add(name, address, machine string, boot func(h *Host) (host.Handlers, error)) *Node {
+	node := &Node{world: w, Name: name, Address: address, Machine: machine, Disk: memory.New(), boot: boot, tasks: map[*task]bool{},
+		rng: rand.New(rand.NewPCG(w.rng.Uint64(), w.rng.Uint64()))}
+	node.clockOffset = monotonic.Micros(w.rng.Uint64N(uint64(10 * monotonic.Minute)))
+	node.clockDrift = (w.rng.Float64() - 0.5) / 5000 // up to 100 parts in a million
+	node.Disk.TornLength = func(length int) int { return w.rng.IntN(length + 1) }
+	node.Disk.Sleep = func(duration monotonic.Micros) {
+		if w.current == nil {
 			return
 		}
-		span += monotonic.Micros(node.chance.Uint64N(uint64(500)))
-		world.sleep(world.current, span)
+		duration += monotonic.Micros(node.rng.Uint64N(uint64(500)))
+		w.sleep(w.current, duration)
 	}
-	world.nodes[name] = node
+	w.nodes[name] = node
 	return node
 }
 
 // Up tells whether a node's process runs.
-func (node *Node) Up() bool { return node.up }
+func (n *Node) Up() bool { return n.up }
 
 // Start boots a node that is down.
-func (world *World) Start(node *Node) {
+func (w *World) Start(node *Node) {
 	if node.up {
 		return
 	}
-	node.life++
-	node.up, node.frozen, node.table = true, 0, nil
-	place := &Place{node: node, life: node.life}
-	if place.Now() < monotonic.Minute {
-		node.offset += 60*monotonic.Minute - place.Now() // as on a real machine, a life's clock starts well above zero
+	node.incarnation++
+	node.up, node.frozenUntil, node.handlers = true, 0, nil
+	simulatedHost := &Host{node: node, incarnation: node.incarnation}
+	if simulatedHost.Now() < monotonic.Minute {
+		node.clockOffset += 60*monotonic.Minute - simulatedHost.Now() // as on a real machine, a life's clock starts well above zero
 	}
-	world.spawn(node, func() {
-		table, err := node.boot(place)
+	w.spawn(node, func() {
+		table, err := node.boot(simulatedHost)
 		if err != nil {
-			place.Stop(err.Error())
+			simulatedHost.Stop(err.Error())
 			return
 		}
-		node.table = table
+		node.handlers = table
 	})
 }
 
 // Kill ends a node's process at once; its disk stays as it is.
-func (world *World) Kill(node *Node) {
+func (w *World) Kill(node *Node) {
 	if !node.up {
 		return
 	}
 	node.up = false
-	node.life++
-	node.table = nil
-	ended := make([]*task, 0, len(node.tasks))
-	for entry := range node.tasks {
-		ended = append(ended, entry)
-	}
-	sort.Slice(ended, func(one, other int) bool { return ended[one].number < ended[other].number })
-	for _, entry := range ended {
-		entry.dead = true
-		if entry != world.current {
-			world.switchTo(entry)
+	node.incarnation++
+	node.handlers = nil
+	tasks := make([]*task, 0, len(node.tasks))
+	for t := range node.tasks {
+		tasks = append(tasks, t)
+	}
+	sort.Slice(tasks, func(i, j int) bool { return tasks[i].number < tasks[j].number })
+	for _, t := range tasks {
+		t.dead = true
+		if t != w.current {
+			w.switchTo(t)
 		}
 	}
 }
 
 // PowerLoss kills a node and leaves on its disk only what was synced.
-func (world *World) PowerLoss(node *Node) {
-	world.Kill(node)
+func (w *World) PowerLoss(node *Node) {
+	w.Kill(node)
 	node.Disk.PowerLoss()
 }
 
 // LoseDisk kills a node and empties its disk.
-func (world *World) LoseDisk(node *Node) {
-	world.Kill(node)
+func (w *World) LoseDisk(node *Node) {
+	w.Kill(node)
 	node.Disk.Wipe()
 }
 
 // Freeze stops a node for a while; everything it would have done happens late.
-func (world *World) Freeze(node *Node, span monotonic.Micros) { node.frozen = world.now + span }
+func (w *World) Freeze(node *Node, duration monotonic.Micros) { node.frozenUntil = w.now + duration }
 
 // Suspend freezes a node whose clock stands still meanwhile, as a clock that doesn't count suspended time would.
-func (world *World) Suspend(node *Node, span monotonic.Micros) {
-	world.Freeze(node, span)
-	node.offset -= span
+func (w *World) Suspend(node *Node, duration monotonic.Micros) {
+	w.Freeze(node, duration)
+	node.clockOffset -= duration
 }
 
-// Leap moves a node's clock, on which it decides, forward or back.
-func (world *World) Leap(node *Node, span monotonic.Micros) { node.offset += span }
+// StepClock moves a node's clock, on which it decides, forward or back.
+func (w *World) StepClock(node *Node, duration monotonic.Micros) { node.clockOffset += duration }
 
-// Cut stops messages from one machine to another.
-func (world *World) Cut(from, into string) { world.cuts[[2]string{from, into}] = true }
+// Partition stops messages from one machine to another.
+func (w *World) Partition(from, to string) { w.partitions[[2]string{from, to}] = true }
 
-// Mend ends all cuts and delays.
-func (world *World) Mend() {
-	world.cuts, world.delays = map[[2]string]bool{}, map[[2]string]monotonic.Micros{}
+// HealNetwork ends all cuts and delays.
+func (w *World) HealNetwork() {
+	w.partitions, w.delays = map[[2]string]bool{}, map[[2]string]monotonic.Micros{}
 }
 
-func (world *World) isCut(from, into string) bool { return world.cuts[[2]string{from, into}] }
+func (w *World) partitioned(from, to string) bool { return w.partitions[[2]string{from, to}] }
 
 // spawn starts a task on a node.
-func (world *World) spawn(node *Node, work func()) {
-	world.sequence++
-	entry := &task{node: node, life: node.life, resume: make(chan struct{}), number: world.sequence}
-	node.tasks[entry] = true
+func (w *World) spawn(node *Node, work func()) {
+	w.sequence++
+	t := &task{node: node, incarnation: node.incarnation, resume: make(chan struct{}), number: w.sequence}
+	node.tasks[t] = true
 	go func() {
-		<-entry.resume
+		<-t.resume
 		defer func() {
-			if caught := recover(); caught != nil {
-				world.Panicked = fmt.Sprintf("%s: %v\n%s", node.Name, caught, stack())
+			if recovered := recover(); recovered != nil {
+				w.Panicked = fmt.Sprintf("%s: %v\n%s", node.Name, recovered, stackTrace())
 			}
-			delete(node.tasks, entry)
-			world.current = nil
-			world.yielded <- struct{}{}
+			delete(node.tasks, t)
+			w.current = nil
+			w.yielded <- struct{}{}
 		}()
-		if entry.dead {
+		if t.dead {
 			return
 		}
 		work()
 	}()
-	world.push(world.now, node, node.life, func() { world.switchTo(entry) })
+	w.push(w.now, node, node.incarnation, func() { w.switchTo(t) })
 }
 
-func stack() string {
+func stackTrace() string {
 	buffer := make([]byte, 16<<10)
 	return string(buffer[:runtime.Stack(buffer, false)])
 }
 
 // switchTo lets a task run until it waits or ends. It's called by the scheduler, or by a task that kills others.
-func (world *World) switchTo(entry *task) {
-	if !entry.node.tasks[entry] {
+func (w *World) switchTo(t *task) {
+	if !t.node.tasks[t] {
 		return
 	}
-	previous := world.current
-	world.current = entry
-	entry.resume <- struct{}{}
-	<-world.yielded
-	world.current = previous
+	previous := w.current
+	w.current = t
+	t.resume <- struct{}{}
+	<-w.yielded
+	w.current = previous
 }
 
 // yield gives the world back to the scheduler until the task is resumed. A dead task ends here.
-func (world *World) yield(entry *task) {
-	if entry.dead {
+func (w *World) yield(t *task) {
+	if t.dead {
 		runtime.Goexit()
 	}
-	world.current = nil
-	world.yielded <- struct{}{}
-	<-entry.resume
-	if entry.dead {
+	w.current = nil
+	w.yielded <- struct{}{}
+	<-t.resume
+	if t.dead {
 		runtime.Goexit()
 	}
 }
 
-func (world *World) sleep(entry *task, span monotonic.Micros) {
-	if entry.dead {
+func (w *World) sleep(t *task, duration monotonic.Micros) {
+	if t.dead {
 		runtime.Goexit()
 	}
-	world.push(world.now+max(span, 0), entry.node, entry.life, func() { world.switchTo(entry) })
-	world.yield(entry)
+	w.push(w.now+max(duration, 0), t.node, t.incarnation, func() { w.switchTo(t) })
+	w.yield(t)
 }
 
-// Place is a node's host.
-type Place struct {
-	node *Node
-	life int
+// Host is a node's host.
+type Host struct {
+	node        *Node
+	incarnation int
 }
 
 // Node gives the place's node.
-func (place *Place) Node() *Node { return place.node }
+func (h *Host) Node() *Node { return h.node }
 
 // Now reads the node's own clock, which starts anywhere and drifts.
-func (place *Place) Now() monotonic.Micros {
-	world := place.node.world
-	return world.now + place.node.offset + monotonic.Micros(float64(world.now)*place.node.drift)
+func (h *Host) Now() monotonic.Micros {
+	w := h.node.world
+	return w.now + h.node.clockOffset + monotonic.Micros(float64(w.now)*h.node.clockDrift)
 }
 
 // Sleep waits.
-func (place *Place) Sleep(span monotonic.Micros) {
-	place.node.world.sleep(place.node.world.current, span)
+func (h *Host) Sleep(duration monotonic.Micros) {
+	h.node.world.sleep(h.node.world.current, duration)
 }
 
 // Go starts a task.
-func (place *Place) Go(work func()) {
-	if place.node.life == place.life {
-		place.node.world.spawn(place.node, work)
+func (h *Host) Go(work func()) {
+	if h.node.incarnation == h.incarnation {
+		h.node.world.spawn(h.node, work)
 	}
 }
 
 // Random gives 64 random bits.
-func (place *Place) Random() uint64 { return place.node.chance.Uint64() }
+func (h *Host) Random() uint64 { return h.node.rng.Uint64() }
 
 // Disk is the node's disk.
-func (place *Place) Disk() wal.Disk { return place.node.Disk }
+func (h *Host) Disk() wal.Disk { return h.node.Disk }
 
 // Report tells the trace.
-func (place *Place) Report(number int, fields map[string]any) {
-	if trace := place.node.world.Trace; trace != nil {
-		trace(place.node.world.now, place.node.Name, number, fields)
+func (h *Host) Report(number int, fields map[string]any) {
+	if trace := h.node.world.Trace; trace != nil {
+		trace(h.node.world.now, h.node.Name, number, fields)
 	}
 }
 
 // Stop ends the process, which the platform starts again.
-func (place *Place) Stop(why string) {
-	world := place.node.world
-	if place.node.life != place.life {
+func (h *Host) Stop(reason string) {
+	w := h.node.world
+	if h.node.incarnation != h.incarnation {
 		return
 	}
-	world.At(world.now, func() {
-		if place.node.life != place.life {
+	w.At(w.now, func() {
+		if h.node.incarnation != h.incarnation {
 			return
 		}
-		world.Kill(place.node)
-		if world.Stopped != nil {
-			world.Stopped(place.node, why)
+		w.Kill(h.node)
+		if w.OnStop != nil {
+			w.OnStop(h.node, reason)
 		}
 	})
 }
 
 type signal struct {
-	place  *Place
-	fired  bool
-	waiter *task
-	turn   uint64
+	host       *Host
+	fired      bool
+	waiter     *task
+	generation uint64
 }
 
 // NewSignal makes a signal.
-func (place *Place) NewSignal() host.Signal { return &signal{place: place} }
+func (h *Host) NewSignal() host.Signal { return &signal{host: h} }
 
-func (signal *signal) Fire() {
-	world := signal.place.node.world
-	if signal.waiter == nil {
-		signal.fired = true
+func (s *signal) Fire() {
+	w := s.host.node.world
+	if s.waiter == nil {
+		s.fired = true
 		return
 	}
-	entry := signal.waiter
-	signal.waiter = nil
-	signal.turn++
-	signal.fired = true
-	world.push(world.now, entry.node, entry.life, func() { world.switchTo(entry) })
+	t := s.waiter
+	s.waiter = nil
+	s.generation++
+	s.fired = true
+	w.push(w.now, t.node, t.incarnation, func() { w.switchTo(t) })
 }
 
-func (signal *signal) Wait(patience monotonic.Micros) bool {
-	if signal.fired {
-		signal.fired = false
+func (s *signal) Wait(timeout monotonic.Micros) bool {
+	if s.fired {
+		s.fired = false
 		return true
 	}
-	if patience <= 0 {
+	if timeout <= 0 {
 		return false
 	}
-	world := signal.place.node.world
-	entry := world.current
-	signal.waiter = entry
-	signal.turn++
-	turn := signal.turn
-	if patience < monotonic.Forever {
-		world.push(world.now+patience, entry.node, entry.life, func() {
-			if signal.turn == turn && signal.waiter == entry {
-				signal.waiter = nil
-				world.switchTo(entry)
+	w := s.host.node.world
+	t := w.current
+	s.waiter = t
+	s.generation++
+	generation := s.generation
+	if timeout < monotonic.Forever {
+		w.push(w.now+timeout, t.node, t.incarnation, func() {
+			if s.generation == generation && s.waiter == t {
+				s.waiter = nil
+				w.switchTo(t)
 			}
 		})
 	}
-	world.yield(entry)
-	fired := signal.fired
-	signal.fired = false
+	w.yield(t)
+	fired := s.fired
+	s.fired = false
 	return fired
 }
 
 // way is how long a message takes; now and then one is much slower.
-func (world *World) way(node *Node) monotonic.Micros {
-	span := monotonic.Micros(50 + node.chance.Uint64N(uint64(world.Lag)))
-	if node.chance.Uint64N(200) == 0 {
-		span += monotonic.Micros(node.chance.Uint64N(uint64(100 * monotonic.Millisecond)))
+func (w *World) messageLatency(node *Node) monotonic.Micros {
+	latency := monotonic.Micros(50 + node.rng.Uint64N(uint64(w.MaxLatency)))
+	if node.rng.Uint64N(200) == 0 {
+		latency += monotonic.Micros(node.rng.Uint64N(uint64(100 * monotonic.Millisecond)))
 	}
-	return span
+	return latency
 }
 
 // link is what the real host keeps for each address: when something was last heard, and the calls that wait. As there,
 // a call that hears nothing at all while its patience runs ends the connection, and with it the others.
-type link struct {
-	heard   monotonic.Micros
-	pending []*outcome
+type connection struct {
+	lastReceived monotonic.Micros
+	pending      []*pendingCall
 }
 
-func (world *World) link(from *Node, address string) *link {
-	key := [2]string{from.Name + "/" + fmt.Sprint(from.life), address}
-	if world.links[key] == nil {
-		world.links[key] = &link{heard: world.now}
+func (w *World) connection(from *Node, address string) *connection {
+	key := [2]string{from.Name + "/" + fmt.Sprint(from.incarnation), address}
+	if w.connections[key] == nil {
+		w.connections[key] = &connection{lastReceived: w.now}
 	}
-	return world.links[key]
+	return w.connections[key]
 }
 
-func (link *link) end(result *outcome) {
-	link.pending = slices.DeleteFunc(link.pending, func(other *outcome) bool { return other == result })
+func (l *connection) remove(call *pendingCall) {
+	l.pending = slices.DeleteFunc(l.pending, func(waiting *pendingCall) bool { return waiting == call })
 }
 
 // outcome of a call under way; decided once.
-type outcome struct {
+type pendingCall struct {
 	signal host.Signal
 	done   bool
 	reply  []byte
 	err    error
 }
 
-func (outcome *outcome) decide(reply []byte, err error) {
-	if outcome.done {
+func (c *pendingCall) complete(reply []byte, err error) {
+	if c.done {
 		return
 	}
-	outcome.done, outcome.reply, outcome.err = true, reply, err
-	outcome.signal.Fire()
+	c.done, c.reply, c.err = true, reply, err
+	c.signal.Fire()
 }
 
 // Call sends a request through the simulated network.
-func (place *Place) Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error {
+func (h *Host) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	content, err := proto.Marshal(request)
 	if err != nil {
 		return err
 	}
-	world := place.node.world
-	if world.Calls[place.node.Name] == nil {
-		world.Calls[place.node.Name] = map[wire.Kind]int{}
+	w := h.node.world
+	if w.Calls[h.node.Name] == nil {
+		w.Calls[h.node.Name] = map[wire.Kind]int{}
 	}
-	world.Calls[place.node.Name][kind]++
-	world.Bytes[place.node.Name] += len(content)
-	answer, err := place.transact(address, patience, func(node *Node) ([]byte, error) {
-		handle := node.table[kind]
+	w.Calls[h.node.Name][kind]++
+	w.Bytes[h.node.Name] += len(content)
+	encodedReply, err := h.transact(address, timeout, func(node *Node) ([]byte, error) {
+		handle := node.handlers[kind]
 		if handle == nil {
 			return nil, apierror.Refused.New("no such kind")
 		}
-		told, err := handle(content)
+		response, err := handle(content)
 		if err != nil {
 			return nil, apierror.Refused.New("%s: %s", address, err)
 		}
-		return proto.Marshal(told)
+		return proto.Marshal(response)
 	})
 	if err != nil {
 		return err
 	}
-	world.Bytes[place.node.Name] += len(answer)
-	return proto.Unmarshal(answer, reply)
+	w.Bytes[h.node.Name] += len(encodedReply)
+	return proto.Unmarshal(encodedReply, reply)
 }
 
 // Transact runs work on the process at an address, as a connection to it would, for the outside's own protocols.
-func (place *Place) Transact(address string, patience monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
-	return place.transact(address, patience, work)
+func (h *Host) Transact(address string, timeout monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
+	return h.transact(address, timeout, work)
 }
 
-func (place *Place) transact(address string, patience monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
-	world, from := place.node.world, place.node
-	result := &outcome{signal: place.NewSignal()}
-	target := world.at(address)
+func (h *Host) transact(address string, timeout monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
+	w, from := h.node.world, h.node
+	call := &pendingCall{signal: h.NewSignal()}
+	target := w.nodeAt(address)
 	if target == nil {
-		if world.machineUp(address) {
-			world.sleep(world.current, world.way(from)+world.way(from))
+		if w.machineIsUp(address) {
+			w.sleep(w.current, w.messageLatency(from)+w.messageLatency(from))
 		} else {
-			world.sleep(world.current, min(patience, 100*monotonic.Millisecond))
+			w.sleep(w.current, min(timeout, 100*monotonic.Millisecond))
 		}
 		return nil, apierror.Unreachable.New("nobody at %s", address)
 	}
-	if world.isCut(from.Machine, target.Machine) && from.chance.Uint64N(2) == 0 {
+	if w.partitioned(from.Machine, target.Machine) && from.rng.Uint64N(2) == 0 {
 		// No connection stood, and none can be made now.
-		world.sleep(world.current, patience)
+		w.sleep(w.current, timeout)
 		return nil, apierror.Unreachable.New("dialling %s took too long", address)
 	}
-	world.carry(from, target, 0, func() { world.receive(from, target, result, work) }, func() {
-		result.decide(nil, apierror.Lost.New("connection to %s ended", address))
+	w.transmit(from, target, 0, func() { w.receive(from, target, call, work) }, func() {
+		call.complete(nil, apierror.Lost.New("connection to %s ended", address))
 	})
-	connection, started := world.link(from, address), world.now
-	connection.pending = append(connection.pending, result)
-	defer connection.end(result)
-	if !result.done {
-		result.signal.Wait(patience)
-	}
-	if result.done {
-		connection.heard = world.now
-		return result.reply, result.err
-	}
-	result.done = true
-	if connection.heard < started {
-		for _, other := range slices.Clone(connection.pending) {
-			other.decide(nil, apierror.Lost.New("connection to %s was silent", address))
+	conn, started := w.connection(from, address), w.now
+	conn.pending = append(conn.pending, call)
+	defer conn.remove(call)
+	if !call.done {
+		call.signal.Wait(timeout)
+	}
+	if call.done {
+		conn.lastReceived = w.now
+		return call.reply, call.err
+	}
+	call.done = true
+	if conn.lastReceived < started {
+		for _, waiting := range slices.Clone(conn.pending) {
+			waiting.complete(nil, apierror.Lost.New("connection to %s was silent", address))
 		}
 	}
 	return nil, apierror.Lost.New("no answer from %s", address)
 }
 
 // receive runs a request's work as a task of the target.
-func (world *World) receive(from, target *Node, result *outcome, work func(node *Node) ([]byte, error)) {
-	life := target.life
-	world.spawn(target, func() {
+func (w *World) receive(from, target *Node, call *pendingCall, work func(node *Node) ([]byte, error)) {
+	incarnation := target.incarnation
+	w.spawn(target, func() {
 		finished := false
 		defer func() {
 			if !finished {
 				// The process died with the request in hand: its connections end.
-				world.At(world.now+world.way(from), func() { result.decide(nil, apierror.Lost.New("connection ended")) })
+				w.At(w.now+w.messageLatency(from), func() { call.complete(nil, apierror.Lost.New("connection ended")) })
 			}
 		}()
-		for target.table == nil {
-			world.sleep(world.current, 20*monotonic.Millisecond) // it's still starting, on a slow disk perhaps
+		for target.handlers == nil {
+			w.sleep(w.current, 20*monotonic.Millisecond) // it's still starting, on a slow disk perhaps
 		}
 		reply, err := work(target)
 		finished = true
-		world.carry(target, from, life, func() { result.decide(reply, err) }, func() {})
+		w.transmit(target, from, incarnation, func() { call.complete(reply, err) }, func() {})
 	})
 }
 
 // carry brings something from one node to another: late, held back while the way is cut, or lost with the connection.
-func (world *World) carry(from, into *Node, _ int, deliver, lose func()) {
-	intoLife := into.life
+func (w *World) transmit(from, to *Node, _ int, deliver, lose func()) {
+	targetIncarnation := to.incarnation
 	var arrive func()
 	arrive = func() {
-		if into.life != intoLife {
+		if to.incarnation != targetIncarnation {
 			lose()
 			return
 		}
-		if world.isCut(from.Machine, into.Machine) {
-			if from.chance.Uint64N(4) == 0 {
+		if w.partitioned(from.Machine, to.Machine) {
+			if from.rng.Uint64N(4) == 0 {
 				return // the connection is given up with the message unsent; the caller's patience ends
 			}
-			world.push(world.now+100*monotonic.Millisecond, nil, 0, arrive)
+			w.push(w.now+100*monotonic.Millisecond, nil, 0, arrive)
 			return
 		}
-		if into.frozen > world.now {
-			world.push(into.frozen, nil, 0, arrive)
+		if to.frozenUntil > w.now {
+			w.push(to.frozenUntil, nil, 0, arrive)
 			return
 		}
 		deliver()
 	}
-	world.push(world.now+world.way(from)+world.delays[[2]string{from.Machine, into.Machine}], nil, 0, arrive)
+	w.push(w.now+w.messageLatency(from)+w.delays[[2]string{from.Machine, to.Machine}], nil, 0, arrive)
 }
 
 // Delay makes messages from one machine to another take longer.
-func (world *World) Delay(from, into string, span monotonic.Micros) {
-	world.delays[[2]string{from, into}] = span
+func (w *World) Delay(from, to string, duration monotonic.Micros) {
+	w.delays[[2]string{from, to}] = duration
 }
 
-func (world *World) at(address string) *Node {
-	for _, node := range world.Nodes() {
+func (w *World) nodeAt(address string) *Node {
+	for _, node := range w.Nodes() {
 		if node.Address == address && node.up {
 			return node
 		}
@@ -615,15 +615,15 @@
 	return nil
 }
 
-// machineUp tells whether some process still runs on the machine of an address, so that a dial is refused at once.
-func (world *World) machineUp(address string) bool {
+// machineIsUp tells whether some process still runs on the machine of an address, so that a dial is refused at once.
+func (w *World) machineIsUp(address string) bool {
 	machine := ""
-	for _, node := range world.Nodes() {
+	for _, node := range w.Nodes() {
 		if node.Address == address {
 			machine = node.Machine
 		}
 	}
-	for _, node := range world.Nodes() {
+	for _, node := range w.Nodes() {
 		if node.up && node.Machine == machine {
 			return true
 		}
@@ -631,14 +631,14 @@
 	return false
 }
 
-// Uncut ends the cuts between two machines.
-func (world *World) Uncut(one, other string) {
-	delete(world.cuts, [2]string{one, other})
-	delete(world.cuts, [2]string{other, one})
+// HealPartition ends the cuts between two machines.
+func (w *World) HealPartition(a, b string) {
+	delete(w.partitions, [2]string{a, b})
+	delete(w.partitions, [2]string{b, a})
 }
 
 // Frozen tells whether a node stands still.
-func (world *World) Frozen(node *Node) bool { return node.frozen > world.now }
+func (w *World) Frozen(node *Node) bool { return node.frozenUntil > w.now }
 
 // Thaw ends a freeze.
-func (world *World) Thaw(node *Node) { node.frozen = min(node.frozen, world.now) }
+func (w *World) Thaw(node *Node) { node.frozenUntil = min(node.frozenUntil, w.now) }
