--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -17,28 +17,28 @@
 	daemon.Main(daemon.Command("proxy", "the proxy beside each caller and each server", settings.ProxyFields(), "", build))
 }
 
-func build(home *daemon.Daemon) error {
-	tally := daemon.NewRequestCounters(home.Registry)
-	mover := proxy.New(proxy.Options{Host: home.Host, Resolver: home.Resolver, Name: home.Settings["name"], Domain: home.Settings["domain"],
-		Address: home.Settings["advertise"], IgnoreZones: home.Settings["choice"] == "blind", CrossZonePenalty: monotonic.Micros(home.Settings.Int("far-penalty")), Upstream: upstream.New(home.Host, upstream.DefaultDialect()), Finished: tally.CountRequest})
-	mover.Register(home.Handlers)
-	home.AddGauges([]daemon.Gauge{
-		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(mover.Forwarder.InFlight()) }},
-		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(mover.Admission.Running()) }},
-		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: mover.LocalBackends.Ejected},
-		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { serial, _ := mover.ConfigClient.Version(); return float64(serial) }},
+func build(program *daemon.Daemon) error {
+	metrics := daemon.NewRequestCounters(program.Registry)
+	sidecar := proxy.New(proxy.Options{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Domain: program.Settings["domain"],
+		Address: program.Settings["advertise"], IgnoreZones: program.Settings["choice"] == "blind", CrossZonePenalty: monotonic.Micros(program.Settings.Int("far-penalty")), Upstream: upstream.New(program.Host, upstream.DefaultDialect()), Finished: metrics.CountRequest})
+	sidecar.Register(program.Handlers)
+	program.AddGauges([]daemon.Gauge{
+		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(sidecar.Forwarder.InFlight()) }},
+		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(sidecar.Admission.Running()) }},
+		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: sidecar.LocalBackends.Ejected},
+		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
 	})
-	backDoor := backendapi.New(home.Host, mover, home.Metrics(), home.Stop)
-	if err := home.ServeHTTP(home.Settings["desk"], ingress.NewServer(backDoor)); err != nil {
+	admin := backendapi.New(program.Host, sidecar, program.Metrics(), program.Stop)
+	if err := program.ServeHTTP(program.Settings["desk"], ingress.NewServer(admin)); err != nil {
 		return err
 	}
-	callers := ingress.NewServer(ingress.New(mover, home.Host))
-	if err := home.ServeHTTP(home.Settings["callers"], callers); err != nil {
+	callers := ingress.NewServer(ingress.New(sidecar, program.Host))
+	if err := program.ServeHTTP(program.Settings["callers"], callers); err != nil {
 		return err
 	}
-	mover.Start()
-	home.Drain = func() {
-		mover.Drain(home.Settings.Duration("grace"), func() { go func() { _ = callers.Shutdown(context.Background()) }() })
+	sidecar.Start()
+	program.Drain = func() {
+		sidecar.Drain(program.Settings.Duration("grace"), func() { go func() { _ = callers.Shutdown(context.Background()) }() })
 	}
 	return nil
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -16,22 +16,22 @@
 	daemon.Main(daemon.Command("registry", "the registry of carriers, backends and guards", settings.ControlPlaneFields(), registry.Group, build))
 }
 
-func build(home *daemon.Daemon) error {
-	registry, err := registry.Open(registry.Config{Host: home.Host, Resolver: home.Resolver, Name: home.Settings["name"], Voters: home.Settings.List("voters"),
-		Bootstrap: slices.Contains(home.Settings.List("voters"), home.Settings["name"])})
+func build(program *daemon.Daemon) error {
+	registry, err := registry.Open(registry.Config{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Voters: program.Settings.List("voters"),
+		Bootstrap: slices.Contains(program.Settings.List("voters"), program.Settings["name"])})
 	if err != nil {
 		return err
 	}
-	registry.Register(home.Handlers)
-	home.AddReplicationGauges(registry.Member)
+	registry.Register(program.Handlers)
+	program.AddReplicationGauges(registry.Member)
 	pages := http.NewServeMux()
-	pages.Handle("/metrics", home.Metrics())
+	pages.Handle("/metrics", program.Metrics())
 	pages.Handle("/local", daemon.StatusPage(func() any { return registry.Status() }))
 	pages.Handle("/live", daemon.StatusPage(func() any { return map[string]bool{"live": true} }))
-	if err := home.ServeHTTP(home.Settings["desk"], api.NewServer(pages)); err != nil {
+	if err := program.ServeHTTP(program.Settings["desk"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	registry.Start()
-	home.Drain = func() { registry.Member.Leave("planned stop", replication.LeaveLimit) }
+	program.Drain = func() { registry.Member.Leave("planned stop", replication.LeaveLimit) }
 	return nil
 }
--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -12,7 +12,7 @@
 )
 
 // writing writes the page's tables and plots anew from the records.
-func writing() *cobra.Command {
+func capacityCommand() *cobra.Command {
 	results, page := "", ""
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		points, err := sweep.Results(results)
--- a/cmd/rehearse/pairs.go
+++ b/cmd/rehearse/compare.go
@@ -12,40 +12,40 @@
 	"snowflow/internal/rehearse/scenario"
 )
 
-// errWorse ends compare with exit code 1.
-var errWorse = errors.New("lookups are served worse with changes than the noise explains")
+// errSignificantlyWorse ends compare with exit code 1.
+var errSignificantlyWorse = errors.New("lookups are served worse with changes than the noise explains")
 
 // comparing sets runs with route changes against runs without.
-func comparing() *cobra.Command {
-	var quiet, busy []string
+func compareCommand() *cobra.Command {
+	var baseline, changed []string
 	command := &cobra.Command{Use: "compare", Short: "set lookups in runs with changes against runs without, by their reports", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		if len(quiet) == 0 || len(quiet) != len(busy) {
+		if len(baseline) == 0 || len(baseline) != len(changed) {
 			return daemon.NewUsageError(errors.New("name as many reports without changes as with, one at least"))
 		}
-		without, err := reports(quiet)
+		without, err := readReports(baseline)
 		if err != nil {
 			return daemon.NewUsageError(err)
 		}
-		with, err := reports(busy)
+		with, err := readReports(changed)
 		if err != nil {
 			return daemon.NewUsageError(err)
 		}
 		worse := false
 		for _, compared := range scenario.Compare(without, with, scenario.Lookup) {
-			worse = worse || compared.Beyond()
-			fmt.Println(compared.Line())
+			worse = worse || compared.Significant()
+			fmt.Println(compared.Summary())
 		}
 		if worse {
-			return errWorse
+			return errSignificantlyWorse
 		}
 		return nil
 	}}
-	command.Flags().StringSliceVar(&quiet, "quiet", nil, "reports of runs without changes, by depot run --json")
-	command.Flags().StringSliceVar(&busy, "busy", nil, "reports of runs with changes")
+	command.Flags().StringSliceVar(&baseline, "quiet", nil, "reports of runs without changes, by depot run --json")
+	command.Flags().StringSliceVar(&changed, "busy", nil, "reports of runs with changes")
 	return command
 }
 
-func reports(files []string) (read []scenario.Report, err error) {
+func readReports(files []string) (read []scenario.Report, err error) {
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -18,12 +18,12 @@
 
 func main() {
 	root := &cobra.Command{Use: "rehearse", Short: "rehearsals: a fleet on loopback, its outside, failures and checkers", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
-	root.AddCommand(run(), list(), measuring(), hollow(), writing(), comparing())
+	root.AddCommand(runCommand(), listCommand(), sweepCommand(), sweepRunCommand(), capacityCommand(), compareCommand())
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.NewUsageError(err) })
 	daemon.Main(root)
 }
 
-func run() *cobra.Command {
+func runCommand() *cobra.Command {
 	options := scenario.Options{}
 	asJSON := false
 	command := &cobra.Command{Use: "run", Short: "run one scenario on a fresh fleet", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -33,22 +33,22 @@
 		if _, known := scenario.All[options.Scenario]; !known {
 			return daemon.NewUsageError(fmt.Errorf("no scenario %q; there are %v", options.Scenario, scenario.Names()))
 		}
-		if options.Length <= 0 || options.Factor <= 0 || options.Linger < 0 || options.Base < 1 || options.Base > 254 {
+		if options.Duration <= 0 || options.LoadFactor <= 0 || options.SyncDelay < 0 || options.Subnet < 1 || options.Subnet > 254 {
 			return daemon.NewUsageError(errors.New("length and factor must be above zero, linger not below, base from 1 to 254"))
 		}
-		if options.Binaries == "" {
+		if options.BinaryDir == "" {
 			own, err := os.Executable()
 			if err != nil {
 				return err
 			}
-			options.Binaries = filepath.Dir(own)
+			options.BinaryDir = filepath.Dir(own)
 		}
-		if options.Folder == "" {
+		if options.Dir == "" {
 			folder, err := os.MkdirTemp("", "rehearse")
 			if err != nil {
 				return err
 			}
-			options.Folder = folder
+			options.Dir = folder
 		}
 		report, err := scenario.Run(options, func(format string, arguments ...any) {
 			fmt.Fprintf(os.Stderr, time.Now().Format("15:04:05 ")+format+"\n", arguments...)
@@ -66,26 +66,26 @@
 	flags := command.Flags()
 	flags.StringVar(&options.Layout, "layout", "small", "small, hops, association or raahbar")
 	flags.StringVar(&options.Scenario, "scenario", "steady", "see depot list")
-	flags.DurationVar(&options.Length, "length", 20*time.Second, "how long the traffic goes on, about")
-	flags.Float64Var(&options.Factor, "factor", 1, "multiplies the callers' rates")
-	flags.Float64Var(&options.Rush, "rush", 20, "what the rush scenario multiplies the rates by")
-	flags.IntVar(&options.Limit, "limit", 0, "overrides the small layout's places per backend")
-	flags.StringVar(&options.Folder, "folder", "", "where the fleet's settings, data and logs go; a temporary folder if left out")
-	flags.StringVar(&options.Binaries, "binaries", "", "folder of the daemons; depot's own if left out")
-	flags.StringVar(&options.Older, "older", "", "folder of an earlier build's daemons, for the versions scenario")
-	flags.IntVar(&options.Base, "base", 77, "second part of the fleet's loopback numbers")
-	flags.BoolVar(&options.Relays, "relays", true, "put relays between the processes, for cuts and for counting bytes")
-	flags.DurationVar(&options.Linger, "linger", 0, "what each core disk takes longer for a sync")
-	flags.StringVar(&options.Choice, "choice", "near", "how carriers choose backends: near or blind")
-	flags.StringVar(&options.Level, "log", "info", "least level of events the daemons log")
+	flags.DurationVar(&options.Duration, "length", 20*time.Second, "how long the traffic goes on, about")
+	flags.Float64Var(&options.LoadFactor, "factor", 1, "multiplies the callers' rates")
+	flags.Float64Var(&options.OverloadFactor, "rush", 20, "what the rush scenario multiplies the rates by")
+	flags.IntVar(&options.BackendLimit, "limit", 0, "overrides the small layout's places per backend")
+	flags.StringVar(&options.Dir, "folder", "", "where the fleet's settings, data and logs go; a temporary folder if left out")
+	flags.StringVar(&options.BinaryDir, "binaries", "", "folder of the daemons; depot's own if left out")
+	flags.StringVar(&options.PreviousBinaryDir, "older", "", "folder of an earlier build's daemons, for the versions scenario")
+	flags.IntVar(&options.Subnet, "base", 77, "second part of the fleet's loopback numbers")
+	flags.BoolVar(&options.UseRelays, "relays", true, "put relays between the processes, for cuts and for counting bytes")
+	flags.DurationVar(&options.SyncDelay, "linger", 0, "what each core disk takes longer for a sync")
+	flags.StringVar(&options.LoadBalancing, "choice", "near", "how carriers choose backends: near or blind")
+	flags.StringVar(&options.LogLevel, "log", "info", "least level of events the daemons log")
 	flags.BoolVar(&asJSON, "json", false, "print the report as JSON")
 	return command
 }
 
-func list() *cobra.Command {
+func listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "list the scenarios", Args: cobra.NoArgs, Run: func(*cobra.Command, []string) {
 		for _, name := range scenario.Names() {
-			fmt.Printf("%-24s %s\n", name, scenario.All[name].Short)
+			fmt.Printf("%-24s %s\n", name, scenario.All[name].Summary)
 		}
 	}}
 }
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -18,14 +18,14 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-func say(format string, arguments ...any) {
+func logf(format string, arguments ...any) {
 	fmt.Fprintf(os.Stderr, time.Now().Format("15:04:05 ")+format+"\n", arguments...)
 }
 
 // measuring plays sizes, each run in a process of its own, so that no run inherits another's memory.
-func measuring() *cobra.Command {
+func sweepCommand() *cobra.Command {
 	plan := sweep.Plan{}
-	names, binaries, base, patience := []string{}, "", 0, time.Duration(0)
+	names, binaries, base, timeout := []string{}, "", 0, time.Duration(0)
 	command := &cobra.Command{Use: "sweep", Short: "measure what the control programs need as a mesh grows, with hollow carriers", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		bounds, err := sweep.Half()
 		if err != nil {
@@ -41,7 +41,7 @@
 		if base < 1 || base > 254 {
 			return daemon.NewUsageError(errors.New("base must be from 1 to 254"))
 		}
-		if patience <= 0 {
+		if timeout <= 0 {
 			return daemon.NewUsageError(errors.New("patience must be above zero"))
 		}
 		if len(plan.Sizes) > 0 && len(names) != 1 {
@@ -65,8 +65,8 @@
 		defer cancel()
 		for _, one := range plans {
 			if err := sweep.Sweep(one, func(size sweep.Size, number int) (sweep.Run, error) {
-				return apart(running, own, hollowRun{size, sweep.Options{Window: one.Window, Patience: patience, Failures: one.Dimension.Failures, Binaries: binaries, Base: base}, number})
-			}, say); err != nil {
+				return runInSubprocess(running, own, sweepRunRequest{size, sweep.Options{Window: one.Window, Patience: timeout, Failures: one.Dimension.Failures, Binaries: binaries, Base: base}, number})
+			}, logf); err != nil {
 				return err
 			}
 		}
@@ -79,24 +79,24 @@
 	flags.DurationVar(&plan.Window, "window", 10*time.Second, "of steady state that is measured in each run")
 	flags.StringVar(&plan.Results, "results", "docs/capacity", "folder of the records; a size's file is written when all its runs are done")
 	flags.StringVar(&binaries, "binaries", "", "folder of the daemons; depot's own if left out")
-	flags.DurationVar(&patience, "patience", 30*time.Second, "for what is waited for outside the window, such as all carriers' return")
+	flags.DurationVar(&timeout, "patience", 30*time.Second, "for what is waited for outside the window, such as all carriers' return")
 	flags.IntVar(&base, "base", 97, "second part of the core's loopback numbers")
 	return command
 }
 
-type hollowRun struct {
+type sweepRunRequest struct {
 	Size    sweep.Size
 	Options sweep.Options
 	Number  int
 }
 
 // apart plays one run in a process of its own, which ends with this one.
-func apart(running context.Context, own string, asked hollowRun) (run sweep.Run, err error) {
-	if asked.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
+func runInSubprocess(running context.Context, own string, request sweepRunRequest) (run sweep.Run, err error) {
+	if request.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
 		return run, err
 	}
-	defer os.RemoveAll(asked.Options.Folder)
-	content, err := json.Marshal(asked)
+	defer os.RemoveAll(request.Options.Folder)
+	content, err := json.Marshal(request)
 	if err != nil {
 		return run, err
 	}
@@ -111,13 +111,13 @@
 }
 
 // hollow is one run, for sweep alone.
-func hollow() *cobra.Command {
+func sweepRunCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow RUN", Short: "play one run of a sweep", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, arguments []string) error {
-		asked := hollowRun{}
-		if err := json.Unmarshal([]byte(arguments[0]), &asked); err != nil {
+		request := sweepRunRequest{}
+		if err := json.Unmarshal([]byte(arguments[0]), &request); err != nil {
 			return daemon.NewUsageError(err)
 		}
-		run, err := sweep.Play(asked.Size, asked.Options, asked.Number)
+		run, err := sweep.RunSize(request.Size, request.Options, request.Number)
 		if err != nil {
 			return err
 		}
--- a/cmd/rehearse/sweep_test.go
+++ b/cmd/rehearse/sweep_test.go
@@ -20,7 +20,7 @@
 		"few":        {"--dimensions carriers --sizes 1", "two carriers"},
 		"no windows": {"--window 0s", "window"},
 	} {
-		command := measuring()
+		command := sweepCommand()
 		command.SilenceUsage, command.SilenceErrors = true, true
 		command.SetArgs(strings.Fields(course.arguments))
 		err := command.Execute()
--- a/internal/compatibility/values_test.go
+++ b/internal/compatibility/values_test.go
@@ -63,9 +63,9 @@
 	{"resource route", changes.KindRoute},
 	{"resource service", changes.KindService},
 	{"resource path", changes.KindPath},
-	{"finding well", doctor.Well},
-	{"finding watch", doctor.Watch},
-	{"finding ill", doctor.Ill},
+	{"finding well", doctor.Healthy},
+	{"finding watch", doctor.Warning},
+	{"finding ill", doctor.Unhealthy},
 }
 
 // kinds of messages between processes.
--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -93,7 +93,7 @@
 
 func made(carriers, number int) sweep.Run {
 	size := sweep.Base
-	size.Carriers = carriers
+	size.Proxies = carriers
 	return sweep.Run{Size: size, Number: number, Seconds: 10, Roles: map[string]sweep.Role{
 		"carrier": {Processes: carriers, Kinds: map[string]sweep.Traffic{"sorter_poll": {SentBytes: 100, ReceivedBytes: float64(2 * carriers)}}}}}
 }
--- a/internal/rehearse/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -20,13 +20,13 @@
 }
 
 // At is the line's value.
-func (line Line) At(value float64) float64 { return line.Intercept + line.Slope*value }
+func (l Line) At(value float64) float64 { return l.Intercept + l.Slope*value }
 
 // Certain tells whether the slope is beyond twice its standard error.
-func (line Line) Certain() bool { return math.Abs(line.Slope) > 2*line.Error }
+func (l Line) Certain() bool { return math.Abs(l.Slope) > 2*l.Error }
 
 // Rises tells whether it rises beyond doubt.
-func (line Line) Rises() bool { return line.Certain() && line.Slope > 0 }
+func (l Line) Rises() bool { return l.Certain() && l.Slope > 0 }
 
 // Fit draws the line. There must be three points at least, at two values at least.
 func Fit(values, measured []float64) (Line, bool) {
--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -57,7 +57,7 @@
 		{"carriers", figure, Nodes, 0},
 		{"services", figure, Services - 10, grows},
 		{"routes", figure, (Routes - 10) * changesOverBase, grows},
-		{"calls", figure, perCarrier(shared), 0},
+		{"calls", figure, perProxy(shared), 0},
 		{"restarts", figure, Restarts, grows + 1},
 	}
 }
@@ -73,7 +73,7 @@
 	every := map[string][]Term{
 		"sorter_poll":  {{"services", role + " bytes of sorter_poll", Services - 10, grows}, {"restarts", role + " bytes of sorter_poll", Restarts, grows + 1}},
 		"desired_poll": {{"services", role + " bytes of desired_poll", (Services - 10) * changesOverBase, grows}, {"routes", role + " bytes of desired_poll", (Routes - 10) * changesOverBase, grows}},
-		"claim":        {{"calls", role + " bytes of claim", perCarrier(shared), 0}},
+		"claim":        {{"calls", role + " bytes of claim", perProxy(shared), 0}},
 	}
 	for _, kind := range kinds {
 		terms = append(terms, every[kind]...)
@@ -81,13 +81,13 @@
 	return terms
 }
 
-// perCarrier is the claims a second: all of them, or those at which a carrier of the base claims as often as one of the
+// perProxy is the claims a second: all of them, or those at which a carrier of the base claims as often as one of the
 // letter's size.
-func perCarrier(shared bool) float64 {
+func perProxy(shared bool) float64 {
 	if shared {
 		return Claims
 	}
-	return Claims / Nodes * float64(sweep.Base.Carriers)
+	return Claims / Nodes * float64(sweep.Base.Proxies)
 }
 
 // Needs are the page's lines.
@@ -130,13 +130,13 @@
 
 // Parts works the terms out. A first term along carriers is the line's value at the size, or at the most that was played if it doesn't rise;
 // the others are slopes times a difference. Only a slope that is above twice its standard error counts.
-func (need Need) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
-	for index, term := range need.Terms {
+func (n Need) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
+	for index, term := range n.Terms {
 		dimension, err := sweep.Find(term.Dimension)
 		if err != nil {
 			return nil, 0, err
 		}
-		figure, err := sweep.Named(term.Figure)
+		figure, err := sweep.FindFigure(term.Figure)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -154,7 +154,7 @@
 			value = line.Slope * term.Amount
 		}
 		for range term.Power {
-			value *= float64(Nodes) / float64(sweep.Base.Carriers)
+			value *= float64(Nodes) / float64(sweep.Base.Proxies)
 		}
 		parts, sum = append(parts, Part{term, line, value}), sum+value
 	}
--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -144,14 +144,14 @@
 			fmt.Sprintf("%d, %s, %s, %s", len(takeUp), Number(quantile(takeUp, 0.5)), Number(quantile(takeUp, 0.99)), Number(quantile(takeUp, 1))),
 			fmt.Sprintf("%d, %d, %s, %s", granted, other, Number(median(half)), Number(median(most)))}
 		for _, name := range []string{"until claims again", "until reads again", "until changes again", "until all are ready", "until all see all"} {
-			figure, err := sweep.Named(name)
+			figure, err := sweep.FindFigure(name)
 			if err != nil {
 				return "", err
 			}
 			values := collect(point.Runs, figure.Of)
 			cell := spread(values)
-			if asked := collect(point.Runs, func(run sweep.Run) (float64, bool) { return 0, run.Failures != nil }); len(values) < len(asked) {
-				cell += fmt.Sprintf("; not reached in %d", len(asked)-len(values))
+			if measured := collect(point.Runs, func(run sweep.Run) (float64, bool) { return 0, run.Failures != nil }); len(values) < len(measured) {
+				cell += fmt.Sprintf("; not reached in %d", len(measured)-len(values))
 			}
 			cells = append(cells, cell)
 		}
@@ -217,14 +217,14 @@
 			}
 			made = append(made, fmt.Sprintf("%s %s%s", part.Term.Dimension, Amount(part.Value, need.Unit), note))
 		}
-		bound, holds := "none given", "-"
+		bound, met := "none given", "-"
 		if need.Bound > 0 {
-			bound, holds = Amount(need.Bound, need.Unit), "yes"
+			bound, met = Amount(need.Bound, need.Unit), "yes"
 			if sum > need.Bound {
-				holds = fmt.Sprintf("**no, %s times over**", Number(sum/need.Bound))
+				met = fmt.Sprintf("**no, %s times over**", Number(sum/need.Bound))
 			}
 		}
-		line(text, need.Role, need.What, Amount(sum, need.Unit), strings.Join(made, ", "), bound, holds, need.By)
+		line(text, need.Role, need.What, Amount(sum, need.Unit), strings.Join(made, ", "), bound, met, need.By)
 	}
 	return text.String(), nil
 }
--- a/internal/rehearse/capacity/plot.go
+++ b/internal/rehearse/capacity/plot.go
@@ -34,7 +34,7 @@
 			return err
 		}
 		for _, one := range figures {
-			figure, err := sweep.Named(one)
+			figure, err := sweep.FindFigure(one)
 			if err != nil {
 				return err
 			}
--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -22,63 +22,63 @@
 
 // Process is one daemon and its place.
 type Process struct {
-	Program string
-	Name    string
-	Zone    string
-	Host    string // its own loopback number
-	Listen  string
-	Peer    string // where others reach it, through its relay if there is one
-	Desk    string
-	Callers string
-	Folder  string
-
-	lock    sync.Mutex
+	Program       string
+	Name          string
+	Zone          string
+	Host          string // its own loopback number
+	ListenAddress string
+	PeerAddress   string // where others reach it, through its relay if there is one
+	AdminAddress  string
+	CallerAddress string
+	Dir           string
+
+	mu      sync.Mutex
 	command *exec.Cmd
 	ended   chan struct{}
 	killed  bool // this life was ended without a warning
-	// Plan is told of each planned stop's begin; what it gives, of its end.
-	Plan    func(what string) func()
-	Started time.Time
-	// Leaping lets its clock be moved, from the next start on.
-	Leaping bool
-	// Linger is what its disk takes longer for each sync, from the next start on.
-	Linger time.Duration
+	// OnPlannedStop is told of each planned stop's begin; what it gives, of its end.
+	OnPlannedStop func(what string) func()
+	Started       time.Time
+	// ClockSteppable lets its clock be moved, from the next start on.
+	ClockSteppable bool
+	// SyncDelay is what its disk takes longer for each sync, from the next start on.
+	SyncDelay time.Duration
 }
 
 // Fleet is all of them.
 type Fleet struct {
-	Layout      layout.Layout
-	Folder      string
-	Binaries    string
-	Sorters     []*Process
-	Postmasters []*Process
-	Carriers    []*Process
-	Relays      *relay.Hub
-	Level       string
-	Choice      string
-	base        int
+	Layout        layout.Layout
+	Dir           string
+	BinaryDir     string
+	Registries    []*Process
+	ConfigStores  []*Process
+	Proxies       []*Process
+	Relays        *relay.Hub
+	LogLevel      string
+	LoadBalancing string
+	subnet        int
 }
 
 // New lays out a fleet. base is the second part of its loopback numbers, so that fleets don't meet.
-func New(chosen layout.Layout, folder, binaries string, base int, relays bool, choice, level string) (*Fleet, error) {
-	fleet := &Fleet{Layout: chosen, Folder: folder, Binaries: binaries, Level: level, Choice: choice, base: base}
+func New(chosen layout.Layout, dir, binaryDir string, subnet int, relays bool, loadBalancing, logLevel string) (*Fleet, error) {
+	fleet := &Fleet{Layout: chosen, Dir: dir, BinaryDir: binaryDir, LogLevel: logLevel, LoadBalancing: loadBalancing, subnet: subnet}
 	if relays {
 		fleet.Relays = relay.NewHub()
 	}
-	for index := range chosen.Cores {
-		fleet.Sorters = append(fleet.Sorters, fleet.process("registry", index, 100+index, 7100))
-		fleet.Postmasters = append(fleet.Postmasters, fleet.process("configstore", index, 100+index, 7200))
+	for index := range chosen.CoreHosts {
+		fleet.Registries = append(fleet.Registries, fleet.newProcess("registry", index, 100+index, 7100))
+		fleet.ConfigStores = append(fleet.ConfigStores, fleet.newProcess("configstore", index, 100+index, 7200))
 	}
-	for index := range chosen.Carriers {
-		fleet.Carriers = append(fleet.Carriers, fleet.process("proxy", index, 1+index, 7300))
+	for index := range chosen.Proxies {
+		fleet.Proxies = append(fleet.Proxies, fleet.newProcess("proxy", index, 1+index, 7300))
 	}
 	for _, process := range fleet.All() {
-		if err := fleet.link(process); err != nil {
+		if err := fleet.addRelay(process); err != nil {
 			return nil, err
 		}
 	}
 	for _, process := range fleet.All() {
-		if err := fleet.settings(process); err != nil {
+		if err := fleet.writeSettings(process); err != nil {
 			return nil, err
 		}
 	}
@@ -86,113 +86,113 @@
 }
 
 // Host is the loopback number of a machine.
-func (fleet *Fleet) Host(machine int) string { return fmt.Sprintf("127.%d.0.%d", fleet.base, machine) }
+func (f *Fleet) Host(machine int) string { return fmt.Sprintf("127.%d.0.%d", f.subnet, machine) }
 
-func (fleet *Fleet) process(program string, index, machine, port int) *Process {
-	host := fleet.Host(machine)
+func (f *Fleet) newProcess(program string, index, machine, port int) *Process {
+	host := f.Host(machine)
 	name := fmt.Sprintf("%s-%d", program, index+1)
-	process := &Process{Program: program, Name: name, Zone: fleet.Layout.Zone(index), Host: host,
-		Listen: fmt.Sprintf("%s:%d", host, port), Desk: fmt.Sprintf("%s:%d", host, port+1), Folder: filepath.Join(fleet.Folder, name)}
-	process.Peer = process.Listen
+	process := &Process{Program: program, Name: name, Zone: f.Layout.Zone(index), Host: host,
+		ListenAddress: fmt.Sprintf("%s:%d", host, port), AdminAddress: fmt.Sprintf("%s:%d", host, port+1), Dir: filepath.Join(f.Dir, name)}
+	process.PeerAddress = process.ListenAddress
 	if program == "proxy" {
-		process.Callers = fmt.Sprintf("%s:%d", host, port+2)
+		process.CallerAddress = fmt.Sprintf("%s:%d", host, port+2)
 	}
 	return process
 }
 
-func (fleet *Fleet) link(process *Process) error {
-	if fleet.Relays == nil {
+func (f *Fleet) addRelay(process *Process) error {
+	if f.Relays == nil {
 		return nil
 	}
-	_, port, _ := net.SplitHostPort(process.Listen)
-	process.Peer = fmt.Sprintf("%s:1%s", process.Host, port)
-	return fleet.Relays.Add(process.Host, process.Peer, process.Listen)
+	_, port, _ := net.SplitHostPort(process.ListenAddress)
+	process.PeerAddress = fmt.Sprintf("%s:1%s", process.Host, port)
+	return f.Relays.Add(process.Host, process.PeerAddress, process.ListenAddress)
 }
 
 // All lists every process, the core first.
-func (fleet *Fleet) All() []*Process {
-	return append(fleet.Core(), fleet.Carriers...)
+func (f *Fleet) All() []*Process {
+	return append(f.Core(), f.Proxies...)
 }
 
 // Core lists the core's processes.
-func (fleet *Fleet) Core() []*Process { return slices.Concat(fleet.Postmasters, fleet.Sorters) }
+func (f *Fleet) Core() []*Process { return slices.Concat(f.ConfigStores, f.Registries) }
 
-// Doors lists the carriers that callers may use.
-func (fleet *Fleet) Doors() []*Process {
-	if fleet.Layout.Apart > 0 {
-		return fleet.Carriers[:fleet.Layout.Apart]
+// CallerProxies lists the carriers that callers may use.
+func (f *Fleet) CallerProxies() []*Process {
+	if f.Layout.CallerProxies > 0 {
+		return f.Proxies[:f.Layout.CallerProxies]
 	}
-	return fleet.Carriers
+	return f.Proxies
 }
 
 // Move gives a process that is down another host. Its seeds, and everybody else's, stay as they were.
-func (fleet *Fleet) Move(process *Process, machine int) error {
-	host := fleet.Host(machine)
-	_, port, _ := net.SplitHostPort(process.Listen)
-	_, desk, _ := net.SplitHostPort(process.Desk)
-	process.Host, process.Listen, process.Desk = host, host+":"+port, host+":"+desk
-	process.Peer = process.Listen
-	if err := fleet.link(process); err != nil {
+func (f *Fleet) Move(process *Process, machine int) error {
+	host := f.Host(machine)
+	_, port, _ := net.SplitHostPort(process.ListenAddress)
+	_, adminPort, _ := net.SplitHostPort(process.AdminAddress)
+	process.Host, process.ListenAddress, process.AdminAddress = host, host+":"+port, host+":"+adminPort
+	process.PeerAddress = process.ListenAddress
+	if err := f.addRelay(process); err != nil {
 		return err
 	}
-	return fleet.settings(process)
+	return f.writeSettings(process)
 }
 
-// Slow makes a process's disk slow, or well again, from its next start on.
-func (fleet *Fleet) Slow(process *Process, linger time.Duration) error {
-	process.Linger = linger
-	return fleet.settings(process)
+// SetSyncDelay makes a process's disk slow, or well again, from its next start on.
+func (f *Fleet) SetSyncDelay(process *Process, delay time.Duration) error {
+	process.SyncDelay = delay
+	return f.writeSettings(process)
 }
 
-// Loosen lets a process's clock be moved, from its next start on.
-func (fleet *Fleet) Loosen(process *Process) error {
-	process.Leaping = true
-	return fleet.settings(process)
+// AllowClockSteps lets a process's clock be moved, from its next start on.
+func (f *Fleet) AllowClockSteps(process *Process) error {
+	process.ClockSteppable = true
+	return f.writeSettings(process)
 }
 
-func (process *Process) clock() string { return filepath.Join(process.Folder, "clock") }
+func (p *Process) clockFile() string { return filepath.Join(p.Dir, "clock") }
 
-// Leap moves a running process's clock.
-func (process *Process) Leap(span time.Duration) error {
-	if err := os.WriteFile(process.clock(), []byte(fmt.Sprint(span.Microseconds())), 0o644); err != nil {
+// StepClock moves a running process's clock.
+func (p *Process) StepClock(step time.Duration) error {
+	if err := os.WriteFile(p.clockFile(), []byte(fmt.Sprint(step.Microseconds())), 0o644); err != nil {
 		return err
 	}
-	process.Signal(syscall.SIGUSR1)
+	p.Signal(syscall.SIGUSR1)
 	return nil
 }
 
-// Data is the process's data folder.
-func (process *Process) Data() string { return filepath.Join(process.Folder, "data") }
+// DataDir is the process's data folder.
+func (p *Process) DataDir() string { return filepath.Join(p.Dir, "data") }
 
-// Fill bounds the length of the files that a running process may write, so that it finds its disk full; Empty lifts that.
-func (process *Process) Fill(longest uint64) error {
-	return process.limit(func(limit *unix.Rlimit) { limit.Cur = longest })
+// LimitFileSize bounds the length of the files that a running process may write, so that it finds its disk full; Empty lifts that.
+func (p *Process) LimitFileSize(maxBytes uint64) error {
+	return p.changeFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = maxBytes })
 }
 
-// Empty ends what Fill began.
-func (process *Process) Empty() error {
-	return process.limit(func(limit *unix.Rlimit) { limit.Cur = limit.Max })
+// LiftFileSizeLimit ends what Fill began.
+func (p *Process) LiftFileSizeLimit() error {
+	return p.changeFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = limit.Max })
 }
 
-func (process *Process) limit(change func(limit *unix.Rlimit)) error {
-	process.lock.Lock()
-	defer process.lock.Unlock()
-	if process.command == nil || process.command.Process == nil {
-		return fmt.Errorf("%s doesn't run", process.Name)
+func (p *Process) changeFileSizeLimit(change func(limit *unix.Rlimit)) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command == nil || p.command.Process == nil {
+		return fmt.Errorf("%s doesn't run", p.Name)
 	}
 	var limit unix.Rlimit
-	if err := unix.Prlimit(process.command.Process.Pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
+	if err := unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, nil, &limit); err != nil {
 		return err
 	}
 	change(&limit)
-	return unix.Prlimit(process.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
+	return unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Damage flips a byte in the middle of a process's record file, as a bad sector would. The process must be down.
-func (process *Process) Damage() error {
-	names, err := filepath.Glob(filepath.Join(process.Data(), "*.journal"))
+// CorruptRecords flips a byte in the middle of a process's record file, as a bad sector would. The process must be down.
+func (p *Process) CorruptRecords() error {
+	names, err := filepath.Glob(filepath.Join(p.DataDir(), "*.journal"))
 	if err != nil || len(names) == 0 {
-		return fmt.Errorf("%s has no record file: %w", process.Name, err)
+		return fmt.Errorf("%s has no record file: %w", p.Name, err)
 	}
 	content, err := os.ReadFile(names[0])
 	if err != nil {
@@ -202,82 +202,82 @@
 	return os.WriteFile(names[0], content, 0o640)
 }
 
-func (fleet *Fleet) settings(process *Process) error {
+func (f *Fleet) writeSettings(process *Process) error {
 	seeds := []string{}
-	for index := 0; index < 3 && index < len(fleet.Sorters); index++ {
+	for index := 0; index < 3 && index < len(f.Registries); index++ {
 		if index%2 == 0 {
-			seeds = append(seeds, fleet.Sorters[index].Peer)
+			seeds = append(seeds, f.Registries[index].PeerAddress)
 		} else {
-			seeds = append(seeds, fleet.Postmasters[index].Peer)
+			seeds = append(seeds, f.ConfigStores[index].PeerAddress)
 		}
 	}
-	settings := map[string]any{"name": process.Name, "domain": process.Zone, "listen": process.Listen, "advertise": process.Peer,
-		"seeds": seeds, "desk": process.Desk, "log": fleet.Level}
-	if process.Leaping {
-		settings["rehearse-clock"] = process.clock()
+	settings := map[string]any{"name": process.Name, "domain": process.Zone, "listen": process.ListenAddress, "advertise": process.PeerAddress,
+		"seeds": seeds, "desk": process.AdminAddress, "log": f.LogLevel}
+	if process.ClockSteppable {
+		settings["rehearse-clock"] = process.clockFile()
 	}
 	if process.Program == "proxy" {
-		settings["callers"] = process.Callers
-		if fleet.Choice != "near" { // a default is left out, so that an earlier build that doesn't know it starts too
-			settings["choice"] = fleet.Choice
+		settings["callers"] = process.CallerAddress
+		if f.LoadBalancing != "near" { // a default is left out, so that an earlier build that doesn't know it starts too
+			settings["choice"] = f.LoadBalancing
 		}
 	} else {
-		group := fleet.Sorters
+		group := f.Registries
 		if process.Program == "configstore" {
-			group = fleet.Postmasters
+			group = f.ConfigStores
 		}
 		voters := []string{}
 		for _, member := range group {
 			voters = append(voters, member.Name)
 		}
-		settings["voters"], settings["data"] = voters, process.Data()
-		if process.Linger > 0 {
-			settings["rehearse-sync"] = process.Linger.String()
+		settings["voters"], settings["data"] = voters, process.DataDir()
+		if process.SyncDelay > 0 {
+			settings["rehearse-sync"] = process.SyncDelay.String()
 		}
 	}
-	if err := os.MkdirAll(process.Folder, 0o755); err != nil {
+	if err := os.MkdirAll(process.Dir, 0o755); err != nil {
 		return err
 	}
 	content, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(process.Folder, "env.json"), content, 0o644)
+	return os.WriteFile(filepath.Join(process.Dir, "env.json"), content, 0o644)
 }
 
 // Start starts a process from a folder of binaries, the fleet's own when it's empty.
-func (fleet *Fleet) Start(process *Process, binaries string) error {
-	if binaries == "" {
-		binaries = fleet.Binaries
+func (f *Fleet) Start(process *Process, binaryDir string) error {
+	if binaryDir == "" {
+		binaryDir = f.BinaryDir
 	}
-	process.lock.Lock()
-	defer process.lock.Unlock()
-	log, err := os.OpenFile(filepath.Join(process.Folder, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	process.mu.Lock()
+	defer process.mu.Unlock()
+	logFile, err := os.OpenFile(filepath.Join(process.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	command := exec.Command(program(binaries, process.Program), "--env", filepath.Join(process.Folder, "env.json"))
-	command.Stderr, command.Stdout = log, log
+	command := exec.Command(program(binaryDir, process.Program), "--env", filepath.Join(process.Dir, "env.json"))
+	command.Stderr, command.Stdout = logFile, logFile
 	// A fleet must not outlive its depot.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
-		_ = log.Close()
+		_ = logFile.Close()
 		return err
 	}
 	ended := make(chan struct{})
 	process.command, process.ended, process.killed, process.Started = command, ended, false, time.Now()
 	go func() {
 		_ = command.Wait()
-		_ = log.Close()
+		_ = logFile.Close()
 		close(ended)
 	}()
 	return nil
 }
 
 // StartAll starts everything.
-func (fleet *Fleet) StartAll() error {
-	for _, process := range fleet.All() {
-		if err := fleet.Start(process, ""); err != nil {
+func (f *Fleet) StartAll() error {
+	for _, process := range f.All() {
+		if err := f.Start(process, ""); err != nil {
 			return fmt.Errorf("%s: %w", process.Name, err)
 		}
 	}
@@ -285,82 +285,82 @@
 }
 
 // Signal sends a signal, to this process alone. One that kills counts as an end without a warning.
-func (process *Process) Signal(signal syscall.Signal) {
-	process.lock.Lock()
-	process.killed = process.killed || signal == syscall.SIGKILL
-	process.lock.Unlock()
-	process.send(signal)
+func (p *Process) Signal(signal syscall.Signal) {
+	p.mu.Lock()
+	p.killed = p.killed || signal == syscall.SIGKILL
+	p.mu.Unlock()
+	p.sendSignal(signal)
 }
 
-func (process *Process) send(signal syscall.Signal) {
-	process.lock.Lock()
-	defer process.lock.Unlock()
-	if process.command != nil && process.command.Process != nil {
-		_ = process.command.Process.Signal(signal)
+func (p *Process) sendSignal(signal syscall.Signal) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command != nil && p.command.Process != nil {
+		_ = p.command.Process.Signal(signal)
 	}
 }
 
 // Kill ends it at once, without a warning, and waits.
-func (process *Process) Kill() {
-	process.Signal(syscall.SIGKILL)
-	process.end()
+func (p *Process) Kill() {
+	p.Signal(syscall.SIGKILL)
+	p.terminate()
 }
 
-func (process *Process) end() {
-	process.send(syscall.SIGCONT)
-	process.send(syscall.SIGKILL)
-	process.Wait(10 * time.Second)
+func (p *Process) terminate() {
+	p.sendSignal(syscall.SIGCONT)
+	p.sendSignal(syscall.SIGKILL)
+	p.Wait(10 * time.Second)
 }
 
 // Stop begins a planned stop and waits for its end, at most patience; then it's killed, and what that drops was dropped by
 // a planned stop.
-func (process *Process) Stop(patience time.Duration) bool {
-	if process.Plan != nil {
-		defer process.Plan("planned stop of " + process.Name)()
+func (p *Process) Stop(timeout time.Duration) bool {
+	if p.OnPlannedStop != nil {
+		defer p.OnPlannedStop("planned stop of " + p.Name)()
 	}
-	process.Signal(syscall.SIGTERM)
-	if process.Wait(patience) {
+	p.Signal(syscall.SIGTERM)
+	if p.Wait(timeout) {
 		return true
 	}
-	process.end()
+	p.terminate()
 	return false
 }
 
 // Killed tells whether this life was ended, or cut short, without a warning.
-func (process *Process) Killed() bool {
-	process.lock.Lock()
-	defer process.lock.Unlock()
-	return process.killed
+func (p *Process) Killed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.killed
 }
 
 // Wait waits for the process's end.
-func (process *Process) Wait(patience time.Duration) bool {
-	process.lock.Lock()
-	ended := process.ended
-	process.lock.Unlock()
+func (p *Process) Wait(timeout time.Duration) bool {
+	p.mu.Lock()
+	ended := p.ended
+	p.mu.Unlock()
 	if ended == nil {
 		return true
 	}
 	select {
 	case <-ended:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// Age is how long ago it was started last.
-func (process *Process) Age() time.Duration {
-	process.lock.Lock()
-	defer process.lock.Unlock()
-	return time.Since(process.Started)
+// Uptime is how long ago it was started last.
+func (p *Process) Uptime() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Since(p.Started)
 }
 
 // Running tells whether it runs.
-func (process *Process) Running() bool {
-	process.lock.Lock()
-	ended := process.ended
-	process.lock.Unlock()
+func (p *Process) Running() bool {
+	p.mu.Lock()
+	ended := p.ended
+	p.mu.Unlock()
 	if ended == nil {
 		return false
 	}
@@ -372,21 +372,21 @@
 	}
 }
 
-// Identity is the number by which the system knows the running process, zero before its first start.
-func (process *Process) Identity() int {
-	process.lock.Lock()
-	defer process.lock.Unlock()
-	if process.command == nil || process.command.Process == nil {
+// PID is the number by which the system knows the running process, zero before its first start.
+func (p *Process) PID() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command == nil || p.command.Process == nil {
 		return 0
 	}
-	return process.command.Process.Pid
+	return p.command.Process.Pid
 }
 
-// Processor gives the processor time used so far, in microseconds.
-func (process *Process) Processor() int64 {
-	process.lock.Lock()
-	command := process.command
-	process.lock.Unlock()
+// CPUTime gives the processor time used so far, in microseconds.
+func (p *Process) CPUTime() int64 {
+	p.mu.Lock()
+	command := p.command
+	p.mu.Unlock()
 	if command == nil || command.Process == nil {
 		return 0
 	}
@@ -395,7 +395,7 @@
 		return 0
 	}
 	var user, system int64
-	fields := splitStat(string(content))
+	fields := splitStatFields(string(content))
 	if len(fields) > 12 {
 		_, _ = fmt.Sscan(fields[11], &user)
 		_, _ = fmt.Sscan(fields[12], &system)
@@ -403,8 +403,8 @@
 	return (user + system) * 10000 // ticks of a hundredth of a second
 }
 
-// splitStat gives the fields behind the program's name, which may hold spaces.
-func splitStat(content string) []string {
+// splitStatFields gives the fields behind the program's name, which may hold spaces.
+func splitStatFields(content string) []string {
 	for index := len(content) - 1; index >= 0; index-- {
 		if content[index] == ')' {
 			var fields []string
@@ -421,31 +421,31 @@
 	return nil
 }
 
-// End kills everything that was started.
-func (fleet *Fleet) End() {
-	var waiting sync.WaitGroup
-	for _, process := range fleet.All() {
-		waiting.Add(1)
+// Close kills everything that was started.
+func (f *Fleet) Close() {
+	var stopping sync.WaitGroup
+	for _, process := range f.All() {
+		stopping.Add(1)
 		go func() {
-			defer waiting.Done()
+			defer stopping.Done()
 			process.Kill()
 		}()
 	}
-	waiting.Wait()
-	if fleet.Relays != nil {
-		fleet.Relays.Close()
+	stopping.Wait()
+	if f.Relays != nil {
+		f.Relays.Close()
 	}
 }
 
-var prober = &http.Client{Timeout: time.Second}
+var healthClient = &http.Client{Timeout: time.Second}
 
 // Ready asks a process whether it's ready.
-func (process *Process) Ready() bool {
+func (p *Process) Ready() bool {
 	path := "/ready"
-	if process.Program == "registry" {
+	if p.Program == "registry" {
 		path = "/live"
 	}
-	response, err := prober.Get("http://" + process.Desk + path)
+	response, err := healthClient.Get("http://" + p.AdminAddress + path)
 	if err != nil {
 		return false
 	}
@@ -453,16 +453,16 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Await waits until every given process is ready, at most patience.
-func Await(processes []*Process, patience time.Duration) error {
-	cutoff := time.Now().Add(patience)
+// AwaitReady waits until every given process is ready, at most patience.
+func AwaitReady(processes []*Process, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for _, process := range processes {
 		for !process.Ready() {
 			if !process.Running() {
-				return fmt.Errorf("%s ended; see %s", process.Name, filepath.Join(process.Folder, "log"))
+				return fmt.Errorf("%s ended; see %s", process.Name, filepath.Join(process.Dir, "log"))
 			}
-			if time.Now().After(cutoff) {
-				return fmt.Errorf("%s is not ready after %v; see %s", process.Name, patience, filepath.Join(process.Folder, "log"))
+			if time.Now().After(deadline) {
+				return fmt.Errorf("%s is not ready after %v; see %s", process.Name, timeout, filepath.Join(process.Dir, "log"))
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -9,22 +9,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestLifeEnds: tasks that sleep, wait or call when their life ends don't go on, and their deferred work is done.
-func TestLifeEnds(t *testing.T) {
-	place := newLife()
-	signal := place.NewSignal()
-	place.end()
-	place.end() // an end is final, and may come twice
+// TestIncarnationEnds: tasks that sleep, wait or call when their life ends don't go on, and their deferred work is done.
+func TestIncarnationEnds(t *testing.T) {
+	host := newIncarnation()
+	signal := host.NewSignal()
+	host.end()
+	host.end() // an end is final, and may come twice
 	for name, wait := range map[string]func(){
-		"sleep":  func() { place.Sleep(monotonic.Micros(1)) },
+		"sleep":  func() { host.Sleep(monotonic.Micros(1)) },
 		"signal": func() { signal.Fire(); signal.Wait(monotonic.Minute) },
 		"call": func() {
-			_ = place.Call("127.0.0.1:1", wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, monotonic.Minute)
+			_ = host.Call("127.0.0.1:1", wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, monotonic.Minute)
 		},
 	} {
 		var done sync.WaitGroup
 		done.Add(1)
-		place.Go(func() {
+		host.Go(func() {
 			defer done.Done()
 			wait()
 			t.Errorf("a task goes on behind its %s", name)
@@ -35,23 +35,23 @@
 
 // TestAdoptionsAreNoted: when a serial was adopted is known, and of nothing else.
 func TestAdoptionsAreNoted(t *testing.T) {
-	place := newLife()
-	place.Report(eventlog.ConfigAdopted, map[string]any{"serial": uint64(3)})
-	place.Report(eventlog.ClockSteppedBack, map[string]any{"serial": uint64(4)})
-	if _, known := place.when(3); !known {
+	host := newIncarnation()
+	host.Report(eventlog.ConfigAdopted, map[string]any{"serial": uint64(3)})
+	host.Report(eventlog.ClockSteppedBack, map[string]any{"serial": uint64(4)})
+	if _, known := host.adoptedAt(3); !known {
 		t.Error("an adoption isn't known")
 	}
-	if _, known := place.when(4); known {
+	if _, known := host.adoptedAt(4); known {
 		t.Error("another event is taken for an adoption")
 	}
 }
 
 // TestEveryServiceIsCalledByTwo: with calls enough for two callers of each service, each has two different ones at least.
 func TestEveryServiceIsCalledByTwo(t *testing.T) {
-	for _, size := range []Settings{{Carriers: 5, Services: 7, Calls: 4}, {Carriers: 50, Services: 10, Calls: 4}, {Carriers: 50, Services: 580, Calls: 24}, {Carriers: 800, Services: 10, Calls: 4}} {
+	for _, size := range []Settings{{Proxies: 5, Services: 7, Calls: 4}, {Proxies: 50, Services: 10, Calls: 4}, {Proxies: 50, Services: 580, Calls: 24}, {Proxies: 800, Services: 10, Calls: 4}} {
 		callers := map[int]int{}
-		for index := range size.Carriers {
-			for _, service := range NewCrowd(size).Called(index) {
+		for index := range size.Proxies {
+			for _, service := range NewPool(size).Called(index) {
 				callers[service]++
 			}
 		}
--- a/internal/rehearse/hollow/life.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -19,77 +19,77 @@
 
 // life is the host of one carrier's life.
 // Invariant: once over is set, no task of this life gets past its next wait; offices hold no lock there, so none stays held.
-type life struct {
+type incarnation struct {
 	*machine.Machine
 	over    atomic.Bool
 	lock    sync.Mutex
 	adopted map[uint64]time.Time // by serial
 }
 
-func newLife() *life {
-	return &life{Machine: machine.New(nil, nil, nil), adopted: map[uint64]time.Time{}}
+func newIncarnation() *incarnation {
+	return &incarnation{Machine: machine.New(nil, nil, nil), adopted: map[uint64]time.Time{}}
 }
 
-func (life *life) wait() {
-	if life.over.Load() {
+func (i *incarnation) wait() {
+	if i.over.Load() {
 		runtime.Goexit()
 	}
 }
 
 // Sleep waits, and ends the task if its life ended.
-func (life *life) Sleep(span monotonic.Micros) {
-	life.Machine.Sleep(span)
-	life.wait()
+func (i *incarnation) Sleep(duration monotonic.Micros) {
+	i.Machine.Sleep(duration)
+	i.wait()
 }
 
 // Call calls, and ends the task if its life ended.
-func (life *life) Call(address string, kind wire.Kind, request, reply proto.Message, patience monotonic.Micros) error {
-	life.wait()
-	err := life.Machine.Call(address, kind, request, reply, patience)
-	life.wait()
+func (i *incarnation) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
+	i.wait()
+	err := i.Machine.Call(address, kind, request, reply, timeout)
+	i.wait()
 	return err
 }
 
 type signal struct {
 	host.Signal
-	life *life
+	incarnation *incarnation
 }
 
 // Wait waits, and ends the task if its life ended.
-func (signal *signal) Wait(patience monotonic.Micros) bool {
-	fired := signal.Signal.Wait(patience)
-	signal.life.wait()
+func (s *signal) Wait(timeout monotonic.Micros) bool {
+	fired := s.Signal.Wait(timeout)
+	s.incarnation.wait()
 	return fired
 }
 
 // NewSignal makes a signal.
-func (life *life) NewSignal() host.Signal {
-	return &signal{Signal: life.Machine.NewSignal(), life: life}
+func (i *incarnation) NewSignal() host.Signal {
+	return &signal{Signal: i.Machine.NewSignal(), incarnation: i}
 }
 
 // Report notes when a desired state was adopted. Nothing else is kept: thousands of carriers share one log.
-func (life *life) Report(number int, fields map[string]any) {
+func (i *incarnation) Report(number int, fields map[string]any) {
 	if number != eventlog.ConfigAdopted {
 		return
 	}
-	serial, _ := fields["serial"].(uint64)
-	life.lock.Lock()
-	defer life.lock.Unlock()
-	life.adopted[serial] = time.Now()
+	version, _ := fields["serial"].(uint64)
+	i.lock.Lock()
+	defer i.lock.Unlock()
+	i.adopted[version] = time.Now()
 }
 
 // Stop ends the life, as it would its process.
-func (life *life) Stop(string) { life.end() }
+func (i *incarnation) Stop(string) { i.end() }
 
-func (life *life) end() {
-	if life.over.CompareAndSwap(false, true) {
-		life.CloseConnections()
+func (i *incarnation) end() {
+	if i.over.CompareAndSwap(false, true) {
+		i.CloseConnections()
 	}
 }
 
-func (life *life) when(serial uint64) (at time.Time, known bool) {
-	life.lock.Lock()
-	defer life.lock.Unlock()
-	at, known = life.adopted[serial]
+func (i *incarnation) adoptedAt(version uint64) (at time.Time, known bool) {
+	i.lock.Lock()
+	defer i.lock.Unlock()
+	at, known = i.adopted[version]
 	return at, known
 }
--- a/internal/rehearse/scenario/pairs.go
+++ b/internal/rehearse/scenario/comparison.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// Compared is one figure of one kind of traffic in paired runs.
-type Compared struct {
-	Kind   string    `json:"kind"`
-	Figure string    `json:"figure"`
-	Quiet  []float64 `json:"quiet"`
-	Busy   []float64 `json:"busy"`
+// Comparison is one figure of one kind of traffic in paired runs.
+type Comparison struct {
+	Kind     string    `json:"kind"`
+	Figure   string    `json:"figure"`
+	Baseline []float64 `json:"quiet"`
+	Changed  []float64 `json:"busy"`
 	// Noise is the wider of the two spreads from least to most. With a single pair it's nothing.
 	Noise float64 `json:"noise"`
-	// Worse is by how much the busy runs' mean is worse than the quiet ones'.
-	Worse float64 `json:"worse"`
+	// Difference is by how much the busy runs' mean is worse than the quiet ones'.
+	Difference float64 `json:"worse"`
 }
 
 // figures are what a report says of a kind: the more the worse.
-var figures = []struct {
+var metrics = []struct {
 	name string
 	of   func(report Report, kind string) float64
 }{
@@ -35,9 +35,9 @@
 }
 
 // Compare sets runs with changes against runs without, by the kinds of traffic that pass chooses.
-func Compare(quiet, busy []Report, chosen func(kind string) bool) (compared []Compared) {
+func Compare(baseline, changed []Report, chosen func(kind string) bool) (comparisons []Comparison) {
 	kinds := map[string]bool{}
-	for _, report := range slices.Concat(quiet, busy) {
+	for _, report := range slices.Concat(baseline, changed) {
 		for kind := range report.Kinds {
 			kinds[kind] = kinds[kind] || chosen(kind)
 		}
@@ -46,20 +46,20 @@
 		if !kinds[kind] {
 			continue
 		}
-		for _, figure := range figures {
-			one := Compared{Kind: kind, Figure: figure.name}
-			for _, report := range quiet {
-				one.Quiet = append(one.Quiet, figure.of(report, kind))
+		for _, figure := range metrics {
+			one := Comparison{Kind: kind, Figure: figure.name}
+			for _, report := range baseline {
+				one.Baseline = append(one.Baseline, figure.of(report, kind))
 			}
-			for _, report := range busy {
-				one.Busy = append(one.Busy, figure.of(report, kind))
+			for _, report := range changed {
+				one.Changed = append(one.Changed, figure.of(report, kind))
 			}
-			one.Worse = mean(one.Busy) - mean(one.Quiet)
-			one.Noise = max(spread(one.Quiet), spread(one.Busy))
-			compared = append(compared, one)
+			one.Difference = mean(one.Changed) - mean(one.Baseline)
+			one.Noise = max(spread(one.Baseline), spread(one.Changed))
+			comparisons = append(comparisons, one)
 		}
 	}
-	return compared
+	return comparisons
 }
 
 func mean(values []float64) (sum float64) {
@@ -71,19 +71,19 @@
 
 func spread(values []float64) float64 { return slices.Max(values) - slices.Min(values) }
 
-// Beyond tells whether the difference is beyond the noise.
-func (compared Compared) Beyond() bool { return compared.Worse > compared.Noise }
+// Significant tells whether the difference is beyond the noise.
+func (c Comparison) Significant() bool { return c.Difference > c.Noise }
 
-// Line is the comparison in one line.
-func (compared Compared) Line() string {
-	text := fmt.Sprintf("%-24s %-18s without changes %s, with %s, worse by %.4g, noise %.4g", compared.Kind, compared.Figure, list(compared.Quiet), list(compared.Busy), compared.Worse, compared.Noise)
-	if compared.Beyond() {
+// Summary is the comparison in one line.
+func (c Comparison) Summary() string {
+	text := fmt.Sprintf("%-24s %-18s without changes %s, with %s, worse by %.4g, noise %.4g", c.Kind, c.Figure, formatValues(c.Baseline), formatValues(c.Changed), c.Difference, c.Noise)
+	if c.Significant() {
 		text += ": BEYOND THE NOISE"
 	}
 	return text
 }
 
-func list(values []float64) string {
+func formatValues(values []float64) string {
 	var words []string
 	for _, value := range values {
 		words = append(words, fmt.Sprintf("%.4g", value))
--- a/internal/rehearse/scenario/pairs_test.go
+++ b/internal/rehearse/scenario/comparison_test.go
@@ -22,11 +22,11 @@
 	} {
 		beyond := 0
 		for _, compared := range Compare(quiet, one.busy, Lookup) {
-			if compared.Beyond() {
+			if compared.Significant() {
 				beyond++
 			}
 			if compared.Kind != "lookup/a" {
-				t.Errorf("%s: %s", name, compared.Line())
+				t.Errorf("%s: %s", name, compared.Summary())
 			}
 		}
 		if beyond != one.beyond {
--- a/internal/rehearse/scenario/fleet_test.go
+++ b/internal/rehearse/scenario/fleet_test.go
@@ -22,7 +22,7 @@
 )
 
 // raced tells whether these tests look for data races; then the daemons do too.
-var raced bool
+var raceDetector bool
 
 // binaries builds the daemons once for all tests of this package.
 func binaries(t *testing.T) string {
@@ -31,7 +31,7 @@
 	if _, err := os.Stat(folder); err == nil {
 		return folder
 	}
-	command := exec.Command("go", "build", "-buildvcs=false", fmt.Sprintf("-race=%v", raced), "-o", folder+"/", "snowflow/cmd/...")
+	command := exec.Command("go", "build", "-buildvcs=false", fmt.Sprintf("-race=%v", raceDetector), "-o", folder+"/", "snowflow/cmd/...")
 	if output, err := command.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
@@ -45,20 +45,20 @@
 }
 
 func options(t *testing.T, name string, base int) Options {
-	return Options{Layout: "small", Scenario: name, Length: 4 * time.Second, Factor: 1, Folder: t.TempDir(), Binaries: binaries(t), Base: base, Relays: true, Choice: "near"}
+	return Options{Layout: "small", Scenario: name, Duration: 4 * time.Second, LoadFactor: 1, Dir: t.TempDir(), BinaryDir: binaries(t), Subnet: base, UseRelays: true, LoadBalancing: "near"}
 }
 
 // rehearse plays a scenario. No daemon may have seen a data race.
-func rehearse(t *testing.T, chosen Options) {
+func runScenario(t *testing.T, chosen Options) {
 	t.Helper()
 	report, err := Run(chosen, t.Logf)
 	t.Log(report.Text())
 	if err != nil {
 		t.Error(err)
 	}
-	logs, err := filepath.Glob(filepath.Join(chosen.Folder, "*", "log"))
+	logs, err := filepath.Glob(filepath.Join(chosen.Dir, "*", "log"))
 	if err != nil || len(logs) == 0 {
-		t.Errorf("no logs in %s: %v", chosen.Folder, err)
+		t.Errorf("no logs in %s: %v", chosen.Dir, err)
 	}
 	for _, path := range logs {
 		content, err := os.ReadFile(path)
@@ -76,7 +76,7 @@
 func TestFleetSurvives(t *testing.T) {
 	for index, name := range []string{"kill-primaries", "closing"} {
 		t.Run(name, func(t *testing.T) {
-			rehearse(t, options(t, name, 201+index))
+			runScenario(t, options(t, name, 201+index))
 		})
 	}
 }
@@ -84,12 +84,12 @@
 // TestVersions rolls a fleet to a build of the project's previous commit and back to this one, under traffic.
 func TestVersions(t *testing.T) {
 	chosen := options(t, "versions", 241)
-	chosen.Older = earlier(t)
-	rehearse(t, chosen)
+	chosen.PreviousBinaryDir = previousBinaries(t)
+	runScenario(t, chosen)
 }
 
 // earlier builds the daemons of the commit before this one. Where the checkout has no history there's nothing to build.
-func earlier(t *testing.T) string {
+func previousBinaries(t *testing.T) string {
 	t.Helper()
 	source, folder := t.TempDir(), t.TempDir()
 	archive := exec.Command("git", "archive", "--format=tar", "--output="+filepath.Join(source, "earlier.tar"), "HEAD~1")
@@ -112,7 +112,7 @@
 	return folder
 }
 
-var varying = []struct {
+var variableParts = []struct {
 	pattern *regexp.Regexp
 	by      string
 }{
@@ -125,29 +125,29 @@
 	{regexp.MustCompile(`proxy-[0-9]`), `carrier`},
 }
 
-var shownHeaders = []string{"Retry-After", "X-Snowflow-Not-Executed", "X-Snowflow-Serial"}
+var approvedHeaders = []string{"Retry-After", "X-Snowflow-Not-Executed", "X-Snowflow-Serial"}
 
 // TestExchanges keeps approved transcripts of whole exchanges with a running mesh.
 func TestExchanges(t *testing.T) {
-	stage, err := Open(options(t, "steady", 211), t.Logf)
-	if stage != nil {
-		defer stage.Close()
+	rehearsal, err := Open(options(t, "steady", 211), t.Logf)
+	if rehearsal != nil {
+		defer rehearsal.Close()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := &http.Client{Timeout: 30 * time.Second}
-	doors := map[string]string{"caller": stage.Fleet.Carriers[0].Callers, "other-caller": stage.Fleet.Carriers[1].Callers,
-		"backend": stage.Fleet.Carriers[0].Desk, "operator": stage.Fleet.Postmasters[0].Desk}
+	addresses := map[string]string{"caller": rehearsal.Fleet.Proxies[0].CallerAddress, "other-caller": rehearsal.Fleet.Proxies[1].CallerAddress,
+		"backend": rehearsal.Fleet.Proxies[0].AdminAddress, "operator": rehearsal.Fleet.ConfigStores[0].AdminAddress}
 	datadriven.RunTest(t, "testdata/exchanges", func(t *testing.T, data *datadriven.TestData) string {
-		manner := ""
-		if data.MaybeScanArgs(t, "manner", &manner); data.Cmd == "backends" {
-			for _, backend := range stage.Backends {
-				backend.Manner.Store(strings.TrimPrefix(manner, "normal"))
+		behavior := ""
+		if data.MaybeScanArgs(t, "manner", &behavior); data.Cmd == "backends" {
+			for _, backend := range rehearsal.Backends {
+				backend.Behavior.Store(strings.TrimPrefix(behavior, "normal"))
 			}
 			return ""
 		}
-		address, known := doors[data.Cmd]
+		address, known := addresses[data.Cmd]
 		if !known {
 			t.Fatalf("no door %q", data.Cmd)
 		}
@@ -176,13 +176,13 @@
 		if err != nil {
 			return err.Error()
 		}
-		return shown(response, content)
+		return formatResponse(response, content)
 	})
 }
 
-func shown(response *http.Response, content []byte) string {
+func formatResponse(response *http.Response, content []byte) string {
 	text := response.Status + "\n"
-	for _, name := range shownHeaders {
+	for _, name := range approvedHeaders {
 		if value := response.Header.Get(name); value != "" {
 			if name == "Retry-After" {
 				value = "..."
@@ -191,10 +191,10 @@
 		}
 	}
 	if response.Header.Get(standin.EchoHeader) != "" {
-		return text + fmt.Sprintf("the backend's own answer, whole: %v\n", response.Header.Get(standin.SumHeader) == standin.Sum(content))
+		return text + fmt.Sprintf("the backend's own answer, whole: %v\n", response.Header.Get(standin.ChecksumHeader) == standin.Checksum(content))
 	}
 	body := string(content)
-	for _, part := range varying {
+	for _, part := range variableParts {
 		body = part.pattern.ReplaceAllString(body, part.by)
 	}
 	return text + body
@@ -243,7 +243,7 @@
 	arguments := []string{"--name", "proxy-1", "--domain", "north", "--listen", "127.232.0.1:7300", "--desk", "127.232.0.1:7301", "--callers", "127.232.0.1:7302",
 		"--seeds", "127.232.0.1:7100,127.232.0.2:7100,127.232.0.3:7100"}
 	first := exec.Command(filepath.Join(folder, "proxy"), arguments...)
-	told, err := first.StderrPipe()
+	stderr, err := first.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = first.Process.Kill() }()
-	lines := bufio.NewScanner(told)
+	lines := bufio.NewScanner(stderr)
 	await := func(event int) {
 		for lines.Scan() {
 			if strings.Contains(lines.Text(), fmt.Sprintf(`"event":%d,`, event)) {
@@ -278,17 +278,17 @@
 	}
 }
 
-// TestLoneDoor: a postmaster that reaches no other turns applies down for certain, and bad ones for what is wrong with them.
-func TestLoneDoor(t *testing.T) {
+// TestIsolatedConfigStore: a postmaster that reaches no other turns applies down for certain, and bad ones for what is wrong with them.
+func TestIsolatedConfigStore(t *testing.T) {
 	folder := binaries(t)
-	lone := exec.Command(filepath.Join(folder, "configstore"), "--name", "configstore-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--desk", "127.233.0.1:7201",
+	isolated := exec.Command(filepath.Join(folder, "configstore"), "--name", "configstore-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--desk", "127.233.0.1:7201",
 		"--seeds", "127.233.0.1:7200,127.233.0.2:7200,127.233.0.3:7200", "--voters", "configstore-1,configstore-2,configstore-3", "--data", filepath.Join(t.TempDir(), "data"))
 	var log bytes.Buffer
-	lone.Stderr = &log
-	if err := lone.Start(); err != nil {
+	isolated.Stderr = &log
+	if err := isolated.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = lone.Process.Kill(); _ = lone.Wait() }()
+	defer func() { _ = isolated.Process.Kill(); _ = isolated.Wait() }()
 	await(t, "http://127.233.0.1:7201/live", &log)
 	valid := `{"groups":[{"name":"field","services":[{"name":"one","paths":[{"method":"GET","prefix":"/a","class":"read"}]}]}]}`
 	for _, sent := range []struct{ what, body, said string }{
@@ -330,15 +330,15 @@
 	}
 }
 
-// TestSecondProcessIsTurnedAway: a data folder belongs to one process.
-func TestSecondProcessIsTurnedAway(t *testing.T) {
-	stage := options(t, "steady", 231)
-	folder := filepath.Join(stage.Folder, "data")
+// TestSecondProcessIsRejected: a data folder belongs to one process.
+func TestSecondProcessIsRejected(t *testing.T) {
+	chosen := options(t, "steady", 231)
+	folder := filepath.Join(chosen.Dir, "data")
 	arguments := func(host string) []string {
 		return []string{"--name", "registry-1", "--domain", "north", "--listen", host + ":7100", "--desk", host + ":7101",
 			"--seeds", "127.231.0.1:7100,127.231.0.2:7100,127.231.0.3:7100", "--voters", "registry-1,registry-2,registry-3", "--data", folder}
 	}
-	first := exec.Command(filepath.Join(stage.Binaries, "registry"), arguments("127.231.0.1")...)
+	first := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.1")...)
 	var log bytes.Buffer
 	first.Stderr = &log
 	if err := first.Start(); err != nil {
@@ -346,7 +346,7 @@
 	}
 	defer func() { _ = first.Process.Kill(); _ = first.Wait() }()
 	await(t, "http://127.231.0.1:7101/live", &log) // the first holds the folder once its desk answers
-	output, err := exec.Command(filepath.Join(stage.Binaries, "registry"), arguments("127.231.0.2")...).CombinedOutput()
+	output, err := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.2")...).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "held by another process") {
 		t.Fatalf("%v\n%s", err, output)
 	}
--- a/internal/rehearse/scenario/friday_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -28,20 +28,20 @@
 	"snowflow/internal/workload"
 )
 
-// TestFridayStates: each layout has families, and its morning and whatever follows are accepted.
-func TestFridayStates(t *testing.T) {
+// TestPeakTrafficStates: each layout has families, and its morning and whatever follows are accepted.
+func TestPeakTrafficStates(t *testing.T) {
 	for name, wanted := range map[string]int{"association": 3, "raahbar": 2, "small": 1} {
 		chosen := layout.All[name]
-		content, err := examples.Desired(chosen.Desired)
+		content, err := examples.Desired(chosen.DesiredState)
 		if err != nil {
 			t.Fatal(err)
 		}
 		state, faults := config.Parse(content)
-		of := families(chosen)
+		of := routeFamilies(chosen)
 		if len(faults) > 0 || len(of) != wanted {
 			t.Fatal(name, faults, of)
 		}
-		day := workload.NewRouteChanges(morning(state, of), of, rand.New(rand.NewPCG(1, 2)))
+		day := workload.NewRouteChanges(initialState(state, of), of, rand.New(rand.NewPCG(1, 2)))
 		taken := 0
 		take := func(state *wire.DesiredState) error {
 			if _, faults := config.Parse(workload.EncodeState(state)); len(faults) > 0 {
@@ -66,12 +66,12 @@
 }
 
 // clerk runs the operators' program against a stage.
-func (stage *Stage) clerk(arguments ...string) (output string, code int, err error) {
-	desks := []string{}
-	for _, process := range stage.Fleet.Postmasters {
-		desks = append(desks, process.Desk)
+func (r *Rehearsal) snowctl(arguments ...string) (output string, code int, err error) {
+	addresses := []string{}
+	for _, process := range r.Fleet.ConfigStores {
+		addresses = append(addresses, process.AdminAddress)
 	}
-	command := exec.Command(filepath.Join(stage.Options.Binaries, "snowctl"), append(arguments, "--desks", strings.Join(desks, ","))...)
+	command := exec.Command(filepath.Join(r.Options.BinaryDir, "snowctl"), append(arguments, "--desks", strings.Join(addresses, ","))...)
 	content, err := command.CombinedOutput()
 	if failed := new(exec.ExitError); errors.As(err, &failed) {
 		return string(content), failed.ExitCode(), nil
@@ -79,46 +79,46 @@
 	return string(content), 0, err
 }
 
-// TestFridayRoutes plays a small Friday with real processes: a change of each kind, a storm and a race, while a carrier restarts and the primary
+// TestPeakTrafficRoutes plays a small Friday with real processes: a change of each kind, a storm and a race, while a carrier restarts and the primary
 // dies. It goes from event to event, however long each takes; callers ask for their keys until they're served.
-func TestFridayRoutes(t *testing.T) {
+func TestPeakTrafficRoutes(t *testing.T) {
 	chosen := options(t, "friday-routes", 244)
-	chosen.Relays = false
-	stage, err := Open(chosen, t.Logf)
-	if stage != nil {
-		defer stage.Close()
+	chosen.UseRelays = false
+	rehearsal, err := Open(chosen, t.Logf)
+	if rehearsal != nil {
+		defer rehearsal.Close()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := prepareFriday(stage); err != nil {
+	if err := preparePeakTraffic(rehearsal); err != nil {
 		t.Fatal(err)
 	}
-	stage.Callers.Patience = 0
-	stage.Watch()
-	stage.Callers.Start(0.3)
+	rehearsal.Load.RetryTimeout = 0
+	rehearsal.Watch()
+	rehearsal.Load.Start(0.3)
 	arrived := func() {
 		t.Helper()
-		output, code, err := stage.clerk("rollout", "--wait", "300s")
+		output, code, err := rehearsal.snowctl("rollout", "--wait", "300s")
 		if err != nil || code != 0 {
 			t.Errorf("not every node has the version: %v, exit code %d\n%s", err, code, output)
 		}
 	}
-	meanwhile := map[int]deed{2: stopCarrier, 4: diePrimary}
+	meanwhile := map[int]action{2: restartProxy, 4: killConfigStorePrimary}
 	turn := 0
-	err = stage.friday.ApplyEach(func(state *wire.DesiredState) error {
+	err = rehearsal.peak.ApplyEach(func(state *wire.DesiredState) error {
 		turn++
 		ended := make(chan error, 1)
 		if also, is := meanwhile[turn]; is {
-			go func() { ended <- also.do(stage) }()
+			go func() { ended <- also.run(rehearsal) }()
 		} else {
 			ended <- nil
 		}
-		_, err := stage.change(state, "any")
+		_, err := rehearsal.applyState(state, "any")
 		if err := errors.Join(err, <-ended); err != nil {
 			return err
 		}
-		if err := fleet.Await(stage.Fleet.All(), 5*time.Minute); err != nil {
+		if err := fleet.AwaitReady(rehearsal.Fleet.All(), 5*time.Minute); err != nil {
 			return err
 		}
 		arrived()
@@ -127,85 +127,85 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range []deed{storm, race} {
-		if err := one.do(stage); err != nil {
+	for _, one := range []action{changeStorm, operatorRace} {
+		if err := one.run(rehearsal); err != nil {
 			t.Fatal(err)
 		}
 		arrived()
 	}
-	t.Run("snowctl", func(t *testing.T) { operate(t, stage) })
-	stage.Callers.Ebb()
-	stage.Callers.Stop()
-	if err := stage.Operator.ReadBack(); err != nil {
+	t.Run("snowctl", func(t *testing.T) { checkSnowctl(t, rehearsal) })
+	rehearsal.Load.FinishRetries()
+	rehearsal.Load.Stop()
+	if err := rehearsal.Operator.ReadBack(); err != nil {
 		t.Fatal(err)
 	}
-	findings, seen := invariants.Inspect(stage.History, 1, 2, 3, 5, 7)
+	findings, seen := invariants.Inspect(rehearsal.History, 1, 2, 3, 5, 7)
 	for _, check := range []invariants.Check{invariants.KeysExecutedOnce, invariants.ContentMatchesVersion, invariants.BreakerCountersMonotonic} {
-		found, looked := check.Run(stage.History)
+		found, looked := check.Run(rehearsal.History)
 		findings = append(findings, found...)
 		t.Logf("%s looked at %d", check.Name, looked)
 	}
 	for _, finding := range findings {
 		t.Error(finding)
 	}
-	for _, found := range stage.findings {
+	for _, found := range rehearsal.findings {
 		t.Error(found)
 	}
-	report := stage.Conclude(time.Now())
-	t.Log(report.Kinds, seen, stage.friday.Counts)
+	report := rehearsal.BuildReport(time.Now())
+	t.Log(report.Kinds, seen, rehearsal.peak.Counts)
 	if report.Kinds["lookup/assignments"]["served"] == 0 || report.Kinds["submission"]["served"] == 0 || seen[1] == 0 || seen[3] == 0 {
 		t.Errorf("%v, seen %v", report.Kinds, seen)
 	}
 }
 
 // operate has an operator compare versions, look at what a content would change, and see it roll out.
-func operate(t *testing.T, stage *Stage) {
-	ask := func(wanted int, arguments ...string) string {
+func checkSnowctl(t *testing.T, rehearsal *Rehearsal) {
+	runSnowctl := func(wanted int, arguments ...string) string {
 		t.Helper()
-		output, code, err := stage.clerk(arguments...)
+		output, code, err := rehearsal.snowctl(arguments...)
 		if err != nil || code != wanted {
 			t.Errorf("clerk %v: %v, exit code %d\n%s", arguments, err, code, output)
 		}
 		return output
 	}
-	state := stage.friday.State
+	state := rehearsal.peak.State
 	route := state.Routes[slices.IndexFunc(state.Routes, func(route *wire.Route) bool { return route.Name == "archive-7" })]
-	cutoff := int64(1234567)
-	route.CutoffMicros = &cutoff
+	deadline := int64(1234567)
+	route.CutoffMicros = &deadline
 	file := filepath.Join(t.TempDir(), "next.json")
 	if err := os.WriteFile(file, workload.EncodeState(state), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	told := ask(0, "apply", file, "--preview")
-	if !strings.Contains(told, "~ route archive-7: cutoffMicros") || !strings.Contains(told, "0 added, 1 changed, 0 removed") || !strings.Contains(told, "nothing was applied") {
-		t.Errorf("preview: %s", told)
+	output := runSnowctl(0, "apply", file, "--preview")
+	if !strings.Contains(output, "~ route archive-7: cutoffMicros") || !strings.Contains(output, "0 added, 1 changed, 0 removed") || !strings.Contains(output, "nothing was applied") {
+		t.Errorf("preview: %s", output)
 	}
-	serial := regexp.MustCompile(`it would follow serial (\d+), and go to 4 nodes`).FindStringSubmatch(told)
-	if serial == nil {
-		t.Fatalf("preview: %s", told)
+	version := regexp.MustCompile(`it would follow serial (\d+), and go to 4 nodes`).FindStringSubmatch(output)
+	if version == nil {
+		t.Fatalf("preview: %s", output)
 	}
-	ask(0, "apply", file, "--expected", serial[1])
-	if told = ask(0, "rollout", "--wait", "300s"); !strings.Contains(told, "4 of 4 nodes") {
-		t.Errorf("rollout: %s", told)
+	runSnowctl(0, "apply", file, "--expected", version[1])
+	if output = runSnowctl(0, "rollout", "--wait", "300s"); !strings.Contains(output, "4 of 4 nodes") {
+		t.Errorf("rollout: %s", output)
 	}
-	next := fmt.Sprint(number(t, serial[1]) + 1)
-	if told = ask(0, "diff", serial[1], next); !strings.Contains(told, "~ route archive-7: cutoffMicros") || !strings.Contains(told, "0 added, 1 changed, 0 removed") {
-		t.Errorf("diff: %s", told)
+	next := fmt.Sprint(parseNumber(t, version[1]) + 1)
+	if output = runSnowctl(0, "diff", version[1], next); !strings.Contains(output, "~ route archive-7: cutoffMicros") || !strings.Contains(output, "0 added, 1 changed, 0 removed") {
+		t.Errorf("diff: %s", output)
 	}
-	ask(0, "diff", file, file)
-	ask(2, "diff", file, next)
+	runSnowctl(0, "diff", file, file)
+	runSnowctl(2, "diff", file, next)
 	if err := os.WriteFile(file, []byte(`{"routes":[{"name":"a"}]}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if output, code, err := stage.clerk("apply", file, "--preview"); err != nil || code == 0 {
+	if output, code, err := rehearsal.snowctl("apply", file, "--preview"); err != nil || code == 0 {
 		t.Errorf("a bad content was previewed: %v\n%s", err, output)
 	}
-	if told = ask(0, "rollout", "--json"); !json.Valid([]byte(told[strings.Index(told, "{"):])) {
-		t.Errorf("rollout: %s", told)
+	if output = runSnowctl(0, "rollout", "--json"); !json.Valid([]byte(output[strings.Index(output, "{"):])) {
+		t.Errorf("rollout: %s", output)
 	}
 }
 
-func number(t *testing.T, text string) (read int) {
+func parseNumber(t *testing.T, text string) (read int) {
 	t.Helper()
 	if _, err := fmt.Sscan(text, &read); err != nil {
 		t.Fatal(err)
@@ -213,11 +213,11 @@
 	return read
 }
 
-// TestFridayWatcherSees has a carrier that is broken in one way at a time tell how it stands. The check that it's for finds it in what the
+// TestWatcherObservesFaults has a carrier that is broken in one way at a time tell how it stands. The check that it's for finds it in what the
 // watcher noted, and nothing in what a sound one tells.
-func TestFridayWatcherSees(t *testing.T) {
-	sound := func(serial uint64, calls uint64) proxy.Status {
-		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, ConfigVersion: serial, ConfigDigest: fmt.Sprint("version ", serial),
+func TestWatcherObservesFaults(t *testing.T) {
+	sound := func(version uint64, calls uint64) proxy.Status {
+		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, ConfigVersion: version, ConfigDigest: fmt.Sprint("version ", version),
 			Breakers: []breaker.Status{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
 	}
 	for name, one := range map[string]struct {
@@ -231,13 +231,13 @@
 		"a whole that forgets what was counted": {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Calls = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := sound(1, 4)
-			desk := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(writer).Encode(told) }))
-			defer desk.Close()
-			stage := &Stage{Clock: nil, History: &invariants.History{}}
-			ask := func(at int64) {
+			reported := sound(1, 4)
+			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(writer).Encode(reported) }))
+			defer server.Close()
+			rehearsal := &Rehearsal{Clock: nil, History: &invariants.History{}}
+			observe := func(at int64) {
 				var status proxy.Status
-				response, err := http.Get(desk.URL)
+				response, err := http.Get(server.URL)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -245,21 +245,21 @@
 				if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
 					t.Fatal(err)
 				}
-				stage.see("proxy-1", status, monotonic.Micros(at))
+				rehearsal.observeProxy("proxy-1", status, monotonic.Micros(at))
 			}
-			for serial, at := range []int64{1000, 2000} {
-				stage.History.RecordApply(invariants.AppliedConfig{Serial: uint64(serial + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", serial+1)})
+			for version, at := range []int64{1000, 2000} {
+				rehearsal.History.RecordApply(invariants.AppliedConfig{Serial: uint64(version + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", version+1)})
 			}
-			ask(1500)
-			told = sound(2, 9)
-			one.last(&told)
-			ask(4_000_000)
-			found, _ := one.check.Run(stage.History)
+			observe(1500)
+			reported = sound(2, 9)
+			one.last(&reported)
+			observe(4_000_000)
+			found, _ := one.check.Run(rehearsal.History)
 			if (len(found) > 0) != (name != "nothing") {
 				t.Errorf("%v", found)
 			}
 			for _, check := range []invariants.Check{invariants.VersionsAdopted, invariants.BreakerCountersMonotonic} {
-				if found, _ := check.Run(stage.History); name == "nothing" && len(found) > 0 {
+				if found, _ := check.Run(rehearsal.History); name == "nothing" && len(found) > 0 {
 					t.Error(found)
 				}
 			}
--- a/internal/rehearse/scenario/scenarios.go
+++ b/internal/rehearse/scenario/scenarios.go
@@ -12,12 +12,12 @@
 
 // Scenario is one rehearsal's course.
 type Scenario struct {
-	Name  string
-	Short string
-	Rules []int // the rules that must have seen something
-	Run   func(stage *Stage) error
+	Name    string
+	Summary string
+	Rules   []int // the rules that must have seen something
+	Run     func(rehearsal *Rehearsal) error
 	// Prepare is done before callers start, if there's something to do.
-	Prepare func(stage *Stage) error
+	Prepare func(rehearsal *Rehearsal) error
 	// Checks are made besides the rules.
 	Checks []invariants.Check
 }
@@ -28,8 +28,8 @@
 func add(scenario Scenario) { All[scenario.Name] = scenario }
 
 func init() {
-	add(Scenario{Name: "steady", Short: "no failure at all", Rules: []int{1, 3, 5, 6, 7, 8}, Run: func(stage *Stage) error {
-		stage.Wait(stage.Options.Length)
+	add(Scenario{Name: "steady", Summary: "no failure at all", Rules: []int{1, 3, 5, 6, 7, 8}, Run: func(rehearsal *Rehearsal) error {
+		rehearsal.Wait(rehearsal.Options.Duration)
 		return nil
 	}})
 }
@@ -41,39 +41,39 @@
 var ErrFindings = errors.New("the rehearsal failed")
 
 // Run runs one scenario on a fresh fleet.
-func Run(options Options, say func(format string, arguments ...any)) (Report, error) {
+func Run(options Options, logf func(format string, arguments ...any)) (Report, error) {
 	chosen, known := All[options.Scenario]
 	if !known {
 		return Report{}, fmt.Errorf("no scenario %q; there are %v", options.Scenario, Names())
 	}
-	say("starting %s", options.Layout)
-	stage, err := Open(options, say)
-	if stage != nil {
-		defer stage.Close()
+	logf("starting %s", options.Layout)
+	rehearsal, err := Open(options, logf)
+	if rehearsal != nil {
+		defer rehearsal.Close()
 	}
 	if err != nil {
 		return Report{}, err
 	}
 	if chosen.Prepare != nil {
-		if err := chosen.Prepare(stage); err != nil {
+		if err := chosen.Prepare(rehearsal); err != nil {
 			return Report{}, err
 		}
 	}
-	say("fleet is ready, running %s", chosen.Name)
-	stage.Watch()
-	stage.Measure()
+	logf("fleet is ready, running %s", chosen.Name)
+	rehearsal.Watch()
+	rehearsal.RecordCPUTimes()
 	began := time.Now()
-	stage.Callers.Start(options.Factor)
-	if err := chosen.Run(stage); err != nil {
+	rehearsal.Load.Start(options.LoadFactor)
+	if err := chosen.Run(rehearsal); err != nil {
 		return Report{}, err
 	}
-	stage.Callers.Stop()
-	if err := stage.Operator.ReadBack(); err != nil {
+	rehearsal.Load.Stop()
+	if err := rehearsal.Operator.ReadBack(); err != nil {
 		return Report{}, fmt.Errorf("reading back the desired states: %w", err)
 	}
-	report := stage.Conclude(began, chosen.Checks...)
+	report := rehearsal.BuildReport(began, chosen.Checks...)
 	for _, rule := range chosen.Rules {
-		if report.Seen[rule] == 0 {
+		if report.Observations[rule] == 0 {
 			report.Findings = append(report.Findings, fmt.Sprintf("rule %d: its checker saw nothing", rule))
 		}
 	}
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -29,27 +29,27 @@
 }
 
 // NewOperator makes one.
-func NewOperator(running *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *Operator {
-	return &Operator{Fleet: running, Clock: clock, History: history, Client: &http.Client{Timeout: 25 * time.Second}}
+func NewOperator(target *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *Operator {
+	return &Operator{Fleet: target, Clock: clock, History: history, Client: &http.Client{Timeout: 25 * time.Second}}
 }
 
 // RecordApply applies a content and notes the outcome.
-func (operator *Operator) Apply(content []byte, expected string, patience time.Duration) (api.ApplyResult, error) {
+func (o *Operator) Apply(content []byte, expected string, timeout time.Duration) (api.ApplyResult, error) {
 	state, faults := config.Parse(content)
 	if state != nil && len(faults) == 0 {
-		operator.allow(content)
+		o.allowRoutes(content)
 	}
-	defer func(over func(monotonic.Micros)) { over(operator.Clock.Now()) }(operator.History.BeginPlannedChange("a change of the desired state", operator.Clock.Now()))
+	defer func(end func(monotonic.Micros)) { end(o.Clock.Now()) }(o.History.BeginPlannedChange("a change of the desired state", o.Clock.Now()))
 	req := fmt.Sprintf("apply-%d", rand.Uint64())
-	cutoff := time.Now().Add(patience)
-	for turn := rand.IntN(len(operator.Fleet.Postmasters)); ; turn++ {
-		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
-		applied, err := operator.once(master, content, expected, req)
+	deadline := time.Now().Add(timeout)
+	for turn := rand.IntN(len(o.Fleet.ConfigStores)); ; turn++ {
+		store := o.Fleet.ConfigStores[turn%len(o.Fleet.ConfigStores)]
+		applied, err := o.applyOnce(store, content, expected, req)
 		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.OutcomeUnreached {
-			operator.History.RecordApply(invariants.AppliedConfig{Serial: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: operator.Clock.Now(), Sum: check(state)})
+			o.History.RecordApply(invariants.AppliedConfig{Serial: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: o.Clock.Now(), Sum: resourceDigest(state)})
 			return applied, nil
 		}
-		if time.Now().After(cutoff) {
+		if time.Now().After(deadline) {
 			return applied, fmt.Errorf("no certain outcome: %v %v", applied, err)
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -57,7 +57,7 @@
 }
 
 // check is the digest of a state's resources, as carriers tell it of what they have in force.
-func check(state *wire.DesiredState) string {
+func resourceDigest(state *wire.DesiredState) string {
 	if state == nil {
 		return ""
 	}
@@ -69,25 +69,25 @@
 }
 
 // allow notes which services the content sends which kinds of traffic to.
-func (operator *Operator) allow(content []byte) {
+func (o *Operator) allowRoutes(content []byte) {
 	state, _ := config.Parse(content)
-	view := config.Compile(state, 0, "")
-	kinds := append(operator.Fleet.Layout.Kinds, operator.Fleet.Layout.LookupKinds()...)
+	compiled := config.Compile(state, 0, "")
+	kinds := append(o.Fleet.Layout.Kinds, o.Fleet.Layout.LookupKinds()...)
 	for _, kind := range kinds {
-		if path, found := view.Resolve("", kind.Method, strings.TrimSuffix(kind.Path, "/")+"/1"); found {
-			operator.History.AllowRoute(kind.Name, path.Service.Name, operator.Clock.Now())
+		if path, found := compiled.Resolve("", kind.Method, strings.TrimSuffix(kind.Path, "/")+"/1"); found {
+			o.History.AllowRoute(kind.Name, path.Service.Name, o.Clock.Now())
 		}
 	}
 }
 
-func (operator *Operator) once(master *fleet.Process, content []byte, expected, req string) (api.ApplyResult, error) {
+func (o *Operator) applyOnce(store *fleet.Process, content []byte, expected, req string) (api.ApplyResult, error) {
 	var applied api.ApplyResult
-	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", master.Desk, expected, req)
-	ask, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(content))
+	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", store.AdminAddress, expected, req)
+	put, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(content))
 	if err != nil {
 		return applied, err
 	}
-	response, err := operator.Client.Do(ask)
+	response, err := o.Client.Do(put)
 	if err != nil {
 		return applied, err
 	}
@@ -96,16 +96,16 @@
 }
 
 // ReadBack reads the whole history and notes it.
-func (operator *Operator) ReadBack() error {
+func (o *Operator) ReadBack() error {
 	var last error
 	for turn := range 40 {
-		master := operator.Fleet.Postmasters[turn%len(operator.Fleet.Postmasters)]
-		var kept []api.StoredState
-		if last = operator.Get(master, "/history", &kept); last == nil {
-			operator.History.Update(func() {
-				operator.History.ReadBackComplete = true
-				for _, state := range kept {
-					operator.History.ReadBack = append(operator.History.ReadBack, invariants.ReadBack{Serial: state.Version, Digest: state.Digest})
+		store := o.Fleet.ConfigStores[turn%len(o.Fleet.ConfigStores)]
+		var versions []api.StoredState
+		if last = o.ReadJSON(store, "/history", &versions); last == nil {
+			o.History.Update(func() {
+				o.History.ReadBackComplete = true
+				for _, state := range versions {
+					o.History.ReadBack = append(o.History.ReadBack, invariants.ReadBack{Serial: state.Version, Digest: state.Digest})
 				}
 			})
 			return nil
@@ -115,9 +115,9 @@
 	return last
 }
 
-// Get reads a page of a process as JSON.
-func (operator *Operator) Get(process *fleet.Process, path string, into any) error {
-	response, err := operator.Client.Get("http://" + process.Desk + path)
+// ReadJSON reads a page of a process as JSON.
+func (o *Operator) ReadJSON(process *fleet.Process, path string, into any) error {
+	response, err := o.Client.Get("http://" + process.AdminAddress + path)
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -22,15 +22,15 @@
 
 // status asks a process of the core how its group stands.
 func status(process *fleet.Process) (replication.Status, error) {
-	told := struct {
+	answer := struct {
 		Core replication.Status `json:"core"`
 	}{}
-	response, err := client.Get("http://" + process.Desk + "/local")
+	response, err := client.Get("http://" + process.AdminAddress + "/local")
 	if err != nil {
-		return told.Core, err
+		return answer.Core, err
 	}
 	defer response.Body.Close()
-	return told.Core, json.NewDecoder(response.Body).Decode(&told)
+	return answer.Core, json.NewDecoder(response.Body).Decode(&answer)
 }
 
 // role names what a process is in its group.
@@ -46,7 +46,7 @@
 
 // kinds reads a process's counts by kind from its metrics.
 func kinds(process *fleet.Process) (map[string]machine.MessageCount, error) {
-	response, err := client.Get("http://" + process.Desk + "/metrics")
+	response, err := client.Get("http://" + process.AdminAddress + "/metrics")
 	if err != nil {
 		return nil, err
 	}
@@ -57,12 +57,12 @@
 		return nil, err
 	}
 	totals := map[string]machine.MessageCount{}
-	for name, into := range map[string]func(tally *machine.MessageCount, direction string) *uint64{
-		"snowflow_kind_messages_total": func(tally *machine.MessageCount, direction string) *uint64 {
-			return map[string]*uint64{"sent": &tally.Sent, "received": &tally.Received}[direction]
+	for name, counterOf := range map[string]func(count *machine.MessageCount, direction string) *uint64{
+		"snowflow_kind_messages_total": func(count *machine.MessageCount, direction string) *uint64 {
+			return map[string]*uint64{"sent": &count.Sent, "received": &count.Received}[direction]
 		},
-		"snowflow_kind_bytes_total": func(tally *machine.MessageCount, direction string) *uint64 {
-			return map[string]*uint64{"sent": &tally.SentBytes, "received": &tally.ReceivedBytes}[direction]
+		"snowflow_kind_bytes_total": func(count *machine.MessageCount, direction string) *uint64 {
+			return map[string]*uint64{"sent": &count.SentBytes, "received": &count.ReceivedBytes}[direction]
 		},
 	} {
 		family := families[name]
@@ -75,24 +75,24 @@
 				labels[label.GetName()] = label.GetValue()
 			}
 			kind := recordedKind(labels["kind"])
-			tally := totals[kind]
-			*into(&tally, labels["direction"]) = uint64(metric.Counter.GetValue())
-			totals[kind] = tally
+			count := totals[kind]
+			*counterOf(&count, labels["direction"]) = uint64(metric.Counter.GetValue())
+			totals[kind] = count
 		}
 	}
 	return totals, nil
 }
 
-func named(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
+func byKindName(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
 	totals := map[string]machine.MessageCount{}
-	for kind, tally := range counted {
-		totals[recordedKind(kind.String())] = tally
+	for kind, count := range counted {
+		totals[recordedKind(kind.String())] = count
 	}
 	return totals
 }
 
 // rates divides what came between two readings by time and processes.
-func rates(before, after map[string]machine.MessageCount, divisor float64) map[string]Traffic {
+func perSecond(before, after map[string]machine.MessageCount, divisor float64) map[string]Traffic {
 	traffic := map[string]Traffic{}
 	for kind, late := range after {
 		early := before[kind]
@@ -106,7 +106,7 @@
 }
 
 // resident reads a field such as VmHWM, the most a process had resident, in bytes.
-func resident(process, field string) (float64, error) {
+func residentBytes(process, field string) (float64, error) {
 	content, err := os.ReadFile("/proc/" + process + "/status")
 	if err != nil {
 		return 0, err
@@ -130,7 +130,7 @@
 }
 
 // load is the machine's load average over the last minute.
-func load() (average float64) {
+func loadAverage() (average float64) {
 	content, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
 		_, _ = fmt.Sscan(string(content), &average)
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -35,49 +35,49 @@
 const arrival = 10 * time.Millisecond
 
 const (
-	postmasters = "postmaster"
-	carriers    = "carrier"
+	configStoreGroup = "postmaster"
+	proxyRole        = "carrier"
 )
 
 // play is a run under way.
-type play struct {
-	size    Size
-	options Options
-	fleet   *fleet.Fleet
-	crowd   *hollow.Crowd
-	place   *machine.Machine // the operator's
-	book    *discovery.Resolver
-	run     *Run
-	serial  int     // of the changes' contents
-	alone   float64 // what this process had resident before the carriers came
+type measurement struct {
+	size        Size
+	options     Options
+	fleet       *fleet.Fleet
+	pool        *hollow.Pool
+	host        *machine.Machine // the operator's
+	resolver    *discovery.Resolver
+	run         *Run
+	version     int     // of the changes' contents
+	ownResident float64 // what this process had resident before the carriers came
 }
 
-// Play plays one run: it starts the core as processes and the carriers as hollow ones in this process, and measures.
-func Play(size Size, options Options, number int) (Run, error) {
-	run := Run{Size: size, Number: number, Load: load(), Roles: map[string]Role{}}
-	made, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, Cores: 3}, options.Folder, options.Binaries, options.Base, false, "near", "warn")
+// RunSize plays one run: it starts the core as processes and the carriers as hollow ones in this process, and measures.
+func RunSize(size Size, options Options, number int) (Run, error) {
+	run := Run{Size: size, Number: number, Load: loadAverage(), Roles: map[string]Role{}}
+	made, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3}, options.Folder, options.Binaries, options.Base, false, "near", "warn")
 	if err != nil {
 		return run, err
 	}
-	defer made.End()
-	play := &play{size: size, options: options, fleet: made, run: &run, place: machine.New(nil, nil, nil)}
-	defer play.place.CloseConnections()
+	defer made.Close()
+	m := &measurement{size: size, options: options, fleet: made, run: &run, host: machine.New(nil, nil, nil)}
+	defer m.host.CloseConnections()
 	if err := made.StartAll(); err != nil {
 		return run, err
 	}
-	if err := fleet.Await(made.Core(), options.Patience); err != nil {
+	if err := fleet.AwaitReady(made.Core(), options.Patience); err != nil {
 		return run, err
 	}
 	seeds := []string{}
 	for _, process := range made.Core() {
-		seeds = append(seeds, process.Peer)
+		seeds = append(seeds, process.PeerAddress)
 	}
-	play.book = discovery.New(play.place, nil, seeds)
+	m.resolver = discovery.New(m.host, nil, seeds)
 	// Each service is called by two carriers at least, so that a report of trouble is kept.
-	calls := max(4, (2*size.Services+size.Carriers-1)/size.Carriers)
-	play.crowd = hollow.NewCrowd(hollow.Settings{Carriers: size.Carriers, Services: size.Services, Calls: calls, Zones: made.Layout.Zones, Seeds: seeds[1:4]})
-	defer play.crowd.Leave()
-	for _, step := range []func() error{play.settle, play.guard, play.measure, play.fail} {
+	calls := max(4, (2*size.Services+size.Proxies-1)/size.Proxies)
+	m.pool = hollow.NewPool(hollow.Settings{Proxies: size.Proxies, Services: size.Services, Calls: calls, Zones: made.Layout.Zones, Seeds: seeds[1:4]})
+	defer m.pool.Leave()
+	for _, step := range []func() error{m.awaitJoined, m.tripBreakers, m.measure, m.measureFailures} {
 		if err := step(); err != nil {
 			return run, err
 		}
@@ -86,10 +86,10 @@
 }
 
 // until looks again and again until something is so.
-func until(patience time.Duration, so func() bool) (seconds float64, reached bool) {
+func pollUntil(timeout time.Duration, condition func() bool) (seconds float64, reached bool) {
 	started := time.Now()
-	for !so() {
-		if time.Since(started) > patience {
+	for !condition() {
+		if time.Since(started) > timeout {
 			return time.Since(started).Seconds(), false
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -97,41 +97,41 @@
 	return time.Since(started).Seconds(), true
 }
 
-func (play *play) all(count func() int) func() bool {
-	return func() bool { return count() == play.size.Carriers }
+func (m *measurement) countsAll(count func() int) func() bool {
+	return func() bool { return count() == m.size.Proxies }
 }
 
 // settle has a first desired state accepted and all carriers join.
-func (play *play) settle() error {
-	if _, _, err := play.apply(play.options.Patience); err != nil {
+func (m *measurement) awaitJoined() error {
+	if _, _, err := m.apply(m.options.Patience); err != nil {
 		return err
 	}
-	alone, err := resident("self", "VmRSS")
+	alone, err := residentBytes("self", "VmRSS")
 	if err != nil {
 		return err
 	}
-	play.alone = alone
+	m.ownResident = alone
 	began := time.Now()
-	if err := play.crowd.Arrive(arrival); err != nil {
+	if err := m.pool.Arrive(arrival); err != nil {
 		return err
 	}
 	for _, step := range []struct {
 		what  string
 		count func() int
-	}{{"ready", play.crowd.Ready}, {"aware of all others", play.crowd.Whole}} {
-		if _, reached := until(play.options.Patience, play.all(step.count)); !reached {
-			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), play.size.Carriers, step.what, play.options.Patience)
+	}{{"ready", m.pool.Ready}, {"aware of all others", m.pool.Complete}} {
+		if _, reached := pollUntil(m.options.Patience, m.countsAll(step.count)); !reached {
+			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Patience)
 		}
 	}
-	play.run.Joined = time.Since(began).Seconds()
+	m.run.Joined = time.Since(began).Seconds()
 	return nil
 }
 
 // guard gives each service a shared guard's record, by a report of trouble from one carrier that calls it.
-func (play *play) guard() error {
+func (m *measurement) tripBreakers() error {
 	first := map[int]int{}
-	for index := range play.size.Carriers {
-		for _, service := range play.crowd.Called(index) {
+	for index := range m.size.Proxies {
+		for _, service := range m.pool.Called(index) {
 			if _, known := first[service]; !known {
 				first[service] = index
 			}
@@ -146,7 +146,7 @@
 			defer reports.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			faults <- play.crowd.Trip(index, service)
+			faults <- m.pool.Trip(index, service)
 		}()
 	}
 	reports.Wait()
@@ -156,67 +156,67 @@
 			return err
 		}
 	}
-	told := func() bool { return play.crowd.Guarded(0) == len(first) }
-	if _, reached := until(play.options.Patience, told); !reached {
-		return fmt.Errorf("a carrier was told of %d of %d guards after %v", play.crowd.Guarded(0), len(first), play.options.Patience)
+	complete := func() bool { return m.pool.Guarded(0) == len(first) }
+	if _, reached := pollUntil(m.options.Patience, complete); !reached {
+		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.Guarded(0), len(first), m.options.Patience)
 	}
-	play.run.Guards = len(first)
+	m.run.Guards = len(first)
 	return nil
 }
 
 // content writes the next desired state. Each differs in one route's cutoff, or in the note where there are no routes.
-func (play *play) content() ([]byte, error) {
-	play.serial++
-	state := &wire.DesiredState{Note: fmt.Sprintf("change %d", play.serial), Groups: []*wire.Group{{Name: "all"}}}
-	for index := range play.size.Services {
+func (m *measurement) content() ([]byte, error) {
+	m.version++
+	state := &wire.DesiredState{Note: fmt.Sprintf("change %d", m.version), Groups: []*wire.Group{{Name: "all"}}}
+	for index := range m.size.Services {
 		state.Groups[0].Services = append(state.Groups[0].Services, &wire.Service{Name: hollow.Service(index),
 			Paths: []*wire.Path{{Method: "POST", Prefix: fmt.Sprintf("/s/%04d", index), Class: wire.Path_once}}})
 	}
-	for index := range play.size.Routes {
+	for index := range m.size.Routes {
 		route := &wire.Route{Name: fmt.Sprintf("route-%06d", index), Method: "GET", Prefix: fmt.Sprintf("/r/%06d", index), Class: wire.Path_read,
-			Split: []*wire.Share{{Service: hollow.Service(index % play.size.Services), Weight: 1}}}
-		if index == play.serial%play.size.Routes {
-			cutoff := int64(1000000 + play.serial)
+			Split: []*wire.Share{{Service: hollow.Service(index % m.size.Services), Weight: 1}}}
+		if index == m.version%m.size.Routes {
+			cutoff := int64(1000000 + m.version)
 			route.CutoffMicros = &cutoff
 		}
 		state.Routes = append(state.Routes, route)
 	}
 	content, err := protojson.Marshal(state)
-	play.run.Content = len(content)
+	m.run.Content = len(content)
 	return content, err
 }
 
 // call asks a group's primary, again until patience ends.
-func (play *play) call(group string, patience time.Duration, ask func(name string, left monotonic.Micros) error) error {
-	cutoff, err := time.Now().Add(patience), errors.New("no primary is known")
+func (m *measurement) call(group string, timeout time.Duration, request func(name string, left monotonic.Micros) error) error {
+	cutoff, err := time.Now().Add(timeout), errors.New("no primary is known")
 	for time.Now().Before(cutoff) {
-		if name := play.book.Leader(group); name != "" {
-			if err = ask(name, monotonic.FromDuration(time.Until(cutoff))); err == nil {
+		if name := m.resolver.Leader(group); name != "" {
+			if err = request(name, monotonic.FromDuration(time.Until(cutoff))); err == nil {
 				return nil
 			}
 		}
-		play.book.Refresh()
+		m.resolver.Refresh()
 		time.Sleep(10 * time.Millisecond)
 	}
 	return err
 }
 
 // apply has a change accepted. It gives its serial and how long it took to be acknowledged.
-func (play *play) apply(patience time.Duration) (serial uint64, took float64, err error) {
-	content, err := play.content()
+func (m *measurement) apply(timeout time.Duration) (version uint64, took float64, err error) {
+	content, err := m.content()
 	if err != nil {
 		return 0, 0, err
 	}
 	began := time.Now()
-	ask := &wire.ConfigApplyRequest{Content: content, AnyVersion: true, Request: strconv.Itoa(play.serial)}
-	tell := &wire.ConfigApplyResponse{}
-	err = play.call(postmasters, patience, func(name string, left monotonic.Micros) error {
-		return play.book.Call(name, wire.Kind_config_apply, ask, tell, left)
+	request := &wire.ConfigApplyRequest{Content: content, AnyVersion: true, Request: strconv.Itoa(m.version)}
+	response := &wire.ConfigApplyResponse{}
+	err = m.call(configStoreGroup, timeout, func(name string, left monotonic.Micros) error {
+		return m.resolver.Call(name, wire.Kind_config_apply, request, response, left)
 	})
-	if err == nil && tell.Outcome != "accepted" {
-		err = fmt.Errorf("a change was not accepted: %s %v", tell.Outcome, tell.Errors)
+	if err == nil && response.Outcome != "accepted" {
+		err = fmt.Errorf("a change was not accepted: %s %v", response.Outcome, response.Errors)
 	}
-	return tell.Version, time.Since(began).Seconds(), err
+	return response.Version, time.Since(began).Seconds(), err
 }
 
 // reading is what all processes had used and exchanged by a moment.
@@ -226,10 +226,10 @@
 	kinds     map[string]map[string]machine.MessageCount
 }
 
-func (play *play) read() (reading, error) {
-	taken := reading{at: time.Now(), processor: map[string]float64{carriers: processor()}, kinds: map[string]map[string]machine.MessageCount{carriers: named(play.crowd.Kinds())}}
-	for _, process := range play.fleet.Core() {
-		taken.processor[process.Name] = float64(process.Processor())
+func (m *measurement) read() (reading, error) {
+	taken := reading{at: time.Now(), processor: map[string]float64{proxyRole: processor()}, kinds: map[string]map[string]machine.MessageCount{proxyRole: byKindName(m.pool.Kinds())}}
+	for _, process := range m.fleet.Core() {
+		taken.processor[process.Name] = float64(process.CPUTime())
 		counted, err := kinds(process)
 		if err != nil {
 			return taken, err
@@ -240,14 +240,14 @@
 }
 
 // measure is the window: changes, claims and restarts at their rates, and what everybody needs meanwhile.
-func (play *play) measure() error {
-	before, err := play.read()
+func (m *measurement) measure() error {
+	before, err := m.read()
 	if err != nil {
 		return err
 	}
 	var work sync.WaitGroup
 	faults := make(chan error, 3)
-	for _, task := range []func() error{play.change, play.claim, play.restart} {
+	for _, task := range []func() error{m.applyChanges, m.claimKeys, m.restartProxies} {
 		work.Add(1)
 		go func() {
 			defer work.Done()
@@ -256,9 +256,9 @@
 			}
 		}()
 	}
-	time.Sleep(play.options.Window)
+	time.Sleep(m.options.Window)
 	work.Wait()
-	after, err := play.read()
+	after, err := m.read()
 	if err != nil {
 		return err
 	}
@@ -267,39 +267,39 @@
 		return err
 	default:
 	}
-	play.run.Seconds = after.at.Sub(before.at).Seconds()
-	return play.weigh(before, after)
+	m.run.Seconds = after.at.Sub(before.at).Seconds()
+	return m.recordUsage(before, after)
 }
 
-func (play *play) weigh(before, after reading) error {
-	peak, err := resident("self", "VmHWM")
+func (m *measurement) recordUsage(before, after reading) error {
+	peak, err := residentBytes("self", "VmHWM")
 	if err != nil {
 		return err
 	}
-	count, seconds := float64(play.size.Carriers), play.run.Seconds
-	play.run.Roles[carriers] = Role{Processes: play.size.Carriers, Processor: (after.processor[carriers] - before.processor[carriers]) / seconds / count,
-		Resident: (peak - play.alone) / count, Kinds: rates(before.kinds[carriers], after.kinds[carriers], seconds*count)}
-	standing, err := play.standing()
+	count, seconds := float64(m.size.Proxies), m.run.Seconds
+	m.run.Roles[proxyRole] = Role{Processes: m.size.Proxies, Processor: (after.processor[proxyRole] - before.processor[proxyRole]) / seconds / count,
+		Resident: (peak - m.ownResident) / count, Kinds: perSecond(before.kinds[proxyRole], after.kinds[proxyRole], seconds*count)}
+	standing, err := m.awaitPrimaries()
 	if err != nil {
 		return err
 	}
-	for _, process := range play.fleet.Core() {
+	for _, process := range m.fleet.Core() {
 		core := standing[process.Program]
-		peak, err := resident(strconv.Itoa(process.Identity()), "VmHWM")
+		peak, err := residentBytes(strconv.Itoa(process.PID()), "VmHWM")
 		if err != nil {
 			return err
 		}
-		play.run.Roles[role(process, core)] = Role{Processes: 1, Processor: (after.processor[process.Name] - before.processor[process.Name]) / seconds,
-			Resident: peak, Kinds: rates(before.kinds[process.Name], after.kinds[process.Name], seconds)}
+		m.run.Roles[role(process, core)] = Role{Processes: 1, Processor: (after.processor[process.Name] - before.processor[process.Name]) / seconds,
+			Resident: peak, Kinds: perSecond(before.kinds[process.Name], after.kinds[process.Name], seconds)}
 	}
 	return nil
 }
 
 // standing is how both groups stand by their primaries' word, once each has a backup.
-func (play *play) standing() (map[string]replication.Status, error) {
+func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
 	found := map[string]replication.Status{}
-	_, reached := until(play.options.Patience, func() bool {
-		for _, process := range play.fleet.Core() {
+	_, reached := pollUntil(m.options.Patience, func() bool {
+		for _, process := range m.fleet.Core() {
 			core, err := status(process)
 			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
 				found[process.Program] = core
@@ -308,16 +308,16 @@
 		return len(found) == 2
 	})
 	if !reached {
-		return nil, fmt.Errorf("after %v only %d of 2 groups have a primary with a backup", play.options.Patience, len(found))
+		return nil, fmt.Errorf("after %v only %d of 2 groups have a primary with a backup", m.options.Patience, len(found))
 	}
 	return found, nil
 }
 
 // spread runs a number of things one after another, evenly over the window.
-func (play *play) spread(count int, do func(index int) error) error {
+func (m *measurement) spreadOverWindow(count int, do func(index int) error) error {
 	began := time.Now()
 	for index := range count {
-		due := began.Add(play.options.Window * time.Duration(2*index+1) / time.Duration(2*count))
+		due := began.Add(m.options.Window * time.Duration(2*index+1) / time.Duration(2*count))
 		time.Sleep(time.Until(due))
 		if err := do(index); err != nil {
 			return err
@@ -326,44 +326,44 @@
 	return nil
 }
 
-func (play *play) change() error {
-	return play.spread(play.size.Changes, func(int) error {
+func (m *measurement) applyChanges() error {
+	return m.spreadOverWindow(m.size.Changes, func(int) error {
 		began := time.Now()
-		serial, took, err := play.apply(play.options.Patience)
+		version, took, err := m.apply(m.options.Patience)
 		if err != nil {
 			return err
 		}
 		// One that a newer state overtook at some carriers never comes to them; nothing else applies meanwhile.
 		var last time.Time
-		if _, reached := until(play.options.Patience, func() bool {
-			adopted, missing := play.crowd.Adopted(serial)
+		if _, reached := pollUntil(m.options.Patience, func() bool {
+			adopted, missing := m.pool.Adopted(version)
 			last = adopted
 			return missing == 0
 		}); !reached {
-			return fmt.Errorf("change %d has not reached all carriers after %v", serial, play.options.Patience)
+			return fmt.Errorf("change %d has not reached all carriers after %v", version, m.options.Patience)
 		}
-		play.run.TakeUp = append(play.run.TakeUp, last.Sub(began).Seconds())
-		play.run.Answered = append(play.run.Answered, took)
+		m.run.TakeUp = append(m.run.TakeUp, last.Sub(began).Seconds())
+		m.run.Answered = append(m.run.Answered, took)
 		return nil
 	})
 }
 
 // claim claims at a steady rate; each claim has a task of its own, so that slow ones don't slow the others.
-func (play *play) claim() error {
+func (m *measurement) claimKeys() error {
 	var lock sync.Mutex
 	var work sync.WaitGroup
 	var took []float64
-	count := int(float64(play.size.Calls) * play.options.Window.Seconds())
-	err := play.spread(count, func(index int) error {
+	count := int(float64(m.size.Calls) * m.options.Window.Seconds())
+	err := m.spreadOverWindow(count, func(index int) error {
 		work.Add(1)
 		go func() {
 			defer work.Done()
 			began := time.Now()
-			granted, err := play.crowd.Claim(index%play.size.Carriers, fmt.Sprintf("service/key/%d", index), 5*monotonic.Second)
+			granted, err := m.pool.Claim(index%m.size.Proxies, fmt.Sprintf("service/key/%d", index), 5*monotonic.Second)
 			lock.Lock()
 			defer lock.Unlock()
 			if err != nil || !granted {
-				play.run.Claims.Other++
+				m.run.Claims.Other++
 				return
 			}
 			took = append(took, time.Since(began).Seconds())
@@ -372,30 +372,30 @@
 	})
 	work.Wait()
 	slices.Sort(took)
-	play.run.Claims.Granted = len(took)
+	m.run.Claims.Granted = len(took)
 	if len(took) > 0 {
-		play.run.Claims.P50, play.run.Claims.P99 = took[len(took)/2], took[len(took)*99/100]
+		m.run.Claims.P50, m.run.Claims.P99 = took[len(took)/2], took[len(took)*99/100]
 	}
 	return err
 }
 
-func (play *play) restart() error {
-	return play.spread(play.size.Restarts, func(index int) error { return play.crowd.Restart(index % play.size.Carriers) })
+func (m *measurement) restartProxies() error {
+	return m.spreadOverWindow(m.size.Restarts, func(index int) error { return m.pool.Restart(index % m.size.Proxies) })
 }
 
 // fail kills both primaries at once and sees how long the groups don't answer; then all carriers go, and return at once.
-func (play *play) fail() error {
-	if !play.options.Failures {
+func (m *measurement) measureFailures() error {
+	if !m.options.Failures {
 		return nil
 	}
-	result := &Failures{CutoffSecs: play.options.Patience.Seconds()}
-	play.run.Failures = result
+	result := &Failures{CutoffSecs: m.options.Patience.Seconds()}
+	m.run.Failures = result
 	killed := []*fleet.Process{}
-	standing, err := play.standing()
+	standing, err := m.awaitPrimaries()
 	if err != nil {
 		return err
 	}
-	for _, process := range play.fleet.Core() {
+	for _, process := range m.fleet.Core() {
 		if standing[process.Program].Primary == process.Name {
 			killed = append(killed, process)
 		}
@@ -405,22 +405,22 @@
 	}
 	began := time.Now()
 	var work sync.WaitGroup
-	for into, ask := range map[**float64]func() error{
+	for into, request := range map[**float64]func() error{
 		&result.Claims: func() error {
-			_, err := play.crowd.Claim(0, "service/after", monotonic.FromDuration(play.options.Patience))
+			_, err := m.pool.Claim(0, "service/after", monotonic.FromDuration(m.options.Patience))
 			return err
 		},
 		&result.Reads: func() error {
-			return play.call(postmasters, play.options.Patience, func(name string, left monotonic.Micros) error {
-				return play.book.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(left, 300*monotonic.Millisecond))
+			return m.call(configStoreGroup, m.options.Patience, func(name string, left monotonic.Micros) error {
+				return m.resolver.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(left, 300*monotonic.Millisecond))
 			})
 		},
-		&result.Applies: func() error { _, _, err := play.apply(play.options.Patience); return err },
+		&result.Applies: func() error { _, _, err := m.apply(m.options.Patience); return err },
 	} {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			if ask() == nil {
+			if request() == nil {
 				took := time.Since(began).Seconds()
 				*into = &took
 			}
@@ -428,38 +428,38 @@
 	}
 	work.Wait()
 	for _, process := range killed {
-		if err := play.fleet.Start(process, ""); err != nil {
+		if err := m.fleet.Start(process, ""); err != nil {
 			return err
 		}
 	}
-	if err := fleet.Await(killed, play.options.Patience); err != nil {
+	if err := fleet.AwaitReady(killed, m.options.Patience); err != nil {
 		return err
 	}
-	play.crowd.Leave()
+	m.pool.Leave()
 	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // all sessions end
-	return play.comeBack(result)
+	return m.measureReturn(result)
 }
 
-func (play *play) comeBack(result *Failures) error {
+func (m *measurement) measureReturn(result *Failures) error {
 	bytes := func() (total float64) {
-		for _, counted := range play.crowd.Kinds() {
+		for _, counted := range m.pool.Kinds() {
 			total += float64(counted.SentBytes + counted.ReceivedBytes)
 		}
 		return total
 	}
 	before, began := bytes(), time.Now()
-	if err := play.crowd.Arrive(0); err != nil {
+	if err := m.pool.Arrive(0); err != nil {
 		return err
 	}
 	for _, one := range []struct {
 		into  **float64
 		count func() int
-	}{{&result.Ready, play.crowd.Ready}, {&result.Whole, play.crowd.Whole}} {
-		if _, reached := until(play.options.Patience-time.Since(began), play.all(one.count)); reached {
+	}{{&result.Ready, m.pool.Ready}, {&result.Complete, m.pool.Complete}} {
+		if _, reached := pollUntil(m.options.Patience-time.Since(began), m.countsAll(one.count)); reached {
 			took := time.Since(began).Seconds()
 			*one.into = &took
 		}
 	}
-	result.Bytes = (bytes() - before) / float64(play.size.Carriers)
+	result.Bytes = (bytes() - before) / float64(m.size.Proxies)
 	return nil
 }
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -13,7 +13,7 @@
 
 // Size is one point that is played. Every figure is the whole mesh's.
 type Size struct {
-	Carriers int `json:"carriers"`
+	Proxies  int `json:"carriers"`
 	Services int `json:"services"`
 	Routes   int `json:"routes"`
 	Changes  int `json:"changes"`  // applies within the window
@@ -22,7 +22,7 @@
 }
 
 // Base is the point from which one figure at a time is moved.
-var Base = Size{Carriers: 50, Services: 10, Routes: 10, Changes: 4, Calls: 10}
+var Base = Size{Proxies: 50, Services: 10, Routes: 10, Changes: 4, Calls: 10}
 
 // Dimension is one figure of a size that is swept.
 type Dimension struct {
@@ -38,7 +38,7 @@
 
 // Dimensions are all that can be swept, in the order they are played.
 var Dimensions = []Dimension{
-	{Name: "carriers", Unit: "carrier", Sizes: []int{50, 200, 800}, Of: func(size *Size) *int { return &size.Carriers }, Failures: true},
+	{Name: "carriers", Unit: "carrier", Sizes: []int{50, 200, 800}, Of: func(size *Size) *int { return &size.Proxies }, Failures: true},
 	{Name: "services", Unit: "service", Sizes: []int{580}, Of: func(size *Size) *int { return &size.Services }},
 	{Name: "routes", Unit: "route", Sizes: []int{10000}, Of: func(size *Size) *int { return &size.Routes }},
 	{Name: "changes", Unit: "change a second", Sizes: []int{40}, Of: func(size *Size) *int { return &size.Changes }, PerWindow: true},
@@ -65,23 +65,23 @@
 }
 
 // At is the base with this dimension's figure moved.
-func (dimension Dimension) At(value int) Size {
+func (d Dimension) At(value int) Size {
 	size := Base
-	*dimension.Of(&size) = value
+	*d.Of(&size) = value
 	return size
 }
 
 // Along tells whether a size differs from the base in this dimension only.
-func (dimension Dimension) Along(size Size) bool {
+func (d Dimension) Along(size Size) bool {
 	moved := size
-	*dimension.Of(&moved) = *dimension.Of(&Base)
+	*d.Of(&moved) = *d.Of(&Base)
 	return moved == Base
 }
 
 // Value is what slopes go by.
-func (dimension Dimension) Value(run Run) float64 {
-	value := float64(*dimension.Of(&run.Size))
-	if dimension.PerWindow {
+func (d Dimension) Value(run Run) float64 {
+	value := float64(*d.Of(&run.Size))
+	if d.PerWindow {
 		return value / run.Seconds
 	}
 	return value
@@ -90,17 +90,17 @@
 // What a hollow carrier takes, with its part of the core's memory: buffers of its connections and its own, and one entry
 // of the directory for each other member, twice because garbage stays until it's collected.
 const (
-	coreBytes    = 6 * 60 << 20
-	carrierBytes = 1200 << 10
-	memberBytes  = 1600
-	routeBytes   = 2500 // at each carrier, and kept with each change at the postmasters
-	filesEach    = 7    // connections of a hollow carrier: one to each process of the core, and one to spare
+	coreBytes   = 6 * 60 << 20
+	proxyBytes  = 1200 << 10
+	memberBytes = 1600
+	routeBytes  = 2500 // at each carrier, and kept with each change at the postmasters
+	filesEach   = 7    // connections of a hollow carrier: one to each process of the core, and one to spare
 )
 
 // Estimate is the memory that a size may take, in bytes.
-func (size Size) Estimate() uint64 {
-	carriers := uint64(size.Carriers)
-	return coreBytes + carriers*carrierBytes + carriers*carriers*memberBytes + uint64(size.Routes)*routeBytes*(carriers+3*uint64(size.Changes))
+func (s Size) Estimate() uint64 {
+	carriers := uint64(s.Proxies)
+	return coreBytes + carriers*proxyBytes + carriers*carriers*memberBytes + uint64(s.Routes)*routeBytes*(carriers+3*uint64(s.Changes))
 }
 
 // Bounds are what a run may take of the machine.
@@ -127,21 +127,21 @@
 }
 
 // Check refuses a size before anything is started.
-func (bounds Bounds) Check(size Size) error {
-	for name, value := range map[string]int{"carriers": size.Carriers, "services": size.Services} {
+func (b Bounds) Check(size Size) error {
+	for name, value := range map[string]int{"carriers": size.Proxies, "services": size.Services} {
 		if value < 1 {
 			return fmt.Errorf("%s must be one at least", name)
 		}
 	}
-	if size.Carriers < 2 || size.Routes < 0 || size.Changes < 0 || size.Calls < 0 || size.Restarts < 0 {
+	if size.Proxies < 2 || size.Routes < 0 || size.Changes < 0 || size.Calls < 0 || size.Restarts < 0 {
 		return fmt.Errorf("%+v: there must be two carriers, and no figure below zero", size)
 	}
-	if estimate := size.Estimate(); estimate > bounds.Memory {
+	if estimate := size.Estimate(); estimate > b.Memory {
 		return fmt.Errorf("%d carriers with %d routes may take %d MB (%d KB each and %d bytes for each pair); half of this machine's memory is %d MB",
-			size.Carriers, size.Routes, estimate>>20, carrierBytes>>10, memberBytes, bounds.Memory>>20)
+			size.Proxies, size.Routes, estimate>>20, proxyBytes>>10, memberBytes, b.Memory>>20)
 	}
-	if files := uint64(size.Carriers)*filesEach + 200; files > bounds.Files {
-		return fmt.Errorf("%d carriers may take %d open files; a process may have %d", size.Carriers, files, bounds.Files)
+	if files := uint64(size.Proxies)*filesEach + 200; files > b.Files {
+		return fmt.Errorf("%d carriers may take %d open files; a process may have %d", size.Proxies, files, b.Files)
 	}
 	return nil
 }
@@ -163,9 +163,9 @@
 }
 
 // All sums up the kinds.
-func (role Role) All() (all Traffic) {
-	for _, name := range slices.Sorted(maps.Keys(role.Kinds)) {
-		counted := role.Kinds[name]
+func (r Role) All() (all Traffic) {
+	for _, name := range slices.Sorted(maps.Keys(r.Kinds)) {
+		counted := r.Kinds[name]
 		all.Sent, all.SentBytes = all.Sent+counted.Sent, all.SentBytes+counted.SentBytes
 		all.Received, all.ReceivedBytes = all.Received+counted.Received, all.ReceivedBytes+counted.ReceivedBytes
 	}
@@ -179,7 +179,7 @@
 	Reads      *float64 `json:"until_reads,omitempty"`   // until a postmaster gave the desired state again
 	Applies    *float64 `json:"until_applies,omitempty"` // until a change was acknowledged again
 	Ready      *float64 `json:"until_ready,omitempty"`   // from the carriers' return until each may be sent callers
-	Whole      *float64 `json:"until_whole,omitempty"`   // from the carriers' return until each sees all others
+	Complete   *float64 `json:"until_whole,omitempty"`   // from the carriers' return until each sees all others
 	Bytes      float64  `json:"bytes_until_whole"`       // of each carrier, from its return to Whole or the cutoff
 	CutoffSecs float64  `json:"cutoff_seconds"`
 }
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -20,13 +20,13 @@
 }
 
 // Check refuses what can't be played, before anything starts.
-func (plan Plan) Check(bounds Bounds) error {
-	if plan.Runs < 1 || plan.Window <= 0 || len(plan.Sizes) == 0 {
+func (p Plan) Check(bounds Bounds) error {
+	if p.Runs < 1 || p.Window <= 0 || len(p.Sizes) == 0 {
 		return fmt.Errorf("there must be a size, a run and a window at least")
 	}
-	for _, value := range plan.Sizes {
-		if err := bounds.Check(plan.Dimension.At(value)); err != nil {
-			return fmt.Errorf("%s %d: %w", plan.Dimension.Name, value, err)
+	for _, value := range p.Sizes {
+		if err := bounds.Check(p.Dimension.At(value)); err != nil {
+			return fmt.Errorf("%s %d: %w", p.Dimension.Name, value, err)
 		}
 	}
 	return nil
@@ -111,8 +111,8 @@
 
 // Changed tells whether a group's epoch changed within the window, to another primary or backup: then voters were asked for
 // promises.
-func (run Run) Changed(group string) bool {
-	for name, role := range run.Roles {
+func (r Run) Changed(group string) bool {
+	for name, role := range r.Roles {
 		if strings.HasPrefix(name, group+" ") && role.Kinds["register_promise"].Received > 0 {
 			return true
 		}
@@ -167,7 +167,7 @@
 		Figure{"until reads again", "s", failures(func(failures *Failures) *float64 { return failures.Reads })},
 		Figure{"until changes again", "s", failures(func(failures *Failures) *float64 { return failures.Applies })},
 		Figure{"until all are ready", "s", failures(func(failures *Failures) *float64 { return failures.Ready })},
-		Figure{"until all see all", "s", failures(func(failures *Failures) *float64 { return failures.Whole })})
+		Figure{"until all see all", "s", failures(func(failures *Failures) *float64 { return failures.Complete })})
 }
 
 // Kind is the figure of one role's bytes in messages of one kind.
@@ -179,8 +179,8 @@
 	}}
 }
 
-// Named gives a figure by its name.
-func Named(name string) (Figure, error) {
+// FindFigure gives a figure by its name.
+func FindFigure(name string) (Figure, error) {
 	for _, figure := range Figures() {
 		if figure.Name == name {
 			return figure, nil
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -27,18 +27,18 @@
 // long anything took. The failures' run takes the leases' time, so it stands apart and both go on at once.
 func TestTinySweep(t *testing.T) {
 	binaries := daemons(t)
-	calm := Size{Carriers: 5, Services: 7, Routes: 3, Changes: 2, Calls: 20}
-	troubled := calm
-	troubled.Restarts = 1
+	calm := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, Calls: 20}
+	withRestarts := calm
+	withRestarts.Restarts = 1
 	for name, course := range map[string]struct {
 		size     Size
 		failures bool
 		base     int
-	}{"calm": {calm, false, 243}, "failures": {troubled, true, 244}} {
+	}{"calm": {calm, false, 243}, "failures": {withRestarts, true, 244}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			options := Options{Window: tinyWindow, Patience: time.Minute, Failures: course.failures, Folder: t.TempDir(), Binaries: binaries, Base: course.base}
-			run, err := Play(course.size, options, 1)
+			run, err := RunSize(course.size, options, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -47,7 +47,7 @@
 			if (failures != nil) != course.failures {
 				t.Fatalf("failures: %+v", failures)
 			}
-			if failures != nil && (failures.Claims == nil || failures.Reads == nil || failures.Applies == nil || failures.Ready == nil || failures.Whole == nil || failures.Bytes <= 0) {
+			if failures != nil && (failures.Claims == nil || failures.Reads == nil || failures.Applies == nil || failures.Ready == nil || failures.Complete == nil || failures.Bytes <= 0) {
 				t.Errorf("failures: %+v", failures)
 			}
 			for _, figure := range Figures() {
@@ -68,8 +68,8 @@
 	if len(run.TakeUp) != size.Changes || len(run.Answered) != size.Changes {
 		t.Errorf("of %d changes, %d were timed at the carriers and %d at the operator", size.Changes, len(run.TakeUp), len(run.Answered))
 	}
-	if asked := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != asked || run.Claims.Granted == 0 {
-		t.Errorf("of %d claims %+v", asked, run.Claims)
+	if expected := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
+		t.Errorf("of %d claims %+v", expected, run.Claims)
 	}
 	for _, name := range roles {
 		role, known := run.Roles[name]
@@ -77,7 +77,7 @@
 			t.Errorf("%s: %+v", name, role)
 		}
 	}
-	if len(run.Roles) != len(roles) || run.Roles["carrier"].Processes != size.Carriers {
+	if len(run.Roles) != len(roles) || run.Roles["carrier"].Processes != size.Proxies {
 		t.Errorf("the roles are %v", run.Roles)
 	}
 	for role, kinds := range map[string][]string{"carrier": {"sorter_poll", "desired_poll", "whois", "claim"}, "sorter primary": {"sorter_poll", "claim", "replicate", "sessions_tell", "tenure_ask"},
@@ -99,7 +99,7 @@
 	plan := Plan{Dimension: dimension, Sizes: []int{50, 60, 70}, Runs: 2, Window: time.Second, Results: filepath.Join(t.TempDir(), "results")}
 	cut, said := errors.New("cut off"), 0
 	err = Sweep(plan, func(size Size, number int) (Run, error) {
-		if size.Carriers == 60 && number == 2 {
+		if size.Proxies == 60 && number == 2 {
 			return Run{}, cut
 		}
 		return Run{Size: size, Number: number, Seconds: 1, TakeUp: []float64{0.5}}, nil
@@ -130,11 +130,11 @@
 		size Size
 		want string
 	}{
-		"memory":      {Size{Carriers: 3200, Services: 1}, "half of this machine's memory is 4096 MB"},
-		"files":       {Size{Carriers: 2850, Services: 1}, "open files"},
+		"memory":      {Size{Proxies: 3200, Services: 1}, "half of this machine's memory is 4096 MB"},
+		"files":       {Size{Proxies: 2850, Services: 1}, "open files"},
 		"no carriers": {Size{Services: 1}, "carriers must be one at least"},
-		"no services": {Size{Carriers: 5}, "services must be one at least"},
-		"below zero":  {Size{Carriers: 5, Services: 1, Calls: -1}, "no figure below zero"},
+		"no services": {Size{Proxies: 5}, "services must be one at least"},
+		"below zero":  {Size{Proxies: 5, Services: 1, Calls: -1}, "no figure below zero"},
 	} {
 		bounds := bounds
 		if name == "files" {
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -405,7 +405,7 @@
 		}
 		statuses[name] = status
 	}
-	progress, found := rollout.Look(statuses)
+	progress, found := rollout.FromStatuses(statuses)
 	if !found || !progress.Done() || progress.Version != 2 || len(progress.Nodes) != 8 {
 		t.Errorf("%+v", progress)
 	}
--- a/internal/snowctl/changes.go
+++ b/internal/snowctl/changes.go
@@ -20,11 +20,11 @@
 )
 
 // printed shows a comparison, one resource a line.
-func printed(told api.Comparison) {
+func printChanges(comparison api.Comparison) {
 	for _, list := range []struct {
 		sign  string
 		items []changes.ResourceChange
-	}{{"+", told.Summary.Added}, {"~", told.Summary.Changed}, {"-", told.Summary.Removed}} {
+	}{{"+", comparison.Summary.Added}, {"~", comparison.Summary.Changed}, {"-", comparison.Summary.Removed}} {
 		for _, one := range list.items {
 			fmt.Printf("%s %s %s", list.sign, one.Kind, one.Name)
 			for index, field := range one.Fields {
@@ -33,34 +33,34 @@
 			fmt.Println()
 		}
 	}
-	fmt.Printf("%d added, %d changed, %d removed; %d bytes, the whole has %d\n", len(told.Summary.Added), len(told.Summary.Changed), len(told.Summary.Removed), told.DifferenceBytes, told.FullBytes)
+	fmt.Printf("%d added, %d changed, %d removed; %d bytes, the whole has %d\n", len(comparison.Summary.Added), len(comparison.Summary.Changed), len(comparison.Summary.Removed), comparison.DifferenceBytes, comparison.FullBytes)
 }
 
-func compared(shared *desks, method, path string, content []byte) (api.Comparison, error) {
-	var told api.Comparison
-	code, answer, err := shared.ask(method, path, content)
+func fetchChanges(client *apiClient, method, path string, content []byte) (api.Comparison, error) {
+	var comparison api.Comparison
+	code, answer, err := client.send(method, path, content)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("status %d: %s", code, answer)
 	}
 	if err == nil {
-		err = json.Unmarshal(answer, &told)
+		err = json.Unmarshal(answer, &comparison)
 	}
-	return told, err
+	return comparison, err
 }
 
 // preview shows what an apply of a content would change, and where.
-func preview(shared *desks, content []byte) error {
-	told, err := compared(shared, http.MethodPost, "/changes", content)
+func previewApply(client *apiClient, content []byte) error {
+	comparison, err := fetchChanges(client, http.MethodPost, "/changes", content)
 	if err != nil {
 		return err
 	}
-	printed(told)
-	fmt.Printf("it would follow serial %d, and go to %d nodes; nothing was applied\n", told.From, told.Proxies)
+	printChanges(comparison)
+	fmt.Printf("it would follow serial %d, and go to %d nodes; nothing was applied\n", comparison.From, comparison.Proxies)
 	return nil
 }
 
 // local reads a file, or gives nothing where the argument is a serial.
-func local(argument string) (*changes.Set, int, error) {
+func readSet(argument string) (*changes.Set, int, error) {
 	if _, err := strconv.ParseUint(argument, 10, 64); err == nil {
 		return nil, 0, nil
 	}
@@ -72,34 +72,34 @@
 	return set, len(content), err
 }
 
-func diff(shared *desks) *cobra.Command {
+func diffCommand(client *apiClient) *cobra.Command {
 	return &cobra.Command{Use: "diff A B", Short: "show in what B differs from A: two files, or two serials", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, arguments []string) error {
-		base, _, err := local(arguments[0])
+		base, _, err := readSet(arguments[0])
 		if err != nil {
 			return err
 		}
-		next, length, err := local(arguments[1])
+		next, length, err := readSet(arguments[1])
 		if err != nil {
 			return err
 		}
 		if (base == nil) != (next == nil) {
 			return daemon.NewUsageError(errors.New("name two files or two serials; a file against the newest serial is apply --preview"))
 		}
-		told := api.Comparison{FullBytes: length}
+		comparison := api.Comparison{FullBytes: length}
 		if base == nil {
-			if told, err = compared(shared, http.MethodGet, "/changes?from="+arguments[0]+"&to="+arguments[1], nil); err != nil {
+			if comparison, err = fetchChanges(client, http.MethodGet, "/changes?from="+arguments[0]+"&to="+arguments[1], nil); err != nil {
 				return err
 			}
 		} else {
 			difference := changes.Diff(base, next)
-			told.Summary = changes.Summarize(base, difference)
+			comparison.Summary = changes.Summarize(base, difference)
 			content, err := changes.Encode(difference, 0, config.Digest(nil))
 			if err != nil {
 				return err
 			}
-			told.DifferenceBytes = len(content)
+			comparison.DifferenceBytes = len(content)
 		}
-		printed(told)
+		printChanges(comparison)
 		return nil
 	}}
 }
@@ -107,23 +107,23 @@
 // errBehind ends rollout with exit code 1.
 var errBehind = errors.New("not every node has the newest version")
 
-func rollOut(shared *desks) *cobra.Command {
+func rolloutCommand(client *apiClient) *cobra.Command {
 	wait, asJSON := time.Duration(0), false
 	command := &cobra.Command{Use: "rollout", Short: "show which node has which version, or wait until all have the newest", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		addresses, err := shared.list()
+		addresses, err := client.addressList()
 		if err != nil {
 			return err
 		}
 		shown := ""
-		for cutoff := time.Now().Add(wait); ; time.Sleep(200 * time.Millisecond) {
-			mesh, err := doctor.Look(addresses, 5*time.Second)
-			progress, found := rollout.Look(mesh.Postmasters)
+		for deadline := time.Now().Add(wait); ; time.Sleep(200 * time.Millisecond) {
+			mesh, err := doctor.Gather(addresses, 5*time.Second)
+			progress, found := rollout.FromStatuses(mesh.ConfigStores)
 			if line := progress.Line(); found && line != shown && !asJSON {
 				shown = line
 				fmt.Println(line)
 			}
-			if found && progress.Done() || time.Now().After(cutoff) {
-				return ended(progress, found, asJSON, err)
+			if found && progress.Done() || time.Now().After(deadline) {
+				return reportRollout(progress, found, asJSON, err)
 			}
 		}
 	}}
@@ -133,7 +133,7 @@
 }
 
 // ended prints how a roll-out stands at the end.
-func ended(progress rollout.Progress, found, asJSON bool, err error) error {
+func reportRollout(progress rollout.Progress, found, asJSON bool, err error) error {
 	if !found {
 		return errors.Join(errors.New("no primary postmaster answered"), err)
 	}
--- a/internal/snowctl/doctor/sight.go
+++ b/internal/snowctl/doctor/groups.go
@@ -8,7 +8,7 @@
 )
 
 // sight is what a desk sees of one group of the core.
-type sight struct {
+type groupView struct {
 	group   string
 	voters  []string
 	seen    []string
@@ -17,38 +17,38 @@
 }
 
 // sights sorts the core's members by group. A voter that no member names isn't known of.
-func sights(mesh Mesh) (all []sight) {
+func groupViews(mesh Mesh) (all []groupView) {
 	for _, group := range []string{"postmaster", "sorter"} {
-		present := sight{group: group, members: map[string]replication.Status{}}
-		for _, member := range cores(mesh) {
+		view := groupView{group: group, members: map[string]replication.Status{}}
+		for _, member := range coreMembers(mesh) {
 			if member.Group == group {
-				present.voters = member.Voters
-				present.members[member.Name] = member
+				view.voters = member.Voters
+				view.members[member.Name] = member
 			}
 		}
-		for _, name := range present.voters {
-			if _, answered := present.members[name]; answered {
-				present.seen = append(present.seen, name)
+		for _, name := range view.voters {
+			if _, answered := view.members[name]; answered {
+				view.seen = append(view.seen, name)
 			} else {
-				present.missing = append(present.missing, name)
+				view.missing = append(view.missing, name)
 			}
 		}
-		all = append(all, present)
+		all = append(all, view)
 	}
 	return all
 }
 
 // split tells which part of the core this desk sees, and whether that part can decide.
-func split(mesh Mesh) (findings []Finding) {
-	for _, present := range sights(mesh) {
-		if len(present.missing) == 0 {
+func checkPartition(mesh Mesh) (findings []Finding) {
+	for _, view := range groupViews(mesh) {
+		if len(view.missing) == 0 {
 			continue
 		}
-		what := fmt.Sprintf("from this desk %v can be seen and %v can't", present.seen, present.missing)
-		if replication.HasQuorum(present.voters, present.seen) {
-			findings = append(findings, Finding{Watch, "split", what + ": those seen can decide", "bring the others back, or their way to these; until then no further machine may go"})
+		what := fmt.Sprintf("from this desk %v can be seen and %v can't", view.seen, view.missing)
+		if replication.HasQuorum(view.voters, view.seen) {
+			findings = append(findings, Finding{Warning, "split", what + ": those seen can decide", "bring the others back, or their way to these; until then no further machine may go"})
 		} else {
-			findings = append(findings, Finding{Ill, "split", what + ": those seen can't decide", "ask a desk on the other side, which may go on; bring the ways between them back"})
+			findings = append(findings, Finding{Unhealthy, "split", what + ": those seen can't decide", "ask a desk on the other side, which may go on; bring the ways between them back"})
 		}
 	}
 	return findings
@@ -58,9 +58,9 @@
 // that no roster has.
 func Safe(mesh Mesh, names []string) (unknown, objections []string) {
 	known := map[string]bool{}
-	for _, present := range sights(mesh) {
+	for _, view := range groupViews(mesh) {
 		leaving := 0
-		for _, name := range present.voters {
+		for _, name := range view.voters {
 			known[name] = true
 			if slices.Contains(names, name) {
 				leaving++
@@ -70,19 +70,19 @@
 			continue
 		}
 		object := func(format string, arguments ...any) {
-			objections = append(objections, present.group+"s: "+fmt.Sprintf(format, arguments...))
+			objections = append(objections, view.group+"s: "+fmt.Sprintf(format, arguments...))
 		}
 		if leaving > 1 {
 			object("only one process of a group may go at a time")
 		}
 		newest, answering := replication.Status{}, 0
-		for _, name := range present.seen {
-			if member := present.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
+		for _, name := range view.seen {
+			if member := view.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
 				newest = member
 			}
 		}
-		for _, name := range present.seen {
-			member := present.members[name]
+		for _, name := range view.seen {
+			member := view.members[name]
 			if member.Serving {
 				answering++
 			}
@@ -94,7 +94,7 @@
 				object("%s is behind, at epoch %d of %d", name, member.Epoch, newest.Epoch)
 			}
 		}
-		for _, name := range present.missing {
+		for _, name := range view.missing {
 			if !slices.Contains(names, name) {
 				object("%s doesn't answer", name)
 			}
@@ -103,7 +103,7 @@
 			object("no primary answers with a backup in step")
 		}
 		for _, name := range newest.ReplicaNames() {
-			if _, seen := present.members[name]; !seen && !slices.Contains(names, name) {
+			if _, seen := view.members[name]; !seen && !slices.Contains(names, name) {
 				object("the copy at %q can't be seen", name)
 			}
 		}
--- a/internal/snowctl/rollout/rollout.go
+++ b/internal/snowctl/rollout/rollout.go
@@ -15,12 +15,12 @@
 	Primary string `json:"primary"`
 	Version uint64 `json:"version"`
 	// Nodes are those that hold a lease, those furthest behind first, then those that took longest.
-	Nodes []configstore.LeaseStatus `json:"nodes"`
-	There int                       `json:"there"` // nodes that have the newest
+	Nodes    []configstore.LeaseStatus `json:"nodes"`
+	UpToDate int                       `json:"there"` // nodes that have the newest
 }
 
-// Look finds the primary among what the postmasters told.
-func Look(statuses map[string]configstore.Status) (Progress, bool) {
+// FromStatuses finds the primary among what the postmasters told.
+func FromStatuses(statuses map[string]configstore.Status) (Progress, bool) {
 	for name, status := range statuses {
 		if !status.Core.Serving {
 			continue
@@ -37,7 +37,7 @@
 		})
 		for _, node := range progress.Nodes {
 			if node.AdoptedVersion >= progress.Version {
-				progress.There++
+				progress.UpToDate++
 			}
 		}
 		return progress, true
@@ -53,42 +53,42 @@
 }
 
 // Done tells that every node has the newest version.
-func (progress Progress) Done() bool { return progress.There == len(progress.Nodes) }
+func (p Progress) Done() bool { return p.UpToDate == len(p.Nodes) }
 
 // Line is the progress in one line.
-func (progress Progress) Line() string {
-	text := fmt.Sprintf("version %d: %d of %d nodes", progress.Version, progress.There, len(progress.Nodes))
-	if len(progress.Nodes) == 0 {
+func (p Progress) Line() string {
+	text := fmt.Sprintf("version %d: %d of %d nodes", p.Version, p.UpToDate, len(p.Nodes))
+	if len(p.Nodes) == 0 {
 		return text
 	}
-	slowest := progress.Nodes[0]
-	if slowest.AdoptedVersion < progress.Version {
+	slowest := p.Nodes[0]
+	if slowest.AdoptedVersion < p.Version {
 		return text + fmt.Sprintf(", furthest behind %s at version %d", slowest.Proxy, slowest.AdoptedVersion)
 	}
 	if slowest.AdoptionMicros > 0 {
-		text += fmt.Sprintf(", slowest %s after %s", slowest.Proxy, micros(slowest.AdoptionMicros))
+		text += fmt.Sprintf(", slowest %s after %s", slowest.Proxy, formatMicros(slowest.AdoptionMicros))
 	}
 	return text
 }
 
 // Table lists every node: its version, since when it has it, and how long after the commit it gave its word.
-func (progress Progress) Table() string {
+func (p Progress) Table() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %10s %12s %12s\n", "node", "version", "ago", "took")
-	for _, node := range progress.Nodes {
+	for _, node := range p.Nodes {
 		took := "-" // this primary didn't see the commit
 		if node.AdoptionMicros > 0 {
-			took = micros(node.AdoptionMicros)
+			took = formatMicros(node.AdoptionMicros)
 		}
-		fmt.Fprintf(&text, "%-24s %10d %12s %12s\n", node.Proxy, node.AdoptedVersion, micros(node.AdoptedForMicros), took)
+		fmt.Fprintf(&text, "%-24s %10d %12s %12s\n", node.Proxy, node.AdoptedVersion, formatMicros(node.AdoptedForMicros), took)
 	}
 	return text.String()
 }
 
-func micros(count int64) string {
-	span := time.Duration(count) * time.Microsecond
-	if span >= 10*time.Second {
-		return span.Round(time.Second).String()
+func formatMicros(count int64) string {
+	duration := time.Duration(count) * time.Microsecond
+	if duration >= 10*time.Second {
+		return duration.Round(time.Second).String()
 	}
-	return span.Round(100 * time.Microsecond).String()
+	return duration.Round(100 * time.Microsecond).String()
 }
--- a/internal/snowctl/rollout/rollout_test.go
+++ b/internal/snowctl/rollout/rollout_test.go
@@ -13,7 +13,7 @@
 func TestProgress(t *testing.T) {
 	holders := []configstore.LeaseStatus{{Proxy: "b", AdoptedVersion: 7, AdoptedForMicros: 2000000, AdoptionMicros: 3100}, {Proxy: "a", AdoptedVersion: 7, AdoptedForMicros: 61000000, AdoptionMicros: 4200}, {Proxy: "c", AdoptedVersion: 6, AdoptedForMicros: 900000000}}
 	statuses := map[string]configstore.Status{"postmaster-1": {Version: 6}, "postmaster-2": {Core: replication.Status{Serving: true}, Version: 7, Leases: holders}}
-	progress, found := rollout.Look(statuses)
+	progress, found := rollout.FromStatuses(statuses)
 	if !found || progress.Done() || progress.Line() != "version 7: 2 of 3 nodes, furthest behind c at version 6" {
 		t.Error(progress, found, progress.Line())
 	}
@@ -24,11 +24,11 @@
 		}
 	}
 	statuses["postmaster-2"] = configstore.Status{Core: replication.Status{Serving: true}, Version: 7, Leases: holders[:2]}
-	if progress, _ := rollout.Look(statuses); !progress.Done() || progress.Line() != "version 7: 2 of 2 nodes, slowest a after 4.2ms" {
+	if progress, _ := rollout.FromStatuses(statuses); !progress.Done() || progress.Line() != "version 7: 2 of 2 nodes, slowest a after 4.2ms" {
 		t.Error(progress.Line())
 	}
 	delete(statuses, "postmaster-2")
-	if _, found := rollout.Look(statuses); found {
+	if _, found := rollout.FromStatuses(statuses); found {
 		t.Error("a postmaster that doesn't answer as primary was believed")
 	}
 }
--- a/internal/snowctl/clerk.go
+++ b/internal/snowctl/snowctl.go
@@ -24,21 +24,21 @@
 )
 
 // desks asks postmasters' doors in turn, until one answers.
-type desks struct {
-	addresses string
-	client    *http.Client
+type apiClient struct {
+	addresses  string
+	httpClient *http.Client
 }
 
-func (desks *desks) list() ([]string, error) {
-	if err := settings.CheckAddresses(desks.addresses); err != nil {
+func (c *apiClient) addressList() ([]string, error) {
+	if err := settings.CheckAddresses(c.addresses); err != nil {
 		return nil, daemon.NewUsageError(fmt.Errorf("--desks: %w", err))
 	}
-	return strings.Split(desks.addresses, ","), nil
+	return strings.Split(c.addresses, ","), nil
 }
 
 // ask sends one request to the first desk that answers with anything but a 503.
-func (desks *desks) ask(method, path string, body []byte) (int, []byte, error) {
-	addresses, err := desks.list()
+func (c *apiClient) send(method, path string, body []byte) (int, []byte, error) {
+	addresses, err := c.addressList()
 	if err != nil {
 		return 0, nil, err
 	}
@@ -48,7 +48,7 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		response, err := desks.client.Do(request)
+		response, err := c.httpClient.Do(request)
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -70,34 +70,34 @@
 
 // Root makes the command line.
 func Root() *cobra.Command {
-	shared := &desks{client: &http.Client{Timeout: 25 * time.Second}}
+	client := &apiClient{httpClient: &http.Client{Timeout: 25 * time.Second}}
 	root := &cobra.Command{Use: "snowctl", Short: "the operators' command line of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
-	root.PersistentFlags().StringVar(&shared.addresses, "desks", "127.0.0.1:7201", "addresses of postmasters' desks, with commas between")
+	root.PersistentFlags().StringVar(&client.addresses, "desks", "127.0.0.1:7201", "addresses of postmasters' desks, with commas between")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.NewUsageError(err) })
-	root.AddCommand(apply(shared), check(), get(shared), history(shared), diff(shared), rollOut(shared), status(shared), guard(), drain(), examine(shared), safe(shared))
+	root.AddCommand(applyCommand(client), checkCommand(), getCommand(client), historyCommand(client), diffCommand(client), rolloutCommand(client), statusCommand(client), breakerCommand(), drainCommand(), doctorCommand(client), safeCommand(client))
 	return root
 }
 
-func apply(shared *desks) *cobra.Command {
-	expected, request, before := "", "", false
+func applyCommand(client *apiClient) *cobra.Command {
+	expected, requestID, preview := "", "", false
 	command := &cobra.Command{Use: "apply FILE", Short: "apply a desired state; it's acknowledged once it's in force everywhere", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			content, err := os.ReadFile(arguments[0])
 			if err != nil {
 				return daemon.NewUsageError(err)
 			}
-			if before {
-				return preview(shared, content)
+			if preview {
+				return previewApply(client, content)
 			}
 			if expected == "" {
 				return daemon.NewUsageError(errors.New("--expected is needed: the serial this state follows, or any"))
 			}
-			if request == "" {
-				request = uuid.NewString()
+			if requestID == "" {
+				requestID = uuid.NewString()
 			}
-			code, answer, err := shared.ask(http.MethodPut, "/desired-state?expected="+expected+"&request="+request, content)
+			code, answer, err := client.send(http.MethodPut, "/desired-state?expected="+expected+"&request="+requestID, content)
 			if err != nil {
-				return fmt.Errorf("no certain outcome; apply again with --request %s: %w", request, err)
+				return fmt.Errorf("no certain outcome; apply again with --request %s: %w", requestID, err)
 			}
 			var applied api.ApplyResult
 			if err := json.Unmarshal(answer, &applied); err != nil {
@@ -113,12 +113,12 @@
 			return fmt.Errorf("%s:\n  %s", applied.Outcome, strings.Join(applied.Errors, "\n  "))
 		}}
 	command.Flags().StringVar(&expected, "expected", "", "the serial that this state follows, or any")
-	command.Flags().BoolVar(&before, "preview", false, "only show what it would change: routes, services and nodes")
-	command.Flags().StringVar(&request, "request", "", "request id; the same id again repeats an apply harmlessly")
+	command.Flags().BoolVar(&preview, "preview", false, "only show what it would change: routes, services and nodes")
+	command.Flags().StringVar(&requestID, "request", "", "request id; the same id again repeats an apply harmlessly")
 	return command
 }
 
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Short: "check a desired state without a mesh", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, arguments []string) error {
 		content, err := os.ReadFile(arguments[0])
 		if err != nil {
@@ -137,7 +137,7 @@
 }
 
 // show prints an answer's JSON, indented.
-func show(code int, answer []byte, err error) error {
+func printJSON(code int, answer []byte, err error) error {
 	if err != nil {
 		return err
 	}
@@ -152,68 +152,68 @@
 	return nil
 }
 
-func get(shared *desks) *cobra.Command {
+func getCommand(client *apiClient) *cobra.Command {
 	return &cobra.Command{Use: "get [SERIAL]", Short: "read a desired state back, the newest if no serial is named", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
-			return show(shared.ask(http.MethodGet, "/desired-state"+suffix(arguments), nil))
+			return printJSON(client.send(http.MethodGet, "/desired-state"+versionPath(arguments), nil))
 		}}
 }
 
-func suffix(arguments []string) string {
+func versionPath(arguments []string) string {
 	if len(arguments) == 0 {
 		return ""
 	}
 	return "/" + arguments[0]
 }
 
-func history(shared *desks) *cobra.Command {
+func historyCommand(client *apiClient) *cobra.Command {
 	return &cobra.Command{Use: "history", Short: "list every accepted desired state", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return show(shared.ask(http.MethodGet, "/history", nil))
+		return printJSON(client.send(http.MethodGet, "/history", nil))
 	}}
 }
 
-func status(shared *desks) *cobra.Command {
+func statusCommand(client *apiClient) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "show how the core, the carriers and the guards stand", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return show(shared.ask(http.MethodGet, "/status", nil))
+		return printJSON(client.send(http.MethodGet, "/status", nil))
 	}}
 }
 
 // carrier asks one carrier's desk.
-func carrier(address, method, path string) error {
+func sendToProxy(address, method, path string) error {
 	if err := settings.CheckAddress(address); err != nil {
 		return daemon.NewUsageError(err)
 	}
-	one := &desks{addresses: address, client: &http.Client{Timeout: 5 * time.Second}}
-	return show(one.ask(method, path, nil))
+	client := &apiClient{addresses: address, httpClient: &http.Client{Timeout: 5 * time.Second}}
+	return printJSON(client.send(method, path, nil))
 }
 
-func guard() *cobra.Command {
+func breakerCommand() *cobra.Command {
 	return &cobra.Command{Use: "guard DESK SERVICE force_open|disable|metrics_only|reset", Short: "set a manual control on one carrier", Args: cobra.ExactArgs(3),
 		RunE: func(_ *cobra.Command, arguments []string) error {
-			return carrier(arguments[0], http.MethodPost, "/guards/"+arguments[1]+"/"+arguments[2])
+			return sendToProxy(arguments[0], http.MethodPost, "/guards/"+arguments[1]+"/"+arguments[2])
 		}}
 }
 
-func drain() *cobra.Command {
+func drainCommand() *cobra.Command {
 	return &cobra.Command{Use: "drain DESK", Short: "have one carrier answer what it read and stop", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
-			return carrier(arguments[0], http.MethodPost, "/drain")
+			return sendToProxy(arguments[0], http.MethodPost, "/drain")
 		}}
 }
 
 // errUnsafe ends safe with exit code 1.
 var errUnsafe = errors.New("not safe to take away now")
 
-func safe(shared *desks) *cobra.Command {
+func safeCommand(client *apiClient) *cobra.Command {
 	wait := time.Duration(0)
 	command := &cobra.Command{Use: "safe NAME...", Short: "tell whether a core machine's processes may be stopped, moved or emptied now, or wait until they may",
 		Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, names []string) error {
-			addresses, err := shared.list()
+			addresses, err := client.addressList()
 			if err != nil {
 				return err
 			}
-			for cutoff := time.Now().Add(wait); ; time.Sleep(500 * time.Millisecond) {
-				mesh, err := doctor.Look(addresses, 5*time.Second)
+			for deadline := time.Now().Add(wait); ; time.Sleep(500 * time.Millisecond) {
+				mesh, err := doctor.Gather(addresses, 5*time.Second)
 				unknown, objections := doctor.Safe(mesh, names)
 				if err == nil && len(unknown) > 0 {
 					return daemon.NewUsageError(fmt.Errorf("no process of the core is named %v", unknown))
@@ -222,7 +222,7 @@
 					fmt.Println("safe")
 					return nil
 				}
-				if time.Now().After(cutoff) {
+				if time.Now().After(deadline) {
 					for _, objection := range objections {
 						fmt.Println(objection)
 					}
@@ -234,20 +234,20 @@
 	return command
 }
 
-// errUnwell ends the doctor with exit code 1 after its findings were printed.
-var errUnwell = errors.New("the mesh is not well")
+// errUnhealthy ends the doctor with exit code 1 after its findings were printed.
+var errUnhealthy = errors.New("the mesh is not well")
 
-func examine(shared *desks) *cobra.Command {
-	patience, asJSON := 5*time.Second, false
+func doctorCommand(client *apiClient) *cobra.Command {
+	timeout, asJSON := 5*time.Second, false
 	command := &cobra.Command{Use: "doctor", Short: "look for common faults; each finding says what to do", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		addresses, err := shared.list()
+		addresses, err := client.addressList()
 		if err != nil {
 			return err
 		}
-		if patience <= 0 {
+		if timeout <= 0 {
 			return daemon.NewUsageError(errors.New("--patience must be above zero"))
 		}
-		findings := doctor.Examine(addresses, patience)
+		findings := doctor.Examine(addresses, timeout)
 		if asJSON {
 			content, err := json.MarshalIndent(findings, "", "  ")
 			if err != nil {
@@ -259,12 +259,12 @@
 				fmt.Println(finding)
 			}
 		}
-		if doctor.Worst(findings) != doctor.Well {
-			return errUnwell
+		if doctor.MostSevere(findings) != doctor.Healthy {
+			return errUnhealthy
 		}
 		return nil
 	}}
-	command.Flags().DurationVar(&patience, "patience", patience, "how long the whole examination may take")
+	command.Flags().DurationVar(&timeout, "patience", timeout, "how long the whole examination may take")
 	command.Flags().BoolVar(&asJSON, "json", false, "print the findings as JSON")
 	return command
 }
