--- a/internal/knownred/ci/main.go
+++ b/internal/knownred/ci/main.go
@@ -10,17 +10,17 @@
 )
 
 func main() {
-	pass, err := run(os.Args[1:])
+	passed, err := run(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	if !pass {
+	if !passed {
 		os.Exit(1)
 	}
 }
 
-func run(arguments []string) (pass bool, err error) {
+func run(arguments []string) (passed bool, err error) {
 	content, err := os.ReadFile("KNOWN-RED.txt")
 	if err != nil {
 		return false, err
@@ -45,5 +45,5 @@
 	}
 	verdict := knownred.Judge(entries, seen, command.Wait() != nil)
 	fmt.Print(verdict.Text)
-	return verdict.Pass, nil
+	return verdict.Passed, nil
 }
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -52,10 +52,10 @@
 
 // outcome is what became of one test or package. Invariant: own holds what it said itself, without the go command's own lines.
 type outcome struct {
-	action string
-	output []string
-	own    bool
-	ended  bool // the testing package came to its own end with a failure, so that every test has run
+	action    string
+	output    []string
+	ownOutput bool
+	ended     bool // the testing package came to its own end with a failure, so that every test has run
 }
 
 // Run is everything that was seen of one run.
@@ -71,111 +71,111 @@
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, 64<<10), 64<<20)
 	for lines.Scan() {
-		told := event{}
-		if err := json.Unmarshal(lines.Bytes(), &told); err != nil || told.Action == "" {
+		seen := event{}
+		if err := json.Unmarshal(lines.Bytes(), &seen); err != nil || seen.Action == "" {
 			run.stray = append(run.stray, lines.Text())
 			continue
 		}
-		run.note(told)
+		run.record(seen)
 	}
 	return run, lines.Err()
 }
 
-func (run *Run) note(told event) {
-	if told.Package == "" { // of a build
-		if told.Output != "" {
-			run.stray = append(run.stray, strings.TrimSuffix(told.Output, "\n"))
+func (run *Run) record(seen event) {
+	if seen.Package == "" { // of a build
+		if seen.Output != "" {
+			run.stray = append(run.stray, strings.TrimSuffix(seen.Output, "\n"))
 		}
 		return
 	}
-	tests := run.packages[told.Package]
+	tests := run.packages[seen.Package]
 	if tests == nil {
 		tests = map[string]*outcome{}
-		run.packages[told.Package] = tests
+		run.packages[seen.Package] = tests
 	}
-	present := tests[told.Test]
+	present := tests[seen.Test]
 	if present == nil {
 		present = &outcome{}
-		tests[told.Test] = present
+		tests[seen.Test] = present
 	}
-	if told.Action != "output" {
-		present.action = told.Action
+	if seen.Action != "output" {
+		present.action = seen.Action
 		return
 	}
-	present.output = append(present.output, told.Output)
-	present.ended = present.ended || told.Output == "FAIL\n"
-	line := strings.TrimSpace(told.Output)
-	present.own = present.own || line != "" && !strings.HasPrefix(line, "=== ") && !strings.HasPrefix(line, "--- ")
+	present.output = append(present.output, seen.Output)
+	present.ended = present.ended || seen.Output == "FAIL\n"
+	line := strings.TrimSpace(seen.Output)
+	present.ownOutput = present.ownOutput || line != "" && !strings.HasPrefix(line, "=== ") && !strings.HasPrefix(line, "--- ")
 }
 
 // Verdict is what is said of a run. Invariant: for the same list and the same outcomes it's the same text.
 type Verdict struct {
-	Pass bool
-	Text string
+	Passed bool
+	Text   string
 }
 
 // Judge lets failures of listed tests pass, and nothing else. failed tells that the go command itself ended with a failure.
 func Judge(entries []Entry, run *Run, failed bool) Verdict {
-	verdict, said, red := Verdict{Pass: true}, &strings.Builder{}, map[string]bool{}
+	verdict, report, red := Verdict{Passed: true}, &strings.Builder{}, map[string]bool{}
 	for _, line := range run.stray {
-		fmt.Fprintln(said, line)
+		fmt.Fprintln(report, line)
 	}
 	explained := false
 	for _, name := range slices.Sorted(maps.Keys(run.packages)) {
 		tests := run.packages[name]
-		fails := run.look(entries, name, tests, red)
+		failures := run.unlistedFailures(entries, name, tests, red)
 		for _, test := range slices.Sorted(maps.Keys(tests)) {
 			if present := tests[test]; test == "" || present.action == "fail" {
-				said.WriteString(strings.Join(present.output, ""))
+				report.WriteString(strings.Join(present.output, ""))
 			}
 		}
-		for _, fail := range fails {
-			fmt.Fprintf(said, "not known: %s\n", fail)
-			verdict.Pass = false
+		for _, failure := range failures {
+			fmt.Fprintf(report, "not known: %s\n", failure)
+			verdict.Passed = false
 		}
 		explained = explained || tests[""] != nil && tests[""].action == "fail"
 	}
 	if failed && !explained {
-		fmt.Fprintln(said, "not known: the go command failed, and no package says why")
-		verdict.Pass = false
+		fmt.Fprintln(report, "not known: the go command failed, and no package says why")
+		verdict.Passed = false
 	}
 	for _, entry := range entries {
-		run.tell(said, entry, red)
+		run.reportEntry(report, entry, red)
 	}
-	verdict.Text = said.String()
+	verdict.Text = report.String()
 	return verdict
 }
 
 // look gives what failed in a package and isn't let pass, and marks the entries that are red.
-func (run *Run) look(entries []Entry, name string, tests map[string]*outcome, red map[string]bool) (fails []string) {
-	place, covered, failing := strings.TrimPrefix(name, run.module+"/"), map[string]bool{}, 0
+func (run *Run) unlistedFailures(entries []Entry, name string, tests map[string]*outcome, red map[string]bool) (failures []string) {
+	folder, covered, failing := strings.TrimPrefix(name, run.module+"/"), map[string]bool{}, 0
 	for _, test := range slices.Sorted(maps.Keys(tests)) {
 		present := tests[test]
 		if test == "" || present.action != "fail" && present.action != "" && present.action != "run" {
 			continue
 		}
 		if present.action != "fail" {
-			fails = append(fails, place+"."+test+" did not end")
+			failures = append(failures, folder+"."+test+" did not end")
 			continue
 		}
 		failing++
 		for _, entry := range entries {
-			if listed := strings.TrimPrefix(entry.Test, place+"."); listed != entry.Test && (listed == test || strings.HasPrefix(test, listed+"/")) {
+			if listed := strings.TrimPrefix(entry.Test, folder+"."); listed != entry.Test && (listed == test || strings.HasPrefix(test, listed+"/")) {
 				covered[test], red[entry.Test] = true, true
 			}
 		}
 	}
 	for _, test := range slices.Sorted(maps.Keys(tests)) {
 		if test != "" && tests[test].action == "fail" && !covered[test] && !onlyBelow(test, tests, covered) {
-			fails = append(fails, place+"."+test)
+			failures = append(failures, folder+"."+test)
 		}
 	}
-	if whole := tests[""]; whole != nil && whole.action == "fail" && (failing == 0 || !whole.ended) {
-		fails = append(fails, place+" failed otherwise than by a test")
-	} else if whole == nil || whole.action != "fail" && whole.action != "pass" && whole.action != "skip" {
-		fails = append(fails, place+" did not end")
+	if packageOutcome := tests[""]; packageOutcome != nil && packageOutcome.action == "fail" && (failing == 0 || !packageOutcome.ended) {
+		failures = append(failures, folder+" failed otherwise than by a test")
+	} else if packageOutcome == nil || packageOutcome.action != "fail" && packageOutcome.action != "pass" && packageOutcome.action != "skip" {
+		failures = append(failures, folder+" did not end")
 	}
-	return fails
+	return failures
 }
 
 // onlyBelow tells whether a test failed for nothing but tests below it that are let pass: it says nothing itself.
@@ -189,17 +189,17 @@
 			below = true
 		}
 	}
-	return below && !tests[test].own
+	return below && !tests[test].ownOutput
 }
 
 // tell says how an entry's test did, if its package was run.
-func (run *Run) tell(said *strings.Builder, entry Entry, red map[string]bool) {
+func (run *Run) reportEntry(report *strings.Builder, entry Entry, red map[string]bool) {
 	if red[entry.Test] {
-		fmt.Fprintf(said, "known red: %s, %s, %s\n", entry.Test, entry.Cause, entry.Issue)
+		fmt.Fprintf(report, "known red: %s, %s, %s\n", entry.Test, entry.Cause, entry.Issue)
 		return
 	}
-	place, test, _ := strings.Cut(entry.Test, ".Test")
-	tests := run.packages[run.module+"/"+place]
+	folder, test, _ := strings.Cut(entry.Test, ".Test")
+	tests := run.packages[run.module+"/"+folder]
 	if tests == nil {
 		return
 	}
@@ -210,5 +210,5 @@
 			how = "did not end"
 		}
 	}
-	fmt.Fprintf(said, "listed as red: %s %s\n", entry.Test, how)
+	fmt.Fprintf(report, "listed as red: %s %s\n", entry.Test, how)
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -46,20 +46,20 @@
 			}
 			fmt.Fprintf(stream, "{\"Action\":%q,\"Package\":\"snowflow/%s\",\"Test\":%q}\n", words[2], words[0], words[1])
 		}
-		told := ""
+		first := ""
 		for turn := range 5 {
 			run, err := knownred.Read("snowflow", strings.NewReader(stream.String()))
 			if err != nil {
 				t.Fatal(err)
 			}
 			verdict := knownred.Judge(entries, run, failed)
-			if text := fmt.Sprintf("pass %v\n%s", verdict.Pass, verdict.Text); turn > 0 && text != told {
+			if text := fmt.Sprintf("pass %v\n%s", verdict.Passed, verdict.Text); turn > 0 && text != first {
 				t.Errorf("another verdict on the same run: %s", text)
 			} else {
-				told = text
+				first = text
 			}
 		}
-		return told
+		return first
 	})
 }
 
@@ -122,8 +122,8 @@
 	for _, step := range []struct {
 		what, list string
 		change     func()
-		pass       bool
-		told       []string
+		passed     bool
+		expected   []string
 	}{
 		{"without a list", "", func() {}, false, []string{"--- FAIL: TestBad"}},
 		{"all are listed", bad + tree, func() {}, true, []string{"known red: one.TestBad, it was never good, 7", "known red: one.TestTree/bad, nor was this, 8", "snowflow/two"}},
@@ -134,13 +134,13 @@
 		{"what doesn't build", bad + tree, func() { write("one/two_test.go", "package one\n\nimport \"nothing\"\n") }, false, nil},
 	} {
 		step.change()
-		pass, output := ci(step.list)
-		if pass != step.pass {
-			t.Errorf("%s: pass %v\n%s", step.what, pass, output)
+		passed, output := ci(step.list)
+		if passed != step.passed {
+			t.Errorf("%s: pass %v\n%s", step.what, passed, output)
 		}
-		for _, told := range step.told {
-			if !strings.Contains(output, told) {
-				t.Errorf("%s: %q isn't told\n%s", step.what, told, output)
+		for _, expected := range step.expected {
+			if !strings.Contains(output, expected) {
+				t.Errorf("%s: %q isn't told\n%s", step.what, expected, output)
 			}
 		}
 	}
