--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -60,7 +60,7 @@
 }
 
 // keep hands states to an archive and waits until it holds so many commits.
-func keep(t *testing.T, path string, states []*wire.StoredConfig) (contents, hashes []string) {
+func archiveAll(t *testing.T, path string, states []*wire.StoredConfig) (contents, hashes []string) {
 	t.Helper()
 	archive.Open(path, func(err error) { t.Error(err) }).Enqueue(states)
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -85,7 +85,7 @@
 	if err := os.RemoveAll(storedArchive); err != nil {
 		t.Fatal(err)
 	}
-	keep(t, storedArchive, archivedStates(1))
+	archiveAll(t, storedArchive, archivedStates(1))
 }
 
 // TestStoredArchive: the present code goes on with an archive that an earlier build wrote, in place of writing it anew, and the same states make the same commits.
@@ -109,14 +109,14 @@
 	if err := os.WriteFile(witness, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	_, grown := keep(t, continued, archivedStates(0))
+	_, grown := archiveAll(t, continued, archivedStates(0))
 	if _, err := os.Stat(witness); err != nil {
 		t.Errorf("the archive was written anew: %v", err)
 	}
 	if slices.Reverse(grown); !slices.Equal(grown[:len(hashes)], hashes) {
 		t.Errorf("%v does not continue %v", grown, hashes)
 	}
-	_, fresh := keep(t, anew, archivedStates(1))
+	_, fresh := archiveAll(t, anew, archivedStates(1))
 	if slices.Reverse(fresh); !slices.Equal(fresh, hashes) {
 		t.Errorf("the same states make other commits: %v, not %v", fresh, hashes)
 	}
--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -34,11 +34,11 @@
 
 // openConfig is what the programs of both groups are opened with.
 type openConfig struct {
-	place  host.Host
-	book   *discovery.Resolver
-	table  host.Handlers
-	name   string
-	adjust func(*replication.Config)
+	node     host.Host
+	resolver *discovery.Resolver
+	table    host.Handlers
+	name     string
+	adjust   func(*replication.Config)
 }
 
 var registryGroup = storedGroup{title: "registry", name: registry.Group, files: []string{"sorter.register", "sorter.journal", "addresses"}, compactFrom: 1500, open: openRegistry}
@@ -46,7 +46,7 @@
 var configStoreGroup = storedGroup{title: "configstore", name: configstore.Group, files: []string{"postmaster.register", "postmaster.journal", "addresses"}, compactFrom: 900, open: openConfigStore}
 
 func openRegistry(process *process, config openConfig) (*replication.Member, error) {
-	opened, err := registry.Open(registry.Config{Host: config.place, Resolver: config.book, Name: config.name, Voters: memberNames, Bootstrap: true, ConfigureReplication: config.adjust})
+	opened, err := registry.Open(registry.Config{Host: config.node, Resolver: config.resolver, Name: config.name, Voters: memberNames, Bootstrap: true, ConfigureReplication: config.adjust})
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 }
 
 func openConfigStore(process *process, config openConfig) (*replication.Member, error) {
-	opened, err := configstore.Open(configstore.Options{Host: config.place, Resolver: config.book, Name: config.name, Voters: memberNames, Bootstrap: true, AdjustReplication: config.adjust})
+	opened, err := configstore.Open(configstore.Options{Host: config.node, Resolver: config.resolver, Name: config.name, Voters: memberNames, Bootstrap: true, AdjustReplication: config.adjust})
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 // process is one member's process; registry or configStore is nil.
 type process struct {
 	node        *world.Node
-	place       *world.Host
+	nodeHost    *world.Host
 	member      *replication.Member
 	registry    *registry.Registry
 	configStore *configstore.Server
@@ -90,13 +90,13 @@
 	started.world.OnStop = func(node *world.Node, why string) { started.stopped = append(started.stopped, node.Name+": "+why) }
 	for index, name := range memberNames {
 		one := &process{}
-		one.node = started.world.Add(name, name+":"+group.name, name, func(place *world.Host) (host.Handlers, error) {
-			config := openConfig{place: place, name: name, table: host.Handlers{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
-			one.place = place
-			config.book = discovery.New(place, &wire.PeerAddress{Name: name, Address: place.Node().Address, Group: group.name}, seedAddresses(group))
-			config.book.Persist(place.Disk())
-			config.book.Register(config.table)
-			place.Go(func() { config.book.Run(monotonic.Second) })
+		one.node = started.world.Add(name, name+":"+group.name, name, func(nodeHost *world.Host) (host.Handlers, error) {
+			config := openConfig{node: nodeHost, name: name, table: host.Handlers{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
+			one.nodeHost = nodeHost
+			config.resolver = discovery.New(nodeHost, &wire.PeerAddress{Name: name, Address: nodeHost.Node().Address, Group: group.name}, seedAddresses(group))
+			config.resolver.Persist(nodeHost.Disk())
+			config.resolver.Register(config.table)
+			nodeHost.Go(func() { config.resolver.Run(monotonic.Second) })
 			member, err := group.open(one, config)
 			one.member = member
 			return config.table, err
@@ -152,7 +152,9 @@
 }
 
 // pass lets simulated time pass.
-func (cluster *cluster) pass(span monotonic.Micros) { cluster.world.Run(cluster.world.Now() + span) }
+func (cluster *cluster) advance(duration monotonic.Micros) {
+	cluster.world.Run(cluster.world.Now() + duration)
+}
 
 // leader gives the process that answers as its group's leader, or nil.
 func (cluster *cluster) leader() *process {
@@ -179,11 +181,11 @@
 		if waited > leaderWithin {
 			t.Fatalf("no leader answers; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
-		cluster.pass(50 * monotonic.Millisecond)
+		cluster.advance(50 * monotonic.Millisecond)
 	}
 	leader, err, ended := cluster.leader(), error(nil), false
-	leader.place.Go(func() { err, ended = work(leader), true })
-	for began := cluster.world.Now(); !ended; cluster.pass(monotonic.Millisecond) {
+	leader.nodeHost.Go(func() { err, ended = work(leader), true })
+	for began := cluster.world.Now(); !ended; cluster.advance(monotonic.Millisecond) {
 		if cluster.world.Now()-began > workWithin || cluster.world.Panicked != nil {
 			t.Fatalf("the task does not end; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -101,11 +101,11 @@
 		ReadAt: &wire.LeaderTimestamp{Epoch: 1 << 40, Time: 1 << 50}}}
 }
 
-var breakerTerms = &wire.BreakerSettings{WaitOpen: int64(100 * monotonic.Second), Permitted: 4, FailureRate: 0.5, ProbeLease: int64(10 * monotonic.Second),
+var breakerSettings = &wire.BreakerSettings{WaitOpen: int64(100 * monotonic.Second), Permitted: 4, FailureRate: 0.5, ProbeLease: int64(10 * monotonic.Second),
 	StateTtl: int64(600 * monotonic.Second), MinimumReporters: 2}
 
-func tripOf(service, proxy string) *wire.RegistryCommand {
-	return &wire.RegistryCommand{Breaker: &wire.BreakerWriteRequest{Service: service, Verb: "trip", ExpectedVersion: 1, Proxy: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Settings: breakerTerms}}
+func tripReportOf(service, proxy string) *wire.RegistryCommand {
+	return &wire.RegistryCommand{Breaker: &wire.BreakerWriteRequest{Service: service, Verb: "trip", ExpectedVersion: 1, Proxy: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Settings: breakerSettings}}
 }
 
 func writeRegistry(t *testing.T, started *cluster) {
@@ -114,7 +114,7 @@
 			&wire.RegistryCommand{Complete: &wire.CompleteClaimRequest{Scope: "order-2", Attempt: "attempt-1"}},
 			&wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: "order-3", Attempt: "attempt-1"}},
 			&wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: "order-4", Fence: true}},
-			tripOf("invoices", "proxy-1"), tripOf("invoices", "proxy-2"), tripOf("parts", "proxy-1"))
+			tripReportOf("invoices", "proxy-1"), tripReportOf("invoices", "proxy-2"), tripReportOf("parts", "proxy-1"))
 		for number := range 12 {
 			if err == nil {
 				err = submitAll(leader, claimOf(fmt.Sprintf("early-%d", number), "attempt-1", "proxy-1"))
@@ -126,7 +126,7 @@
 		leader.member.TransferLeadership("a planned change of leader")
 		return nil
 	})
-	started.pass(3 * monotonic.Second)
+	started.advance(3 * monotonic.Second)
 	started.onLeader(t, func(leader *process) error {
 		return submitAll(leader, &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: "nightly", Proxy: "proxy-3", Instance: "instance-1", Duration: int64(30 * monotonic.Second)}},
 			claimOf("late-1", "attempt-1", "proxy-1"), claimOf("late-2", "attempt-1", "proxy-2"), claimOf("last", "attempt-1", "proxy-1"))
@@ -187,33 +187,33 @@
 
 func requestOf(version uint64) string { return fmt.Sprintf("request-%d", version) }
 
-func applyVersion(leader *process, ask *wire.ConfigApplyRequest) error {
-	tell, err := leader.configStore.Apply(ask)
-	if err == nil && tell.Outcome != "accepted" {
-		err = fmt.Errorf("%d: %s %v", ask.Version, tell.Outcome, tell.Errors)
+func applyVersion(leader *process, request *wire.ConfigApplyRequest) error {
+	response, err := leader.configStore.Apply(request)
+	if err == nil && response.Outcome != "accepted" {
+		err = fmt.Errorf("%d: %s %v", request.Version, response.Outcome, response.Errors)
 	}
 	return err
 }
 
 func writeConfigurations(t *testing.T, started *cluster) {
-	started.pass(10 * monotonic.Second)
+	started.advance(10 * monotonic.Second)
 	for index, version := range acceptedVersions[:len(acceptedVersions)-1] {
-		ask := &wire.ConfigApplyRequest{Content: configurationOf(version), Request: requestOf(version), Version: version}
+		request := &wire.ConfigApplyRequest{Content: configurationOf(version), Request: requestOf(version), Version: version}
 		if index == 2 {
 			base := configurationOf(acceptedVersions[1])
-			difference, err := delta.Encode(base, ask.Content)
+			difference, err := delta.Encode(base, request.Content)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ask.Content, ask.Delta, ask.Base = nil, difference, config.Digest(base)
+			request.Content, request.Delta, request.Base = nil, difference, config.Digest(base)
 		}
-		started.onLeader(t, func(leader *process) error { return applyVersion(leader, ask) })
+		started.onLeader(t, func(leader *process) error { return applyVersion(leader, request) })
 		if index == 3 {
 			started.onLeader(t, func(leader *process) error {
 				leader.member.TransferLeadership("a planned change of leader")
 				return nil
 			})
-			started.pass(3 * monotonic.Second)
+			started.advance(3 * monotonic.Second)
 		}
 	}
 	last := acceptedVersions[len(acceptedVersions)-1]
@@ -228,28 +228,28 @@
 	var answers []string
 	started.onLeader(t, func(leader *process) error {
 		for _, version := range acceptedVersions {
-			tell, err := leader.configStore.ReadStates(&wire.ConfigReadRequest{Version: version})
+			response, err := leader.configStore.ReadStates(&wire.ConfigReadRequest{Version: version})
 			if err != nil {
 				return err
 			}
-			answers = append(answers, fmt.Sprintf("version %d: %s", version, encoded(tell)))
-			if len(tell.Versions) == 1 && string(tell.Versions[0].Content) != string(configurationOf(version)) {
-				return fmt.Errorf("version %d has the content %q", version, tell.Versions[0].Content)
+			answers = append(answers, fmt.Sprintf("version %d: %s", version, encoded(response)))
+			if len(response.Versions) == 1 && string(response.Versions[0].Content) != string(configurationOf(version)) {
+				return fmt.Errorf("version %d has the content %q", version, response.Versions[0].Content)
 			}
 		}
 		list, err := leader.configStore.ReadStates(&wire.ConfigReadRequest{List: true})
 		if err != nil {
 			return err
 		}
-		if kept := len(list.Versions); kept != len(acceptedVersions) && kept != len(acceptedVersions)-1 {
-			return fmt.Errorf("%d versions are listed", kept)
+		if listed := len(list.Versions); listed != len(acceptedVersions) && listed != len(acceptedVersions)-1 {
+			return fmt.Errorf("%d versions are listed", listed)
 		}
 		// A number that was acknowledged stands for one content, also after a restart.
-		tell, err := leader.configStore.Apply(&wire.ConfigApplyRequest{Content: configuration("another"), Version: acceptedVersions[0]})
+		response, err := leader.configStore.Apply(&wire.ConfigApplyRequest{Content: configuration("another"), Version: acceptedVersions[0]})
 		if err != nil {
 			return err
 		}
-		answers[0] += fmt.Sprintf("\nversion %d with another content: %s", acceptedVersions[0], tell.Outcome)
+		answers[0] += fmt.Sprintf("\nversion %d with another content: %s", acceptedVersions[0], response.Outcome)
 		return nil
 	})
 	return strings.Join(answers[:len(answers)-1], "\n") + "\n", answers[len(answers)-1] + "\n"
@@ -297,22 +297,22 @@
 	for _, group := range []storedGroup{registryGroup, configStoreGroup} {
 		for index, files := range storedFolders(t, group) {
 			for _, name := range group.files {
-				whole, cut := readRecords(t, files[name])
+				allRecords, cut := readRecords(t, files[name])
 				if cut != 0 {
 					t.Errorf("%s: %d bytes cut of a whole file", name, cut)
 				}
-				fmt.Fprintf(text, "%s %s %s: %d bytes, %d records\n", group.title, memberNames[index], name, len(files[name]), len(whole))
+				fmt.Fprintf(text, "%s %s %s: %d bytes, %d records\n", group.title, memberNames[index], name, len(files[name]), len(allRecords))
 				before := 0
-				for number, record := range whole {
+				for number, record := range allRecords {
 					fmt.Fprintf(text, "  %s\n", hex.EncodeToString([]byte(record)))
-					if number < len(whole)-1 {
+					if number < len(allRecords)-1 {
 						before += recordHeader + len(record)
 					}
 				}
 				for length := before; length < len(files[name]); length++ {
 					records, cut := readRecords(t, files[name][:length])
-					if len(records) != len(whole)-1 || cut != int64(length-before) {
-						t.Fatalf("%s cut to %d bytes: %d records of %d, %d bytes cut, not %d", name, length, len(records), len(whole), cut, length-before)
+					if len(records) != len(allRecords)-1 || cut != int64(length-before) {
+						t.Fatalf("%s cut to %d bytes: %d records of %d, %d bytes cut, not %d", name, length, len(records), len(allRecords), cut, length-before)
 					}
 				}
 			}
