--- a/internal/registry/breakerstore/change_tracker.go
+++ b/internal/registry/breakerstore/change_tracker.go
@@ -8,19 +8,23 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ChangeTracker numbers the records as they are shown to carriers, so that each is told only what changed since it last asked. Nothing of it is
-// replicated: another process, or another life, has another source, and whoever names that is told all.
+// ChangeTracker numbers the changes of the records that Observe sees, so that a polling proxy is sent only what changed since
+// its last poll. It is local to one process: another process, or a later incarnation of this one, has another source, and a
+// proxy that names a different source gets all records. It is safe for concurrent use.
 //
-// Invariants: version rises whenever any record differs from what it was; a record's number is the version at which it became what it is;
-// whoever has a version from whole on lacks no record that is gone.
+// Invariants:
+//   - version rises whenever Observe finds a record that differs, is new or is gone;
+//   - versionedRecord.version is the version at which the record became what it is;
+//   - a proxy that has a version of at least lastRemoval holds no record that has been removed since.
 type ChangeTracker struct {
-	lock          sync.Mutex
-	source        uint64
+	source uint64 // set once
+
+	lock          sync.Mutex // guards the fields below
 	version       uint64
 	lastRemoval   uint64
-	observed      bool // touched is what the table had when it was last looked at
+	observed      bool // whether tableRevision is set
 	tableRevision uint64
-	services      []string // of the records
+	services      []string // sorted
 	records       map[string]versionedRecord
 }
 
@@ -29,12 +33,13 @@
 	version uint64
 }
 
-// NewChangeTracker makes one; source is a number that no other life has, and not zero.
+// NewChangeTracker returns a tracker without records. The source must be unique to this incarnation of the process and not
+// zero.
 func NewChangeTracker(source uint64) *ChangeTracker {
 	return &ChangeTracker{source: source, records: map[string]versionedRecord{}}
 }
 
-// Observe takes the table's present records in. The table must not change meanwhile.
+// Observe compares the table's records with those seen before. The caller must keep the table from changing meanwhile.
 func (c *ChangeTracker) Observe(table *Table) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -42,39 +47,52 @@
 		return
 	}
 	c.observed, c.tableRevision = true, table.Revision()
-	next, records, changed := c.version+1, table.Records(), c.version == 0
+	records := table.Records()
+	next, changed := c.version+1, c.version == 0
 	c.services = c.services[:0]
 	for _, record := range records {
 		c.services = append(c.services, record.Service)
 		if present, found := c.records[record.Service]; !found || !proto.Equal(present.record, record) {
-			c.records[record.Service], changed = versionedRecord{record, next}, true
+			c.records[record.Service] = versionedRecord{record, next}
+			changed = true
 		}
 	}
-	if len(c.records) != len(records) { // some are gone
-		present := make(map[string]versionedRecord, len(records))
-		for _, service := range c.services {
-			present[service] = c.records[service]
-		}
-		c.records, c.lastRemoval, changed = present, next, true
+	if len(c.records) != len(records) {
+		c.removeMissing()
+		c.lastRemoval = next
+		changed = true
 	}
 	if changed {
 		c.version = next
 	}
 }
 
-// Change is what somebody lacks of the records. They aren't to be changed.
+// removeMissing removes the records whose service is not in services. The lock is held.
+func (c *ChangeTracker) removeMissing() {
+	present := make(map[string]versionedRecord, len(c.services))
+	for _, service := range c.services {
+		present[service] = c.records[service]
+	}
+	c.records = present
+}
+
+// Change is what a proxy lacks of the records. The records are shared and must not be changed.
 type Change struct {
-	Records         []*wire.BreakerRecord
-	Incremental     bool // Records are those that changed, and no more
+	Records []*wire.BreakerRecord
+	// Incremental means that Records holds only those that changed, and that the proxy keeps its others. Otherwise Records
+	// holds all there are.
+	Incremental bool
+	// Source and Version are what the proxy names in its next poll.
 	Source, Version uint64
 }
 
-// Since gives what whoever took a version of a source lacks: the records that changed since, or all.
+// Since returns what a proxy lacks that has a version of a source: the records that changed since, or all if the source is
+// another, if records were removed since, or if the version is zero or unknown.
 func (c *ChangeTracker) Since(source, version uint64) Change {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	change := Change{Source: c.source, Version: c.version}
-	change.Incremental = source == c.source && version >= c.lastRemoval && version <= c.version && version > 0
+	change.Incremental = source == c.source && version > 0 && version >= c.lastRemoval && version <= c.version
 	for _, service := range c.services {
 		if present := c.records[service]; !change.Incremental || present.version > version {
 			change.Records = append(change.Records, present.record)
--- a/internal/registry/breakerstore/change_tracker_test.go
+++ b/internal/registry/breakerstore/change_tracker_test.go
@@ -13,7 +13,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// asker is a carrier as far as guards' records go.
+// proxyClient holds the breaker records as a polling proxy does.
 type proxyClient struct {
 	source, version uint64
 	records         map[string]*wire.BreakerRecord
@@ -41,8 +41,8 @@
 	return records
 }
 
-// TestIncrementalUpdatesMatchFullUpdates: a carrier that is told only what changed has the same records as one that is told all, whatever trips, probes,
-// waits and ends go over the table, whichever answers are lost, whoever leads, and also after a copy was replaced by another.
+// TestIncrementalUpdatesMatchFullUpdates checks that a proxy which is sent only changes holds the same records as the table, under
+// random trips, probes, waits and ended sessions, lost responses, changes of the leader, and replicas restored from a snapshot.
 func TestIncrementalUpdatesMatchFullUpdates(t *testing.T) {
 	terms := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	for seed := range uint64(60) {
@@ -61,7 +61,7 @@
 				if record := byService(table)[service]; record != nil {
 					version = record.Version
 				}
-				table.Write(&wire.BreakerWriteRequest{Service: service, Verb: "trip", Proxy: proxy, ExpectedVersion: version, Active: []string{proxy}, Settings: terms}, now)
+				table.Write(&wire.BreakerWriteRequest{Service: service, Verb: breakerstore.VerbTrip, Proxy: proxy, ExpectedVersion: version, Active: []string{proxy}, Settings: terms}, now)
 			case 2:
 				table.LeaseProbe(&wire.ProbeLeaseRequest{Service: service, Proxy: proxy, Id: fmt.Sprint(step), Active: []string{proxy}}, now)
 			case 3:
@@ -70,7 +70,7 @@
 				if random.IntN(20) > 0 {
 					break
 				}
-				// The other copy leads now, from what this one had, or from nothing, as after a loss of all.
+				// The other replica becomes the leader, with this one's records or with half of them, as after a loss.
 				leader = 1 - leader
 				records := table.Records()
 				if random.IntN(4) == 0 {
@@ -82,16 +82,16 @@
 				trackers[leader].Observe(table)
 				change := trackers[leader].Since(client.source, client.version)
 				if random.IntN(4) == 0 {
-					break // the answer is lost
+					break // the response is lost
 				}
 				client.apply(change)
 				if !client.matches(table) {
-					t.Fatalf("seed %d, step %d: a carrier told by changes has other records", seed, step)
+					t.Fatalf("seed %d, step %d: the records of a proxy with incremental updates differ", seed, step)
 				}
 				if change.Incremental {
 					incrementalUpdates++
 					if again := trackers[leader].Since(client.source, client.version); len(again.Records) > 0 || !again.Incremental {
-						t.Fatalf("seed %d, step %d: what was just taken is told again", seed, step)
+						t.Fatalf("seed %d, step %d: a change that was just applied is sent again", seed, step)
 					}
 					if len(change.Records) < len(table.Records()) {
 						partialUpdates++
@@ -100,17 +100,17 @@
 			}
 		}
 		if incrementalUpdates == 0 || partialUpdates == 0 {
-			t.Errorf("seed %d: %d answers were changes, %d of them with less than all", seed, incrementalUpdates, partialUpdates)
+			t.Errorf("seed %d: %d incremental updates, %d of them with fewer than all records", seed, incrementalUpdates, partialUpdates)
 		}
 	}
 }
 
-// TestOnlyChangedRecordsAreSent: with many records of which one changes, a carrier is told that one.
+// TestOnlyChangedRecordsAreSent checks that of many records only the one that changed is sent.
 func TestOnlyChangedRecordsAreSent(t *testing.T) {
 	table, tracker, client := breakerstore.New(), breakerstore.NewChangeTracker(7), &proxyClient{}
 	terms := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	reportTrip := func(service, proxy string) {
-		table.Write(&wire.BreakerWriteRequest{Service: service, Verb: "trip", Proxy: proxy, ExpectedVersion: 1, Active: []string{proxy, "other"}, Settings: terms}, 1)
+		table.Write(&wire.BreakerWriteRequest{Service: service, Verb: breakerstore.VerbTrip, Proxy: proxy, ExpectedVersion: 1, Active: []string{proxy, "other"}, Settings: terms}, 1)
 	}
 	for index := range 580 {
 		reportTrip(fmt.Sprintf("service-%d", index), "first")
@@ -122,11 +122,11 @@
 		tracker.Observe(table)
 		change := tracker.Since(client.source, client.version)
 		if len(change.Records) != want || change.Incremental != (step > 0) {
-			t.Errorf("step %d: %d records, changes: %v", step, len(change.Records), change.Incremental)
+			t.Errorf("step %d: %d records, incremental: %v", step, len(change.Records), change.Incremental)
 		}
 		client.apply(change)
 	}
 	if stranger := tracker.Since(8, client.version); stranger.Incremental || len(stranger.Records) != 580 {
-		t.Errorf("of another life's version %d records are told", len(stranger.Records))
+		t.Errorf("a version of another incarnation gets %d records", len(stranger.Records))
 	}
 }
--- /dev/null
+++ b/internal/registry/breakerstore/probe_lease.go
@@ -0,0 +1,106 @@
+package breakerstore
+
+import (
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// unusedShareDelay is how old a round must be before a proxy may lease probes that others left of their share.
+const unusedShareDelay = monotonic.Second
+
+// LeaseProbe leases one probe out of a half-open record's budget. It is idempotent: a repeated id is granted again and takes
+// nothing more. The response has no record if the service has none.
+func (t *Table) LeaseProbe(request *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
+	t.revision++
+	record := t.records[request.Service]
+	if record == nil {
+		return &wire.ProbeLeaseResponse{}
+	}
+	granted := hasProbeLease(record, request.Id)
+	if !granted && (canLeaseProbe(record, request, now) || t.grantsBeyondShare(record)) {
+		record.Budget--
+		shareOf(record, request.Proxy).Granted++
+		record.ProbeLeases = append(record.ProbeLeases, &wire.ProbeLease{
+			Id: request.Id, Proxy: request.Proxy, Incarnation: request.Incarnation, Until: int64(now) + record.Settings.ProbeLease,
+		})
+		extendExpiry(record, now)
+		granted = true
+	}
+	return &wire.ProbeLeaseResponse{Granted: granted, Record: proto.CloneOf(record)}
+}
+
+// DeniedProbe returns the response to a request that LeaseProbe would deny, so that the primary can answer it without a
+// replicated write. It returns nil if LeaseProbe might grant the request.
+func (t *Table) DeniedProbe(request *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
+	record := t.records[request.Service]
+	if record == nil {
+		return &wire.ProbeLeaseResponse{}
+	}
+	if t.InjectedFault == FaultNoProbeShares || hasProbeLease(record, request.Id) || canLeaseProbe(record, request, now) {
+		return nil
+	}
+	return &wire.ProbeLeaseResponse{Record: proto.CloneOf(record)}
+}
+
+func hasProbeLease(record *wire.BreakerRecord, id string) bool {
+	return slices.ContainsFunc(record.ProbeLeases, func(probe *wire.ProbeLease) bool { return probe.Id == id })
+}
+
+// canLeaseProbe reports whether a proxy may lease another probe. If several proxies contend for the round, each has an equal
+// share of it, with these exceptions:
+//   - After unusedShareDelay, a proxy that returned no probe may take what others left of their shares.
+//   - After two lease durations any proxy may, so that the round ends even if the others went away.
+//   - A suspect, whose probes failed the previous round, waits one lease duration if a proxy that is not suspected contends:
+//     if the service is faulty, that one's probes fail as well.
+func canLeaseProbe(record *wire.BreakerRecord, request *wire.ProbeLeaseRequest, now monotonic.Micros) bool {
+	if record.State != HalfOpen || record.Budget == 0 {
+		return false
+	}
+	contenders := proxySet(request.Proxy, request.Active)
+	count := uint32(len(contenders))
+	age := int64(now) - record.EnteredAt
+	if count == 1 || age >= 2*record.Settings.ProbeLease {
+		return true
+	}
+	for _, proxy := range record.Suspects {
+		delete(contenders, proxy)
+	}
+	if slices.Contains(record.Suspects, request.Proxy) && len(contenders) > 0 && age < record.Settings.ProbeLease {
+		return false
+	}
+	granted, returned := usedShare(record, request.Proxy)
+	quota := (permittedProbes(record) + count - 1) / count
+	return granted < quota || returned == 0 && age >= int64(unusedShareDelay)
+}
+
+// usedShare returns how many probes of the present round a proxy was granted and has returned.
+func usedShare(record *wire.BreakerRecord, proxy string) (granted, returned uint32) {
+	for _, share := range record.Shares {
+		if share.Proxy == proxy {
+			return share.Granted, share.Returned
+		}
+	}
+	return 0, 0
+}
+
+// shareOf returns a proxy's share of the present round and creates it if there is none.
+func shareOf(record *wire.BreakerRecord, proxy string) *wire.ProbeShare {
+	for _, share := range record.Shares {
+		if share.Proxy == proxy {
+			return share
+		}
+	}
+	created := &wire.ProbeShare{Proxy: proxy}
+	record.Shares = append(record.Shares, created)
+	return created
+}
+
+// refundProbe puts a proxy's probe back into the budget.
+func refundProbe(record *wire.BreakerRecord, proxy string) {
+	record.Budget++
+	shareOf(record, proxy).Returned++
+}
--- /dev/null
+++ b/internal/registry/breakerstore/sweep.go
@@ -0,0 +1,74 @@
+package breakerstore
+
+import (
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// decisionTimeout is how long a completed round waits for the decision of its last prober before Sweep decides.
+const decisionTimeout = 2 * monotonic.Second
+
+// endedSessions maps the proxies whose sessions ended to the incarnation that ended.
+type endedSessions map[string]uint64
+
+// sweepFunc applies the passing of time to a record in one state.
+type sweepFunc func(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros)
+
+// sweepsByState are the sweeps of each state.
+type sweepsByState map[string]sweepFunc
+
+var defaultSweeps = sweepsByState{Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepHalfOpen}
+
+// Sweep applies the passing of time to all records: open records become half open, probes whose lease ended or whose proxy's
+// session ended return to the budget, completed rounds without a decision are decided, and unused records expire.
+func (t *Table) Sweep(ended []*wire.MemberID, now monotonic.Micros) {
+	t.revision++
+	sessions := endedSessions{}
+	for _, member := range ended {
+		sessions[member.Name] = member.Incarnation
+	}
+	sweeps := t.sweeps()
+	for _, service := range t.services() {
+		record := t.records[service]
+		sweepRecord(record, sweeps, sessions, now)
+		t.injectSweepFault(record)
+	}
+}
+
+func sweepRecord(record *wire.BreakerRecord, sweeps sweepsByState, ended endedSessions, now monotonic.Micros) {
+	if record.Settings == nil {
+		return
+	}
+	record.Reports = recentReports(record, now)
+	if record.State != Closed && int64(now) >= record.ExpiresAt {
+		setState(record, Closed, now)
+		return
+	}
+	sweeps[record.State](record, ended, now)
+}
+
+func sweepClosed(*wire.BreakerRecord, endedSessions, monotonic.Micros) {}
+
+func sweepOpen(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
+	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
+		setState(record, HalfOpen, now)
+		extendExpiry(record, now)
+	}
+}
+
+func sweepHalfOpen(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros) {
+	remaining := []*wire.ProbeLease{}
+	for _, probe := range record.ProbeLeases {
+		incarnation, sessionEnded := ended[probe.Proxy]
+		if int64(now) >= probe.Until || (sessionEnded && incarnation == probe.Incarnation) {
+			refundProbe(record, probe.Proxy)
+			continue
+		}
+		remaining = append(remaining, probe)
+	}
+	record.ProbeLeases = remaining
+	if record.RoundCompletedAt != 0 && int64(now)-record.RoundCompletedAt >= int64(decisionTimeout) {
+		setState(record, JudgeRound(record), now)
+		extendExpiry(record, now)
+	}
+}
--- /dev/null
+++ b/internal/registry/breakerstore/table.go
@@ -0,0 +1,87 @@
+package breakerstore
+
+import (
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// The values of BreakerRecord.State. They are stored and sent.
+const (
+	Closed   = "closed"
+	Open     = "open"
+	HalfOpen = "half_open"
+)
+
+// Table holds the breaker records by service. It is not safe for concurrent use; the state machine that owns it serializes
+// the calls.
+//
+// Invariants of each record:
+//   - Version rises with every change of state and never falls, not even when the record expires.
+//   - While half open, Budget + len(ProbeLeases) + len(ProbeResults) == max(1, Settings.Permitted): no probe is lost or added.
+//   - A probe's id is in ProbeLeases or in ProbeResults, never in both, and only leased probes get a result.
+//   - Over all Shares, Granted less Returned is len(ProbeLeases) + len(ProbeResults). Shares is empty unless half open.
+//   - Reports is empty unless closed.
+//
+// Invariant of the table: revision rises with every call that may change a record.
+type Table struct {
+	records  map[string]*wire.BreakerRecord
+	revision uint64
+	// InjectedFault is one of the Fault constants, or empty. Tests set it to prove that the invariant checkers notice a faulty
+	// table; no program does.
+	InjectedFault string
+}
+
+// New returns an empty table.
+func New() *Table { return &Table{records: map[string]*wire.BreakerRecord{}} }
+
+// Restore replaces all records. The table keeps the given messages; the caller must not change them afterwards.
+func (t *Table) Restore(records []*wire.BreakerRecord) {
+	t.revision++
+	t.records = map[string]*wire.BreakerRecord{}
+	for _, record := range records {
+		t.records[record.Service] = record
+	}
+}
+
+// Revision returns a number that differs from an earlier one if any record may have changed in between.
+func (t *Table) Revision() uint64 { return t.revision }
+
+// Records returns copies of all records, sorted by service.
+func (t *Table) Records() []*wire.BreakerRecord {
+	var records []*wire.BreakerRecord
+	for _, service := range t.services() {
+		records = append(records, proto.CloneOf(t.records[service]))
+	}
+	return records
+}
+
+// services returns the services that have a record, sorted, so that every replica visits them in the same order.
+func (t *Table) services() []string { return slices.Sorted(maps.Keys(t.records)) }
+
+// Waiting reports whether some record changes by the passing of time alone.
+func (t *Table) Waiting() bool {
+	for _, record := range t.records {
+		if record.State != Closed || len(record.Reports) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// recordFor returns the record of a service and creates it if there is none. Settings, unless nil, replace the record's.
+func (t *Table) recordFor(service string, settings *wire.BreakerSettings, now monotonic.Micros) *wire.BreakerRecord {
+	record := t.records[service]
+	if record == nil {
+		record = &wire.BreakerRecord{Service: service, State: Closed, Version: 1, EnteredAt: int64(now)}
+		t.records[service] = record
+	}
+	if settings != nil {
+		record.Settings = settings
+	}
+	return record
+}
--- a/internal/registry/idempotency/store.go
+++ b/internal/registry/idempotency/store.go
@@ -14,25 +14,37 @@
 	"snowflow/internal/transport/wire"
 )
 
-// record is one claim as it is kept: encoded. Most are written once and never looked at again, while a view needs all of them at once.
+var (
+	// ErrDuplicateScope is returned by Table.Restore if two records have the same scope.
+	ErrDuplicateScope = errors.New("duplicate scope among the claim records")
+	// ErrInvalidText is returned by Table.Restore if a text field of a record is not valid UTF-8.
+	ErrInvalidText = errors.New("claim record field is not valid UTF-8")
+)
+
+// encodedRecord is one claim record in its stored form, an element of recordStore's list.
 type encodedRecord struct {
 	scope          string
-	content        []byte // an encoded wire.ClaimRecord; never changed, only replaced
+	content        []byte // an encoded wire.ClaimRecord; replaced as a whole, never modified
 	expires        monotonic.Micros
 	previous, next *encodedRecord
 }
 
+// decode returns the record. The content was encoded by put or checked by parse, so an error is a bug.
 func (r *encodedRecord) decode() *wire.ClaimRecord {
-	message := &wire.ClaimRecord{}
-	if err := proto.Unmarshal(r.content, message); err != nil {
-		panic(err) // it was encoded here, or looked through when it was taken
+	record := &wire.ClaimRecord{}
+	if err := proto.Unmarshal(r.content, record); err != nil {
+		panic(err)
 	}
-	return message
+	return record
 }
 
-// kept holds records by scope and in the order in which they end.
-// Invariants: the list from first to last has each record of byScope once, expiries never fall along it, and equal ones stand in the
-// order of their writing, which makes two copies' lists the same; size is the sum of the contents' lengths.
+// recordStore holds the records by scope and in the order of their expiry.
+//
+// Invariants:
+//   - The list from first to last has each record of byScope once.
+//   - expires never falls along the list. Records of equal expiry are in the order of their writing, which makes the lists of
+//     two replicas equal.
+//   - size is the sum of the lengths of the contents.
 type recordStore struct {
 	byScope     map[string]*encodedRecord
 	first, last *encodedRecord
@@ -41,83 +53,96 @@
 
 func newRecordStore() recordStore { return recordStore{byScope: map[string]*encodedRecord{}} }
 
-// of keeps encoded records.
+// loadRecordStore returns a store of encoded records. It doesn't copy them.
 func loadRecordStore(contents [][]byte) (recordStore, error) {
 	store := recordStore{byScope: make(map[string]*encodedRecord, len(contents))}
 	records, sorted := make([]encodedRecord, len(contents)), true
 	for index, content := range contents {
-		present := &records[index]
-		if err := present.parse(content); err != nil {
+		record := &records[index]
+		if err := record.parse(content); err != nil {
 			return recordStore{}, err
 		}
-		sorted = sorted && (index == 0 || records[index-1].expires <= present.expires)
+		sorted = sorted && (index == 0 || records[index-1].expires <= record.expires)
 	}
-	if !sorted { // a view of a build that sorted by scope
+	if !sorted { // snapshots of earlier releases are sorted by scope
 		slices.SortStableFunc(records, func(first, second encodedRecord) int { return cmp.Compare(first.expires, second.expires) })
 	}
 	for index := range records {
 		store.insert(&records[index])
 	}
 	if len(store.byScope) != len(records) {
-		return recordStore{}, errors.New("a scope has two claims")
+		return recordStore{}, ErrDuplicateScope
 	}
 	return store, nil
 }
 
-// The fields of wire.ClaimRecord that are looked at without decoding all.
+// The fields of wire.ClaimRecord that parse reads.
 const (
-	scopeField   protowire.Number = 1
-	expiresField protowire.Number = 7
-	fenceField   protowire.Number = 9
+	scopeField       protowire.Number = 1
+	stateField       protowire.Number = 3
+	attemptField     protowire.Number = 4
+	proxyField       protowire.Number = 5
+	expiresField     protowire.Number = 7
+	voidedField      protowire.Number = 8
+	fenceField       protowire.Number = 9
+	recordFieldLimit                  = fenceField + 1
 )
 
-// texts are the fields that decoding wants as UTF-8.
-var utf8Fields = [...]bool{scopeField: true, 3: true, 4: true, 5: true, 8: true}
+// utf8Fields are the fields that proto.Unmarshal requires to be UTF-8.
+var utf8Fields = [recordFieldLimit]bool{scopeField: true, stateField: true, attemptField: true, proxyField: true, voidedField: true}
 
-// look takes an encoded record over, reads its scope and its end, and makes sure that decoding it won't fail.
+// parse takes over an encoded record and reads its scope and expiry. It fails where decode would. It reads the fields one by
+// one instead of decoding the message, because a replica that installs a snapshot parses all records at once.
 func (r *encodedRecord) parse(content []byte) error {
 	r.content = content
 	for remaining := content; len(remaining) > 0; {
-		number, kind, length := protowire.ConsumeTag(remaining)
-		if length < 0 {
-			return protowire.ParseError(length)
+		number, kind, tagLength := protowire.ConsumeTag(remaining)
+		if tagLength < 0 {
+			return protowire.ParseError(tagLength)
 		}
-		value := remaining[length:]
-		size := protowire.ConsumeFieldValue(number, kind, value)
-		if size < 0 {
-			return protowire.ParseError(size)
+		value := remaining[tagLength:]
+		valueLength := protowire.ConsumeFieldValue(number, kind, value)
+		if valueLength < 0 {
+			return protowire.ParseError(valueLength)
 		}
-		if kind == protowire.BytesType {
-			nested, _ := protowire.ConsumeBytes(value)
-			if int(number) < len(utf8Fields) && utf8Fields[number] && !utf8.Valid(nested) {
-				return fmt.Errorf("field %d of a claim is no text", number)
-			}
-			if number == fenceField {
-				if err := proto.Unmarshal(nested, &wire.LeaderTimestamp{}); err != nil {
-					return err
-				}
+		switch {
+		case kind == protowire.BytesType:
+			if err := r.parseBytes(number, value); err != nil {
+				return err
 			}
-			if number == scopeField {
-				r.scope = string(nested)
-			}
-		}
-		if kind == protowire.VarintType && number == expiresField {
+		case kind == protowire.VarintType && number == expiresField:
 			expires, _ := protowire.ConsumeVarint(value)
 			r.expires = monotonic.Micros(expires)
 		}
-		remaining = value[size:]
+		remaining = value[valueLength:]
+	}
+	return nil
+}
+
+// parseBytes reads or checks one length-delimited field, whose length is already known to be valid.
+func (r *encodedRecord) parseBytes(number protowire.Number, value []byte) error {
+	content, _ := protowire.ConsumeBytes(value)
+	if int(number) < len(utf8Fields) && utf8Fields[number] && !utf8.Valid(content) {
+		return fmt.Errorf("%w: field %d", ErrInvalidText, number)
+	}
+	switch number {
+	case scopeField:
+		r.scope = string(content)
+	case fenceField:
+		return proto.Unmarshal(content, &wire.LeaderTimestamp{})
 	}
 	return nil
 }
 
-// put writes a scope's record in the place of any earlier one.
-func (s *recordStore) put(message *wire.ClaimRecord) {
-	content, err := proto.Marshal(message)
+// put encodes a record and writes it in place of any earlier one of its scope.
+func (s *recordStore) put(record *wire.ClaimRecord) {
+	content, err := proto.Marshal(record)
 	if err != nil {
-		panic(err) // it was decoded or built here
+		panic(err) // every record was decoded or built in this package
 	}
-	present := s.byScope[message.Scope]
-	if present != nil && present.expires == monotonic.Micros(message.Expires) {
+	expires := monotonic.Micros(record.Expires)
+	present := s.byScope[record.Scope]
+	if present != nil && present.expires == expires {
 		s.size += len(content) - len(present.content)
 		present.content = content
 		return
@@ -125,10 +150,10 @@
 	if present != nil {
 		s.remove(present)
 	}
-	s.insert(&encodedRecord{scope: message.Scope, content: content, expires: monotonic.Micros(message.Expires)})
+	s.insert(&encodedRecord{scope: record.Scope, content: content, expires: expires})
 }
 
-// add puts a record behind all that end no later. Holder time only rises, so that is nearly always the end of the list.
+// insert adds a record behind all that expire no later. The leader clock only rises, so that is nearly always the end.
 func (s *recordStore) insert(added *encodedRecord) {
 	previous := s.last
 	for previous != nil && previous.expires > added.expires {
--- /dev/null
+++ b/internal/registry/idempotency/table.go
@@ -0,0 +1,207 @@
+package idempotency
+
+import (
+	"bytes"
+	"slices"
+
+	"google.golang.org/protobuf/encoding/protowire"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// DefaultLifetime is how long a record lasts after its last write unless Table.Lifetime says otherwise: twice the minute that
+// callers are promised.
+const DefaultLifetime = 120 * monotonic.Second
+
+// The outcomes of requests. They are stored and sent.
+const (
+	Granted      = "granted"    // of a claim: the attempt may run
+	Pending      = "held"       // of a claim: another attempt was granted the key
+	BodyMismatch = "other_body" // of a claim: the key was granted to a request with a different body
+	Fenced       = "fenced"     // of a claim: the request may have been read before the key's fence
+	Voided       = "voided"     // of a claim: the attempt was voided; of a void: the attempt will never run
+	Claimed      = "claimed"    // of a void: an attempt was granted the key and may have run
+)
+
+// The values of ClaimRecord.State. They are stored.
+const (
+	stateFree    = "free"
+	statePending = "held"
+)
+
+// Table holds the claim records by scope. It is not safe for concurrent use; the state machine that owns it serializes the
+// calls.
+//
+// Invariants of each record:
+//   - At most one attempt is pending, and never a voided one.
+//   - A claim is granted past a fence only if its request was read after the fence.
+//   - A pending record becomes free only by Complete of its owner, and goes only when its lifetime ends.
+type Table struct {
+	// Lifetime is how long a record lasts after its last write. It is set before the first call and must be the same at every
+	// replica.
+	Lifetime monotonic.Micros
+	records  recordStore
+}
+
+// New returns an empty table with DefaultLifetime.
+func New() *Table { return &Table{Lifetime: DefaultLifetime, records: newRecordStore()} }
+
+// Restore replaces all records by encoded ones, as AppendSnapshot wrote them. The table keeps the slices without copying. On
+// an error the table stays as it was.
+func (t *Table) Restore(contents [][]byte) error {
+	next, err := loadRecordStore(contents)
+	if err != nil {
+		return err
+	}
+	t.records = next
+	return nil
+}
+
+// AppendSnapshot appends all records to a buffer as a repeated field of a message, in the order of their expiry. It only copies
+// bytes, because claims wait while a snapshot is made.
+func (t *Table) AppendSnapshot(buffer []byte, field protowire.Number) []byte {
+	for record := t.records.first; record != nil; record = record.next {
+		buffer = protowire.AppendTag(buffer, field, protowire.BytesType)
+		buffer = protowire.AppendBytes(buffer, record.content)
+	}
+	return buffer
+}
+
+// Len returns the number of records.
+func (t *Table) Len() int { return len(t.records.byScope) }
+
+// EncodedSize returns the length of all encoded records in bytes, without tags and length prefixes.
+func (t *Table) EncodedSize() int { return t.records.size }
+
+// RepeatedGrant returns the response to a claim that was granted before, to the same attempt of the same proxy incarnation,
+// and whose response was lost or late. It returns nil for any other claim.
+func (t *Table) RepeatedGrant(request *wire.ClaimRequest) *wire.ClaimResponse {
+	record := t.find(request.Scope)
+	if record == nil || record.State != statePending || isVoided(record, request.Attempt) {
+		return nil
+	}
+	sameOwner := record.Attempt == request.Attempt && record.Proxy == request.Proxy && record.Incarnation == request.Incarnation
+	if !sameOwner || !bytes.Equal(record.Digest, request.Digest) {
+		return nil
+	}
+	return grant(request)
+}
+
+// Claim grants an attempt the right to run, or says why not.
+func (t *Table) Claim(request *wire.ClaimRequest, now monotonic.Micros) *wire.ClaimResponse {
+	if present := t.find(request.Scope); present != nil {
+		switch {
+		case isVoided(present, request.Attempt):
+			return &wire.ClaimResponse{Outcome: Voided}
+		case present.State == statePending:
+			return t.claimPending(present, request)
+		case readBeforeFence(present.Fence, request.ReadAt):
+			return &wire.ClaimResponse{Outcome: Fenced}
+		}
+	}
+	record := t.recordFor(request.Scope, now)
+	record.State, record.Digest, record.Attempt = statePending, request.Digest, request.Attempt
+	record.Proxy, record.Incarnation = request.Proxy, request.Incarnation
+	t.records.put(record)
+	return grant(request)
+}
+
+// claimPending answers a claim on a key that was already granted.
+func (t *Table) claimPending(record *wire.ClaimRecord, request *wire.ClaimRequest) *wire.ClaimResponse {
+	if !bytes.Equal(record.Digest, request.Digest) {
+		return &wire.ClaimResponse{Outcome: BodyMismatch}
+	}
+	if repeated := t.RepeatedGrant(request); repeated != nil {
+		return repeated
+	}
+	return &wire.ClaimResponse{Outcome: Pending, Owner: record.Proxy, OwnerIncarnation: record.Incarnation, Attempt: record.Attempt}
+}
+
+func grant(request *wire.ClaimRequest) *wire.ClaimResponse {
+	return &wire.ClaimResponse{Outcome: Granted, Owner: request.Proxy, OwnerIncarnation: request.Incarnation, Attempt: request.Attempt}
+}
+
+// Void makes sure that an attempt will never be granted the key, or answers Claimed if the key is pending. If the request asks
+// for a fence, no request that was read up to now will be granted the key either; epoch and now are the fence.
+func (t *Table) Void(request *wire.VoidClaimRequest, epoch uint64, now monotonic.Micros) *wire.VoidClaimResponse {
+	if present := t.find(request.Scope); present != nil && present.State == statePending {
+		if present.Attempt != request.Attempt && addVoided(present, request.Attempt) {
+			t.records.put(present)
+		}
+		return &wire.VoidClaimResponse{Outcome: Claimed}
+	}
+	record := t.recordFor(request.Scope, now)
+	addVoided(record, request.Attempt)
+	response := &wire.VoidClaimResponse{Outcome: Voided}
+	if request.Fence {
+		record.Fence = &wire.LeaderTimestamp{Epoch: epoch, Time: int64(now)}
+		response.Fence = &wire.LeaderTimestamp{Epoch: epoch, Time: int64(now)}
+	}
+	t.records.put(record)
+	return response
+}
+
+// Complete frees a key if its owner is certain that nothing ran. The attempt stays voided.
+func (t *Table) Complete(request *wire.CompleteClaimRequest, now monotonic.Micros) *wire.CompleteClaimResponse {
+	present := t.find(request.Scope)
+	if present == nil || present.State != statePending || present.Attempt != request.Attempt || request.Ran {
+		return &wire.CompleteClaimResponse{}
+	}
+	record := t.recordFor(request.Scope, now)
+	record.State, record.Digest = stateFree, nil
+	record.Voided = append(record.Voided, request.Attempt)
+	record.Attempt, record.Proxy, record.Incarnation = "", "", 0
+	t.records.put(record)
+	return &wire.CompleteClaimResponse{Done: true}
+}
+
+// Sweep removes the records whose lifetime has ended.
+func (t *Table) Sweep(now monotonic.Micros) {
+	for first := t.records.first; first != nil && now >= first.expires; first = t.records.first {
+		t.records.remove(first)
+	}
+}
+
+// find decodes the record of a scope. It returns nil if there is none.
+func (t *Table) find(scope string) *wire.ClaimRecord {
+	if present := t.records.byScope[scope]; present != nil {
+		return present.decode()
+	}
+	return nil
+}
+
+// recordFor decodes the record of a scope, or makes a free one, and starts its lifetime anew.
+func (t *Table) recordFor(scope string, now monotonic.Micros) *wire.ClaimRecord {
+	record := t.find(scope)
+	if record == nil {
+		record = &wire.ClaimRecord{Scope: scope, State: stateFree}
+	}
+	record.Expires = int64(now + t.Lifetime)
+	return record
+}
+
+func isVoided(record *wire.ClaimRecord, attempt string) bool {
+	return slices.Contains(record.Voided, attempt)
+}
+
+// addVoided adds an attempt to the voided ones. It reports false if the attempt is empty or was voided before.
+func addVoided(record *wire.ClaimRecord, attempt string) bool {
+	if attempt == "" || isVoided(record, attempt) {
+		return false
+	}
+	record.Voided = append(record.Voided, attempt)
+	return true
+}
+
+// readBeforeFence reports whether a request that was read at an instant may have been read before the fence. Instants of one
+// epoch compare; an instant of an older epoch is before the fence. A request without an instant counts as read before it.
+func readBeforeFence(fence, readAt *wire.LeaderTimestamp) bool {
+	if fence == nil {
+		return false
+	}
+	if readAt == nil || readAt.Epoch < fence.Epoch {
+		return true
+	}
+	return readAt.Epoch == fence.Epoch && readAt.Time <= fence.Time
+}
--- a/internal/registry/idempotency/idempotency_test.go
+++ b/internal/registry/idempotency/table_test.go
@@ -14,7 +14,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestConfiguredLifetime: a claim is held for as long as its table's life, a restored one too.
+// TestConfiguredLifetime checks that a claim stays pending for the table's lifetime, also across a restore.
 func TestConfiguredLifetime(t *testing.T) {
 	for _, lifetime := range []monotonic.Micros{idempotency.DefaultLifetime, 270 * monotonic.Second} {
 		table := idempotency.New()
@@ -29,16 +29,16 @@
 		restoreFromSnapshot(t, table)
 		table.Sweep(start + lifetime - 1)
 		if got := claim("second", start+lifetime-1); got != idempotency.Pending {
-			t.Errorf("life %d: %s before its end", lifetime, got)
+			t.Errorf("lifetime %d: %s before its end", lifetime, got)
 		}
 		table.Sweep(start + lifetime)
 		if got := claim("third", start+lifetime); got != idempotency.Granted {
-			t.Errorf("life %d: %s after its end", lifetime, got)
+			t.Errorf("lifetime %d: %s after its end", lifetime, got)
 		}
 	}
 }
 
-// restored takes a table through a view and back.
+// restoreFromSnapshot takes a snapshot of a table and restores the table from it.
 func restoreFromSnapshot(t *testing.T, table *idempotency.Table) {
 	t.Helper()
 	if err := table.Restore(decodeContents(t, table.AppendSnapshot(nil, 2))); err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// contents are the encoded claims of a view, in its order.
+// decodeContents returns the encoded records of a snapshot, in its order.
 func decodeContents(t *testing.T, snapshot []byte) (contents [][]byte) {
 	t.Helper()
 	for len(snapshot) > 0 {
@@ -60,7 +60,7 @@
 	return contents
 }
 
-// model is the table as plain as can be: records by scope, and a sweep that looks at each.
+// model is the simplest form of the table: a map by scope, swept record by record.
 type model struct {
 	lifetime monotonic.Micros
 	records  map[string]*wire.ClaimRecord
@@ -74,8 +74,8 @@
 	return m.records[scope]
 }
 
-// TestTableMatchesModel plays random commands to a table and to a model of it, with views taken and restored between, also ones whose
-// records stand in another order, as an earlier build gave them.
+// TestTableMatchesModel applies random commands to a table and to a model of it, and restores the table from snapshots in
+// between, also from snapshots in another order, as earlier releases wrote them.
 func TestTableMatchesModel(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -101,7 +101,7 @@
 					record.State, record.Attempt, record.Proxy, record.Incarnation, record.Digest = "held", attempt, "c", 1, []byte("d")
 				}
 				if got := table.Claim(&wire.ClaimRequest{Scope: scope, Attempt: attempt, Proxy: "c", Incarnation: 1, Digest: []byte("d")}, now).Outcome; got != outcome {
-					t.Fatalf("seed %d, step %d: claim %s, not %s", seed, step, got, outcome)
+					t.Fatalf("seed %d, step %d: claim %s, want %s", seed, step, got, outcome)
 				}
 			case 2:
 				outcome := idempotency.Voided
@@ -114,7 +114,7 @@
 					record.Voided = append(record.Voided, attempt)
 				}
 				if got := table.Void(&wire.VoidClaimRequest{Scope: scope, Attempt: attempt}, 1, now).Outcome; got != outcome {
-					t.Fatalf("seed %d, step %d: void %s, not %s", seed, step, got, outcome)
+					t.Fatalf("seed %d, step %d: void %s, want %s", seed, step, got, outcome)
 				}
 			case 3:
 				done := pending && present.Attempt == attempt
@@ -124,7 +124,7 @@
 					record.Voided = append(record.Voided, attempt)
 				}
 				if got := table.Complete(&wire.CompleteClaimRequest{Scope: scope, Attempt: attempt}, now).Done; got != done {
-					t.Fatalf("seed %d, step %d: settled %v, not %v", seed, step, got, done)
+					t.Fatalf("seed %d, step %d: completed %v, want %v", seed, step, got, done)
 				}
 			case 4:
 				table.Sweep(now)
@@ -142,12 +142,12 @@
 					t.Fatal(err)
 				}
 				if !proto.Equal(record, reference.records[record.Scope]) || record.Expires < ends {
-					t.Fatalf("seed %d, step %d: kept %v after %d, not %v", seed, step, record, ends, reference.records[record.Scope])
+					t.Fatalf("seed %d, step %d: stored %v after %d, want %v", seed, step, record, ends, reference.records[record.Scope])
 				}
 				size, ends = size+len(content), record.Expires
 			}
 			if len(stored) != len(reference.records) || table.Len() != len(stored) || table.EncodedSize() != size {
-				t.Fatalf("seed %d, step %d: %d records of %d bytes, told as %d of %d, not %d", seed, step, len(stored), size, table.Len(), table.EncodedSize(), len(reference.records))
+				t.Fatalf("seed %d, step %d: %d records of %d bytes, reported as %d of %d, want %d records", seed, step, len(stored), size, table.Len(), table.EncodedSize(), len(reference.records))
 			}
 			if random.IntN(10) == 0 {
 				if random.IntN(2) == 0 {
@@ -161,7 +161,8 @@
 	}
 }
 
-// TestRestoreRejectsInvalidRecords: what couldn't be decoded later, or names a scope twice, is refused, and the table stays as it was.
+// TestRestoreRejectsInvalidRecords checks that records which could not be decoded later, or which have the same scope, are
+// rejected, and that the table then stays as it was.
 func TestRestoreRejectsInvalidRecords(t *testing.T) {
 	encoded := func(record *wire.ClaimRecord) []byte {
 		content, err := proto.Marshal(record)
@@ -177,12 +178,14 @@
 	if err := table.Restore([][]byte{valid}); err != nil {
 		t.Fatal(err)
 	}
-	for name, contents := range map[string][][]byte{"cut short": {valid[:len(valid)-1]}, "a scope twice": {valid, valid}, "a spoilt fence": {fence}, "a text that is none": {text}, "no message": {{0xff}}} {
-		if table.Restore(contents) == nil {
-			t.Errorf("%s is taken", name)
-		}
+	for name, contents := range map[string][][]byte{"cut short": {valid[:len(valid)-1]}, "a scope twice": {valid, valid}, "an undecodable fence": {fence}, "invalid UTF-8": {text}, "not a message": {{0xff}}} {
+		t.Run(name, func(t *testing.T) {
+			if table.Restore(contents) == nil {
+				t.Error("accepted")
+			}
+		})
 	}
 	if got := table.Claim(&wire.ClaimRequest{Scope: "one", Attempt: "other"}, 1).Outcome; table.Len() != 1 || got != idempotency.Pending {
-		t.Errorf("%d claims, and a second try is %s", table.Len(), got)
+		t.Errorf("%d claims, and a second attempt is %s", table.Len(), got)
 	}
 }
