--- /dev/null
+++ b/internal/registry/directory/publish.go
@@ -0,0 +1,153 @@
+package directory
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/resource"
+	"snowflow/internal/transport/wire"
+)
+
+// publish updates the published part of a proxy's session and starts a version if that part changed. The lock is held.
+func (d *Directory) publish(proxy string) {
+	previous, present := d.published.Get(proxy), d.sessions[proxy]
+	var next *resource.Set
+	var err error
+	switch listed := present != nil && !present.ended; {
+	case !listed && previous == nil:
+		return
+	case !listed:
+		next, err = d.published.With(nil, []string{proxy}, d.published.Len()-1)
+	default:
+		visible := publicSession(present.session)
+		if previous != nil && proto.Equal(previous.Message, visible) {
+			return
+		}
+		next, err = d.withSession(proxy, visible, previous == nil)
+	}
+	if err != nil {
+		return // cannot happen: the session came as a message, and one resource is added, changed or removed as counted
+	}
+	d.published = next
+	d.history.add(version{proxy: proxy, checksum: next.Sum().Short()})
+}
+
+// withSession returns the published set with a session added or replaced.
+func (d *Directory) withSession(proxy string, session *wire.Session, isNew bool) (*resource.Set, error) {
+	updated, err := resource.New(proxy, session)
+	if err != nil {
+		return nil, err
+	}
+	size := d.published.Len()
+	if isNew {
+		size++
+	}
+	return d.published.With([]*resource.Resource{updated}, nil, size)
+}
+
+// publicSession returns the part of a session that other proxies are sent. It leaves out what changes with every heartbeat; of
+// a slow start it only tells whether one is under way.
+func publicSession(session *wire.Session) *wire.Session {
+	public := &wire.Session{Proxy: session.Proxy, Incarnation: session.Incarnation, Address: session.Address,
+		Domain: session.Domain, Leaving: session.Leaving}
+	for _, backend := range session.Backends {
+		public.Backends = append(public.Backends, &wire.Backend{Service: backend.Service, Instance: backend.Instance,
+			Address: backend.Address, Condition: backend.Condition, Slots: backend.Slots, SlowStart: min(backend.SlowStart, 1)})
+	}
+	return public
+}
+
+// Base names the published sessions that a polling proxy has.
+type Base struct {
+	// Source and Version are those of the Update that it last applied; both zero if there was none.
+	Source, Version uint64
+	// Checksum is that of its content; zero if it wants no incremental updates.
+	Checksum uint64
+	// SkipYoung means that its content was complete, so that it ignores a directory younger than SessionTimeout, which may not
+	// have heard of every proxy yet.
+	SkipYoung bool
+}
+
+// Update is the answer to a poll. Exactly one of three cases holds:
+//   - Unchanged: the proxy keeps what it has.
+//   - Incremental: the proxy removes Removed from the base's sessions and adds or replaces Sessions.
+//   - neither: Sessions are all there are.
+//
+// In the latter two, Digest is that of all published sessions, so that the proxy can check the result.
+type Update struct {
+	Source, Version uint64
+	Unchanged       bool
+	Incremental     bool
+	Sessions        []*wire.Session // shared; must not be changed
+	Removed         []string
+	Digest          []byte
+}
+
+// UpdateSince returns what a proxy lacks that has a base. It returns all sessions if the base's version is not known here any
+// more, if its checksum is not that version's, or if more than half of the sessions changed since.
+func (d *Directory) UpdateSince(base Base) Update {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	update := Update{Source: d.source, Version: d.history.newest()}
+	if d.unchanged(base) {
+		update.Unchanged = true
+		return update
+	}
+	update.Digest = d.published.Digest()
+	if index, found := d.findVersion(base); found {
+		changed := d.history.changedSince(index)
+		if update.Incremental = len(changed) <= d.published.Len()/2; update.Incremental {
+			update.Sessions, update.Removed = d.publishedOf(slices.Sorted(maps.Keys(changed)))
+			return update
+		}
+	}
+	for _, present := range d.published.All() {
+		update.Sessions = append(update.Sessions, sessionOf(present))
+	}
+	return update
+}
+
+// unchanged reports whether a proxy keeps what it has: it is the newest version, or this directory is too young for it.
+func (d *Directory) unchanged(base Base) bool {
+	if base.Source != d.source {
+		return base.SkipYoung && d.clock.Now()-d.createdAt < SessionTimeout
+	}
+	return base.Version == d.history.newest() && (base.Checksum == 0 || base.Checksum == d.history.checksum())
+}
+
+// publishedOf returns the published sessions of proxies, and those of the proxies that have none.
+func (d *Directory) publishedOf(proxies []string) (sessions []*wire.Session, removed []string) {
+	for _, proxy := range proxies {
+		if present := d.published.Get(proxy); present != nil {
+			sessions = append(sessions, sessionOf(present))
+		} else {
+			removed = append(removed, proxy)
+		}
+	}
+	return sessions, removed
+}
+
+// sessionOf returns the session in a published resource; publish puts in nothing else.
+func sessionOf(published *resource.Resource) *wire.Session {
+	session, ok := published.Message.(*wire.Session)
+	if !ok {
+		panic(fmt.Sprintf("published resource %s is a %T", published.Key, published.Message))
+	}
+	return session
+}
+
+// findVersion returns the index of the version that a base names: by its number if this incarnation numbered it, and by its
+// checksum otherwise, since another registry, or an earlier incarnation of this one, may have published the same sessions.
+func (d *Directory) findVersion(base Base) (index int, found bool) {
+	switch {
+	case base.Checksum == 0:
+		return 0, false
+	case base.Source != d.source:
+		return d.history.findChecksum(base.Checksum)
+	default:
+		return d.history.findNumber(base.Version, base.Checksum)
+	}
+}
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -1,4 +1,6 @@
-// Package leases keeps the tenures of duties that one node does at a time.
+// Package leases implements the registry's table of singleton leases: roles that one process at a time may perform, such as
+// the reconciliation of a service. It is a deterministic state machine: the current time is an argument, the leader clock, in
+// microseconds, and every replica applies the same calls in the same order.
 package leases
 
 import (
@@ -8,21 +10,24 @@
 	"snowflow/internal/transport/wire"
 )
 
-// A duty's tenure is no shorter and no longer, so that it outlasts a failover and a lost node can't hold it for ever.
+// The bounds of a lease's duration. It is long enough to outlast a failover of the registry, and short enough that a lost
+// process does not keep its role.
 const (
 	minDuration = 3 * monotonic.Second
 	maxDuration = 30 * monotonic.Second
 )
 
-// Table holds the duties. Invariant: a duty has one holder until its tenure ends on holder time or the holder gives it up.
+// Table holds the leases by role. It is not safe for concurrent use; the state machine that owns it serializes the calls.
+//
+// Invariant: a role has one owner until its lease ends on the leader clock or the owner releases it.
 type Table struct {
 	records map[string]*wire.SingletonLeaseRecord
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table { return &Table{records: map[string]*wire.SingletonLeaseRecord{}} }
 
-// Restore replaces the table's content.
+// Restore replaces all leases. The table keeps the given messages; the caller must not change them afterwards.
 func (t *Table) Restore(records []*wire.SingletonLeaseRecord) {
 	t.records = map[string]*wire.SingletonLeaseRecord{}
 	for _, record := range records {
@@ -30,17 +35,18 @@
 	}
 }
 
-// Records lists all duties by name.
+// Records returns all leases, sorted by role. They are shared with the table and must not be changed.
 func (t *Table) Records() []*wire.SingletonLeaseRecord {
 	records := make([]*wire.SingletonLeaseRecord, 0, len(t.records))
 	for _, record := range t.records {
 		records = append(records, record)
 	}
-	sort.Slice(records, func(first, second int) bool { return records[first].Role < records[second].Role })
+	sort.Slice(records, func(i, j int) bool { return records[i].Role < records[j].Role })
 	return records
 }
 
-// Acquire grants, renews or gives up a duty.
+// Acquire grants, renews or releases a lease. The response names the present owner if that is another instance. The granted
+// duration is the requested one within the bounds of a lease.
 func (t *Table) Acquire(request *wire.SingletonLeaseRequest, now monotonic.Micros) *wire.SingletonLeaseResponse {
 	present := t.records[request.Role]
 	if present != nil && int64(now) < present.Until && present.Instance != request.Instance {
@@ -51,19 +57,19 @@
 		return &wire.SingletonLeaseResponse{}
 	}
 	duration := min(max(monotonic.Micros(request.Duration), minDuration), maxDuration)
-	expires := int64(now + duration)
+	until := int64(now + duration)
 	if present != nil && present.Instance == request.Instance {
-		expires = max(expires, present.Until) // an older ask that comes late takes nothing back
+		until = max(until, present.Until) // a delayed older request must not shorten the lease
 	}
-	t.records[request.Role] = &wire.SingletonLeaseRecord{Role: request.Role, Proxy: request.Proxy, Instance: request.Instance, Until: expires}
+	t.records[request.Role] = &wire.SingletonLeaseRecord{Role: request.Role, Proxy: request.Proxy, Instance: request.Instance, Until: until}
 	return &wire.SingletonLeaseResponse{Granted: true, Owner: request.Proxy, Instance: request.Instance, Duration: int64(duration)}
 }
 
-// Sweep forgets duties whose tenure ended.
+// Sweep removes the leases that have ended.
 func (t *Table) Sweep(now monotonic.Micros) {
-	for name, record := range t.records {
+	for role, record := range t.records {
 		if int64(now) >= record.Until {
-			delete(t.records, name)
+			delete(t.records, role)
 		}
 	}
 }
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -13,8 +13,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestTranscripts keeps transcripts of commands to the sorters' replicated state. Each line is one command at a second of holder
-// time; after every one the state is taken through a view and back, as a failover would.
+// TestTranscripts compares the registry's replicated state with recorded transcripts. Each line is one command at a second of
+// the leader clock. After each command the state is restored from its own snapshot, as after a failover.
 func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		state := statemachine.New()
@@ -35,7 +35,7 @@
 
 var terms = &wire.BreakerSettings{WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeLease: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second)}
 
-// play carries out "SECOND VERB ARGUMENTS...".
+// applyLine applies one line, "SECOND COMMAND ARGUMENTS...", and returns its result and the breaker records after it.
 func applyLine(t *testing.T, state *statemachine.Machine, words []string) (text string) {
 	var second float64
 	if _, err := fmt.Sscan(words[0], &second); err != nil {
@@ -44,41 +44,41 @@
 	number := func(index int) (value uint64) { _, _ = fmt.Sscan(words[index], &value); return value }
 	command := &wire.RegistryCommand{}
 	switch words[1] {
-	case "claim": // key body try carrier epoch read-second
+	case "claim": // key body attempt proxy epoch read-second
 		command.Claim = &wire.ClaimRequest{Scope: words[2], Digest: []byte(words[3]), Attempt: words[4], Proxy: words[5],
 			ReadAt: &wire.LeaderTimestamp{Epoch: number(6), Time: int64(number(7)) * int64(monotonic.Second)}}
-	case "void": // key try
+	case "void": // key attempt
 		command.Void = &wire.VoidClaimRequest{Scope: words[2], Attempt: words[3]}
 	case "refuse": // key
 		command.Void = &wire.VoidClaimRequest{Scope: words[2], Fence: true}
-	case "free": // key try
+	case "free": // key attempt
 		command.Complete = &wire.CompleteClaimRequest{Scope: words[2], Attempt: words[3]}
-	case "trip": // carrier serial active...
+	case "trip": // proxy version active...
 		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "trip", Proxy: words[2], ExpectedVersion: number(3), Active: words[4:], Settings: terms}
-	case "lease": // carrier id active...
+	case "lease": // proxy id active...
 		command.ProbeLease = &wire.ProbeLeaseRequest{Service: "forms", Proxy: words[2], Id: words[3], Active: words[4:]}
-		// A primary that turns an ask down without a write must not turn down what the write would grant, nor the reverse.
+		// DeniedProbe must deny exactly what LeaseProbe denies.
 		denied := state.Breakers.DeniedProbe(command.ProbeLease, monotonic.Micros(second*1e6))
 		defer func() {
 			if granted := strings.Contains(text, "granted true"); granted == (denied != nil) {
 				t.Errorf("%v: granted %v, denied beforehand %v", words, granted, denied != nil)
 			}
 		}()
-	case "return": // carrier id serial
+	case "return": // proxy id version
 		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "return", Proxy: words[2], Id: words[3], ExpectedVersion: number(4), Settings: terms}
-	case "probe": // carrier id serial good|bad
+	case "probe": // proxy id version good|bad
 		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "probe", Proxy: words[2], Id: words[3], ExpectedVersion: number(4), Success: words[5] == "good", Settings: terms}
-	case "decide": // serial state
+	case "decide": // version state
 		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "decide", ExpectedVersion: number(2), Decision: words[3], Settings: terms}
-	case "ended": // carrier
+	case "ended": // proxy
 		command.Tick = &wire.Tick{EndedSessions: []*wire.MemberID{{Name: words[2]}}}
-	case "duty": // duty carrier instance seconds
+	case "duty": // role proxy instance seconds
 		command.Singleton = &wire.SingletonLeaseRequest{Role: words[2], Proxy: words[3], Instance: words[4], Duration: int64(number(5)) * int64(monotonic.Second)}
-	case "stop": // duty instance
+	case "stop": // role instance
 		command.Singleton = &wire.SingletonLeaseRequest{Role: words[2], Instance: words[3], Release: true}
 	case "wait":
 	default:
-		t.Fatalf("no verb %q", words[1])
+		t.Fatalf("unknown command %q", words[1])
 	}
 	content, err := proto.Marshal(command)
 	if err != nil {
