--- a/internal/eventlog/catalogue.go
+++ b/internal/eventlog/catalogue.go
@@ -2,7 +2,8 @@
 
 import "github.com/apex/log"
 
-// The events' numbers: 1xx process, 2xx core, 3xx membership, 4xx desired states, 5xx guards, 6xx requests, 7xx disk.
+// The numbers of the events. They are stable across releases and never reused: 1xx process, 2xx replication, 3xx sessions and
+// backends, 4xx configurations, 5xx breakers, 6xx requests, 7xx disk.
 const (
 	ProcessStarted          = 101
 	ProcessStopped          = 102
@@ -60,13 +61,13 @@
 	ObjectStoreFailed       = 710
 )
 
-// Event is an event's place in the catalogue.
+// Event is the catalogue's entry of an event.
 type Event struct {
 	Level log.Level
-	Text  string
+	Text  string // of the log line
 }
 
-// Catalogue lists every event. docs/events.md is checked against it.
+// Catalogue holds every event by its number. A test compares docs/events.md with it.
 var Catalogue = map[int]Event{
 	ProcessStarted:          {log.InfoLevel, "process started"},
 	ProcessStopped:          {log.ErrorLevel, "process stopped by itself"},
@@ -74,52 +75,52 @@
 	ProcessDrained:          {log.InfoLevel, "drained"},
 	MalformedFrame:          {log.WarnLevel, "unknown or malformed frame, connection closed"},
 	ConnectionLost:          {log.DebugLevel, "connection from a peer lost"},
-	ProcessStalled:          {log.WarnLevel, "this process stood still, or its clock leapt"},
+	ProcessStalled:          {log.WarnLevel, "process stalled, or its clock jumped ahead"},
 	ClockSteppedBack:        {log.ErrorLevel, "the clock stepped back, process stops"},
-	BecamePrimary:           {log.WarnLevel, "took over as primary"},
-	PrimaryReady:            {log.InfoLevel, "two copies in step, answering"},
+	BecamePrimary:           {log.WarnLevel, "became primary"},
+	PrimaryReady:            {log.InfoLevel, "primary serving, a backup is in sync"},
 	SteppedDown:             {log.WarnLevel, "no longer primary"},
-	BackupLost:              {log.WarnLevel, "backup lost, writes wait for another"},
-	VoterJoined:             {log.InfoLevel, "voter with a blank folder joined"},
-	GroupBootstrapped:       {log.InfoLevel, "first epoch of the group"},
-	SnapshotInstalled:       {log.InfoLevel, "copy of the state installed"},
-	LeadershipTransferred:   {log.WarnLevel, "handed over to the backup"},
-	LeaderClockBounded:      {log.WarnLevel, "holder time bound by what passed at the backup"},
-	VotersDiffer:            {log.ErrorLevel, "voters differ between two processes, which don't hear one another"},
-	MembershipChanged:       {log.InfoLevel, "roster of voters changed, or is changing"},
-	VoterEnrolled:           {log.InfoLevel, "a process that no roster names keeps the register, and asks to vote"},
-	MemberReleased:          {log.InfoLevel, "a process that stops as planned holds no copy and no seat that is counted on"},
-	ReplicaCaughtUp:         {log.InfoLevel, "a copy that was a little behind was given the entries that it missed"},
-	MemberNotReleased:       {log.WarnLevel, "a process that stops as planned ends though its copy or seat was not taken over in time"},
+	BackupLost:              {log.WarnLevel, "backup lost, writes wait for another one"},
+	VoterJoined:             {log.InfoLevel, "voter with an empty data folder joined"},
+	GroupBootstrapped:       {log.InfoLevel, "group bootstrapped, first epoch"},
+	SnapshotInstalled:       {log.InfoLevel, "snapshot installed"},
+	LeadershipTransferred:   {log.WarnLevel, "leadership transferred to the backup"},
+	LeaderClockBounded:      {log.WarnLevel, "leader clock bounded by the backup's clock"},
+	VotersDiffer:            {log.ErrorLevel, "voters differ between two processes, which ignore each other"},
+	MembershipChanged:       {log.InfoLevel, "membership changed, or is changing"},
+	VoterEnrolled:           {log.InfoLevel, "process outside the membership keeps the register, and asks to become a voter"},
+	MemberReleased:          {log.InfoLevel, "process that shuts down has no replica or voter seat that the group relies on"},
+	ReplicaCaughtUp:         {log.InfoLevel, "replica caught up from the log"},
+	MemberNotReleased:       {log.WarnLevel, "process shuts down though its replica or voter seat was not replaced in time"},
 	SessionOpened:           {log.InfoLevel, "session opened"},
 	SessionEnded:            {log.WarnLevel, "session ended"},
-	DirectoryUpdateRejected: {log.WarnLevel, "changes of the directory refused, asking for the whole"},
+	DirectoryUpdateRejected: {log.WarnLevel, "directory update rejected, requesting the full directory"},
 	BackendRegistered:       {log.InfoLevel, "backend registered"},
 	BackendLeft:             {log.InfoLevel, "backend leaving or replaced"},
-	BackendHeartbeatOverdue: {log.WarnLevel, "backend's beats are overdue"},
-	BackendEjected:          {log.WarnLevel, "backend does worse than its like, only probes are let in"},
-	BackendReinstated:       {log.InfoLevel, "ejected backend is well again"},
-	ConfigAccepted:          {log.InfoLevel, "desired state accepted"},
-	ConfigRejected:          {log.WarnLevel, "desired state refused"},
-	ConfigAdopted:           {log.InfoLevel, "desired state adopted"},
-	ConfigLeaseExpired:      {log.WarnLevel, "desired-state tenure ended, refusing requests"},
-	ConfigPropagated:        {log.InfoLevel, "desired state spread to every tenure holder"},
-	DeltaRejected:           {log.WarnLevel, "difference refused, asking for the whole"},
-	BreakerTrippedLocally:   {log.WarnLevel, "local window tripped"},
-	BreakerStateChanged:     {log.WarnLevel, "shared verdict changed"},
-	BreakerDegraded:         {log.WarnLevel, "shared verdict unreachable, running on the local window"},
-	BreakerRecovered:        {log.InfoLevel, "shared verdict reachable again"},
-	BreakerWriteDropped:     {log.WarnLevel, "guard write dropped, lane full or degraded"},
-	BreakerTripReported:     {log.InfoLevel, "trip reported, not yet corroborated"},
-	BreakerManualControl:    {log.WarnLevel, "manual control of a guard changed"},
-	RequestRejected:         {log.DebugLevel, "request refused"},
-	ResponseBroken:          {log.WarnLevel, "backend answer broken"},
+	BackendHeartbeatOverdue: {log.WarnLevel, "backend's heartbeats are overdue"},
+	BackendEjected:          {log.WarnLevel, "backend ejected as an outlier, only probes are admitted"},
+	BackendReinstated:       {log.InfoLevel, "ejected backend reinstated"},
+	ConfigAccepted:          {log.InfoLevel, "configuration accepted"},
+	ConfigRejected:          {log.WarnLevel, "configuration rejected"},
+	ConfigAdopted:           {log.InfoLevel, "configuration adopted"},
+	ConfigLeaseExpired:      {log.WarnLevel, "configuration lease expired, rejecting requests"},
+	ConfigPropagated:        {log.InfoLevel, "configuration adopted by every lease holder"},
+	DeltaRejected:           {log.WarnLevel, "configuration delta rejected, requesting the full configuration"},
+	BreakerTrippedLocally:   {log.WarnLevel, "local breaker tripped"},
+	BreakerStateChanged:     {log.WarnLevel, "shared breaker state changed"},
+	BreakerDegraded:         {log.WarnLevel, "shared breaker state unreachable, using the local window"},
+	BreakerRecovered:        {log.InfoLevel, "shared breaker state reachable again"},
+	BreakerWriteDropped:     {log.WarnLevel, "breaker write dropped, queue full or degraded"},
+	BreakerTripReported:     {log.InfoLevel, "breaker trip reported, not yet confirmed by others"},
+	BreakerManualControl:    {log.WarnLevel, "manual control of a breaker changed"},
+	RequestRejected:         {log.DebugLevel, "request rejected"},
+	ResponseBroken:          {log.WarnLevel, "backend response broken"},
 	IdentityMismatch:        {log.WarnLevel, "backend at this address is another instance"},
-	PeerProxySilent:         {log.WarnLevel, "a carrier that owes answers gave no sign of life"},
-	DiskTornTail:            {log.WarnLevel, "torn tail cut"},
-	DiskCorrupted:           {log.ErrorLevel, "record file damaged, copy discarded"},
+	PeerProxySilent:         {log.WarnLevel, "proxy with requests in flight failed its health check"},
+	DiskTornTail:            {log.WarnLevel, "torn record at the end of a file truncated"},
+	DiskCorrupted:           {log.ErrorLevel, "record file corrupted, replica discarded"},
 	DiskFull:                {log.ErrorLevel, "disk full"},
 	DiskSyncFailed:          {log.ErrorLevel, "sync failed, process stops"},
 	DiskSlow:                {log.WarnLevel, "disk slow"},
-	ObjectStoreFailed:       {log.WarnLevel, "object store of desired states could not be written"},
+	ObjectStoreFailed:       {log.WarnLevel, "object store of configurations could not be written"},
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,10 +1,14 @@
-// Package eventlog carries numbered events from where they happen to the log and the counters, over watermill.
+// Package eventlog writes numbered events to the log, and counts them.
+//
+// Every log line of a process is one event of the Catalogue. Events pass through a bounded queue to one writer, so that whoever
+// publishes never waits for the log; if the queue is full, an event is counted but not written.
 package eventlog
 
 import (
 	"context"
 	"encoding/json"
 	"io"
+	"maps"
 	"os"
 	"strconv"
 	"sync"
@@ -16,20 +20,29 @@
 	jsonhandler "github.com/apex/log/handlers/json"
 )
 
-const topic = "bulletin"
+const (
+	topic = "events"
+	// numberKey is the metadata key of an event's number.
+	numberKey = "number"
+	// queueLength is how many events may wait for the writer.
+	queueLength = 4096
+)
 
-// EventLog publishes events and counts them by number.
+// EventLog publishes events and counts them by number. It is safe for concurrent use. A nil *EventLog discards events.
 type EventLog struct {
-	channel *gochannel.GoChannel
-	logger  *log.Logger
-	lock    sync.Mutex
-	counts  map[int]uint64
-	queue   chan *message.Message
-	closed  bool // posts is closed; nothing is sent on it under another than lock
-	done    chan struct{}
+	program, name string // of the process, part of each line
+	channel       *gochannel.GoChannel
+	logger        *log.Logger
+	queue         chan *message.Message
+	done          chan struct{} // closed once the last event is written
+
+	lock   sync.Mutex // guards the fields below and every send on queue
+	counts map[int]uint64
+	closed bool // whether queue is closed
 }
 
-// New starts a board that logs to standard error.
+// New starts an event log that writes to standard error. Events below the level are only counted. It fails if the level is not
+// one of debug, info, warn, error and fatal.
 func New(program, name, level string) (*EventLog, error) {
 	return newEventLog(program, name, level, os.Stderr)
 }
@@ -40,38 +53,44 @@
 		return nil, err
 	}
 	events := &EventLog{
-		// One at a time: otherwise events overtake one another, and closing the channel throws away those still on their way.
+		program: program, name: name,
+		// Blocking until the acknowledgment keeps the events in order, and keeps Close from discarding those under way.
 		channel: gochannel.NewGoChannel(gochannel.Config{BlockPublishUntilSubscriberAck: true}, watermill.NopLogger{}),
 		logger:  &log.Logger{Handler: jsonhandler.New(output), Level: threshold},
-		counts:  map[int]uint64{}, queue: make(chan *message.Message, 4096), done: make(chan struct{}),
+		counts:  map[int]uint64{}, queue: make(chan *message.Message, queueLength), done: make(chan struct{}),
 	}
 	entries, err := events.channel.Subscribe(context.Background(), topic)
 	if err != nil {
 		return nil, err
 	}
-	go func() {
-		for entry := range events.queue {
-			_ = events.channel.Publish(topic, entry)
-		}
-		_ = events.channel.Close()
-	}()
-	go func() {
-		defer close(events.done)
-		for entry := range entries {
-			events.write(program, name, entry)
-			entry.Ack()
-		}
-	}()
+	go events.forward()
+	go events.writeAll(entries)
 	return events, nil
 }
 
-// Publish publishes one event. It never blocks: when the board is swamped the event is only counted.
-func (l *EventLog) Publish(number int, attributes map[string]any) {
+// forward publishes the queued events until the queue is closed and empty.
+func (l *EventLog) forward() {
+	for entry := range l.queue {
+		_ = l.channel.Publish(topic, entry)
+	}
+	_ = l.channel.Close()
+}
+
+// writeAll writes the published events until the channel is closed.
+func (l *EventLog) writeAll(entries <-chan *message.Message) {
+	defer close(l.done)
+	for entry := range entries {
+		l.write(entry)
+		entry.Ack()
+	}
+}
+
+// Publish counts an event and queues it for writing. It never blocks.
+func (l *EventLog) Publish(number int, attributes Attributes) {
 	if l == nil {
 		return
 	}
 	if Catalogue[number].Level < l.logger.Level {
-		// Nobody will read it: it's only counted.
 		l.lock.Lock()
 		l.counts[number]++
 		l.lock.Unlock()
@@ -82,7 +101,7 @@
 		payload = []byte(`{"unprintable":true}`)
 	}
 	entry := message.NewMessage(watermill.NewShortUUID(), payload)
-	entry.Metadata.Set("number", strconv.Itoa(number))
+	entry.Metadata.Set(numberKey, strconv.Itoa(number))
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.counts[number]++
@@ -91,21 +110,24 @@
 	}
 	select {
 	case l.queue <- entry:
-	default:
+	default: // the queue is full
 	}
 }
 
-func (l *EventLog) write(program, name string, entry *message.Message) {
-	number, _ := strconv.Atoi(entry.Metadata.Get("number"))
-	fields := log.Fields{"event": number, "program": program, "name": name}
-	var details map[string]any
-	if json.Unmarshal(entry.Payload, &details) == nil {
-		for key, value := range details {
-			fields[key] = value
-		}
+func (l *EventLog) write(entry *message.Message) {
+	number, err := strconv.Atoi(entry.Metadata.Get(numberKey))
+	if err != nil {
+		return // Publish sets a number
+	}
+	fields := log.Fields{"event": number, "program": l.program, "name": l.name}
+	var attributes Attributes
+	if json.Unmarshal(entry.Payload, &attributes) == nil {
+		maps.Copy(fields, attributes)
 	}
 	event := Catalogue[number]
-	writers[event.Level](l.logger.WithFields(fields), event.Text)
+	if write := writers[event.Level]; write != nil {
+		write(l.logger.WithFields(fields), event.Text)
+	}
 }
 
 var writers = map[log.Level]func(*log.Entry, string){
@@ -115,18 +137,14 @@
 	log.ErrorLevel: (*log.Entry).Error,
 }
 
-// Counts tells how often each event was posted.
+// Counts returns how often each event was published, by number.
 func (l *EventLog) Counts() map[int]uint64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	counts := map[int]uint64{}
-	for number, count := range l.counts {
-		counts[number] = count
-	}
-	return counts
+	return maps.Clone(l.counts)
 }
 
-// Close writes what is still queued.
+// Close writes the events that are queued and ends the log. Events published later are only counted. It must be called once.
 func (l *EventLog) Close() {
 	l.lock.Lock()
 	l.closed = true
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// TestEventsBeforeCloseAreLogged: what a process reports right before it ends is in its log, in the order of the reports.
+// TestEventsBeforeCloseAreLogged checks that events published right before the end of a process are written, in order.
 func TestEventsBeforeCloseAreLogged(t *testing.T) {
 	var output bytes.Buffer
-	events, err := newEventLog("carrier", "carrier-1", "info", &output)
+	events, err := newEventLog("proxy", "proxy-1", "info", &output)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const entryCount = 500
 	for number := range entryCount {
-		events.Publish(ProcessDrained, map[string]any{"number": number})
+		events.Publish(ProcessDrained, Attributes{"number": number})
 	}
 	events.Close()
 	lines := bytes.Split(bytes.TrimSpace(output.Bytes()), []byte("\n"))
 	if len(lines) != entryCount {
-		t.Fatalf("%d of %d were logged", len(lines), entryCount)
+		t.Fatalf("%d of %d events were written", len(lines), entryCount)
 	}
 	for number, line := range lines {
 		var logged struct{ Fields struct{ Number int } }
--- a/internal/registry/batch.go
+++ b/internal/registry/batch.go
@@ -9,40 +9,60 @@
 	"snowflow/internal/transport/wire"
 )
 
-// batched tells whether a command may come in a batch: those that carriers make for requests, in numbers.
+// ErrNotBatchable is the error of a command that must not come in a batch.
+var ErrNotBatchable = errors.New("command is not allowed in a batch")
+
+// isBatchable reports whether a command may come in a batch: those that proxies send for each request with an idempotency key.
 func isBatchable(command *wire.RegistryCommand) bool {
-	return (command.Claim != nil || command.Void != nil || command.Complete != nil) && command.ProbeLease == nil && command.Breaker == nil && command.Singleton == nil && command.Tick == nil
+	hasClaim := command.Claim != nil || command.Void != nil || command.Complete != nil
+	hasOther := command.ProbeLease != nil || command.Breaker != nil || command.Singleton != nil || command.Tick != nil
+	return hasClaim && !hasOther
 }
 
-// batch carries out the commands of one message, each as if it had come alone. A message costs a core machine many times what a command does.
+// handleBatch executes the commands of one message as if each had come alone. Proxies batch because a message costs a registry
+// many times what a command does. The outcomes are in the order of the commands.
 func (r *Registry) handleBatch(request *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
-	response := &wire.RegistryBatchResponse{Outcomes: make([]*wire.RegistryOutcome, len(request.Commands))}
-	var positions []int
+	outcomes := make([]*wire.RegistryOutcome, len(request.Commands))
+	var positions []int // of the proposals among the commands
 	var proposals [][]byte
 	for index, command := range request.Commands {
-		if !isBatchable(command) {
-			response.Outcomes[index] = &wire.RegistryOutcome{Error: "not for a batch", Rejected: true}
+		outcome, proposal := r.prepareBatched(command)
+		if outcome != nil {
+			outcomes[index] = outcome
 			continue
 		}
-		if command.Claim != nil {
-			if granted := r.repeatedGrant(command.Claim); granted != nil {
-				response.Outcomes[index] = &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: granted}}
-				continue
-			}
-		}
-		content, err := proto.Marshal(command)
-		if err != nil {
-			response.Outcomes[index] = &wire.RegistryOutcome{Error: err.Error(), Rejected: true}
-			continue
+		positions, proposals = append(positions, index), append(proposals, proposal)
+	}
+	for index, outcome := range r.Member.ProposeAll(proposals) {
+		outcomes[positions[index]] = batchOutcome(outcome)
+	}
+	return &wire.RegistryBatchResponse{Outcomes: outcomes}, nil
+}
+
+// prepareBatched returns the outcome of a command that needs no write, or else the encoded command to propose.
+func (r *Registry) prepareBatched(command *wire.RegistryCommand) (*wire.RegistryOutcome, []byte) {
+	if !isBatchable(command) {
+		return rejected(ErrNotBatchable), nil
+	}
+	if command.Claim != nil {
+		if granted := r.repeatedGrant(command.Claim); granted != nil {
+			return &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: granted}}, nil
 		}
-		positions, proposals = append(positions, index), append(proposals, content)
 	}
-	for proposalIndex, outcome := range r.Member.ProposeAll(proposals) {
-		response.Outcomes[positions[proposalIndex]] = batchOutcome(outcome)
+	proposal, err := proto.Marshal(command)
+	if err != nil {
+		return rejected(err), nil
 	}
-	return response, nil
+	return nil, proposal
+}
+
+// rejected is the outcome of a command that was not and will not be executed.
+func rejected(err error) *wire.RegistryOutcome {
+	return &wire.RegistryOutcome{Error: err.Error(), Rejected: true}
 }
 
+// batchOutcome encodes the outcome of a proposal. Any error other than ErrNotPrimary leaves open whether the command was
+// executed.
 func batchOutcome(outcome replication.Outcome) *wire.RegistryOutcome {
 	result := &wire.RegistryResult{}
 	err := outcome.Err
--- /dev/null
+++ b/internal/registry/breakers.go
@@ -0,0 +1,72 @@
+package registry
+
+import (
+	"snowflow/internal/monotonic"
+	"snowflow/internal/registry/breakerstore"
+	"snowflow/internal/transport/wire"
+)
+
+// allProxiesPolled is how long after it became primary a registry has heard from every proxy: one and a half poll intervals.
+const allProxiesPolled = 1500 * monotonic.Millisecond
+
+func (r *Registry) handleProbeLease(request *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
+	request.Active = r.probeContenders(request.Service)
+	if response := r.deniedProbe(request); response != nil {
+		return response, nil
+	}
+	result, err := r.propose(&wire.RegistryCommand{ProbeLease: request})
+	return result.GetProbeLease(), err
+}
+
+// probeContenders returns the proxies that share a half-open round's probes. A registry that has only just become primary
+// counts every member, since it may not have heard yet which proxies call the service.
+func (r *Registry) probeContenders(service string) []string {
+	proxies := r.directory.ProxiesWithDemand(service)
+	if r.config.Host.Now()-monotonic.Micros(r.primarySince.Load()) < allProxiesPolled {
+		proxies = append(proxies, r.directory.Members()...)
+	}
+	return proxies
+}
+
+// deniedProbe denies a probe without a write if the record as it stands does not allow it, and returns nil otherwise.
+func (r *Registry) deniedProbe(request *wire.ProbeLeaseRequest) (response *wire.ProbeLeaseResponse) {
+	if !r.Member.Read(func(_ uint64, now monotonic.Micros) { response = r.machine.Breakers.DeniedProbe(request, now) }) {
+		return nil
+	}
+	return response
+}
+
+func (r *Registry) handleBreakerWrite(request *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
+	request.Active = r.directory.ActiveProxies(request.Service)
+	if request.Verb == breakerstore.VerbTrip && len(request.Active) < 2 && r.directory.LiveCount() > 1 {
+		return r.deferTripReport(request), nil
+	}
+	result, err := r.propose(&wire.RegistryCommand{Breaker: request})
+	return result.GetBreaker(), err
+}
+
+// deferTripReport delays the report of a proxy that is the only one known to call the service. Others may call it and not have
+// polled since, so the report is proposed once they have; otherwise a single proxy would open the breaker. The response has the
+// present record, not applied. If this process stops meanwhile, the report is lost, and the proxy's next trip replaces it.
+func (r *Registry) deferTripReport(request *wire.BreakerWriteRequest) *wire.BreakerWriteResponse {
+	r.config.Host.Go(func() {
+		r.config.Host.Sleep(allProxiesPolled)
+		request.Active = r.directory.ActiveProxies(request.Service)
+		_, _ = r.propose(&wire.RegistryCommand{Breaker: request})
+	})
+	response := &wire.BreakerWriteResponse{}
+	for _, record := range r.Breakers() {
+		if record.Service == request.Service {
+			response.Record = record
+		}
+	}
+	return response
+}
+
+// Breakers returns copies of the breaker records, sorted by service, or nil if this registry is not the serving primary.
+func (r *Registry) Breakers() (records []*wire.BreakerRecord) {
+	if !r.Member.Read(func(uint64, monotonic.Micros) { records = r.machine.Breakers.Records() }) {
+		return nil
+	}
+	return records
+}
--- /dev/null
+++ b/internal/registry/claims.go
@@ -0,0 +1,38 @@
+package registry
+
+import (
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+func (r *Registry) handleClaim(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
+	if response := r.repeatedGrant(request); response != nil {
+		return response, nil
+	}
+	result, err := r.propose(&wire.RegistryCommand{Claim: request})
+	return result.GetClaim(), err
+}
+
+func (r *Registry) handleVoidClaim(request *wire.VoidClaimRequest) (*wire.VoidClaimResponse, error) {
+	result, err := r.propose(&wire.RegistryCommand{Void: request})
+	return result.GetVoid(), err
+}
+
+func (r *Registry) handleCompleteClaim(request *wire.CompleteClaimRequest) (*wire.CompleteClaimResponse, error) {
+	result, err := r.propose(&wire.RegistryCommand{Complete: request})
+	return result.GetComplete(), err
+}
+
+func (r *Registry) handleSingletonLease(request *wire.SingletonLeaseRequest) (*wire.SingletonLeaseResponse, error) {
+	result, err := r.propose(&wire.RegistryCommand{Singleton: request})
+	return result.GetSingleton(), err
+}
+
+// repeatedGrant answers a claim that was granted before without a write, and returns nil for any other. On a slow disk the
+// first request may take longer than the requester's timeout; its retry must not wait for another sync.
+func (r *Registry) repeatedGrant(request *wire.ClaimRequest) (response *wire.ClaimResponse) {
+	if !r.Member.Read(func(uint64, monotonic.Micros) { response = r.machine.Claims.RepeatedGrant(request) }) {
+		return nil
+	}
+	return response
+}
