--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -1,11 +1,7 @@
-// Package forward is the caller's side of a carrier: it resolves a request, grants it entry, carries it to a backend's
-// carrier, tries again within its budget, and gives one final outcome.
 package forward
 
 import (
-	"strconv"
 	"strings"
-	"sync"
 
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
@@ -15,9 +11,8 @@
 	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
-	"snowflow/internal/proxy/admission"
 	"snowflow/internal/proxy/breaker"
-	"snowflow/internal/proxy/configclient"
+	"snowflow/internal/proxy/loadbalancer"
 	"snowflow/internal/proxy/request"
 	"snowflow/internal/proxy/retry"
 	"snowflow/internal/proxy/session"
@@ -26,121 +21,113 @@
 	"snowflow/internal/transport/wire"
 )
 
-// voidTimeout is how long a lost pass may take to be voided, beyond which the outcome stays open.
-const voidTimeout = 1500 * monotonic.Millisecond
+// drainPollInterval is the longest wait of Drain between two looks at the requests in flight.
+const drainPollInterval = 100 * monotonic.Millisecond
 
-// Config is what a passage is made of.
+// ConfigClient gives the configuration to serve by.
+type ConfigClient interface {
+	// Current returns the adopted snapshot, nil if there is none yet, and whether its lease is still valid.
+	Current() (snapshot *config.Snapshot, live bool)
+	// WaitForVersion waits for a version to be adopted and reports whether it was.
+	WaitForVersion(version uint64, timeout monotonic.Micros) bool
+}
+
+// Session gives what the registry knows of the mesh.
+type Session interface {
+	Directory() *session.Directory
+	// ObserveLeaderClock records a time of the registry leader's clock that has certainly passed.
+	ObserveLeaderClock(observed *wire.LeaderTimestamp)
+}
+
+// Breakers admits attempts to a service.
+type Breakers interface {
+	Admit(service *config.Service) (*breaker.Permit, *apierror.Fault)
+}
+
+// Admission is the backend's side of this same proxy, for backends beside it.
+type Admission interface {
+	Serve(request *wire.ForwardRequest) (*wire.ForwardResponse, error)
+	Cancel(from, id string) bool
+}
+
+// Config holds what a Forwarder needs. All times are microseconds.
 type Config struct {
-	Host               host.Host
-	Proxy              string
-	Incarnation        uint64
-	Address            string
-	Domain             string
-	IgnoreDomains      bool
-	CrossDomainPenalty monotonic.Micros // what the way to another zone counts for
-	ConfigClient       *configclient.Client
-	Session            *session.Client
-	Breakers           *breaker.Set
+	Host        host.Host
+	Proxy       string // this proxy's name
+	Incarnation uint64
+	Address     string
+	Domain      string // failure domain
+	// IgnoreDomains makes the load balancer treat all failure domains alike.
+	IgnoreDomains bool
+	// CrossDomainPenalty is added to the expected response time of a backend in another domain.
+	CrossDomainPenalty monotonic.Micros
+	ConfigClient       ConfigClient
+	Session            Session
+	Breakers           Breakers
 	RetryBudget        *retry.Budget
-	Admission          *admission.Controller
-	// SilenceTimeout is how long a carrier may owe answers before it's asked for a sign of life, 700 ms if left out.
+	Admission          Admission
+	// SilenceTimeout is how long a proxy with requests in flight may give no response before it is sent a health check; 0
+	// stands for 700 ms.
 	SilenceTimeout monotonic.Micros
-	CallPrimary    func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
-	// StoreResponse is given the answer of each run-once request, so that it outlives the carrier beside the backend. It may be left out.
+	// CallPrimary calls the registry's leader.
+	CallPrimary func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
+	// StoreResponse is given the response of each request with an idempotency key, for repetitions of the request after the
+	// backend's proxy has gone. It may be nil.
 	StoreResponse func(scope string, digest []byte, response *request.Response)
-	// OnFinished is told every outcome, for counting; it must not block.
+	// OnFinished is given the outcome of each request, for counting. It must not block, and may be nil.
 	OnFinished func(exchange *Exchange, response *request.Response, fault *apierror.Fault)
 }
 
-// Forwarder carries requests.
+// Forwarder forwards requests to backends. It is safe for concurrent use.
 type Forwarder struct {
-	config            Config
-	policies          []Policy
-	draining          atomic.Bool
-	inFlight          atomic.Int64
-	idle              host.Signal
-	shutdown          *shutdown.Group
-	retryAfterJitter  *retryAfterJitter
-	inFlightByService sync.Map // service name to *atomic.Int64
-	balancer          *loadBalancer
+	config           Config
+	policies         []Policy
+	draining         atomic.Bool
+	inFlight         atomic.Int64
+	idle             host.Signal // fired when the last request in flight ends
+	shutdown         *shutdown.Group
+	retryAfterJitter *retry.Jitter
+	services         serviceCounters
+	balancer         *loadbalancer.Balancer
 }
 
-// Exchange is one request's way.
-// Invariants: Host, Method and Address are the request's in their one spelling; View, Path, Service and Cutoff are set by the
-// resolve policy, and only a repin changes them; Once and Single never change once resolved, and are never both set; Service
-// is of the Path's split.
-type Exchange struct {
-	Request   *request.Request
-	Host      string
-	Method    string
-	Target    resourcepath.RequestTarget
-	StartedAt monotonic.Micros
-	Deadline  monotonic.Micros
-	Snapshot  *config.Snapshot
-	Route     config.Route
-	Service   *config.Service
-	RunOnce   bool
-	// AtMostOnce: it may run at most once and nothing is claimed for it, so it's only tried again when certain that it has not run.
-	AtMostOnce       bool
-	IdempotencyScope string
-	Digest           []byte
-	Attempts         int
-	// MayHaveRun is set once some try may have run; from then on no refusal says not run.
-	MayHaveRun   bool
-	task         *shutdown.Task
-	retries      retryState
-	lastBackend  bool // the backend of this try is the last one it may be brought to
-	cancellation cancellation
-	// VerdictConfirmed is set once the verdict was checked against the claims.
-	VerdictConfirmed bool
-}
-
-// New makes a passage.
+// New returns a forwarder. It starts no tasks.
 func New(config Config) *Forwarder {
-	f := &Forwarder{config: config, idle: config.Host.NewSignal(), shutdown: shutdown.New(config.Host), retryAfterJitter: newRetryAfterJitter(config.Host), balancer: newLoadBalancer(config.Host, config.Domain, config.IgnoreDomains, config.CrossDomainPenalty)}
-	if config.SilenceTimeout > 0 {
-		f.balancer.silenceTimeout = config.SilenceTimeout
-	}
-	f.policies = f.Policies()
+	f := &Forwarder{
+		config:           config,
+		idle:             config.Host.NewSignal(),
+		shutdown:         shutdown.New(config.Host),
+		retryAfterJitter: retry.NewJitter(config.Host),
+		services:         serviceCounters{counts: map[string]int64{}},
+		balancer: loadbalancer.New(loadbalancer.Config{
+			Host:               config.Host,
+			Domain:             config.Domain,
+			IgnoreDomains:      config.IgnoreDomains,
+			CrossDomainPenalty: config.CrossDomainPenalty,
+			SilenceTimeout:     config.SilenceTimeout,
+		}),
+	}
+	f.policies = f.builtInPolicies()
 	return f
 }
 
-// minProbeTimeout is the least that a quiet carrier is given for a sign of life.
-const minProbeTimeout = 150 * monotonic.Millisecond
-
-// ProbeSilentPeers asks carriers that owe answers and give none for a sign of life. An ask that hears nothing ends its connection, and with
-// it the passes that wait there, so they are settled and tried elsewhere long before their cutoff.
-func (f *Forwarder) ProbeSilentPeers() {
-	node := f.config.Host
-	for _, pending := range f.balancer.beginProbes() {
-		node.Go(func() {
-			err := node.Call(pending.address, wire.Kind_discover, &wire.DiscoverRequest{HealthCheck: true}, &wire.DiscoverResponse{}, max(minProbeTimeout, f.balancer.silenceTimeout*5/7))
-			if err != nil {
-				node.Report(eventlog.PeerProxySilent, map[string]any{"address": pending.address, "error": err.Error()})
-			}
-			f.balancer.endProbe(pending, err == nil)
-		})
-	}
-}
+// ProbeSilentPeers sends a health check to each peer proxy that has requests in flight and has not responded within
+// SilenceTimeout. A failed check closes its connection, so that those requests can be retried before their deadlines.
+func (f *Forwarder) ProbeSilentPeers() { f.balancer.ProbeSilentProxies() }
 
-// ProbeInterval is how often Look is to be called.
-func (f *Forwarder) ProbeInterval() monotonic.Micros { return f.balancer.probeInterval() }
+// ProbeInterval is how often ProbeSilentPeers is to be called, in microseconds.
+func (f *Forwarder) ProbeInterval() monotonic.Micros { return f.balancer.ProbeInterval() }
 
-func (f *Forwarder) inFlightCounter(service string) *atomic.Int64 {
-	if counter, found := f.inFlightByService.Load(service); found {
-		return counter.(*atomic.Int64)
-	}
-	counter, _ := f.inFlightByService.LoadOrStore(service, atomic.NewInt64(0))
-	return counter.(*atomic.Int64)
-}
+// DisableRetryAfterJitter leaves Retry-After hints unchanged, to measure what the jitter is worth. No program calls it.
+func (f *Forwarder) DisableRetryAfterJitter(disabled bool) { f.retryAfterJitter.SetDisabled(disabled) }
 
-// InFlight is the number of requests under way.
+// InFlight is the number of requests in flight.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// StopAccepting makes the passage turn new requests down.
+// StopAccepting makes the forwarder reject new requests with the cause Draining.
 func (f *Forwarder) StopAccepting() { f.draining.Store(true) }
 
-// Drain waits until every request under way has its outcome, at most for patience.
+// Drain waits until no request is in flight, at most for the timeout in microseconds, and reports whether none is.
 func (f *Forwarder) Drain(timeout monotonic.Micros) bool {
 	deadline := f.config.Host.Now() + timeout
 	for f.inFlight.Load() > 0 {
@@ -148,57 +135,67 @@
 		if remaining <= 0 {
 			return false
 		}
-		f.idle.Wait(min(remaining, 100*monotonic.Millisecond))
+		f.idle.Wait(min(remaining, drainPollInterval))
 	}
 	return true
 }
 
-// DisableRetryAfterJitter leaves the spreading of callers' return out, to measure what it's worth. No program sets it.
-func (f *Forwarder) DisableRetryAfterJitter(disabled bool) { f.retryAfterJitter.disabled = disabled }
-
-// Abort gives every request still under way its final outcome now.
+// Abort gives every request in flight its final outcome now.
 func (f *Forwarder) Abort() { f.shutdown.Abort() }
 
-// Forward gives a request its one outcome: the backend's own complete answer, or a fault.
-func (f *Forwarder) Forward(req *request.Request) (response *request.Response, fault *apierror.Fault) {
+// Forward gives a request its one outcome: the backend's complete response, or a fault. It waits until then.
+func (f *Forwarder) Forward(req *request.Request) (*request.Response, *apierror.Fault) {
 	f.inFlight.Inc()
-	defer func() {
-		if fault != nil {
-			f.retryAfterJitter.apply(fault)
-			f.config.Host.Report(eventlog.RequestRejected, map[string]any{"request": req.ID, "cause": int(fault.Cause), "verdict": string(fault.Verdict), "detail": fault.Detail})
-		}
-		if f.inFlight.Dec() == 0 {
-			f.idle.Fire()
-		}
-	}()
-	var result *request.Response
-	var failure *apierror.Fault
-	outcome := f.shutdown.Run(func(task *shutdown.Task) { result, failure = f.forward(req, task) })
+	defer f.endRequest()
+	response, fault := f.forwardUntilAborted(req)
+	if fault != nil {
+		f.retryAfterJitter.Apply(fault)
+		f.reportRejection(req, fault)
+	}
+	return response, fault
+}
+
+func (f *Forwarder) endRequest() {
+	if f.inFlight.Dec() == 0 {
+		f.idle.Fire()
+	}
+}
+
+func (f *Forwarder) reportRejection(req *request.Request, fault *apierror.Fault) {
+	f.config.Host.Report(eventlog.RequestRejected, map[string]any{
+		"request": req.ID,
+		"cause":   int(fault.Cause),
+		"verdict": string(fault.Verdict),
+		"detail":  fault.Detail,
+	})
+}
+
+// forwardUntilAborted forwards a request on a task of its own, and stops waiting for it once the forwarder is aborted.
+func (f *Forwarder) forwardUntilAborted(req *request.Request) (*request.Response, *apierror.Fault) {
+	var response *request.Response
+	var fault *apierror.Fault
+	outcome := f.shutdown.Run(func(task *shutdown.Task) { response, fault = f.forward(req, task) })
 	if outcome == shutdown.Done {
-		return result, failure
+		return response, fault
 	}
-	fault = apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun, "carrier %s stops, and can't wait any longer", f.config.Proxy)
+	// The task may still write response and fault: they must not be read.
+	stopped := apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun, "proxy %s is stopping and can't wait any longer", f.config.Proxy)
 	if outcome == shutdown.NotStarted && req.IdempotencyKey == "" {
-		fault.Verdict = apierror.NotRun
+		stopped.Verdict = apierror.NotRun
 	}
-	return nil, fault
+	return nil, stopped
 }
 
+// forward takes a request through the policies, the attempts and the verdict.
 func (f *Forwarder) forward(req *request.Request, task *shutdown.Task) (response *request.Response, fault *apierror.Fault) {
-	exchange := &Exchange{Request: req, task: task, StartedAt: f.config.Host.Now(), Host: config.CanonicalHost(req.Host), Method: strings.ToUpper(req.Method)}
-	exchange.Deadline = exchange.StartedAt + voidTimeout // until the path's own limit is known
+	exchange := f.newExchange(req, task)
 	defer func() {
 		if f.config.OnFinished != nil {
 			f.config.OnFinished(exchange, response, fault)
 		}
 	}()
-	if req.ParsedTarget != nil {
-		exchange.Target = *req.ParsedTarget
-	} else {
-		var err error
-		if exchange.Target, err = resourcepath.Parse(req.Target); err != nil {
-			return nil, apierror.New(apierror.MalformedRequest, apierror.NotRun, "%v", err)
-		}
+	if fault := exchange.parseTarget(); fault != nil {
+		return nil, fault
 	}
 	exchange.IdempotencyScope = idempotencyScope(exchange)
 	for _, policy := range f.policies {
@@ -216,168 +213,28 @@
 	return response, nil
 }
 
-// maxAttempts is the path's own where it has one, else the service's.
-func (e *Exchange) maxAttempts() int {
-	if e.Route.MaxAttempts > 0 {
-		return int(e.Route.MaxAttempts)
-	}
-	return int(e.Service.Retry.GetMostTries())
-}
-
-// attempts makes the first try and, while it's safe, allowed and in time, further ones.
-func (f *Forwarder) forwardWithRetries(exchange *Exchange) (*request.Response, *apierror.Fault) {
-	node := f.config.Host
-	avoid := map[string]bool{}
-	for {
-		response, fault, retriable := f.attempt(exchange, avoid)
-		redispatched := exchange.retries.endAttempt(f.config.RetryBudget, exchange, fault, retriable, exchange.lastBackend)
-		if fault == nil {
-			return response, nil
-		}
-		exchange.MayHaveRun = exchange.MayHaveRun || !fault.NotRun()
-		if redispatched {
-			continue
-		}
-		if fault.Cause == apierror.Overloaded {
-			// Each backend that could be asked is full: its caller hears so at once, and the least of the waits.
-			fault.RetryAfter = exchange.retries.minRetryAfter
-			return nil, fault
-		}
-		retryPolicy := exchange.Service.Retry
-		if !retriable || exchange.Attempts >= exchange.maxAttempts() {
-			return nil, fault
-		}
-		backoff := monotonic.Micros(retryPolicy.GetBackoffMicros())
-		backoff += monotonic.Micros(node.Random() % uint64(backoff+1))
-		if node.Now()+backoff+50*monotonic.Millisecond >= exchange.Deadline {
-			return nil, fault
-		}
-		if !f.config.RetryBudget.TryWithdraw(exchange.Service.Name, retryPolicy.GetAllowance()) {
-			exhausted := apierror.New(apierror.RetryBudgetExhausted, fault.Verdict, "no further try is left; the last said: %s", fault.Detail)
-			return nil, exhausted
-		}
-		exchange.retries.charged = true
-		if fault.Cause == apierror.VersionOlder || fault.Cause == apierror.VersionBehind {
-			f.resolveAgain(exchange)
-		}
-		node.Sleep(backoff)
+func (f *Forwarder) newExchange(req *request.Request, task *shutdown.Task) *Exchange {
+	now := f.config.Host.Now()
+	return &Exchange{
+		Request:   req,
+		Host:      config.CanonicalHost(req.Host),
+		Method:    strings.ToUpper(req.Method),
+		StartedAt: now,
+		Deadline:  now + voidTimeout, // until the route's own timeout is known
+		task:      task,
 	}
 }
 
-// repin resolves a trip anew after a refusal for its serial; only the newest view may be used from then on.
-func (f *Forwarder) resolveAgain(exchange *Exchange) {
-	f.config.ConfigClient.WaitForVersion(exchange.Snapshot.Version+1, 300*monotonic.Millisecond)
-	snapshot, live := f.config.ConfigClient.Current()
-	if !live {
-		return
-	}
-	route, found := snapshot.Resolve(exchange.Host, exchange.Method, exchange.Target.Path)
-	if !found || route.Name != exchange.Route.Name || runsOnce(route, exchange) != exchange.RunOnce || (route.Single && !exchange.RunOnce) != exchange.AtMostOnce {
-		return
-	}
-	if service, there := route.FindService(exchange.Service.Name); there {
-		exchange.Snapshot, exchange.Route, exchange.Service = snapshot, route, service
-	}
-}
-
-// try makes one try. retriable tells that another one can't make the request run twice.
-func (f *Forwarder) attempt(exchange *Exchange, avoid map[string]bool) (response *request.Response, fault *apierror.Fault, retriable bool) {
-	node := f.config.Host
-	exchange.lastBackend = true
-	snapshot, live := f.config.ConfigClient.Current()
-	if !live {
-		return nil, apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "the tenure to serve by serial %d has ended", snapshot.Version), false
-	}
-	if snapshot.Version != exchange.Snapshot.Version {
-		f.resolveAgain(exchange)
-	}
-	permit, fault := f.config.Breakers.Admit(exchange.Service)
-	if fault != nil {
-		return nil, fault, false
-	}
-	candidate, lastBackend, release, fault := f.balancer.pick(f.config.Session.Directory(),
-		pickCriteria{service: exchange.Service.Name, route: exchange.Route.Name, latencyTarget: exchange.Route.LatencyTarget, avoid: avoid})
-	if fault != nil {
-		permit.Done(breaker.Neutral)
-		return nil, fault, false
-	}
-	defer release()
-	avoid[candidate.Instance] = true
-	if !exchange.retries.redispatching {
-		exchange.Attempts++
-	}
-	exchange.lastBackend = lastBackend || exchange.retries.redispatches == maxRedispatches
-	remaining := exchange.Deadline - node.Now()
-	if remaining <= 0 {
-		permit.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the cutoff was reached before the pass"), false
-	}
-	forwardRequest := &wire.ForwardRequest{Id: exchange.Request.ID + "." + strconv.Itoa(exchange.Attempts), ConfigVersion: exchange.Snapshot.Version, Service: exchange.Service.Name,
-		Instance: candidate.Instance, Method: exchange.Method, Target: exchange.Target.Encoded, Headers: exchange.Request.Headers,
-		Body: exchange.Request.Body, RunOnce: exchange.RunOnce, Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Remaining: int64(remaining),
-		ReadAt: exchange.Request.ReadAt, AttemptNumber: uint32(exchange.Attempts), From: f.config.Proxy, ToIncarnation: candidate.Incarnation,
-		AnswerLimit: exchange.Service.Limits.GetAnswerBytes(), Priority: exchange.Route.Priority, LatencyTarget: exchange.remainingLatencyTarget(node.Now()), AtMostOnce: exchange.AtMostOnce, MayQueue: exchange.lastBackend, Route: exchange.Route.Name,
-		Domain: f.config.Domain, Peers: f.balancer.peersOf(f.config.Session.Directory(), exchange.Service.Name, candidate.Instance)}
-	if exchange.RunOnce {
-		forwardRequest.Attempt = admission.NewAttemptID(f.config.Proxy, node.Random())
-	}
-	if !exchange.task.Start() {
-		permit.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.StoppedInFlight, apierror.NotRun, "given up before the pass"), false
-	}
-	if fault := exchange.beginSend(candidate, forwardRequest.Id); fault != nil {
-		permit.Done(breaker.Neutral)
-		return nil, fault, false
-	}
-	forwardResponse, err := f.send(candidate, forwardRequest, remaining)
-	if exchange.endSend() {
-		// How it ended says nothing of the backend, and nobody wants to know.
-		permit.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "its caller left"), false
+// parseTarget takes the request's own spelling of its target if it has one, else the canonical one.
+func (e *Exchange) parseTarget() *apierror.Fault {
+	if e.Request.ParsedTarget != nil {
+		e.Target = *e.Request.ParsedTarget
+		return nil
 	}
+	target, err := resourcepath.Parse(e.Request.Target)
 	if err != nil {
-		return f.handleLostResponse(exchange, permit, candidate, forwardRequest, err)
-	}
-	f.balancer.observeLoad(candidate.Instance, exchange.Route.Name, forwardResponse.Load)
-	backendOnly := f.balancer.observeHealth(f.config.Session.Directory(), exchange.Service.Name, candidate.Instance, forwardResponse.Load)
-	if forwardResponse.Id != forwardRequest.Id || !forwardResponse.Rejected && !admission.Complete(forwardResponse) {
-		permit.Done(breaker.Neutral)
-		return nil, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "the answer to pass %s is not whole or not its own", forwardRequest.Id), !exchange.RunOnce && !exchange.AtMostOnce
-	}
-	if forwardResponse.Rejected {
-		return f.handleRejection(exchange, permit, candidate, forwardResponse, backendOnly)
-	}
-	f.balancer.observeSize(exchange.Route.Name, len(forwardRequest.Body)+len(forwardResponse.Body))
-	outcome := breaker.Success
-	if forwardResponse.Status >= 500 && !backendOnly {
-		outcome = breaker.Failure
-	}
-	permit.Done(outcome)
-	f.balancer.observeOutcome(candidate.Instance, outcome == breaker.Failure)
-	response = &request.Response{Status: forwardResponse.Status, Headers: forwardResponse.Headers, Body: forwardResponse.Body, Instance: forwardResponse.Instance, ConfigVersion: exchange.Snapshot.Version}
-	if exchange.RunOnce && f.config.StoreResponse != nil {
-		f.config.StoreResponse(exchange.IdempotencyScope, exchange.Digest, response)
-	}
-	return response, nil, false
-}
-
-// send passes a request on; to this carrier's own gate without a connection.
-func (f *Forwarder) send(candidate session.Candidate, forwardRequest *wire.ForwardRequest, timeout monotonic.Micros) (*wire.ForwardResponse, error) {
-	if candidate.Proxy == f.config.Proxy && candidate.Incarnation == f.config.Incarnation {
-		return f.config.Admission.Serve(forwardRequest)
-	}
-	forwardResponse := &wire.ForwardResponse{}
-	kind := wire.Kind_forward
-	if f.balancer.isBulk(forwardRequest.Route) {
-		kind = wire.Kind_forward_bulk
-	}
-	return forwardResponse, f.config.Host.Call(candidate.Address, kind, forwardRequest, forwardResponse, timeout)
-}
-
-// aim is what is left of the time that the route wants its answers in; at least a microsecond, for zero says that it has none.
-func (e *Exchange) remainingLatencyTarget(now monotonic.Micros) int64 {
-	if e.Route.LatencyTarget == 0 {
-		return 0
+		return apierror.New(apierror.MalformedRequest, apierror.NotRun, "%v", err)
 	}
-	return int64(max(1, e.Route.LatencyTarget-(now-e.StartedAt)))
+	e.Target = target
+	return nil
 }
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -4,59 +4,65 @@
 	"crypto/sha256"
 
 	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/loadbalancer"
 	"snowflow/internal/proxy/request"
 )
 
-// Policy is one step that a request takes before it's carried. Leave is called for each policy entered, last first,
-// once the request has its outcome.
+// maxKeyBytes is the longest idempotency key.
+const maxKeyBytes = 200
+
+// Policy is one step that a request takes before it is forwarded.
 type Policy interface {
-	Name() string
+	// Enter prepares the exchange, or rejects it with a fault.
 	Enter(exchange *Exchange) *apierror.Fault
+	// Leave is called once the request has its outcome, for each policy that it entered, last entered first.
 	Leave(exchange *Exchange)
 }
 
-// step makes a policy of functions.
+// policyFuncs makes a policy of functions; leave may be nil.
 type policyFuncs struct {
-	name  string
 	enter func(exchange *Exchange) *apierror.Fault
 	leave func(exchange *Exchange)
 }
 
-func (p policyFuncs) Name() string                             { return p.name }
+// Enter calls the policy's enter function.
 func (p policyFuncs) Enter(exchange *Exchange) *apierror.Fault { return p.enter(exchange) }
+
+// Leave calls the policy's leave function if it has one.
 func (p policyFuncs) Leave(exchange *Exchange) {
 	if p.leave != nil {
 		p.leave(exchange)
 	}
 }
 
-// Policies is the ordered table of the built-in policies. Others may be put before or behind them.
-func (f *Forwarder) Policies() []Policy {
+// builtInPolicies lists the policies in the order in which requests take them.
+func (f *Forwarder) builtInPolicies() []Policy {
 	return []Policy{
-		policyFuncs{name: "drain", enter: f.rejectWhileDraining},
-		policyFuncs{name: "resolve", enter: f.resolve},
-		policyFuncs{name: "key", enter: f.requireIdempotencyKey},
-		policyFuncs{name: "size", enter: f.limitBodySize},
-		policyFuncs{name: "crowd", enter: f.limitInFlight, leave: f.releaseInFlight},
+		policyFuncs{enter: f.rejectWhileDraining},
+		policyFuncs{enter: f.resolve},
+		policyFuncs{enter: requireIdempotencyKey},
+		policyFuncs{enter: limitBodySize},
+		policyFuncs{enter: f.limitInFlight, leave: f.releaseInFlight},
 	}
 }
 
-func (f *Forwarder) rejectWhileDraining(exchange *Exchange) *apierror.Fault {
+func (f *Forwarder) rejectWhileDraining(*Exchange) *apierror.Fault {
 	if f.draining.Load() {
-		return apierror.New(apierror.Draining, apierror.NotRun, "this carrier is stopping")
+		return apierror.New(apierror.Draining, apierror.NotRun, "this proxy is stopping")
 	}
 	return nil
 }
 
-// resolve pins the trip to one view of the desired state.
+// resolve pins the exchange to one snapshot of the configuration, and to a route, service and deadline in it.
 func (f *Forwarder) resolve(exchange *Exchange) *apierror.Fault {
 	snapshot, live := f.config.ConfigClient.Current()
 	if snapshot == nil {
-		return apierror.New(apierror.NotReady, apierror.NotRun, "no desired state is adopted yet")
+		return apierror.New(apierror.NotReady, apierror.NotRun, "no configuration is adopted yet")
 	}
 	if !live {
-		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "the tenure to serve by serial %d has ended", snapshot.Version)
+		return configLeaseExpired(snapshot)
 	}
 	route, found := snapshot.Resolve(exchange.Host, exchange.Method, exchange.Target.Path)
 	if !found {
@@ -68,23 +74,33 @@
 	}
 	exchange.RunOnce = runsOnce(route, exchange)
 	exchange.AtMostOnce = route.Single && !exchange.RunOnce
-	exchange.Deadline = exchange.StartedAt + monotonic.Micros(exchange.Service.Limits.GetCutoffMicros())
-	if route.Timeout > 0 {
-		exchange.Deadline = min(exchange.Deadline, exchange.StartedAt+route.Timeout)
+	exchange.Deadline = exchange.deadline()
+	return nil
+}
+
+func configLeaseExpired(snapshot *config.Snapshot) *apierror.Fault {
+	return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "the lease to serve by configuration version %d has expired", snapshot.Version)
+}
+
+// deadline is the earliest of the service's, the route's and the request's own.
+func (e *Exchange) deadline() monotonic.Micros {
+	deadline := e.StartedAt + monotonic.Micros(e.Service.Limits.GetCutoffMicros())
+	if e.Route.Timeout > 0 {
+		deadline = min(deadline, e.StartedAt+e.Route.Timeout)
 	}
-	if exchange.Request.Deadline > 0 {
-		exchange.Deadline = min(exchange.Deadline, exchange.Request.Deadline)
+	if e.Request.Deadline > 0 {
+		deadline = min(deadline, e.Request.Deadline)
 	}
-	return nil
+	return deadline
 }
 
-// key asks a run-once request for its reference key and takes its digest.
-func (f *Forwarder) requireIdempotencyKey(exchange *Exchange) *apierror.Fault {
+// requireIdempotencyKey rejects a RunOnce request without a valid key, and sets its digest.
+func requireIdempotencyKey(exchange *Exchange) *apierror.Fault {
 	if !exchange.RunOnce {
 		return nil
 	}
-	if exchange.Request.IdempotencyKey == "" || len(exchange.Request.IdempotencyKey) > 200 {
-		return apierror.New(apierror.MissingKey, apierror.NotRun, "%s needs a reference key of at most 200 bytes in %s", exchange.Target.Path, request.IdempotencyKeyHeader)
+	if exchange.Request.IdempotencyKey == "" || len(exchange.Request.IdempotencyKey) > maxKeyBytes {
+		return apierror.New(apierror.MissingKey, apierror.NotRun, "%s needs a reference key of at most %d bytes in %s", exchange.Target.Path, maxKeyBytes, request.IdempotencyKeyHeader)
 	}
 	sum := sha256.New()
 	sum.Write([]byte(exchange.Method + " " + exchange.Target.Encoded + "\n"))
@@ -93,31 +109,27 @@
 	return nil
 }
 
-func (f *Forwarder) limitBodySize(exchange *Exchange) *apierror.Fault {
+func limitBodySize(exchange *Exchange) *apierror.Fault {
 	if limit := exchange.Service.Limits.GetBodyBytes(); uint64(len(exchange.Request.Body)) > limit {
 		return apierror.New(apierror.BodyTooLarge, apierror.NotRun, "%d bytes, %s takes %d", len(exchange.Request.Body), exchange.Service.Name, limit)
 	}
 	return nil
 }
 
-// crowd refuses early what couldn't be served in time: more requests under way than all backends may have at once. Where
-// each backend says how many slots it has, their gates know better.
+// limitInFlight rejects early what couldn't be served in time: more requests in flight than all backends may have at once.
+// Where every backend reports its slots there is no limit here, since their proxies know better.
 func (f *Forwarder) limitInFlight(exchange *Exchange) *apierror.Fault {
-	candidates := f.config.Session.Directory().Candidates[exchange.Service.Name]
-	backends := len(candidates)
-	if backends > 0 && allReportSlots(candidates) {
-		f.inFlightCounter(exchange.Service.Name).Inc()
+	service := exchange.Service
+	candidates := f.config.Session.Directory().Candidates[service.Name]
+	if len(candidates) > 0 && loadbalancer.AllReportSlots(candidates) {
+		f.services.increment(service.Name)
 		return nil
 	}
-	limit := int64(max(1, backends)) * int64(exchange.Service.Limits.GetInFlightPerBackend())
-	count := f.inFlightCounter(exchange.Service.Name)
-	if count.Inc() > limit {
-		count.Dec()
-		return f.confirmVerdict(exchange, apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are under way here", limit, exchange.Service.Name))
+	limit := int64(max(1, len(candidates))) * int64(service.Limits.GetInFlightPerBackend())
+	if !f.services.tryIncrement(service.Name, limit) {
+		return f.confirmVerdict(exchange, apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are in flight here", limit, service.Name))
 	}
 	return nil
 }
 
-func (f *Forwarder) releaseInFlight(exchange *Exchange) {
-	f.inFlightCounter(exchange.Service.Name).Dec()
-}
+func (f *Forwarder) releaseInFlight(exchange *Exchange) { f.services.decrement(exchange.Service.Name) }
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -2,103 +2,101 @@
 
 import (
 	"snowflow/internal/apierror"
-	"snowflow/internal/config"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/proxy/breaker"
-	"snowflow/internal/proxy/request"
-	"snowflow/internal/proxy/session"
 	"snowflow/internal/registry/idempotency"
-	"snowflow/internal/resourcepath"
 	"snowflow/internal/transport/wire"
 )
 
-// lost handles a pass without an answer. A run-once pass is voided first: void means proof that it has not run and won't.
-func (f *Forwarder) handleLostResponse(exchange *Exchange, permit *breaker.Permit, candidate session.Candidate, forwardRequest *wire.ForwardRequest, cause error) (*request.Response, *apierror.Fault, bool) {
-	f.balancer.markUnavailable(candidate.Proxy)
-	permit.Done(breaker.Neutral)
+const (
+	// voidTimeout is the longest time that voiding an attempt may take; after it the verdict is MayHaveRun.
+	voidTimeout = 1500 * monotonic.Millisecond
+	// minVoidTimeout is what voiding may take even if the request's deadline is nearer.
+	minVoidTimeout = 300 * monotonic.Millisecond
+)
+
+// unavailableCauses are the causes of rejection that set a backend aside for a while.
+var unavailableCauses = map[apierror.Cause]bool{
+	apierror.BackendDialFailed:       true,
+	apierror.BackendIdentityMismatch: true,
+	apierror.BackendLeaving:          true,
+	apierror.BackendUnknown:          true,
+	apierror.BackendUnhealthy:        true,
+}
+
+// handleLostResponse ends an attempt without a response. A RunOnce attempt is voided first: if it is void, that proves that it
+// hasn't run and won't.
+func (f *Forwarder) handleLostResponse(a *attempt, message *wire.ForwardRequest, cause error) attemptResult {
+	proxy, exchange := a.candidate.Proxy, a.exchange
+	f.balancer.MarkUnavailable(proxy)
+	a.permit.Done(breaker.Neutral)
 	if apierror.IsUnreachable(cause) {
-		return nil, apierror.New(apierror.ForwardUnreachable, apierror.NotRun, "%s: %v", candidate.Proxy, cause), true
+		return a.fail(apierror.New(apierror.ForwardUnreachable, apierror.NotRun, "%s: %v", proxy, cause), true)
 	}
 	if !exchange.RunOnce {
-		fault := apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Proxy, cause)
+		fault := apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", proxy, cause)
 		if f.config.Host.Now() >= exchange.Deadline {
-			fault = apierror.New(apierror.DeadlineExceeded, apierror.MayHaveRun, "%s gave no answer before the cutoff", candidate.Proxy)
+			fault = apierror.New(apierror.DeadlineExceeded, apierror.MayHaveRun, "%s did not respond before the deadline", proxy)
 		}
-		return nil, fault, !exchange.AtMostOnce
+		return a.fail(fault, !exchange.AtMostOnce)
 	}
-	if f.voidAttempt(exchange, forwardRequest.Attempt, false) == idempotency.Voided {
-		return nil, apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the try is void", candidate.Proxy, cause), true
+	if f.voidAttempt(exchange, message.Attempt, false) == idempotency.Voided {
+		return a.fail(apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the attempt is void", proxy, cause), true)
 	}
-	return nil, apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", candidate.Proxy, cause), false
+	return a.fail(apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", proxy, cause), false)
 }
 
-// handleRejection handles a refusal by the server's side.
-func (f *Forwarder) handleRejection(exchange *Exchange, permit *breaker.Permit, candidate session.Candidate, forwardResponse *wire.ForwardResponse, backendOnly bool) (*request.Response, *apierror.Fault, bool) {
-	fault := &apierror.Fault{Cause: apierror.Cause(forwardResponse.Cause), Verdict: apierror.Verdict(forwardResponse.Verdict), RetryAfter: monotonic.Micros(forwardResponse.RetryAfter),
-		Detail: forwardResponse.Detail, Backend: forwardResponse.BackendFault, RetryAfterMeasured: apierror.Cause(forwardResponse.Cause) == apierror.Overloaded && forwardResponse.Load.GetSlots() > 0}
+// handleRejection ends an attempt that the backend's proxy rejected, or whose backend failed.
+func (f *Forwarder) handleRejection(a *attempt, response *wire.ForwardResponse, backendOnly bool) attemptResult {
+	fault := rejectionFault(response)
 	outcome := breaker.Neutral
 	if fault.Backend && !backendOnly {
 		outcome = breaker.Failure
 	}
-	permit.Done(outcome)
-	f.balancer.observeOutcome(candidate.Instance, fault.Backend)
-	if fault.Cause == apierror.BackendDialFailed || fault.Cause == apierror.BackendIdentityMismatch || fault.Cause == apierror.BackendLeaving || fault.Cause == apierror.BackendUnknown || fault.Cause == apierror.BackendUnhealthy {
-		f.balancer.markUnavailable(candidate.Instance)
+	a.permit.Done(outcome)
+	f.balancer.ObserveOutcome(a.candidate.Instance, fault.Backend)
+	if unavailableCauses[fault.Cause] {
+		f.balancer.MarkUnavailable(a.candidate.Instance)
 	}
-	retriable := fault.NotRun() || !exchange.RunOnce && !exchange.AtMostOnce
+	retriable := fault.NotRun() || a.exchange.mayRepeat()
 	if fault.Cause == apierror.KeyFenced || fault.Cause == apierror.ClaimUnreachable {
 		retriable = false
 	}
-	return nil, fault, retriable
+	return a.fail(fault, retriable)
 }
 
-// void asks the sorter to make sure a try never runs. With fence it closes the key to every request read before now.
-func (f *Forwarder) voidAttempt(exchange *Exchange, attempt string, fence bool) string {
-	voidResponse := &wire.VoidClaimResponse{}
-	timeout := min(max(exchange.Deadline-f.config.Host.Now(), 300*monotonic.Millisecond), voidTimeout)
-	err := f.config.CallPrimary(wire.Kind_void_claim, &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence}, voidResponse, timeout)
-	if err != nil {
-		return ""
+func rejectionFault(response *wire.ForwardResponse) *apierror.Fault {
+	cause := apierror.Cause(response.Cause)
+	return &apierror.Fault{
+		Cause:      cause,
+		Verdict:    apierror.Verdict(response.Verdict),
+		RetryAfter: monotonic.Micros(response.RetryAfter),
+		Detail:     response.Detail,
+		Backend:    response.BackendFault,
+		// With slots the wait comes from the backend's queue.
+		RetryAfterMeasured: cause == apierror.Overloaded && response.Load.GetSlots() > 0,
 	}
-	if voidResponse.Fence != nil {
-		// The caller may come back at once, to this carrier: what it sends then was read after the fence.
-		f.config.Session.ObserveLeaderClock(&wire.LeaderTimestamp{Epoch: voidResponse.Fence.Epoch, Time: voidResponse.Fence.Time + 1})
-	}
-	return voidResponse.Outcome
 }
 
-// scope names what may run once: a key at a resource, however that is spelled. The service is no part of it: a key must not
-// run twice even when a new desired state sends its path to another service. It's known before the path is resolved, so
-// every refusal can speak of the key.
-func idempotencyScope(exchange *Exchange) string {
-	if exchange.Request.IdempotencyKey == "" {
+// voidAttempt has the registry ensure that an attempt never runs. With fence it also closes the key to every request that was
+// read before now. It returns the claim's state, or an empty string if the registry can't be reached in time.
+func (f *Forwarder) voidAttempt(exchange *Exchange, attempt string, fence bool) string {
+	timeout := min(max(exchange.Deadline-f.config.Host.Now(), minVoidTimeout), voidTimeout)
+	message := &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence}
+	response := &wire.VoidClaimResponse{}
+	if err := f.config.CallPrimary(wire.Kind_void_claim, message, response, timeout); err != nil {
 		return ""
 	}
-	if exchange.Request.IdempotencyScope != "" {
-		return exchange.Request.IdempotencyScope
+	if response.Fence != nil {
+		// The caller may repeat the request at once, to this proxy: then it is read after the fence.
+		f.config.Session.ObserveLeaderClock(&wire.LeaderTimestamp{Epoch: response.Fence.Epoch, Time: response.Fence.Time + 1})
 	}
-	return resourcepath.TrimTrailingSlash(exchange.Target.Path) + "\n" + exchange.Request.IdempotencyKey
-}
-
-// harmless are the methods that promise to change nothing.
-var safeMethods = map[string]bool{"GET": true, "HEAD": true}
-
-// once tells whether a request may run only once: on a path of that class, and on any path when it carries a key and its
-// method may change something. The second keeps a key that ran under one desired state from running again under
-// another that has the path as read.
-func runsOnce(route config.Route, exchange *Exchange) bool {
-	return route.Once || exchange.Request.IdempotencyKey != "" && !safeMethods[exchange.Method]
+	return response.Outcome
 }
 
-// doubtful is a fault that no longer says not run.
-func asMayHaveRun(fault *apierror.Fault) *apierror.Fault {
-	weaker := *fault
-	weaker.Verdict = apierror.MayHaveRun
-	return &weaker
-}
-
-// final makes sure a verdict speaks of the key, not of one try: not run is only said of a run-once request once the
-// claims say the same and are fenced, so that nothing read before can run under the key later.
+// confirmVerdict ensures that a verdict holds for the idempotency key, not only for one attempt. A request with a key has the
+// verdict NotRun only once the registry has voided the key's claim and fenced the key, so that no request read before can run
+// under it later.
 func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Fault) *apierror.Fault {
 	if exchange.MayHaveRun && fault.NotRun() {
 		return asMayHaveRun(fault)
@@ -112,3 +110,10 @@
 	}
 	return fault
 }
+
+// asMayHaveRun is a copy of a fault with the verdict MayHaveRun.
+func asMayHaveRun(fault *apierror.Fault) *apierror.Fault {
+	weaker := *fault
+	weaker.Verdict = apierror.MayHaveRun
+	return &weaker
+}
--- /dev/null
+++ b/internal/proxy/loadbalancer/fastest.go
@@ -0,0 +1,45 @@
+package loadbalancer
+
+import (
+	"math"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/session"
+)
+
+// equalTolerance is the part by which two estimates may differ and count as equal. What they are made of is no better known,
+// and callers that all took the least one would all go to the same backend.
+const equalTolerance = 0.1
+
+// pickFastest draws one of the candidates with the shortest expected response time. The caller holds the lock.
+func (b *Balancer) pickFastest(candidates []session.Candidate, route string, now, penalty monotonic.Micros) session.Candidate {
+	averages := b.loads.averages(candidates, route, now)
+	b.estimates = b.estimates[:0]
+	best := math.Inf(1)
+	for index := range candidates {
+		candidate := &candidates[index]
+		expected := b.loads.expect(candidate, averages, route, now)
+		estimate := expected.responseTime(float64(b.inFlight[candidate.Instance])+math.Max(0, expected.others), float64(candidate.Slots))
+		if !b.ignoreDomains && candidate.Domain != b.domain {
+			estimate += float64(penalty)
+		}
+		best = min(best, estimate)
+		b.estimates = append(b.estimates, estimate)
+	}
+	return candidates[b.drawBest(best)]
+}
+
+// drawBest draws the index of one of the estimates that equal the best one, each with the same probability.
+func (b *Balancer) drawBest(best float64) int {
+	chosen, equal := 0, uint64(0)
+	for index, estimate := range b.estimates {
+		if estimate > best*(1+equalTolerance) {
+			continue
+		}
+		equal++
+		if b.host.Random()%equal == 0 {
+			chosen = index
+		}
+	}
+	return chosen
+}
--- /dev/null
+++ b/internal/proxy/loadbalancer/load_reports.go
@@ -0,0 +1,176 @@
+package loadbalancer
+
+import (
+	"maps"
+	"math"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/transport/wire"
+)
+
+const (
+	// loadHalfLife is the least time in which the reported load of other callers loses half its weight against the backend's
+	// average load. Where work takes longer, the work time is used: a queue lasts as long as the work in it.
+	loadHalfLife = 100 * monotonic.Millisecond
+	// averageHalfLife is the time in which a backend's own averages lose half their weight against those of its service, so
+	// that a backend that was slow or full is tried again.
+	averageHalfLife = 5 * monotonic.Second
+	// averageSmoothing is the number of reports over which the load of other callers is averaged.
+	averageSmoothing = 5
+	// defaultWorkMicros is assumed while no backend of the service has reported its work time, as backends' proxies do.
+	defaultWorkMicros = float64(50 * monotonic.Millisecond)
+	// warmingFactor is how much slower an unmeasured backend in slow start is assumed to be.
+	warmingFactor = 1.5
+	// workWeight is the weight of the work time beside the wait for a slot. At its full weight a quick backend, even one in
+	// another domain, would be filled before any other gets work, and once slots are short requests would queue there.
+	workWeight = 0.25
+	// maxRoutesPerBackend bounds the routes whose work time is kept for one backend.
+	maxRoutesPerBackend = 256
+	// maxReportAge is the age from which a report is dropped: most such backends are gone.
+	maxReportAge = monotonic.Minute
+)
+
+// loadReport is the last load that a backend's proxy reported, and averages over the reports before.
+//
+// Invariants: others excludes this proxy's own requests, which are known exactly and added to an estimate; routeWorkMicros
+// holds values above 0 for at most maxRoutesPerBackend routes.
+type loadReport struct {
+	slots           float64
+	workMicros      float64            // 0 while not measured
+	routeWorkMicros map[string]float64 // work time of the requests of one route
+	others          float64            // requests of other callers that run or wait there
+	averageOthers   float64
+	receivedAt      monotonic.Micros
+}
+
+// loadReports holds a report for each backend, by instance. The Balancer's lock guards it.
+type loadReports map[string]*loadReport
+
+// observe records a report. ownInFlight is the number of this proxy's requests that it includes.
+func (r loadReports) observe(instance, route string, load *wire.Load, ownInFlight int, now monotonic.Micros) {
+	others := math.Max(0, float64(load.Running+load.Waiting)-float64(ownInFlight))
+	report := r[instance]
+	if report == nil {
+		report = &loadReport{averageOthers: others, routeWorkMicros: map[string]float64{}}
+		r.dropStale(now)
+		r[instance] = report
+	}
+	report.averageOthers += (others - report.averageOthers) / averageSmoothing
+	report.slots, report.workMicros = float64(load.Slots), float64(load.ServiceMicros)
+	report.others, report.receivedAt = others, now
+	if _, known := report.routeWorkMicros[route]; load.RouteMicros > 0 && (known || len(report.routeWorkMicros) < maxRoutesPerBackend) {
+		report.routeWorkMicros[route] = float64(load.RouteMicros)
+	}
+}
+
+func (r loadReports) dropStale(now monotonic.Micros) {
+	maps.DeleteFunc(r, func(_ string, report *loadReport) bool { return now-report.receivedAt >= maxReportAge })
+}
+
+// AllReportSlots reports whether each candidate has said how many requests it runs at once.
+func AllReportSlots(candidates []session.Candidate) bool {
+	for index := range candidates {
+		if candidates[index].Slots == 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// decay is the weight that is left of something after a time.
+func decay(age, halfLife monotonic.Micros) float64 {
+	return math.Exp2(-float64(age) / float64(halfLife))
+}
+
+// serviceAverages is what the backends of a service are like on average.
+type serviceAverages struct {
+	workMicros      float64
+	routeWorkMicros float64 // of one route's requests
+	loadPerSlot     float64 // requests of other callers
+}
+
+// weightedMean accumulates a quotient of weighted sums.
+type weightedMean struct{ sum, weight float64 }
+
+func (m *weightedMean) add(value, weight float64) {
+	m.sum += weight * value
+	m.weight += weight
+}
+
+// or is the mean, or a default if nothing was added.
+func (m *weightedMean) or(otherwise float64) float64 {
+	if m.weight > 0 {
+		return m.sum / m.weight
+	}
+	return otherwise
+}
+
+// averages weighs the reports of a service's backends by their age.
+func (r loadReports) averages(candidates []session.Candidate, route string, now monotonic.Micros) serviceAverages {
+	var work, routeWork weightedMean
+	var load, slots float64
+	for index := range candidates {
+		report := r[candidates[index].Instance]
+		if report == nil {
+			continue
+		}
+		weight := decay(now-report.receivedAt, averageHalfLife)
+		load, slots = load+weight*report.averageOthers, slots+weight*report.slots
+		if report.workMicros > 0 {
+			work.add(report.workMicros, weight)
+		}
+		if known := report.routeWorkMicros[route]; known > 0 {
+			routeWork.add(known, weight)
+		}
+	}
+	averages := serviceAverages{workMicros: work.or(defaultWorkMicros)}
+	averages.routeWorkMicros = routeWork.or(averages.workMicros)
+	if slots > 0 {
+		averages.loadPerSlot = load / slots
+	}
+	return averages
+}
+
+// expectedLoad is what a backend is expected to have to do.
+type expectedLoad struct {
+	others          float64 // requests of other callers
+	workMicros      float64 // work time of a request of any route
+	routeWorkMicros float64 // work time of a request of the route in question
+}
+
+// expect combines a backend's own report, the weight of which fades with its age, with the averages of its service.
+func (r loadReports) expect(candidate *session.Candidate, averages serviceAverages, route string, now monotonic.Micros) expectedLoad {
+	expected := expectedLoad{others: averages.loadPerSlot * float64(candidate.Slots), workMicros: averages.workMicros, routeWorkMicros: averages.routeWorkMicros}
+	report := r[candidate.Instance]
+	if report == nil {
+		if candidate.Warming {
+			expected.workMicros *= warmingFactor
+			expected.routeWorkMicros *= warmingFactor
+		}
+		return expected
+	}
+	age := now - report.receivedAt
+	weight := decay(age, averageHalfLife)
+	expected.others += (report.averageOthers - expected.others) * weight
+	if report.workMicros > 0 {
+		expected.workMicros += (report.workMicros - expected.workMicros) * weight
+	}
+	if report.routeWorkMicros[route] > 0 {
+		expected.routeWorkMicros += (report.routeWorkMicros[route] - expected.routeWorkMicros) * weight
+	} else if averages.routeWorkMicros == averages.workMicros {
+		expected.routeWorkMicros = expected.workMicros // no backend has reported the route
+	}
+	expected.others += (report.others - report.averageOthers) * decay(age, max(loadHalfLife, monotonic.Micros(expected.workMicros)))
+	return expected
+}
+
+// responseTime is the expected response time in microseconds at a backend with that many slots: its work time, and the wait
+// for a slot behind the requests that run or wait there. With fewer requests than slots no wait is expected, but what is
+// known of other callers' requests is old and rough, so the bend is rounded (softplus).
+func (l expectedLoad) responseTime(requests, slots float64) float64 {
+	const linearFrom = 30 // from here on the softplus is its argument, and exp would overflow
+	excess := requests + 1 - slots
+	perRequest := l.workMicros / slots
+	return workWeight*l.routeWorkMicros + perRequest*math.Log1p(math.Exp(min(excess, linearFrom))) + perRequest*max(excess-linearFrom, 0)
+}
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -1,6 +1,3 @@
-// Package retry keeps the budget for further tries. It's a bucket for each service: each first try that reached the
-// service puts a share of a token in, a further try takes a whole one out, and the bucket holds no more than this
-// carrier's part of one small allowance for the whole mesh.
 package retry
 
 import (
@@ -9,36 +6,41 @@
 	"snowflow/internal/monotonic"
 )
 
-// window is the time in which further tries are bounded.
+// budgetWindow is the period for which retries are bounded.
 const budgetWindow = 10 * monotonic.Second
 
-// Budget is the budget for all services.
+// Budget bounds the retries to each service by a token bucket. It is safe for concurrent use.
 //
-// Invariant, per service and for every window of 10 s, past or to come: further tries <= ratio x first tries in that same
-// window + depth. A count over the last 10 s alone would not do: first tries that are about to leave the window
-// would pay for a burst of further ones that stays in it.
+// Invariant, for each service and each period of budgetWindow: retries <= ratio x first attempts in that period + capacity.
+// Counting over the last budgetWindow alone would not ensure that: first attempts about to leave the period would pay for a
+// burst of retries that remains in it.
 type Budget struct {
-	clock          monotonic.Clock
-	mu             sync.Mutex
-	buckets        map[string]*tokenBucket
+	clock monotonic.Clock
+	// allowanceShare returns this proxy's share of an allowance that holds for the whole mesh; 0 while it is unknown.
 	allowanceShare func(allowance uint32) float64
-	// unlimited takes the bound away; only rehearsals of the checkers set it.
+	// unlimited lifts the bound. Only tests of the simulator's invariants set it.
 	unlimited bool
-}
 
-// SetUnlimited takes the bound away, to show that a checker sees what comes of it. No program sets it.
-func (b *Budget) SetUnlimited(enabled bool) { b.unlimited = enabled }
+	mu      sync.Mutex // guards buckets and what they hold
+	buckets map[string]*tokenBucket
+}
 
+// tokenBucket is the budget of one service. Invariant: 0 <= tokens <= capacity, unless the budget is unlimited.
 type tokenBucket struct {
 	tokens      float64
-	lastRetryAt monotonic.Micros // of the last further try
+	lastRetryAt monotonic.Micros // when the last token was withdrawn
 }
 
-// NewBudget makes a purse; share tells this carrier's part of an allowance, zero while unknown.
-func NewBudget(c monotonic.Clock, allowanceShare func(allowance uint32) float64) *Budget {
-	return &Budget{clock: c, buckets: map[string]*tokenBucket{}, allowanceShare: allowanceShare}
+// NewBudget returns a budget whose buckets are empty until a service is first called. allowanceShare returns this proxy's
+// share of a mesh-wide allowance, 0 while the share is unknown.
+func NewBudget(clock monotonic.Clock, allowanceShare func(allowance uint32) float64) *Budget {
+	return &Budget{clock: clock, buckets: map[string]*tokenBucket{}, allowanceShare: allowanceShare}
 }
 
+// SetUnlimited lifts the bound on retries, so that a test can show that a violation is detected. No program calls it.
+func (b *Budget) SetUnlimited(enabled bool) { b.unlimited = enabled }
+
+// bucket returns a service's bucket. The caller holds the lock.
 func (b *Budget) bucket(service string) *tokenBucket {
 	bucket := b.buckets[service]
 	if bucket == nil {
@@ -48,8 +50,8 @@
 	return bucket
 }
 
-// depth is what a bucket may hold. A part below one would never allow a single try, so it's rounded up to one: where
-// carriers outnumber the allowance, their number is the bound.
+// capacity is the number of tokens a bucket may hold. A share below 1 would never allow a single retry, so it is rounded up
+// to 1: where there are more proxies than the allowance, their number is the bound.
 func (b *Budget) capacity(allowance uint32) float64 {
 	share := b.allowanceShare(allowance)
 	if share > 0 {
@@ -58,15 +60,27 @@
 	return share
 }
 
-// Deposit notes a first try that reached the service.
+// Deposit records a first attempt that reached the service, which adds ratio tokens.
 func (b *Budget) Deposit(service string, ratio float64, allowance uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
+	b.add(service, ratio, allowance)
+}
+
+// Refund returns the token of a retry that certainly never reached the service.
+func (b *Budget) Refund(service string, allowance uint32) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.add(service, 1, allowance)
+}
+
+// add puts tokens into a bucket up to its capacity. The caller holds the lock.
+func (b *Budget) add(service string, tokens float64, allowance uint32) {
 	bucket := b.bucket(service)
-	bucket.tokens = min(bucket.tokens+ratio, b.capacity(allowance))
+	bucket.tokens = min(bucket.tokens+tokens, b.capacity(allowance))
 }
 
-// TryWithdraw takes one further try out of the budget, if there's one left.
+// TryWithdraw takes the token for one retry and reports whether there was one.
 func (b *Budget) TryWithdraw(service string, allowance uint32) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,7 +88,7 @@
 	capacity, now := b.capacity(allowance), b.clock.Now()
 	bucket.tokens = min(bucket.tokens, capacity)
 	if now-bucket.lastRetryAt >= budgetWindow {
-		bucket.tokens = capacity // no window holds both an earlier further try and this one
+		bucket.tokens = capacity // no period of budgetWindow contains both the last retry and this one
 	}
 	if bucket.tokens < 1 && !b.unlimited {
 		return false
@@ -84,7 +98,7 @@
 	return true
 }
 
-// Clear empties every bucket, for want of knowing how much of a window has passed.
+// Clear empties every bucket. It is called after the clock has leapt, when it is unknown how much of a period has passed.
 func (b *Budget) Clear() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,15 +107,7 @@
 	}
 }
 
-// Refund puts a further try back that certainly never reached the service.
-func (b *Budget) Refund(service string, allowance uint32) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	bucket := b.bucket(service)
-	bucket.tokens = min(bucket.tokens+1, b.capacity(allowance))
-}
-
-// Balance is what a service's bucket holds now.
+// Balance returns the number of tokens a service has now.
 func (b *Budget) Balance(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- /dev/null
+++ b/internal/proxy/retry/jitter.go
@@ -0,0 +1,69 @@
+package retry
+
+import (
+	"sync"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+)
+
+const (
+	// maxRetryAfterJitter is the most that is added to a rejection's Retry-After.
+	maxRetryAfterJitter = 10 * monotonic.Second
+	// rejectionSeriesGap without a rejection ends a series.
+	rejectionSeriesGap = 15 * monotonic.Second
+)
+
+// RandomClock is what Jitter needs of its host.
+type RandomClock interface {
+	monotonic.Clock
+	Random() uint64
+}
+
+// Jitter spreads the Retry-After hints of rejections, and so the return of callers that are rejected for the same cause. The
+// spread grows with the time that such rejections have lasted: callers that waited through an outage must not all return at
+// the moment it ends. It is safe for concurrent use.
+//
+// Invariant: a series is the rejections for one cause with no gap of rejectionSeriesGap between two of them.
+type Jitter struct {
+	host RandomClock
+	// disabled leaves Retry-After as it is. Only measurements of the jitter's effect set it.
+	disabled bool
+
+	mu     sync.Mutex // guards series
+	series map[apierror.Cause]*rejectionSeries
+}
+
+// rejectionSeries is when the first and the last rejection of a series were made.
+type rejectionSeries struct{ since, last monotonic.Micros }
+
+// NewJitter returns a jitter for which no rejection has been made yet.
+func NewJitter(host RandomClock) *Jitter {
+	return &Jitter{host: host, series: map[apierror.Cause]*rejectionSeries{}}
+}
+
+// SetDisabled leaves Retry-After hints unchanged, to measure what the jitter is worth. No program calls it.
+func (j *Jitter) SetDisabled(disabled bool) { j.disabled = disabled }
+
+// Apply adds the jitter to a rejection's Retry-After. A fault without one is left alone, and so is a measured wait: it comes
+// from a backend's queue, which already lets callers in one by one.
+func (j *Jitter) Apply(fault *apierror.Fault) {
+	if fault.RetryAfter == 0 || fault.RetryAfterMeasured || j.disabled {
+		return
+	}
+	spread := j.spread(fault.Cause)
+	fault.RetryAfter += monotonic.Micros(j.host.Random() % uint64(spread+1))
+}
+
+// spread records a rejection and returns the most that may be added to its Retry-After.
+func (j *Jitter) spread(cause apierror.Cause) monotonic.Micros {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	now, current := j.host.Now(), j.series[cause]
+	if current == nil || now-current.last >= rejectionSeriesGap {
+		current = &rejectionSeries{since: now}
+		j.series[cause] = current
+	}
+	current.last = now
+	return min(now-current.since, maxRetryAfterJitter)
+}
