--- /dev/null
+++ b/internal/proxy/breaker/permit.go
@@ -0,0 +1,149 @@
+package breaker
+
+import (
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/registry/breakerstore"
+	"snowflow/internal/transport/wire"
+)
+
+// Permit is one admitted attempt. Done must be called exactly once.
+type Permit struct {
+	set     *Set
+	breaker *serviceBreaker
+	service *config.Service // as it was configured when the attempt was admitted
+	// probeID is the attempt's probe, leased by the shared record of recordVersion; empty if it has none.
+	probeID       string
+	recordVersion uint64
+	localProbe    bool // the attempt is a probe of the local breaker
+	uncounted     bool // the outcome says nothing, since the breaker is disabled
+	startedAt     monotonic.Micros
+}
+
+// Outcome is what an attempt says of its backend.
+type Outcome int
+
+const (
+	// Success is a response that isn't an error.
+	Success Outcome = iota
+	// Failure is an error of the backend's.
+	Failure
+	// Neutral says nothing of the backend: the fault was of this proxy, of another one or of the request.
+	Neutral
+)
+
+// admitByState decides by the state of the shared record.
+var admitByState = map[string]func(s *Set, b *serviceBreaker, permit *Permit) *apierror.Fault{
+	breakerstore.Closed:   (*Set).admitLocally,
+	breakerstore.Open:     (*Set).rejectOpen,
+	breakerstore.HalfOpen: (*Set).admitProbe,
+}
+
+// Admit admits one attempt to a service, or returns the fault with which it is rejected. It waits for the registry only while
+// the service's record is half open.
+func (s *Set) Admit(service *config.Service) (*Permit, *apierror.Fault) {
+	b := s.forService(service.Name)
+	permit := &Permit{set: s, breaker: b, service: service, startedAt: s.config.Host.Now()}
+	state, control := b.beginAdmission(permit)
+	if control == ControlForceOpen {
+		return nil, apierror.New(apierror.BreakerOpen, apierror.NotRun, "the breaker of %s is forced open on this proxy", service.Name)
+	}
+	if control != ControlNone || service.Breaker.GetDisabled() {
+		permit.uncounted = control != ControlMetricsOnly
+		return permit, nil
+	}
+	if s.Degraded() {
+		state = breakerstore.Closed
+	}
+	if fault := admitByState[state](s, b, permit); fault != nil {
+		return nil, fault
+	}
+	return permit, nil
+}
+
+// beginAdmission counts an attempt that asks for admission, and returns what decides on it.
+func (b *serviceBreaker) beginAdmission(permit *Permit) (state string, control Control) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.settings = permit.service.BreakerTerms()
+	b.admissions++
+	state = breakerstore.Closed
+	if b.shared != nil {
+		state = b.shared.State
+		permit.recordVersion = b.shared.Version
+	}
+	return state, b.control
+}
+
+// rejectOpen rejects an attempt because the shared record is open.
+func (s *Set) rejectOpen(b *serviceBreaker, permit *Permit) *apierror.Fault {
+	fault := apierror.New(apierror.BreakerOpen, apierror.NotRun, "the breaker of %s is open", b.service)
+	fault.RetryAfter = retryAfter(monotonic.Micros(permit.service.Breaker.GetWaitOpenMicros()))
+	return fault
+}
+
+// admitLocally decides by the local breaker.
+func (s *Set) admitLocally(b *serviceBreaker, permit *Permit) *apierror.Fault {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	decision := b.local.admit(s.config.Host.Now(), permit.service.Breaker)
+	if decision.admitted {
+		permit.localProbe = decision.probe
+		return nil
+	}
+	fault := apierror.New(apierror.BreakerOpen, apierror.NotRun, "the breaker of %s is open on this proxy", b.service)
+	fault.RetryAfter = decision.retryAfter
+	return fault
+}
+
+// Done records how an admitted attempt ended.
+func (p *Permit) Done(outcome Outcome) {
+	elapsed := p.set.config.Host.Now() - p.startedAt
+	slow := elapsed > monotonic.Micros(p.service.Breaker.GetSlowMicros())
+	if p.probeID != "" {
+		p.endProbe(outcome, slow)
+		return
+	}
+	b := p.breaker
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if p.localProbe {
+		if b.local.endProbe(p.service.Breaker, outcome, slow) {
+			p.set.openLocally(b)
+		}
+		return
+	}
+	if outcome == Neutral || p.uncounted {
+		return
+	}
+	if b.count(p.service.Breaker, callResult{failed: outcome == Failure, slow: slow}) {
+		p.set.openLocally(b)
+	}
+}
+
+// count adds a call to the window, and reports whether the local breaker must open. The caller holds the lock.
+func (b *serviceBreaker) count(settings *wire.Breaker, result callResult) (open bool) {
+	b.calls++
+	if result.failed {
+		b.failedCalls++
+	}
+	b.window.add(result, int(settings.GetWindowCalls()))
+	if b.local.state != breakerstore.Closed || b.control != ControlNone {
+		return false
+	}
+	return b.window.exceeds(int(settings.GetMinimumCalls()), settings.GetFailureRate(), settings.GetSlowRate())
+}
+
+// openLocally opens the local breaker and reports that to the registry. The caller holds the breaker's lock.
+func (s *Set) openLocally(b *serviceBreaker) {
+	b.local = localBreaker{state: breakerstore.Open, enteredAt: s.config.Host.Now()}
+	b.window = newWindow(len(b.window.results))
+	version := uint64(1)
+	if b.shared != nil {
+		version = b.shared.Version
+	}
+	s.config.Host.Report(eventlog.BreakerTrippedLocally, map[string]any{"service": b.service})
+	s.enqueueWrite(&wire.BreakerWriteRequest{Service: b.service, Verb: verbTrip, ExpectedVersion: version, Settings: b.settings})
+}
--- /dev/null
+++ b/internal/proxy/breaker/probes.go
@@ -0,0 +1,56 @@
+package breaker
+
+import (
+	"fmt"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/registry/breakerstore"
+	"snowflow/internal/transport/wire"
+)
+
+// leaseTimeout is how long the lease of a probe may take, in which a caller waits. It outlasts a batch of the registry's log
+// that a slow disk syncs.
+const leaseTimeout = monotonic.Second
+
+// admitProbe leases a probe from the registry. If the registry can't be reached, or the record has been closed meanwhile, the
+// local breaker decides.
+func (s *Set) admitProbe(b *serviceBreaker, permit *Permit) *apierror.Fault {
+	if s.skipProbeLeases {
+		return nil
+	}
+	probeID := fmt.Sprintf("%s-%016x", s.config.Proxy, s.config.Host.Random())
+	request := &wire.ProbeLeaseRequest{Service: b.service, Id: probeID, Proxy: s.config.Proxy, Incarnation: s.config.Incarnation}
+	response := &wire.ProbeLeaseResponse{}
+	if err := s.config.Call(wire.Kind_probe_lease, request, response, leaseTimeout); err != nil {
+		s.enterDegraded(err)
+		return s.admitLocally(b, permit)
+	}
+	s.applyRecord(b, response.Record)
+	if response.Granted {
+		permit.probeID, permit.recordVersion = probeID, response.Record.Version
+		return nil
+	}
+	if response.Record != nil && response.Record.State == breakerstore.Closed {
+		permit.recordVersion = response.Record.Version
+		return s.admitLocally(b, permit)
+	}
+	return apierror.New(apierror.NoProbeLeft, apierror.NotRun, "the breaker of %s has no probe left", b.service)
+}
+
+// endProbe writes the result of a leased probe. A neutral outcome says nothing of the service, so the probe is returned for
+// another attempt.
+func (p *Permit) endProbe(outcome Outcome, slow bool) {
+	verb := verbProbe
+	if outcome == Neutral {
+		verb = verbReturnProbe
+	}
+	p.set.enqueueWrite(&wire.BreakerWriteRequest{
+		Service:         p.breaker.service,
+		Verb:            verb,
+		ExpectedVersion: p.recordVersion,
+		Id:              p.probeID,
+		Success:         outcome == Success && !slow,
+		Settings:        p.service.BreakerTerms(),
+	})
+}
--- a/internal/proxy/breaker/breaker_test.go
+++ b/internal/proxy/breaker/set_test.go
@@ -16,7 +16,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// played runs a guard alone in a simulated place, with a sorter that answers as told.
+// admitted is the cause of an attempt that wasn't rejected.
+const admitted apierror.Cause = 0
+
+// breakerTest runs a set alone on a simulated host, with a registry that responds as respond says.
 type breakerTest struct {
 	t        *testing.T
 	breakers *breaker.Set
@@ -27,9 +30,11 @@
 	events   map[int]int
 }
 
-func runBreakerTest(t *testing.T, scenario func(finished *breakerTest)) {
+// runBreakerTest runs a scenario with the service forms: a window of 10 calls, of which 5 are needed, 2 s open, 2 probes.
+func runBreakerTest(t *testing.T, scenario func(bt *breakerTest)) {
 	t.Helper()
 	simulated := world.New(1)
+	defer simulated.Close()
 	bt := &breakerTest{t: t, events: map[int]int{}, respond: func(wire.Kind, proto.Message) error { return nil }}
 	simulated.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { bt.events[number]++ }
 	state, faults := config.Parse([]byte(`{"groups":[{"name":"field","guard":{"windowCalls":10,"minimumCalls":5,"waitOpenMicros":2000000,"permittedHalfOpen":2},
@@ -41,29 +46,30 @@
 	finished := false
 	simulated.Start(simulated.Add("one", "one", "one", func(node *world.Host) (host.Handlers, error) {
 		bt.node = node
-		bt.breakers = breaker.NewSet(breaker.Config{Host: node, Proxy: "one", Incarnation: 1, Call: func(kind wire.Kind, _, response proto.Message, _ monotonic.Micros) error {
-			bt.calls = append(bt.calls, kind)
-			return bt.respond(kind, response)
-		}})
+		bt.breakers = breaker.NewSet(breaker.Config{Host: node, Proxy: "one", Incarnation: 1, Call: bt.call})
 		scenario(bt)
 		finished = true
 		return host.Handlers{}, nil
 	}))
 	simulated.Run(simulated.Now() + monotonic.Minute)
-	defer simulated.Close()
 	if !finished {
-		t.Fatalf("the course did not end: %v", simulated.Panicked)
+		t.Fatalf("the scenario did not end: %v", simulated.Panicked)
 	}
 }
 
-// try makes one call with an outcome, and tells its refusal's cause, or zero.
+func (bt *breakerTest) call(kind wire.Kind, _, response proto.Message, _ monotonic.Micros) error {
+	bt.calls = append(bt.calls, kind)
+	return bt.respond(kind, response)
+}
+
+// attempt makes one attempt with an outcome, and returns the cause of its rejection, or admitted.
 func (bt *breakerTest) attempt(outcome breaker.Outcome) apierror.Cause {
 	permit, fault := bt.breakers.Admit(bt.service)
 	if fault != nil {
 		return fault.Cause
 	}
 	permit.Done(outcome)
-	return 0
+	return admitted
 }
 
 func (bt *breakerTest) expect(what string, got, wanted any) {
@@ -73,6 +79,16 @@
 	}
 }
 
+func (bt *breakerTest) setControl(verb string) {
+	bt.t.Helper()
+	if err := bt.breakers.SetControl("forms", verb); err != nil {
+		bt.t.Error(err)
+	}
+}
+
+// status is that of the one breaker there is.
+func (bt *breakerTest) status() breaker.Status { return bt.breakers.Statuses()[0] }
+
 func recordsInState(state string, version uint64) []*wire.BreakerRecord {
 	return []*wire.BreakerRecord{{Service: "forms", State: state, Version: version}}
 }
@@ -80,7 +96,7 @@
 func TestNoRegistryCallWhileClosedOrOpen(t *testing.T) {
 	runBreakerTest(t, func(bt *breakerTest) {
 		for range 20 {
-			bt.expect("closed", bt.attempt(breaker.Success), apierror.Cause(0))
+			bt.expect("closed", bt.attempt(breaker.Success), admitted)
 		}
 		bt.breakers.ApplyPoll(recordsInState("open", 2), true)
 		for range 20 {
@@ -89,57 +105,57 @@
 		bt.expect("calls", len(bt.calls), 0)
 		bt.breakers.ApplyPoll(recordsInState("half_open", 3), true)
 		bt.respond = func(_ wire.Kind, response proto.Message) error {
-			response.(*wire.ProbeLeaseResponse).Record = recordsInState("half_open", 3)[0]
+			lease, is := response.(*wire.ProbeLeaseResponse)
+			if !is {
+				t.Errorf("a call for %T", response)
+				return nil
+			}
+			lease.Record = recordsInState("half_open", 3)[0]
 			return nil
 		}
 		bt.expect("no probe left", bt.attempt(breaker.Success), apierror.NoProbeLeft)
-		bt.expect("one call for one try", len(bt.calls), 1)
+		bt.expect("one call for one attempt", len(bt.calls), 1)
 		bt.breakers.ApplyPoll(recordsInState("open", 2), true)
-		bt.expect("an older record is not taken", bt.attempt(breaker.Success), apierror.NoProbeLeft)
+		bt.expect("an older record is ignored", bt.attempt(breaker.Success), apierror.NoProbeLeft)
 	})
 }
 
 func TestLocalBreakerOpensAndRecovers(t *testing.T) {
 	runBreakerTest(t, func(bt *breakerTest) {
 		for range 4 {
-			bt.expect("before the minimum", bt.attempt(breaker.Failure), apierror.Cause(0))
+			bt.expect("before the minimum of calls", bt.attempt(breaker.Failure), admitted)
 		}
 		for range 30 {
-			bt.expect("neutral outcomes say nothing", bt.attempt(breaker.Neutral), apierror.Cause(0))
+			bt.expect("neutral outcomes say nothing", bt.attempt(breaker.Neutral), admitted)
 		}
-		bt.expect("the fifth failure", bt.attempt(breaker.Failure), apierror.Cause(0))
-		bt.expect("open by itself", bt.attempt(breaker.Success), apierror.BreakerOpen)
+		bt.expect("the fifth failure", bt.attempt(breaker.Failure), admitted)
+		bt.expect("open locally", bt.attempt(breaker.Success), apierror.BreakerOpen)
 		bt.node.Sleep(2100 * monotonic.Millisecond)
-		bt.expect("first local probe", bt.attempt(breaker.Success), apierror.Cause(0))
-		bt.expect("second local probe", bt.attempt(breaker.Success), apierror.Cause(0))
-		bt.expect("closed again", bt.breakers.Statuses()[0].Local, "closed")
+		bt.expect("first local probe", bt.attempt(breaker.Success), admitted)
+		bt.expect("second local probe", bt.attempt(breaker.Success), admitted)
+		bt.expect("closed again", bt.status().Local, "closed")
 		bt.expect("reported once", bt.events[eventlog.BreakerTrippedLocally], 1)
 	})
 }
 
 func TestControlsOverrideSharedRecord(t *testing.T) {
 	runBreakerTest(t, func(bt *breakerTest) {
-		control := func(verb string) {
-			if err := bt.breakers.SetControl("forms", verb); err != nil {
-				bt.t.Error(err)
-			}
-		}
-		control("force_open")
+		bt.setControl("force_open")
 		bt.expect("forced open", bt.attempt(breaker.Success), apierror.BreakerOpen)
 		bt.breakers.ApplyPoll(recordsInState("half_open", 2), true)
 		for _, verb := range []string{"disable", "metrics_only"} {
-			control(verb)
+			bt.setControl(verb)
 			for range 30 {
-				bt.expect(verb, bt.attempt(breaker.Failure), apierror.Cause(0))
+				bt.expect(verb, bt.attempt(breaker.Failure), admitted)
 			}
 		}
-		bt.expect("no probe was taken", len(bt.calls), 0)
-		bt.expect("counted by metrics_only alone", bt.breakers.Statuses()[0].Calls, uint64(30))
-		control("reset")
+		bt.expect("no probe was leased", len(bt.calls), 0)
+		bt.expect("counted by metrics_only alone", bt.status().Calls, uint64(30))
+		bt.setControl("reset")
 		bt.breakers.ApplyPoll(recordsInState("open", 3), true)
-		bt.expect("reset goes back to the shared verdict", bt.attempt(breaker.Success), apierror.BreakerOpen)
-		if bt.breakers.SetControl("forms", "smash") == nil {
-			bt.t.Error("an unknown control was taken")
+		bt.expect("after a reset the shared record decides", bt.attempt(breaker.Success), apierror.BreakerOpen)
+		if err := bt.breakers.SetControl("forms", "smash"); err == nil {
+			t.Error("an unknown control was accepted")
 		}
 	})
 }
@@ -147,33 +163,33 @@
 func TestDegradesAndRecovers(t *testing.T) {
 	runBreakerTest(t, func(bt *breakerTest) {
 		bt.breakers.ApplyPoll(recordsInState("half_open", 2), true)
-		bt.respond = func(wire.Kind, proto.Message) error { return errors.New("cut off") }
-		bt.expect("a failed lease falls back to the local window", bt.attempt(breaker.Success), apierror.Cause(0))
-		bt.expect("and later ones don't ask", bt.attempt(breaker.Success), apierror.Cause(0))
+		bt.respond = func(wire.Kind, proto.Message) error { return errors.New("unreachable") }
+		bt.expect("after a failed lease the local breaker decides", bt.attempt(breaker.Success), admitted)
+		bt.expect("and later attempts don't call the registry", bt.attempt(breaker.Success), admitted)
 		bt.expect("calls", len(bt.calls), 1)
 		for range 10 {
 			bt.attempt(breaker.Failure)
 		}
-		bt.expect("writes are dropped and told", bt.events[eventlog.BreakerWriteDropped], 1)
+		bt.expect("writes are dropped and reported", bt.events[eventlog.BreakerWriteDropped], 1)
 		bt.breakers.ApplyPoll(recordsInState("open", 3), true)
 		bt.expect("recovered", bt.events[eventlog.BreakerRecovered], 1)
-		bt.expect("the shared verdict counts again", bt.attempt(breaker.Success), apierror.BreakerOpen)
+		bt.expect("the shared record decides again", bt.attempt(breaker.Success), apierror.BreakerOpen)
 	})
 }
 
 func TestWriteQueueIsBoundedAndDrained(t *testing.T) {
 	runBreakerTest(t, func(bt *breakerTest) {
 		bt.breakers.ApplyPoll(recordsInState("half_open", 2), true)
-		bt.respond = func(kind wire.Kind, response proto.Message) error {
-			if lease, is := response.(*wire.ProbeLeaseResponse); is {
-				lease.Granted, lease.Record = true, recordsInState("half_open", 2)[0]
-			}
-			if written, is := response.(*wire.BreakerWriteResponse); is {
-				written.Record = recordsInState("half_open", 2)[0]
+		bt.respond = func(_ wire.Kind, response proto.Message) error {
+			switch response := response.(type) {
+			case *wire.ProbeLeaseResponse:
+				response.Granted, response.Record = true, recordsInState("half_open", 2)[0]
+			case *wire.BreakerWriteResponse:
+				response.Record = recordsInState("half_open", 2)[0]
 			}
 			return nil
 		}
-		for range 200 { // nothing drains the lane yet
+		for range 200 { // no task sends the writes yet
 			bt.attempt(breaker.Success)
 		}
 		bt.expect("dropped beyond 128", bt.events[eventlog.BreakerWriteDropped], 72)
@@ -187,12 +203,12 @@
 		}
 		bt.expect("written before closing", written, 128)
 		bt.attempt(breaker.Failure)
-		bt.expect("nothing after", len(bt.calls), 200+128)
+		bt.expect("no call after closing", len(bt.calls), 200+128)
 	})
 }
 
-// TestWindowSurvivesConfigChanges: what a guard has counted of a service stands when a version comes that changes a route, or the service's
-// own window. Four failures under one version and one under the next trip it.
+// TestWindowSurvivesConfigChanges: what a window has counted of a service stands when a new version changes a route, or the
+// size of the service's window. Four failures under one version and one under the next open the breaker.
 func TestWindowSurvivesConfigChanges(t *testing.T) {
 	for name, change := range map[string]func(service *wire.ServiceInForce) *config.Change{
 		"a route": func(*wire.ServiceInForce) *config.Change {
@@ -207,27 +223,30 @@
 			return &config.Change{Services: []*wire.ServiceInForce{service}}
 		},
 	} {
-		runBreakerTest(t, func(bt *breakerTest) {
-			view := config.Compile(&wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}},
-				Guard: &wire.Breaker{WindowCalls: proto.Uint32(10), MinimumCalls: proto.Uint32(5)}}}}, 1, "")
-			bt.service = view.Services["forms"]
-			inFlight, _ := bt.breakers.Admit(bt.service)
-			for range 4 {
+		t.Run(name, func(t *testing.T) {
+			runBreakerTest(t, func(bt *breakerTest) {
+				snapshot := config.Compile(&wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}},
+					Guard: &wire.Breaker{WindowCalls: proto.Uint32(10), MinimumCalls: proto.Uint32(5)}}}}, 1, "")
+				bt.service = snapshot.Services["forms"]
+				inFlight, _ := bt.breakers.Admit(bt.service)
+				for range 4 {
+					bt.attempt(breaker.Failure)
+				}
+				previous := bt.service
+				next, err := snapshot.With(change(&wire.ServiceInForce{Name: "forms", Group: "field", Guard: proto.CloneOf(previous.Breaker), Retry: previous.Retry, Limits: previous.Limits}), 2, "")
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				bt.service = next.Services["forms"]
+				bt.expect("the same service", bt.service == previous, name == "a route")
+				bt.expect("trips before", bt.events[eventlog.BreakerTrippedLocally], 0)
 				bt.attempt(breaker.Failure)
-			}
-			previous := bt.service
-			next, err := view.With(change(&wire.ServiceInForce{Name: "forms", Group: "field", Guard: proto.CloneOf(previous.Breaker), Retry: previous.Retry, Limits: previous.Limits}), 2, "")
-			if err != nil {
-				t.Fatal(err)
-			}
-			bt.service = next.Services["forms"]
-			bt.expect(name+": the same service", bt.service == previous, name == "a route")
-			bt.expect(name+": trips before", bt.events[eventlog.BreakerTrippedLocally], 0)
-			bt.attempt(breaker.Failure)
-			bt.expect(name+": trips after", bt.events[eventlog.BreakerTrippedLocally], 1)
-			bt.expect(name+": calls", bt.breakers.Statuses()[0].Calls, uint64(5))
-			inFlight.Done(breaker.Success) // it ends under the version it began with
-			bt.expect(name+": calls with the one under way", bt.breakers.Statuses()[0].Calls, uint64(6))
+				bt.expect("trips after", bt.events[eventlog.BreakerTrippedLocally], 1)
+				bt.expect("calls", bt.status().Calls, uint64(5))
+				inFlight.Done(breaker.Success) // it ends under the version it was admitted by
+				bt.expect("calls with the one in flight", bt.status().Calls, uint64(6))
+			})
 		})
 	}
 }
--- a/internal/proxy/breaker/window.go
+++ b/internal/proxy/breaker/window.go
@@ -1,47 +1,47 @@
 package breaker
 
-import "snowflow/internal/monotonic"
-
-// window is a sliding window over the last calls.
-// Invariant: failed and slow count the marks in ring's filled part.
+// window is a sliding window over the results of the last calls.
+//
+// Invariant: failed and slow count the results in the filled part of the ring.
 type window struct {
-	ring   []callResult
-	next   int
-	filled int
-	failed int
-	slow   int
+	results []callResult // a ring
+	next    int          // where the next result goes
+	filled  int
+	failed  int
+	slow    int
 }
 
+// callResult is what one call says of the service.
 type callResult struct{ failed, slow bool }
 
+func newWindow(size int) *window { return &window{results: make([]callResult, size)} }
+
+// add adds a result, in place of the oldest if the window is full. It resizes the window if it isn't of that size.
 func (w *window) add(result callResult, size int) {
-	if len(w.ring) != size {
+	if len(w.results) != size {
 		*w = *w.resized(size)
 	}
 	if w.filled == size {
-		w.remove(w.ring[w.next])
+		w.count(w.results[w.next], -1)
 	} else {
 		w.filled++
 	}
-	w.ring[w.next] = result
+	w.results[w.next] = result
 	w.next = (w.next + 1) % size
 	w.count(result, 1)
 }
 
-// resized is a window of another size with the last marks of this one, as many as it has room for: a change of the size says nothing of
-// the calls.
+// resized returns a window of another size with as many of the last results as it has room for: a change of the size says
+// nothing of the calls.
 func (w *window) resized(size int) *window {
-	fresh := newWindow(size)
+	resized := newWindow(size)
 	for back := min(w.filled, size); back > 0; back-- {
-		fresh.add(w.ring[(w.next-back+len(w.ring))%len(w.ring)], size)
+		resized.add(w.results[(w.next-back+len(w.results))%len(w.results)], size)
 	}
-	return fresh
+	return resized
 }
 
-func newWindow(size int) *window { return &window{ring: make([]callResult, size)} }
-
-func (w *window) remove(result callResult) { w.count(result, -1) }
-
+// count adds a result to the counts step times.
 func (w *window) count(result callResult, step int) {
 	if result.failed {
 		w.failed += step
@@ -51,21 +51,11 @@
 	}
 }
 
-// over tells whether the window is over a threshold.
-func (w *window) exceeds(minimum int, failureRate, slowRate float64) bool {
-	if w.filled < minimum || w.filled == 0 {
+// exceeds reports whether there are enough calls in the window, and the share of failed or of slow ones reaches its rate.
+func (w *window) exceeds(minimumCalls int, failureRate, slowRate float64) bool {
+	if w.filled < minimumCalls || w.filled == 0 {
 		return false
 	}
 	calls := float64(w.filled)
 	return float64(w.failed) >= failureRate*calls || (w.slow > 0 && float64(w.slow) >= slowRate*calls)
 }
-
-// local is this node's own breaker, which judges while the shared record is closed or out of reach.
-type localBreaker struct {
-	state     string
-	enteredAt monotonic.Micros
-	inFlight  int // probes under way
-	remaining int // probes that may still start
-	completed int
-	failed    int
-}
