--- a/internal/proxy/outlier/outlier_test.go
+++ b/internal/proxy/outlier/detector_test.go
@@ -9,7 +9,7 @@
 
 const ms = monotonic.Millisecond
 
-// bench plays requests at one backend, one after the other or side by side.
+// backendTest plays requests at one backend, one after the other or side by side.
 type backendTest struct {
 	t        *testing.T
 	now      monotonic.Micros
@@ -25,12 +25,12 @@
 	return RequestInfo{Domain: domain, Kind: "forms", LatencyTarget: 400 * ms, Idempotent: true, Peers: bt.peers}
 }
 
-// one plays a request; it tells whether it was let in.
+// send plays a request and reports whether it was let in.
 func (bt *backendTest) send(domain string, elapsed monotonic.Micros, outcome Outcome) bool {
 	c, wait := bt.detector.Admit(bt.now, bt.request(domain))
 	if c == nil {
 		if wait <= 0 {
-			bt.t.Error("a refusal without a time to come back")
+			bt.t.Error("a rejection without a time to come back")
 		}
 		return false
 	}
@@ -40,12 +40,12 @@
 	return true
 }
 
-// well plays requests that teach the usual time.
+// warmUp plays successful requests, from which the usual time is learnt.
 func (bt *backendTest) warmUp(domains ...string) {
 	for range 40 {
 		for _, domain := range domains {
 			if !bt.send(domain, 50*ms, Success) {
-				bt.t.Fatal("a backend that is well is left out")
+				bt.t.Fatal("a healthy backend rejects requests")
 			}
 		}
 	}
@@ -53,27 +53,28 @@
 
 func (bt *backendTest) ejected(domain string) bool { return bt.detector.Ejected(domain) }
 
-// TestConsecutiveFailuresEject: a backend that fails in a row is left to probes, whatever its health answer says.
+// TestConsecutiveFailuresEject: a backend that fails several requests in a row gets only probes, whatever its own health check
+// says.
 func TestConsecutiveFailuresEject(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a", "b")
 	for _, domain := range []string{"a", "b", "a", "b"} {
 		if bt.ejected(domain) || !bt.send(domain, 5*ms, Failure) {
-			t.Fatal("left out too early")
+			t.Fatal("ejected too early")
 		}
 	}
 	if !bt.ejected("a") || !bt.ejected("b") || !bt.ejected("never seen") {
-		t.Error("four faults in a row, and it's sent to")
+		t.Error("not ejected after four failures in a row")
 	}
 	if bt.send("b", 5*ms, Success) {
-		t.Error("a request at once after the ejection")
+		t.Error("a request was let in right after the ejection")
 	}
 	if changes := bt.detector.TakeChanges(); len(changes) != 1 || !changes[0].Ejected || changes[0].Domain != "" {
-		t.Errorf("told: %+v", changes)
+		t.Errorf("changes: %+v", changes)
 	}
 }
 
-// TestOccasionalFailuresDoNotEject: a few faults among many answers are no outlier.
+// TestOccasionalFailuresDoNotEject: a backend with a few failures among many responses isn't an outlier.
 func TestOccasionalFailuresDoNotEject(t *testing.T) {
 	bt := newBackendTest(t)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -91,11 +92,11 @@
 		}
 	}
 	if ejections > 2 {
-		t.Errorf("one answer in twenty is faulty: ejected %d times in 3000 requests", ejections)
+		t.Errorf("with one failure in twenty it was ejected %d times in 3000 requests", ejections)
 	}
 }
 
-// TestPartialFailuresEject: one that fails four in ten is found within a few dozen requests, and gets few of them from then on.
+// TestPartialFailuresEject: a backend that fails four requests in ten is ejected within a few dozen, and gets few from then on.
 func TestPartialFailuresEject(t *testing.T) {
 	for seed := range uint64(20) {
 		bt := newBackendTest(t)
@@ -119,7 +120,7 @@
 	}
 }
 
-// TestOverdueRequestsCountAsFailures: requests that are under way far longer than usual count before they end, and the queue needn't wait for them.
+// TestOverdueRequestsCountAsFailures: requests that are in flight far longer than usual count before they end.
 func TestOverdueRequestsCountAsFailures(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -129,15 +130,15 @@
 	}
 	bt.now += 200 * ms
 	if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c == nil {
-		t.Fatal("left out though 200 ms may well be needed")
+		t.Fatal("rejected though a request may well take 200 ms")
 	}
 	bt.now += 110 * ms // more than six times the usual 50 ms
 	if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c != nil {
-		t.Error("four requests hang, and it's sent to")
+		t.Error("not ejected while four requests hang")
 	}
 }
 
-// TestServiceWideSlownessDoesNotEject: what all backends have is the service's trouble.
+// TestServiceWideSlownessDoesNotEject: a fault that all backends have is the service's.
 func TestServiceWideSlownessDoesNotEject(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -149,45 +150,55 @@
 				outcome = Failure
 			}
 			if !bt.send("a", 400*ms, outcome) {
-				t.Fatal("left out though its peers do no better")
+				t.Fatal("rejected though its peers do no better")
 			}
 		}
 	}
 }
 
-// TestEjectionIsBounded: not more than half of a service is left out, never the only backend, and who has nowhere else to go is let in.
+// TestEjectionIsBounded: no more than half of a service is ejected, never the only backend, and a request without another
+// backend to go to is let in.
 func TestEjectionIsBounded(t *testing.T) {
-	for _, row := range []struct {
-		peers Peers
-		out   bool
+	for name, test := range map[string]struct {
+		peers   Peers
+		ejected bool
 	}{
-		{Peers{}, false}, {Peers{Known: 1}, true}, {Peers{Known: 1, Ejected: 1}, false}, {Peers{Known: 3, Ejected: 1}, true},
-		{Peers{Known: 3, Ejected: 2}, false}, {Peers{Known: 9, Ejected: 4}, true}, {Peers{Known: 9, Ejected: 5}, false},
+		"only backend":   {Peers{}, false},
+		"one of two":     {Peers{Known: 1}, true},
+		"second of two":  {Peers{Known: 1, Ejected: 1}, false},
+		"second of four": {Peers{Known: 3, Ejected: 1}, true},
+		"third of four":  {Peers{Known: 3, Ejected: 2}, false},
+		"fifth of ten":   {Peers{Known: 9, Ejected: 4}, true},
+		"sixth of ten":   {Peers{Known: 9, Ejected: 5}, false},
 	} {
-		bt := newBackendTest(t)
-		bt.warmUp("a")
-		bt.peers = row.peers
-		for range 8 {
-			bt.send("a", ms, Failure)
-		}
-		if bt.ejected("a") != row.out {
-			t.Errorf("%+v: ejected %v", row.peers, bt.ejected("a"))
-		}
-		if request := bt.request("a"); row.out {
+		t.Run(name, func(t *testing.T) {
+			bt := newBackendTest(t)
+			bt.warmUp("a")
+			bt.peers = test.peers
+			for range 8 {
+				bt.send("a", ms, Failure)
+			}
+			if bt.ejected("a") != test.ejected {
+				t.Errorf("ejected %v", bt.ejected("a"))
+			}
+			if !test.ejected {
+				return
+			}
+			request := bt.request("a")
 			request.NoAlternative = true
 			if c, _ := bt.detector.Admit(bt.now, request); c == nil {
-				t.Error("whoever has no other backend is turned down")
+				t.Error("a request without another backend was rejected")
 			}
-			// Once the others are left out too, it's of use again.
+			// Once all others are ejected too, it gets requests again.
 			bt.peers.Ejected = bt.peers.Known
 			if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c == nil {
-				t.Error("all are left out")
+				t.Error("all backends reject requests")
 			}
-		}
+		})
 	}
 }
 
-// TestGradualReinstatement: after the trouble a backend is taken back by more and more, one by one at first.
+// TestGradualReinstatement: after a fault a backend gets more and more requests at once, beginning with one.
 func TestGradualReinstatement(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -222,11 +233,12 @@
 	}
 	bt.warmUp("a")
 	if bt.ejected("a") || bt.detector.FaultRate("a") != 0 {
-		t.Error("it's well, and isn't taken for it")
+		t.Error("a backend that has recovered isn't reinstated")
 	}
 }
 
-// TestRepeatedEjectionsBackOff: each further ejection, and each probe that fails, makes the next probe rarer, up to a bound.
+// TestRepeatedEjectionsBackOff: each further ejection, and each failed probe, makes the pause before the next probe longer, up
+// to a bound.
 func TestRepeatedEjectionsBackOff(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -260,11 +272,11 @@
 		}
 	}
 	if probes > 11 || probes < 8 {
-		t.Errorf("%d probes in 20 s of illness", probes)
+		t.Errorf("%d probes in 20 s of failures", probes)
 	}
 }
 
-// TestEjectionForOneDomain: what only one domain's callers see keeps only these away.
+// TestEjectionForOneDomain: a fault that only one domain's callers see ejects the backend for these alone.
 func TestEjectionForOneDomain(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a", "b", "c")
@@ -278,12 +290,11 @@
 	}
 }
 
-// TestSlowBackendWithinLatencyTarget: one that has become slow gets what it can still answer in time, and little else; once it's quick again it
-// gets everything.
+// TestSlowBackendWithinLatencyTarget: a backend that has become slow still gets the requests that it serves in time.
 func TestSlowBackendWithinLatencyTarget(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
-	taken, recovered := 0, 0
+	taken, takenLongTarget := 0, 0
 	play := func(elapsed monotonic.Micros) {
 		if bt.send("a", elapsed, Success) {
 			taken++
@@ -294,26 +305,27 @@
 			c.Start(bt.now)
 			bt.now += elapsed
 			c.Close(bt.now, Success)
-			recovered++
+			takenLongTarget++
 		}
 	}
 	for range 30 {
-		play(230 * ms) // 4.6 times as long: in time
+		play(230 * ms) // 4.6 times its usual time, and within the target
 	}
-	if taken != 30 || recovered != 30 {
-		t.Errorf("%d and %d of 30 that it answers in time", taken, recovered)
+	if taken != 30 || takenLongTarget != 30 {
+		t.Errorf("%d and %d of 30 that it serves in time", taken, takenLongTarget)
 	}
-	taken, recovered = 0, 0
+	taken, takenLongTarget = 0, 0
 	for range 40 {
 		play(290 * ms)
 		bt.peers.LatencyRatio = 1
 	}
 	if taken != 40 {
-		t.Errorf("%d of 40 that it answers in time", taken)
+		t.Errorf("%d of 40 that it serves in time", taken)
 	}
 }
 
-// TestSlowBackendMissesLatencyTarget: the aim decides.
+// TestSlowBackendMissesLatencyTarget: a slow backend gets few requests that it serves too late, and all of them again once
+// it is fast.
 func TestSlowBackendMissesLatencyTarget(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -337,7 +349,7 @@
 		}
 	}
 	if taken > 25 {
-		t.Errorf("%d of 60 requests to a backend that can't answer them in time", taken)
+		t.Errorf("%d of 60 requests went to a backend that can't serve them in time", taken)
 	}
 	for range 20 {
 		bt.now += initialProbeInterval
@@ -345,12 +357,12 @@
 	}
 	for range 2 {
 		if !short(50 * ms) {
-			t.Error("it's quick again, and left out still")
+			t.Error("a backend that has recovered rejects requests")
 		}
 	}
 }
 
-// TestClosingCalls: whatever becomes of a visit, closing it again changes nothing, and one that never began says nothing.
+// TestClosingCalls: closing a call again changes nothing, and the outcome of one that never started says nothing.
 func TestClosingCalls(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -362,9 +374,9 @@
 	probe.Close(bt.now, Unknown)
 	probe.Close(bt.now, Failure)
 	if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c == nil {
-		t.Error("a probe that the queue refused keeps the next one out")
+		t.Error("a probe that was never handed to the backend blocks the next one")
 	}
-	if len(bt.detector.inFlight) != 0 || bt.detector.global.probesInFlight != 1 {
-		t.Errorf("%d under way, %d inside", len(bt.detector.inFlight), bt.detector.global.probesInFlight)
+	if len(bt.detector.calls) != 0 || bt.detector.global.probesInFlight != 1 {
+		t.Errorf("%d in flight, %d probes in flight", len(bt.detector.calls), bt.detector.global.probesInFlight)
 	}
 }
