--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -1,9 +1,7 @@
-// Package ingress is the HTTP door at which callers hand in their requests.
 package ingress
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"net/http"
 	"strconv"
@@ -17,107 +15,140 @@
 	"snowflow/internal/proxy"
 	"snowflow/internal/proxy/request"
 	"snowflow/internal/proxy/upstream"
+	"snowflow/internal/transport/wire"
 )
 
-// maxBodyBytes bounds what is read into memory for one request; services may take less.
-const maxBodyBytes = 32 << 20
+const (
+	// maxBodyBytes bounds what is read into memory for one request. Services may take less.
+	maxBodyBytes = 32 << 20
+	// maxRequestIDBytes is the longest request ID that is taken over from a caller.
+	maxRequestIDBytes = 100
+	// maxHeaderBytes bounds the headers of a request.
+	maxHeaderBytes = 64 << 10
 
-// Handler is the door.
+	readHeaderTimeout = 10 * time.Second
+	readTimeout       = 60 * time.Second
+	idleTimeout       = 60 * time.Second
+)
+
+// forwarder gives a request its one outcome.
+type forwarder interface {
+	Forward(req *request.Request) (*request.Response, *apierror.Fault)
+}
+
+// Handler takes callers' requests.
 type Handler struct {
-	proxy *proxy.Proxy
-	clock monotonic.Clock
+	forwarder forwarder
+	// leaderClock returns a time of the registry leader's clock that has certainly passed.
+	leaderClock func() *wire.LeaderTimestamp
+	clock       monotonic.Clock
 }
 
-// New makes the door's handler.
+// New returns the handler of a proxy's callers. The clock is that of the proxy's deadlines.
 func New(sidecar *proxy.Proxy, clock monotonic.Clock) http.Handler {
-	h := &Handler{proxy: sidecar, clock: clock}
+	return newHandler(&Handler{forwarder: sidecar.Forwarder, leaderClock: sidecar.LeaderClock, clock: clock})
+}
+
+func newHandler(h *Handler) http.Handler {
 	router := chi.NewRouter()
-	router.HandleFunc("/*", h.serveHTTP)
-	router.MethodNotAllowed(h.serveHTTP) // which methods there are is for the desired state to say
+	router.HandleFunc("/*", h.serve)
+	router.MethodNotAllowed(h.serve) // the configuration decides which methods there are
 	return router
 }
 
-func (h *Handler) serveHTTP(writer http.ResponseWriter, incoming *http.Request) {
-	req := &request.Request{OnCallerLeft: func(callback func()) (stop func() bool) { return context.AfterFunc(incoming.Context(), callback) }, ID: incoming.Header.Get(request.RequestIDHeader), Method: incoming.Method, Host: incoming.Host,
-		Target: incoming.URL.RequestURI(), IdempotencyKey: incoming.Header.Get(request.IdempotencyKeyHeader)}
-	if req.ID == "" || len(req.ID) > 100 {
-		req.ID = uuid.NewString()
+// NewServer returns the HTTP server of a handler.
+func NewServer(handler http.Handler) *http.Server {
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
-	if err != nil {
-		cause := apierror.MalformedRequest
-		if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
-			cause = apierror.BodyTooLarge
-		}
-		WriteError(writer, req.ID, apierror.New(cause, apierror.NotRun, "%v", err))
+}
+
+// serve forwards one request.
+func (h *Handler) serve(writer http.ResponseWriter, incoming *http.Request) {
+	req := newRequest(incoming)
+	if fault := h.read(req, writer, incoming); fault != nil {
+		WriteError(writer, req.ID, fault)
 		return
 	}
-	// From here on the request counts as read, and gets an answer.
-	req.Body, req.Headers, req.ReadAt = body, upstream.EndToEndHeaders(withoutMeshHeaders(incoming.Header)), h.proxy.LeaderClock()
-	if limit := incoming.Header.Get(request.DeadlineHeader); limit != "" {
-		timeoutMicros, err := strconv.ParseInt(limit, 10, 64)
-		if err != nil || timeoutMicros <= 0 {
-			WriteError(writer, req.ID, apierror.New(apierror.MalformedRequest, apierror.NotRun, "%s is not a span in microseconds", request.DeadlineHeader))
-			return
-		}
-		req.Deadline = h.clock.Now() + monotonic.Micros(timeoutMicros)
-	}
-	response, fault := h.proxy.Forwarder.Forward(req)
+	response, fault := h.forwarder.Forward(req)
 	if fault != nil {
 		WriteError(writer, req.ID, fault)
 		return
 	}
-	headers := writer.Header()
-	for _, header := range response.Headers {
-		headers.Add(header.Name, header.Value)
+	writeResponse(writer, req, response)
+}
+
+// newRequest takes over what is known of a request before its body is read.
+func newRequest(incoming *http.Request) *request.Request {
+	id := incoming.Header.Get(request.RequestIDHeader)
+	if id == "" || len(id) > maxRequestIDBytes {
+		id = uuid.NewString()
 	}
-	headers.Set(request.RequestIDHeader, req.ID)
-	if response.ConfigVersion > 0 {
-		headers.Set(request.ConfigVersionHeader, strconv.FormatUint(response.ConfigVersion, 10))
+	return &request.Request{
+		ID:             id,
+		Method:         incoming.Method,
+		Host:           incoming.Host,
+		Target:         incoming.URL.RequestURI(),
+		IdempotencyKey: incoming.Header.Get(request.IdempotencyKeyHeader),
+		OnCallerLeft: func(callback func()) (stop func() bool) {
+			return context.AfterFunc(incoming.Context(), callback)
+		},
 	}
-	if incoming.Method != http.MethodHead && response.Status != http.StatusNoContent && response.Status != http.StatusNotModified {
-		headers.Set("Content-Length", strconv.Itoa(len(response.Body)))
+}
+
+// read reads the rest of a request.
+func (h *Handler) read(req *request.Request, writer http.ResponseWriter, incoming *http.Request) *apierror.Fault {
+	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
+	if err != nil {
+		cause := apierror.MalformedRequest
+		if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
+			cause = apierror.BodyTooLarge
+		}
+		return apierror.New(cause, apierror.NotRun, "%v", err)
 	}
-	writer.WriteHeader(int(response.Status))
-	_, _ = writer.Write(response.Body) // a caller that has gone can't be told
+	// From here on the request counts as read: a fence of its key holds for it if it is later than this time.
+	req.Body, req.Headers, req.ReadAt = body, upstream.EndToEndHeaders(withoutMeshHeaders(incoming.Header)), h.leaderClock()
+	limit := incoming.Header.Get(request.DeadlineHeader)
+	if limit == "" {
+		return nil
+	}
+	timeoutMicros, err := strconv.ParseInt(limit, 10, 64)
+	if err != nil || timeoutMicros <= 0 {
+		return apierror.New(apierror.MalformedRequest, apierror.NotRun, "%s is not a number of microseconds above 0", request.DeadlineHeader)
+	}
+	req.Deadline = h.clock.Now() + monotonic.Micros(timeoutMicros)
+	return nil
 }
 
+// withoutMeshHeaders is a copy of the headers without those that are for the mesh alone.
 func withoutMeshHeaders(headers http.Header) http.Header {
 	forwarded := headers.Clone()
 	forwarded.Del(request.RequestIDHeader)
 	return forwarded
 }
 
-// ErrorBody is the body of every answer that is the mesh's own.
-type ErrorBody struct {
-	Cause            uint32 `json:"cause"`
-	Name             string `json:"name"`
-	Verdict          string `json:"verdict"`
-	RetryAfterMicros int64  `json:"retry_after_micros"`
-	Detail           string `json:"detail"`
-	Request          string `json:"request"`
-}
-
-// WriteError writes a fault as the mesh's own answer.
-func WriteError(writer http.ResponseWriter, id string, fault *apierror.Fault) {
+// writeResponse writes a backend's response.
+func writeResponse(writer http.ResponseWriter, req *request.Request, response *request.Response) {
 	headers := writer.Header()
-	headers.Set("Content-Type", "application/json")
-	headers.Set(request.RequestIDHeader, id)
-	if fault.RetryAfter > 0 {
-		headers.Set("Retry-After", strconv.FormatInt(int64((fault.RetryAfter+monotonic.Second-1)/monotonic.Second), 10))
+	for _, header := range response.Headers {
+		headers.Add(header.Name, header.Value)
 	}
-	if fault.NotRun() {
-		headers.Set(request.NotExecutedHeader, "1")
+	headers.Set(request.RequestIDHeader, req.ID)
+	if response.ConfigVersion > 0 {
+		headers.Set(request.ConfigVersionHeader, strconv.FormatUint(response.ConfigVersion, 10))
 	}
-	if fault.Cause == apierror.Draining {
-		headers.Set("Connection", "close")
+	if hasBody(req.Method, response.Status) {
+		headers.Set("Content-Length", strconv.Itoa(len(response.Body)))
 	}
-	writer.WriteHeader(fault.Status())
-	_ = json.NewEncoder(writer).Encode(ErrorBody{Cause: uint32(fault.Cause), Name: fault.Cause.Name(), Verdict: string(fault.Verdict),
-		RetryAfterMicros: int64(fault.RetryAfter), Detail: fault.Detail, Request: id})
+	writer.WriteHeader(int(response.Status))
+	_, _ = writer.Write(response.Body) // there is nobody to tell if the caller has disconnected
 }
 
-// NewServer makes the HTTP server for a door.
-func NewServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 60 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 64 << 10}
+// hasBody reports whether a response to a method may have a body.
+func hasBody(method string, status uint32) bool {
+	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- /dev/null
+++ b/internal/proxy/ingress/handler_test.go
@@ -0,0 +1,112 @@
+package ingress
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/transport/wire"
+)
+
+type fakeClock struct{}
+
+func (fakeClock) Now() monotonic.Micros { return monotonic.Minute }
+
+// fakeForwarder records the request that it is given, and answers with the response or fault.
+type fakeForwarder struct {
+	forwarded *request.Request
+	response  *request.Response
+	fault     *apierror.Fault
+}
+
+func (f *fakeForwarder) Forward(req *request.Request) (*request.Response, *apierror.Fault) {
+	f.forwarded = req
+	return f.response, f.fault
+}
+
+func serve(forwarder *fakeForwarder, incoming *http.Request) *httptest.ResponseRecorder {
+	handler := newHandler(&Handler{forwarder: forwarder, clock: fakeClock{}, leaderClock: func() *wire.LeaderTimestamp { return &wire.LeaderTimestamp{Epoch: 3, Time: 7} }})
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, incoming)
+	return recorder
+}
+
+func TestRequestIsRead(t *testing.T) {
+	forwarder := &fakeForwarder{response: &request.Response{Status: 201, Body: []byte("done"), Headers: []*wire.Header{{Name: "X-Own", Value: "1"}}, ConfigVersion: 9}}
+	incoming := httptest.NewRequest(http.MethodPost, "/forms/1?q=2", strings.NewReader("body"))
+	incoming.Header.Set(request.RequestIDHeader, "id-1")
+	incoming.Header.Set(request.IdempotencyKeyHeader, "key-1")
+	incoming.Header.Set(request.DeadlineHeader, "500")
+	recorder := serve(forwarder, incoming)
+	got := forwarder.forwarded
+	if got.ID != "id-1" || got.Method != http.MethodPost || got.Target != "/forms/1?q=2" || string(got.Body) != "body" || got.IdempotencyKey != "key-1" {
+		t.Errorf("forwarded %+v", got)
+	}
+	if got.Deadline != monotonic.Minute+500 || got.ReadAt.GetEpoch() != 3 || got.ReadAt.GetTime() != 7 {
+		t.Errorf("deadline %d, read at %v", got.Deadline, got.ReadAt)
+	}
+	if request.HeaderValue(got.Headers, request.RequestIDHeader) != "" || request.HeaderValue(got.Headers, request.DeadlineHeader) != "" {
+		t.Errorf("headers of the mesh are forwarded: %v", got.Headers)
+	}
+	if recorder.Code != 201 || recorder.Body.String() != "done" || recorder.Header().Get("X-Own") != "1" || recorder.Header().Get("Content-Length") != "4" {
+		t.Errorf("responded %d %v %q", recorder.Code, recorder.Header(), recorder.Body)
+	}
+	if recorder.Header().Get(request.ConfigVersionHeader) != "9" || recorder.Header().Get(request.RequestIDHeader) != "id-1" {
+		t.Errorf("headers of the response: %v", recorder.Header())
+	}
+}
+
+func TestUnusableRequestIDIsReplaced(t *testing.T) {
+	for name, id := range map[string]string{"none": "", "too long": strings.Repeat("x", 101)} {
+		t.Run(name, func(t *testing.T) {
+			forwarder := &fakeForwarder{response: &request.Response{Status: 200}}
+			incoming := httptest.NewRequest(http.MethodGet, "/", nil)
+			incoming.Header.Set(request.RequestIDHeader, id)
+			recorder := serve(forwarder, incoming)
+			if got := forwarder.forwarded.ID; got == "" || got == id || recorder.Header().Get(request.RequestIDHeader) != got {
+				t.Errorf("request ID %q", got)
+			}
+		})
+	}
+}
+
+func TestInvalidDeadlineIsRejected(t *testing.T) {
+	for _, value := range []string{"0", "-1", "soon"} {
+		t.Run(value, func(t *testing.T) {
+			forwarder := &fakeForwarder{}
+			incoming := httptest.NewRequest(http.MethodGet, "/", nil)
+			incoming.Header.Set(request.DeadlineHeader, value)
+			recorder := serve(forwarder, incoming)
+			var body ErrorBody
+			if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil {
+				t.Fatal(err)
+			}
+			if forwarder.forwarded != nil || recorder.Code != 400 || body.Cause != uint32(apierror.MalformedRequest) || body.Verdict != string(apierror.NotRun) {
+				t.Errorf("responded %d %+v", recorder.Code, body)
+			}
+		})
+	}
+}
+
+func TestFaultIsWritten(t *testing.T) {
+	fault := apierror.New(apierror.Draining, apierror.NotRun, "stopping")
+	fault.RetryAfter = monotonic.Second + 1
+	recorder := serve(&fakeForwarder{fault: fault}, httptest.NewRequest(http.MethodGet, "/", nil))
+	var body ErrorBody
+	if err := json.Unmarshal(recorder.Body.Bytes(), &body); err != nil {
+		t.Fatal(err)
+	}
+	if recorder.Code != 503 || body.RetryAfterMicros != int64(fault.RetryAfter) || body.Detail != "stopping" || body.Name != "draining" {
+		t.Errorf("responded %d %+v", recorder.Code, body)
+	}
+	for name, value := range map[string]string{"Retry-After": "2", request.NotExecutedHeader: "1", "Connection": "close", "Content-Type": "application/json"} {
+		if got := recorder.Header().Get(name); got != value {
+			t.Errorf("%s is %q, not %q", name, got, value)
+		}
+	}
+}
--- a/internal/proxy/replay/store.go
+++ b/internal/proxy/replay/store.go
@@ -1,4 +1,3 @@
-// Package replay keeps backends' complete answers to run-once requests for a while, for callers that ask again.
 package replay
 
 import (
@@ -11,70 +10,89 @@
 )
 
 const (
-	// life is how long an answer is kept unless the shelf has another: as long as its claim.
+	// defaultTTL is how long a response is kept: as long as the registry keeps a claim by default.
 	defaultTTL = 120 * monotonic.Second
-	maxBytes   = 16 << 20
+	// maxBytes bounds the bodies in a store, and maxResponseBytes the body of one response in it.
+	maxBytes         = 16 << 20
+	maxResponseBytes = maxBytes / 16
 )
 
-// Store holds answers. Invariants: held is the sum of the kept bodies' sizes and at most maxBytes; order lists the
-// kept scopes, oldest first.
+// Store keeps responses by their idempotency scopes. It is safe for concurrent use.
+//
+// Invariants: totalBytes is the sum of the sizes of the stored bodies and at most maxBytes. order lists the stored scopes,
+// oldest first.
 type Store struct {
-	// TTL is how long answers are kept. It's set before the first one comes.
-	TTL        monotonic.Micros
-	clock      monotonic.Clock
-	mu         sync.Mutex
+	// TTL is how long responses are kept, in microseconds. It must be set before the first one is put.
+	TTL   monotonic.Micros
+	clock monotonic.Clock
+
+	mu         sync.Mutex // guards what follows
 	entries    map[string]*entry
 	order      []string
 	totalBytes int
 }
 
 type entry struct {
-	digest   []byte
+	digest   []byte // of the request
 	response *request.Response
 	storedAt monotonic.Micros
 }
 
-// New makes a shelf.
+// New returns an empty store that keeps responses for two minutes.
 func New(clock monotonic.Clock) *Store {
 	return &Store{TTL: defaultTTL, clock: clock, entries: map[string]*entry{}}
 }
 
-// Put keeps an answer.
+// Put stores the response to a request with a scope and digest. A response that is too large isn't stored, and one that is
+// stored already isn't replaced until it expires.
 func (s *Store) Put(scope string, digest []byte, response *request.Response) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(response.Body) > maxBytes/16 {
+	if len(response.Body) > maxResponseBytes {
 		return
 	}
-	if earlier := s.entries[scope]; earlier != nil {
-		if s.clock.Now()-earlier.storedAt < s.TTL {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if existing := s.entries[scope]; existing != nil {
+		if !s.isExpired(existing) {
 			return
 		}
-		// A key that has outlived its claim ran anew: the answer kept for it is of the run before.
-		s.totalBytes -= len(earlier.response.Body)
-		s.order = slices.DeleteFunc(s.order, func(stored string) bool { return stored == scope })
+		// The key has outlived its claim and has run again: the stored response is of the run before.
+		s.remove(scope)
 	}
 	s.entries[scope] = &entry{digest: digest, response: response, storedAt: s.clock.Now()}
 	s.order = append(s.order, scope)
 	s.totalBytes += len(response.Body)
-	for len(s.order) > 0 {
-		oldest := s.entries[s.order[0]]
-		if s.totalBytes <= maxBytes && s.clock.Now()-oldest.storedAt < s.TTL {
-			break
-		}
-		s.totalBytes -= len(oldest.response.Body)
-		delete(s.entries, s.order[0])
-		s.order = s.order[1:]
-	}
+	s.evict()
 }
 
-// Lookup gives the answer kept for a scope and digest, or nothing.
+// Lookup returns the stored response to a request with a scope and digest, nil if there is none.
 func (s *Store) Lookup(scope string, digest []byte) *request.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	recorded := s.entries[scope]
-	if recorded == nil || !bytes.Equal(recorded.digest, digest) || s.clock.Now()-recorded.storedAt >= s.TTL {
+	existing := s.entries[scope]
+	if existing == nil || !bytes.Equal(existing.digest, digest) || s.isExpired(existing) {
 		return nil
 	}
-	return recorded.response
+	return existing.response
+}
+
+func (s *Store) isExpired(e *entry) bool { return s.clock.Now()-e.storedAt >= s.TTL }
+
+// evict removes the oldest responses while they have expired, or the store is too large. The caller holds the lock.
+func (s *Store) evict() {
+	for len(s.order) > 0 {
+		oldest := s.order[0]
+		if s.totalBytes <= maxBytes && !s.isExpired(s.entries[oldest]) {
+			return
+		}
+		s.totalBytes -= len(s.entries[oldest].response.Body)
+		delete(s.entries, oldest)
+		s.order = s.order[1:]
+	}
+}
+
+// remove removes one response. The caller holds the lock.
+func (s *Store) remove(scope string) {
+	s.totalBytes -= len(s.entries[scope].response.Body)
+	delete(s.entries, scope)
+	s.order = slices.DeleteFunc(s.order, func(other string) bool { return other == scope })
 }
--- a/internal/proxy/replay/store_test.go
+++ b/internal/proxy/replay/store_test.go
@@ -11,7 +11,7 @@
 
 func (c *fakeClock) Now() monotonic.Micros { return c.now }
 
-// TestStoreReplacesExpiredResponse: the shelf gives the answer of a key's last run, not one that has outlived its claim.
+// TestStoreReplacesExpiredResponse: the store has the response of a key's last run, not one that has outlived its claim.
 func TestStoreReplacesExpiredResponse(t *testing.T) {
 	clock := &fakeClock{now: monotonic.Minute}
 	store := New(clock)
@@ -21,17 +21,17 @@
 	put("first")
 	put("second")
 	if recorded := store.Lookup("key", []byte("digest")); recorded == nil || string(recorded.Body) != "first" {
-		t.Fatalf("within its life: %v", recorded)
+		t.Fatalf("before it expired: %v", recorded)
 	}
 	clock.now += defaultTTL
 	put("third")
 	recorded := store.Lookup("key", []byte("digest"))
 	if recorded == nil || string(recorded.Body) != "third" || store.totalBytes != len("third") || len(store.order) != 1 {
-		t.Fatalf("after its life: %v, %d bytes, %d in order", recorded, store.totalBytes, len(store.order))
+		t.Fatalf("after it expired: %v, %d bytes, %d in order", recorded, store.totalBytes, len(store.order))
 	}
 }
 
-// TestStoreHonoursTTL: a shelf with another life keeps answers for that long.
+// TestStoreHonoursTTL: a store with another TTL keeps responses for that long.
 func TestStoreHonoursTTL(t *testing.T) {
 	clock := &fakeClock{now: monotonic.Minute}
 	store := New(clock)
@@ -39,10 +39,10 @@
 	store.Put("one", []byte("d"), &request.Response{Status: 200})
 	clock.now += 199 * monotonic.Second
 	if store.Lookup("one", []byte("d")) == nil {
-		t.Error("it's gone before its end")
+		t.Error("the response was removed before it expired")
 	}
 	clock.now += monotonic.Second
 	if store.Lookup("one", []byte("d")) != nil {
-		t.Error("it's there after its end")
+		t.Error("the response is still there after it expired")
 	}
 }
--- a/internal/proxy/request/request.go
+++ b/internal/proxy/request/request.go
@@ -1,4 +1,5 @@
-// Package request is a request on its way through a carrier, and what came of it.
+// Package request holds a caller's request and a backend's response as they go through a proxy. Both are complete: headers
+// and body are in memory.
 package request
 
 import (
@@ -7,52 +8,59 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Names of the headers that snowflow gives meaning to.
+// The HTTP headers that the mesh gives meaning to. Their names are stable.
 const (
+	// IdempotencyKeyHeader holds the key under which a request runs at most once.
 	IdempotencyKeyHeader = "X-Snowflow-Key"
-	DeadlineHeader       = "X-Snowflow-Cutoff-Micros"
-	NotExecutedHeader    = "X-Snowflow-Not-Executed"
-	RequestIDHeader      = "X-Snowflow-Request"
-	// ConfigVersionHeader names the desired state that an answer was handled by.
+	// DeadlineHeader holds the microseconds for which the caller waits.
+	DeadlineHeader = "X-Snowflow-Cutoff-Micros"
+	// NotExecutedHeader says in a response that the request has certainly not run.
+	NotExecutedHeader = "X-Snowflow-Not-Executed"
+	// RequestIDHeader holds the request's ID, in the request and in its response.
+	RequestIDHeader = "X-Snowflow-Request"
+	// ConfigVersionHeader holds, in a response, the version of the configuration by which the request was forwarded.
 	ConfigVersionHeader = "X-Snowflow-Serial"
 )
 
-// Request is one request, read whole. Invariant: it isn't changed after it was read.
+// Request is one caller's request. Invariant: it isn't changed once read.
 type Request struct {
 	ID             string
 	Method         string
-	Host           string // as it was sent, a port too; empty where there is none
-	Target         string // path and query, as it was sent
+	Host           string // as sent, with the port if there was one; may be empty
+	Target         string // path and query, as sent
 	Headers        []*wire.Header
 	Body           []byte
-	IdempotencyKey string
-	// Deadline is this process's clock at which the caller gives up; zero leaves it to the service's limit.
+	IdempotencyKey string // empty if it has none
+	// Deadline is when the caller gives up, on the clock of this process in microseconds; 0 leaves it to the service's
+	// configuration.
 	Deadline monotonic.Micros
-	// RequestTarget is the request's own spelling where that must not be changed; nil has it spelled in the one way of the mesh.
+	// ParsedTarget is the target if its spelling must not be changed; nil has Target brought to its canonical spelling.
 	ParsedTarget *resourcepath.RequestTarget
-	// IdempotencyScope names what may run once where the key alone does; empty has it made of resource and key.
+	// IdempotencyScope names what may run once; if empty, it is made of the resource and the key.
 	IdempotencyScope string
-	// VerdictPerRequest has a refusal speak of this request only, not of its key: a later request with the key may still run.
+	// VerdictPerRequest makes the verdict of a fault one on this request only, not on its key: a later request with the key
+	// may still run.
 	VerdictPerRequest bool
-	// ReadAt is the latest moment of holder time that this carrier knew had passed when it read the request.
+	// ReadAt is a time of the registry leader's clock that had certainly passed when the request was read; nil if none is known.
 	ReadAt *wire.LeaderTimestamp
-	// OnCallerLeft has something happen, on a task of its own, when the caller closes its connection before it was answered; stop ends that. Nil where that
-	// can't be known.
+	// OnCallerLeft has callback called, on a goroutine of its own, when the caller disconnects before it has a response. The
+	// returned stop prevents that, and reports whether it did. Nil if a disconnect can't be seen.
 	OnCallerLeft func(callback func()) (stop func() bool)
 }
 
-// Response is a backend's own complete answer.
+// Response is a backend's complete response.
 type Response struct {
-	Status        uint32
+	Status        uint32 // HTTP status
 	Headers       []*wire.Header
 	Body          []byte
-	Instance      string
-	ConfigVersion uint64
-	// NotRun is the backend's own certain word that it did not run the request.
+	Instance      string // the backend
+	ConfigVersion uint64 // by which the request was forwarded; 0 if that isn't known
+	// NotRun is true if the backend itself says that it has certainly not run the request.
 	NotRun bool
 }
 
-// HeaderValue finds a header's first value; names are matched as they were sent by the process's own canonical form.
+// HeaderValue returns the value of the first header with a name, empty if there is none. Names are compared exactly: the
+// process stores them in canonical form.
 func HeaderValue(headers []*wire.Header, name string) string {
 	for _, header := range headers {
 		if header.Name == name {
