--- a/internal/invariants/breakers.go
+++ b/internal/invariants/breakers.go
@@ -32,27 +32,27 @@
 // breakerStates sorts a record's readings into its states, and tells what a single reading shows to be wrong.
 func breakerStates(readings []BreakerObservation) (states []*breakerState, findings []Finding) {
 	for _, record := range readings {
-		if record.State == halfOpen && record.Budget+len(record.Probes)+record.Tallies != record.Permitted {
-			findings = append(findings, ruleViolation(10, "%s at %d: budget %d + probes %d + tallies %d is not %d", record.Service, record.At, record.Budget, len(record.Probes), record.Tallies, record.Permitted))
+		if record.State == halfOpen && record.Budget+len(record.ProbeLeases)+record.ProbeResults != record.Permitted {
+			findings = append(findings, ruleViolation(10, "%s at %d: budget %d + probes %d + tallies %d is not %d", record.Service, record.At, record.Budget, len(record.ProbeLeases), record.ProbeResults, record.Permitted))
 		}
-		if record.State == halfOpen && record.Granted-record.Returned != len(record.Probes)+record.Tallies {
-			findings = append(findings, ruleViolation(10, "%s at %d: %d granted less %d returned is not %d probes + %d tallies", record.Service, record.At, record.Granted, record.Returned, len(record.Probes), record.Tallies))
+		if record.State == halfOpen && record.Granted-record.Returned != len(record.ProbeLeases)+record.ProbeResults {
+			findings = append(findings, ruleViolation(10, "%s at %d: %d granted less %d returned is not %d probes + %d tallies", record.Service, record.At, record.Granted, record.Returned, len(record.ProbeLeases), record.ProbeResults))
 		}
 		if len(states) == 0 {
-			states = append(states, &breakerState{BreakerObservation: record, lastSeen: record, returned: record.Returned, continuous: !record.Astray})
+			states = append(states, &breakerState{BreakerObservation: record, lastSeen: record, returned: record.Returned, continuous: !record.LocalVerdict})
 			continue
 		}
 		current := states[len(states)-1]
 		switch {
-		case record.Serial < current.Serial:
-			findings = append(findings, ruleViolation(10, "%s fell from serial %d to %d at %d (seen at %s)", record.Service, current.Serial, record.Serial, record.At, record.Source))
-		case record.Serial == current.Serial && record.State != current.State:
-			findings = append(findings, ruleViolation(10, "%s is %s and %s under serial %d", record.Service, current.State, record.State, record.Serial))
-		case record.Serial == current.Serial:
-			current.continuous = current.continuous && !record.Astray && record.At-current.lastSeen.At <= maxObservationGap
+		case record.Version < current.Version:
+			findings = append(findings, ruleViolation(10, "%s fell from serial %d to %d at %d (seen at %s)", record.Service, current.Version, record.Version, record.At, record.Source))
+		case record.Version == current.Version && record.State != current.State:
+			findings = append(findings, ruleViolation(10, "%s is %s and %s under serial %d", record.Service, current.State, record.State, record.Version))
+		case record.Version == current.Version:
+			current.continuous = current.continuous && !record.LocalVerdict && record.At-current.lastSeen.At <= maxObservationGap
 			current.lastSeen, current.returned = record, max(current.returned, record.Returned)
 		default:
-			states = append(states, &breakerState{BreakerObservation: record, lastSeen: record, previousAt: current.lastSeen.At, returned: record.Returned, continuous: !record.Astray})
+			states = append(states, &breakerState{BreakerObservation: record, lastSeen: record, previousAt: current.lastSeen.At, returned: record.Returned, continuous: !record.LocalVerdict})
 		}
 	}
 	return states, findings
@@ -76,7 +76,7 @@
 		findings = append(findings, found...)
 		findings = append(findings, checkProbeLeases(services[name])...)
 		for index, current := range states {
-			if index > 0 && states[index-1].State == open && current.Serial == states[index-1].Serial+1 {
+			if index > 0 && states[index-1].State == open && current.Version == states[index-1].Version+1 {
 				findings = append(findings, checkAfterOpen(states[index-1], current)...)
 			}
 			if current.State == halfOpen && current.continuous {
@@ -89,13 +89,13 @@
 
 // checkAfterOpen looks at how an open record went on.
 func checkAfterOpen(before, after *breakerState) (findings []Finding) {
-	if after.State == closed && after.Entered < before.lastSeen.Expires {
+	if after.State == closed && after.EnteredAt < before.lastSeen.ExpiresAt {
 		findings = append(findings, ruleViolation(10, "%s closed at %d without a trial", after.Service, after.At))
 	}
 	if after.State != halfOpen {
 		return findings
 	}
-	if waited := after.Entered - before.Entered; waited < before.Wait {
+	if waited := after.EnteredAt - before.EnteredAt; waited < before.Wait {
 		findings = append(findings, ruleViolation(10, "%s waited %d of %d in open before its trial at %d", after.Service, waited, before.Wait, after.At))
 	}
 	// By the observer's own clock: its first reading as open came after the write, which took what a slow disk takes; the
@@ -130,16 +130,16 @@
 		}
 		last = record.At
 		for id := range firstSeen {
-			if !slices.Contains(record.Probes, id) {
+			if !slices.Contains(record.ProbeLeases, id) {
 				delete(firstSeen, id)
 			}
 		}
-		for _, id := range record.Probes {
+		for _, id := range record.ProbeLeases {
 			since, known := firstSeen[id]
 			if !known {
 				firstSeen[id] = record.At
-			} else if since >= 0 && record.At-since > record.Tenure+leaseSweepSlack {
-				findings = append(findings, ruleViolation(10, "%s: probe %s is out for %d at %d, its tenure was %d", record.Service, id, record.At-since, record.At, record.Tenure))
+			} else if since >= 0 && record.At-since > record.ProbeLease+leaseSweepSlack {
+				findings = append(findings, ruleViolation(10, "%s: probe %s is out for %d at %d, its tenure was %d", record.Service, id, record.At-since, record.At, record.ProbeLease))
 				firstSeen[id] = -1
 			}
 		}
--- a/internal/invariants/config_changes.go
+++ b/internal/invariants/config_changes.go
@@ -92,11 +92,11 @@
 		wanted := uint64(0)
 		for _, applied := range history.AppliedConfigs {
 			if applied.Outcome == "accepted" && applied.At+propagationLimit < adopted.At {
-				wanted = max(wanted, applied.Serial)
+				wanted = max(wanted, applied.Version)
 			}
 		}
-		if adopted.Serial < wanted {
-			findings = append(findings, newFinding("%s at %d serves by version %d; %d was acknowledged more than 2 s before", adopted.Carrier, adopted.At, adopted.Serial, wanted))
+		if adopted.Version < wanted {
+			findings = append(findings, newFinding("%s at %d serves by version %d; %d was acknowledged more than 2 s before", adopted.Proxy, adopted.At, adopted.Version, wanted))
 		}
 	}
 	return findings, seen
@@ -107,16 +107,16 @@
 	sums := map[uint64]string{}
 	for _, applied := range history.AppliedConfigs {
 		if applied.Outcome == "accepted" && applied.Sum != "" {
-			sums[applied.Serial] = applied.Sum
+			sums[applied.Version] = applied.Sum
 		}
 	}
 	reported := map[string]bool{}
 	for _, adopted := range history.ActiveConfigs {
 		seen++
-		if sum, known := sums[adopted.Serial]; known && adopted.Sum != "" && sum != adopted.Sum {
-			if what := fmt.Sprint(adopted.Carrier, adopted.Serial); !reported[what] {
+		if sum, known := sums[adopted.Version]; known && adopted.Sum != "" && sum != adopted.Sum {
+			if what := fmt.Sprint(adopted.Proxy, adopted.Version); !reported[what] {
 				reported[what] = true
-				findings = append(findings, newFinding("%s at %d serves otherwise than version %d says", adopted.Carrier, adopted.At, adopted.Serial))
+				findings = append(findings, newFinding("%s at %d serves otherwise than version %d says", adopted.Proxy, adopted.At, adopted.Version))
 			}
 		}
 	}
--- a/internal/invariants/config_changes_test.go
+++ b/internal/invariants/config_changes_test.go
@@ -14,10 +14,10 @@
 	run := invariants.Run{Attempt: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
 	other := invariants.Run{Attempt: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
 	applied := func(version uint64, at monotonic.Micros) invariants.AppliedConfig {
-		return invariants.AppliedConfig{Serial: version, Outcome: "accepted", At: at * second, Sum: map[uint64]string{1: "one", 2: "two"}[version]}
+		return invariants.AppliedConfig{Version: version, Outcome: "accepted", At: at * second, Sum: map[uint64]string{1: "one", 2: "two"}[version]}
 	}
 	serves := func(version uint64, sum string, at monotonic.Micros) invariants.ActiveConfig {
-		return invariants.ActiveConfig{Carrier: "c", Serial: version, Sum: sum, At: at * second}
+		return invariants.ActiveConfig{Proxy: "c", Version: version, Sum: sum, At: at * second}
 	}
 	counted := func(incarnation uint64, verdict string, calls uint64, window int) invariants.CallCounts {
 		return invariants.CallCounts{Proxy: "c", Incarnation: incarnation, Service: "s", Verdict: verdict, Calls: calls, Window: window}
--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -11,25 +11,25 @@
 
 // Attempt is one request as its caller saw it. All times are the observer's one clock.
 type Attempt struct {
-	ID        string
-	Key       string // empty for reads
-	Kind      string // which kind of traffic, for counting
-	Caller    string // where it was sent: the carrier's name
-	Method    string
-	Path      string
-	Sent      monotonic.Micros
-	Ended     monotonic.Micros // zero while open
-	Status    int              // zero without an answer
-	Mesh      bool             // the answer is the mesh's own refusal
-	Cause     int
-	NotRun    bool // the refusal said not run
-	Serial    uint64
-	Echo      string // the attempt id that the answer names
-	Whole     bool   // the answer's own seal matched
-	Sum       string // of the answer's content as it arrived
-	Instance  string
-	Transport string // the error of an attempt that ended without an answer
-	RetryTold bool   // a Retry-After came along
+	ID            string
+	Key           string // empty for reads
+	Kind          string // which kind of traffic, for counting
+	Caller        string // where it was sent: the carrier's name
+	Method        string
+	Path          string
+	Sent          monotonic.Micros
+	Ended         monotonic.Micros // zero while open
+	Status        int              // zero without an answer
+	Mesh          bool             // the answer is the mesh's own refusal
+	Cause         int
+	NotRun        bool // the refusal said not run
+	Version       uint64
+	Echo          string // the attempt id that the answer names
+	Complete      bool   // the answer's own seal matched
+	Sum           string // of the answer's content as it arrived
+	Instance      string
+	Transport     string // the error of an attempt that ended without an answer
+	RetryAfterSet bool   // a Retry-After came along
 	// ReadBackComplete is true when the carrier had certainly read it, and was not ended but by a planned stop. Where no answer came to
 	// such a one, it was dropped.
 	Read bool
@@ -37,16 +37,16 @@
 
 // Run is one request as a backend saw it.
 type Run struct {
-	Attempt  string // the caller's id
-	Try      int
-	Key      string
-	Service  string
-	Instance string
-	Method   string
-	Path     string
-	At       monotonic.Micros
-	Executed bool   // false when the backend said it did not execute it
-	Sum      string // of the answer's content, empty when it gave none whole
+	Attempt       string // the caller's id
+	AttemptNumber int
+	Key           string
+	Service       string
+	Instance      string
+	Method        string
+	Path          string
+	At            monotonic.Micros
+	Executed      bool   // false when the backend said it did not execute it
+	Sum           string // of the answer's content, empty when it gave none whole
 }
 
 // Departure is a backend's word that it is leaving.
@@ -57,7 +57,7 @@
 
 // AppliedConfig is one apply as its operator saw it.
 type AppliedConfig struct {
-	Serial  uint64
+	Version uint64
 	Digest  string
 	Valid   bool // whether what was sent was valid
 	Outcome string
@@ -67,14 +67,14 @@
 
 // ReadBack is one accepted state as read back at the end.
 type ReadBack struct {
-	Serial uint64
-	Digest string
+	Version uint64
+	Digest  string
 }
 
 // ActiveConfigs is the desired state by which a carrier serves, as an observer saw it.
 type ActiveConfig struct {
-	Carrier string
-	Serial  uint64
+	Proxy   string
+	Version uint64
 	At      monotonic.Micros
 	Sum     string // over what it does there; empty if nobody looked
 }
@@ -104,33 +104,33 @@
 
 // BreakerObservation is a shared guard record as an observer read it.
 type BreakerObservation struct {
-	Service   string
-	State     string
-	Serial    uint64
-	Budget    int
-	Probes    []string // ids of leased probes
-	Tallies   int
-	Granted   int // in this round, and how many of them went back
-	Returned  int
-	Permitted int
-	Entered   monotonic.Micros // holder time
-	Expires   monotonic.Micros // holder time
-	Wait      monotonic.Micros
-	Tenure    monotonic.Micros
-	At        monotonic.Micros
-	Source    string
-	// Astray is true while some carrier may go by a verdict of its own: out of reach, frozen or just started.
-	Astray bool
+	Service      string
+	State        string
+	Version      uint64
+	Budget       int
+	ProbeLeases  []string // ids of leased probes
+	ProbeResults int
+	Granted      int // in this round, and how many of them went back
+	Returned     int
+	Permitted    int
+	EnteredAt    monotonic.Micros // holder time
+	ExpiresAt    monotonic.Micros // holder time
+	Wait         monotonic.Micros
+	ProbeLease   monotonic.Micros
+	At           monotonic.Micros
+	Source       string
+	// LocalVerdict is true while some carrier may go by a verdict of its own: out of reach, frozen or just started.
+	LocalVerdict bool
 }
 
 // ObserveBreaker makes of a record what an observer notes of it.
 func ObserveBreaker(record *wire.BreakerRecord, at monotonic.Micros, source string, astray bool) BreakerObservation {
 	terms := record.Settings
-	seen := BreakerObservation{Service: record.Service, State: record.State, Serial: record.Version, Budget: int(record.Budget), Tallies: len(record.ProbeResults),
-		Permitted: int(max(1, terms.GetPermitted())), Entered: monotonic.Micros(record.EnteredAt), Expires: monotonic.Micros(record.ExpiresAt), Wait: monotonic.Micros(terms.GetWaitOpen()),
-		Tenure: monotonic.Micros(terms.GetProbeLease()), At: at, Source: source, Astray: astray}
+	seen := BreakerObservation{Service: record.Service, State: record.State, Version: record.Version, Budget: int(record.Budget), ProbeResults: len(record.ProbeResults),
+		Permitted: int(max(1, terms.GetPermitted())), EnteredAt: monotonic.Micros(record.EnteredAt), ExpiresAt: monotonic.Micros(record.ExpiresAt), Wait: monotonic.Micros(terms.GetWaitOpen()),
+		ProbeLease: monotonic.Micros(terms.GetProbeLease()), At: at, Source: source, LocalVerdict: astray}
 	for _, probe := range record.ProbeLeases {
-		seen.Probes = append(seen.Probes, probe.Id)
+		seen.ProbeLeases = append(seen.ProbeLeases, probe.Id)
 	}
 	for _, share := range record.Shares {
 		seen.Granted, seen.Returned = seen.Granted+int(share.Granted), seen.Returned+int(share.Returned)
@@ -213,7 +213,7 @@
 
 // RecordActiveVersion notes the desired state that a carrier serves by.
 func (h *History) RecordActiveVersion(proxyName string, version uint64, at monotonic.Micros) {
-	h.RecordActiveConfig(ActiveConfig{Carrier: proxyName, Serial: version, At: at})
+	h.RecordActiveConfig(ActiveConfig{Proxy: proxyName, Version: version, At: at})
 }
 
 // RecordActiveConfig notes by what a carrier serves, and what that does there.
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -151,7 +151,7 @@
 		echoed := runs[attempt.Echo]
 		given := slices.ContainsFunc(echoed, func(run Run) bool { return run.Sum != "" && run.Sum == attempt.Sum })
 		switch {
-		case !attempt.Whole:
+		case !attempt.Complete:
 			findings = append(findings, ruleViolation(3, "%s got a success that is not whole", attempt.ID))
 		case attempt.Key == "" && attempt.Echo != attempt.ID:
 			findings = append(findings, ruleViolation(3, "%s got the answer to %s", attempt.ID, attempt.Echo))
@@ -216,26 +216,26 @@
 	requiredVersion := func(sent monotonic.Micros) (version uint64) {
 		for _, apply := range acknowledged {
 			if apply.At+propagationLimit < sent {
-				version = max(version, apply.Serial)
+				version = max(version, apply.Version)
 			}
 		}
 		return version
 	}
 	for _, attempt := range history.Attempts {
-		if attempt.Serial == 0 {
+		if attempt.Version == 0 {
 			continue
 		}
 		seen++
-		if wanted := requiredVersion(attempt.Sent); attempt.Serial < wanted {
-			findings = append(findings, ruleViolation(6, "%s was sent at %d and handled by serial %d; %d was acknowledged more than 2 s before", attempt.ID, attempt.Sent, attempt.Serial, wanted))
+		if wanted := requiredVersion(attempt.Sent); attempt.Version < wanted {
+			findings = append(findings, ruleViolation(6, "%s was sent at %d and handled by serial %d; %d was acknowledged more than 2 s before", attempt.ID, attempt.Sent, attempt.Version, wanted))
 		}
 	}
 	highest := map[string]uint64{}
 	for _, adopted := range history.ActiveConfigs {
-		if adopted.Serial < highest[adopted.Carrier] {
-			findings = append(findings, ruleViolation(6, "%s served by serial %d at %d, and by %d before", adopted.Carrier, adopted.Serial, adopted.At, highest[adopted.Carrier]))
+		if adopted.Version < highest[adopted.Proxy] {
+			findings = append(findings, ruleViolation(6, "%s served by serial %d at %d, and by %d before", adopted.Proxy, adopted.Version, adopted.At, highest[adopted.Proxy]))
 		}
-		highest[adopted.Carrier] = max(highest[adopted.Carrier], adopted.Serial)
+		highest[adopted.Proxy] = max(highest[adopted.Proxy], adopted.Version)
 	}
 	return findings, seen
 }
@@ -244,9 +244,9 @@
 func checkConfigDurability(history *History) (findings []Finding, seen int) {
 	stored, oldest := map[uint64]string{}, uint64(0)
 	for index, read := range history.ReadBack {
-		stored[read.Serial] = read.Digest
-		if index == 0 || read.Serial < oldest {
-			oldest = read.Serial
+		stored[read.Version] = read.Digest
+		if index == 0 || read.Version < oldest {
+			oldest = read.Version
 		}
 	}
 	discarded := func(version uint64) bool {
@@ -259,14 +259,14 @@
 			continue
 		}
 		if !applied.Valid {
-			findings = append(findings, ruleViolation(7, "an invalid configuration was accepted as serial %d", applied.Serial))
+			findings = append(findings, ruleViolation(7, "an invalid configuration was accepted as serial %d", applied.Version))
 		}
-		if other, twice := digests[applied.Serial]; twice && other != applied.Digest {
-			findings = append(findings, ruleViolation(7, "serial %d was given to two configurations", applied.Serial))
+		if other, twice := digests[applied.Version]; twice && other != applied.Digest {
+			findings = append(findings, ruleViolation(7, "serial %d was given to two configurations", applied.Version))
 		}
-		digests[applied.Serial] = applied.Digest
-		if history.ReadBackComplete && stored[applied.Serial] != applied.Digest && !discarded(applied.Serial) {
-			findings = append(findings, ruleViolation(7, "serial %d was accepted and reads back as %q", applied.Serial, stored[applied.Serial]))
+		digests[applied.Version] = applied.Digest
+		if history.ReadBackComplete && stored[applied.Version] != applied.Digest && !discarded(applied.Version) {
+			findings = append(findings, ruleViolation(7, "serial %d was accepted and reads back as %q", applied.Version, stored[applied.Version]))
 		}
 	}
 	return findings, seen
@@ -301,7 +301,7 @@
 }
 
 func countAttempt(firstAttempts, retries *int, run Run, step int) {
-	if run.Try <= 1 {
+	if run.AttemptNumber <= 1 {
 		*firstAttempts += step
 	} else {
 		*retries += step
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -83,7 +83,7 @@
 		history.AllowRoute(seen.Kind, seen.Service, seen.At*monotonic.Second)
 	}),
 	"adopted": recorder(func(history *invariants.History, seen invariants.ActiveConfig) {
-		history.RecordActiveVersion(seen.Carrier, seen.Serial, seen.At*monotonic.Second)
+		history.RecordActiveVersion(seen.Proxy, seen.Version, seen.At*monotonic.Second)
 	}),
 	"mark": recorder(func(history *invariants.History, seen invariants.Marker) {
 		history.RecordMarker(seen.What, seen.At*monotonic.Second)
@@ -104,7 +104,7 @@
 		invariants.BreakerObservation
 	}) {
 		record := seen.BreakerObservation
-		for _, span := range []*monotonic.Micros{&record.At, &record.Entered, &record.Expires, &record.Wait, &record.Tenure} {
+		for _, span := range []*monotonic.Micros{&record.At, &record.EnteredAt, &record.ExpiresAt, &record.Wait, &record.ProbeLease} {
 			*span *= monotonic.Second
 		}
 		for until := max(record.At, seen.Until*monotonic.Second); record.At <= until; record.At += 100 * monotonic.Millisecond {
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -248,7 +248,7 @@
 				rehearsal.observeProxy("proxy-1", status, monotonic.Micros(at))
 			}
 			for version, at := range []int64{1000, 2000} {
-				rehearsal.History.RecordApply(invariants.AppliedConfig{Serial: uint64(version + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", version+1)})
+				rehearsal.History.RecordApply(invariants.AppliedConfig{Version: uint64(version + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", version+1)})
 			}
 			observe(1500)
 			reported = sound(2, 9)
--- a/internal/rehearse/scenario/rehearsal.go
+++ b/internal/rehearse/scenario/rehearsal.go
@@ -249,7 +249,7 @@
 // see notes what a carrier serves by, and what its guards have counted.
 func (r *Rehearsal) observeProxy(name string, status proxy.Status, now monotonic.Micros) {
 	if status.Ready {
-		r.History.RecordActiveConfig(invariants.ActiveConfig{Carrier: name, Serial: status.ConfigVersion, At: now, Sum: status.ConfigDigest})
+		r.History.RecordActiveConfig(invariants.ActiveConfig{Proxy: name, Version: status.ConfigVersion, At: now, Sum: status.ConfigDigest})
 	}
 	for _, guard := range status.Breakers {
 		r.History.RecordCallCounts(invariants.CallCounts{Proxy: name, Incarnation: status.Incarnation, Service: guard.Service, At: now, Calls: guard.Calls, Window: guard.Window,
@@ -329,7 +329,7 @@
 		}
 		total++
 		report.Kinds[attempt.Kind][describeOutcome(attempt)]++
-		if attempt.Mesh && attempt.Status >= 500 && !attempt.RetryTold {
+		if attempt.Mesh && attempt.Status >= 500 && !attempt.RetryAfterSet {
 			report.RejectionsWithoutRetryAfter++
 		}
 		if attempt.Ended > 0 {
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -173,7 +173,7 @@
 	}
 	attempt, number := splitRequestID(incoming.Header.Get(request.RequestIDHeader))
 	response := b.responseBody(attempt, body)
-	run := invariants.Run{Attempt: attempt, Try: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
+	run := invariants.Run{Attempt: attempt, AttemptNumber: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
 		Method: incoming.Method, Path: incoming.URL.Path, At: b.clock.Now(), Executed: behavior != NotExecuted}
 	if misbehaviors[behavior] == nil {
 		run.Sum = Checksum(response)
--- a/internal/rehearse/standin/load_generator.go
+++ b/internal/rehearse/standin/load_generator.go
@@ -221,12 +221,12 @@
 			return
 		}
 		attempt.Status = response.StatusCode
-		attempt.RetryTold = response.Header.Get("Retry-After") != ""
-		attempt.Serial, _ = strconv.ParseUint(response.Header.Get(request.ConfigVersionHeader), 10, 64)
+		attempt.RetryAfterSet = response.Header.Get("Retry-After") != ""
+		attempt.Version, _ = strconv.ParseUint(response.Header.Get(request.ConfigVersionHeader), 10, 64)
 		attempt.Instance = response.Header.Get(InstanceHeader)
 		attempt.Echo = response.Header.Get(EchoHeader)
 		attempt.Sum = Checksum(content)
-		attempt.Whole = response.Header.Get(ChecksumHeader) == attempt.Sum
+		attempt.Complete = response.Header.Get(ChecksumHeader) == attempt.Sum
 		if attempt.Echo == "" {
 			var refusal ingress.ErrorBody
 			if json.Unmarshal(content, &refusal) == nil && refusal.Cause > 0 {
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -46,7 +46,7 @@
 		store := o.Fleet.ConfigStores[turn%len(o.Fleet.ConfigStores)]
 		applied, err := o.applyOnce(store, content, expected, req)
 		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.OutcomeUnreached {
-			o.History.RecordApply(invariants.AppliedConfig{Serial: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: o.Clock.Now(), Sum: resourceDigest(state)})
+			o.History.RecordApply(invariants.AppliedConfig{Version: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: o.Clock.Now(), Sum: resourceDigest(state)})
 			return applied, nil
 		}
 		if time.Now().After(deadline) {
@@ -105,7 +105,7 @@
 			o.History.Update(func() {
 				o.History.ReadBackComplete = true
 				for _, state := range versions {
-					o.History.ReadBack = append(o.History.ReadBack, invariants.ReadBack{Serial: state.Version, Digest: state.Digest})
+					o.History.ReadBack = append(o.History.ReadBack, invariants.ReadBack{Version: state.Version, Digest: state.Digest})
 				}
 			})
 			return nil
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -73,7 +73,7 @@
 	}
 	var reply callerReply
 	_ = json.Unmarshal(content, &reply)
-	attempt.Status, attempt.Serial, attempt.Echo, attempt.Whole, attempt.Sum = int(reply.Status), reply.Version, reply.Echo, reply.Complete, reply.Sum
-	attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryTold = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
+	attempt.Status, attempt.Version, attempt.Echo, attempt.Complete, attempt.Sum = int(reply.Status), reply.Version, reply.Echo, reply.Complete, reply.Sum
+	attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
 	return reply.Retry
 }
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -288,7 +288,7 @@
 	removed := func(state *wire.DesiredState) { state.Routes = append(state.Routes[:1:1], state.Routes[2:]...) }
 	served := func(what string, attempt *invariants.Attempt, version uint64, key string) {
 		t.Helper()
-		if attempt.Mesh || attempt.Status != 200 || attempt.Serial != version || len(scene.executed(key)) != 1 || scene.executed(key)[0] != "households" {
+		if attempt.Mesh || attempt.Status != 200 || attempt.Version != version || len(scene.executed(key)) != 1 || scene.executed(key)[0] != "households" {
 			t.Errorf("%s: %+v, ran on %v", what, attempt, scene.executed(key))
 		}
 	}
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -503,7 +503,7 @@
 			}
 		}
 	}
-	m.History.RecordActiveConfig(invariants.ActiveConfig{Carrier: name, Serial: view.Version, At: now, Sum: m.contentSums[view]})
+	m.History.RecordActiveConfig(invariants.ActiveConfig{Proxy: name, Version: view.Version, At: now, Sum: m.contentSums[view]})
 	if !m.recordCallCounts {
 		return
 	}
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -24,7 +24,7 @@
 		leader := m.resolver.Leader(configstore.Group)
 		response := &wire.ConfigApplyResponse{}
 		if leader != "" && m.resolver.Call(leader, wire.Kind_config_apply, request, response, 20*monotonic.Second) == nil {
-			m.History.RecordApply(invariants.AppliedConfig{Serial: response.Version, Digest: response.Digest, Valid: len(faults) == 0, Outcome: response.Outcome, At: m.World.Now(), Sum: sum})
+			m.History.RecordApply(invariants.AppliedConfig{Version: response.Version, Digest: response.Digest, Valid: len(faults) == 0, Outcome: response.Outcome, At: m.World.Now(), Sum: sum})
 			m.latestVersion = max(m.latestVersion, response.Version)
 			return response
 		}
@@ -59,7 +59,7 @@
 		leader := m.resolver.Leader(configstore.Group)
 		if leader != "" && m.resolver.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, response, 2*monotonic.Second) == nil {
 			for _, stored := range response.Versions {
-				m.History.ReadBack = append(m.History.ReadBack, invariants.ReadBack{Serial: stored.Version, Digest: stored.Digest})
+				m.History.ReadBack = append(m.History.ReadBack, invariants.ReadBack{Version: stored.Version, Digest: stored.Digest})
 			}
 			m.History.ReadBackComplete = true
 			return
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -75,8 +75,8 @@
 				}
 				var reply callerReply
 				_ = json.Unmarshal(content, &reply)
-				attempt.Status, attempt.Serial, attempt.Echo, attempt.Whole, attempt.Sum = int(reply.Status), reply.Version, reply.Echo, reply.Complete, reply.Sum
-				attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryTold = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
+				attempt.Status, attempt.Version, attempt.Echo, attempt.Complete, attempt.Sum = int(reply.Status), reply.Version, reply.Echo, reply.Complete, reply.Sum
+				attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
 			}
 			result := Run(Scenario{Name: "routes", Sizes: smallTopology, Duration: 60 * monotonic.Second, Rate: 20, FaultInterval: 2 * monotonic.Second, DesiredState: desiredWithRoutes,
 				Rules: []int{1, 2, 3, 5, 8}, InitialFaults: []fault{change, losing, misbehaveBackend, killProxy},
@@ -106,7 +106,7 @@
 				if run.Executed {
 					executed[run.Attempt]++
 				}
-				if run.Try > 1 {
+				if run.AttemptNumber > 1 {
 					again++
 				}
 			}
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -70,7 +70,7 @@
 	}
 	body := []byte(order.ID[:position] + " answered by " + found.instance)
 	given := map[string]string{"": checksum(body), "slow": checksum(body)}[behavior]
-	mesh.History.RecordRun(invariants.Run{Sum: given, Attempt: order.ID[:position], Try: try, Key: request.HeaderValue(order.Headers, request.IdempotencyKeyHeader), Service: found.service,
+	mesh.History.RecordRun(invariants.Run{Sum: given, Attempt: order.ID[:position], AttemptNumber: try, Key: request.HeaderValue(order.Headers, request.IdempotencyKeyHeader), Service: found.service,
 		Instance: found.instance, Method: order.Method, Path: order.Target, At: mesh.World.Now(), Executed: behavior != "not_executed"})
 	if found.service == "households" && chance.IntN(4) == 0 {
 		mesh.lookup(order, found)
