--- a/internal/invariants/operator_calls.go
+++ b/internal/invariants/operator_calls.go
@@ -6,39 +6,41 @@
 	"snowflow/internal/monotonic"
 )
 
-// CallOutcome is what an operator was told of an order.
+// CallOutcome is what an operator learned of its read or write.
 type CallOutcome string
 
-// The outcomes of orders.
+// The outcomes of operators' calls.
 const (
-	Confirmed   CallOutcome = "confirmed" // taken, or nothing to be changed
-	Rejected    CallOutcome = "declined"  // refused for good: the version stands for another content
-	NotAccepted CallOutcome = "not taken" // no primary has it, and none will
-	Unknown     CallOutcome = "uncertain"
+	// Confirmed: the write is committed, or there was nothing to change; or the read returned a content.
+	Confirmed CallOutcome = "confirmed"
+	// Rejected: the write is refused for good, since its version stands for another content.
+	Rejected CallOutcome = "rejected"
+	// NotAccepted: no primary has received the write, and none will.
+	NotAccepted CallOutcome = "not accepted"
+	// Unknown: the write may or may not be committed.
+	Unknown CallOutcome = "unknown"
 )
 
-// OperatorCall is one call of an operator as it saw it: a content sent under a version of its own, or a read of the newest one.
+// OperatorCall is one call of an operator as it saw it: a write of a content under a version that the operator chose, or a
+// read of the newest content.
 type OperatorCall struct {
-	Endpoint string // the process that was asked
+	Endpoint string // the process that was called
 	Read     bool
-	Version  uint64 // sent, or read
-	Digest   string
+	Version  uint64 // written, or read
+	Digest   string // of the content
 	Sent     monotonic.Micros
 	Ended    monotonic.Micros
-	Outcome  CallOutcome // of a read: Confirmed if it gave a content
+	Outcome  CallOutcome
 }
 
-// OperatorCall notes an operator's call.
-func (h *History) RecordOperatorCall(call OperatorCall) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	h.OperatorCalls = append(h.OperatorCalls, call)
+// sameContent reports whether two calls concern the same content under the same version.
+func (c OperatorCall) sameContent(other OperatorCall) bool {
+	return c.Version == other.Version && c.Digest == other.Digest
 }
 
-// OperatorCallsLinearizable holds operators' calls to what one copy that never fails would tell: whoever reads gets everything that was confirmed before it asked,
-// a number stands for one content, what was confirmed is confirmed again, and what was declined or not taken never shows.
-var OperatorCallsLinearizable = Check{"orders kept", checkOperatorCalls}
-
+// checkOperatorCalls compares operators' calls with what a single server that never fails would answer. A read returns nothing
+// older than what was confirmed before it was sent. A version stands for one content. What was confirmed is never rejected
+// afterwards. What was rejected or not accepted is never read.
 func checkOperatorCalls(history *History) (findings []Finding, seen int) {
 	var confirmed, reads []OperatorCall
 	for _, call := range history.OperatorCalls {
@@ -68,49 +70,48 @@
 	return findings
 }
 
-// same tells whether two orders sent the same content under the same version.
-func sameWrite(one, other OperatorCall) bool {
-	return one.Version == other.Version && one.Digest == other.Digest
-}
-
 func checkRejectionsFinal(calls, confirmed []OperatorCall) (findings []Finding) {
 	for _, call := range calls {
 		if call.Read || call.Outcome != Rejected {
 			continue
 		}
-		if slices.ContainsFunc(confirmed, func(other OperatorCall) bool { return sameWrite(call, other) }) {
-			findings = append(findings, newFinding("version %d was both confirmed and declined, with one content, declined by %s at %d", call.Version, call.Endpoint, call.Ended))
+		if slices.ContainsFunc(confirmed, call.sameContent) {
+			findings = append(findings, newFinding("version %d was both confirmed and rejected, with one content, rejected by %s at %d",
+				call.Version, call.Endpoint, call.Ended))
 		}
 	}
 	return findings
 }
 
+// checkReadsNotStale reports each read that returned an older version than one that had been confirmed, or read, before it was
+// sent.
 func checkReadsNotStale(confirmed, reads []OperatorCall) (findings []Finding) {
 	for _, read := range reads {
-		for _, call := range confirmed {
-			if call.Ended <= read.Sent && call.Version > read.Version {
-				findings = append(findings, newFinding("%s gave version %d at %d, asked at %d; %d was confirmed at %d", read.Endpoint, read.Version, read.Ended, read.Sent, call.Version, call.Ended))
-				break
-			}
+		newer := func(call OperatorCall) bool { return call.Ended <= read.Sent && call.Version > read.Version }
+		if index := slices.IndexFunc(confirmed, newer); index >= 0 {
+			findings = append(findings, newFinding("%s returned version %d at %d, requested at %d; %d was confirmed at %d",
+				read.Endpoint, read.Version, read.Ended, read.Sent, confirmed[index].Version, confirmed[index].Ended))
 		}
-		for _, earlier := range reads {
-			if earlier.Ended <= read.Sent && earlier.Version > read.Version {
-				findings = append(findings, newFinding("%s gave version %d at %d, asked at %d; %s had given %d at %d", read.Endpoint, read.Version, read.Ended, read.Sent, earlier.Endpoint, earlier.Version, earlier.Ended))
-				break
-			}
+		if index := slices.IndexFunc(reads, newer); index >= 0 {
+			earlier := reads[index]
+			findings = append(findings, newFinding("%s returned version %d at %d, requested at %d; %s had returned %d at %d",
+				read.Endpoint, read.Version, read.Ended, read.Sent, earlier.Endpoint, earlier.Version, earlier.Ended))
 		}
 	}
 	return findings
 }
 
+// checkReadsAccepted reports each read of a content that was not written, was refused, or differs from the confirmed one.
 func checkReadsAccepted(calls, confirmed, reads []OperatorCall) (findings []Finding) {
 	for _, read := range reads {
 		possible := slices.ContainsFunc(calls, func(call OperatorCall) bool {
-			return !call.Read && sameWrite(call, read) && (call.Outcome == Confirmed || call.Outcome == Unknown)
+			return !call.Read && call.sameContent(read) && (call.Outcome == Confirmed || call.Outcome == Unknown)
+		})
+		contradicted := slices.ContainsFunc(confirmed, func(call OperatorCall) bool {
+			return call.Version == read.Version && call.Digest != read.Digest
 		})
-		other := slices.ContainsFunc(confirmed, func(call OperatorCall) bool { return call.Version == read.Version && call.Digest != read.Digest })
-		if !possible || other {
-			findings = append(findings, newFinding("%s gave a content for version %d at %d that was never taken", read.Endpoint, read.Version, read.Ended))
+		if !possible || contradicted {
+			findings = append(findings, newFinding("%s returned a content for version %d at %d that was never accepted", read.Endpoint, read.Version, read.Ended))
 		}
 	}
 	return findings
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -12,22 +12,22 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestRuleClauses shows each rule's checker short histories, written by hand: for each clause one that breaks it, and beside it
-// the nearest one that doesn't. A line is what was seen and its fields as JSON; times are in seconds.
+// TestRuleClauses checks each rule against short histories in testdata/clauses: for each clause of the rule one that violates it,
+// followed by the nearest one that does not. Each line is the kind of an observation and its fields as JSON; times are in seconds.
 func TestRuleClauses(t *testing.T) {
 	datadriven.RunTest(t, "testdata/clauses", func(t *testing.T, data *datadriven.TestData) string {
 		rule := 0
 		data.ScanArgs(t, "rule", &rule)
 		history := &invariants.History{RetryAllowance: 1, ReadBackComplete: true}
 		for _, line := range strings.Split(strings.TrimSpace(data.Input), "\n") {
-			word, fields, _ := strings.Cut(line, " ")
-			if recorders[word] == nil {
-				t.Fatalf("nobody sees a %q", word)
+			kind, fields, _ := strings.Cut(line, " ")
+			if recorders[kind] == nil {
+				t.Fatalf("no observation is called %q", kind)
 			}
-			recorders[word](t, history, []byte(fields))
+			recorders[kind](t, history, fields)
 		}
 		findings, seen := invariants.Inspect(history, rule)
-		text := fmt.Sprintf("looked at %d\n", seen[rule])
+		text := fmt.Sprintf("examined %d\n", seen[rule])
 		for _, finding := range findings {
 			text += finding.String() + "\n"
 		}
@@ -35,80 +35,96 @@
 	})
 }
 
-func recorder[Seen any](add func(history *invariants.History, seen Seen)) func(t *testing.T, history *invariants.History, fields []byte) {
-	return func(t *testing.T, history *invariants.History, fields []byte) {
-		var seen Seen
-		decoder := json.NewDecoder(strings.NewReader(string(fields)))
+// recordJSON decodes a line's fields, none of which may be unknown, and adds the observation to the history.
+type recordJSON func(t *testing.T, history *invariants.History, fields string)
+
+func recorder[Observation any](add func(history *invariants.History, observation Observation)) recordJSON {
+	return func(t *testing.T, history *invariants.History, fields string) {
+		t.Helper()
+		var observation Observation
+		decoder := json.NewDecoder(strings.NewReader(fields))
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&seen); err != nil {
+		if err := decoder.Decode(&observation); err != nil {
 			t.Fatalf("%s: %v", fields, err)
 		}
-		add(history, seen)
+		add(history, observation)
 	}
 }
 
-// allowed is a kind of traffic that a configuration sends to a service.
+// allowedRoute is a kind of traffic that a configuration routes to a service.
 type allowedRoute struct {
 	Kind, Service string
 	At            monotonic.Micros
 }
 
-var recorders = map[string]func(t *testing.T, history *invariants.History, fields []byte){
-	"attempt": recorder(func(history *invariants.History, seen invariants.Attempt) {
-		seen.Sent, seen.Ended = seen.Sent*monotonic.Second, seen.Ended*monotonic.Second
-		history.RecordAttempt(&seen)
+// repeatedAttempts are Count attempts at the same time, of which the first Failed are rejected.
+type repeatedAttempts struct {
+	Count, Failed int
+	invariants.Attempt
+}
+
+// repeatedReadings is a breaker record that is read at At, and then every tenth of a second up to Until.
+type repeatedReadings struct {
+	Until monotonic.Micros
+	invariants.BreakerObservation
+}
+
+var recorders = map[string]recordJSON{
+	"attempt": recorder(func(history *invariants.History, attempt invariants.Attempt) {
+		recordAttempt(history, attempt)
 	}),
-	"attempts": recorder(func(history *invariants.History, seen struct {
-		Count, Failed int
-		invariants.Attempt
-	}) {
-		for number := range seen.Count {
-			each := seen.Attempt
-			each.ID = fmt.Sprintf("%s-%d", each.ID, number)
-			each.Sent, each.Ended = each.Sent*monotonic.Second, each.Ended*monotonic.Second
-			if number < seen.Failed {
-				each.Status, each.Mesh = 503, true
+	"attempts": recorder(func(history *invariants.History, attempts repeatedAttempts) {
+		for number := range attempts.Count {
+			attempt := attempts.Attempt
+			attempt.ID = fmt.Sprintf("%s-%d", attempt.ID, number)
+			if number < attempts.Failed {
+				attempt.Status, attempt.Mesh = 503, true
 			}
-			history.RecordAttempt(&each)
+			recordAttempt(history, attempt)
 		}
 	}),
-	"run": recorder(func(history *invariants.History, seen invariants.Run) {
-		seen.At *= monotonic.Second
-		history.RecordRun(seen)
+	"run": recorder(func(history *invariants.History, run invariants.Run) {
+		run.At *= monotonic.Second
+		history.RecordRun(run)
 	}),
-	"left": recorder(func(history *invariants.History, seen invariants.Departure) {
-		history.RecordDeparture(seen.Instance, seen.At*monotonic.Second)
+	"departure": recorder(func(history *invariants.History, departure invariants.Departure) {
+		history.RecordDeparture(departure.Instance, departure.At*monotonic.Second)
 	}),
-	"allow": recorder(func(history *invariants.History, seen allowedRoute) {
-		history.AllowRoute(seen.Kind, seen.Service, seen.At*monotonic.Second)
+	"allow": recorder(func(history *invariants.History, route allowedRoute) {
+		history.AllowRoute(route.Kind, route.Service, route.At*monotonic.Second)
 	}),
-	"adopted": recorder(func(history *invariants.History, seen invariants.ActiveConfig) {
-		history.RecordActiveVersion(seen.Proxy, seen.Version, seen.At*monotonic.Second)
+	"active": recorder(func(history *invariants.History, active invariants.ActiveConfig) {
+		history.RecordActiveVersion(active.Proxy, active.Version, active.At*monotonic.Second)
 	}),
-	"mark": recorder(func(history *invariants.History, seen invariants.Marker) {
-		history.RecordMarker(seen.What, seen.At*monotonic.Second)
+	"mark": recorder(func(history *invariants.History, marker invariants.Marker) {
+		history.RecordMarker(marker.What, marker.At*monotonic.Second)
 	}),
-	"readback": recorder(func(history *invariants.History, seen invariants.ReadBack) {
-		history.ReadBack = append(history.ReadBack, seen)
+	"readback": recorder(func(history *invariants.History, read invariants.ReadBack) {
+		history.ReadBack = append(history.ReadBack, read)
 	}),
-	"planned": recorder(func(history *invariants.History, seen invariants.PlannedChange) {
-		history.BeginPlannedChange(seen.What, seen.From*monotonic.Second)(seen.Until * monotonic.Second)
+	"planned": recorder(func(history *invariants.History, change invariants.PlannedChange) {
+		end := history.BeginPlannedChange(change.What, change.From*monotonic.Second)
+		end(change.Until * monotonic.Second)
 	}),
-	"applied": recorder(func(history *invariants.History, seen invariants.AppliedConfig) {
-		seen.At *= monotonic.Second
-		history.RecordApply(seen)
+	"applied": recorder(func(history *invariants.History, applied invariants.AppliedConfig) {
+		applied.At *= monotonic.Second
+		history.RecordApply(applied)
 	}),
-	// guard is read once at At, or every tenth of a second up to Until.
-	"guard": recorder(func(history *invariants.History, seen struct {
-		Until monotonic.Micros
-		invariants.BreakerObservation
-	}) {
-		record := seen.BreakerObservation
-		for _, span := range []*monotonic.Micros{&record.At, &record.EnteredAt, &record.ExpiresAt, &record.Wait, &record.ProbeLease} {
-			*span *= monotonic.Second
+	"breaker": recorder(func(history *invariants.History, readings repeatedReadings) {
+		reading := readings.BreakerObservation
+		for _, seconds := range []*monotonic.Micros{&reading.At, &reading.EnteredAt, &reading.ExpiresAt, &reading.Wait, &reading.ProbeLease} {
+			*seconds *= monotonic.Second
 		}
-		for until := max(record.At, seen.Until*monotonic.Second); record.At <= until; record.At += 100 * monotonic.Millisecond {
-			history.RecordBreaker(record)
+		until := max(reading.At, readings.Until*monotonic.Second)
+		for ; reading.At <= until; reading.At += 100 * monotonic.Millisecond {
+			history.RecordBreaker(reading)
 		}
 	}),
 }
+
+// recordAttempt records an attempt whose times are in seconds.
+func recordAttempt(history *invariants.History, attempt invariants.Attempt) {
+	attempt.Sent *= monotonic.Second
+	attempt.Ended *= monotonic.Second
+	history.RecordAttempt(&attempt)
+}
