--- /dev/null
+++ b/internal/proxy/session/batch_sender.go
@@ -0,0 +1,117 @@
+package session
+
+import (
+	"snowflow/internal/apierror"
+	"snowflow/internal/transport/wire"
+)
+
+// startSenders starts up to count senders, as far as the limits allow. mu is held.
+func (b *batcher) startSenders(count int) {
+	now := b.client.host.Now()
+	for ; count > 0 && b.senders < b.senderLimit(); count-- {
+		if b.senders >= usualSenders && b.batchSize() > 1 && now-b.lastSenderAt < extraSenderInterval {
+			return
+		}
+		b.senders, b.lastSenderAt = b.senders+1, now
+		b.client.host.Go(b.runSender)
+	}
+}
+
+// runSender sends one message after another until the queue is empty or there are too many senders.
+func (b *batcher) runSender() {
+	h, resolver := b.client.host, b.client.resolver
+	for {
+		name := resolver.Leader(registryGroup)
+		if name == "" {
+			h.Go(resolver.Refresh) // not waited for: the server that it asks may be down too
+			h.Sleep(leaderCheckInterval)
+			if b.stopIfIdle() {
+				return
+			}
+			continue
+		}
+		calls := b.takeBatch()
+		if calls == nil {
+			return
+		}
+		began := h.Now()
+		err := b.send(name, calls)
+		firstFailure := b.requeue(calls, err, h.Now()-began)
+		if err == nil || name != resolver.Leader(registryGroup) {
+			continue
+		}
+		h.Go(resolver.Refresh)
+		if firstFailure {
+			h.Sleep(firstRetryDelay)
+		} else {
+			h.Sleep(nextRetryDelay)
+		}
+	}
+}
+
+// stopIfIdle reports whether a sender that found no leader must end, because the queue is empty or there are too many senders.
+func (b *batcher) stopIfIdle() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.queue) > 0 && b.senders <= b.senderLimit() {
+		return false
+	}
+	b.senders--
+	return true
+}
+
+// send sends calls to a leader in one message and finishes those that are answered. The error is that of the others.
+func (b *batcher) send(name string, calls []*pendingCall) error {
+	if !b.client.resolver.SupportsBatches(name) || len(calls) == 1 {
+		return b.sendSingle(name, calls[0])
+	}
+	request := &wire.RegistryBatchRequest{}
+	for _, call := range calls {
+		request.Commands = append(request.Commands, batchCommand(call.request))
+	}
+	response, began := &wire.RegistryBatchResponse{}, b.client.host.Now()
+	if err := b.client.callWhileLeading(name, wire.Kind_registry_batch, request, response, messageTimeout); err != nil {
+		now := b.client.host.Now()
+		if name == b.client.resolver.Leader(registryGroup) && now-began < slowResponse && !apierror.IsUnreachable(err) {
+			b.mu.Lock()
+			b.singleTarget, b.singleUntil = name, now+singleFor
+			b.mu.Unlock()
+		}
+		return err
+	}
+	return b.takeOutcomes(name, calls, response.Outcomes)
+}
+
+// sendSingle sends one call in a message of its own.
+func (b *batcher) sendSingle(name string, call *pendingCall) error {
+	response := call.response.ProtoReflect().New().Interface()
+	err := b.client.callWhileLeading(name, call.kind, call.request, response, messageTimeout)
+	if err == nil {
+		b.finish(call, response)
+	} else if apierror.IsRefused(err) {
+		b.mu.Lock()
+		call.mayBeTaken = true // the rejection may be of a leader that does not know the outcome
+		b.mu.Unlock()
+	}
+	return err
+}
+
+// takeOutcomes finishes the calls of a batch that were executed. The error is that of the last one that was rejected.
+func (b *batcher) takeOutcomes(name string, calls []*pendingCall, outcomes []*wire.RegistryOutcome) error {
+	var rejection error
+	for index, call := range calls {
+		outcome := &wire.RegistryOutcome{Error: "the batch's answer has too few outcomes"}
+		if index < len(outcomes) {
+			outcome = outcomes[index]
+		}
+		if answer := batchResponse(call.request, outcome.GetResult()); answer != nil {
+			b.finish(call, answer)
+			continue
+		}
+		rejection = apierror.Refused.New("%s: %s", name, outcome.Error)
+		b.mu.Lock()
+		call.err, call.mayBeTaken = rejection, call.mayBeTaken || !outcome.Rejected
+		b.mu.Unlock()
+	}
+	return rejection
+}
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -1,123 +1,106 @@
 package session
 
 import (
+	"fmt"
 	"testing"
 
 	"snowflow/internal/discovery"
 	"snowflow/internal/host"
-	"snowflow/internal/host/clockwatch"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/simulation/world"
 	"snowflow/internal/transport/wire"
 )
 
-// TestLeaderClockNeverAhead: a carrier that was long cut off from the holder, with a clock that runs faster than the holder's,
-// must not name a moment that the holder has not reached. The world's clock plays the holder's.
+// TestLeaderClockNeverAhead: a proxy that was cut off from the leader for a minute, with a clock that runs faster than the leader's,
+// must not claim a time that the leader has not reached. The simulation's clock is the leader's.
 func TestLeaderClockNeverAhead(t *testing.T) {
-	ahead := false
+	fasterClock := false
 	for seed := uint64(1); seed <= 8; seed++ {
-		simulated := world.New(seed)
-		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
-			client := New(process, discovery.New(process, nil, nil), func() *wire.Session { return &wire.Session{} }, steadyClock(process))
-			began, own := simulated.Now(), process.Now()
-			client.apply(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: int64(began)}, own)
-			process.Sleep(monotonic.Minute)
-			ahead = ahead || process.Now()-own > simulated.Now()-began
-			if clock := client.LeaderClock(); clock.Time > int64(simulated.Now()) {
-				t.Errorf("seed %d: the moment is %d microseconds ahead of the holder", seed, clock.Time-int64(simulated.Now()))
-			}
-			ended = true
-			return host.Handlers{}, nil
-		}))
-		simulated.Run(simulated.Now() + 2*monotonic.Minute)
-		simulated.Close()
-		if !ended {
-			t.Fatal(simulated.Panicked)
-		}
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			runProcess(t, seed, func(simulated *world.World, process *world.Host) {
+				client := New(process, discovery.New(process, nil, nil), emptySession, steadyClock(process))
+				leaderStart, ownStart := simulated.Now(), process.Now()
+				if err := client.apply(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: int64(leaderStart)}); err != nil {
+					t.Error(err)
+				}
+				process.Sleep(monotonic.Minute)
+				fasterClock = fasterClock || process.Now()-ownStart > simulated.Now()-leaderStart
+				if clock := client.LeaderClock(); clock.Time > int64(simulated.Now()) {
+					t.Errorf("the bound is %d microseconds ahead of the leader", clock.Time-int64(simulated.Now()))
+				}
+			})
+		})
 	}
-	if !ahead {
-		t.Error("no clock ran faster than the holder's")
+	if !fasterClock {
+		t.Error("no clock ran faster than the leader's")
 	}
 }
 
-// TestFenceMovesLeaderClock: a carrier that had a key fenced is told the fence's moment. A caller that comes back to it at once is
-// read after the fence, however long ago the carrier polled.
+// TestFenceMovesLeaderClock: a proxy that had a key fenced is told the fence's time. A caller that retries at this proxy at once must
+// be read after the fence, however long ago the proxy polled.
 func TestFenceMovesLeaderClock(t *testing.T) {
-	simulated := world.New(1)
-	defer simulated.Close()
-	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
-		client := New(process, discovery.New(process, nil, nil), func() *wire.Session { return &wire.Session{} }, steadyClock(process))
-		client.apply(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: 1000}, process.Now())
+	runProcess(t, 1, func(_ *world.World, process *world.Host) {
+		client := New(process, discovery.New(process, nil, nil), emptySession, steadyClock(process))
+		if err := client.apply(&wire.RegistryPollResponse{Primary: true, Epoch: 1, LeaderClock: 1000}); err != nil {
+			t.Error(err)
+		}
 		process.Sleep(monotonic.Second)
 		fence := &wire.LeaderTimestamp{Epoch: 1, Time: int64(1000 + 2*monotonic.Second)}
 		client.ObserveLeaderClock(fence)
 		if clock := client.LeaderClock(); clock.Time < fence.Time {
-			t.Errorf("the moment is %d, the fence was at %d", clock.Time, fence.Time)
+			t.Errorf("the bound is %d, the fence was at %d", clock.Time, fence.Time)
 		}
 		client.ObserveLeaderClock(&wire.LeaderTimestamp{Epoch: 1, Time: 5})
 		if clock := client.LeaderClock(); clock.Time < fence.Time {
-			t.Errorf("an older moment was taken: %d", clock.Time)
+			t.Errorf("an earlier time was taken: %d", clock.Time)
 		}
-		ended = true
-		return host.Handlers{}, nil
-	}))
-	simulated.Run(simulated.Now() + monotonic.Minute)
-	if !ended {
-		t.Fatal(simulated.Panicked)
-	}
-}
-
-func steadyClock(process *world.Host) *clockwatch.Watcher {
-	watch := clockwatch.New(process)
-	process.Go(watch.Run)
-	return watch
+	})
 }
 
-// TestCallMovesToNextLeader: an ask that waits for a primary that is gone without a word turns to the next one as soon as
-// there is one, instead of waiting out its time at the first.
+// TestCallMovesToNextLeader: a call to a leader that froze without closing its connection moves to the next leader as soon as there
+// is one, instead of using up its timeout at the first.
 func TestCallMovesToNextLeader(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
-		simulated := world.New(seed)
-		succeeded := simulated.Now() + 300*monotonic.Millisecond
-		registry := func(name string) {
-			simulated.Start(simulated.Add(name, name, name, func(process *world.Host) (host.Handlers, error) {
-				table := host.Handlers{}
-				host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
-					if simulated.Now() < succeeded {
-						return &wire.DiscoverResponse{}, nil
-					}
-					return &wire.DiscoverResponse{Primaries: []*wire.Primary{{Group: "sorter", Epoch: 2, Name: "next"}}}, nil
-				})
-				host.Handle(table, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-					return &wire.ClaimResponse{Outcome: request.Scope}, nil
-				})
-				return table, nil
-			}))
-		}
-		registry("gone")
-		registry("next")
-		simulated.Run(simulated.Now() + monotonic.Millisecond)
-		simulated.Freeze(simulated.Node("gone"), monotonic.Minute)
-		ended := false
-		simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
-			resolver := discovery.New(process, nil, []string{"gone", "next"})
-			resolver.AddPeers([]*wire.PeerAddress{{Name: "gone", Address: "gone", Group: "sorter"}, {Name: "next", Address: "next", Group: "sorter"}})
-			resolver.ObservePrimaries([]*wire.Primary{{Group: "sorter", Epoch: 1, Name: "gone"}})
-			client := New(process, resolver, func() *wire.Session { return &wire.Session{} }, steadyClock(process))
-			response, began := &wire.ClaimResponse{}, process.Now()
-			err := client.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: "key"}, response, 600*monotonic.Millisecond)
-			if took := process.Now() - began; err != nil || response.Outcome != "key" || took > 550*monotonic.Millisecond {
-				t.Errorf("seed %d: %v, %q after %d microseconds", seed, err, response.Outcome, took)
-			}
-			ended = true
-			return host.Handlers{}, nil
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { callAcrossFailover(t, seed) })
+	}
+}
+
+func callAcrossFailover(t *testing.T, seed uint64) {
+	t.Helper()
+	simulated := world.New(seed)
+	t.Cleanup(simulated.Close)
+	failover := simulated.Now() + 300*monotonic.Millisecond
+	for _, name := range []string{"frozen", "next"} {
+		simulated.Start(simulated.Add(name, name, name, func(*world.Host) (host.Handlers, error) {
+			table := host.Handlers{}
+			host.Handle(table, wire.Kind_discover, func(*wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
+				if simulated.Now() < failover {
+					return &wire.DiscoverResponse{}, nil
+				}
+				return &wire.DiscoverResponse{Primaries: []*wire.Primary{{Group: registryGroup, Epoch: 2, Name: "next"}}}, nil
+			})
+			host.Handle(table, wire.Kind_claim, echoScope)
+			return table, nil
 		}))
-		simulated.Run(simulated.Now() + monotonic.Minute)
-		simulated.Close()
-		if !ended {
-			t.Fatal(simulated.Panicked)
+	}
+	simulated.Run(simulated.Now() + monotonic.Millisecond)
+	simulated.Freeze(simulated.Node("frozen"), monotonic.Minute)
+	ended := false
+	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
+		resolver := discovery.New(process, nil, []string{"frozen", "next"})
+		resolver.AddPeers([]*wire.PeerAddress{{Name: "frozen", Address: "frozen", Group: registryGroup}, {Name: "next", Address: "next", Group: registryGroup}})
+		resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "frozen"}})
+		client := New(process, resolver, emptySession, steadyClock(process))
+		response, began := &wire.ClaimResponse{}, process.Now()
+		err := client.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: "key"}, response, 600*monotonic.Millisecond)
+		if took := process.Now() - began; err != nil || response.Outcome != "key" || took > 550*monotonic.Millisecond {
+			t.Errorf("%v, %q after %d microseconds", err, response.Outcome, took)
 		}
+		ended = true
+		return host.Handlers{}, nil
+	}))
+	simulated.Run(simulated.Now() + monotonic.Minute)
+	if !ended {
+		t.Fatal(simulated.Panicked)
 	}
 }
--- /dev/null
+++ b/internal/proxy/session/leader_clock.go
@@ -0,0 +1,49 @@
+package session
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/transport/wire"
+)
+
+// clockDriftDivisor is the part of the time since the last observation that the bound leaves out: this process's clock may
+// run faster than the leader's by up to one in clockDriftDivisor, and a bound ahead of the leader would pass a fence that
+// is not set yet.
+const clockDriftDivisor = 1000
+
+// LeaderClock returns a time of the registry leader's clock that has certainly passed. It is the zero time, which is before
+// every fence, if none is known or while this process's clock can't be trusted.
+func (c *Client) LeaderClock() *wire.LeaderTimestamp {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.leaderClock == nil || !c.clockWatch.Steady() {
+		return &wire.LeaderTimestamp{}
+	}
+	clock := proto.CloneOf(c.leaderClock)
+	since := c.host.Now() - c.leaderClockAt
+	clock.Time += int64(since - since/clockDriftDivisor)
+	return clock
+}
+
+// ObserveLeaderClock raises the bound to a time that an answer of the leader showed to have passed. Earlier times, and nil,
+// change nothing.
+func (c *Client) ObserveLeaderClock(observed *wire.LeaderTimestamp) {
+	if observed == nil {
+		return
+	}
+	known := c.LeaderClock()
+	if observed.Epoch < known.Epoch || observed.Epoch == known.Epoch && observed.Time <= known.Time {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaderClock, c.leaderClockAt = proto.CloneOf(observed), c.host.Now()
+}
+
+// ForgetLeaderClock drops the bound until the next answer of the leader. It is called when this process's clock leapt, so that
+// the time since the last observation is unknown.
+func (c *Client) ForgetLeaderClock() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaderClock = nil
+}
--- /dev/null
+++ b/internal/proxy/session/poll.go
@@ -0,0 +1,166 @@
+package session
+
+import (
+	"slices"
+
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// PollNow makes the next poll start at once, so that the registry learns of a change of this proxy's session.
+func (c *Client) PollNow() { c.pollNow.Fire() }
+
+// Run polls the registry until the process ends.
+func (c *Client) Run() {
+	for {
+		started := c.host.Now()
+		c.Poll()
+		if remaining := c.pollDelay() - (c.host.Now() - started); remaining > 0 {
+			c.pollNow.Wait(remaining)
+		}
+	}
+}
+
+// pollDelay returns the time from the start of the last poll to that of the next one. Fast polls are spread by up to a
+// quarter, so that proxies that lost the same server don't poll the next one all at once.
+func (c *Client) pollDelay() monotonic.Micros {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.reached || c.sourceIncomplete {
+		return fastPollInterval + monotonic.Micros(c.host.Random()%uint64(fastPollInterval/4))
+	}
+	return PollInterval
+}
+
+// Poll sends one heartbeat to the registry's leader, or to another server if the leader does not answer, and applies the
+// answer. Only the leader's answer carries breaker records.
+func (c *Client) Poll() {
+	response := c.pollFirstReachable()
+	if response.GetPrimary() {
+		c.ApplyBreakers(response.Breakers, true)
+	} else {
+		c.ApplyBreakers(nil, false)
+	}
+	if response == nil {
+		c.resolver.Refresh()
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.reached = response != nil
+	if response.GetPrimary() {
+		c.breakersSource, c.breakersVersion = response.BreakersSource, response.BreakersVersion
+	}
+}
+
+// pollFirstReachable polls the servers, the leader first, until one answers, and returns its answer or nil. If that answer
+// names another leader, the leader is polled too and its answer returned instead.
+func (c *Client) pollFirstReachable() *wire.RegistryPollResponse {
+	leader := c.resolver.Leader(registryGroup)
+	names := c.resolver.Members(registryGroup)
+	if at := slices.Index(names, leader); at > 0 {
+		copy(names[1:at+1], names[:at])
+		names[0] = leader
+	}
+	for _, name := range names {
+		response := c.pollAndApply(name)
+		if response == nil {
+			continue
+		}
+		next := c.resolver.Leader(registryGroup)
+		if response.Primary || next == name || next == leader {
+			return response
+		}
+		if answer, err := c.pollServer(next); err == nil {
+			_ = c.apply(answer) // after a rejected difference the next poll returns the complete directory
+			return answer
+		}
+		return response
+	}
+	return nil
+}
+
+// pollAndApply polls one server and applies its answer. If the answer's difference is rejected, the server is polled again
+// and returns the complete directory. The result is nil if a poll was not answered.
+func (c *Client) pollAndApply(name string) *wire.RegistryPollResponse {
+	response, err := c.pollServer(name)
+	if err != nil {
+		return nil
+	}
+	if c.apply(response) == nil {
+		return response
+	}
+	response, err = c.pollServer(name)
+	if err != nil {
+		return nil
+	}
+	_ = c.apply(response) // a complete directory is never rejected
+	return response
+}
+
+// pollServer sends one poll to one server.
+func (c *Client) pollServer(name string) (*wire.RegistryPollResponse, error) {
+	session := c.currentSession()
+	c.mu.Lock()
+	c.heartbeat++
+	session.Heartbeat = c.heartbeat
+	request := &wire.RegistryPollRequest{
+		Session:           session,
+		DirectorySource:   c.snapshot.source,
+		DirectoryVersion:  c.snapshot.version,
+		DirectoryChecksum: c.snapshot.checksum(),
+		DirectoryComplete: c.complete,
+		BreakersSource:    c.breakersSource,
+		BreakersVersion:   c.breakersVersion,
+	}
+	c.mu.Unlock()
+	request.Activity = c.Activity()
+	response := &wire.RegistryPollResponse{}
+	return response, c.resolver.Call(name, wire.Kind_registry_poll, request, response, pollTimeout)
+}
+
+// apply takes over an answer to a poll. It returns an error if the answer's difference of the directory was rejected; the
+// rest of the answer is applied all the same.
+func (c *Client) apply(response *wire.RegistryPollResponse) error {
+	c.resolver.ObservePrimaries(response.Primaries)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.host.Now()
+	c.polledAt = now
+	if response.Proxies >= c.live || now-c.liveSetAt >= liveCountWindow {
+		c.live, c.liveSetAt = response.Proxies, now
+	}
+	if response.Primary && (c.leaderClock == nil || response.Epoch >= c.leaderClock.Epoch) {
+		c.leaderClock, c.leaderClockAt = &wire.LeaderTimestamp{Epoch: response.Epoch, Time: response.LeaderClock}, now
+	}
+	return c.applyDirectory(response)
+}
+
+// applyDirectory takes over the directory in an answer, unless it is older than what is held or less complete. mu is held.
+func (c *Client) applyDirectory(response *wire.RegistryPollResponse) error {
+	c.sourceIncomplete = response.DirectoryAge > 0 && monotonic.Micros(response.DirectoryAge) < completeDirectoryAge
+	otherSource := response.DirectorySource != c.snapshot.source
+	if !otherSource && !c.sourceIncomplete {
+		c.complete = true
+	}
+	lessComplete := otherSource && c.sourceIncomplete && c.complete
+	if response.DirectoryUnchanged || lessComplete || c.snapshot.isStale(response) {
+		return nil
+	}
+	next, err := c.snapshot.next(response)
+	if err != nil {
+		c.updates.Rejected++
+		c.snapshot.invalidate()
+		c.host.Report(eventlog.DirectoryUpdateRejected, map[string]any{"serial": response.DirectoryVersion, "have": c.snapshot.version, "error": err.Error()})
+		return err
+	}
+	c.complete = !c.sourceIncomplete
+	c.snapshot = next
+	c.directory = buildDirectory(next.set)
+	if response.DirectoryIsDelta {
+		c.updates.Deltas++
+	} else {
+		c.updates.Snapshots++
+	}
+	return nil
+}
--- a/internal/proxy/session/snapshot.go
+++ b/internal/proxy/session/snapshot.go
@@ -9,19 +9,26 @@
 	"snowflow/internal/transport/wire"
 )
 
-// held is the directory as it's held. Invariants: it doesn't change once made; with sure, the set is what the sorter's life source showed
-// as its version serial; without, no change of it is asked for or taken.
+// The reasons for which a difference is rejected. Nothing of a rejected difference is applied.
+var (
+	errWrongBase      = errors.New("session: the difference was made from another version of the directory")
+	errDigestMismatch = errors.New("session: the difference does not lead to the announced directory")
+)
+
+// snapshot is one version of the set of sessions. It never changes once made, except that invalidate may withdraw its
+// version. While verified is set, set is exactly what the server incarnation source published as version; otherwise no
+// difference is requested or applied.
 type snapshot struct {
 	source, version uint64
 	set             *resource.Set
 	verified        bool
-	skipChecks      bool // for rehearsals of the checkers alone
+	skipChecks      bool // see Client.SkipDigestChecks
 }
 
-// nothing is what is held before the first answer.
+// emptySnapshot is what a client holds before the first answer.
 var emptySnapshot = snapshot{set: resource.Empty}
 
-// check names the content, or is zero where it isn't sure.
+// checksum identifies the content in a poll. Zero, for an unverified snapshot, requests the complete directory.
 func (s *snapshot) checksum() uint64 {
 	if !s.verified {
 		return 0
@@ -29,11 +36,13 @@
 	return s.set.Sum().Short()
 }
 
-// doubt has the whole asked for. The serial is none of any sorter's, so that it isn't answered with nothing.
+// invalidate makes the next poll request the complete directory. No server publishes version zero, so none answers that the
+// directory is unchanged.
 func (s *snapshot) invalidate() { s.verified, s.version = false, 0 }
 
-// past tells whether an answer leads to what is held, or to what was held before: it came twice, or late. A whole of the version that's
-// held is taken: the sorter found that what is held isn't that version.
+// isStale reports whether an answer leads to the version that is held or to an earlier one, because it was delivered twice or
+// late. A complete directory of the version that is held is not stale: the server sends one when the checksum in the poll
+// didn't match that version.
 func (s *snapshot) isStale(response *wire.RegistryPollResponse) bool {
 	if response.DirectorySource != s.source {
 		return false
@@ -41,71 +50,76 @@
 	return response.DirectoryVersion < s.version || response.DirectoryIsDelta && response.DirectoryVersion == s.version
 }
 
-// The ways in which changes are refused. Nothing of them is applied then.
-var (
-	errWrongBase      = errors.New("roll: the changes are from another base")
-	errDigestMismatch = errors.New("roll: the result isn't what the changes say")
-)
-
-// next is the directory that an answer leads to. Only changes can be refused.
+// next returns the snapshot that an answer leads to. It fails only for a difference.
 func (s *snapshot) next(response *wire.RegistryPollResponse) (snapshot, error) {
 	if response.DirectoryIsDelta {
 		return s.applyDelta(response)
 	}
-	fresh := fullSnapshot(response.Sessions)
-	// A sorter of an earlier build gives no digest, and one of a later build may read sessions otherwise.
-	fresh.verified = bytes.Equal(response.DirectoryDigest, fresh.set.Digest())
-	fresh.skipChecks = s.skipChecks
-	fresh.source, fresh.version = response.DirectorySource, response.DirectoryVersion
-	return fresh, nil
+	full := fullSnapshot(response.Sessions)
+	// A server of an earlier release sends no digest, and one of a later release may encode sessions in another way.
+	full.verified = bytes.Equal(response.DirectoryDigest, full.set.Digest())
+	full.skipChecks = s.skipChecks
+	full.source, full.version = response.DirectorySource, response.DirectoryVersion
+	return full, nil
 }
 
-func fullSnapshot(sessions []*wire.Session) (fresh snapshot) {
+func fullSnapshot(sessions []*wire.Session) snapshot {
 	put := make([]*resource.Resource, 0, len(sessions))
 	names := map[string]bool{}
 	for _, session := range sessions {
 		one, err := resource.New(session.Proxy, session)
 		if err != nil || names[session.Proxy] {
-			continue // the digest shows it
+			continue // the digest won't match
 		}
 		names[session.Proxy] = true
 		put = append(put, one)
 	}
-	fresh.set, _ = resource.Empty.With(put, nil, len(put)) // each is there once
-	return fresh
+	set, _ := resource.Empty.With(put, nil, len(put)) // fails only for a repeated key
+	return snapshot{set: set}
 }
 
-func (s *snapshot) applyDelta(response *wire.RegistryPollResponse) (next snapshot, err error) {
-	next = *s
-	if !s.skipChecks && (!s.verified || response.DirectoryBaseSource != s.source || response.DirectoryBaseVersion != s.version) {
-		return next, errWrongBase
+// applyDelta returns the snapshot that a difference leads to.
+func (s *snapshot) applyDelta(response *wire.RegistryPollResponse) (snapshot, error) {
+	sameBase := response.DirectoryBaseSource == s.source && response.DirectoryBaseVersion == s.version
+	if !s.skipChecks && (!s.verified || !sameBase) {
+		return *s, errWrongBase
+	}
+	put, size, err := s.deltaContent(response)
+	if err != nil {
+		return *s, err
+	}
+	set, err := s.set.With(put, response.DirectoryRemoved, size)
+	if err != nil {
+		return *s, fmt.Errorf("%w: %w", errDigestMismatch, err)
+	}
+	if !s.skipChecks && !bytes.Equal(response.DirectoryDigest, set.Digest()) {
+		return *s, errDigestMismatch
 	}
-	size := s.set.Len()
+	next := *s
+	next.source, next.version, next.set = response.DirectorySource, response.DirectoryVersion, set
+	return next, nil
+}
+
+// deltaContent returns the sessions that a difference adds or replaces, and the number of sessions that it leads to.
+func (s *snapshot) deltaContent(response *wire.RegistryPollResponse) (put []*resource.Resource, size int, err error) {
+	size = s.set.Len()
 	for _, name := range response.DirectoryRemoved {
 		if s.set.Get(name) != nil {
 			size--
 		} else if !s.skipChecks {
-			return next, fmt.Errorf("%w: %s is to go and isn't there", errDigestMismatch, name)
+			return nil, 0, fmt.Errorf("%w: it removes %s, which is not there", errDigestMismatch, name)
 		}
 	}
-	put := make([]*resource.Resource, 0, len(response.Sessions))
+	put = make([]*resource.Resource, 0, len(response.Sessions))
 	for _, session := range response.Sessions {
 		one, err := resource.New(session.Proxy, session)
 		if err != nil {
-			return next, fmt.Errorf("%w: %w", errDigestMismatch, err)
+			return nil, 0, fmt.Errorf("%w: %w", errDigestMismatch, err)
 		}
 		if s.set.Get(session.Proxy) == nil {
 			size++
 		}
 		put = append(put, one)
 	}
-	set, err := s.set.With(put, response.DirectoryRemoved, size)
-	if err != nil {
-		return next, fmt.Errorf("%w: %w", errDigestMismatch, err)
-	}
-	if !s.skipChecks && !bytes.Equal(response.DirectoryDigest, set.Digest()) {
-		return next, errDigestMismatch
-	}
-	next.source, next.version, next.set = response.DirectorySource, response.DirectoryVersion, set
-	return next, nil
+	return put, size, nil
 }
