--- /dev/null
+++ b/internal/proxy/admission/cancellations.go
@@ -0,0 +1,102 @@
+package admission
+
+import (
+	"sync"
+
+	"snowflow/internal/transport/wire"
+)
+
+// cancellations holds the requests in flight that are cancelled when their callers leave. Requests that run at most once are not
+// among them: they run to their end, so that a repeated request finds their response.
+type cancellations struct {
+	mu     sync.Mutex // guards active
+	active map[cancelKey]*cancellation
+}
+
+// cancelKey identifies a request by its sender and the sender's id for it.
+type cancelKey struct{ from, id string }
+
+// cancellation is the state of one request. A nil one is never cancelled.
+type cancellation struct {
+	mu       sync.Mutex // guards the fields below; it is not held while callback runs
+	happened bool
+	callback func() // called once at most, and only after happened was set
+}
+
+func newCancellations() *cancellations { return &cancellations{active: map[cancelKey]*cancellation{}} }
+
+// begin adds a request. It returns nil for one that runs at most once.
+func (c *cancellations) begin(req *wire.ForwardRequest) *cancellation {
+	if req.RunOnce {
+		return nil
+	}
+	created := &cancellation{}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.active[cancelKey{req.From, req.Id}] = created
+	return created
+}
+
+func (c *cancellations) end(req *wire.ForwardRequest) {
+	if req.RunOnce {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.active, cancelKey{req.From, req.Id})
+}
+
+func (c *cancellations) find(from, id string) *cancellation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.active[cancelKey{from, id}]
+}
+
+// Cancel ends the request with a sender's id, whose caller has left, and reports whether it was in flight here. It is not handed to
+// its backend any more; the connection to a backend that works on it is closed if it may be repeated.
+func (c *Controller) Cancel(from, id string) bool {
+	found := c.cancellations.find(from, id)
+	if found == nil {
+		return false
+	}
+	found.cancel()
+	return true
+}
+
+func (c *cancellation) cancel() {
+	c.mu.Lock()
+	callback := c.callback
+	c.happened, c.callback = true, nil
+	c.mu.Unlock()
+	if callback != nil {
+		callback()
+	}
+}
+
+func (c *cancellation) cancelled() bool {
+	if c == nil {
+		return false
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.happened
+}
+
+// onCancel registers the function to call when the request is cancelled, and calls it at once if that has happened. stop
+// unregisters it.
+func (c *cancellation) onCancel(callback func()) (stop func()) {
+	c.mu.Lock()
+	cancelled := c.happened
+	if !cancelled {
+		c.callback = callback
+	}
+	c.mu.Unlock()
+	if cancelled {
+		callback()
+	}
+	return func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.callback = nil
+	}
+}
--- /dev/null
+++ b/internal/proxy/admission/doc.go
@@ -0,0 +1,20 @@
+// Package admission is the receiving side of a proxy: it decides whether a forwarded request may run on a local backend, runs
+// it, and returns the outcome.
+//
+// [Controller.Serve] takes a request through these steps. Each may reject it, and each rejection before the last step is
+// certain: no backend has run the request.
+//
+//  1. Preconditions: the proxy is not stopping, the request is addressed to this incarnation of it, the proxy has a lease on
+//     its configuration, and the request was routed by that version or the one before.
+//  2. Outlier detection: an ejected backend takes health checks and last resorts only.
+//  3. Uplink: a large response must fit through this host's link in time.
+//  4. Slot: the backend runs a bounded number of requests at once, and a bounded number waits for that.
+//  5. Claim: a request that must run at most once claims its idempotency key at the registry's leader. The key's recorded
+//     response is returned instead if an earlier attempt has run.
+//  6. Hand-over: the conditions that may have changed meanwhile are checked again right before the first byte is written.
+//
+// Every outcome carries a verdict, which says whether the request may have run. Callers retry on another backend only what
+// has not run, or what may run more than once.
+//
+// The package persists nothing. Responses to idempotency keys are kept in memory by package replay.
+package admission
--- a/internal/proxy/admission/executions.go
+++ b/internal/proxy/admission/executions.go
@@ -5,14 +5,14 @@
 
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
-	"snowflow/internal/proxy/request"
 )
 
-// work knows which keys are being run here now, so that a repeat is told so, or waits for the answer.
-// Invariant: open holds a scope exactly while a claimed request of it is between its claim and its recorded answer.
+// executions holds the idempotency keys whose claimed requests are running on this host's backends, so that a repeated request
+// can wait for the response.
 type executions struct {
-	host    host.Host
-	mu      sync.Mutex
+	host host.Host
+	mu   sync.Mutex // guards waiters
+	// waiters has an entry for each key from its claim until its response is recorded: the signals of those that wait for that.
 	waiters map[string][]host.Signal
 }
 
@@ -36,11 +36,11 @@
 	}
 }
 
-// await waits, at most patience, until a scope isn't at work here. It tells whether it still is.
-func (e *executions) await(scope string, timeout monotonic.Micros) bool {
+// await waits, at most for the timeout, until a key's request is not running, and reports whether it still is.
+func (e *executions) await(scope string, timeout monotonic.Micros) (running bool) {
 	e.mu.Lock()
-	waiters, busy := e.waiters[scope]
-	if !busy {
+	waiters, running := e.waiters[scope]
+	if !running {
 		e.mu.Unlock()
 		return false
 	}
@@ -49,9 +49,3 @@
 	e.mu.Unlock()
 	return !signal.Wait(timeout)
 }
-
-// recorded is the answer that a scope's run left here, waited for while it's at work.
-func (c *Controller) recordedResponse(scope string, digest []byte, timeout monotonic.Micros) (response *request.Response, busy bool) {
-	busy = c.executions.await(scope, timeout)
-	return c.options.Replay.Lookup(scope, digest), busy
-}
--- /dev/null
+++ b/internal/proxy/admission/link.go
@@ -0,0 +1,36 @@
+package admission
+
+import (
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// uplinkTimeShare is the part of the remaining time within which a large response must be on its way.
+const uplinkTimeShare = 0.6
+
+// reserveUplink reserves this host's link for a response of the size that is usual on the request's route. It rejects the
+// request, which has not run, if the link can't send that in time. The size must be passed to releaseUplink.
+func (c *Controller) reserveUplink(req *wire.ForwardRequest) (size float64, fault *apierror.Fault) {
+	if req.From == c.options.Proxy {
+		return 0, nil // the response stays on this host
+	}
+	limit := req.Remaining
+	if req.LatencyTarget > 0 && !req.MayQueue {
+		limit = req.LatencyTarget
+	}
+	size, wait, admitted := c.uplink.Admit(c.options.Host.Now(), req.Route, monotonic.Micros(uplinkTimeShare*float64(limit)))
+	if admitted {
+		return size, nil
+	}
+	fault = apierror.New(apierror.Overloaded, apierror.NotRun, "the link of %s is taken for %d ms", c.options.Proxy, wait/monotonic.Millisecond)
+	fault.RetryAfter = max(wait, monotonic.Millisecond)
+	return 0, fault
+}
+
+// releaseUplink replaces a reservation by the body that is sent, which is empty for a request without a response.
+func (c *Controller) releaseUplink(req *wire.ForwardRequest, size float64, reply *wire.ForwardResponse) {
+	if req.From != c.options.Proxy {
+		c.uplink.Done(c.options.Host.Now(), req.Route, size, len(reply.GetBody()))
+	}
+}
--- /dev/null
+++ b/internal/proxy/admission/preconditions.go
@@ -0,0 +1,84 @@
+package admission
+
+import (
+	"snowflow/internal/apierror"
+	"snowflow/internal/config"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+const (
+	// previousVersionGrace is the time after the adoption of a configuration for which requests that were routed by the version
+	// before are still accepted. The sender's own lease is what keeps a version from being used for more than two seconds after
+	// the next one; this bounds a sender that was suspended with a request in hand.
+	previousVersionGrace = monotonic.Second
+	// versionCatchUpTimeout is how long a request that was routed by a newer version waits for this proxy to adopt it.
+	versionCatchUpTimeout = 500 * monotonic.Millisecond
+)
+
+// preconditions are checked in order before anything is reserved or claimed, so that each rejection is certain.
+var preconditions = []func(c *Controller, req *wire.ForwardRequest) *apierror.Fault{
+	(*Controller).checkAccepting,
+	(*Controller).checkIncarnation,
+	func(c *Controller, _ *wire.ForwardRequest) *apierror.Fault { return c.checkLease() },
+	(*Controller).checkVersion,
+}
+
+func (c *Controller) checkPreconditions(req *wire.ForwardRequest) *apierror.Fault {
+	for _, check := range preconditions {
+		if fault := check(c, req); fault != nil {
+			return fault
+		}
+	}
+	return nil
+}
+
+func (c *Controller) checkAccepting(*wire.ForwardRequest) *apierror.Fault {
+	if c.closed.Load() {
+		return apierror.New(apierror.Draining, apierror.NotRun, "proxy %s is stopping", c.options.Proxy)
+	}
+	return nil
+}
+
+func (c *Controller) checkIncarnation(req *wire.ForwardRequest) *apierror.Fault {
+	if req.ToIncarnation != c.options.Incarnation {
+		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "addressed to another incarnation of this proxy")
+	}
+	return nil
+}
+
+// checkLease rejects requests while this proxy has no lease on its configuration, unless it serves on without one.
+func (c *Controller) checkLease() *apierror.Fault {
+	if _, live := c.options.ConfigClient.Current(); !live && !c.options.ServeOn {
+		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "proxy %s has no lease on its configuration", c.options.Proxy)
+	}
+	return nil
+}
+
+// checkVersion rejects requests that were routed by an outdated configuration, or by one that this proxy does not adopt in time.
+func (c *Controller) checkVersion(req *wire.ForwardRequest) *apierror.Fault {
+	if c.options.ServeOn {
+		return nil
+	}
+	version, age := c.options.ConfigClient.Version()
+	if req.ConfigVersion < version && (req.ConfigVersion+1 < version || age > previousVersionGrace) {
+		return apierror.New(apierror.VersionOlder, apierror.NotRun, "routed by configuration version %d, %d is in force", req.ConfigVersion, version)
+	}
+	if req.ConfigVersion > version && !c.options.ConfigClient.WaitForVersion(req.ConfigVersion, min(versionCatchUpTimeout, monotonic.Micros(req.Remaining))) {
+		return apierror.New(apierror.VersionBehind, apierror.NotRun, "routed by configuration version %d, this proxy has %d", req.ConfigVersion, version)
+	}
+	return nil
+}
+
+// findService returns the configuration of a request's service in the version that counts from here on, which may be another one
+// than checkVersion saw.
+func (c *Controller) findService(req *wire.ForwardRequest) (*config.Service, *apierror.Fault) {
+	snapshot, _ := c.options.ConfigClient.Current()
+	if snapshot != nil && snapshot.Services[req.Service] != nil {
+		return snapshot.Services[req.Service], nil
+	}
+	if c.options.ServeOn {
+		return config.DefaultService(req.Service), nil // the sender has another version
+	}
+	return nil, apierror.New(apierror.VersionOlder, apierror.NotRun, "service %s is not in configuration version %d", req.Service, snapshot.Version)
+}
--- /dev/null
+++ b/internal/proxy/admission/serve.go
@@ -0,0 +1,167 @@
+package admission
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/outlier"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/proxy/shutdown"
+	"snowflow/internal/transport/wire"
+)
+
+// reportedFaults are the events of faults that operators should see beyond the caller's rejection.
+var reportedFaults = map[apierror.Cause]int{
+	apierror.ResponseBroken:          eventlog.ResponseBroken,
+	apierror.BackendIdentityMismatch: eventlog.IdentityMismatch,
+}
+
+// Serve handles one request from another proxy, or from this one. The error is always nil: faults are part of the reply.
+func (c *Controller) Serve(req *wire.ForwardRequest) (*wire.ForwardResponse, error) {
+	c.running.Inc()
+	defer func() {
+		if c.running.Dec() == 0 {
+			c.idle.Fire()
+		}
+	}()
+	var reply *wire.ForwardResponse
+	outcome := c.shutdown.Run(func(task *shutdown.Task) { reply = c.serve(req, task) })
+	if outcome == shutdown.Done {
+		reply.Load = c.load(req)
+		return reply, nil
+	}
+	verdict := apierror.MayHaveRun
+	if outcome == shutdown.NotStarted && !req.RunOnce {
+		verdict = apierror.NotRun
+	}
+	return c.rejection(req, apierror.New(apierror.StoppedInFlight, verdict, "proxy %s stops, and can't wait any longer", c.options.Proxy)), nil
+}
+
+// serve admits a request, runs it and returns the reply. What it reserved is given back in the reverse order.
+func (c *Controller) serve(req *wire.ForwardRequest, task *shutdown.Task) (reply *wire.ForwardResponse) {
+	deadline := c.options.Host.Now() + monotonic.Micros(req.Remaining)
+	if c.claimPerService {
+		req = proto.CloneOf(req)
+		req.Scope = req.Service + "\n" + req.Scope
+	}
+	if fault := c.checkPreconditions(req); fault != nil {
+		return c.rejection(req, fault)
+	}
+	service, fault := c.findService(req)
+	if fault != nil {
+		return c.rejection(req, fault)
+	}
+	observation, fault := c.checkHealth(req)
+	if fault != nil {
+		return c.rejection(req, fault)
+	}
+	defer observation.Close(outlier.Unknown)
+	size, fault := c.reserveUplink(req)
+	if fault != nil {
+		return c.rejection(req, fault)
+	}
+	defer func() { c.releaseUplink(req, size, reply) }()
+	cancellation := c.cancellations.begin(req)
+	defer c.cancellations.end(req)
+	permit, recorded, fault := c.acquirePermit(req, service, deadline)
+	if fault != nil {
+		return c.rejection(req, fault)
+	}
+	if recorded != nil {
+		return success(req.Id, recorded)
+	}
+	if req.RunOnce {
+		c.executions.begin(req.Scope)
+		defer c.executions.end(req.Scope)
+	}
+	response, fault := c.execute(&execution{req: req, deadline: deadline, permit: permit, observation: observation, cancellation: cancellation, task: task})
+	if fault != nil {
+		return c.rejection(req, fault)
+	}
+	return success(req.Id, response)
+}
+
+// execution is a request that was admitted and is handed to its backend.
+type execution struct {
+	req          *wire.ForwardRequest
+	deadline     monotonic.Micros
+	permit       *permit
+	observation  *localbackends.Observation
+	cancellation *cancellation // nil for a request that runs at most once
+	task         *shutdown.Task
+}
+
+// cancellable reports whether the request may be broken off while its backend works on it: only one that may be repeated.
+func (e *execution) cancellable() bool { return !e.req.RunOnce && !e.req.AtMostOnce }
+
+// execute hands a request to its backend, records what the outcome says of the backend, and returns the response.
+func (c *Controller) execute(e *execution) (*request.Response, *apierror.Fault) {
+	e.observation.Start()
+	response, fault := c.options.Upstream.RoundTrip(c.backendRequest(e))
+	if fault != nil && !fault.NotRun() && e.cancellable() && e.cancellation.cancelled() {
+		fault = apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "its caller left while the backend was at work")
+		fault.Local = true // that the connection was closed says nothing of the backend
+	}
+	e.observation.Close(backendOutcome(response, fault))
+	e.permit.Release(slotOutcome(response, fault))
+	backend := e.permit.Backend
+	if fault == nil && response.NotRun {
+		fault = apierror.New(apierror.NotExecuted, apierror.NotRun, "backend %s answered %d, not executed", backend.Instance, response.Status)
+	}
+	if fault != nil {
+		if e.req.RunOnce && fault.NotRun() {
+			c.releaseClaim(e.req)
+		}
+		if number := reportedFaults[fault.Cause]; number > 0 {
+			c.options.Host.Report(number, map[string]any{"instance": backend.Instance, "detail": fault.Detail})
+		}
+		return nil, fault
+	}
+	response.Instance = backend.Instance
+	if e.req.RunOnce {
+		c.options.Replay.Put(e.req.Scope, e.req.Digest, response)
+	}
+	return response, nil
+}
+
+func (c *Controller) backendRequest(e *execution) BackendRequest {
+	backendRequest := BackendRequest{
+		ID:              e.req.Id,
+		Backend:         e.permit.Backend,
+		Method:          e.req.Method,
+		Target:          e.req.Target,
+		Headers:         e.req.Headers,
+		Body:            e.req.Body,
+		FreshConnection: !e.cancellable(),
+		Deadline:        e.deadline,
+		ResponseLimit:   e.req.AnswerLimit,
+		BeforeSend:      func() *apierror.Fault { return c.checkBeforeSend(e) },
+	}
+	if e.cancellable() {
+		backendRequest.OnCancel = e.cancellation.onCancel
+	}
+	return backendRequest
+}
+
+// checkBeforeSend is the last check before the hand-over. It covers what may have changed while the request waited.
+func (c *Controller) checkBeforeSend(e *execution) *apierror.Fault {
+	if e.cancellation.cancelled() {
+		return apierror.New(apierror.ClientClosed, apierror.NotRun, "its caller left before it was handed over")
+	}
+	if c.options.Host.Now() >= e.permit.startBy {
+		return apierror.New(apierror.ClaimTimeout, apierror.NotRun, "too late to start")
+	}
+	if fault := c.checkLease(); fault != nil {
+		return fault
+	}
+	if fault := c.options.LocalBackends.CheckAvailable(e.permit.Backend.Instance, e.permit.Backend.Service); fault != nil {
+		return fault
+	}
+	if !e.task.Start() {
+		return apierror.New(apierror.StoppedInFlight, apierror.NotRun, "given up before the hand-over")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/proxy/admission/slots/pool.go
@@ -0,0 +1,128 @@
+package slots
+
+import (
+	"slices"
+
+	"snowflow/internal/monotonic"
+)
+
+// Pool is the admission to one backend.
+//
+// Invariants: running + lingering <= count whenever a ticket is started; nobody waits while a slot is free; the queue is sorted by
+// less; running is the number of tickets in that state; while neither queue nor lingering is empty, lingerWatcher is a waiting
+// ticket whose wakeAt is the first end of a lingering slot.
+type Pool struct {
+	limits Limits
+	// count is the number of the backend's slots. Zero: unknown, and then unbounded.
+	count   int
+	running int
+	// lingering holds, for each slot whose request may still be running at the backend, the time until which it stays taken.
+	lingering     []monotonic.Micros
+	queue         []*Ticket
+	lingerWatcher *Ticket
+	measured      serviceTimes
+}
+
+// New returns the pool of a backend of which nothing is known yet.
+func New(limits Limits) *Pool {
+	return &Pool{limits: limits, measured: serviceTimes{byKind: map[string]*mean{}}}
+}
+
+// SetCount sets the number of slots that the backend reports; zero if it reports none.
+func (p *Pool) SetCount(now monotonic.Micros, count uint32) {
+	p.count = int(count)
+	p.Advance(now)
+}
+
+// Count returns the number of slots, zero if unknown.
+func (p *Pool) Count() uint32 { return uint32(p.count) }
+
+// Taken returns the number of slots that no new request may have now.
+func (p *Pool) Taken() int { return p.running + len(p.lingering) }
+
+// Running returns the number of requests that are in their slots.
+func (p *Pool) Running() int { return p.running }
+
+// Waiting returns the length of the queue.
+func (p *Pool) Waiting() int { return len(p.queue) }
+
+func (p *Pool) hasFree() bool { return p.count == 0 || p.Taken() < p.count }
+
+// Enter adds a request. Its ticket is running, waiting or rejected.
+func (p *Pool) Enter(now monotonic.Micros, request Request) *Ticket {
+	p.Advance(now)
+	ticket := &Ticket{request: request, dueAt: request.LatencyTarget, serviceTime: p.expectedServiceTime(request.Kind)}
+	if p.hasFree() {
+		p.start(now, ticket)
+		return ticket
+	}
+	if request.LatencyTarget <= now {
+		ticket.dueAt = now + fraction(request.Deadline-now, p.limits.RemainingShare)
+	}
+	p.enqueue(now, ticket)
+	return ticket
+}
+
+// Force starts a request whatever the count, for a backend whose count is unknown.
+func (p *Pool) Force(now monotonic.Micros, request Request) *Ticket {
+	p.Advance(now)
+	ticket := &Ticket{request: request, serviceTime: p.expectedServiceTime(request.Kind)}
+	p.start(now, ticket)
+	return ticket
+}
+
+func (p *Pool) start(now monotonic.Micros, ticket *Ticket) {
+	ticket.state, ticket.startedAt = Running, now
+	p.running++
+}
+
+// Release gives a running ticket's slot back. It does nothing for other tickets.
+func (p *Pool) Release(now monotonic.Micros, ticket *Ticket, outcome Outcome) {
+	if ticket.state != Running {
+		return
+	}
+	ticket.state = Ended
+	p.running--
+	if outcome == Completed {
+		p.measured.add(ticket.request.Kind, now-ticket.startedAt)
+	}
+	if outcome == Uncertain && p.count > 0 {
+		p.linger(now, ticket)
+	}
+	p.Advance(now)
+}
+
+// linger keeps a slot taken while the backend may still work on its request.
+func (p *Pool) linger(now monotonic.Micros, ticket *Ticket) {
+	until := ticket.request.Deadline + lingerMargin
+	if p.limits.MaxLinger > 0 {
+		until = min(until, now+p.limits.MaxLinger)
+	}
+	if until > now {
+		p.lingering = append(p.lingering, until)
+	}
+}
+
+// Advance lets time pass: it frees lingering slots, rejects waiting tickets that are too late, and starts others in free slots.
+func (p *Pool) Advance(now monotonic.Micros) {
+	p.lingering = slices.DeleteFunc(p.lingering, func(until monotonic.Micros) bool { return now >= until })
+	p.rejectTooLate(now)
+	for p.hasFree() && len(p.queue) > 0 {
+		next := max(0, slices.IndexFunc(p.queue, func(ticket *Ticket) bool { return !ticket.late(now) }))
+		ticket := p.queue[next]
+		p.queue = slices.Delete(p.queue, next, next+1)
+		p.start(now, ticket)
+		ticket.wake()
+	}
+	p.assignLingerWatcher()
+}
+
+// Flush rejects all waiting tickets.
+func (p *Pool) Flush(now monotonic.Micros) {
+	flushed := p.queue
+	p.queue = nil
+	for position, ticket := range flushed {
+		ticket.reject(p.expectedWait(now, totalWork(flushed[:position])))
+	}
+	p.assignLingerWatcher()
+}
--- /dev/null
+++ b/internal/proxy/admission/slots/queue.go
@@ -0,0 +1,141 @@
+package slots
+
+import (
+	"slices"
+
+	"snowflow/internal/monotonic"
+)
+
+// enqueue puts a ticket into the queue or rejects it. A full queue rejects its last ticket instead if that has a lower priority.
+func (p *Pool) enqueue(now monotonic.Micros, ticket *Ticket) {
+	request := ticket.request
+	position := len(p.queue)
+	for position > 0 && ticket.less(p.queue[position-1]) {
+		position--
+	}
+	wait, allowed := p.mayQueue(now, ticket, position)
+	if !allowed || request.StartBy > 0 && wait > request.StartBy-now {
+		ticket.reject(wait)
+		return
+	}
+	if last := len(p.queue) - 1; len(p.queue) >= max(1, p.count*p.limits.QueuePerSlot) {
+		if p.queue[last].request.Priority <= request.Priority {
+			ticket.reject(wait)
+			return
+		}
+		displaced := p.queue[last]
+		p.queue[last] = nil
+		p.queue = p.queue[:last]
+		displaced.reject(p.expectedWait(now, totalWork(p.queue)))
+	}
+	p.queue = slices.Insert(p.queue, position, ticket)
+	p.assignLingerWatcher()
+}
+
+// mayQueue reports whether a ticket may wait at a position of the queue, and the wait that it must expect. It may if it will be
+// answered within its latency target and, if it has another backend to go to, without waiting for long. A patient one may
+// also wait to be answered late, behind all that can be answered in time, while few others do.
+func (p *Pool) mayQueue(now monotonic.Micros, ticket *Ticket, position int) (wait monotonic.Micros, allowed bool) {
+	request := ticket.request
+	wait = p.expectedWait(now, workAhead(p.queue[:position], func(other *Ticket) bool { return !other.late(now) }))
+	if request.LatencyTarget <= now || wait+ticket.serviceTime <= request.LatencyTarget-now {
+		return wait, wait+ticket.serviceTime <= request.Deadline-now && (request.Patient || wait <= p.maxWait(now, request))
+	}
+	lateWaiting := 0
+	wait = p.expectedWait(now, workAhead(p.queue, func(other *Ticket) bool {
+		if !other.late(now) {
+			return true
+		}
+		lateWaiting++
+		return other.less(ticket)
+	}))
+	few := float64(lateWaiting) < max(1, float64(p.count)*p.limits.LateQueuePerSlot)
+	ticket.queuedLate = true
+	return wait, request.Patient && few && wait+ticket.serviceTime <= request.Deadline-now
+}
+
+// maxWait is the longest wait for which an impatient request is queued.
+func (p *Pool) maxWait(now monotonic.Micros, request Request) monotonic.Micros {
+	if request.LatencyTarget > now {
+		return fraction(request.LatencyTarget-now, p.limits.LatencyTargetShare)
+	}
+	return fraction(request.Deadline-now, p.limits.RemainingShare)
+}
+
+// workAhead sums the expected service times of the tickets that count.
+func workAhead(queue []*Ticket, counts func(ticket *Ticket) bool) (total monotonic.Micros) {
+	for _, ticket := range queue {
+		if counts(ticket) {
+			total += ticket.serviceTime
+		}
+	}
+	return total
+}
+
+func totalWork(queue []*Ticket) monotonic.Micros {
+	return workAhead(queue, func(*Ticket) bool { return true })
+}
+
+// expectedWait is the wait of a request with so much work ahead of it: slots come free one by one, each after the mean service
+// time divided by their number. A lingering slot serves nobody before its end.
+func (p *Pool) expectedWait(now, ahead monotonic.Micros) monotonic.Micros {
+	if p.count == 0 {
+		return 0
+	}
+	working := p.count - len(p.lingering)
+	if working > 0 {
+		return (p.ServiceTime() + ahead) / monotonic.Micros(working)
+	}
+	first := slices.Min(p.lingering)
+	return first - now + ahead/monotonic.Micros(max(1, p.count))
+}
+
+// latestStart is the time from which a waiting ticket is not worth starting any more, or must not be.
+func (p *Pool) latestStart(ticket *Ticket) monotonic.Micros {
+	at := ticket.request.Deadline - p.ServiceTime()/2
+	if ticket.request.StartBy > 0 {
+		at = min(at, ticket.request.StartBy)
+	}
+	return at
+}
+
+func (p *Pool) rejectTooLate(now monotonic.Micros) {
+	remaining := p.queue[:0]
+	for _, ticket := range p.queue {
+		if now >= p.latestStart(ticket) {
+			ticket.reject(p.expectedWait(now, totalWork(remaining)))
+			continue
+		}
+		remaining = append(remaining, ticket)
+	}
+	clear(p.queue[len(remaining):])
+	p.queue = remaining
+}
+
+// assignLingerWatcher makes sure that one waiting ticket wakes when the first lingering slot comes free: nobody else may call the
+// pool by then.
+func (p *Pool) assignLingerWatcher() {
+	if len(p.queue) == 0 || len(p.lingering) == 0 {
+		p.lingerWatcher = nil
+		return
+	}
+	first := slices.Min(p.lingering)
+	if p.lingerWatcher == nil || p.lingerWatcher.state != Waiting {
+		p.lingerWatcher = p.queue[0]
+		p.lingerWatcher.wakeAt = 0
+	}
+	sooner := p.lingerWatcher.wakeAt == 0 || first < p.lingerWatcher.wakeAt
+	p.lingerWatcher.wakeAt = first
+	if sooner {
+		p.lingerWatcher.wake()
+	}
+}
+
+// WakeAt returns the time at which the owner must call Advance for a waiting ticket, if that is not woken before.
+func (p *Pool) WakeAt(ticket *Ticket) monotonic.Micros {
+	at := p.latestStart(ticket)
+	if ticket == p.lingerWatcher {
+		at = min(at, ticket.wakeAt)
+	}
+	return at
+}
--- /dev/null
+++ b/internal/proxy/admission/slots/service_time.go
@@ -0,0 +1,76 @@
+package slots
+
+import "snowflow/internal/monotonic"
+
+const (
+	// meanWindow is the number of requests over which the mean service time is taken, the newest weighing most.
+	meanWindow = 16
+	// maxKinds bounds the number of kinds with a mean of their own.
+	maxKinds = 256
+	// minKindSamples is the number of samples from which the mean of a kind is better than that of all requests.
+	minKindSamples = 4
+)
+
+// mean is a mean service time in microseconds, the newest samples weighing most.
+type mean struct {
+	average float64
+	samples int
+}
+
+func (m *mean) add(sample monotonic.Micros) {
+	m.samples = min(m.samples+1, meanWindow)
+	m.average += (float64(sample) - m.average) / float64(m.samples)
+}
+
+// serviceTimes holds the mean service time of all requests, and of each kind.
+type serviceTimes struct {
+	overall mean
+	byKind  map[string]*mean // one for each route to the backend, at most maxKinds
+}
+
+func (s *serviceTimes) add(kind string, sample monotonic.Micros) {
+	s.overall.add(sample)
+	known := s.byKind[kind]
+	if known == nil && len(s.byKind) < maxKinds {
+		known = &mean{}
+		s.byKind[kind] = known
+	}
+	if known != nil {
+		known.add(sample)
+	}
+}
+
+// ServiceTime returns the mean time for which a request holds its slot.
+func (p *Pool) ServiceTime() monotonic.Micros {
+	if p.measured.overall.samples == 0 {
+		return p.limits.InitialServiceTime
+	}
+	return monotonic.Micros(p.measured.overall.average)
+}
+
+// ServiceTimeOf returns the mean time for which a request of a kind holds its slot, or zero while too few were measured.
+func (p *Pool) ServiceTimeOf(kind string) monotonic.Micros {
+	if known := p.measured.byKind[kind]; known != nil && known.samples >= minKindSamples {
+		return monotonic.Micros(known.average)
+	}
+	return 0
+}
+
+// expectedServiceTime is the mean of a kind, or of all requests while too few of the kind were measured.
+func (p *Pool) expectedServiceTime(kind string) monotonic.Micros {
+	if known := p.ServiceTimeOf(kind); known > 0 {
+		return known
+	}
+	return p.ServiceTime()
+}
+
+// Measured reports whether ServiceTime was measured.
+func (p *Pool) Measured() bool { return p.measured.overall.samples > 0 }
+
+// DiscountMeasurements makes the next samples outweigh what was measured before: the backend has changed its speed.
+func (p *Pool) DiscountMeasurements() {
+	p.measured.overall.samples = min(p.measured.overall.samples, 1)
+	for _, known := range p.measured.byKind {
+		known.samples = min(known.samples, 1)
+	}
+}
--- /dev/null
+++ b/internal/proxy/admission/slots/ticket.go
@@ -0,0 +1,71 @@
+package slots
+
+import "snowflow/internal/monotonic"
+
+// State is the state of a ticket. It only ever rises.
+type State int
+
+// The states. A waiting ticket becomes running or rejected, a running one ended.
+const (
+	Waiting State = iota
+	Running
+	Rejected
+	Ended
+)
+
+// Outcome is how a request left its slot.
+type Outcome int
+
+const (
+	// Completed means that the backend did its work, so that its time is a sample of the service time.
+	Completed Outcome = iota
+	// Released means that the backend is not working on the request. Its time is no sample.
+	Released
+	// Uncertain means that the backend may still be working on the request.
+	Uncertain
+)
+
+// Ticket is one request at the pool.
+type Ticket struct {
+	// Wake is called when the caller of a waiting ticket must look at its state and at WakeAt again. The owner sets it.
+	Wake        func()
+	request     Request
+	dueAt       monotonic.Micros // the latest time at which its response has its full value, as far as known
+	startedAt   monotonic.Micros
+	serviceTime monotonic.Micros // expected
+	queuedLate  bool             // it was queued though it would be late
+	wakeAt      monotonic.Micros // when a lingering slot comes free, for the lingerWatcher
+	state       State
+	retryAfter  monotonic.Micros
+}
+
+// State returns the ticket's state.
+func (t *Ticket) State() State { return t.state }
+
+// RetryAfter returns the wait that a rejected ticket had to expect.
+func (t *Ticket) RetryAfter() monotonic.Micros { return t.retryAfter }
+
+// less is the order of the queue: by priority, then by the time at which the response is due. Equal tickets stay in the order of
+// arrival.
+func (t *Ticket) less(other *Ticket) bool {
+	if t.request.Priority != other.request.Priority {
+		return t.request.Priority < other.request.Priority
+	}
+	return t.dueAt < other.dueAt
+}
+
+// late reports that the response can't be expected within the latency target any more.
+func (t *Ticket) late(now monotonic.Micros) bool {
+	return t.queuedLate || t.request.LatencyTarget > 0 && now+t.serviceTime > t.request.LatencyTarget
+}
+
+func (t *Ticket) wake() {
+	if t.Wake != nil {
+		t.Wake()
+	}
+}
+
+func (t *Ticket) reject(wait monotonic.Micros) {
+	t.state, t.retryAfter = Rejected, max(wait, minRetryAfter)
+	t.wake()
+}
--- a/internal/proxy/admission/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -1,5 +1,5 @@
-// Package uplink is the admission of large answers to a machine's own link: how much of it is taken by answers on their way and
-// by those to come. It's a pure state machine; its owner gives it the time.
+// Package uplink admits large responses to a host's network link: it tracks how long the link is taken by the responses that are being
+// sent and by those that were promised. It has no clock of its own: callers pass the time.
 package uplink
 
 import (
@@ -9,33 +9,34 @@
 )
 
 const (
-	// large is the usual size in bytes from which a route's answers are admitted by the link; smaller ones only count.
+	// largeResponse is the usual size in bytes from which a route's responses may be rejected. Smaller ones are only counted.
 	largeResponse = 8 << 10
-	// memory is the number of answers over which a route's usual size is taken, the newest weighing most.
+	// sizeWindow is the number of responses over which a route's usual size is taken, the newest weighing most.
 	sizeWindow = 16
 	// maxRoutes bounds what is kept by route.
 	maxRoutes = 4096
-	// overhead is what a byte of an answer counts for on the link: frames, headers and acknowledgements, and room for all that isn't
-	// counted, which must not wait behind large answers.
+	// overhead is the number of bytes on the link for each byte of a response: frames, headers and acknowledgements, and room for
+	// all traffic that is not counted, which must not wait behind large responses.
 	overhead = 1.5
 )
 
-// Uplink counts one machine's link.
-// Invariants: promised is the sum of the usual sizes of the answers that were admitted and aren't there yet; free is when the
-// link has sent all that was handed to it, if it sends at its rate and nothing else.
+// Uplink tracks one host's link. It is safe for concurrent use.
 type Uplink struct {
-	rate     float64 // bytes a microsecond; zero for a link that isn't counted
-	mu       sync.Mutex
-	freeAt   monotonic.Micros
+	rate float64 // bytes a microsecond; zero for no limit
+
+	mu sync.Mutex // guards the fields below
+	// freeAt is when the link has sent all responses handed to it, if it sends at its rate and nothing else.
+	freeAt monotonic.Micros
+	// reserved is the sum of the usual sizes of the responses that were admitted and are not handed to the link yet.
 	reserved float64
-	sizes    map[string]float64
+	sizes    map[string]float64 // usual size in bytes, by route
 }
 
-// New makes the count of a link of so many megabits a second; zero for one that isn't counted.
+// New returns an uplink of a capacity in megabits a second; zero for no limit.
 func New(megabits float64) *Uplink { return &Uplink{rate: megabits / 8, sizes: map[string]float64{}} }
 
-// Admit takes a request whose answer is to be on its way within a limit, or tells how long the link is taken. size must be given
-// back to Done.
+// Admit reserves the link for a response of the route's usual size, or rejects it with the wait until the link is free if the response
+// would not be sent within the limit. The size of an admitted response must be passed to Done.
 func (u *Uplink) Admit(now monotonic.Micros, route string, limit monotonic.Micros) (size float64, wait monotonic.Micros, admitted bool) {
 	if u.rate == 0 {
 		return 0, 0, true
@@ -51,7 +52,7 @@
 	return size, wait, true
 }
 
-// Done notes that an answer of so many bytes goes out, none for a request that had no answer.
+// Done replaces a reservation by the bytes that are sent, zero for a request without a response.
 func (u *Uplink) Done(now monotonic.Micros, route string, size float64, bytes int) {
 	if u.rate == 0 {
 		return
