--- a/internal/proxy/localbackends/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -8,15 +8,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Request is a request for a slot. Its moments are on this carrier's clock.
+// maxClassShare is the largest part of a backend's slots that requests of one class may take, where the backend does not report
+// its slots. The classes are requests that run at most once and all others. Neither can starve the other: requests of the first
+// kind call for some of the second at the same services, so that each would wait for the other's slots.
+const maxClassShare = 0.75
+
+// Request asks for a slot. Its times are on this process's clock.
 type Request struct {
 	Instance string
 	Service  string
-	Once     bool
+	Once     bool // it must run at most once
 	slots.Request
 }
 
-// Slot is a request's slot at a backend. Leave gives it back.
+// Slot is a request's slot at a backend. Its owner must release it.
 type Slot struct {
 	Backend Backend
 	set     *Set
@@ -25,22 +30,23 @@
 	once    bool
 }
 
-// Release gives the slot back; further calls do nothing.
-func (s *Slot) Release(end slots.Outcome) {
+// Release gives the slot back. Further calls do nothing.
+func (s *Slot) Release(outcome slots.Outcome) {
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
 	if s.ticket.State() == slots.Running {
 		s.backend.inFlight[s.once]--
 	}
-	s.backend.slots.Release(s.set.host.Now(), s.ticket, end)
+	s.backend.slots.Release(s.set.host.Now(), s.ticket, outcome)
 }
 
+// newSlot returns the slot of a running ticket. mu is held.
 func (s *Set) newSlot(state *backendState, ticket *slots.Ticket, once bool) *Slot {
 	state.inFlight[once]++
 	return &Slot{Backend: state.Backend, set: s, backend: state, ticket: ticket, once: once}
 }
 
-// HasSlotCount tells whether a backend has said how many slots it has.
+// HasSlotCount reports whether a backend has reported the number of its slots.
 func (s *Set) HasSlotCount(instance string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +54,26 @@
 	return state != nil && state.slots.Count() > 0
 }
 
-// AdmitUncounted lets a request in to a backend of unknown slots while fewer than limit are there.
+// CheckCapacity returns the fault for which AdmitUncounted would reject a request now, or nil. It takes no slot.
+func (s *Set) CheckCapacity(instance, service string, limit uint32, once bool) *apierror.Fault {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.checkCapacity(s.entries[instance], instance, service, limit, once)
+}
+
+// checkCapacity does the work of CheckCapacity. mu is held.
+func (s *Set) checkCapacity(state *backendState, instance, service string, limit uint32, once bool) *apierror.Fault {
+	if fault := s.checkAvailable(state, instance, service); fault != nil {
+		return fault
+	}
+	total := state.inFlight[true] + state.inFlight[false]
+	if total >= limit || limit > 1 && float64(state.inFlight[once]) >= maxClassShare*float64(limit) {
+		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests at %s", total, instance)
+	}
+	return nil
+}
+
+// AdmitUncounted admits a request to a backend that does not report its slots, while fewer than limit are in flight there.
 func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,77 +84,87 @@
 	return s.newSlot(state, state.slots.Force(s.host.Now(), request.Request), request.Once), nil
 }
 
-// Admit gives a request a slot, waits for one, or refuses. A refusal is certain: nothing ran.
+// Admit gives a request a slot at a backend that reports its slots, after a wait if need be, or rejects it. A rejected request has
+// not run.
 func (s *Set) Admit(request Request) (*Slot, *apierror.Fault) {
-	state, ticket, signal, fault := s.enqueue(request)
+	waiting, fault := s.enqueue(request)
 	if fault != nil {
 		return nil, fault
 	}
-	for signal != nil {
-		timeout, waits := s.sleepTime(state, ticket)
+	for waiting.signal != nil {
+		timeout, waits := s.sleepTime(waiting)
 		if !waits {
 			break
 		}
-		signal.Wait(max(timeout, 1))
+		waiting.signal.Wait(max(timeout, 1))
 	}
-	return s.finishAdmission(state, ticket, request)
+	return s.finishAdmission(waiting, request)
 }
 
-// queue brings a request to its backend's slots. There is a signal for it if it has to wait.
-func (s *Set) enqueue(request Request) (*backendState, *slots.Ticket, host.Signal, *apierror.Fault) {
+// waitingRequest is a request that entered a backend's pool.
+type waitingRequest struct {
+	backend *backendState
+	ticket  *slots.Ticket
+	signal  host.Signal // wakes the caller; nil if the ticket did not have to wait
+}
+
+// enqueue enters a request into its backend's pool.
+func (s *Set) enqueue(request Request) (*waitingRequest, *apierror.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.entries[request.Instance]
 	if fault := s.checkOpen(state, request); fault != nil {
-		return nil, nil, nil, fault
+		return nil, fault
 	}
-	ticket := state.slots.Enter(s.host.Now(), request.Request)
-	if ticket.State() != slots.Waiting {
-		return state, ticket, nil, nil
+	waiting := &waitingRequest{backend: state, ticket: state.slots.Enter(s.host.Now(), request.Request)}
+	if waiting.ticket.State() == slots.Waiting {
+		waiting.signal = s.host.NewSignal()
+		waiting.ticket.Wake = waiting.signal.Fire
 	}
-	signal := s.host.NewSignal()
-	ticket.Wake = signal.Fire
-	return state, ticket, signal, nil
+	return waiting, nil
 }
 
-// patience is how long a waiter may sleep.
-func (s *Set) sleepTime(state *backendState, ticket *slots.Ticket) (duration monotonic.Micros, waits bool) {
+// sleepTime returns how long the caller of a waiting ticket may sleep, and whether the ticket still waits.
+func (s *Set) sleepTime(waiting *waitingRequest) (timeout monotonic.Micros, waits bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.host.Now()
-	state.slots.Advance(now)
-	return state.slots.WakeAt(ticket) - now, ticket.State() == slots.Waiting
+	pool := waiting.backend.slots
+	pool.Advance(now)
+	return pool.WakeAt(waiting.ticket) - now, waiting.ticket.State() == slots.Waiting
 }
 
-// admitted gives a request whose ticket waits no more its pass, or tells why it gets none.
-func (s *Set) finishAdmission(state *backendState, ticket *slots.Ticket, request Request) (*Slot, *apierror.Fault) {
+// finishAdmission returns the slot of a request whose ticket does not wait any more, or the fault.
+func (s *Set) finishAdmission(waiting *waitingRequest, request Request) (*Slot, *apierror.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Who is at the address, and whether it may be sent to, may have changed meanwhile.
+	pool := waiting.backend.slots
+	// The instance's entry, and whether it takes requests, may have changed during the wait.
 	fault := s.checkOpen(s.entries[request.Instance], request)
-	if fault == nil && s.entries[request.Instance] != state {
+	if fault == nil && s.entries[request.Instance] != waiting.backend {
 		fault = apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s was registered anew", request.Instance)
 	}
 	if fault != nil {
-		state.slots.Release(s.host.Now(), ticket, slots.Released)
+		pool.Release(s.host.Now(), waiting.ticket, slots.Released)
 		return nil, fault
 	}
-	if ticket.State() == slots.Rejected {
-		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait", state.slots.Taken(), state.slots.Count(), request.Instance, state.slots.Waiting())
-		fault.RetryAfter = ticket.RetryAfter()
+	if waiting.ticket.State() == slots.Rejected {
+		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait", pool.Taken(), pool.Count(), request.Instance, pool.Waiting())
+		fault.RetryAfter = waiting.ticket.RetryAfter()
 		return nil, fault
 	}
-	return s.newSlot(state, ticket, request.Once), nil
+	return s.newSlot(waiting.backend, waiting.ticket, request.Once), nil
 }
 
+// checkOpen rejects requests to an unavailable backend, and all requests after Close. mu is held.
 func (s *Set) checkOpen(state *backendState, request Request) *apierror.Fault {
 	if s.closed {
-		return apierror.New(apierror.Draining, apierror.NotRun, "this carrier is stopping")
+		return apierror.New(apierror.Draining, apierror.NotRun, "this proxy is stopping")
 	}
 	return s.checkAvailable(state, request.Instance, request.Service)
 }
 
-// Close refuses all who wait for a slot, and whoever comes later.
+// Close rejects all requests that wait for a slot, and all later ones.
 func (s *Set) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +174,8 @@
 	}
 }
 
-// Load is how a backend stands, for callers of a kind of request to choose by; nothing if it isn't here.
+// Load returns a backend's load for the load balancers of other proxies, with the service time of one kind of request. It is nil
+// for an unknown instance.
 func (s *Set) Load(instance, kind string) *wire.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,18 +183,23 @@
 	if state == nil {
 		return nil
 	}
-	load := &wire.Load{Slots: state.slots.Count(), Running: uint32(state.slots.Taken()), Waiting: uint32(state.slots.Waiting()), SlowStartMicros: int64(s.warmupLeft(state)),
-		RouteMicros: int64(state.slots.ServiceTimeOf(kind))}
+	load := &wire.Load{
+		Slots:           state.slots.Count(),
+		Running:         uint32(state.slots.Taken()),
+		Waiting:         uint32(state.slots.Waiting()),
+		SlowStartMicros: int64(state.warmupLeft(s.host.Now())),
+		RouteMicros:     int64(state.slots.ServiceTimeOf(kind)),
+	}
 	if state.slots.Measured() {
 		load.ServiceMicros = int64(state.slots.ServiceTime())
 	}
 	return load
 }
 
-// DeadlineAfter turns a span that a message told into a moment of this carrier's clock; none stays none.
-func (s *Set) DeadlineAfter(duration int64) monotonic.Micros {
-	if duration <= 0 {
+// DeadlineAfter returns the time on this process's clock that is so many microseconds away; zero, for none, stays zero.
+func (s *Set) DeadlineAfter(micros int64) monotonic.Micros {
+	if micros <= 0 {
 		return 0
 	}
-	return s.host.Now() + monotonic.Micros(duration)
+	return s.host.Now() + monotonic.Micros(micros)
 }
--- a/internal/proxy/localbackends/localbackends_test.go
+++ b/internal/proxy/localbackends/localbackends_test.go
@@ -4,56 +4,45 @@
 	"testing"
 
 	"snowflow/internal/apierror"
-	"snowflow/internal/host"
-	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission/slots"
 	"snowflow/internal/proxy/localbackends"
 	"snowflow/internal/simulation/world"
 )
 
-// TestSlotsOutliveRegistration: a backend that registers again under its instance, as after its carrier was slow to
-// answer a beat, still has the requests that it took before. Its bound on places must count them.
+// TestSlotsOutliveRegistration: a backend that registers again under its instance, as after its proxy was slow to answer a
+// heartbeat, still runs the requests that it took before. Its bound must count them.
 func TestSlotsOutliveRegistration(t *testing.T) {
-	simulated := world.New(1)
-	defer simulated.Close()
-	ended := false
-	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
-		backends := localbackends.New(process, func() {})
+	runInProcess(t, func(_ *world.Host, backends *localbackends.Set) {
 		backend := localbackends.Backend{Service: "forms", Instance: "first", Address: "127.0.0.1:8000"}
 		register := func() {
 			if err := backends.Register(backend, localbackends.Alive); err != nil {
 				t.Error(err)
 			}
 		}
-		enter := func() (func(), *apierror.Fault) {
-			_, release, fault := backends.Enter("first", "forms", 4, false)
-			return release, fault
+		admit := func() (*localbackends.Slot, *apierror.Fault) {
+			return backends.AdmitUncounted(localbackends.Request{Instance: "first", Service: "forms"}, 4)
 		}
 		register()
-		var releases []func()
-		for fault := (*apierror.Fault)(nil); fault == nil; {
-			var release func()
-			if release, fault = enter(); fault == nil {
-				releases = append(releases, release)
+		var taken []*localbackends.Slot
+		for {
+			slot, fault := admit()
+			if fault != nil {
+				break
 			}
+			taken = append(taken, slot)
 		}
-		if len(releases) != 3 {
-			t.Errorf("%d reads were let in to 4 places, of which a quarter is kept for run-once requests", len(releases))
+		if len(taken) != 3 {
+			t.Errorf("%d requests were admitted to 4 slots, of which a quarter is reserved for requests that run at most once", len(taken))
 		}
 		register()
-		if _, fault := enter(); fault == nil || fault.Cause != apierror.Overloaded {
-			t.Errorf("registered again, it was let in beyond its bound: %v", fault)
+		if _, fault := admit(); fault == nil || fault.Cause != apierror.Overloaded {
+			t.Errorf("after the second registration a request was admitted beyond the bound: %v", fault)
 		}
-		for _, release := range releases {
-			release()
+		for _, slot := range taken {
+			slot.Release(slots.Released)
 		}
-		if _, fault := enter(); fault != nil {
-			t.Errorf("all had left, and it was refused: %v", fault)
+		if _, fault := admit(); fault != nil {
+			t.Errorf("rejected with all slots free: %v", fault)
 		}
-		ended = true
-		return host.Handlers{}, nil
-	}))
-	simulated.Run(simulated.Now() + monotonic.Minute)
-	if !ended {
-		t.Fatal(simulated.Panicked)
-	}
+	})
 }
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -8,14 +8,15 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Call is a request that its backend's standing lets in. Its owner closes it once, whatever becomes of the request.
+// Observation is a request that the outlier detection of its backend let in. Its owner must close it, whatever becomes of the
+// request.
 type Observation struct {
 	set         *Set
 	backend     *backendState
 	observation *outlier.Call
 }
 
-// Call asks a backend's standing for a request. A refusal is certain: nothing ran.
+// Observe asks the outlier detection of a backend whether a request may go there. A rejected request has not run.
 func (s *Set) Observe(instance string, request outlier.RequestInfo) (*Observation, *apierror.Fault) {
 	s.mu.Lock()
 	state := s.entries[instance]
@@ -24,31 +25,36 @@
 		return nil, apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s here", instance)
 	}
 	observation, wait := state.detector.Admit(s.host.Now(), request)
-	defer s.applyEjections(state)
+	changes := s.applyEjections(state)
+	s.mu.Unlock()
+	s.reportEjections(state.Backend, changes)
 	if observation == nil {
-		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun, "instance %s does worse than its like, only probes are let in", instance)
+		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun, "instance %s is ejected as an outlier, only health checks are let in", instance)
 		fault.RetryAfter = max(wait, monotonic.Millisecond)
 		return nil, fault
 	}
 	return &Observation{set: s, backend: state, observation: observation}, nil
 }
 
-// Start notes that the request is being handed over.
+// Start records that the request is being handed to the backend.
 func (o *Observation) Start() {
 	o.set.mu.Lock()
+	defer o.set.mu.Unlock()
 	o.observation.Start(o.set.host.Now())
-	o.set.mu.Unlock()
 }
 
-// Close tells what the request's end says of the backend; only the first call counts.
+// Close records what the request's end says of the backend. Only the first call counts.
 func (o *Observation) Close(outcome outlier.Outcome) {
 	o.set.mu.Lock()
 	o.observation.Close(o.set.host.Now(), outcome)
-	o.set.applyEjections(o.backend)
+	changes := o.set.applyEjections(o.backend)
+	o.set.mu.Unlock()
+	o.set.reportEjections(o.backend.Backend, changes)
 }
 
-// settle has whoever waits for an ejected backend go elsewhere, and reports. The lock is held, and let go.
-func (s *Set) applyEjections(state *backendState) {
+// applyEjections rejects the requests that wait for a backend which was ejected for all callers, so that they go elsewhere, and
+// returns the changes to report. mu is held.
+func (s *Set) applyEjections(state *backendState) []outlier.Change {
 	changes := state.detector.TakeChanges()
 	if state.detector.TakeRecovered() {
 		state.slots.DiscountMeasurements()
@@ -58,55 +64,70 @@
 			state.slots.Flush(s.host.Now())
 		}
 	}
-	s.mu.Unlock()
+	return changes
+}
+
+func (s *Set) reportEjections(backend Backend, changes []outlier.Change) {
 	for _, change := range changes {
 		number := eventlog.BackendReinstated
 		if change.Ejected {
 			number = eventlog.BackendEjected
 		}
-		s.host.Report(number, map[string]any{"service": state.Service, "instance": state.Instance, "callers": change.Domain, "faults": change.FaultRate, "times": change.RecentEjections})
+		s.host.Report(number, map[string]any{"service": backend.Service, "instance": backend.Instance, "callers": change.Domain, "faults": change.FaultRate, "times": change.RecentEjections})
 	}
 }
 
-// AddHealth adds a backend's standing with the callers of a domain to its load as told to a route.
+// AddHealth adds a backend's health, as callers of a failure domain see it, to its load for a route.
 func (s *Set) AddHealth(load *wire.Load, instance, domain, route string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state := s.entries[instance]; state != nil && load != nil {
-		load.FaultRate, load.LatencyRatio = toThousandths(state.detector.FaultRate(domain)), toThousandths(state.detector.LatencyRatio())
-		load.Ejected = state.detector.Ejected(domain)
-		if usual := state.detector.BaselineLatency(); load.Ejected && usual > 0 {
-			load.ServiceMicros, load.RouteMicros = int64(usual), int64(state.detector.BaselineLatencyOf(route)) // its gate keeps requests away, but some must come to find out when it's well
-		}
+	state := s.entries[instance]
+	if state == nil || load == nil {
+		return
+	}
+	load.FaultRate, load.LatencyRatio = toThousandths(state.detector.FaultRate(domain)), toThousandths(state.detector.LatencyRatio())
+	load.Ejected = state.detector.Ejected(domain)
+	if usual := state.detector.BaselineLatency(); load.Ejected && usual > 0 {
+		// The service time of an ejected backend must not keep load balancers away: some requests must come to find out when it
+		// has recovered.
+		load.ServiceMicros, load.RouteMicros = int64(usual), int64(state.detector.BaselineLatencyOf(route))
 	}
 }
 
-func toThousandths(share float64) uint32 { return uint32(min(share, 1000) * 1000) }
+// toThousandths encodes a ratio, which is capped at a thousand.
+func toThousandths(ratio float64) uint32 { return uint32(min(ratio, 1000) * 1000) }
 
-// BackendHealth is what operators are shown of how a backend does.
+// BackendHealth is the health of a backend as operators see it.
 type BackendHealth struct {
 	Service      string  `json:"service"`
 	Instance     string  `json:"instance"`
-	Faults       float64 `json:"faults"` // share of its last answers
-	LatencyRatio float64 `json:"pace"`   // time of its requests over their usual one
+	Faults       float64 `json:"faults"` // part of its last responses that were faulty
+	LatencyRatio float64 `json:"pace"`   // latency of its requests divided by their usual one
 	Ejected      bool    `json:"ejected"`
-	// EjectedFor are the domains whose callers alone are kept away.
+	// EjectedFor lists the failure domains whose callers alone are kept away.
 	EjectedFor []string `json:"ejected_for,omitempty"`
 }
 
-// Health tells how each backend here does.
-func (s *Set) Health() (standings []BackendHealth) {
+// Health returns the health of each backend, sorted by instance.
+func (s *Set) Health() []BackendHealth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	var all []BackendHealth
 	for _, instance := range s.sortedInstances() {
 		state := s.entries[instance]
-		standings = append(standings, BackendHealth{Service: state.Service, Instance: instance, Faults: state.detector.FaultRate(""), LatencyRatio: state.detector.LatencyRatio(),
-			Ejected: state.detector.Ejected(""), EjectedFor: state.detector.EjectedDomains()})
+		all = append(all, BackendHealth{
+			Service:      state.Service,
+			Instance:     instance,
+			Faults:       state.detector.FaultRate(""),
+			LatencyRatio: state.detector.LatencyRatio(),
+			Ejected:      state.detector.Ejected(""),
+			EjectedFor:   state.detector.EjectedDomains(),
+		})
 	}
-	return standings
+	return all
 }
 
-// Ejected counts the backends here that are, for all callers or for some.
+// Ejected returns the number of backends that are ejected, for all callers or for some.
 func (s *Set) Ejected() (count float64) {
 	for _, health := range s.Health() {
 		if health.Ejected || len(health.EjectedFor) > 0 {
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -11,11 +11,11 @@
 	"snowflow/internal/simulation/world"
 )
 
-// within runs a test inside a simulated process.
-func runInHost(t *testing.T, test func(process *world.Host, backends *localbackends.Set)) {
+// runInProcess runs a test as a process of a simulated world.
+func runInProcess(t *testing.T, test func(process *world.Host, backends *localbackends.Set)) {
 	t.Helper()
 	simulated := world.New(1)
-	defer simulated.Close()
+	t.Cleanup(simulated.Close)
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		test(process, localbackends.New(process, func() {}))
@@ -33,68 +33,68 @@
 }
 
 func TestApplyReport(t *testing.T) {
-	runInHost(t, func(process *world.Host, backends *localbackends.Set) {
-		apply := func(what string, report localbackends.Report, expected bool) {
+	runInProcess(t, func(process *world.Host, backends *localbackends.Set) {
+		apply := func(name string, report localbackends.Report, expected bool) {
 			t.Helper()
 			if changed, err := backends.ApplyReport(report); err != nil || changed != expected {
-				t.Errorf("%s: changed %v, %v", what, changed, err)
+				t.Errorf("%s: changed %v, %v", name, changed, err)
 			}
 		}
-		shows := func(what, instance, condition string, count uint32) {
+		announces := func(name, instance, condition string, count uint32) {
 			t.Helper()
 			for _, backend := range backends.Backends() {
 				if backend.Instance == instance {
 					if backend.Condition != condition || backend.Slots != count {
-						t.Errorf("%s: %s with %d slots", what, backend.Condition, backend.Slots)
+						t.Errorf("%s: %s with %d slots", name, backend.Condition, backend.Slots)
 					}
 					return
 				}
 			}
-			t.Errorf("%s: not there", what)
+			t.Errorf("%s: not there", name)
 		}
 		apply("the first", newReport("one", 5, 6, localbackends.Alive), true)
 		apply("the same", newReport("one", 5, 6, localbackends.Alive), false)
-		apply("a beat", newReport("one", 6, 6, localbackends.Working), false)
+		apply("a heartbeat", newReport("one", 6, 6, localbackends.Working), false)
 		apply("an older one with other slots", newReport("one", 4, 2, localbackends.Leaving), false)
-		shows("after the older", "one", localbackends.Working, 6)
+		announces("after the older", "one", localbackends.Working, 6)
 		apply("more slots", newReport("one", 7, 8, localbackends.Working), true)
 		process.Sleep(localbackends.HeartbeatTimeout)
 		backends.Sweep()
-		shows("silent", "one", "overdue", 8)
-		apply("an old one is no sign of life", newReport("one", 7, 8, localbackends.Working), false)
-		shows("still silent", "one", "overdue", 8)
+		announces("silent", "one", "overdue", 8)
+		apply("an old report is no heartbeat", newReport("one", 7, 8, localbackends.Working), false)
+		announces("still silent", "one", "overdue", 8)
 		apply("back", newReport("one", 8, 8, localbackends.Working), true)
 		apply("leaving", newReport("one", 9, 8, localbackends.Leaving), true)
 		apply("not leaving any more", newReport("one", 10, 8, localbackends.Working), false)
-		shows("leaving sticks", "one", localbackends.Leaving, 8)
+		announces("leaving is final", "one", localbackends.Leaving, 8)
 		if _, err := backends.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: "one", Address: "127.0.0.1:9000"}, Condition: localbackends.Alive, Sequence: 11}); err == nil {
 			t.Error("the instance moved")
 		}
 		apply("another at its address", newReport("two", 1, 6, localbackends.Alive), true)
 		apply("a late one of the first", newReport("one", 12, 6, localbackends.Alive), false)
-		shows("evicted others", "two", localbackends.Alive, 6)
-		if backend := backends.Backends(); len(backend) != 1 {
-			t.Errorf("%d are there", len(backend))
+		announces("another took its address", "two", localbackends.Alive, 6)
+		if listed := backends.Backends(); len(listed) != 1 {
+			t.Errorf("%d are there", len(listed))
 		}
 		backends.Deregister("two")
-		apply("after its goodbye", newReport("two", 2, 6, localbackends.Alive), false)
-		shows("goodbye", "two", localbackends.Leaving, 6)
+		apply("after it deregistered", newReport("two", 2, 6, localbackends.Alive), false)
+		announces("deregistered", "two", localbackends.Leaving, 6)
 		if err := backends.Register(newReport("two", 0, 0, "").Backend, localbackends.Leaving); err == nil {
-			t.Error("it registered after its goodbye")
+			t.Error("it registered after it had deregistered")
 		}
 		backends.Deregister("three")
-		apply("goodbye before the first word", newReport("three", 1, 6, localbackends.Alive), false)
+		apply("deregistered before the first report", newReport("three", 1, 6, localbackends.Alive), false)
 		process.Sleep(monotonic.Minute)
 		backends.Sweep()
-		if backend := backends.Backends(); len(backend) != 0 {
-			t.Errorf("%d are remembered", len(backend))
+		if listed := backends.Backends(); len(listed) != 0 {
+			t.Errorf("%d are remembered", len(listed))
 		}
 		apply("long after", newReport("three", 2, 6, localbackends.Alive), true)
 	})
 }
 
 func TestWarmup(t *testing.T) {
-	runInHost(t, func(process *world.Host, backends *localbackends.Set) {
+	runInProcess(t, func(process *world.Host, backends *localbackends.Set) {
 		report := newReport("one", 1, 6, localbackends.Alive)
 		report.Warmup = 3 * monotonic.Second
 		_, _ = backends.ApplyReport(report)
@@ -114,7 +114,7 @@
 }
 
 func TestAdmit(t *testing.T) {
-	runInHost(t, func(process *world.Host, backends *localbackends.Set) {
+	runInProcess(t, func(process *world.Host, backends *localbackends.Set) {
 		_, _ = backends.ApplyReport(newReport("one", 1, 2, localbackends.Alive))
 		first, fault := backends.Admit(newRequest(process, "one", monotonic.Second))
 		if fault != nil {
@@ -124,22 +124,23 @@
 			t.Fatal(fault)
 		}
 		order := []string{}
-		waits := func(name string, cause apierror.Cause) {
+		waitForSlot := func(name string, cause apierror.Cause) {
 			process.Go(func() {
 				slot, fault := backends.Admit(newRequest(process, "one", monotonic.Second))
-				if fault == nil {
+				switch {
+				case fault == nil:
 					process.Sleep(50 * monotonic.Millisecond)
 					slot.Release(slots.Completed)
 					order = append(order, name)
-				} else if fault.Cause == cause && fault.NotRun() {
-					order = append(order, name+" refused")
-				} else {
+				case fault.Cause == cause && fault.NotRun():
+					order = append(order, name+" rejected")
+				default:
 					t.Errorf("%s: %v", name, fault)
 				}
 			})
 		}
-		waits("a", 0)
-		waits("b", 0)
+		waitForSlot("a", 0)
+		waitForSlot("b", 0)
 		process.Sleep(10 * monotonic.Millisecond)
 		if load := backends.Load("one", ""); load.Running != 2 || load.Waiting != 2 {
 			t.Errorf("%v", load)
@@ -152,15 +153,15 @@
 		if first, fault = backends.Admit(newRequest(process, "one", monotonic.Second)); fault != nil {
 			t.Fatal(fault)
 		}
-		waits("c", apierror.BackendLeaving)
+		waitForSlot("c", apierror.BackendLeaving)
 		process.Sleep(10 * monotonic.Millisecond)
 		_, _ = backends.ApplyReport(newReport("one", 2, 2, localbackends.Leaving))
 		process.Sleep(10 * monotonic.Millisecond)
-		if order[len(order)-1] != "c refused" {
-			t.Errorf("its backend leaves, and it waits on: %v", order)
+		if order[len(order)-1] != "c rejected" {
+			t.Errorf("its backend leaves, and it still waits: %v", order)
 		}
 		first.Release(slots.Completed)
-		// The next one at the address starts empty, and what the last one still works on isn't its.
+		// The next instance at the address starts with free slots.
 		_, _ = backends.ApplyReport(newReport("two", 1, 1, localbackends.Alive))
 		if load := backends.Load("two", ""); load.Running != 0 {
 			t.Errorf("%v", load)
@@ -172,7 +173,7 @@
 		released.Release(slots.Uncertain)
 		began := process.Now()
 		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault != nil || process.Now()-began < 300*monotonic.Millisecond || process.Now()-began > 320*monotonic.Millisecond {
-			t.Errorf("let in after %d at a slot that lingers: %v", process.Now()-began, fault)
+			t.Errorf("admitted after %d at a slot that lingers: %v", process.Now()-began, fault)
 		}
 		backends.Close()
 		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault == nil || fault.Cause != apierror.Draining {
