--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -15,13 +16,13 @@
 	"snowflow/internal/proxy/upstream"
 )
 
-// TestCancelClosesConnection: a request whose caller leaves while its backend is at work ends with its connection, at once.
+// TestCancelClosesConnection: the connection of a request whose caller leaves while its backend is at work is closed at once.
 func TestCancelClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	t.Cleanup(func() { _ = listener.Close() })
 	working, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
 		connection, err := listener.Accept()
@@ -56,7 +57,7 @@
 	if response != nil || fault == nil || fault.NotRun() || !stopped {
 		t.Errorf("%v %v, stopped: %v", response, fault, stopped)
 	}
-	if err := <-ended; err != io.EOF {
+	if err := <-ended; !errors.Is(err, io.EOF) {
 		t.Errorf("the backend saw %v", err)
 	}
 }
--- /dev/null
+++ b/internal/proxy/upstream/dialect.go
@@ -0,0 +1,48 @@
+package upstream
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/transport/wire"
+)
+
+// Dialect is what differs between kinds of backends: the headers that they expect and send. DefaultDialect is snowflow's own. An
+// adapter to another platform makes another one, which passes the same tests (package transcript).
+type Dialect struct {
+	// ChecksIdentity makes the transport request the identity page on each new connection. Without it Headers must name the
+	// instance.
+	ChecksIdentity bool
+	// Headers returns the headers of a request; remaining is the time to its deadline. A "Host" among them replaces the
+	// backend's address in that header.
+	Headers func(req admission.BackendRequest, remaining monotonic.Micros) []*wire.Header
+	// CheckResponse examines a complete response. notRun says that the backend certainly did not run the request, an error that
+	// the bytes are not the backend's own response to it.
+	CheckResponse func(req admission.BackendRequest, response *http.Response) (notRun bool, err error)
+	// AllowsTrailingBytes accepts a complete response that is followed by more bytes. The connection is not used again.
+	AllowsTrailingBytes bool
+	// MaxIdleForOnce is how long a connection may have been idle to carry a request that must run at most once, which can't be
+	// sent again if the backend closes the connection meanwhile. Zero gives such requests a new connection.
+	MaxIdleForOnce time.Duration
+}
+
+// DefaultDialect returns snowflow's own dialect.
+func DefaultDialect() Dialect {
+	return Dialect{ChecksIdentity: true, Headers: defaultHeaders, CheckResponse: checkDefaultResponse}
+}
+
+func defaultHeaders(req admission.BackendRequest, _ monotonic.Micros) []*wire.Header {
+	own := req.Headers[:len(req.Headers):len(req.Headers)] // so that append copies them
+	return append(own, &wire.Header{Name: request.RequestIDHeader, Value: req.ID})
+}
+
+func checkDefaultResponse(req admission.BackendRequest, response *http.Response) (notRun bool, err error) {
+	if echoed := response.Header.Get(request.RequestIDHeader); echoed != "" && echoed != req.ID {
+		return false, fmt.Errorf("answered request %s, not %s", echoed, req.ID)
+	}
+	return response.Header.Get(request.NotExecutedHeader) != "", nil
+}
--- a/internal/proxy/upstream/dialect_test.go
+++ b/internal/proxy/upstream/dialect_test.go
@@ -11,8 +11,8 @@
 	return &transcript.Suite{Dialect: upstream.DefaultDialect(), OtherHeaders: "X-Snowflow-Request: other.1\r\n"}
 }
 
-// TestResponses keeps transcripts of what means the same in every dialect.
+// TestResponses checks the transcripts of what means the same in every dialect.
 func TestResponses(t *testing.T) { suite().Run(t, "testdata/answers") }
 
-// TestDefaultDialectResponses keeps those that only this product's own dialect has.
+// TestDefaultDialectResponses checks those of snowflow's own dialect alone.
 func TestDefaultDialectResponses(t *testing.T) { suite().Run(t, "testdata/own") }
--- a/internal/proxy/upstream/early_response_test.go
+++ b/internal/proxy/upstream/early_response_test.go
@@ -17,15 +17,15 @@
 	"snowflow/internal/proxy/upstream"
 )
 
-// TestEarlyResponse: a backend answers before it has read a long body, keeps the connection and reads on. What it reads is that body to its end, and
-// behind it the next request or nothing.
+// TestEarlyResponse: a backend responds before it has read a long body, keeps the connection open and reads on. It must read that body to
+// its end, and after it the next request or nothing.
 func TestEarlyResponse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	body := bytes.Repeat([]byte("0123456789abcdef"), 512<<10) // more than a connection holds
+	t.Cleanup(func() { _ = listener.Close() })
+	body := bytes.Repeat([]byte("0123456789abcdef"), 512<<10) // more than a connection buffers
 	read := make(chan error, 4)
 	go func() {
 		for {
@@ -55,15 +55,15 @@
 	dialect.ChecksIdentity = false
 	clock := machine.New(nil, nil, nil)
 	transport := upstream.New(clock, dialect)
-	for turn := range 3 {
-		backendRequest := admission.BackendRequest{ID: fmt.Sprintf("a-%d.1", turn), Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "POST", Target: "/a", Body: body,
+	for attempt := range 3 {
+		backendRequest := admission.BackendRequest{ID: fmt.Sprintf("a-%d.1", attempt), Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "POST", Target: "/a", Body: body,
 			Deadline: clock.Now() + monotonic.Minute, ResponseLimit: 1 << 20, BeforeSend: func() *apierror.Fault { return nil }}
 		response, fault := transport.RoundTrip(backendRequest)
 		if fault != nil || response.Status != http.StatusRequestEntityTooLarge {
-			t.Fatalf("turn %d: %v %v", turn, response, fault)
+			t.Fatalf("request %d: %v %v", attempt, response, fault)
 		}
 		if err := <-read; err != nil {
-			t.Errorf("turn %d: the backend read %v", turn, err)
+			t.Errorf("request %d: the backend read %v", attempt, err)
 		}
 	}
 }
--- a/internal/proxy/upstream/idle_limits.go
+++ b/internal/proxy/upstream/idle_limits.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// minIdleTime is the shortest rest after which a connection's end may mean that its backend had forgotten it.
+	// minIdleTime is the shortest idle time after which the end of a connection may mean that its backend closed it as idle.
 	minIdleTime = 100 * time.Millisecond
-	// idleLimitShare is the part of a rest that proved too long which connections to that backend may still have.
+	// idleLimitShare is the part of an idle time that proved too long for which connections to that backend may still be idle.
 	idleLimitShare = 0.75
-	// idleLimitTTL is how long that holds: backends forget early for a while.
-	idleLimitTTL  = 10 * time.Second
+	// idleLimitTTL is how long such a limit holds.
+	idleLimitTTL = 10 * time.Second
+	// maxIdleLimits bounds the number of instances with a limit.
 	maxIdleLimits = 256
 )
 
-// rests is how long connections may rest, by instance, where backends turned out to forget them earlier than they say. Its owner holds a
-// lock and gives it the time.
+// idleLimits holds, by instance, how long connections may be idle where a backend turned out to close them earlier than it
+// announces. Its owner holds a lock and passes the time.
 type idleLimits map[string]idleLimit
 
 type idleLimit struct {
@@ -21,8 +22,8 @@
 	until time.Time
 }
 
-// forgot notes that a connection ended without a byte on what was sent on it after a rest. It tells whether that says nothing of the
-// backend but that it had forgotten the connection.
+// observeClosed records that a connection ended without a byte of a response to what was sent on it after an idle time. It reports
+// whether the backend had probably closed it as idle, which says nothing else of the backend.
 func (l idleLimits) observeClosed(now time.Time, instance string, idleFor time.Duration) bool {
 	if idleFor < minIdleTime {
 		return false
@@ -37,7 +38,7 @@
 	return true
 }
 
-// fresh tells whether a connection that rested so long may still be used.
+// allows reports whether a connection that was idle for so long may still be used.
 func (l idleLimits) allows(now time.Time, instance string, idleFor time.Duration) bool {
 	known, present := l[instance]
 	if present && !now.Before(known.until) {
--- /dev/null
+++ b/internal/proxy/upstream/message.go
@@ -0,0 +1,63 @@
+package upstream
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"strings"
+
+	"snowflow/internal/proxy/request"
+	"snowflow/internal/transport/wire"
+)
+
+// maxPreallocation bounds the memory that is reserved for a body because its sender announced that size.
+const maxPreallocation = 256 << 10
+
+// ReadAll reads a body to its end. announced is its announced size in bytes, negative if there is none.
+func ReadAll(source io.Reader, announced int64) ([]byte, error) {
+	if announced < 0 {
+		return io.ReadAll(source)
+	}
+	var body bytes.Buffer
+	body.Grow(int(min(announced, maxPreallocation)) + bytes.MinRead) // with room to see the end
+	_, err := body.ReadFrom(source)
+	return body.Bytes(), err
+}
+
+// hopByHop are the headers that belong to one connection, or that the mesh writes itself.
+var hopByHop = map[string]bool{
+	"Connection":           true,
+	"Keep-Alive":           true,
+	"Proxy-Authenticate":   true,
+	"Proxy-Authorization":  true,
+	"Proxy-Connection":     true,
+	"Te":                   true,
+	"Trailer":              true,
+	"Transfer-Encoding":    true,
+	"Upgrade":              true,
+	"Content-Length":       true,
+	"Host":                 true,
+	"Expect":               true,
+	request.DeadlineHeader: true,
+}
+
+// EndToEndHeaders returns the headers that are forwarded: all but those that belong to one connection, by their name or because
+// the Connection header lists them.
+func EndToEndHeaders(headers http.Header) []*wire.Header {
+	listed := map[string]bool{}
+	for _, value := range headers.Values("Connection") {
+		for name := range strings.SplitSeq(value, ",") {
+			listed[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+		}
+	}
+	var forwarded []*wire.Header
+	for name, values := range headers {
+		if hopByHop[name] || listed[name] {
+			continue
+		}
+		for _, value := range values {
+			forwarded = append(forwarded, &wire.Header{Name: name, Value: value})
+		}
+	}
+	return forwarded
+}
--- /dev/null
+++ b/internal/proxy/upstream/transcript/backend.go
@@ -0,0 +1,80 @@
+package transcript
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+
+	"snowflow/internal/proxy/upstream"
+)
+
+// fakeBackend is a scripted backend. It serves the identity page and sends its response to the first other request of each
+// connection, which it closes then unless keepAlive is set.
+type fakeBackend struct {
+	listener      net.Listener
+	identity      string
+	response      string
+	keepAlive     bool
+	formatHeaders func(request *http.Request) string
+	lines         chan string // one for each request
+}
+
+// serve accepts connections until the listener is closed.
+func (b *fakeBackend) serve() {
+	for number := 1; ; number++ {
+		connection, err := b.listener.Accept()
+		if err != nil {
+			return
+		}
+		go b.serveConnection(connection, number)
+	}
+}
+
+func (b *fakeBackend) serveConnection(connection net.Conn, number int) {
+	defer func() { _ = connection.Close() }()
+	reader := bufio.NewReader(connection)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(request.Body)
+		if request.URL.Path == upstream.IdentityPath {
+			_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(b.identity), b.identity)
+			continue
+		}
+		line := fmt.Sprintf("%s %s on connection %d", request.Method, request.RequestURI, number)
+		if len(body) > 0 {
+			line += fmt.Sprintf(" with %q", body)
+		}
+		b.lines <- line + b.formatHeaders(request)
+		_, _ = io.WriteString(connection, b.response)
+		if !b.keepAlive {
+			return
+		}
+	}
+}
+
+// headerFormatter returns a function that lists a request's headers, or nothing if they are not shown.
+func (s *Suite) headerFormatter(shown bool) func(request *http.Request) string {
+	return func(request *http.Request) string {
+		if !shown {
+			return ""
+		}
+		lines := []string{"  Host: " + request.Host}
+		for name, values := range request.Header {
+			for _, value := range values {
+				if slices.Contains(s.VaryingHeaders, name) {
+					value = "..."
+				}
+				lines = append(lines, "  "+name+": "+value)
+			}
+		}
+		slices.Sort(lines)
+		return "\n" + strings.Join(lines, "\n")
+	}
+}
