--- a/internal/configstore/api/comparison.go
+++ b/internal/configstore/api/comparison.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"strconv"
 	"strings"
@@ -12,124 +11,138 @@
 	"snowflow/internal/config"
 	"snowflow/internal/config/changes"
 	"snowflow/internal/configstore"
-	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
-// Names of the query words of a comparison: serials, the newest if left out.
+// Query parameters of a comparison. Both name versions, the newest if left out.
 const (
 	FromQuery = "from"
 	ToQuery   = "to"
 )
 
-// Comparison is in what a version differs from another, and what it costs to tell.
+// Comparison is how a version differs from another, and what it costs to send.
 type Comparison struct {
-	From            uint64          `json:"from"`
-	To              uint64          `json:"to,omitempty"` // zero for a content that isn't applied
-	Summary         changes.Summary `json:"changes"`
-	DifferenceBytes int             `json:"difference_bytes"`
-	FullBytes       int             `json:"whole_bytes"`
-	Proxies         int             `json:"nodes"` // that hold a lease now
+	From uint64 `json:"from"`
+	// To is zero for a configuration that isn't applied.
+	To      uint64          `json:"to,omitempty"`
+	Summary changes.Summary `json:"changes"`
+	// DifferenceBytes and FullBytes are the encoded lengths of the difference and of the full content.
+	DifferenceBytes int `json:"difference_bytes"`
+	FullBytes       int `json:"whole_bytes"`
+	// Proxies is the number of proxies that hold a lease now.
+	Proxies int `json:"nodes"`
 }
 
 var errVersionNotFound = errors.New("no such serial")
 
-// version reads an accepted state back and takes it apart.
-func (h *handler) readVersion(version uint64) (*wire.StoredConfig, *changes.Set, error) {
-	response := &wire.ConfigReadResponse{}
-	if err := h.store.callPrimary(wire.Kind_config_read, &wire.ConfigReadRequest{Version: version}, response, 5*monotonic.Second); err != nil {
-		return nil, nil, err
-	}
-	if !response.Found {
-		return nil, nil, fmt.Errorf("%w: %d", errVersionNotFound, version)
-	}
-	state, fieldErrors := h.parse(response.Versions[0].Content)
-	if state == nil {
-		return nil, nil, fmt.Errorf("serial %d: %v", version, fieldErrors)
-	}
-	set, err := changes.NewSet(state) // faults that an earlier build let pass don't matter here
-	return response.Versions[0], set, err
-}
-
-// ParseSet reads a content that must have no faults, and takes it apart.
+// ParseSet parses a configuration that must have no errors, and returns its set of resources.
 func ParseSet(parse config.Parser, content []byte) (*changes.Set, error) {
 	state, fieldErrors := parse(content)
 	if len(fieldErrors) > 0 {
-		texts := make([]string, len(fieldErrors))
-		for index, fieldError := range fieldErrors {
-			texts[index] = fieldError.String()
-		}
-		return nil, errors.New(strings.Join(texts, "; "))
+		return nil, errors.New(strings.Join(texts(fieldErrors), "; "))
 	}
 	return changes.NewSet(state)
 }
 
+// compareVersions compares two stored versions.
 func (h *handler) compareVersions(w http.ResponseWriter, r *http.Request) {
-	versions := map[string]uint64{}
-	for _, parameter := range []string{FromQuery, ToQuery} {
-		if text := r.URL.Query().Get(parameter); text != "" {
-			version, err := strconv.ParseUint(text, 10, 64)
-			if err != nil {
-				writeJSON(w, http.StatusBadRequest, map[string]string{"error": parameter + ": " + err.Error()})
-				return
-			}
-			versions[parameter] = version
-		}
+	from, err := versionQuery(r, FromQuery)
+	if err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
+		return
 	}
-	_, base, err := h.readVersion(versions[FromQuery])
-	var stored *wire.StoredConfig
-	var next *changes.Set
-	if err == nil {
-		stored, next, err = h.readVersion(versions[ToQuery])
+	to, err := versionQuery(r, ToQuery)
+	if err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
+		return
+	}
+	_, base, err := h.readSet(from)
+	if err != nil {
+		writeReadError(w, err)
+		return
 	}
+	stored, next, err := h.readSet(to)
 	if err != nil {
-		h.writeError(w, err)
+		writeReadError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, h.fillComparison(base, next, Comparison{From: versions[FromQuery], To: stored.Version, FullBytes: len(stored.Content)}))
+	writeJSON(w, http.StatusOK, h.compare(base, next, Comparison{From: from, To: stored.Version, FullBytes: len(stored.Content)}))
 }
 
-// preview compares a content that isn't applied with the newest state.
+// compareDraft compares a configuration that isn't applied with the newest version.
 func (h *handler) compareDraft(w http.ResponseWriter, r *http.Request) {
-	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxContentSize))
+	content, err := readBody(w, r)
 	if err != nil {
-		writeJSON(w, http.StatusRequestEntityTooLarge, map[string]string{"error": err.Error()})
+		writeError(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
 	next, err := ParseSet(h.parse, content)
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	stored, base, err := h.readVersion(0)
+	stored, base, err := h.readSet(0)
 	if errors.Is(err, errVersionNotFound) {
 		stored, base, err = &wire.StoredConfig{}, &changes.Set{}, nil
 	}
 	if err != nil {
-		h.writeError(w, err)
+		writeReadError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, h.fillComparison(base, next, Comparison{From: stored.Version, FullBytes: len(content)}))
+	writeJSON(w, http.StatusOK, h.compare(base, next, Comparison{From: stored.Version, FullBytes: len(content)}))
+}
+
+// versionQuery reads a query parameter that names a version, zero if it's left out.
+func versionQuery(r *http.Request, parameter string) (uint64, error) {
+	text := r.URL.Query().Get(parameter)
+	if text == "" {
+		return 0, nil
+	}
+	version, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return 0, parameterError(parameter, err)
+	}
+	return version, nil
+}
+
+// readSet reads a stored version, the newest for version zero, and its set of resources. Errors that the content has by now
+// don't matter, if it can be read: the build that accepted it may have checked less.
+func (h *handler) readSet(version uint64) (*wire.StoredConfig, *changes.Set, error) {
+	response, err := h.store.readPrimary(&wire.ConfigReadRequest{Version: version}, readTimeLimit)
+	if err != nil {
+		return nil, nil, err
+	}
+	if !response.Found {
+		return nil, nil, fmt.Errorf("%w: %d", errVersionNotFound, version)
+	}
+	stored := response.Versions[0]
+	state, fieldErrors := h.parse(stored.Content)
+	if state == nil {
+		return nil, nil, fmt.Errorf("serial %d: %v", version, fieldErrors)
+	}
+	set, err := changes.NewSet(state)
+	return stored, set, err
 }
 
-func (h *handler) writeError(w http.ResponseWriter, err error) {
+func writeReadError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
-	if errors.Is(err, errVersionNotFound) {
+	switch {
+	case errors.Is(err, errVersionNotFound):
 		status = http.StatusNotFound
-	} else if errors.Is(err, changes.ErrInvalidSet) {
+	case errors.Is(err, changes.ErrInvalidSet):
 		status = http.StatusConflict
 	}
-	writeJSON(w, status, map[string]string{"error": err.Error()})
+	writeError(w, status, err.Error())
 }
 
-// compared fills a comparison in.
-func (h *handler) fillComparison(base, next *changes.Set, comparison Comparison) Comparison {
+// compare completes a comparison.
+func (h *handler) compare(base, next *changes.Set, comparison Comparison) Comparison {
 	difference := changes.Diff(base, next)
 	comparison.Summary = changes.Summarize(base, difference)
 	if content, err := changes.Encode(difference, comparison.To, config.Digest(nil)); err == nil {
 		comparison.DifferenceBytes = len(content)
 	}
-	for _, content := range h.status().ConfigStores {
+	for _, content := range h.overview().ConfigStores {
 		var status configstore.Status
 		if json.Unmarshal(content, &status) == nil {
 			comparison.Proxies = max(comparison.Proxies, len(status.Leases))
--- a/internal/configstore/api/deltas.go
+++ b/internal/configstore/api/deltas.go
@@ -1,22 +1,20 @@
 package api
 
 import (
-	"errors"
 	"sync"
 
 	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
+	"snowflow/internal/configstore/versions"
 	"snowflow/internal/transport/wire"
 )
 
-// errDigestMismatch: a primary's answer isn't what its digest says.
-var errDigestMismatch = errors.New("the answer isn't what its digest says")
-
-// minDeltaSize is the length from which a content is told by a difference, in bytes.
+// minDeltaSize is the length from which a content is sent as a delta, in bytes.
 const minDeltaSize = 2 << 10
 
-// recent is the content that this door last saw accepted. Invariant: digest is that of content.
+// recentContent is a content with its digest. It's safe for concurrent use.
 type recentContent struct {
+	// mu guards the fields below. Digest is that of content.
 	mu      sync.Mutex
 	digest  string
 	content []byte
@@ -34,32 +32,37 @@
 	return r.digest, r.content
 }
 
-// short is an apply as it goes to a primary: its content told by the difference from the recent one, or compressed if that wasn't known
-// there. A primary of an earlier build gets it as it is.
-func (s *forwardingStore) encodeContent(leader string, request *wire.ConfigApplyRequest, full bool) *wire.ConfigApplyRequest {
+// encodeContent returns an apply as it's sent to a primary: its content as a delta from the recent one, or from nothing with
+// sendFull, for a primary that doesn't know the recent one. A short content, or one for a primary of an early build, is sent
+// plain.
+func (s *forwardingStore) encodeContent(leader string, request *wire.ConfigApplyRequest, sendFull bool) *wire.ConfigApplyRequest {
 	if len(request.Content) < minDeltaSize || !s.resolver.AllSupportDeltas(leader) {
 		return request
 	}
-	digest, base := s.recent.get()
-	if full {
-		digest, base = "", nil
+	baseDigest, base := s.recent.get()
+	if sendFull {
+		baseDigest, base = "", nil
 	}
 	encoded, err := delta.Encode(base, request.Content)
 	if err != nil {
 		return request
 	}
-	return &wire.ConfigApplyRequest{Delta: encoded, Base: digest, ExpectedVersion: request.ExpectedVersion, Request: request.Request, AnyVersion: request.AnyVersion, Version: request.Version}
+	compact := versions.WithoutContent(request)
+	compact.Delta, compact.Base = encoded, baseDigest
+	return compact
 }
 
-// whole gives a state with its content, nothing if that can't be made or isn't what its digest says.
-func (s *forwardingStore) decodeContent(stored *wire.StoredConfig, have string, base []byte) *wire.StoredConfig {
+// decodeContent returns a version with its full content, nil if that can't be decoded or doesn't match its digest. The content
+// becomes the recent one.
+func (s *forwardingStore) decodeContent(stored *wire.StoredConfig, baseDigest string, base []byte) *wire.StoredConfig {
 	content := stored.Content
 	if len(stored.Delta) > 0 {
-		if stored.Base != "" && stored.Base != have {
-			return nil
-		}
-		if stored.Base == "" {
+		switch stored.Base {
+		case "":
 			base = nil
+		case baseDigest:
+		default:
+			return nil
 		}
 		var err error
 		if content, err = delta.Decode(base, stored.Delta, config.MaxContentSize); err != nil {
--- /dev/null
+++ b/internal/configstore/api/overview.go
@@ -0,0 +1,59 @@
+package api
+
+import (
+	"encoding/json"
+
+	"snowflow/internal/configstore"
+	"snowflow/internal/host"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+const (
+	// registryGroup is the name of the registries' replication group; it's sent and stored.
+	registryGroup = "sorter"
+	// statusTimeout is how long one process may take to answer, and gatherTimeout all of a group.
+	statusTimeout = 1500 * monotonic.Millisecond
+	gatherTimeout = 2 * monotonic.Second
+)
+
+// Overview is the control plane as one configuration store process sees it.
+type Overview struct {
+	// ConfigStores and Registries are the processes' own descriptions, by name.
+	ConfigStores map[string]json.RawMessage `json:"postmasters"`
+	Registries   map[string]json.RawMessage `json:"sorters"`
+	// Missing are the processes that haven't answered, by group and name, with the reason.
+	Missing   map[string]string   `json:"missing"`
+	Addresses []*wire.PeerAddress `json:"addresses"`
+}
+
+// overview asks all control-plane processes for their status.
+func (h *handler) overview() Overview {
+	overview := Overview{
+		ConfigStores: map[string]json.RawMessage{},
+		Registries:   map[string]json.RawMessage{},
+		Missing:      map[string]string{},
+		Addresses:    h.resolver.Peers(),
+	}
+	h.gatherStatus(configstore.Group, wire.Kind_configstore_status, overview.ConfigStores, overview.Missing)
+	h.gatherStatus(registryGroup, wire.Kind_registry_status, overview.Registries, overview.Missing)
+	return overview
+}
+
+// gatherStatus asks the members of a group, all at once, and adds their answers to statuses or their names to missing.
+func (h *handler) gatherStatus(group string, kind wire.Kind, statuses map[string]json.RawMessage, missing map[string]string) {
+	members := h.resolver.Members(group)
+	call := func(name string) (*wire.StatusResponse, error) {
+		response := &wire.StatusResponse{}
+		return response, h.resolver.Call(name, kind, &wire.StatusRequest{}, response, statusTimeout)
+	}
+	waitForAll := func(map[string]*wire.StatusResponse, int) bool { return false }
+	replies := host.Gather(h.host, members, gatherTimeout, call, waitForAll)
+	for _, name := range members {
+		if reply := replies[name]; reply != nil {
+			statuses[name] = reply.Json
+		} else {
+			missing[group+" "+name] = "no answer"
+		}
+	}
+}
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"snowflow/internal/apierror"
+	"snowflow/internal/config"
 	"snowflow/internal/configstore/versions"
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
@@ -11,10 +11,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ErrUnacknowledged: the desired state may have been accepted. Asking again with the same request id is harmless.
+const (
+	// adoptionRecheck is how soon an apply checks again for itself while this process can't answer as primary.
+	adoptionRecheck = 100 * monotonic.Millisecond
+	// maxAdoptionRecheck bounds the time between two checks of the leases.
+	maxAdoptionRecheck = 250 * monotonic.Millisecond
+)
+
+// ErrUnacknowledged tells that the configuration may have been accepted. Applying it again with the same request ID or version
+// is harmless and gives the outcome.
 var ErrUnacknowledged = errors.New("postmaster: outcome unknown, ask again with the same request id")
 
-// Apply checks a desired state, has it kept in two copies, and waits until it's in force everywhere.
+// Apply validates a configuration, replicates it, and waits until the proxies have adopted it; see the package's comment for
+// what an accepted outcome promises. A configuration that is rejected is a response with another outcome than versions.Accepted.
+// Errors are ErrUnacknowledged, and those of package apierror if this process isn't the primary.
 func (s *Server) Apply(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	request, known, err := s.expandRequest(request)
 	if err != nil {
@@ -25,12 +35,7 @@
 	}
 	state, fieldErrors := s.options.Parse(request.Content)
 	if len(fieldErrors) > 0 {
-		response := &wire.ConfigApplyResponse{Outcome: versions.Invalid}
-		for _, fieldError := range fieldErrors {
-			response.Errors = append(response.Errors, fieldError.String())
-		}
-		s.options.Host.Report(eventlog.ConfigRejected, map[string]any{"faults": response.Errors})
-		return response, nil
+		return s.reject(fieldErrors), nil
 	}
 	s.differences.Add(request.Content, state)
 	response, err := s.replicate(request)
@@ -45,14 +50,25 @@
 	}
 	s.recordVersion(response.Version)
 	s.notifyAccepted()
-	if request.Version > 0 && response.Version != request.Version {
-		return s.acknowledge(response) // a higher one stands
+	superseded := request.Version > 0 && response.Version != request.Version
+	if !superseded {
+		s.options.Host.Report(eventlog.ConfigAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
 	}
-	s.options.Host.Report(eventlog.ConfigAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
 	return s.acknowledge(response)
 }
 
-// acknowledge acknowledges an accepted state once it's in force everywhere, or, where carriers serve on, once that was waited for.
+// reject reports an invalid configuration and returns the response to it.
+func (s *Server) reject(fieldErrors []config.FieldError) *wire.ConfigApplyResponse {
+	response := &wire.ConfigApplyResponse{Outcome: versions.Invalid}
+	for _, fieldError := range fieldErrors {
+		response.Errors = append(response.Errors, fieldError.String())
+	}
+	s.options.Host.Report(eventlog.ConfigRejected, map[string]any{"faults": response.Errors})
+	return response
+}
+
+// acknowledge completes the response to an accepted configuration once the proxies have adopted it, or, with ServeStale, once
+// they have been waited for.
 func (s *Server) acknowledge(response *wire.ConfigApplyResponse) (*wire.ConfigApplyResponse, error) {
 	response.AdoptedEverywhere = s.waitForAdoption(response.Version)
 	if !response.AdoptedEverywhere && !s.options.Timeouts.ServeStale {
@@ -61,7 +77,7 @@
 	return response, nil
 }
 
-// seen notes a serial that was accepted.
+// recordVersion notes when this process learned of a version that was accepted.
 func (s *Server) recordVersion(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +86,8 @@
 	}
 }
 
-// waitStart is the moment from which an apply of a serial waits to be in force everywhere. Where carriers serve on, that is the
-// commit of the newest, as far as this process knows, so that asking again doesn't wait again.
+// waitStart is the time from which an apply of a version counts its wait. With ServeStale that is the commit of the newest
+// version, as far as this process knows, so that applying it again doesn't wait again.
 func (s *Server) waitStart(version uint64) monotonic.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,27 +101,25 @@
 	return now
 }
 
-// spread waits until a serial is in force at every carrier that may serve. While this process isn't answering it
-// can't tell; when it answers again, settled has put ackFrom behind any tenure that another primary gave meanwhile.
+// waitForAdoption waits until no proxy needs to be waited for any more (see allAdopted), and reports whether that was so before
+// the timeout. While this process can't answer as primary it can't tell: when it can again, onPrimary has put acknowledgeFrom
+// behind the end of any lease that another primary granted meanwhile.
 func (s *Server) waitForAdoption(version uint64) bool {
 	host := s.options.Host
-	started, deadline := host.Now(), s.waitStart(version)+s.options.Timeouts.acknowledgeTimeout()
+	started := host.Now()
+	deadline := s.waitStart(version) + s.options.Timeouts.acknowledgeTimeout()
 	s.updates.notifyAll()
 	for {
-		wait := 100 * monotonic.Millisecond
 		signal := s.adoptions.subscribe()
-		if s.Member.Serving() {
-			names, behind := s.proxiesBehind(version)
-			if len(names) == 0 && s.Member.Serving() {
-				s.adoptions.unsubscribe(signal)
-				host.Report(eventlog.ConfigPropagated, map[string]any{"serial": version, "micros": int64(host.Now() - started)})
-				return true
-			}
-			wait = min(max(behind, monotonic.Millisecond), 250*monotonic.Millisecond)
+		adopted, recheck := s.checkAdoption(version)
+		if adopted {
+			s.adoptions.unsubscribe(signal)
+			host.Report(eventlog.ConfigPropagated, map[string]any{"serial": version, "micros": int64(host.Now() - started)})
+			return true
 		}
 		remaining := deadline - host.Now()
 		if remaining > 0 {
-			signal.Wait(min(wait, remaining))
+			signal.Wait(min(recheck, remaining))
 		}
 		s.adoptions.unsubscribe(signal)
 		if remaining <= 0 {
@@ -114,32 +128,14 @@
 	}
 }
 
-// ReadStates gives one accepted state, the newest for serial zero, or the list of all without their contents.
-func (s *Server) ReadStates(request *wire.ConfigReadRequest) (*wire.ConfigReadResponse, error) {
-	response := &wire.ConfigReadResponse{}
-	var base *wire.StoredConfig
-	done := s.Member.Read(func(uint64, monotonic.Micros) {
-		if request.List {
-			response.Found = true
-			for _, stored := range s.store.All() {
-				response.Versions = append(response.Versions, &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request})
-			}
-			return
-		}
-		version := request.Version
-		if version == 0 {
-			version = s.store.LatestVersion()
-		}
-		if stored := s.store.Find(version); stored != nil {
-			response.Found, response.Versions = true, []*wire.StoredConfig{stored}
-			base = s.store.FindDigest(request.BaseDigest)
-		}
-	})
-	if !done {
-		return nil, apierror.Refused.New("not the primary")
+// checkAdoption reports whether this process, as primary, waits for no proxy, and otherwise when to check again.
+func (s *Server) checkAdoption(version uint64) (adopted bool, recheck monotonic.Micros) {
+	if !s.Member.Serving() {
+		return false, adoptionRecheck
 	}
-	if request.Deltas && len(response.Versions) == 1 && !request.List {
-		response.Versions[0] = deltaState(response.Versions[0], base)
+	adopted, leaseWait := s.allAdopted(version)
+	if adopted && s.Member.Serving() {
+		return true, 0
 	}
-	return response, nil
+	return false, min(max(leaseWait, monotonic.Millisecond), maxAdoptionRecheck)
 }
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestLostAndCorruptArchivesAreRebuilt removes, cuts and replaces the store between writes.
+// TestLostAndCorruptArchivesAreRebuilt removes, damages and replaces the repository between writes.
 func TestLostAndCorruptArchivesAreRebuilt(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
 	a := Open(folder, func(err error) { t.Error(err) })
@@ -60,19 +60,21 @@
 			}
 		},
 	} {
-		a.Enqueue(states(3))
-		<-a.writes
-		corrupt()
-		a.Enqueue(states(5))
-		<-a.writes
-		if contents := history(t, folder); len(contents) != 5 || contents[0] != `{"note":"5"}` || contents[4] != `{"note":"1"}` {
-			t.Errorf("%s: %q", name, contents)
-		}
+		t.Run(name, func(t *testing.T) {
+			a.Enqueue(states(3))
+			<-a.writes
+			corrupt()
+			a.Enqueue(states(5))
+			<-a.writes
+			if contents := history(t, folder); len(contents) != 5 || contents[0] != `{"note":"5"}` || contents[4] != `{"note":"1"}` {
+				t.Errorf("%q", contents)
+			}
+		})
 	}
 }
 
-// TestGapsAndBoundedHistories: serials may jump, and the oldest states may be gone. An archive that is behind the oldest state
-// kept, or whose newest isn't kept, is written anew.
+// TestGapsAndBoundedHistories checks that versions may have gaps and that the oldest may be gone, and that an archive whose newest
+// version isn't stored any more is written again.
 func TestGapsAndBoundedHistories(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
 	a := Open(folder, func(err error) { t.Error(err) })
--- a/internal/configstore/broadcaster.go
+++ b/internal/configstore/broadcaster.go
@@ -1,21 +1,25 @@
 package configstore
 
 import (
+	"slices"
 	"sync"
 
 	"snowflow/internal/host"
 )
 
-// crowd is a number of tasks that wait for the same thing. Invariant: waiting holds those that wait, in the order they came.
+// broadcaster wakes all tasks that wait for the same event. The zero value isn't usable; see newBroadcaster.
 type broadcaster struct {
-	host    host.Host
-	mu      sync.Mutex
+	host host.Host
+	// mu guards waiters.
+	mu sync.Mutex
+	// waiters are the signals of the waiting tasks, in the order of their subscription.
 	waiters []host.Signal
 }
 
 func newBroadcaster(host host.Host) *broadcaster { return &broadcaster{host: host} }
 
-// join begins to wait. It comes before the look that may make waiting needless, so that no wake between the two is missed.
+// subscribe returns a signal that fires at the next notifyAll. A task subscribes before it checks whether it has to wait at
+// all, so that no event is lost between the check and the wait. It must unsubscribe when it has stopped waiting.
 func (b *broadcaster) subscribe() host.Signal {
 	signal := b.host.NewSignal()
 	b.mu.Lock()
@@ -24,25 +28,25 @@
 	return signal
 }
 
-// leave ends waiting.
+// unsubscribe forgets a signal. It does nothing if the signal has fired already.
 func (b *broadcaster) unsubscribe(signal host.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for index, waiter := range b.waiters {
-		if waiter == signal {
-			b.waiters = append(b.waiters[:index:index], b.waiters[index+1:]...)
-			return
-		}
+	index := slices.Index(b.waiters, signal)
+	if index < 0 {
+		return
 	}
+	// The capacity is cut, so that a list that notifyAll has taken isn't written to.
+	b.waiters = append(b.waiters[:index:index], b.waiters[index+1:]...)
 }
 
-// wake wakes all who wait now.
+// notifyAll fires the signals of all tasks that are subscribed now.
 func (b *broadcaster) notifyAll() {
 	b.mu.Lock()
 	waiters := b.waiters
 	b.waiters = nil
 	b.mu.Unlock()
-	for _, signal := range waiters {
-		signal.Fire()
+	for _, waiter := range waiters {
+		waiter.Fire()
 	}
 }
--- a/internal/configstore/compression.go
+++ b/internal/configstore/compression.go
@@ -8,40 +8,59 @@
 	"snowflow/internal/transport/wire"
 )
 
-// minCompressedSize is the length from which a content is packed, in bytes.
+// minCompressedSize is the length from which a content is sent in compressed form, in bytes.
 const minCompressedSize = 2 << 10
 
-// packing keeps the newest content as it goes to carriers: on a narrow link thousands of routes take seconds, and their words repeat.
-// Invariant: packed is the content of serial, deflated.
+// compressionCache holds the newest content in compressed form, so that it's compressed once for all proxies. Configurations
+// repeat themselves a lot: on a slow link thousands of routes would take seconds without compression.
 type compressionCache struct {
+	// mu guards the fields below. content is the deflated content of the version with that number and digest.
 	mu      sync.Mutex
 	version uint64
 	digest  string
 	content []byte
 }
 
-// fill puts a content into an answer, packed once for all who ask for it.
+// fillContent puts the content of a stored version into a poll's response: compressed if the proxy accepts that and the content
+// isn't short, plain otherwise.
 func (c *compressionCache) fillContent(response *wire.ConfigPollResponse, stored *wire.StoredConfig, acceptsCompressed bool) {
 	if !acceptsCompressed || len(stored.Content) < minCompressedSize {
 		response.Content = stored.Content
 		return
 	}
+	compressed, err := c.compress(stored)
+	if err != nil {
+		response.Content = stored.Content
+		return
+	}
+	response.Compressed = compressed
+}
+
+func (c *compressionCache) compress(stored *wire.StoredConfig) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.version != stored.Version || c.digest != stored.Digest {
-		var buffer bytes.Buffer
-		writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
-		if err == nil {
-			_, err = writer.Write(stored.Content)
-		}
-		if err == nil {
-			err = writer.Close()
-		}
-		if err != nil {
-			response.Content = stored.Content
-			return
-		}
-		c.version, c.digest, c.content = stored.Version, stored.Digest, buffer.Bytes()
+	if c.version == stored.Version && c.digest == stored.Digest {
+		return c.content, nil
+	}
+	compressed, err := deflate(stored.Content)
+	if err != nil {
+		return nil, err
+	}
+	c.version, c.digest, c.content = stored.Version, stored.Digest, compressed
+	return compressed, nil
+}
+
+func deflate(content []byte) ([]byte, error) {
+	var buffer bytes.Buffer
+	writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := writer.Write(content); err != nil {
+		return nil, err
+	}
+	if err := writer.Close(); err != nil {
+		return nil, err
 	}
-	response.Compressed = c.content
+	return buffer.Bytes(), nil
 }
--- a/internal/configstore/delta/delta.go
+++ b/internal/configstore/delta/delta.go
@@ -1,8 +1,9 @@
-// Package delta encodes one content as its difference from another, so that a small change of a large content costs few bytes wherever
-// it's copied to. A difference from nothing is the content, compressed.
+// Package delta encodes a content as its difference from another, so that a small change of a large content costs few bytes
+// wherever it's sent or stored. A delta from nothing is the content, compressed.
 //
-// The encoding is Zstandard with the other content as dictionary. A difference only decodes with the very content that it was
-// made from: whoever keeps one names its base by digest, and checks the digest of what comes out.
+// The encoding is Zstandard with the base content as dictionary. A delta decodes only with the very base that it was made from.
+// The encoding doesn't name that base: whoever stores or sends a delta names its base by digest, and checks the digest of the
+// decoded content.
 package delta
 
 import (
@@ -13,25 +14,30 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// ErrCorrupt: what was to be decoded is no difference from the given base.
-var ErrCorrupt = errors.New("delta: damaged, or from another base")
+// ErrCorrupt tells that bytes can't be decoded with the given base, or give a content longer than allowed.
+var ErrCorrupt = errors.New("delta: corrupt, too long or from another base")
 
 const (
-	// dictionaryID is the number that frames name their base by. Each frame has one base, so that any will do.
+	// dictionaryID is the number by which frames name their dictionary. Each frame has one, so that any number will do.
 	dictionaryID = 1
-	// minWindow is the least window that the encoding knows.
+	// minWindow is the smallest window of the encoding, in bytes.
 	minWindow = zstd.MinWindowSize
 )
 
-// window is the least power of two that spans base and content: what lies further back can't be referred to.
-func windowSize(base, content []byte) int {
-	return max(minWindow, 1<<bits.Len(uint(len(base)+len(content))))
+// windowSize is the least power of two that covers base and content, because nothing further back can be referred to.
+func windowSize(baseLength, contentLength int) int {
+	return max(minWindow, 1<<bits.Len(uint(baseLength+contentLength)))
 }
 
-// Encode makes the difference that leads from a base, which may be empty, to a content.
+// Encode returns the delta that leads from a base, which may be empty, to a content.
 func Encode(base, content []byte) ([]byte, error) {
-	options := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(windowSize(base, content)),
-		zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderCRC(true)}
+	options := []zstd.EOption{
+		zstd.WithEncoderConcurrency(1),
+		zstd.WithLowerEncoderMem(true),
+		zstd.WithWindowSize(windowSize(len(base), len(content))),
+		zstd.WithEncoderLevel(zstd.SpeedDefault),
+		zstd.WithEncoderCRC(true),
+	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
@@ -43,10 +49,15 @@
 	return encoded, encoder.Close()
 }
 
-// Decode gives the content that a difference leads to from its base. A content longer than most bytes is refused.
+// Decode returns the content that a delta leads to from its base. A content of more than maxSize bytes is an error. Errors are
+// ErrCorrupt, except for a base that can't be a dictionary at all.
 func Decode(base, encoded []byte, maxSize int) ([]byte, error) {
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(maxSize)),
-		zstd.WithDecoderMaxWindow(uint64(max(minWindow, 1<<bits.Len(uint(len(base)+maxSize)))))}
+	options := []zstd.DOption{
+		zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderLowmem(true),
+		zstd.WithDecoderMaxMemory(uint64(maxSize)),
+		zstd.WithDecoderMaxWindow(uint64(windowSize(len(base), maxSize))),
+	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
@@ -57,7 +68,7 @@
 	defer decoder.Close()
 	content, err := decoder.DecodeAll(encoded, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return content, nil
 }
--- a/internal/configstore/delta/delta_test.go
+++ b/internal/configstore/delta/delta_test.go
@@ -11,7 +11,7 @@
 
 const maxSize = 4 << 20
 
-// routes makes a content of so many routes, of which one has another weight.
+// routes returns a content of count routes, of which the one at index changed has another weight.
 func routes(count, changed int) []byte {
 	var text bytes.Buffer
 	for index := range count {
@@ -25,12 +25,12 @@
 	return text.Bytes()
 }
 
-// TestEncodeDecode: whatever the base, the content comes back; one changed route of 900 takes less than a twentieth of the whole.
+// TestEncodeDecode checks that the content is restored whatever the base, and that a small change of a long content is short.
 func TestEncodeDecode(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		base, content []byte
-		minRatio      int // of the content that the difference may be, one part in so many
+		minRatio      int // the content is at least so many times as long as the delta
 	}{
 		{"from nothing", nil, routes(900, -1), 3},
 		{"nothing", nil, nil, 0},
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestCorruption: each changed byte and each cut is told, or leaves the content as it is.
+// TestCorruption checks that any changed byte and any truncation is an error or leaves the content as it is.
 func TestCorruption(t *testing.T) {
 	base, content := routes(20, 3), routes(20, 4)
 	encoded, err := delta.Encode(base, content)
@@ -76,9 +76,9 @@
 		}
 	}
 	if decoded, err := delta.Decode(content, encoded, maxSize); err == nil && !bytes.Equal(decoded, content) {
-		t.Error("another base: another content")
+		t.Error("with another base: another content")
 	}
 	if _, err := delta.Decode(base, encoded, len(content)-1); !errors.Is(err, delta.ErrCorrupt) {
-		t.Errorf("too long a content: %v", err)
+		t.Errorf("content over the limit: %v", err)
 	}
 }
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"snowflow/internal/apierror"
 	"snowflow/internal/config"
 	"snowflow/internal/configstore/delta"
 	"snowflow/internal/configstore/versions"
@@ -11,21 +10,21 @@
 	"snowflow/internal/transport/wire"
 )
 
-// allVotersAcceptDeltas tells whether every voter is known to take contents as differences: copies of an earlier build don't.
+// allVotersAcceptDeltas reports whether every voter is known to accept contents as deltas. Voters of an early build don't.
 func (s *Server) allVotersAcceptDeltas() bool {
 	if s.Member == nil {
-		return false // the journal is being read
+		return false // the log is still being replayed
 	}
 	voters := slices.Clone(s.Member.Voters())
 	return s.options.Resolver.AllSupportDeltas(append(voters, s.options.Name)...)
 }
 
-// whole gives an apply with its content, if that came as a difference from one that is kept here.
+// expandRequest returns an apply with its full content, where it came as a delta. Known is false if the delta's base isn't
+// stored here; the client then has to send the full content.
 func (s *Server) expandRequest(request *wire.ConfigApplyRequest) (full *wire.ConfigApplyRequest, known bool, err error) {
 	if len(request.Delta) == 0 {
 		return request, true, nil
 	}
-	full = &wire.ConfigApplyRequest{ExpectedVersion: request.ExpectedVersion, Request: request.Request, AnyVersion: request.AnyVersion, Version: request.Version}
 	var base []byte
 	done := s.Member.Read(func(uint64, monotonic.Micros) {
 		if stored := s.store.FindDigest(request.Base); stored != nil || request.Base == "" {
@@ -33,29 +32,39 @@
 		}
 	})
 	if !done {
-		return nil, false, apierror.Refused.New("not the primary")
+		return nil, false, errNotPrimary()
 	}
-	if known {
-		full.Content, err = delta.Decode(base, request.Delta, config.MaxContentSize)
-		known = err == nil
+	if !known {
+		return nil, false, nil
 	}
-	return full, known, nil
+	content, err := delta.Decode(base, request.Delta, config.MaxContentSize)
+	if err != nil {
+		return nil, false, err
+	}
+	full = versions.WithoutContent(request)
+	full.Content = content
+	return full, true, nil
 }
 
-// submit has every copy take an apply, as its difference from the newest state where all of them can.
+// replicate commits an apply, as a delta from the newest version if all voters accept deltas.
 func (s *Server) replicate(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
-	response := &wire.ConfigApplyResponse{}
 	if compact := s.deltaRequest(request); compact != nil {
-		err := s.Member.Submit(&wire.ConfigCommand{Apply: compact}, response)
+		response, err := s.submit(compact)
 		if err != nil || response.Outcome != versions.BaseUnknown {
 			return response, err
 		}
-		response = &wire.ConfigApplyResponse{} // so many changes came between that the base was let go
+		// So many versions were accepted meanwhile that the base is no longer stored.
 	}
+	return s.submit(request)
+}
+
+func (s *Server) submit(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
+	response := &wire.ConfigApplyResponse{}
 	return response, s.Member.Submit(&wire.ConfigCommand{Apply: request}, response)
 }
 
-// short is an apply whose content is told by its difference from the newest state, or nothing.
+// deltaRequest returns an apply with its content as a delta from the newest version, nil if that can't be done or isn't worth
+// it.
 func (s *Server) deltaRequest(request *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
 	if len(request.Content) < minCompressedSize || !s.allVotersAcceptDeltas() {
 		return nil
@@ -66,12 +75,14 @@
 	if err != nil {
 		return nil
 	}
-	return &wire.ConfigApplyRequest{ExpectedVersion: request.ExpectedVersion, Request: request.Request, AnyVersion: request.AnyVersion, Version: request.Version,
-		Delta: encoded, Base: latest.GetDigest()}
+	compact := versions.WithoutContent(request)
+	compact.Delta, compact.Base = encoded, latest.GetDigest()
+	return compact
 }
 
-// shortened tells a state by its difference from one that the asker has, or compressed where it has none that is known here.
-func deltaState(stored, base *wire.StoredConfig) *wire.StoredConfig {
+// encodeDelta returns a stored version with its content as a delta from a base that the client has, or compressed if base is
+// nil. Short contents stay plain.
+func encodeDelta(stored, base *wire.StoredConfig) *wire.StoredConfig {
 	if len(stored.Content) < minCompressedSize {
 		return stored
 	}
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -1,5 +1,5 @@
-// Package differences keeps the versions of the desired state that were read lately, and in what the newest differs from those that
-// carriers have, so that a change costs one computation however many carriers ask.
+// Package differences computes how the newest configuration version differs from the versions that proxies have, so that a
+// change costs one computation however many proxies ask for it. It caches the parsed versions that were used last.
 package differences
 
 import (
@@ -12,43 +12,51 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Limits on what is kept. The newest set that was asked for always is.
+// Limits bound what a Cache holds. The version that was used last is held whatever its size.
 type Limits struct {
-	Count int // of sets
-	Bytes int // of the contents that the sets were read from, and of the differences
+	// Count is the most parsed versions.
+	Count int
+	// Bytes is the most bytes of the contents that the versions were parsed from and of the encoded differences together.
+	Bytes int
 }
 
-// DefaultLimits are the bounds that hold for what is left zero.
+// DefaultLimits are the limits for the fields of Limits that are zero.
 var DefaultLimits = Limits{Count: 8, Bytes: 64 << 20}
 
-// version is a content that was read. A content that is no set of resources has none.
+// cachedVersion is a parsed version.
 type cachedVersion struct {
-	digest string // of the content
-	set    *changes.Set
-	bytes  int
+	// digest is that of the content.
+	digest string
+	// set is nil if the content isn't a set of resources.
+	set *changes.Set
+	// bytes is the length of the content.
+	bytes int
 }
 
-// told is a difference as it's sent, nothing where the whole is shorter.
+// cachedDifference is an encoded difference to the newest version.
 type cachedDifference struct {
-	baseDigest string // digest of the base's content
-	content    []byte
+	// baseDigest is that of the base's content.
+	baseDigest string
+	// content is nil where the full content is shorter.
+	content []byte
 }
 
-// Cache is the store.
-// Invariants: read holds each content once, the one used last at the end, and no more than the bounds allow unless it's one alone;
-// differences all lead to the content named by newest, and each is from a content in read.
+// Cache holds parsed versions and the differences between them. It's safe for concurrent use.
 type Cache struct {
 	parse  config.Parser
 	limits Limits
 
-	mu           sync.Mutex
-	versions     []cachedVersion
+	// mu guards the fields below.
+	mu sync.Mutex
+	// versions holds each content once, the one that was used last at the end. It keeps to the limits unless it has one alone.
+	versions []cachedVersion
+	// latestDigest names the content that all differences lead to. Each is from a content in versions.
 	latestDigest string
 	differences  []cachedDifference
 	computed     uint64
 }
 
-// New makes an empty store; read reads accepted contents.
+// New returns an empty cache. Contents are parsed by parse, which must accept all stored versions as far as possible.
 func New(parse config.Parser, limits Limits) *Cache {
 	if limits.Count == 0 {
 		limits.Count = DefaultLimits.Count
@@ -59,66 +67,16 @@
 	return &Cache{parse: parse, limits: limits}
 }
 
-// Add keeps a state that was read already. Nobody may change it afterwards.
+// Add caches a version that was parsed already. The state must not be changed afterwards.
 func (c *Cache) Add(content []byte, state *wire.DesiredState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.add(config.Digest(content), len(content), state)
 }
 
-func (c *Cache) add(digest string, length int, state *wire.DesiredState) *changes.Set {
-	if found := c.touch(digest); found != nil {
-		return found.set
-	}
-	set, _ := changes.NewSet(state) // one that is no set is remembered as such
-	c.versions = append(c.versions, cachedVersion{digest: digest, set: set, bytes: length})
-	c.evict()
-	return set
-}
-
-// find gives a kept version and notes that it was used.
-func (c *Cache) touch(digest string) *cachedVersion {
-	at := slices.IndexFunc(c.versions, func(one cachedVersion) bool { return one.digest == digest })
-	if at < 0 {
-		return nil
-	}
-	found := c.versions[at]
-	c.versions = append(slices.Delete(c.versions, at, at+1), found)
-	return &found
-}
-
-// trim lets the versions go that weren't used for longest, with their differences.
-func (c *Cache) evict() {
-	for len(c.versions) > 1 && (len(c.versions) > c.limits.Count || c.size() > c.limits.Bytes) {
-		evicted := c.versions[0].digest
-		c.versions = slices.Delete(c.versions, 0, 1)
-		c.differences = slices.DeleteFunc(c.differences, func(one cachedDifference) bool { return one.baseDigest == evicted })
-	}
-}
-
-func (c *Cache) size() (size int) {
-	for _, one := range c.versions {
-		size += one.bytes
-	}
-	for _, one := range c.differences {
-		size += len(one.content)
-	}
-	return size
-}
-
-func (c *Cache) setOf(stored *wire.StoredConfig) *changes.Set {
-	if found := c.touch(stored.Digest); found != nil {
-		return found.set
-	}
-	state, fieldErrors := c.parse(stored.Content)
-	if len(fieldErrors) > 0 {
-		return nil // an earlier build took it; it's only sent whole
-	}
-	return c.add(stored.Digest, len(stored.Content), state)
-}
-
-// Difference tells in what the newest state differs from the base that a carrier says it has, with the digest over what it
-// made of it. Nothing: the whole is to be sent, since the base isn't known, was read otherwise there, or the whole is shorter.
+// Difference returns the encoded difference from base to latest, for a proxy that has made a set with the given digest of base.
+// Nil means that the full content is to be sent: the base is unknown or was parsed otherwise by the proxy, either content isn't
+// a set of resources, or the full content is shorter.
 func (c *Cache) Difference(base, latest *wire.StoredConfig, digest []byte) []byte {
 	if base == nil || latest == nil || len(digest) == 0 || base.Version >= latest.Version {
 		return nil
@@ -132,36 +90,97 @@
 	if from == nil || !bytes.Equal(from.Digest(), digest) {
 		return nil
 	}
-	if at := slices.IndexFunc(c.differences, func(one cachedDifference) bool { return one.baseDigest == base.Digest }); at >= 0 {
-		c.setOf(latest) // it's in use
-		return c.differences[at].content
-	}
 	to := c.setOf(latest)
+	if index := c.indexOfDifference(base.Digest); index >= 0 {
+		return c.differences[index].content
+	}
 	if to == nil {
 		return nil
 	}
+	return c.compute(base, latest, from, to)
+}
+
+// Computed counts the differences that were computed.
+func (c *Cache) Computed() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.computed
+}
+
+// Size returns the number of cached versions, and the bytes that count against the limit.
+func (c *Cache) Size() (count, size int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.versions), c.size()
+}
+
+// The methods below must be called with mu held.
+
+func (c *Cache) compute(base, latest *wire.StoredConfig, from, to *changes.Set) []byte {
 	c.computed++
 	content, err := changes.Encode(changes.Diff(from, to), latest.Version, latest.Digest)
 	if err != nil || len(content) >= len(latest.Content) {
 		content = nil
 	}
-	if c.touch(base.Digest) != nil {
+	if c.touch(base.Digest) != nil { // the base may have been evicted by the newest
 		c.differences = append(c.differences, cachedDifference{baseDigest: base.Digest, content: content})
 		c.evict()
 	}
 	return content
 }
 
-// Computed counts the differences that were worked out.
-func (c *Cache) Computed() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.computed
+func (c *Cache) indexOfDifference(baseDigest string) int {
+	return slices.IndexFunc(c.differences, func(difference cachedDifference) bool { return difference.baseDigest == baseDigest })
 }
 
-// Size tells how many sets are kept, and the bytes that count against the bound.
-func (c *Cache) Size() (count, size int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.versions), c.size()
+// setOf returns the resources of a stored version, nil if it isn't a set of resources.
+func (c *Cache) setOf(stored *wire.StoredConfig) *changes.Set {
+	if found := c.touch(stored.Digest); found != nil {
+		return found.set
+	}
+	state, fieldErrors := c.parse(stored.Content)
+	if len(fieldErrors) > 0 {
+		return nil // accepted by an early build that checked less
+	}
+	return c.add(stored.Digest, len(stored.Content), state)
+}
+
+func (c *Cache) add(digest string, length int, state *wire.DesiredState) *changes.Set {
+	if found := c.touch(digest); found != nil {
+		return found.set
+	}
+	set, _ := changes.NewSet(state) // a state that isn't a set is cached without one
+	c.versions = append(c.versions, cachedVersion{digest: digest, set: set, bytes: length})
+	c.evict()
+	return set
+}
+
+// touch returns a cached version and marks it as the one used last. It returns nil if the version isn't cached.
+func (c *Cache) touch(digest string) *cachedVersion {
+	index := slices.IndexFunc(c.versions, func(version cachedVersion) bool { return version.digest == digest })
+	if index < 0 {
+		return nil
+	}
+	found := c.versions[index]
+	c.versions = append(slices.Delete(c.versions, index, index+1), found)
+	return &found
+}
+
+// evict removes the versions that haven't been used for longest, with the differences from them, down to the limits.
+func (c *Cache) evict() {
+	for len(c.versions) > 1 && (len(c.versions) > c.limits.Count || c.size() > c.limits.Bytes) {
+		evicted := c.versions[0].digest
+		c.versions = slices.Delete(c.versions, 0, 1)
+		c.differences = slices.DeleteFunc(c.differences, func(difference cachedDifference) bool { return difference.baseDigest == evicted })
+	}
+}
+
+func (c *Cache) size() (size int) {
+	for _, version := range c.versions {
+		size += version.bytes
+	}
+	for _, difference := range c.differences {
+		size += len(difference.content)
+	}
+	return size
 }
--- a/internal/configstore/differences/differences_test.go
+++ b/internal/configstore/differences/differences_test.go
@@ -13,15 +13,14 @@
 	"snowflow/internal/transport/wire"
 )
 
-// scene is a store and the contents that were accepted, with how often contents were read.
+// fixture is a cache that counts how often contents are parsed.
 type fixture struct {
-	t      *testing.T
 	store  *differences.Cache
 	parses int
 }
 
-func newFixture(t *testing.T, limits differences.Limits) *fixture {
-	made := &fixture{t: t}
+func newFixture(limits differences.Limits) *fixture {
+	made := &fixture{}
 	made.store = differences.New(func(content []byte) (*wire.DesiredState, []config.FieldError) {
 		made.parses++
 		return config.ParseAccepted(content)
@@ -29,7 +28,7 @@
 	return made
 }
 
-// kept is an accepted state with many routes, one of which goes by the serial.
+// storedState returns an accepted version with many routes, one of which depends on the version.
 func storedState(t *testing.T, version uint64) *wire.StoredConfig {
 	t.Helper()
 	state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "forms"}, {Name: "batches"}}}}}
@@ -54,9 +53,9 @@
 	return made
 }
 
-// TestOneComputation: however many carriers ask from one base, the difference is worked out once, and leads to the newest.
+// TestOneComputation checks that a difference is computed once for all proxies with the same base, and leads to the newest version.
 func TestOneComputation(t *testing.T) {
-	fixture := newFixture(t, differences.Limits{})
+	fixture := newFixture(differences.Limits{})
 	one, two := storedState(t, 1), storedState(t, 2)
 	for range 73 {
 		step, err := changes.Apply(set(t, one), fixture.store.Difference(one, two, set(t, one).Digest()))
@@ -65,13 +64,13 @@
 		}
 	}
 	if fixture.store.Computed() != 1 || fixture.parses != 2 {
-		t.Errorf("%d computations, %d contents read", fixture.store.Computed(), fixture.parses)
+		t.Errorf("%d computations, %d contents parsed", fixture.store.Computed(), fixture.parses)
 	}
 }
 
-// TestAddedStatesAreNotParsedAgain: what an apply has read isn't read again for the carriers.
+// TestAddedStatesAreNotParsedAgain checks that a version that an apply has parsed isn't parsed again for the proxies.
 func TestAddedStatesAreNotParsedAgain(t *testing.T) {
-	fixture := newFixture(t, differences.Limits{})
+	fixture := newFixture(differences.Limits{})
 	for version := uint64(1); version <= 4; version++ {
 		state, _ := config.ParseAccepted(storedState(t, version).Content)
 		fixture.store.Add(storedState(t, version).Content, state)
@@ -83,57 +82,61 @@
 		}
 	}
 	if fixture.parses != 0 || fixture.store.Computed() != 3 {
-		t.Errorf("%d contents read, %d computations", fixture.parses, fixture.store.Computed())
+		t.Errorf("%d contents parsed, %d computations", fixture.parses, fixture.store.Computed())
 	}
 }
 
-// TestFullStateFallback: what isn't certain, or isn't shorter, is sent whole.
+// TestFullStateFallback checks that there is no difference where the base isn't certain or the full content is shorter.
 func TestFullStateFallback(t *testing.T) {
-	fixture := newFixture(t, differences.Limits{})
+	fixture := newFixture(differences.Limits{})
 	one, two := storedState(t, 1), storedState(t, 2)
-	damaged := &wire.StoredConfig{Version: 1, Content: []byte("{"), Digest: "d"}
+	corrupt := &wire.StoredConfig{Version: 1, Content: []byte("{"), Digest: "d"}
 	tiny := func(version uint64, text string) *wire.StoredConfig {
 		return &wire.StoredConfig{Version: version, Content: []byte(text), Digest: config.Digest([]byte(text))}
 	}
 	small, other := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"}]}]}`), tiny(2, `{"groups":[{"name":"g","services":[{"name":"b"}]}]}`)
-	doubtful := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"},{"name":"a"}]}]}`)
-	for name, asked := range map[string]struct {
+	duplicated := tiny(1, `{"groups":[{"name":"f","services":[{"name":"a"},{"name":"a"}]}]}`)
+	for name, test := range map[string]struct {
 		base, latest *wire.StoredConfig
 		digest       []byte
 	}{
-		"a base that isn't kept":           {nil, two, set(t, one).Digest()},
+		"a base that isn't stored":         {nil, two, set(t, one).Digest()},
 		"a base newer than the newest":     {two, one, set(t, two).Digest()},
 		"the same version":                 {one, one, set(t, one).Digest()},
-		"a carrier that told no digest":    {one, two, nil},
-		"a carrier that read it otherwise": {one, two, set(t, two).Digest()},
-		"a base that can't be read":        {damaged, two, set(t, one).Digest()},
-		"a base that is no set":            {doubtful, two, set(t, one).Digest()},
-		"a whole that is shorter":          {small, other, set(t, small).Digest()},
+		"a proxy without a digest":         {one, two, nil},
+		"a proxy that parsed it otherwise": {one, two, set(t, two).Digest()},
+		"a base that can't be parsed":      {corrupt, two, set(t, one).Digest()},
+		"a base that isn't a set":          {duplicated, two, set(t, one).Digest()},
+		"a full content that is shorter":   {small, other, set(t, small).Digest()},
 	} {
-		if content := fixture.store.Difference(asked.base, asked.latest, asked.digest); content != nil {
-			t.Errorf("%s: a difference of %d bytes", name, len(content))
-		}
+		t.Run(name, func(t *testing.T) {
+			if content := fixture.store.Difference(test.base, test.latest, test.digest); content != nil {
+				t.Errorf("a difference of %d bytes", len(content))
+			}
+		})
 	}
 }
 
-// TestLimits: no more is kept than the bounds allow; what has gone is read again.
+// TestLimits checks that the cache keeps to its limits, and parses again what it has evicted.
 func TestLimits(t *testing.T) {
 	for name, limits := range map[string]differences.Limits{"count": {Count: 2}, "bytes": {Bytes: 3 * len(storedState(t, 1).Content)}, "one": {Count: 1}} {
-		fixture := newFixture(t, limits)
-		for version := uint64(2); version < 40; version++ {
-			base, latest := storedState(t, version-1), storedState(t, version)
-			for range 3 {
-				step, err := changes.Apply(set(t, base), fixture.store.Difference(base, latest, set(t, base).Digest()))
-				if err != nil || step.Version != version {
-					t.Fatal(name, err)
+		t.Run(name, func(t *testing.T) {
+			fixture := newFixture(limits)
+			for version := uint64(2); version < 40; version++ {
+				base, latest := storedState(t, version-1), storedState(t, version)
+				for range 3 {
+					step, err := changes.Apply(set(t, base), fixture.store.Difference(base, latest, set(t, base).Digest()))
+					if err != nil || step.Version != version {
+						t.Fatal(err)
+					}
+				}
+				if count, size := fixture.store.Size(); name == "count" && count > 2 || name == "bytes" && size > limits.Bytes || name == "one" && count > 1 {
+					t.Fatalf("%d versions of %d bytes are cached", count, size)
 				}
 			}
-			if count, size := fixture.store.Size(); name == "count" && count > 2 || name == "bytes" && size > limits.Bytes || name == "one" && count > 1 {
-				t.Fatalf("%s: %d versions of %d bytes are held", name, count, size)
+			if name != "one" && fixture.store.Computed() != 38 {
+				t.Errorf("%d computations", fixture.store.Computed())
 			}
-		}
-		if name != "one" && fixture.store.Computed() != 38 {
-			t.Errorf("%s: %d computations", name, fixture.store.Computed())
-		}
+		})
 	}
 }
--- /dev/null
+++ b/internal/configstore/handover.go
@@ -0,0 +1,93 @@
+package configstore
+
+import (
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// epochsOfHandover is how far the epoch in which the next primary starts to answer lies after the epoch of the one that handed
+// over to it: between the two lies only its own takeover, in which nobody answered. The leases that were handed over are then
+// all there are.
+const epochsOfHandover = 2
+
+// notifyDelay is how long after onPrimary the stored versions are passed on: the member doesn't answer reads at once.
+const notifyDelay = monotonic.Second
+
+// onPrimary is called when this process becomes primary, before it answers. Unless the leases were handed over, or this process
+// was primary in the epoch before, others may have granted leases that it doesn't know of.
+func (s *Server) onPrimary(epoch uint64, _ monotonic.Micros) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case s.inheritedLeases != nil && epoch == s.inheritedEpoch+epochsOfHandover:
+		s.leases = s.inheritedLeases
+	case s.epoch == 0 || epoch != s.epoch+1:
+		s.acknowledgeFrom = s.options.Host.Now() + s.options.Timeouts.unknownLeasePeriod()
+	}
+	s.epoch, s.inheritedLeases = epoch, nil
+	s.options.Host.Go(func() {
+		s.options.Host.Sleep(notifyDelay)
+		s.notifyAccepted()
+	})
+}
+
+// deferAcknowledgements is called when the clock may have jumped: leases that this process granted may stand though by its clock
+// they have expired.
+func (s *Server) deferAcknowledgements() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.acknowledgeFrom = max(s.acknowledgeFrom, s.options.Host.Now()+s.options.Timeouts.unknownLeasePeriod())
+}
+
+// exportLeases encodes the standing leases for the next primary. It's called after this process has granted its last one. Nil
+// means that the list would be incomplete: this process doesn't know all leases, or can't tell when they end.
+func (s *Server) exportLeases() []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.options.Host.Now()
+	if now < s.acknowledgeFrom || !s.Member.ClockWatch.Steady() {
+		return nil
+	}
+	handover := &wire.LeaseHolders{Complete: true}
+	for _, key := range slices.Sorted(maps.Keys(s.leases)) {
+		if lease := s.leases[key]; lease.standsAt(now) {
+			handover.Holders = append(handover.Holders, &wire.LeaseHolder{
+				Key:            key,
+				Proxy:          lease.proxy,
+				AdoptedVersion: lease.adoptedVersion,
+				Remaining:      int64(lease.expiresAt - now),
+			})
+		}
+	}
+	content, err := proto.Marshal(handover)
+	if err != nil {
+		return nil
+	}
+	return content
+}
+
+// importLeases takes the leases that the primary of an epoch hands over. They are used by onPrimary, if this process is the
+// next primary. Anything but a complete list is ignored.
+func (s *Server) importLeases(epoch uint64, content []byte) {
+	handover := &wire.LeaseHolders{}
+	if proto.Unmarshal(content, handover) != nil || !handover.Complete {
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.options.Host.Now()
+	s.inheritedLeases, s.inheritedEpoch = map[string]*proxyLease{}, epoch
+	for _, lease := range handover.Holders {
+		s.inheritedLeases[lease.Key] = &proxyLease{
+			proxy:          lease.Proxy,
+			adoptedVersion: lease.AdoptedVersion,
+			adoptedAt:      now,
+			expiresAt:      now + monotonic.Micros(lease.Remaining),
+		}
+	}
+}
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -1,110 +1,72 @@
 package configstore
 
 import (
-	"maps"
-	"slices"
-	"sort"
 	"strconv"
 
-	"google.golang.org/protobuf/proto"
-
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
-// holder is one carrier's tenure. Invariants: until is no earlier than the end the carrier itself counts with; one that was
-// released stays so, since that life of its carrier serves no more.
+// unsteadyRecheck is how soon leases are judged again while the clock may have jumped.
+const unsteadyRecheck = 100 * monotonic.Millisecond
+
+// proxyLease is the lease of one incarnation of a proxy.
 type proxyLease struct {
-	proxy          string
+	proxy string
+	// adoptedVersion is the newest version that the proxy has reported as adopted, and adoptedAt when this process first
+	// learned of that.
 	adoptedVersion uint64
-	adoptedAt      monotonic.Micros // when this process first heard that
-	adoptionTime   monotonic.Micros // from the commit until then, zero if this process doesn't know
-	expiresAt      monotonic.Micros
-	released       bool
+	adoptedAt      monotonic.Micros
+	// adoptionTime is the time from the commit of adoptedVersion until adoptedAt, zero if this process doesn't know it.
+	adoptionTime monotonic.Micros
+	// expiresAt is no earlier than the end by which the proxy itself goes.
+	expiresAt monotonic.Micros
+	// released is never reset: an incarnation that has released its lease doesn't serve again.
+	released bool
 }
 
-// settled is called when this process starts answering. Only after a takeover may strangers hold tenures.
-func (s *Server) onPrimary(epoch uint64, _ monotonic.Micros) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	// Between a handover's epoch and this one lies only this process's own takeover, in which nobody answered: then the
-	// tenures that were told are all there are.
-	if s.inheritedLeases != nil && epoch == s.inheritedEpoch+2 {
-		s.leases = s.inheritedLeases
-	} else if s.epoch == 0 || epoch != s.epoch+1 {
-		s.acknowledgeFrom = s.options.Host.Now() + s.options.Timeouts.unknownLeasePeriod()
-	}
-	s.epoch, s.inheritedLeases = epoch, nil
-	s.options.Host.Go(func() {
-		s.options.Host.Sleep(monotonic.Second) // it isn't answering yet
-		s.notifyAccepted()
-	})
-}
+// standsAt reports whether the proxy may still serve by this lease at a time.
+func (l *proxyLease) standsAt(now monotonic.Micros) bool { return l.expiresAt > now && !l.released }
 
-// doubt puts acknowledgements off: the tenures that this process gave may stand though its clock says they are over.
-func (s *Server) deferAcknowledgements() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.acknowledgeFrom = max(s.acknowledgeFrom, s.options.Host.Now()+s.options.Timeouts.unknownLeasePeriod())
+// leaseKey identifies one incarnation of a proxy. It's also sent in handovers.
+func leaseKey(request *wire.ConfigPollRequest) string {
+	return request.Proxy + "/" + strconv.FormatUint(request.Incarnation, 16)
 }
 
-// handing tells the next primary who holds tenures, and for how much longer.
-func (s *Server) exportLeases() []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.options.Host.Now()
-	if now < s.acknowledgeFrom || !s.Member.ClockWatch.Steady() {
-		return nil // there may be tenures that this process doesn't know of, or whose ends it can't tell
-	}
-	handover := &wire.LeaseHolders{Complete: true}
-	for _, key := range slices.Sorted(maps.Keys(s.leases)) {
-		if lease := s.leases[key]; lease.expiresAt > now && !lease.released {
-			handover.Holders = append(handover.Holders, &wire.LeaseHolder{Key: key, Proxy: lease.proxy, AdoptedVersion: lease.adoptedVersion, Remaining: int64(lease.expiresAt - now)})
-		}
-	}
-	content, err := proto.Marshal(handover)
-	if err != nil {
-		return nil
+// recordAdoption notes the version that a proxy has adopted, and wakes the applies that may wait for it.
+func (s *Server) recordAdoption(request *wire.ConfigPollRequest) {
+	adoptionTime, measured := s.updateAdoption(request)
+	if measured && s.options.OnAdopted != nil {
+		s.options.OnAdopted(request.Proxy, request.CurrentVersion, adoptionTime)
 	}
-	return content
+	s.adoptions.notifyAll()
 }
 
-func (s *Server) importLeases(epoch uint64, content []byte) {
-	handover := &wire.LeaseHolders{}
-	if proto.Unmarshal(content, handover) != nil || !handover.Complete {
-		return
-	}
+// updateAdoption raises the adopted version of a known proxy. The time since the commit is measured only for the newest
+// version.
+func (s *Server) updateAdoption(request *wire.ConfigPollRequest) (adoptionTime monotonic.Micros, measured bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inheritedLeases, s.inheritedEpoch = map[string]*proxyLease{}, epoch
-	for _, lease := range handover.Holders {
-		s.inheritedLeases[lease.Key] = &proxyLease{proxy: lease.Proxy, adoptedVersion: lease.AdoptedVersion, adoptedAt: s.options.Host.Now(), expiresAt: s.options.Host.Now() + monotonic.Micros(lease.Remaining)}
+	now := s.options.Host.Now()
+	lease := s.leases[leaseKey(request)]
+	if lease == nil || !lease.adopt(request.CurrentVersion, now) || request.CurrentVersion != s.latestVersion {
+		return 0, false
 	}
+	lease.adoptionTime = now - s.latestAt
+	return lease.adoptionTime, true
 }
 
-func leaseKey(request *wire.ConfigPollRequest) string {
-	return request.Proxy + "/" + strconv.FormatUint(request.Incarnation, 16)
-}
-
-func (s *Server) recordAdoption(request *wire.ConfigPollRequest) {
-	s.mu.Lock()
-	now, adoptionTime := s.options.Host.Now(), monotonic.Micros(-1)
-	if lease := s.leases[leaseKey(request)]; lease != nil {
-		if lease.adoptedVersion < request.CurrentVersion {
-			lease.adoptedVersion, lease.adoptedAt, lease.adoptionTime = request.CurrentVersion, now, 0
-			if request.CurrentVersion == s.latestVersion {
-				adoptionTime = now - s.latestAt
-				lease.adoptionTime = adoptionTime
-			}
-		}
+// adopt raises the adopted version, and reports whether the given one is newer.
+func (l *proxyLease) adopt(version uint64, now monotonic.Micros) bool {
+	if l.adoptedVersion >= version {
+		return false
 	}
-	s.mu.Unlock()
-	if adoptionTime >= 0 && s.options.OnAdopted != nil {
-		s.options.OnAdopted(request.Proxy, request.CurrentVersion, adoptionTime)
-	}
-	s.adoptions.notifyAll()
+	l.adoptedVersion, l.adoptedAt, l.adoptionTime = version, now, 0
+	return true
 }
 
+// grantLease starts or extends the lease of the proxy that polls. A released lease stays released: the poll was sent by the
+// same incarnation before the release, and was kept open until now.
 func (s *Server) grantLease(request *wire.ConfigPollRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,18 +77,16 @@
 	}
 	lease := s.leases[key]
 	if lease.released {
-		return // an earlier poll of the same life, held until now
+		return
 	}
 	now := s.options.Host.Now()
-	if lease.adoptedVersion < request.CurrentVersion {
-		lease.adoptedVersion, lease.adoptedAt, lease.adoptionTime = request.CurrentVersion, now, 0
-	}
+	lease.adopt(request.CurrentVersion, now)
 	lease.expiresAt = now + s.options.Timeouts.Lease
 }
 
-// forgetEarlierIncarnations has nobody wait for a carrier's lives before the one that polls now, since a carrier has one life at a time. Should a late poll of an
-// earlier life come, the present one is noted again with its next poll. Where leases are needed they are waited for all the same.
-// The caller holds the lock.
+// forgetEarlierIncarnations drops the leases of a proxy's other incarnations, because a proxy has one at a time. Should a late
+// poll of an earlier one arrive, the current one is recorded again by its next poll. Without ServeStale the leases are needed
+// and waited for all the same. The caller holds mu.
 func (s *Server) forgetEarlierIncarnations(proxy, currentKey string) {
 	if !s.options.Timeouts.ServeStale {
 		return
@@ -138,7 +98,7 @@
 	}
 }
 
-// release ends a tenure whose carrier serves no more: nobody needs to wait for its end.
+// releaseLease ends the lease of a proxy that has stopped serving, so that no apply waits for it.
 func (s *Server) releaseLease(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
 	s.mu.Lock()
 	if lease := s.leases[leaseKey(request)]; lease != nil {
@@ -149,29 +109,29 @@
 	return &wire.ConfigPollResponse{}
 }
 
-// behind names the carriers that may still serve by an older serial for longer than Slack. Where carriers serve on, these are
-// those heard within the last Lease that haven't adopted.
-func (s *Server) proxiesBehind(version uint64) (names []string, wait monotonic.Micros) {
+// allAdopted reports whether no proxy may serve by a version older than the given one for longer than the lease slack. With
+// ServeStale that is so once all proxies that were heard within the last Timeouts.Lease have adopted the version. Otherwise wait
+// is the time until the leases that stand against it have ended. Leases that have expired are removed.
+func (s *Server) allAdopted(version uint64) (adopted bool, wait monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, leaseSlack := s.options.Host.Now(), s.options.Timeouts.effectiveSlack()
 	if !s.Member.ClockWatch.Steady() {
-		return []string{"(the clock may have leapt)"}, 100 * monotonic.Millisecond
+		return false, unsteadyRecheck
 	}
+	adopted = true
+	now, slack := s.options.Host.Now(), s.options.Timeouts.effectiveSlack()
 	for key, lease := range s.leases {
 		if now >= lease.expiresAt {
 			delete(s.leases, key)
 			continue
 		}
-		if !lease.released && lease.adoptedVersion < version && lease.expiresAt-now > leaseSlack {
-			names = append(names, lease.proxy)
-			wait = max(wait, lease.expiresAt-now-leaseSlack)
+		remaining := lease.expiresAt - now - slack
+		if !lease.released && lease.adoptedVersion < version && remaining > 0 {
+			adopted, wait = false, max(wait, remaining)
 		}
 	}
-	if s.acknowledgeFrom > now {
-		names = append(names, "(tenures of an earlier primary)")
-		wait = max(wait, s.acknowledgeFrom-now)
+	if s.acknowledgeFrom > now { // leases that an earlier primary granted may stand
+		adopted, wait = false, max(wait, s.acknowledgeFrom-now)
 	}
-	sort.Strings(names)
-	return names, wait
+	return adopted, wait
 }
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -5,44 +5,65 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Poll renews a carrier's tenure, with the newest desired state if the carrier hasn't got it. It waits a while for news.
+// Poll renews a proxy's lease and returns the newest version if the proxy hasn't got it; otherwise it waits for one, at most for
+// Timeouts.LongPoll. A poll that says so releases the lease instead. Where this process isn't the primary, the response names
+// the primaries it knows and grants nothing. The error is always nil.
 func (s *Server) Poll(request *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
-	host := s.options.Host
 	if request.Release {
 		return s.releaseLease(request), nil
 	}
+	host := s.options.Host
 	s.recordAdoption(request)
 	deadline := host.Now() + s.options.Timeouts.LongPoll
 	for {
 		signal := s.updates.subscribe()
-		response := &wire.ConfigPollResponse{Primaries: s.options.Resolver.Primaries(), Lease: int64(s.options.Timeouts.Lease), LongPoll: int64(s.options.Timeouts.LongPoll)}
-		var base, latest *wire.StoredConfig
-		response.Primary = s.Member.Read(func(epoch uint64, _ monotonic.Micros) {
-			response.Epoch, response.Version = epoch, s.store.LatestVersion()
-			s.recordVersion(response.Version)
-			if stored := s.store.Latest(); stored != nil && stored.Version != request.CurrentVersion {
-				latest, base = stored, s.store.Find(request.CurrentVersion)
-			}
-			// Noted under the same look that read the serial: an apply that comes later waits for this tenure.
-			s.grantLease(request)
-		})
-		if !response.Primary {
+		update := s.readUpdate(request)
+		if !update.response.Primary {
 			s.updates.unsubscribe(signal)
-			return s.replicaResponse(request, response.Primaries), nil
+			return s.replicaResponse(request, update.response.Primaries), nil
 		}
 		remaining := deadline - host.Now()
-		if response.Version != request.CurrentVersion || request.First || remaining <= 0 {
+		if update.response.Version != request.CurrentVersion || request.First || remaining <= 0 {
 			s.updates.unsubscribe(signal)
-			s.fillUpdate(request, base, latest, response)
-			return response, nil
+			s.fillUpdate(request, update)
+			return update.response, nil
 		}
 		signal.Wait(remaining)
 		s.updates.unsubscribe(signal)
 	}
 }
 
-// hearsay is the answer of a postmaster that isn't the primary. A carrier that has nothing yet and may serve on while out of touch is
-// given what this copy holds: it's better served by that than by nothing until there's a primary again.
+// pollUpdate is a poll's response before the content is filled in.
+type pollUpdate struct {
+	response *wire.ConfigPollResponse
+	// latest is the newest version, nil if there is none or the proxy has it.
+	latest *wire.StoredConfig
+	// base is the version that the proxy has, nil if it isn't stored any more.
+	base *wire.StoredConfig
+}
+
+// readUpdate reads what a poll is answered with and grants the lease, if this process is primary.
+func (s *Server) readUpdate(request *wire.ConfigPollRequest) pollUpdate {
+	response := &wire.ConfigPollResponse{
+		Primaries: s.options.Resolver.Primaries(),
+		Lease:     int64(s.options.Timeouts.Lease),
+		LongPoll:  int64(s.options.Timeouts.LongPoll),
+	}
+	update := pollUpdate{response: response}
+	response.Primary = s.Member.Read(func(epoch uint64, _ monotonic.Micros) {
+		response.Epoch, response.Version = epoch, s.store.LatestVersion()
+		s.recordVersion(response.Version)
+		if latest := s.store.Latest(); latest != nil && latest.Version != request.CurrentVersion {
+			update.latest, update.base = latest, s.store.Find(request.CurrentVersion)
+		}
+		// The lease is granted in the read that fetched the version, so that an apply that commits later waits for it.
+		s.grantLease(request)
+	})
+	return update
+}
+
+// replicaResponse is the answer of a process that isn't the primary. A proxy that has no configuration yet and may serve
+// without contact gets the version that this replica holds: until a primary is found that serves it better than nothing.
 func (s *Server) replicaResponse(request *wire.ConfigPollRequest, primaries []*wire.Primary) *wire.ConfigPollResponse {
 	response := &wire.ConfigPollResponse{Primaries: primaries}
 	if request.CurrentVersion > 0 || !s.options.Timeouts.ServeStale {
@@ -57,16 +78,17 @@
 	return response
 }
 
-// content puts the newest state into an answer: what it changes where that is known and wanted, otherwise the whole. The states don't
-// change, so no lock is needed for them.
-func (s *Server) fillUpdate(request *wire.ConfigPollRequest, base, latest *wire.StoredConfig, response *wire.ConfigPollResponse) {
-	if latest == nil {
+// fillUpdate puts the newest version into a response: its difference from the proxy's version where that is known and wanted,
+// the full content otherwise. Stored versions don't change, so no lock is needed.
+func (s *Server) fillUpdate(request *wire.ConfigPollRequest, update pollUpdate) {
+	if update.latest == nil {
 		return
 	}
+	response := update.response
 	if !request.Full {
-		response.Difference = s.differences.Difference(base, latest, request.Digest)
+		response.Difference = s.differences.Difference(update.base, update.latest, request.Digest)
 	}
 	if response.Difference == nil {
-		s.compressed.fillContent(response, latest, request.AcceptsCompressed)
+		s.compressed.fillContent(response, update.latest, request.AcceptsCompressed)
 	}
 }
--- /dev/null
+++ b/internal/configstore/server.go
@@ -0,0 +1,126 @@
+package configstore
+
+import (
+	"encoding/json"
+	"sync"
+
+	"snowflow/internal/config"
+	"snowflow/internal/configstore/differences"
+	"snowflow/internal/configstore/versions"
+	"snowflow/internal/host"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/replication"
+	"snowflow/internal/transport/wire"
+)
+
+// Server is one configuration store process.
+type Server struct {
+	options Options
+	// Member is this process's part in replication.
+	Member *replication.Member
+	// store is the replicated state. It may be read inside Member.Read and Member.ReadStale alone.
+	store *versions.Store
+	// differences caches parsed versions, and how the newest differs from others.
+	differences *differences.Cache
+	// compressed caches the newest content in compressed form.
+	compressed compressionCache
+	// updates wakes polls that wait for a new version.
+	updates *broadcaster
+	// adoptions wakes applies that wait for proxies to adopt a version or release their leases.
+	adoptions *broadcaster
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// leases are the leases granted by this primary, or inherited from the one before, by leaseKey.
+	leases map[string]*proxyLease
+	// acknowledgeFrom is the time from which no lease that an earlier primary granted has more than LeaseSlack left.
+	acknowledgeFrom monotonic.Micros
+	// epoch is the epoch in which this process last became primary, zero before.
+	epoch uint64
+	// committedVersion is the highest version that an apply has waited for, and committedAt when the first such wait began.
+	committedVersion uint64
+	committedAt      monotonic.Micros
+	// latestVersion is the highest version that this process knows to be accepted, and latestAt when it learned of it.
+	latestVersion uint64
+	latestAt      monotonic.Micros
+	// inheritedLeases are the leases that the primary of inheritedEpoch handed over after it had granted its last one. Nil if
+	// there was no handover or it has been used.
+	inheritedLeases map[string]*proxyLease
+	inheritedEpoch  uint64
+}
+
+// Open reads the stored state from disk. It doesn't serve before Register and Start. An error tells that the timeouts don't fit
+// together or that the disk can't be read.
+func Open(options Options) (*Server, error) {
+	if options.Parse == nil {
+		options.Parse = config.Parse
+	}
+	options.Timeouts = options.Timeouts.withDefaults()
+	if err := options.Timeouts.validate(); err != nil {
+		return nil, err
+	}
+	s := &Server{
+		options:     options,
+		store:       versions.New(options.HistoryLimit),
+		differences: differences.New(options.Parse, options.DifferenceLimits),
+		leases:      map[string]*proxyLease{},
+		updates:     newBroadcaster(options.Host),
+		adoptions:   newBroadcaster(options.Host),
+	}
+	replicationOptions := s.replicationOptions()
+	options.Resolver.AdvertiseDeltas()
+	s.store.UseDeltas = s.allVotersAcceptDeltas
+	s.store.AllowVersionReuse = options.AllowVersionReuse
+	member, err := replication.Open(replicationOptions)
+	s.Member = member
+	if err == nil {
+		member.ClockWatch.OnJump(func(monotonic.Micros) { s.deferAcknowledgements() })
+	}
+	return s, err
+}
+
+func (s *Server) replicationOptions() replication.Config {
+	replicationOptions := replication.Config{
+		Host:          s.options.Host,
+		Resolver:      s.options.Resolver,
+		Group:         Group,
+		Name:          s.options.Name,
+		InitialVoters: s.options.Voters,
+		Bootstrap:     s.options.Bootstrap,
+		StateMachine:  s.store,
+		OnServing:     s.onPrimary,
+		HandoverState: s.exportLeases,
+		OnHandover:    s.importLeases,
+	}
+	if s.options.AdjustReplication != nil {
+		s.options.AdjustReplication(&replicationOptions)
+	}
+	return replicationOptions
+}
+
+// Start joins the replication group. It must be called once, after Register.
+func (s *Server) Start() { s.Member.Start() }
+
+// Register adds the server's request handlers and those of its replication member to a table.
+func (s *Server) Register(table host.Handlers) {
+	s.Member.Register(table)
+	host.Handle(table, wire.Kind_config_poll, s.Poll)
+	host.Handle(table, wire.Kind_config_apply, s.Apply)
+	host.Handle(table, wire.Kind_config_read, s.ReadVersions)
+	host.Handle(table, wire.Kind_configstore_status, func(*wire.StatusRequest) (*wire.StatusResponse, error) {
+		content, err := json.Marshal(s.Status())
+		return &wire.StatusResponse{Json: content}, err
+	})
+}
+
+// notifyAccepted calls OnAccepted with the stored versions, if this process is primary and there are any.
+func (s *Server) notifyAccepted() {
+	if s.options.OnAccepted == nil {
+		return
+	}
+	s.Member.Read(func(uint64, monotonic.Micros) {
+		if states := s.store.All(); len(states) > 0 {
+			s.options.OnAccepted(states)
+		}
+	})
+}
--- a/internal/configstore/status.go
+++ b/internal/configstore/status.go
@@ -1,31 +1,36 @@
 package configstore
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"snowflow/internal/monotonic"
 	"snowflow/internal/replication"
 )
 
-// Status is what operators are shown of a postmaster.
+// Status is what operators are shown of a configuration store process.
 type Status struct {
-	Core    replication.Status `json:"core"`
-	Version uint64             `json:"serial"`
-	Leases  []LeaseStatus      `json:"tenure_holders,omitempty"`
-	// DifferencesComputed counts the differences between versions that this process worked out.
+	Core replication.Status `json:"core"`
+	// Version is the newest version, zero if this process isn't the primary or there is none.
+	Version uint64 `json:"serial"`
+	// Leases are the standing leases that this process knows of, by the proxies' names.
+	Leases []LeaseStatus `json:"tenure_holders,omitempty"`
+	// DifferencesComputed counts the differences between versions that this process has computed.
 	DifferencesComputed uint64 `json:"differences_computed"`
 }
 
-// LeaseStatus is one carrier's tenure.
+// LeaseStatus is the lease of one proxy. Times are in microseconds.
 type LeaseStatus struct {
-	Proxy            string `json:"carrier"`
-	AdoptedVersion   uint64 `json:"adopted"`
-	AdoptedForMicros int64  `json:"adopted_for_micros"`    // since this postmaster first heard that
-	AdoptionMicros   int64  `json:"took_micros,omitempty"` // from the commit to its word, where this postmaster saw both
-	RemainingMicros  int64  `json:"left_micros"`
+	Proxy          string `json:"carrier"`
+	AdoptedVersion uint64 `json:"adopted"`
+	// AdoptedForMicros is the time since this process first heard of the adoption.
+	AdoptedForMicros int64 `json:"adopted_for_micros"`
+	// AdoptionMicros is the time from the commit to the proxy's report, zero if this process hasn't seen both.
+	AdoptionMicros  int64 `json:"took_micros,omitempty"`
+	RemainingMicros int64 `json:"left_micros"`
 }
 
-// Status tells how this postmaster stands.
+// Status returns this process's view of the group and of the leases.
 func (s *Server) Status() Status {
 	status := Status{Core: s.Member.Status(), DifferencesComputed: s.DifferencesComputed()}
 	s.Member.Read(func(uint64, monotonic.Micros) { status.Version = s.store.LatestVersion() })
@@ -33,13 +38,19 @@
 	defer s.mu.Unlock()
 	now := s.options.Host.Now()
 	for _, lease := range s.leases {
-		if lease.expiresAt > now && !lease.released {
-			status.Leases = append(status.Leases, LeaseStatus{Proxy: lease.proxy, AdoptedVersion: lease.adoptedVersion, AdoptedForMicros: int64(now - lease.adoptedAt), AdoptionMicros: int64(lease.adoptionTime), RemainingMicros: int64(lease.expiresAt - now)})
+		if lease.standsAt(now) {
+			status.Leases = append(status.Leases, LeaseStatus{
+				Proxy:            lease.proxy,
+				AdoptedVersion:   lease.adoptedVersion,
+				AdoptedForMicros: int64(now - lease.adoptedAt),
+				AdoptionMicros:   int64(lease.adoptionTime),
+				RemainingMicros:  int64(lease.expiresAt - now),
+			})
 		}
 	}
-	sort.Slice(status.Leases, func(one, other int) bool { return status.Leases[one].Proxy < status.Leases[other].Proxy })
+	slices.SortFunc(status.Leases, func(one, other LeaseStatus) int { return cmp.Compare(one.Proxy, other.Proxy) })
 	return status
 }
 
-// DifferencesComputed counts the differences between versions that this process worked out.
+// DifferencesComputed counts the differences between versions that this process has computed.
 func (s *Server) DifferencesComputed() uint64 { return s.differences.Computed() }
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -6,57 +6,93 @@
 	"snowflow/internal/monotonic"
 )
 
-// Timeouts are the spans that a postmaster goes by; what is left zero is as Defaults has it.
+const (
+	// DefaultLease is how long a proxy may serve after a poll, counted from before it sent the poll.
+	DefaultLease = 6 * monotonic.Second
+	// DefaultLeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. It's less than the
+	// 2 s that are documented, so that there is some margin.
+	DefaultLeaseSlack = 1500 * monotonic.Millisecond
+)
+
+const (
+	// leaseMargin is the least by which a lease must outlast a long poll: the way of the answer and of the next poll.
+	leaseMargin = monotonic.Second
+	// acknowledgeMargin is how much longer than a lease an apply waits for proxies: time for a primary that was just elected to
+	// pass its own unknownLeasePeriod.
+	acknowledgeMargin = 9 * monotonic.Second
+)
+
+var (
+	errTimeoutRange = errors.New("configstore: no timeout may be negative, and the lease slack must be less than the lease")
+	errShortLease   = errors.New("configstore: the lease must exceed the long poll by at least one second")
+)
+
+// Timeouts are the durations that a Server goes by. Zero fields take their values from DefaultTimeouts.
 type Timeouts struct {
-	// Lease is how long a carrier may serve by what it last heard, counted from before its poll.
+	// Lease is how long a proxy may serve after a poll, counted from before it sent the poll.
 	Lease monotonic.Micros
-	// LeaseSlack is what may be left of an unheard carrier's lease when a desired state is acknowledged.
+	// LeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. It isn't used with
+	// ServeStale.
 	LeaseSlack monotonic.Micros
-	// LongPoll is how long a poll is held open for news.
+	// LongPoll is how long a poll is kept open while there is no newer version.
 	LongPoll monotonic.Micros
-	// AdoptionTimeout is how long after its commit a state is acknowledged at the latest where carriers serve on. Carriers that were
-	// heard within the last Lease are waited for until then.
+	// AdoptionTimeout is, with ServeStale, the longest time from the commit of a version until its apply is acknowledged. Until
+	// then the apply waits for the proxies that were heard within the last Lease.
 	AdoptionTimeout monotonic.Micros
-	// ServeStale: carriers serve on while out of touch, so their leases' ends aren't waited for. The carriers' must be set too.
+	// ServeStale lets proxies serve without a lease while they are out of contact, so that applies needn't wait for leases to
+	// end. The proxies must be configured alike (configclient.Options.ServeStale).
 	ServeStale bool
 }
 
-// DefaultTimeouts are the bounds that hold for what isn't set.
-var DefaultTimeouts = Timeouts{Lease: DefaultLease, LeaseSlack: DefaultLeaseSlack, LongPoll: monotonic.Second, AdoptionTimeout: 1200 * monotonic.Millisecond}
+// DefaultTimeouts are the durations for the fields of Timeouts that are zero.
+var DefaultTimeouts = Timeouts{
+	Lease:           DefaultLease,
+	LeaseSlack:      DefaultLeaseSlack,
+	LongPoll:        monotonic.Second,
+	AdoptionTimeout: 1200 * monotonic.Millisecond,
+}
 
 func (t Timeouts) withDefaults() Timeouts {
-	for _, field := range []struct{ set, otherwise *monotonic.Micros }{{&t.Lease, &DefaultTimeouts.Lease}, {&t.LeaseSlack, &DefaultTimeouts.LeaseSlack},
-		{&t.LongPoll, &DefaultTimeouts.LongPoll}, {&t.AdoptionTimeout, &DefaultTimeouts.AdoptionTimeout}} {
-		if *field.set == 0 {
-			*field.set = *field.otherwise
+	for _, field := range []struct {
+		value        *monotonic.Micros
+		defaultValue monotonic.Micros
+	}{
+		{&t.Lease, DefaultTimeouts.Lease},
+		{&t.LeaseSlack, DefaultTimeouts.LeaseSlack},
+		{&t.LongPoll, DefaultTimeouts.LongPoll},
+		{&t.AdoptionTimeout, DefaultTimeouts.AdoptionTimeout},
+	} {
+		if *field.value == 0 {
+			*field.value = field.defaultValue
 		}
 	}
 	return t
 }
 
-// check tells what doesn't go together: a lease must outlast a held poll and the next one's way, or carriers in touch lose it.
+// validate returns an error if the durations don't fit together. A lease must outlast a long poll and the next poll's way, or
+// proxies that are in contact would lose it.
 func (t Timeouts) validate() error {
 	if t.LeaseSlack < 0 || t.LongPoll < 0 || t.AdoptionTimeout < 0 || t.LeaseSlack >= t.Lease {
-		return errors.New("postmaster: no bound may be below zero, and the slack must be less than the lease")
+		return errTimeoutRange
 	}
-	if t.Lease < t.LongPoll+monotonic.Second {
-		return errors.New("postmaster: the lease must outlast the poll's hold by a second at least")
+	if t.Lease < t.LongPoll+leaseMargin {
+		return errShortLease
 	}
 	return nil
 }
 
-// patience is how long an apply waits to be in force everywhere before it's answered otherwise.
+// acknowledgeTimeout is how long an apply waits for the proxies to adopt a version.
 func (t Timeouts) acknowledgeTimeout() monotonic.Micros {
 	if t.ServeStale {
 		return t.AdoptionTimeout
 	}
-	return t.Lease + 9*monotonic.Second
+	return t.Lease + acknowledgeMargin
 }
 
-// unknown is how long a new primary doesn't know who serves: until the leases that others gave are nearly over.
+// unknownLeasePeriod is how long a new primary must assume that leases it doesn't know of are standing.
 func (t Timeouts) unknownLeasePeriod() monotonic.Micros { return t.Lease - t.LeaseSlack }
 
-// slack is what may be left of the lease of a carrier that isn't waited for.
+// effectiveSlack is how much may be left of the lease of a proxy that an apply doesn't wait for.
 func (t Timeouts) effectiveSlack() monotonic.Micros {
 	if t.ServeStale {
 		return 0
--- a/internal/configstore/versions/claimed.go
+++ b/internal/configstore/versions/claimed.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxClaimedVersions is how many numbers are remembered: several weeks of changes at ordinary pace, a day at the fastest.
+	// maxClaimedVersions is how many numbers are remembered: several weeks of changes at an ordinary rate, a day at the highest.
 	maxClaimedVersions = 4096
-	// digestPrefixLength is how many bytes of a content's digest are remembered.
+	// digestPrefixLength is how much of a content's digest is remembered, in bytes.
 	digestPrefixLength = 16
 )
 
+// digestPrefix is the beginning of a content's SHA-256 digest.
 type digestPrefix [digestPrefixLength]byte
 
-// taken remembers which content each number stands for, far longer than contents are kept.
-// Invariants: order holds each number in contents once, in the order in which they were claimed, and no more than maxClaimedVersions.
+// claimedVersions remembers which content each version number stands for, for much longer than contents are stored.
+// Invariant: order holds each number of digests once, in the order of the claims, and at most maxClaimedVersions of them.
 type claimedVersions struct {
 	digests map[uint64]digestPrefix
 	order   []uint64
@@ -24,24 +25,25 @@
 
 func newClaimedVersions() claimedVersions { return claimedVersions{digests: map[uint64]digestPrefix{}} }
 
-func prefixOf(digest string) (fingerprint digestPrefix) {
-	sum, _ := hex.DecodeString(digest) // digests are made here, as hexadecimal
-	copy(fingerprint[:], sum)
-	return fingerprint
+func prefixOf(digest string) (prefix digestPrefix) {
+	sum, _ := hex.DecodeString(digest) // made by config.Digest, so always hexadecimal
+	copy(prefix[:], sum)
+	return prefix
 }
 
-// claim has a number stand for a content, and tells whether it does now: a number never changes what it stands for.
+// claim lets a number stand for a content unless it stands for one already, and reports whether it stands for this one.
 func (c *claimedVersions) claim(version uint64, digest string) bool {
-	fingerprint := prefixOf(digest)
-	if present, is := c.digests[version]; is {
-		return present == fingerprint
+	prefix := prefixOf(digest)
+	if claimed, exists := c.digests[version]; exists {
+		return claimed == prefix
 	}
-	c.remember(version, fingerprint)
+	c.remember(version, prefix)
 	return true
 }
 
-func (c *claimedVersions) remember(version uint64, fingerprint digestPrefix) {
-	c.digests[version] = fingerprint
+// remember adds a number that isn't claimed, and forgets the oldest beyond the limit.
+func (c *claimedVersions) remember(version uint64, prefix digestPrefix) {
+	c.digests[version] = prefix
 	c.order = append(c.order, version)
 	if len(c.order) > maxClaimedVersions {
 		delete(c.digests, c.order[0])
@@ -49,19 +51,20 @@
 	}
 }
 
-func (c *claimedVersions) restore(one *wire.TakenVersion) {
-	var fingerprint digestPrefix
-	copy(fingerprint[:], one.Fingerprint)
-	if _, is := c.digests[one.Version]; !is {
-		c.remember(one.Version, fingerprint)
+// restore claims a number as a snapshot says. Of two claims on one number the first stands.
+func (c *claimedVersions) restore(taken *wire.TakenVersion) {
+	var prefix digestPrefix
+	copy(prefix[:], taken.Fingerprint)
+	if _, exists := c.digests[taken.Version]; !exists {
+		c.remember(taken.Version, prefix)
 	}
 }
 
-// list gives all numbers in the order in which they were claimed.
+// list returns all claims in their order.
 func (c *claimedVersions) list() (all []*wire.TakenVersion) {
 	for _, version := range c.order {
-		fingerprint := c.digests[version]
-		all = append(all, &wire.TakenVersion{Version: version, Fingerprint: fingerprint[:]})
+		prefix := c.digests[version]
+		all = append(all, &wire.TakenVersion{Version: version, Fingerprint: prefix[:]})
 	}
 	return all
 }
--- a/internal/configstore/versions/deltas.go
+++ b/internal/configstore/versions/deltas.go
@@ -1,6 +1,7 @@
 package versions
 
 import (
+	"errors"
 	"fmt"
 
 	"snowflow/internal/config"
@@ -8,44 +9,64 @@
 	"snowflow/internal/transport/wire"
 )
 
-// packed has each state told by its difference from the one before, the first from nothing. A state whose difference can't be made
-// is told whole.
+var (
+	errDeltaBase = errors.New("the base isn't the version before")
+	errDigest    = errors.New("the content doesn't match its digest")
+)
+
+// encodeDeltas returns the versions each as a delta from the one before, the first from nothing. A version whose delta can't be
+// made is left with its full content.
 func encodeDeltas(states []*wire.StoredConfig) []*wire.StoredConfig {
 	all := make([]*wire.StoredConfig, 0, len(states))
 	var previous *wire.StoredConfig
 	for _, stored := range states {
-		encodedState := &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request, Base: previous.GetDigest()}
-		encoded, err := delta.Encode(previous.GetContent(), stored.Content)
-		if err != nil {
-			encodedState.Content, encodedState.Base = stored.Content, ""
-		} else {
-			encodedState.Delta = encoded
-		}
-		all, previous = append(all, encodedState), stored
+		all = append(all, encodeDelta(stored, previous))
+		previous = stored
 	}
 	return all
 }
 
-// unpacked gives the states whole again, and tells if one isn't what its digest says.
+func encodeDelta(stored, previous *wire.StoredConfig) *wire.StoredConfig {
+	compact := &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request}
+	encoded, err := delta.Encode(previous.GetContent(), stored.Content)
+	if err != nil {
+		compact.Content = stored.Content
+		return compact
+	}
+	compact.Delta, compact.Base = encoded, previous.GetDigest()
+	return compact
+}
+
+// decodeDeltas reverses encodeDeltas and accepts full contents too. The error names the version whose content can't be restored
+// or doesn't match its digest.
 func decodeDeltas(states []*wire.StoredConfig) ([]*wire.StoredConfig, error) {
 	all := make([]*wire.StoredConfig, 0, len(states))
 	var previous *wire.StoredConfig
 	for _, stored := range states {
-		full := stored
-		if len(stored.Delta) > 0 {
-			if stored.Base != previous.GetDigest() {
-				return nil, fmt.Errorf("store: state %d is told by another than the one before", stored.Version)
-			}
-			content, err := delta.Decode(previous.GetContent(), stored.Delta, config.MaxContentSize)
-			if err != nil {
-				return nil, fmt.Errorf("store: state %d: %w", stored.Version, err)
-			}
-			full = &wire.StoredConfig{Version: stored.Version, Content: content, Digest: stored.Digest, Request: stored.Request}
-		}
-		if config.Digest(full.Content) != full.Digest {
-			return nil, fmt.Errorf("store: state %d isn't what its digest says", stored.Version)
+		full, err := decodeDelta(stored, previous)
+		if err != nil {
+			return nil, fmt.Errorf("configuration version %d: %w", stored.Version, err)
 		}
-		all, previous = append(all, full), full
+		all = append(all, full)
+		previous = full
 	}
 	return all, nil
 }
+
+func decodeDelta(stored, previous *wire.StoredConfig) (*wire.StoredConfig, error) {
+	full := stored
+	if len(stored.Delta) > 0 {
+		if stored.Base != previous.GetDigest() {
+			return nil, errDeltaBase
+		}
+		content, err := delta.Decode(previous.GetContent(), stored.Delta, config.MaxContentSize)
+		if err != nil {
+			return nil, err
+		}
+		full = &wire.StoredConfig{Version: stored.Version, Content: content, Digest: stored.Digest, Request: stored.Request}
+	}
+	if config.Digest(full.Content) != full.Digest {
+		return nil, errDigest
+	}
+	return full, nil
+}
--- a/internal/configstore/versions/store.go
+++ b/internal/configstore/versions/store.go
@@ -1,8 +1,6 @@
-// Package versions is the postmasters' replicated state: the desired states accepted, by serial.
 package versions
 
 import (
-	"math"
 	"slices"
 	"sort"
 
@@ -14,24 +12,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The outcomes of an apply.
-const (
-	Accepted = "accepted"
-	Conflict = "conflict"
-	Invalid  = "invalid"
-	// BaseUnknown: the content came as a difference from one that isn't kept here; nothing changed. It's to be sent whole.
-	BaseUnknown = "base_unknown"
-)
-
-// Store is the machine.
-// Invariants: serials rise along states, with gaps where versions were named; a state never changes; the newest stays, and
-// older ones are removed only oldest first, once there are more than history; requests hold the states' own; a number stands for one
-// content for as long as it's remembered, whether that was ever in force or not.
+// Store is the state machine of the configuration stores' replication group. It isn't safe for concurrent use; the replication
+// member serializes calls. Results and snapshots depend on the commands alone, so that all replicas agree.
+//
+// Invariants: versions rise along states, with gaps where a version was named by the client; a stored version never changes; the
+// newest one stays, and older ones are removed oldest first, once there are more than history; requests holds exactly the
+// request IDs of states; a version number stands for one content for as long as claimed remembers it, whether that content was
+// ever the newest or not.
 type Store struct {
-	// UseDeltas tells whether views may hold states as differences, true if left out. It has no part in what the state is.
+	// UseDeltas reports whether snapshots may hold versions as deltas, which replicas of an early build can't read. Nil means
+	// true. It doesn't affect the state.
 	UseDeltas func() bool
 
-	// AllowVersionReuse confirms whatever content comes under a number that was taken. Only rehearsals of the checkers set it.
+	// AllowVersionReuse accepts any content under a claimed number. It's a deliberate fault with which tests show that their
+	// checkers notice it; no program sets it.
 	AllowVersionReuse bool
 
 	history  int
@@ -40,13 +34,14 @@
 	claimed  claimedVersions
 }
 
-// New makes an empty store that keeps at most so many states, all for zero. Which requests it remembers goes by that, so it
-// must be the same at every copy.
+// New returns an empty store that holds at most history versions, without a limit for zero. It must be the same at every
+// replica, because it also decides which request IDs are remembered.
 func New(history int) *Store {
 	return &Store{history: history, requests: map[string]*wire.StoredConfig{}, claimed: newClaimedVersions()}
 }
 
-// Apply carries out a command. A request that was accepted before gets its first answer again.
+// Apply executes an encoded ConfigCommand and returns an encoded ConfigApplyResponse. A command that can't be decoded has the
+// outcome Invalid.
 func (s *Store) Apply(_ uint64, _ monotonic.Micros, content []byte) []byte {
 	command := &wire.ConfigCommand{}
 	response := &wire.ConfigApplyResponse{Outcome: Invalid}
@@ -60,16 +55,8 @@
 	return encoded
 }
 
-// take carries out an apply, whose content may have come as a difference.
-func (s *Store) applyRequest(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
-	content, known := s.ExpandContent(request)
-	if !known {
-		return &wire.ConfigApplyResponse{Outcome: BaseUnknown, Version: s.LatestVersion()}
-	}
-	return s.accept(&wire.ConfigApplyRequest{Content: content, ExpectedVersion: request.ExpectedVersion, Request: request.Request, AnyVersion: request.AnyVersion, Version: request.Version})
-}
-
-// ExpandContent gives the content that an apply is about, if the base that it's told by is kept here.
+// ExpandContent returns the content of an apply, decoded if it came as a delta. Known is false if the delta's base isn't stored
+// here or the delta is corrupt.
 func (s *Store) ExpandContent(request *wire.ConfigApplyRequest) (content []byte, known bool) {
 	if len(request.Delta) == 0 {
 		return request.Content, true
@@ -86,52 +73,7 @@
 	return content, err == nil
 }
 
-// FindDigest gives the newest kept state with a digest, or nothing.
-func (s *Store) FindDigest(digest string) *wire.StoredConfig {
-	for _, stored := range slices.Backward(s.states) {
-		if stored.Digest == digest {
-			return stored
-		}
-	}
-	return nil
-}
-
-func (s *Store) accept(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
-	digest := config.Digest(request.Content)
-	if request.Version > 0 {
-		return s.acceptVersion(request, digest)
-	}
-	if earlier := s.requests[request.Request]; request.Request != "" && earlier != nil {
-		if earlier.Digest == digest {
-			return &wire.ConfigApplyResponse{Outcome: Accepted, Version: earlier.Version, Digest: digest}
-		}
-		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: s.LatestVersion(), Errors: []string{"request id was used with another content"}}
-	}
-	if !request.AnyVersion && request.ExpectedVersion != s.LatestVersion() {
-		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: s.LatestVersion()}
-	}
-	if s.LatestVersion() == math.MaxUint64 {
-		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: s.LatestVersion(), Errors: []string{"no serial is left"}}
-	}
-	stored := &wire.StoredConfig{Version: s.LatestVersion() + 1, Content: request.Content, Digest: digest, Request: request.Request}
-	s.append(stored)
-	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: stored.Version, Digest: digest}
-}
-
-// raise takes a content that names its version if that is above the newest serial. The same content under a number that was taken, and
-// any under a lower number that never was, is acknowledged and changes nothing, so that contents may come again and in any order.
-// Another content under a number that was taken is refused: two operators are never both told yes. The request id plays no part.
-func (s *Store) acceptVersion(request *wire.ConfigApplyRequest, digest string) *wire.ConfigApplyResponse {
-	if !s.claimed.claim(request.Version, digest) && !s.AllowVersionReuse {
-		return &wire.ConfigApplyResponse{Outcome: Conflict, Version: s.LatestVersion(), Errors: []string{"the version stands for another content"}}
-	}
-	if request.Version > s.LatestVersion() {
-		s.append(&wire.StoredConfig{Version: request.Version, Content: request.Content, Digest: digest, Request: request.Request})
-	}
-	latest := s.Latest()
-	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: latest.Version, Digest: latest.Digest}
-}
-
+// append stores a new newest version and removes the oldest beyond the limit.
 func (s *Store) append(stored *wire.StoredConfig) {
 	s.claimed.claim(stored.Version, stored.Digest)
 	s.states = append(s.states, stored)
@@ -144,11 +86,11 @@
 	if oldest := s.states[0]; s.requests[oldest.Request] == oldest {
 		delete(s.requests, oldest.Request)
 	}
-	// A new list: others may hold the present one, and the oldest's content is to be let go.
+	// The list is copied, because All has given it out, and so that the oldest content can be freed.
 	s.states = slices.Clone(s.states[1:])
 }
 
-// Version is the newest serial, zero before the first.
+// LatestVersion is the newest version number, zero before the first.
 func (s *Store) LatestVersion() uint64 {
 	if len(s.states) == 0 {
 		return 0
@@ -156,10 +98,10 @@
 	return s.states[len(s.states)-1].Version
 }
 
-// Latest is the newest state, or nothing.
+// Latest returns the newest version, nil before the first. It must not be changed.
 func (s *Store) Latest() *wire.StoredConfig { return s.Find(s.LatestVersion()) }
 
-// Find gives a state by serial, or nothing. States don't change, so it's not copied.
+// Find returns the version with a number, nil if it isn't stored. It must not be changed.
 func (s *Store) Find(version uint64) *wire.StoredConfig {
 	index := sort.Search(len(s.states), func(index int) bool { return s.states[index].Version >= version })
 	if index == len(s.states) || s.states[index].Version != version {
@@ -168,12 +110,23 @@
 	return s.states[index]
 }
 
-// All lists every state kept, oldest first. States don't change, and the list only grows behind its end.
+// FindDigest returns the newest version whose content has a digest, nil if there is none. It must not be changed.
+func (s *Store) FindDigest(digest string) *wire.StoredConfig {
+	for _, stored := range slices.Backward(s.states) {
+		if stored.Digest == digest {
+			return stored
+		}
+	}
+	return nil
+}
+
+// All returns all stored versions, oldest first. The caller may keep the list, but must not change it: later versions are only
+// appended behind its end.
 func (s *Store) All() []*wire.StoredConfig {
 	return s.states[:len(s.states):len(s.states)]
 }
 
-// Snapshot gives the whole state.
+// Snapshot encodes the complete state as a snapshot.
 func (s *Store) Snapshot() []byte {
 	snapshot := &wire.ConfigSnapshot{Versions: s.states, TakenVersions: s.claimed.list()}
 	if s.UseDeltas == nil || s.UseDeltas() {
@@ -181,12 +134,13 @@
 	}
 	content, err := proto.Marshal(snapshot)
 	if err != nil {
-		panic(err) // the state is made of messages that were decoded or built here
+		panic(err) // the state consists of messages that were decoded or built here
 	}
 	return content
 }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot's. On an error, which tells that the snapshot is corrupt, the state is left as it
+// was.
 func (s *Store) Restore(content []byte) error {
 	snapshot := &wire.ConfigSnapshot{}
 	if err := proto.Unmarshal(content, snapshot); err != nil {
@@ -197,8 +151,8 @@
 		return err
 	}
 	s.states, s.requests, s.claimed = nil, map[string]*wire.StoredConfig{}, newClaimedVersions()
-	for _, one := range snapshot.TakenVersions {
-		s.claimed.restore(one)
+	for _, taken := range snapshot.TakenVersions {
+		s.claimed.restore(taken)
 	}
 	for _, stored := range states {
 		s.append(stored)
@@ -206,5 +160,5 @@
 	return nil
 }
 
-// HasTimers tells that no wait runs in desired states.
+// HasTimers reports whether the state machine has timers to wait for; configurations have none.
 func (s *Store) HasTimers() bool { return false }
--- a/internal/configstore/versions/store_test.go
+++ b/internal/configstore/versions/store_test.go
@@ -12,10 +12,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestTranscripts keeps transcripts of applies. Each line goes to two copies: one lives on, the other is given the whole state anew
-// before each command; what they answer and hold must be the same. Lines are
+// TestTranscripts approves transcripts of applies. Each command goes to two replicas: one that has executed all before, and one that
+// is restored from its snapshot. Their results and snapshots must be the same. Commands are
 //
-//	version NUMBER CONTENT [REQUEST] | expected SERIAL CONTENT [REQUEST] | any CONTENT [REQUEST] | find SERIAL | restore
+//	version NUMBER CONTENT [REQUEST] | expected VERSION CONTENT [REQUEST] | any CONTENT [REQUEST] | find VERSION
 func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, file string) {
 		var one *versions.Store
@@ -37,12 +37,12 @@
 					t.Fatal(err)
 				}
 				if answer, again := execute(t, one, words), execute(t, other, words); answer != again {
-					t.Errorf("%s: %q, and %q of a copy that was given the state anew", line, answer, again)
+					t.Errorf("%s: %q, and %q of the restored replica", line, answer, again)
 				} else {
 					fmt.Fprintln(&text, answer)
 				}
 				if string(one.Snapshot()) != string(other.Snapshot()) {
-					t.Errorf("%s: the copies differ", line)
+					t.Errorf("%s: the replicas differ", line)
 				}
 			}
 			for _, stored := range one.All() {
@@ -53,6 +53,7 @@
 	})
 }
 
+// execute applies one command of a transcript and returns the result as text.
 func execute(t *testing.T, one *versions.Store, words []string) string {
 	t.Helper()
 	request, rest := &wire.ConfigApplyRequest{}, words[2:]
@@ -85,15 +86,25 @@
 	if err := proto.Unmarshal(one.Apply(1, 0, content), response); err != nil {
 		t.Fatal(err)
 	}
-	newest := one.Latest()
-	if newest == nil || newest.Version != one.LatestVersion() || response.Outcome == versions.Accepted && one.Find(response.Version) != nil && one.Find(response.Version).Digest != response.Digest {
-		t.Errorf("%v: newest %v, serial %d, told %v", words, newest, one.LatestVersion(), response)
-	}
+	checkConsistent(t, one, response)
 	return strings.TrimSpace(fmt.Sprintf("%s %d %s", response.Outcome, response.Version, strings.Join(response.Errors, "; ")))
 }
 
-// TestOneNumberOneContent searches every order of orders by two operators: three numbers, two contents, resends, and a copy that is given the whole
-// state anew in between. No number is ever confirmed with two contents, what was confirmed is confirmed again, and the newest never falls.
+// checkConsistent checks that the newest version agrees with its number, and that a response names a stored content.
+func checkConsistent(t *testing.T, one *versions.Store, response *wire.ConfigApplyResponse) {
+	t.Helper()
+	latest := one.Latest()
+	if latest == nil || latest.Version != one.LatestVersion() {
+		t.Errorf("the newest is %v, its version %d", latest, one.LatestVersion())
+	}
+	if found := one.Find(response.Version); response.Outcome == versions.Accepted && found != nil && found.Digest != response.Digest {
+		t.Errorf("response %v, stored %v", response, found)
+	}
+}
+
+// TestOneNumberOneContent tries all sequences of applies by two operators: three numbers, two contents, repetitions, and a restored
+// snapshot in between. No number is ever confirmed with two contents, what was confirmed is confirmed again, and the newest
+// version never falls.
 func TestOneNumberOneContent(t *testing.T) {
 	const depth = 5
 	orders := []string{"version 1 a", "version 1 b", "version 2 a", "version 2 b", "version 3 a", "version 3 b"}
@@ -117,7 +128,7 @@
 			case accepted && was && previous != words[2]:
 				t.Fatalf("%v: %s is confirmed with %s and %s", path, words[1], previous, words[2])
 			case !accepted && previous == words[2]:
-				t.Fatalf("%v: %s is refused when it comes again", path, order)
+				t.Fatalf("%v: %s is refused when it is repeated", path, order)
 			case accepted:
 				confirmed[words[1]] = words[2]
 			}
@@ -136,7 +147,8 @@
 	search(nil)
 }
 
-// TestSnapshots: a view without differences, as earlier builds make and read it, gives the same state; a damaged one is refused.
+// TestSnapshots checks that a snapshot without deltas, as earlier builds make and read it, gives the same state, and that one without
+// its first version is refused.
 func TestSnapshots(t *testing.T) {
 	one := versions.New(3)
 	for _, order := range []string{"version 3 aaaa", "version 4 aaab", "any aaac", "version 9 aaad"} {
@@ -161,11 +173,12 @@
 		t.Fatal(err)
 	}
 	if versions.New(3).Restore(content) == nil {
-		t.Error("a view whose first state is missing was taken")
+		t.Error("a snapshot whose first version is missing was accepted")
 	}
 }
 
-// TestCorruptSnapshots: a view with any byte changed, or cut anywhere, is refused, or gives the states that it was made of; and a refused one leaves what was there.
+// TestCorruptSnapshots checks that a snapshot with any byte changed, or truncated anywhere, is refused or gives contents that it was
+// made of, and that a refused one leaves the state as it was.
 func TestCorruptSnapshots(t *testing.T) {
 	one := versions.New(3)
 	for _, order := range []string{"version 3 aaaaaaaaaaaaaaaaaaaa", "version 4 aaaaaaaaaaaaaaaaaaab", "version 9 aaaaaaaaaaaaaaaaaaac"} {
@@ -187,13 +200,13 @@
 			if err := other.Restore(content); err != nil {
 				refused++
 				if shown(other) != " before" {
-					t.Fatalf("byte %d: a refused view left %q", index, shown(other))
+					t.Fatalf("byte %d: a refused snapshot left %q", index, shown(other))
 				}
 				continue
 			}
 			for _, stored := range other.All() {
 				if !strings.Contains(shown(one), string(stored.Content)) {
-					t.Fatalf("byte %d: %q was taken", index, stored.Content)
+					t.Fatalf("byte %d: %q was accepted", index, stored.Content)
 				}
 			}
 		}
