--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -16,7 +16,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// made is a random valid state of few names, so that two of them have much in common.
+// randomState returns a random valid configuration of few names, so that two of them have much in common.
 func randomState(random *rand.Rand) *wire.DesiredState {
 	pick := func(words ...string) string { return words[random.IntN(len(words))] }
 	state := &wire.DesiredState{Note: fmt.Sprint(random.Int())}
@@ -46,7 +46,7 @@
 			route.Split = append(route.Split, &wire.Share{Service: pick(services...), Weight: uint32(random.IntN(3))})
 			route.CutoffMicros = proto.Int64(1 + int64(random.IntN(3)))
 		}
-		if random.IntN(4) == 0 { // the same place under another name in another state: a route renamed
+		if random.IntN(4) == 0 { // the same match under another name in another state: a renamed route
 			route.Name = fmt.Sprint("s-", random.IntN(4)*100+number)
 		}
 		state.Routes = append(state.Routes, route)
@@ -54,7 +54,7 @@
 	return state
 }
 
-// altered is a state a few steps on from another.
+// mutate returns a configuration that differs from another in a few random steps.
 func mutate(random *rand.Rand, state *wire.DesiredState) *wire.DesiredState {
 	next := proto.CloneOf(state)
 	steps := []func(at int){
@@ -97,7 +97,7 @@
 	})
 }
 
-// requests are those that the made states may lead somewhere.
+// requests visits the requests that routes of random states may match.
 func requests(visit func(host, method, path string)) {
 	for _, host := range []string{"", "x", "y", "z"} {
 		for _, method := range []string{"GET", "POST"} {
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestApplyGivesTheNewState: over random pairs, the base and its difference come to what the new state says when it's read whole:
-// the same resources, digests, services and ways of requests. What the difference doesn't name is the same object in the next view,
-// and the view before answers as it did.
+// TestApplyGivesTheNewState checks over random pairs that a base and a difference give the same as the new state itself: the same
+// resources, digests, services and routes. What the difference doesn't name is the same object in the next snapshot, and the base's
+// snapshot stays as it was.
 func TestApplyGivesTheNewState(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	if faults := config.Validate(randomState(random)); len(faults) > 0 {
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 		if !same(step.Set, wanted) || step.Version != 2 || step.ContentDigest != "content" || !same(base, read(t, before)) {
-			t.Fatal("the base and the difference don't come to the new state")
+			t.Fatal("the base and the difference don't give the new state")
 		}
 		snapshot := config.Compile(before, 1, "")
 		next, err := snapshot.With(step.Change, 2, "content")
@@ -144,7 +144,7 @@
 			t.Fatal(names(next), names(full))
 		}
 		if next.Fingerprint() != full.Fingerprint() || snapshot.Fingerprint() != former.Fingerprint() || (snapshot.Fingerprint() == full.Fingerprint()) != same(base, wanted) {
-			t.Fatal("the views serve otherwise than the states say")
+			t.Fatal("the snapshots serve otherwise than the states say")
 		}
 		touched := map[string]bool{}
 		difference := changes.Diff(base, wanted)
@@ -171,7 +171,7 @@
 			for _, share := range found.Split {
 				changed = changed || touched["service/"+share.Service.Name]
 				if share.Service != next.Services[share.Service.Name] {
-					t.Fatalf("%s leads to a service that isn't the view's", found.Name)
+					t.Fatalf("%s leads to a service that isn't the snapshot's", found.Name)
 				}
 			}
 			if compiled++; found == earlier {
@@ -213,7 +213,7 @@
 	return reflect.DeepEqual(bare, otherBare)
 }
 
-// TestRefusals: a difference for another base, with another digest, or cut short anywhere, is refused.
+// TestRefusals checks that a difference from another base, one that was changed, and one that is truncated anywhere is refused.
 func TestRefusals(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 8))
 	for range 20 {
@@ -230,49 +230,54 @@
 				t.Fatalf("%d of %d bytes were applied", length, len(content))
 			}
 		}
-		twisted := &wire.Difference{}
-		twist := func(how func()) {
-			t.Helper()
-			proto.Reset(twisted)
-			if err := proto.Unmarshal(content, twisted); err != nil {
-				t.Fatal(err)
-			}
-			how()
-			changed, err := proto.Marshal(twisted)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := changes.Apply(base, changed); !errors.Is(err, changes.ErrDigestMismatch) {
-				t.Fatal(err)
-			}
+		for name, change := range map[string]func(difference *wire.Difference){
+			"another digest":     func(difference *wire.Difference) { difference.Digest[3] ^= 1 },
+			"no digest":          func(difference *wire.Difference) { difference.Digest = nil },
+			"a missing route":    func(difference *wire.Difference) { difference.Routes = difference.Routes[1:] },
+			"a duplicate route":  func(difference *wire.Difference) { difference.Routes = append(difference.Routes, difference.Routes[0]) },
+			"a changed route":    func(difference *wire.Difference) { difference.Routes[0].Priority = proto.Uint32(9) },
+			"an unknown removal": func(difference *wire.Difference) { difference.Removed = append(difference.Removed, "route/none") },
+			"a removal of an added": func(difference *wire.Difference) {
+				difference.Removed = append(difference.Removed, "route/"+difference.Routes[0].Name)
+			},
+		} {
+			t.Run(name, func(t *testing.T) {
+				difference := &wire.Difference{}
+				if err := proto.Unmarshal(content, difference); err != nil {
+					t.Fatal(err)
+				}
+				change(difference)
+				changed, err := proto.Marshal(difference)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if _, err := changes.Apply(base, changed); !errors.Is(err, changes.ErrDigestMismatch) {
+					t.Fatal(err)
+				}
+			})
 		}
-		twist(func() { twisted.Digest[3] ^= 1 })
-		twist(func() { twisted.Digest = nil })
-		twist(func() { twisted.Routes = twisted.Routes[1:] })
-		twist(func() { twisted.Routes = append(twisted.Routes, twisted.Routes[0]) })
-		twist(func() { twisted.Routes[0].Priority = proto.Uint32(9) })
-		twist(func() { twisted.Removed = append(twisted.Removed, "route/none") })
-		twist(func() { twisted.Removed = append(twisted.Removed, "route/"+twisted.Routes[0].Name) })
 	}
 }
 
-// TestInvalidStates: what a checking build refuses is no set, so that it's only ever sent whole.
+// TestInvalidStates checks that a configuration that validation refuses isn't a set, so that it's only sent in full.
 func TestInvalidStates(t *testing.T) {
 	split := []*wire.Share{{Service: "one", Weight: 1}}
 	for name, routes := range map[string][]*wire.Route{
 		"a name twice":       {{Name: "r", Prefix: "/a", Split: split}, {Name: "r", Prefix: "/b", Split: split}},
-		"a place twice":      {{Name: "r", Prefix: "/a", Split: split}, {Name: "s", Prefix: "/a", Method: "*", Split: split}},
+		"a match twice":      {{Name: "r", Prefix: "/a", Split: split}, {Name: "s", Prefix: "/a", Method: "*", Split: split}},
 		"an unknown service": {{Name: "r", Prefix: "/a", Split: []*wire.Share{{Service: "none", Weight: 1}}}},
 		"no weight":          {{Name: "r", Prefix: "/a", Split: []*wire.Share{{Service: "one"}}}},
 	} {
-		state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Routes: routes}
-		if _, err := changes.NewSet(state); !errors.Is(err, changes.ErrInvalidSet) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Routes: routes}
+			if _, err := changes.NewSet(state); !errors.Is(err, changes.ErrInvalidSet) {
+				t.Error(err)
+			}
+		})
 	}
 }
 
-// TestOrderAndNoteDontCount: states that say the same are the same set.
+// TestOrderAndNoteDontCount checks that states that differ in order and note alone are the same set.
 func TestOrderAndNoteDontCount(t *testing.T) {
 	random := rand.New(rand.NewPCG(9, 10))
 	state := randomState(random)
@@ -285,7 +290,7 @@
 	}
 }
 
-// TestForeignChangesAreRefused: a view takes no change that doesn't fit it.
+// TestForeignChangesAreRefused checks that a snapshot refuses a change that doesn't fit it.
 func TestForeignChangesAreRefused(t *testing.T) {
 	random := rand.New(rand.NewPCG(11, 12))
 	refused := 0
@@ -296,6 +301,9 @@
 			t.Fatal(err)
 		}
 		if _, err := config.Compile(other, 1, "").With(step.Change, 2, ""); err != nil {
+			if !errors.Is(err, config.ErrChange) {
+				t.Errorf("another error: %v", err)
+			}
 			refused++
 		}
 	}
@@ -304,7 +312,7 @@
 	}
 }
 
-// TestSummary: operators are shown what was added and removed, and of what changed the fields.
+// TestSummary checks that operators are shown what was added and removed, and the fields of what changed.
 func TestSummary(t *testing.T) {
 	split := []*wire.Share{{Service: "one", Weight: 1}}
 	state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}, {Name: "two"}}}},
--- a/internal/config/changes/cost_test.go
+++ b/internal/config/changes/cost_test.go
@@ -14,7 +14,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// sized is a state of so many routes on a hundred hosts, some of which lead elsewhere.
+// stateWithRoutes returns a configuration of so many routes on a hundred hosts, of which the first altered ones lead elsewhere.
 func stateWithRoutes(routes, altered int) *wire.DesiredState {
 	state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "submission"}, {Name: "correction"}, {Name: "batches"}}}}}
 	for number := range routes {
@@ -40,8 +40,8 @@
 	return compact.Bytes()
 }
 
-// TestCostGoesByTheChange: what is sent for a change, and what a carrier makes anew for it, goes by what changed and not by how much
-// there is.
+// TestCostGoesByTheChange checks that what is sent for a change and what a proxy allocates for it depend on the size of the change and
+// not of the configuration.
 func TestCostGoesByTheChange(t *testing.T) {
 	lengths, objects := map[int]int{}, map[int]float64{}
 	for _, routes := range []int{10, 100, 1000, 10000} {
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkTakeUp measures what a carrier does for a change of one route: by a difference, by the whole as it is now, and by the whole
-// without any sharing, as it was before there were differences.
+// BenchmarkTakeUp measures what a proxy does for a change of one route: by a difference, by the full content, and by the full content
+// without sharing anything with the version before.
 func BenchmarkTakeUp(b *testing.B) {
 	for _, routes := range []int{10, 100, 1000, 10000} {
 		base, next := stateWithRoutes(routes, 0), stateWithRoutes(routes, 1)
@@ -122,7 +122,7 @@
 	}
 }
 
-// BenchmarkDiff measures what the primary does once for all carriers that have the same base, the new state being read already.
+// BenchmarkDiff measures what the primary does once for all proxies with the same base, when both versions are parsed already.
 func BenchmarkDiff(b *testing.B) {
 	for _, routes := range []int{10, 100, 1000, 10000} {
 		from, to := read(b, stateWithRoutes(routes, 0)), read(b, stateWithRoutes(routes, 1))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
-	"sort"
+	"slices"
 	"strings"
 	"testing"
 
@@ -14,85 +15,113 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestDesiredStates keeps transcripts of what is read and refused, and of what services inherit.
+// TestDesiredStates approves transcripts of what is parsed and refused, how requests are resolved, and what services inherit.
 func TestDesiredStates(t *testing.T) {
 	datadriven.RunTest(t, "testdata/desired", func(t *testing.T, data *datadriven.TestData) string {
-		state, fieldErrors := config.Parse([]byte(data.Input))
-		var text strings.Builder
-		for _, fieldError := range fieldErrors {
-			// The JSON library varies its white space on purpose.
-			fmt.Fprintln(&text, strings.Join(strings.Fields(fieldError.String()), " "))
-		}
-		if data.Cmd == "adopt" || data.Cmd == "adopted-resolve" {
-			text.Reset()
-			if state, fieldErrors = config.ParseAccepted([]byte(data.Input)); len(fieldErrors) > 0 {
-				t.Fatal(fieldErrors)
-			}
-		} else if len(fieldErrors) > 0 {
-			return text.String()
+		state, text := parse(t, data)
+		if state == nil {
+			return text
 		}
 		snapshot := config.Compile(state, 7, "")
-		if data.Cmd == "resolve" || data.Cmd == "adopted-resolve" {
-			method := "GET"
-			for _, argument := range data.CmdArgs {
-				if argument.Key == "method" {
-					method = argument.Vals[0]
-					continue
-				}
-				host, rest, _ := strings.Cut(argument.Key, "/")
-				path, found := snapshot.Resolve(host, method, "/"+rest)
-				if !found {
-					fmt.Fprintf(&text, "%s: nowhere\n", argument.Key)
-					continue
-				}
-				fmt.Fprintf(&text, "%s: %s by %s%s\n", argument.Key, path.Service.Name, path.Host, path.Prefix)
-			}
-			return text.String()
+		switch data.Cmd {
+		case "resolve", "adopted-resolve":
+			return text + describeResolution(snapshot, data.CmdArgs)
+		case "route":
+			return text + describeRoute(snapshot, data.CmdArgs[0].Key)
+		default:
+			return text + describeServices(snapshot)
 		}
-		if data.Cmd == "route" {
-			host, rest, _ := strings.Cut(data.CmdArgs[0].Key, "/")
-			path, _ := snapshot.Resolve(host, "GET", "/"+rest)
-			fmt.Fprintf(&text, "%q once %v single %v cutoff %d aim %d priority %d tries %d, first %s\n", path.Name, path.Once, path.Single, path.Timeout, path.LatencyTarget,
-				path.Priority, path.MaxAttempts, path.Service.Name)
-			for random := range uint64(9) {
-				fmt.Fprintf(&text, "%s ", path.PickService(random).Name)
-			}
-			for _, name := range []string{"one", "two", "three", "four"} {
-				if service, has := path.FindService(name); has {
-					fmt.Fprintf(&text, "has %s ", service.Name)
-				}
-			}
-			return strings.TrimSpace(text.String()) + "\n"
+	})
+}
+
+// parse reads the configuration of a case. The state is nil if it has errors, which are returned as text, and the case isn't one
+// of a configuration that was accepted.
+func parse(t *testing.T, data *datadriven.TestData) (state *wire.DesiredState, text string) {
+	t.Helper()
+	if data.Cmd == "adopt" || data.Cmd == "adopted-resolve" {
+		state, fieldErrors := config.ParseAccepted([]byte(data.Input))
+		if len(fieldErrors) > 0 {
+			t.Fatal(fieldErrors)
+		}
+		return state, ""
+	}
+	state, fieldErrors := config.Parse([]byte(data.Input))
+	for _, fieldError := range fieldErrors {
+		// The JSON library varies its white space on purpose.
+		text += strings.Join(strings.Fields(fieldError.String()), " ") + "\n"
+	}
+	if len(fieldErrors) > 0 {
+		return nil, text
+	}
+	return state, ""
+}
+
+// describeResolution shows where requests lead. An argument is a host and a path, or the method of the requests after it.
+func describeResolution(snapshot *config.Snapshot, arguments []datadriven.CmdArg) string {
+	var text strings.Builder
+	method := "GET"
+	for _, argument := range arguments {
+		if argument.Key == "method" {
+			method = argument.Vals[0]
+			continue
 		}
-		names := []string{}
-		for name := range snapshot.Services {
-			names = append(names, name)
+		host, rest, _ := strings.Cut(argument.Key, "/")
+		route, found := snapshot.Resolve(host, method, "/"+rest)
+		if !found {
+			fmt.Fprintf(&text, "%s: nowhere\n", argument.Key)
+			continue
 		}
-		sort.Strings(names)
-		for _, name := range names {
-			service := snapshot.Services[name]
-			fmt.Fprintf(&text, "%s of %s: window %d, minimum %d, rate %v, wait %d, probes %d, tries %d, cutoff %d\n", name, service.Group,
-				service.Breaker.GetWindowCalls(), service.Breaker.GetMinimumCalls(), service.Breaker.GetFailureRate(), service.Breaker.GetWaitOpenMicros(),
-				service.Breaker.GetPermittedHalfOpen(), service.Retry.GetMostTries(), service.Limits.GetCutoffMicros())
+		fmt.Fprintf(&text, "%s: %s by %s%s\n", argument.Key, route.Service.Name, route.Host, route.Prefix)
+	}
+	return text.String()
+}
+
+// describeRoute shows the route for a host and a path, with the services it picks by consecutive random numbers.
+func describeRoute(snapshot *config.Snapshot, target string) string {
+	var text strings.Builder
+	host, rest, _ := strings.Cut(target, "/")
+	route, _ := snapshot.Resolve(host, "GET", "/"+rest)
+	fmt.Fprintf(&text, "%q once %v single %v cutoff %d aim %d priority %d tries %d, first %s\n", route.Name, route.Once, route.Single, route.Timeout, route.LatencyTarget,
+		route.Priority, route.MaxAttempts, route.Service.Name)
+	for random := range uint64(9) {
+		fmt.Fprintf(&text, "%s ", route.PickService(random).Name)
+	}
+	for _, name := range []string{"one", "two", "three", "four"} {
+		if service, has := route.FindService(name); has {
+			fmt.Fprintf(&text, "has %s ", service.Name)
 		}
-		return text.String()
-	})
+	}
+	return strings.TrimSpace(text.String()) + "\n"
 }
 
-// TestExamplesAreValid keeps the shipped examples readable by the validator they are shipped with.
+// describeServices shows some of the effective policies of all services.
+func describeServices(snapshot *config.Snapshot) string {
+	var text strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(snapshot.Services)) {
+		service := snapshot.Services[name]
+		fmt.Fprintf(&text, "%s of %s: window %d, minimum %d, rate %v, wait %d, probes %d, tries %d, cutoff %d\n", name, service.Group,
+			service.Breaker.GetWindowCalls(), service.Breaker.GetMinimumCalls(), service.Breaker.GetFailureRate(), service.Breaker.GetWaitOpenMicros(),
+			service.Breaker.GetPermittedHalfOpen(), service.Retry.GetMostTries(), service.Limits.GetCutoffMicros())
+	}
+	return text.String()
+}
+
+// TestExamplesAreValid checks that the shipped examples pass the validation they are shipped with.
 func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"association", "raahbar", "small"} {
-		content, err := examples.Desired(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, fieldErrors := config.Parse(content); len(fieldErrors) > 0 {
-			t.Errorf("%s: %v", name, fieldErrors)
-		}
+		t.Run(name, func(t *testing.T) {
+			content, err := examples.Desired(name)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if _, fieldErrors := config.Parse(content); len(fieldErrors) > 0 {
+				t.Error(fieldErrors)
+			}
+		})
 	}
 }
 
-// scan is what resolving means, without an index: each path tried against the request, the best kept.
+// scan is the reference for Snapshot.Resolve, without an index: it tries all routes and returns the name of the best match.
 func scan(state *wire.DesiredState, host, method, path string) string {
 	best, rank := "", -1
 	for _, route := range state.Routes {
@@ -114,8 +143,8 @@
 	return best
 }
 
-// TestResolveFindsWhatAScanFinds compares the table with a plain scan over routes and requests made of few segments, so that
-// many of them meet.
+// TestResolveFindsWhatAScanFinds compares the table with a plain scan, over random routes and requests of few segments, so that many
+// of them match.
 func TestResolveFindsWhatAScanFinds(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pick := func(words ...string) string { return words[random.IntN(len(words))] }
@@ -153,7 +182,7 @@
 	}
 }
 
-// TestPicksByWeight counts whom a split leads to.
+// TestPicksByWeight checks that a split picks services in proportion to their weights.
 func TestPicksByWeight(t *testing.T) {
 	state, fieldErrors := config.Parse([]byte(`{"groups":[{"name":"field","services":[{"name":"one"},{"name":"two"},{"name":"three"}]}],
 "routes":[{"name":"r","prefix":"/","class":"read","split":[{"service":"one","weight":90},{"service":"two","weight":0},{"service":"three","weight":10}]}]}`))
@@ -170,7 +199,7 @@
 	}
 }
 
-// BenchmarkResolve shows that what a request costs doesn't go by the number of routes.
+// BenchmarkResolve shows that the cost of resolving a request doesn't depend on the number of routes.
 func BenchmarkResolve(b *testing.B) {
 	for _, count := range []int{10, 10000} {
 		state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}}
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// shape lists what in a JSON tree doesn't fit a message: protojson would stop at the first such place. Values that only
-// protojson can judge, such as numbers out of range, are left to it.
+// checkShape reports everything in a JSON tree that doesn't fit a message, because protojson stops at the first such place. Values
+// that only protojson can judge, such as numbers out of range, and texts that aren't JSON at all are left to it.
 func checkShape(content []byte, message protoreflect.MessageDescriptor) []FieldError {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
@@ -31,6 +31,7 @@
 	return location + "." + name
 }
 
+// checkObject checks that a value is an object with fields of a message. A field may be named by its JSON or its protobuf name.
 func (v *validator) checkObject(location string, value any, message protoreflect.MessageDescriptor) {
 	members, isObject := value.(map[string]any)
 	if !isObject {
@@ -42,45 +43,29 @@
 		if field == nil {
 			field = message.Fields().ByTextName(name)
 		}
-		if field == nil {
+		switch {
+		case field == nil:
 			v.addf(joinLocation(location, name), "no such field")
-			continue
-		}
-		if members[name] == nil {
-			continue
-		}
-		if !field.IsList() {
+		case members[name] == nil: // null stands for a field that is left out
+		case field.IsList():
+			v.checkList(joinLocation(location, name), members[name], field)
+		default:
 			v.checkValue(joinLocation(location, name), members[name], field)
-			continue
-		}
-		entries, isList := members[name].([]any)
-		if !isList {
-			v.addf(joinLocation(location, name), "must be a list")
-		}
-		for index, entry := range entries {
-			v.checkValue(fmt.Sprintf("%s[%d]", joinLocation(location, name), index), entry, field)
 		}
 	}
 }
 
-// fits tells whether a JSON value may stand for a field of a kind, and what is expected.
-var kindChecks = map[protoreflect.Kind]struct {
-	expected string
-	accepts  func(value any) bool
-}{
-	protoreflect.StringKind: {"a text", isString},
-	protoreflect.BoolKind:   {"true or false", func(value any) bool { _, is := value.(bool); return is }},
-	protoreflect.Uint32Kind: {"a number", isNumber},
-	protoreflect.Uint64Kind: {"a number", isNumber},
-	protoreflect.Int64Kind:  {"a number", isNumber},
-	protoreflect.DoubleKind: {"a number", isNumber},
+func (v *validator) checkList(location string, value any, field protoreflect.FieldDescriptor) {
+	entries, isList := value.([]any)
+	if !isList {
+		v.addf(location, "must be a list")
+	}
+	for index, entry := range entries {
+		v.checkValue(fmt.Sprintf("%s[%d]", location, index), entry, field)
+	}
 }
 
-func isString(value any) bool { _, is := value.(string); return is }
-
-// isNumber allows texts, since 64-bit numbers may be written as such.
-func isNumber(value any) bool { _, is := value.(json.Number); return is || isString(value) }
-
+// checkValue checks a single value of a field.
 func (v *validator) checkValue(location string, value any, field protoreflect.FieldDescriptor) {
 	if field.Message() != nil {
 		v.checkObject(location, value, field.Message())
@@ -92,7 +77,27 @@
 		}
 		return
 	}
-	if wanted, known := kindChecks[field.Kind()]; known && !wanted.accepts(value) {
-		v.addf(location, "must be %s", wanted.expected)
+	if check, known := kindChecks[field.Kind()]; known && !check.accepts(value) {
+		v.addf(location, "must be %s", check.expected)
 	}
 }
+
+// kindChecks tell for the kinds of fields which JSON values they accept.
+var kindChecks = map[protoreflect.Kind]struct {
+	expected string
+	accepts  func(value any) bool
+}{
+	protoreflect.StringKind: {"a text", isString},
+	protoreflect.BoolKind:   {"true or false", isBool},
+	protoreflect.Uint32Kind: {"a number", isNumber},
+	protoreflect.Uint64Kind: {"a number", isNumber},
+	protoreflect.Int64Kind:  {"a number", isNumber},
+	protoreflect.DoubleKind: {"a number", isNumber},
+}
+
+func isBool(value any) bool { _, is := value.(bool); return is }
+
+func isString(value any) bool { _, is := value.(string); return is }
+
+// isNumber accepts strings too, because 64-bit numbers may be written as such.
+func isNumber(value any) bool { _, is := value.(json.Number); return is || isString(value) }
--- a/internal/config/shared/shared.go
+++ b/internal/config/shared/shared.go
@@ -1,28 +1,33 @@
-// Package shared is a map by text whose versions share what didn't change.
+// Package shared is a persistent map with string keys: setting or removing entries makes a new version, which shares with the
+// earlier one what hasn't changed. A change costs about as much as the shards it touches, however large the map.
 package shared
 
 import (
 	"maps"
+	"slices"
 
 	"github.com/cespare/xxhash/v2"
 )
 
 const (
-	// full is how many entries a shard has on average when a map is made, and crowded when it is divided anew.
+	// targetShardSize is how many entries a shard has on average when a map is made.
 	targetShardSize = 16
-	maxShardSize    = 4 * targetShardSize
-	// most bounds the shards, whose list is copied with each version.
+	// maxShardSize is how many entries a shard may have on average before a map is divided anew.
+	maxShardSize = 4 * targetShardSize
+	// maxShards bounds the number of shards, whose list is copied with each version.
 	maxShards = 4096
 )
 
-// Map is one version. Invariants: it and its shards never change once made; the number of shards is a power of two; a key is in
-// the shard that its hash names. Nil is an empty one.
+// Map is one version of the map. It's immutable, and safe for concurrent use if its values are. Nil is an empty map.
+//
+// Invariants: the number of shards is a power of two; a key is in the shard that its hash names; a shard never changes once it's
+// in a map.
 type Map[Value any] struct {
 	shards []map[string]Value
 	size   int
 }
 
-// New makes a map of entries.
+// New returns a map of entries.
 func New[Value any](entries map[string]Value) *Map[Value] {
 	count := 1
 	for count < maxShards && count*targetShardSize < len(entries) {
@@ -39,6 +44,7 @@
 	return m
 }
 
+// index is the number of a key's shard.
 func (m *Map[Value]) index(key string) uint64 {
 	if len(m.shards) == 1 {
 		return 0
@@ -54,7 +60,7 @@
 	return m.size
 }
 
-// Get finds an entry.
+// Get returns the value of a key, if it's in the map.
 func (m *Map[Value]) Get(key string) (value Value, found bool) {
 	if m == nil {
 		return value, false
@@ -63,7 +69,7 @@
 	return value, found
 }
 
-// All gives every entry, in no order.
+// All iterates over all entries, in no order.
 func (m *Map[Value]) All(yield func(key string, value Value) bool) {
 	if m == nil {
 		return
@@ -77,37 +83,54 @@
 	}
 }
 
-// With is the version in which some entries are set and some removed. Shards that neither touches are the same.
+// With returns the version in which some entries are set and some removed. A key that is in both is set.
 func (m *Map[Value]) With(set map[string]Value, removed []string) *Map[Value] {
 	if m == nil {
 		return New(set)
 	}
-	next := &Map[Value]{shards: append([]map[string]Value(nil), m.shards...), size: m.size}
-	copied := map[uint64]bool{}
-	shard := func(key string) map[string]Value {
-		index := next.index(key)
-		if !copied[index] {
-			copied[index] = true
-			if next.shards[index] = maps.Clone(next.shards[index]); next.shards[index] == nil {
-				next.shards[index] = map[string]Value{}
-			}
-		}
-		return next.shards[index]
-	}
+	e := &edit[Value]{next: &Map[Value]{shards: slices.Clone(m.shards), size: m.size}, copied: map[uint64]bool{}}
 	for _, key := range removed {
-		if _, found := next.Get(key); found {
-			delete(shard(key), key)
-			next.size--
-		}
+		e.remove(key)
 	}
 	for key, value := range set {
-		if _, found := next.Get(key); !found {
-			next.size++
+		e.set(key, value)
+	}
+	if e.next.size > maxShardSize*len(e.next.shards) && len(e.next.shards) < maxShards {
+		return New(maps.Collect(e.next.All))
+	}
+	return e.next
+}
+
+// edit changes a new version, whose shards are those of the earlier one until they are written to.
+type edit[Value any] struct {
+	next *Map[Value]
+	// copied are the shards that belong to the new version alone.
+	copied map[uint64]bool
+}
+
+// shard returns the shard of a key for writing.
+func (e *edit[Value]) shard(key string) map[string]Value {
+	index := e.next.index(key)
+	if !e.copied[index] {
+		e.copied[index] = true
+		e.next.shards[index] = maps.Clone(e.next.shards[index])
+		if e.next.shards[index] == nil {
+			e.next.shards[index] = map[string]Value{}
 		}
-		shard(key)[key] = value
 	}
-	if next.size > maxShardSize*len(next.shards) && len(next.shards) < maxShards {
-		return New(maps.Collect(next.All))
+	return e.next.shards[index]
+}
+
+func (e *edit[Value]) remove(key string) {
+	if _, found := e.next.Get(key); found {
+		delete(e.shard(key), key)
+		e.next.size--
+	}
+}
+
+func (e *edit[Value]) set(key string, value Value) {
+	if _, found := e.next.Get(key); !found {
+		e.next.size++
 	}
-	return next
+	e.shard(key)[key] = value
 }
--- a/internal/config/shared/shared_test.go
+++ b/internal/config/shared/shared_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/config/shared"
 )
 
-// TestVersions compares a row of versions with plain maps: each holds what it should, and still does after the next was made.
+// TestVersions compares a sequence of versions with plain maps: each has the right entries, also after the next one was made.
 func TestVersions(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var version *shared.Map[int]
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,227 @@
+package config
+
+import (
+	"fmt"
+	"strings"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/resourcepath"
+	"snowflow/internal/settings"
+	"snowflow/internal/transport/wire"
+)
+
+// Limits on names and texts, in bytes.
+const (
+	maxNote      = 1000
+	maxRouteName = 200
+	maxHost      = 253
+	maxPrefix    = 500
+)
+
+// reservedPrefix begins the paths that proxies serve themselves.
+const reservedPrefix = "/.snowflow"
+
+var methods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, anyMethod: true}
+
+// Validate returns everything that is wrong with a configuration.
+func Validate(state *wire.DesiredState) []FieldError {
+	v := &validator{services: map[string]string{}, matches: map[string]string{}}
+	if len(state.Groups) == 0 {
+		v.addf("groups", "at least one group is needed")
+	}
+	if len(state.Note) > maxNote {
+		v.addf("note", "longer than %d characters", maxNote)
+	}
+	v.checkGroups(state)
+	v.checkRoutes(state.Routes)
+	return v.fieldErrors
+}
+
+// validator collects the errors of a configuration.
+type validator struct {
+	fieldErrors []FieldError
+	// services are the services' locations by name.
+	services map[string]string
+	// matches are the locations of paths and routes by the requests they match.
+	matches map[string]string
+}
+
+func (v *validator) addf(location, format string, arguments ...any) {
+	v.fieldErrors = append(v.fieldErrors, FieldError{Location: location, Message: fmt.Sprintf(format, arguments...)})
+}
+
+func (v *validator) checkGroups(state *wire.DesiredState) {
+	groups := map[string]string{}
+	for index, group := range state.Groups {
+		location := fmt.Sprintf("groups[%d]", index)
+		v.checkName(location, group.Name, groups)
+		v.checkPolicies(location, group.Guard, group.Retry, group.Limits)
+		if len(group.Services) == 0 {
+			v.addf(location+".services", "at least one service is needed")
+		}
+		for serviceIndex, service := range group.Services {
+			v.checkService(fmt.Sprintf("%s.services[%d]", location, serviceIndex), group, service, len(state.Routes) == 0)
+		}
+	}
+}
+
+// checkService checks a service, which needs a path of its own if there are no routes.
+func (v *validator) checkService(location string, group *wire.Group, service *wire.Service, needsPath bool) {
+	v.checkName(location, service.Name, v.services)
+	v.checkPolicies(location, service.Guard, service.Retry, service.Limits)
+	v.checkEffective(location, group, service)
+	if needsPath && len(service.Paths) == 0 {
+		v.addf(location+".paths", "at least one path is needed")
+	}
+	for index, path := range service.Paths {
+		v.checkMatch(fmt.Sprintf("%s.paths[%d]", location, index), "", path.Method, path.Prefix, path.Class)
+	}
+}
+
+// checkName checks the name of a group or service. Seen holds the locations of the names that came before.
+func (v *validator) checkName(location, name string, seen map[string]string) {
+	if settings.CheckName(name) != nil {
+		v.addf(location+".name", "%q must be a lower-case letter, then up to 62 letters, digits or hyphens", name)
+	}
+	v.checkUnused(location, name, seen)
+}
+
+func (v *validator) checkUnused(location, name string, seen map[string]string) {
+	if other, duplicate := seen[name]; duplicate {
+		v.addf(location+".name", "%q is already used at %s", name, other)
+	}
+	seen[name] = location
+}
+
+func (v *validator) checkRoutes(routes []*wire.Route) {
+	names := map[string]string{}
+	for index, route := range routes {
+		location := fmt.Sprintf("routes[%d]", index)
+		if route.Name == "" || len(route.Name) > maxRouteName {
+			v.addf(location+".name", "%q must be of 1 to %d bytes", route.Name, maxRouteName)
+		}
+		v.checkUnused(location, route.Name, names)
+		if route.Host != CanonicalHost(route.Host) || strings.ContainsAny(route.Host, "/?#@ ") || len(route.Host) > maxHost {
+			v.addf(location+".host", "%q must be a host in small letters, without a port and without a dot at its end", route.Host)
+		}
+		v.checkMatch(location, route.Host, methodOf(route.Method), route.Prefix, route.Class)
+		v.checkSplit(location+".split", route.Split)
+		v.checkDuration(location+".cutoffMicros", route.CutoffMicros, 1, 10*monotonic.Minute)
+		v.checkDuration(location+".aimMicros", route.AimMicros, 1, 10*monotonic.Minute)
+		v.checkCount(location+".mostTries", route.MostTries, 1, 10)
+	}
+}
+
+func (v *validator) checkSplit(location string, split []*wire.Share) {
+	if len(split) == 0 {
+		v.addf(location, "at least one service is needed")
+		return
+	}
+	sum := uint64(0)
+	for index, share := range split {
+		sum += uint64(share.Weight)
+		if _, known := v.services[share.Service]; !known {
+			v.addf(fmt.Sprintf("%s[%d].service", location, index), "no service %q", share.Service)
+		}
+	}
+	if sum == 0 {
+		v.addf(location, "at least one weight must be above zero")
+	}
+}
+
+// checkMatch checks what a service's path and a route have in common. The host is empty for any.
+func (v *validator) checkMatch(location, host, method, prefix string, class wire.Path_Class) {
+	if !methods[method] {
+		v.addf(location+".method", "%q is not a method or *", method)
+	}
+	if !strings.HasPrefix(prefix, "/") || strings.ContainsAny(prefix, "?# ") || len(prefix) > maxPrefix {
+		v.addf(location+".prefix", "%q must start with / and hold no ?, # or space", prefix)
+	}
+	if canonical, err := resourcepath.Parse(prefix); strings.HasPrefix(prefix, "/") && (err != nil || canonical.Path != prefix) {
+		v.addf(location+".prefix", "%q must be spelled as requests are resolved: no escapes, doubled slashes or dot segments", prefix)
+	}
+	if strings.HasPrefix(prefix, reservedPrefix) {
+		v.addf(location+".prefix", "%s is the mesh's own", reservedPrefix)
+	}
+	if class == wire.Path_unset {
+		v.addf(location+".class", "must be read, once or single")
+	}
+	// With and without a slash at the end it's the same resource, which must not have two classes.
+	key := method + " " + host + resourcepath.TrimTrailingSlash(prefix)
+	if other, duplicate := v.matches[key]; duplicate {
+		v.addf(location, "%s is already at %s", key, other)
+	}
+	v.matches[key] = location
+}
+
+// checkPolicies checks the policies of a group or service, of which any may be nil.
+func (v *validator) checkPolicies(location string, breaker *wire.Breaker, retry *wire.Retry, limits *wire.Limits) {
+	if breaker != nil {
+		location := location + ".guard"
+		v.checkCount(location+".windowCalls", breaker.WindowCalls, 5, 10000)
+		v.checkCount(location+".minimumCalls", breaker.MinimumCalls, 1, 10000)
+		v.checkRatio(location+".failureRate", breaker.FailureRate, 0.01, 1)
+		v.checkRatio(location+".slowRate", breaker.SlowRate, 0.01, 1)
+		v.checkDuration(location+".slowMicros", breaker.SlowMicros, monotonic.Millisecond, 10*monotonic.Minute)
+		v.checkDuration(location+".waitOpenMicros", breaker.WaitOpenMicros, 100*monotonic.Millisecond, 2*monotonic.Minute)
+		v.checkCount(location+".permittedHalfOpen", breaker.PermittedHalfOpen, 1, 1000)
+		v.checkDuration(location+".probeTenureMicros", breaker.ProbeTenureMicros, 100*monotonic.Millisecond, 2*monotonic.Minute)
+	}
+	if retry != nil {
+		location := location + ".retry"
+		v.checkCount(location+".mostTries", retry.MostTries, 1, 10)
+		v.checkRatio(location+".budgetRatio", retry.BudgetRatio, 0, 0.2)
+		v.checkCount(location+".allowance", retry.Allowance, 0, 1000)
+		v.checkDuration(location+".backoffMicros", retry.BackoffMicros, 0, 10*monotonic.Second)
+	}
+	if limits != nil {
+		location := location + ".limits"
+		v.checkDuration(location+".cutoffMicros", limits.CutoffMicros, 10*monotonic.Millisecond, 30*monotonic.Second)
+		v.checkCount(location+".inFlightPerBackend", limits.InFlightPerBackend, 1, 100000)
+		v.checkBytes(location+".bodyBytes", limits.BodyBytes, 1, 32<<20)
+		v.checkBytes(location+".answerBytes", limits.AnswerBytes, 1, 32<<20)
+	}
+}
+
+// checkEffective checks what only shows once a service's policies are merged with its group's and the defaults.
+func (v *validator) checkEffective(location string, group *wire.Group, service *wire.Service) {
+	breaker, limits := mergeBreaker(group, service), mergeLimits(group, service)
+	if breaker.GetProbeTenureMicros() < limits.GetCutoffMicros() {
+		v.addf(location+".guard.probeTenureMicros", "%d is less than the cutoff of %d: a probe would go back while its call still runs (group and defaults counted in)",
+			breaker.GetProbeTenureMicros(), limits.GetCutoffMicros())
+	}
+	if breaker.GetSlowRate() < 1 && breaker.GetSlowMicros() >= limits.GetCutoffMicros() {
+		v.addf(location+".guard.slowMicros", "%d is not less than the cutoff of %d: no call would ever count as slow (group and defaults counted in)",
+			breaker.GetSlowMicros(), limits.GetCutoffMicros())
+	}
+	if breaker.GetMinimumCalls() > breaker.GetWindowCalls() {
+		v.addf(location+".guard.minimumCalls", "%d is more than the window of %d calls (group and defaults counted in)",
+			breaker.GetMinimumCalls(), breaker.GetWindowCalls())
+	}
+}
+
+// The checks below accept nil, which stands for a field that is left out. Minimum and maximum are allowed.
+
+func (v *validator) checkDuration(location string, value *int64, minimum, maximum monotonic.Micros) {
+	if value != nil && (monotonic.Micros(*value) < minimum || monotonic.Micros(*value) > maximum) {
+		v.addf(location, "%d is not between %d and %d microseconds", *value, minimum, maximum)
+	}
+}
+
+func (v *validator) checkCount(location string, value *uint32, minimum, maximum uint32) {
+	if value != nil && (*value < minimum || *value > maximum) {
+		v.addf(location, "%d is not between %d and %d", *value, minimum, maximum)
+	}
+}
+
+func (v *validator) checkBytes(location string, value *uint64, minimum, maximum uint64) {
+	if value != nil && (*value < minimum || *value > maximum) {
+		v.addf(location, "%d is not between %d and %d bytes", *value, minimum, maximum)
+	}
+}
+
+func (v *validator) checkRatio(location string, value *float64, minimum, maximum float64) {
+	if value != nil && !(*value >= minimum && *value <= maximum) { // not a number fails too
+		v.addf(location, "%v is not between %v and %v", *value, minimum, maximum)
+	}
+}
