--- /dev/null
+++ b/internal/proxy/configclient/adopt.go
@@ -0,0 +1,173 @@
+package configclient
+
+import (
+	"fmt"
+
+	"snowflow/internal/config"
+	"snowflow/internal/config/changes"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// candidate is a version that was compiled and isn't adopted yet.
+type candidate struct {
+	snapshot  *config.Snapshot
+	resources *changes.Set
+	// changed is the number of resources in which it differs from the adopted version, zero for the first.
+	changed int
+}
+
+// adopt takes the version of an answer, if it's newer, and the lease. It returns false if the answer can't be used: it's older than
+// the adopted version or can't be parsed.
+func (c *Client) adopt(response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) bool {
+	version, _ := c.Version()
+	if response.Primary && c.unconfirmedSince > 0 {
+		version = 0 // the unconfirmed version may never have been acknowledged, so that a lower one may be right
+	}
+	if response.Version < version {
+		return false
+	}
+	if response.Version == version {
+		c.renewLease(response, leaseExpiry)
+		return true
+	}
+	if len(response.Difference) == 0 {
+		next := c.compileFull(response)
+		if next == nil {
+			return false
+		}
+		c.install(next, response, leaseExpiry)
+		return true
+	}
+	next, err := c.applyDifference(response)
+	if err != nil {
+		// The next poll, which is sent at once, asks for the full content. The lease isn't renewed until then.
+		c.refuseDifference(response, version, err)
+		return true
+	}
+	c.install(next, response, leaseExpiry)
+	return true
+}
+
+// applyDifference makes the version that a difference leads to. The adopted version isn't changed.
+func (c *Client) applyDifference(response *wire.ConfigPollResponse) (*candidate, error) {
+	if c.resources == nil {
+		return nil, changes.ErrBaseMismatch
+	}
+	result, err := changes.Apply(c.resources, response.Difference)
+	if err != nil {
+		return nil, err
+	}
+	if result.Version != response.Version {
+		return nil, fmt.Errorf("%w: it leads to version %d", changes.ErrDigestMismatch, result.Version)
+	}
+	snapshot, err := c.snapshot.With(result.Change, result.Version, result.ContentDigest)
+	if err != nil {
+		return nil, err
+	}
+	return &candidate{snapshot: snapshot, resources: result.Set, changed: result.ResourcesChanged}, nil
+}
+
+func (c *Client) refuseDifference(response *wire.ConfigPollResponse, version uint64, err error) {
+	c.requestFull = true
+	c.mu.Lock()
+	c.stats.Rejected++
+	c.mu.Unlock()
+	c.host.Report(eventlog.DeltaRejected, map[string]any{"serial": response.Version, "have": version, "bytes": len(response.Difference), "error": err.Error()})
+}
+
+// compileFull makes the version of a full content, nil if it can't be parsed. What doesn't differ from the adopted version is shared
+// with it all the same. A configuration that isn't a set of resources is compiled as it is, and no differences from it are asked
+// for.
+func (c *Client) compileFull(response *wire.ConfigPollResponse) *candidate {
+	state, fieldErrors := c.options.Parse(response.Content)
+	if len(fieldErrors) > 0 {
+		c.host.Report(eventlog.ConfigRejected, map[string]any{"serial": response.Version, "error": fieldErrors[0].String(), "faults": len(fieldErrors)})
+		return nil
+	}
+	next := &candidate{}
+	digest := config.Digest(response.Content)
+	next.resources, _ = changes.NewSet(state)
+	if next.resources != nil && c.resources != nil {
+		difference := changes.Diff(c.resources, next.resources)
+		next.changed = difference.Len()
+		next.snapshot, _ = c.snapshot.With(changes.SnapshotChange(c.resources, difference), response.Version, digest)
+	}
+	if next.snapshot == nil {
+		next.snapshot = config.Compile(state, response.Version, digest)
+	}
+	return next
+}
+
+// install makes a candidate the adopted version, takes the lease, and wakes those who wait for a version.
+func (c *Client) install(next *candidate, response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) {
+	isDifference := len(response.Difference) > 0
+	c.requestFull = false
+	c.mu.Lock()
+	c.snapshot, c.adoptedAt, c.resources = next.snapshot, c.host.Now(), next.resources
+	if response.Primary {
+		c.unconfirmedSince = 0
+	} else if c.unconfirmedSince == 0 {
+		c.unconfirmedSince = c.host.Now()
+	}
+	if isDifference {
+		c.stats.Differences++
+	} else {
+		c.stats.FullStates++
+	}
+	c.stats.Resources += uint64(next.changed)
+	c.extendLease(response, leaseExpiry)
+	waiters := c.waiters
+	c.waiters = nil
+	c.mu.Unlock()
+	for _, waiter := range waiters {
+		waiter.Fire()
+	}
+	c.host.Report(eventlog.ConfigAdopted, map[string]any{
+		"serial":     next.snapshot.Version,
+		"difference": isDifference,
+		"bytes":      max(len(response.Difference), len(response.Content)),
+		"resources":  next.changed,
+	})
+}
+
+func (c *Client) renewLease(response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.extendLease(response, leaseExpiry)
+}
+
+// extendLease must be called with mu held.
+func (c *Client) extendLease(response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) {
+	c.longPoll = monotonic.Micros(response.LongPoll)
+	if c.snapshot != nil && !c.released {
+		c.leaseExpiry = max(c.leaseExpiry, leaseExpiry)
+		c.lapseReported = false
+	}
+}
+
+// Release ends the lease for good, and tells the primary so that no apply waits for its end. If the primary isn't reached within a
+// timeout the lease runs out there.
+func (c *Client) Release(timeout monotonic.Micros) {
+	c.mu.Lock()
+	c.released, c.leaseExpiry = true, 0
+	c.mu.Unlock()
+	leader := c.resolver.Leader(storeGroup)
+	if leader == "" {
+		return
+	}
+	request := &wire.ConfigPollRequest{Proxy: c.options.Proxy, Incarnation: c.options.Incarnation, Release: true}
+	_ = c.resolver.Call(leader, wire.Kind_config_poll, request, &wire.ConfigPollResponse{}, timeout)
+}
+
+// reportLapse reports once that the lease has ended, if serving needs one.
+func (c *Client) reportLapse() {
+	c.mu.Lock()
+	lapsed := c.snapshot != nil && !c.options.ServeStale && c.host.Now() >= c.leaseExpiry && !c.lapseReported
+	c.lapseReported = c.lapseReported || lapsed
+	c.mu.Unlock()
+	if lapsed {
+		c.host.Report(eventlog.ConfigLeaseExpired, map[string]any{})
+	}
+}
--- /dev/null
+++ b/internal/proxy/configclient/poll.go
@@ -0,0 +1,138 @@
+package configclient
+
+import (
+	"bytes"
+	"compress/flate"
+	"errors"
+	"io"
+
+	"snowflow/internal/config"
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+const (
+	// minRetryDelay is the least time before a poll is repeated that has failed; as much again is added at random.
+	minRetryDelay = 100 * monotonic.Millisecond
+	// pingTimeout is how long a configuration store that wasn't reached may take to answer a ping.
+	pingTimeout = 500 * monotonic.Millisecond
+	// transferTimeout is what the answer to a poll may take beyond the time the poll is kept open: a long content on a slow link.
+	transferTimeout = 1500 * monotonic.Millisecond
+	// minLongPoll is how long a poll is at least expected to be kept open.
+	minLongPoll = monotonic.Second
+)
+
+var errTooLong = errors.New("configclient: the content exceeds the limit of configurations")
+
+// Run polls for ever. Each adoption is reported by the next poll, which is sent at once.
+func (c *Client) Run() {
+	first := true
+	for {
+		if c.poll(first) {
+			first = false
+			continue
+		}
+		first = true
+		c.host.Sleep(minRetryDelay + monotonic.Micros(c.host.Random()%uint64(minRetryDelay)))
+		c.reportLapse()
+	}
+}
+
+// poll sends one poll and adopts what it's answered with. First is set for the first poll after a failed one: it's answered
+// without waiting for a newer version. It returns false if no primary has answered or its answer can't be used.
+func (c *Client) poll(first bool) bool {
+	version, _ := c.Version()
+	current := version
+	if c.unconfirmedSince > 0 {
+		current = 0
+	}
+	target := c.pollTarget(current)
+	if target == "" || first && current > 0 && !c.ping(target) {
+		c.resolver.Refresh()
+		return false
+	}
+	timeout := c.pollTimeout()
+	requestedAt := c.host.Now()
+	response := &wire.ConfigPollResponse{}
+	if err := c.resolver.Call(target, wire.Kind_config_poll, c.pollRequest(current, first), response, timeout); err != nil {
+		c.resolver.Refresh()
+		return false
+	}
+	c.resolver.ObservePrimaries(response.Primaries)
+	if err := decompress(response); err != nil {
+		c.host.Report(eventlog.ConfigRejected, map[string]any{"serial": response.Version, "error": err.Error()})
+		return false
+	}
+	if !response.Primary {
+		if current == 0 && c.options.ServeStale && response.Version > version {
+			c.adopt(response, 0)
+		}
+		c.resolver.Refresh()
+		return false
+	}
+	return c.adopt(response, requestedAt+monotonic.Micros(response.Lease))
+}
+
+func (c *Client) pollRequest(current uint64, first bool) *wire.ConfigPollRequest {
+	request := &wire.ConfigPollRequest{
+		Proxy:             c.options.Proxy,
+		Incarnation:       c.options.Incarnation,
+		CurrentVersion:    current,
+		First:             first,
+		Full:              c.requestFull,
+		AcceptsCompressed: true,
+	}
+	if c.resources != nil && current > 0 {
+		request.Digest = c.resources.Digest()
+	}
+	return request
+}
+
+func (c *Client) pollTimeout() monotonic.Micros {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return max(c.longPoll, minLongPoll) + transferTimeout
+}
+
+// pollTarget returns the configuration store to poll, empty if none is known: the primary, or all in turn while the proxy has no
+// version of a primary and may serve stale.
+func (c *Client) pollTarget(current uint64) string {
+	leader := c.resolver.Leader(storeGroup)
+	if current > 0 || !c.options.ServeStale {
+		return leader
+	}
+	c.emptyPolls++
+	if leader != "" && c.emptyPolls%2 == 1 {
+		return leader
+	}
+	if members := c.resolver.Members(storeGroup); len(members) > 0 {
+		return members[c.emptyPolls/2%len(members)]
+	}
+	return leader
+}
+
+// ping reports whether a configuration store answers that wasn't reached, or wasn't the primary, before it's polled again. A poll
+// may take as long as a long content needs; a proxy that was cut off would be back that much later.
+func (c *Client) ping(target string) bool {
+	response := &wire.DiscoverResponse{}
+	if c.resolver.Call(target, wire.Kind_discover, &wire.DiscoverRequest{}, response, pingTimeout) != nil {
+		return false
+	}
+	c.resolver.ObservePrimaries(response.Primaries)
+	return true
+}
+
+// decompress replaces a compressed content by the plain one. No content is longer than the configuration stores accept.
+func decompress(response *wire.ConfigPollResponse) error {
+	if len(response.Compressed) == 0 {
+		return nil
+	}
+	reader := flate.NewReader(bytes.NewReader(response.Compressed))
+	content, err := io.ReadAll(io.LimitReader(reader, config.MaxContentSize+1))
+	if err == nil && len(content) > config.MaxContentSize {
+		err = errTooLong
+	}
+	response.Content, response.Compressed = content, nil
+	return err
+}
