--- a/internal/resourcepath/resourcepath.go
+++ b/internal/resourcepath/resourcepath.go
@@ -1,5 +1,5 @@
-// Package resourcepath gives every resource one spelling, so that a request is resolved, claimed and handed over by the same
-// path however its caller wrote it.
+// Package resourcepath brings the targets of requests into canonical form, so that a request is routed, matched with its
+// idempotency key and forwarded by the same path however its client wrote it.
 package resourcepath
 
 import (
@@ -9,41 +9,42 @@
 	"snowflow/internal/apierror"
 )
 
-// RequestTarget is a request's target in its one spelling.
-// Invariants: Path starts with a slash and has no empty, "." or ".." segment; a decoded Path has exactly one Target,
-// leaving the query aside.
+// RequestTarget is a request's target in canonical form.
+//
+// Invariants: Path starts with a slash and has no empty, "." or ".." segment, except that it may end with a slash; all targets of
+// one Path have the same Encoded form, apart from the query.
 type RequestTarget struct {
-	Path    string // decoded, without the query
-	Encoded string // as it goes out: escaped path and query
+	// Path is the decoded path, without the query.
+	Path string
+	// Encoded is the target as it's sent: the escaped path, and the query as it came.
+	Encoded string
 }
 
-// Parse takes a target as it was sent. Escapes are resolved, doubled slashes and dot segments taken out. What different
-// readers would take for different resources is turned down: an escaped slash, a backslash, a control character.
+// Parse brings a target into canonical form: it resolves escapes, and removes empty and dot segments. Targets that different
+// servers may take for different resources are refused with an apierror.Invalid: an escaped slash, a backslash, a control
+// character, and escapes that can't be decoded.
 func Parse(target string) (RequestTarget, error) {
 	escaped, query, _ := strings.Cut(target, "?")
 	if !strings.HasPrefix(escaped, "/") {
 		return RequestTarget{}, apierror.Invalid.New("a target must start with /")
 	}
 	segments := []string{}
-	trailing := false
+	trailingSlash := false
 	for _, part := range strings.Split(escaped[1:], "/") {
-		segment, err := url.PathUnescape(part)
+		segment, err := decodeSegment(part)
 		if err != nil {
-			return RequestTarget{}, apierror.Invalid.New("unreadable escape in %q", part)
+			return RequestTarget{}, err
 		}
-		if strings.ContainsFunc(segment, ambiguous) {
-			return RequestTarget{}, apierror.Invalid.New("%q holds a slash, a backslash or a control character", part)
-		}
-		trailing = segment == "" || segment == "." || segment == ".."
+		trailingSlash = segment == "" || segment == "." || segment == ".."
 		switch {
 		case segment == ".." && len(segments) > 0:
 			segments = segments[:len(segments)-1]
-		case !trailing:
+		case !trailingSlash:
 			segments = append(segments, segment)
 		}
 	}
 	path := "/" + strings.Join(segments, "/")
-	if trailing && len(segments) > 0 {
+	if trailingSlash && len(segments) > 0 {
 		path += "/"
 	}
 	canonical := RequestTarget{Path: path, Encoded: (&url.URL{Path: path}).EscapedPath()}
@@ -53,11 +54,23 @@
 	return canonical, nil
 }
 
+func decodeSegment(part string) (string, error) {
+	segment, err := url.PathUnescape(part)
+	if err != nil {
+		return "", apierror.Invalid.New("unreadable escape in %q", part)
+	}
+	if strings.ContainsFunc(segment, ambiguous) {
+		return "", apierror.Invalid.New("%q holds a slash, a backslash or a control character", part)
+	}
+	return segment, nil
+}
+
+// ambiguous reports whether servers differ in what they take a character within a segment for.
 func ambiguous(character rune) bool {
 	return character == '/' || character == '\\' || character < ' ' || character == 0x7f
 }
 
-// TrimTrailingSlash is a path without what only some readers take for a difference: a slash at its end.
+// TrimTrailingSlash returns a path without slashes at its end, which only some servers take for a difference. The root stays "/".
 func TrimTrailingSlash(path string) string {
 	if trimmed := strings.TrimRight(path, "/"); trimmed != "" {
 		return trimmed
--- a/internal/resourcepath/resourcepath_test.go
+++ b/internal/resourcepath/resourcepath_test.go
@@ -10,7 +10,8 @@
 	"snowflow/internal/resourcepath"
 )
 
-// TestSpellings keeps a transcript of targets as sent, and what each is resolved, claimed and handed over as.
+// TestSpellings approves a transcript of targets as clients send them, and the canonical forms by which they are routed, matched
+// with their idempotency keys and forwarded.
 func TestSpellings(t *testing.T) {
 	datadriven.RunTest(t, "testdata/spellings", func(t *testing.T, data *datadriven.TestData) string {
 		var text strings.Builder
@@ -20,7 +21,7 @@
 				fmt.Fprintf(&text, "%s: refused, %v\n", target, err)
 				continue
 			}
-			// The one spelling of a spelling is itself.
+			// A canonical form is its own canonical form.
 			if again, err := resourcepath.Parse(address.Encoded); err != nil || again != address {
 				t.Errorf("%s: %v, then %v %v", target, address, again, err)
 			}
