--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -228,7 +228,7 @@
 	var answers []string
 	started.onLeader(t, func(leader *process) error {
 		for _, version := range acceptedVersions {
-			response, err := leader.configStore.ReadStates(&wire.ConfigReadRequest{Version: version})
+			response, err := leader.configStore.ReadVersions(&wire.ConfigReadRequest{Version: version})
 			if err != nil {
 				return err
 			}
@@ -237,7 +237,7 @@
 				return fmt.Errorf("version %d has the content %q", version, response.Versions[0].Content)
 			}
 		}
-		list, err := leader.configStore.ReadStates(&wire.ConfigReadRequest{List: true})
+		list, err := leader.configStore.ReadVersions(&wire.ConfigReadRequest{List: true})
 		if err != nil {
 			return err
 		}
