--- a/internal/config/changes/changes.go
+++ b/internal/config/changes/changes.go
@@ -28,9 +28,6 @@
 	base, digest Digest
 }
 
-// Empty reports whether the versions are the same.
-func (d *Difference) Empty() bool { return d.Len() == 0 }
-
 // Len is the number of resources in which the versions differ.
 func (d *Difference) Len() int { return len(d.Added) + len(d.Changed) + len(d.Removed) }
 
--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -285,7 +285,7 @@
 	slices.Reverse(turned.Routes)
 	slices.Reverse(turned.Groups)
 	turned.Note = "turned"
-	if one, other := read(t, state), read(t, turned); !same(one, other) || !changes.Diff(one, other).Empty() {
+	if one, other := read(t, state), read(t, turned); !same(one, other) || changes.Diff(one, other).Len() > 0 {
 		t.Error("the order counts")
 	}
 }
--- a/internal/config/changes/cost_test.go
+++ b/internal/config/changes/cost_test.go
@@ -59,7 +59,7 @@
 			}
 		})
 		full := len(marshal(t, next))
-		t.Logf("1 of %d routes: difference %d bytes, whole %d bytes, %.1f ms against %.1f ms on a line of 5 Mbit/s; %.0f objects made", routes, len(content), full,
+		t.Logf("1 of %d routes: difference %d bytes, full %d bytes, %.1f ms against %.1f ms on a link of 5 Mbit/s; %.0f allocations", routes, len(content), full,
 			float64(len(content))*8/5e3, float64(full)*8/5e3, objects[routes])
 		if len(content)*10 > full && routes >= 100 {
 			t.Errorf("1 of %d routes: %d bytes of %d", routes, len(content), full)
@@ -96,7 +96,7 @@
 				}
 				return snapshot.With(step.Change, 2, "")
 			}},
-			{"whole", full, func() (*config.Snapshot, error) {
+			{"full", full, func() (*config.Snapshot, error) {
 				state, _ := config.ParseAccepted(full)
 				set, err := changes.NewSet(state)
 				if err != nil {
--- a/internal/config/changes/set.go
+++ b/internal/config/changes/set.go
@@ -28,7 +28,7 @@
 // anyMethod is how a route is keyed that leaves its method out.
 const anyMethod = "*"
 
-// ErrInvalidSet tells that a configuration isn't a set of resources, because something is there twice or leads nowhere. Such a
+// ErrInvalidSet means that a configuration isn't a set of resources, because something is there twice or leads nowhere. Such a
 // configuration is invalid too, but a build that checked less may have accepted it.
 var ErrInvalidSet = resource.ErrInvalidSet
 
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// kindChecks tell for the kinds of fields which JSON values they accept.
+// kindChecks are the JSON values that each kind of field accepts.
 var kindChecks = map[protoreflect.Kind]struct {
 	expected string
 	accepts  func(value any) bool
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -7,7 +7,7 @@
 	"snowflow/internal/config/shared"
 )
 
-// matchKey is what a route matches, and its place in the table.
+// matchKey is what a route matches, and its key in the table.
 type matchKey struct{ host, prefix, method string }
 
 func keyOf(route *Route) matchKey { return matchKey{route.Host, route.Prefix, route.Method} }
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ErrChange tells that a change doesn't fit the snapshot that it was applied to.
+// ErrChange means that a change doesn't fit the snapshot that it was applied to.
 var ErrChange = errors.New("config: the change doesn't fit the snapshot")
 
 // Change is what turns a snapshot into the next one. What is removed includes the former paths and routes of those that changed;
--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -84,7 +84,7 @@
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(content) // the client may have gone; there's nobody else to tell
+	_ = json.NewEncoder(w).Encode(content) // an error means that the client has gone
 }
 
 func writeError(w http.ResponseWriter, status int, message string) {
--- a/internal/configstore/api/store.go
+++ b/internal/configstore/api/store.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	// ErrNotAccepted tells that no configuration store has accepted the content, and none will.
+	// ErrNotAccepted means that no configuration store has accepted the content, and none will.
 	ErrNotAccepted = errors.New("not taken: no primary postmaster is within this one's reach; ask another")
-	// ErrOutcomeUnknown tells that the content may have been accepted, or may still be. Applying it again unchanged is harmless.
+	// ErrOutcomeUnknown means that the content may have been accepted, or may still be. Applying it again unchanged is harmless.
 	ErrOutcomeUnknown = errors.New("whether it was accepted is not known; apply it again with the same request id")
 
 	errDigestMismatch = errors.New("the answer isn't what its digest says")
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -18,7 +18,7 @@
 	maxAdoptionRecheck = 250 * monotonic.Millisecond
 )
 
-// ErrUnacknowledged tells that the configuration may have been accepted. Applying it again with the same request ID or version
+// ErrUnacknowledged means that the configuration may have been accepted. Applying it again with the same request ID or version
 // is harmless and gives the outcome.
 var ErrUnacknowledged = errors.New("postmaster: outcome unknown, ask again with the same request id")
 
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// open returns the repository and how many of the versions it holds already. An error tells that it can't be read, or that its
+// open returns the repository and how many of the versions it holds already. An error means that it can't be read, or that its
 // newest commit isn't one of the versions.
 func (a *Archive) open(states []*wire.StoredConfig) (repository *git.Repository, committed int, err error) {
 	repository, err = git.PlainOpen(a.folder)
--- a/internal/configstore/delta/delta.go
+++ b/internal/configstore/delta/delta.go
@@ -14,7 +14,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// ErrCorrupt tells that bytes can't be decoded with the given base, or give a content longer than allowed.
+// ErrCorrupt means that bytes can't be decoded with the given base, or give a content longer than allowed.
 var ErrCorrupt = errors.New("delta: corrupt, too long or from another base")
 
 const (
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -107,13 +107,6 @@
 	return c.computed
 }
 
-// Size returns the number of cached versions, and the bytes that count against the limit.
-func (c *Cache) Size() (count, size int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.versions), c.size()
-}
-
 // The methods below must be called with mu held.
 
 func (c *Cache) compute(base, latest *wire.StoredConfig, from, to *changes.Set) []byte {
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -66,7 +66,7 @@
 }
 
 // grantLease starts or extends the lease of the proxy that polls. A released lease stays released: the poll was sent by the
-// same incarnation before the release, and was kept open until now.
+// same incarnation before the release, and was open until now.
 func (s *Server) grantLease(request *wire.ConfigPollRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -49,7 +49,7 @@
 	inheritedEpoch  uint64
 }
 
-// Open reads the stored state from disk. It doesn't serve before Register and Start. An error tells that the timeouts don't fit
+// Open reads the stored state from disk. It doesn't serve before Register and Start. An error means that the timeouts don't fit
 // together or that the disk can't be read.
 func Open(options Options) (*Server, error) {
 	if options.Parse == nil {
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// leaseMargin is the least by which a lease must outlast a long poll: the way of the answer and of the next poll.
+	// leaseMargin is the least by which a lease must outlast a long poll: time for the response and the next request.
 	leaseMargin = monotonic.Second
 	// acknowledgeMargin is how much longer than a lease an apply waits for proxies: time for a primary that was just elected to
 	// pass its own unknownLeasePeriod.
@@ -34,7 +34,7 @@
 	// LeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. It isn't used with
 	// ServeStale.
 	LeaseSlack monotonic.Micros
-	// LongPoll is how long a poll is kept open while there is no newer version.
+	// LongPoll is how long a poll stays open while there is no newer version.
 	LongPoll monotonic.Micros
 	// AdoptionTimeout is, with ServeStale, the longest time from the commit of a version until its apply is acknowledged. Until
 	// then the apply waits for the proxies that were heard within the last Lease.
@@ -69,8 +69,8 @@
 	return t
 }
 
-// validate returns an error if the durations don't fit together. A lease must outlast a long poll and the next poll's way, or
-// proxies that are in contact would lose it.
+// validate returns an error if the durations don't fit together. A lease must outlast a long poll and the request after it,
+// or proxies that are in contact would lose it.
 func (t Timeouts) validate() error {
 	if t.LeaseSlack < 0 || t.LongPoll < 0 || t.AdoptionTimeout < 0 || t.LeaseSlack >= t.Lease {
 		return errTimeoutRange
--- a/internal/configstore/versions/store.go
+++ b/internal/configstore/versions/store.go
@@ -139,7 +139,7 @@
 	return content
 }
 
-// Restore replaces the state by a snapshot's. On an error, which tells that the snapshot is corrupt, the state is left as it
+// Restore replaces the state by a snapshot's. On an error, which means that the snapshot is corrupt, the state is left as it
 // was.
 func (s *Store) Restore(content []byte) error {
 	snapshot := &wire.ConfigSnapshot{}
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -22,10 +22,10 @@
 type Options struct {
 	Host     host.Host
 	Resolver *discovery.Resolver
-	// Proxy is the proxy's name, and Incarnation tells its processes apart.
+	// Proxy is the proxy's name, and Incarnation a number that differs for each of its processes.
 	Proxy       string
 	Incarnation uint64
-	// ClockWatch tells whether the clock may be behind, so that a lease's end can't be judged.
+	// ClockWatch reports whether the clock may have gone back, so that a lease's end can't be judged.
 	ClockWatch *clockwatch.Watcher
 	// Parse reads accepted contents, config.ParseAccepted if nil.
 	Parse config.Parser
@@ -65,7 +65,7 @@
 	lapseReported bool
 	// released is set once the proxy has stopped serving for good and takes no more leases.
 	released bool
-	// longPoll is how long the primary keeps a poll open, by its last answer.
+	// longPoll is how long the primary leaves a poll open, by its last response.
 	longPoll monotonic.Micros
 	// waiters are fired at the next adoption.
 	waiters []host.Signal
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -17,7 +17,7 @@
 	minRetryDelay = 100 * monotonic.Millisecond
 	// pingTimeout is how long a configuration store that wasn't reached may take to answer a ping.
 	pingTimeout = 500 * monotonic.Millisecond
-	// transferTimeout is what the answer to a poll may take beyond the time the poll is kept open: a long content on a slow link.
+	// transferTimeout is what the answer to a poll may take beyond the time the poll stays open: a long content on a slow link.
 	transferTimeout = 1500 * monotonic.Millisecond
 	// minLongPoll is how long a poll is at least expected to be kept open.
 	minLongPoll = monotonic.Second
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -27,7 +27,7 @@
 
 var deterministic = proto.MarshalOptions{Deterministic: true}
 
-// New returns a resource. Its message must not be changed afterwards. An error tells that the message can't be encoded.
+// New returns a resource. Its message must not be changed afterwards. An error means that the message can't be encoded.
 func New(key string, message proto.Message) (*Resource, error) {
 	content, err := deterministic.Marshal(message)
 	if err != nil {
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrInvalidSet tells that resources don't form a set, because some key is there twice.
+// ErrInvalidSet means that resources don't form a set, because some key is there twice.
 var ErrInvalidSet = errors.New("resource: no set of resources")
 
 // bucketCount is the number of buckets of a set. It's part of what the digest means: processes of all builds must use the same.
