--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -1,10 +1,12 @@
-// Package discovery keeps where the core is: addresses by name, and which name leads each group.
-// Identity is a name; an address is only where that name last answered, so seeds may be stale.
+// Package discovery keeps what a process knows of the control plane: the addresses of its processes by name, and which of them
+// is the primary of each group.
+//
+// A process is identified by its name. An address is only where that name answered last, so the configured seeds may be stale:
+// any process that answers at one of them tells the others' addresses. Processes exchange what they know by discover requests,
+// and may store it on disk to find the others again after all seeds have changed.
 package discovery
 
 import (
-	"errors"
-	"fmt"
 	"slices"
 	"sort"
 	"sync"
@@ -18,156 +20,139 @@
 	"snowflow/internal/wal"
 )
 
+// maxAddresses bounds the addresses that are kept of one name.
 const maxAddresses = 4
 
-// Resolver is one process's knowledge of the core.
-// Invariants: each name has at most maxAddresses addresses, the one that last answered first;
-// a group's primary only changes for one of a higher epoch.
+// Resolver is one process's knowledge of the control plane. It is safe for concurrent use, except where a method says otherwise.
+//
+// Invariants:
+//   - Each name has at most maxAddresses addresses. The first is the one to call; a failed call moves it to the end.
+//   - The primary of a group is replaced only by one of a higher epoch.
 type Resolver struct {
-	host            host.Host
-	lock            sync.Mutex
-	self            *wire.PeerAddress
-	addresses       map[string][]string
-	groups          map[string]string
-	supportsBatches map[string]bool   // names that said they take batches
-	domains         map[string]string // failure domains, of names that told theirs
-	supportsDeltas  map[string]bool   // names that said they take contents as differences
-	primaries       map[string]*wire.Primary
-	seeds           []string
-	nextTarget      int
-	lastQuery       monotonic.Micros
-	pending         map[string]bool // targets that haven't answered yet
-	store           *wal.Log        // addresses on disk, nil where there is no disk or it failed
-	lastWritten     string
+	host host.Host
+	self *wire.PeerAddress // nil for a process outside the control plane
+
+	lock       sync.Mutex // guards the fields below
+	peers      map[string]*peer
+	primaries  map[string]*wire.Primary // by group
+	seeds      []string
+	nextTarget int              // counts the targets that Refresh chose
+	lastQuery  monotonic.Micros // when Refresh last asked; zero if it never did
+	pending    map[string]bool  // targets that have not answered yet
+
+	store store // used by Persist and then by Run alone
 }
 
-// refreshInterval bounds how often one process asks who the core is, however many of its tasks want to know.
-const refreshInterval = 100 * monotonic.Millisecond
+// peer is what is known of one name.
+type peer struct {
+	group, domain   string
+	addresses       []string // never empty
+	batches, deltas bool     // whether it said that it accepts them
+}
 
-// New makes a book. own is nil for a process that is not of the core.
+// New returns a resolver that knows the seeds and, unless nil, the process itself.
 func New(h host.Host, self *wire.PeerAddress, seeds []string) *Resolver {
-	resolver := &Resolver{host: h, self: self, pending: map[string]bool{}, addresses: map[string][]string{}, groups: map[string]string{}, supportsBatches: map[string]bool{}, supportsDeltas: map[string]bool{}, domains: map[string]string{},
-		primaries: map[string]*wire.Primary{}, seeds: seeds}
-	if self != nil {
-		resolver.AddPeers([]*wire.PeerAddress{self})
+	resolver := &Resolver{
+		host: h, self: self, seeds: seeds, peers: map[string]*peer{}, primaries: map[string]*wire.Primary{}, pending: map[string]bool{},
 	}
+	resolver.addSelf()
 	return resolver
 }
 
-// AdvertiseBatches has this process tell the others that it takes batches. It's called before the process serves.
-func (r *Resolver) AdvertiseBatches() {
+func (r *Resolver) addSelf() {
 	if r.self != nil {
-		r.self.Batches = true
 		r.AddPeers([]*wire.PeerAddress{r.self})
 	}
 }
 
-// SupportsBatches tells whether a name is known to take several asks in one message.
-func (r *Resolver) SupportsBatches(name string) bool {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return r.supportsBatches[name]
+// AdvertiseBatches makes this process tell others that it accepts several commands in one message. It must be called before the
+// process serves.
+func (r *Resolver) AdvertiseBatches() {
+	if r.self != nil {
+		r.self.Batches = true
+		r.addSelf()
+	}
 }
 
-// AdvertiseDeltas has this process tell the others that it takes contents as differences. It's called before the process serves.
+// AdvertiseDeltas makes this process tell others that it accepts configurations as deltas. It must be called before the process
+// serves.
 func (r *Resolver) AdvertiseDeltas() {
 	if r.self != nil {
 		r.self.Deltas = true
-		r.AddPeers([]*wire.PeerAddress{r.self})
+		r.addSelf()
 	}
 }
 
-// AllSupportDeltas tells whether all of some names are known to take contents as differences.
+// SupportsBatches reports whether a name is known to accept several commands in one message.
+func (r *Resolver) SupportsBatches(name string) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	present := r.peers[name]
+	return present != nil && present.batches
+}
+
+// AllSupportDeltas reports whether all names are known to accept configurations as deltas.
 func (r *Resolver) AllSupportDeltas(names ...string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return !slices.ContainsFunc(names, func(name string) bool { return !r.supportsDeltas[name] })
+	return !slices.ContainsFunc(names, func(name string) bool {
+		present := r.peers[name]
+		return present == nil || !present.deltas
+	})
 }
 
-// Domain is the failure domain that a name told it stands in, empty if it told none.
+// Domain returns the failure domain that a name advertised, or an empty string.
 func (r *Resolver) Domain(name string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.domains[name]
+	if present := r.peers[name]; present != nil {
+		return present.domain
+	}
+	return ""
 }
 
-// SetSeeds replaces the seeds: the platform names others in the course of a process's life.
+// SetSeeds replaces the seeds. A platform may name others while the process runs.
 func (r *Resolver) SetSeeds(seeds []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.seeds = seeds
 }
 
-const addressFile = "addresses"
-
-// Persist keeps what is learned on a disk, so that a process finds the others again after all seeds have gone stale. It's
-// a help, not a promise: a disk that fails is done without.
-func (r *Resolver) Persist(disk wal.Disk) {
-	store, err := wal.Open(disk, addressFile, func(content []byte) error {
-		stored := &wire.RegisterRecord{}
-		if err := proto.Unmarshal(content, stored); err != nil {
-			return err
-		}
-		r.AddPeers(stored.Known)
-		return nil
-	})
-	if err != nil {
-		store, err = wal.Recreate(disk, addressFile)
-	}
-	if err == nil {
-		r.store = store
-	}
-}
-
-// note writes the addresses down if they changed.
-func (r *Resolver) persistChanges() {
-	if r.store == nil {
-		return
-	}
-	known := r.Peers()
-	text := fmt.Sprint(known)
-	if text == r.lastWritten {
-		return
-	}
-	content, err := proto.Marshal(&wire.RegisterRecord{Known: known})
-	if err == nil {
-		err = r.store.Rewrite(content)
-	}
-	if err == nil {
-		r.lastWritten = text
-	} else if errors.Is(err, wal.ErrSyncFailed) {
-		r.store = nil
-	}
-}
-
-// AddPeers adds addresses heard of. Addresses already known keep their rank.
-func (r *Resolver) AddPeers(peers []*wire.PeerAddress) {
+// AddPeers adds addresses that another process knows. An address that is known already keeps its rank; a new one is tried right
+// after the one that works now. Entries without a name or an address are ignored.
+func (r *Resolver) AddPeers(addresses []*wire.PeerAddress) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for _, peer := range peers {
-		if peer.Name == "" || peer.Address == "" {
+	for _, added := range addresses {
+		if added.Name == "" || added.Address == "" {
 			continue
 		}
-		r.groups[peer.Name] = peer.Group
-		r.supportsBatches[peer.Name] = r.supportsBatches[peer.Name] || peer.Batches
-		if peer.Domain != "" {
-			r.domains[peer.Name] = peer.Domain
-		}
-		r.supportsDeltas[peer.Name] = r.supportsDeltas[peer.Name] || peer.Deltas
-		addresses := r.addresses[peer.Name]
-		if slices.Contains(addresses, peer.Address) {
-			continue
+		present := r.peers[added.Name]
+		if present == nil {
+			present = &peer{}
+			r.peers[added.Name] = present
 		}
-		if len(addresses) == maxAddresses {
-			addresses = addresses[:maxAddresses-1]
+		present.group = added.Group
+		present.batches = present.batches || added.Batches
+		present.deltas = present.deltas || added.Deltas
+		if added.Domain != "" {
+			present.domain = added.Domain
 		}
-		// A new address is tried right after the one that works now.
-		position := min(1, len(addresses))
-		r.addresses[peer.Name] = append(append(append([]string(nil), addresses[:position]...), peer.Address), addresses[position:]...)
+		present.addAddress(added.Address)
+	}
+}
+
+// addAddress adds an address as the second, in place of the last one if there are maxAddresses.
+func (p *peer) addAddress(address string) {
+	if slices.Contains(p.addresses, address) {
+		return
 	}
+	kept := p.addresses[:min(len(p.addresses), maxAddresses-1)]
+	position := min(1, len(kept))
+	p.addresses = slices.Concat(kept[:position], []string{address}, kept[position:])
 }
 
-// ObservePrimaries takes news of who leads a group.
+// ObservePrimaries takes in which processes another one holds for primaries.
 func (r *Resolver) ObservePrimaries(primaries []*wire.Primary) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -178,7 +163,7 @@
 	}
 }
 
-// Primaries tells who leads, as far as is known.
+// Primaries returns the primaries known, sorted by group. They are shared and must not be changed.
 func (r *Resolver) Primaries() []*wire.Primary {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -186,11 +171,11 @@
 	for _, primary := range r.primaries {
 		primaries = append(primaries, primary)
 	}
-	sort.Slice(primaries, func(first, second int) bool { return primaries[first].Group < primaries[second].Group })
+	sort.Slice(primaries, func(i, j int) bool { return primaries[i].Group < primaries[j].Group })
 	return primaries
 }
 
-// Leader is the name that leads a group, or nothing.
+// Leader returns the name of a group's primary, or an empty string if none is known.
 func (r *Resolver) Leader(group string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -200,27 +185,28 @@
 	return ""
 }
 
-// Peers lists every address, best first within a name.
+// Peers returns every known address, sorted by name, and within a name in the order of their rank.
 func (r *Resolver) Peers() []*wire.PeerAddress {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	var peers []*wire.PeerAddress
-	for name, addresses := range r.addresses {
-		for _, address := range addresses {
-			peers = append(peers, &wire.PeerAddress{Name: name, Address: address, Group: r.groups[name], Batches: r.supportsBatches[name], Deltas: r.supportsDeltas[name], Domain: r.domains[name]})
+	var addresses []*wire.PeerAddress
+	for name, present := range r.peers {
+		for _, address := range present.addresses {
+			addresses = append(addresses, &wire.PeerAddress{Name: name, Address: address, Group: present.group,
+				Batches: present.batches, Deltas: present.deltas, Domain: present.domain})
 		}
 	}
-	sort.SliceStable(peers, func(first, second int) bool { return peers[first].Name < peers[second].Name })
-	return peers
+	sort.SliceStable(addresses, func(i, j int) bool { return addresses[i].Name < addresses[j].Name })
+	return addresses
 }
 
-// Members lists the names of a group.
+// Members returns the names of a group, sorted.
 func (r *Resolver) Members(group string) []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var names []string
-	for name := range r.addresses {
-		if r.groups[name] == group {
+	for name, present := range r.peers {
+		if present.group == group {
 			names = append(names, name)
 		}
 	}
@@ -228,17 +214,18 @@
 	return names
 }
 
-// Address is where a name is tried next.
+// Address returns the address at which a name is called next, or an empty string if none is known.
 func (r *Resolver) Address(name string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if addresses := r.addresses[name]; len(addresses) > 0 {
-		return addresses[0]
+	if present := r.peers[name]; present != nil {
+		return present.addresses[0]
 	}
 	return ""
 }
 
-// Call sends to a name. When its address turns out not to be it, the next address is taken for the next call.
+// Call sends a request to a name and waits for its response. Its errors are those of host.Host; it is Unreachable if no address
+// is known. After a failed call the next address of the name is tried by the next call.
 func (r *Resolver) Call(name string, kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	address := r.Address(name)
 	if address == "" {
@@ -246,85 +233,20 @@
 	}
 	err := r.host.Call(address, kind, request, response, timeout)
 	if err != nil {
-		r.lock.Lock()
-		if addresses := r.addresses[name]; len(addresses) > 1 && addresses[0] == address {
-			r.addresses[name] = append(append([]string(nil), addresses[1:]...), address)
-		}
-		r.lock.Unlock()
+		r.demote(name, address)
 	}
 	return err
 }
 
-// Register adds the answer to "who is the core now".
-func (r *Resolver) Register(handlers host.Handlers) {
-	host.Handle(handlers, wire.Kind_discover, func(request *wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
-		r.AddPeers(request.Known)
-		if request.HealthCheck {
-			return &wire.DiscoverResponse{}, nil
-		}
-		return &wire.DiscoverResponse{Known: r.Peers(), Primaries: r.Primaries()}, nil
-	})
-}
-
-// Run keeps asking seeds and known processes who the core is. It never returns.
-func (r *Resolver) Run(interval monotonic.Micros) {
-	for {
-		r.Refresh()
-		r.persistChanges()
-		r.host.Sleep(interval + monotonic.Micros(r.host.Random()%uint64(interval/4+1)))
-	}
-}
-
-// Refresh asks the next seed or known address once, unless that was just done.
-func (r *Resolver) Refresh() {
+// demote moves an address to the end of its name's, if it is still the first.
+func (r *Resolver) demote(name, address string) {
 	r.lock.Lock()
-	now := r.host.Now()
-	recent := r.lastQuery != 0 && now-r.lastQuery < refreshInterval
-	if !recent {
-		r.lastQuery = now
-	}
-	r.lock.Unlock()
-	if recent {
-		return
-	}
-	r.lock.Lock()
-	targets := append([]string(nil), r.seeds...)
-	r.lock.Unlock()
-	for _, peer := range r.Peers() {
-		if (r.self == nil || peer.Name != r.self.Name) && !slices.Contains(targets, peer.Address) {
-			targets = append(targets, peer.Address)
-		}
-	}
-	if len(targets) == 0 {
-		return
-	}
-	r.lock.Lock()
-	// Whoever still owes an answer is passed over: there may be others who are there.
-	target := ""
-	for range targets {
-		target = targets[r.nextTarget%len(targets)]
-		if r.nextTarget++; !r.pending[target] {
-			break
-		}
-	}
-	if r.pending[target] {
-		r.lock.Unlock()
-		return
-	}
-	r.pending[target] = true
-	r.lock.Unlock()
-	defer func() {
-		r.lock.Lock()
-		defer r.lock.Unlock()
-		delete(r.pending, target)
-	}()
-	var known []*wire.PeerAddress
-	if r.self != nil {
-		known = []*wire.PeerAddress{r.self}
-	}
-	response := &wire.DiscoverResponse{}
-	if r.host.Call(target, wire.Kind_discover, &wire.DiscoverRequest{Known: known}, response, 500*monotonic.Millisecond) == nil {
-		r.AddPeers(response.Known)
-		r.ObservePrimaries(response.Primaries)
+	defer r.lock.Unlock()
+	if present := r.peers[name]; present != nil && len(present.addresses) > 1 && present.addresses[0] == address {
+		present.addresses = append(slices.Clone(present.addresses[1:]), address)
 	}
 }
+
+// Persist reads the addresses stored on a disk and makes Run store those learned later. It must be called before Run. The stored
+// addresses are a help, not needed: if the disk fails, the resolver goes on without them.
+func (r *Resolver) Persist(disk wal.Disk) { r.AddPeers(r.store.open(disk)) }
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -11,26 +11,26 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestHealthCheckOmitsPeers: who only asks for a sign of life gets no list of the core, which goes to and fro between zones for each long
-// request; who asks for the core gets it.
+// TestHealthCheckOmitsPeers checks that the response to a health check is empty, since it is sent for every long request and
+// often between zones, and that any other discover request gets the known processes.
 func TestHealthCheckOmitsPeers(t *testing.T) {
 	simulated := world.New(1)
 	defer simulated.Close()
-	server := simulated.Add("asked", "asked", "one", func(h *world.Host) (host.Handlers, error) {
-		resolver := New(h, &wire.PeerAddress{Name: "asked", Address: "asked", Group: "sorter"}, nil)
+	server := simulated.Add("server", "server", "one", func(h *world.Host) (host.Handlers, error) {
+		resolver := New(h, &wire.PeerAddress{Name: "server", Address: "server", Group: "sorter"}, nil)
 		handlers := host.Handlers{}
 		resolver.Register(handlers)
 		return handlers, nil
 	})
 	var healthCheck, full *wire.DiscoverResponse
-	client := simulated.Add("asker", "asker", "one", func(h *world.Host) (host.Handlers, error) {
+	client := simulated.Add("client", "client", "one", func(h *world.Host) (host.Handlers, error) {
 		h.Go(func() {
 			healthCheck, full = &wire.DiscoverResponse{}, &wire.DiscoverResponse{}
 			for _, call := range []struct {
 				request  *wire.DiscoverRequest
 				response *wire.DiscoverResponse
 			}{{&wire.DiscoverRequest{HealthCheck: true}, healthCheck}, {&wire.DiscoverRequest{}, full}} {
-				if err := h.Call("asked", wire.Kind_discover, call.request, call.response, monotonic.Second); err != nil {
+				if err := h.Call("server", wire.Kind_discover, call.request, call.response, monotonic.Second); err != nil {
 					t.Error(err)
 				}
 			}
@@ -44,9 +44,9 @@
 		t.Fatal(simulated.Panicked)
 	}
 	if proto.Size(healthCheck) != 0 {
-		t.Errorf("a sign of life is %d bytes: %v", proto.Size(healthCheck), healthCheck)
+		t.Errorf("the response to a health check is %d bytes: %v", proto.Size(healthCheck), healthCheck)
 	}
 	if len(full.GetKnown()) != 1 {
-		t.Errorf("the core is told as %v", full)
+		t.Errorf("the known processes are %v", full)
 	}
 }
