--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,4 +1,8 @@
-// Package apierror holds the errors of a request's way. Each says whether the request may have run.
+// Package apierror defines the errors of a request on its way through the mesh.
+//
+// Two kinds are told apart. A Fault is what a caller is told: a numbered cause with an HTTP status, and a verdict on whether the
+// request may have run. Unreachable, Lost, Refused and Invalid are the errors of a call between two processes of the mesh, from
+// which such a verdict is derived.
 package apierror
 
 import (
@@ -9,68 +13,70 @@
 	"snowflow/internal/monotonic"
 )
 
-// Verdict says what is known about a request that did not end with the backend's own answer.
+// Verdict tells whether a request that got no backend's response may have run. Its values are sent to callers.
 type Verdict string
 
 const (
-	// NotRun: no backend has run it, and none will under this name.
+	// NotRun means that no backend has run the request, and that none will.
 	NotRun Verdict = "not_run"
-	// MayHaveRun: it may have run, or may still.
+	// MayHaveRun means that a backend may have run the request, or may still.
 	MayHaveRun Verdict = "may_have_run"
 )
 
+var namespace = errorx.NewNamespace("snowflow")
+
+// The types of errors of a call between two processes. Test for them by IsUnreachable, IsLost and IsRefused.
 var (
-	space = errorx.NewNamespace("snowflow")
-	// Unreachable marks a call whose message certainly never reached the other process.
-	Unreachable = space.NewType("unreachable")
-	// Lost marks a call that may have reached the other process; no answer came back.
-	Lost = space.NewType("lost")
-	// Refused marks a call the other process received and turned down.
-	Refused = space.NewType("refused")
-	// Invalid marks bad input.
-	Invalid = space.NewType("invalid")
+	// Unreachable means that the request certainly never reached the other process.
+	Unreachable = namespace.NewType("unreachable")
+	// Lost means that the request may have reached the other process, but no reply came back.
+	Lost = namespace.NewType("lost")
+	// Refused means that the other process received the request and refused it.
+	Refused = namespace.NewType("refused")
+	// Invalid means that the request was malformed.
+	Invalid = namespace.NewType("invalid")
 )
 
-// Cause is the number of a refusal, stable across releases and listed in docs/interfaces.md.
-type Cause uint32
-
-// Fault is the error a caller is told about.
-// Invariant: Verdict is NotRun only when it is certain; when in doubt it's MayHaveRun.
+// Fault is the error that a caller is told.
+//
+// Invariant: Verdict is NotRun only if that is certain.
 type Fault struct {
 	Cause      Cause
 	Verdict    Verdict
-	RetryAfter monotonic.Micros
+	RetryAfter monotonic.Micros // zero if a retry is no use
 	Detail     string
-	// Backend is true when the fault is the backend's, and so counts against its guard.
+	// Backend means that the backend is to blame, so that the fault counts against its breaker.
 	Backend bool
-	// RetryAfterMeasured is true when RetryAfter is a wait that a gate measured, not the catalogue's.
+	// RetryAfterMeasured means that admission control measured RetryAfter; otherwise it is the catalogue's.
 	RetryAfterMeasured bool
-	// Local is true when the fault says nothing of how the backend does: it lies with the network, or a connection that it had forgotten.
+	// Local means that the fault tells nothing about the backend: its cause is the network, or a connection that the backend had
+	// closed for being idle.
 	Local bool
 }
 
-func (f *Fault) Error() string {
-	return fmt.Sprintf("cause %d %s (%s): %s", f.Cause, f.Cause.Name(), f.Verdict, f.Detail)
-}
-
-// New makes a fault from the catalogue's defaults.
+// New returns a fault with the catalogue's RetryAfter and Backend. The detail is formatted as by fmt.Sprintf.
 func New(cause Cause, verdict Verdict, format string, arguments ...any) *Fault {
 	entry := catalogue[cause]
 	return &Fault{Cause: cause, Verdict: verdict, RetryAfter: entry.retryAfter, Detail: fmt.Sprintf(format, arguments...),
 		Backend: entry.backend}
 }
 
-// NotRun reports the verdict as a boolean.
+// Error returns the cause, the verdict and the detail in one line.
+func (f *Fault) Error() string {
+	return fmt.Sprintf("cause %d %s (%s): %s", f.Cause, f.Cause.Name(), f.Verdict, f.Detail)
+}
+
+// NotRun reports whether the request has certainly not run.
 func (f *Fault) NotRun() bool { return f.Verdict == NotRun }
 
-// Status is the HTTP status a caller sees.
+// Status returns the HTTP status of the response to the caller.
 func (f *Fault) Status() int { return catalogue[f.Cause].status }
 
-// IsUnreachable tells whether a call's message certainly never reached the other process.
+// IsUnreachable reports whether an error is of type Unreachable.
 func IsUnreachable(err error) bool { return errorx.IsOfType(err, Unreachable) }
 
-// IsLost tells whether a message may or may not have been delivered.
+// IsLost reports whether an error is of type Lost.
 func IsLost(err error) bool { return errorx.IsOfType(err, Lost) }
 
-// IsRefused tells whether the other process turned the call down.
+// IsRefused reports whether an error is of type Refused.
 func IsRefused(err error) bool { return errorx.IsOfType(err, Refused) }
--- a/internal/apierror/causes.go
+++ b/internal/apierror/causes.go
@@ -2,52 +2,57 @@
 
 import "snowflow/internal/monotonic"
 
-// The causes. Numbers are never reused.
+// Cause is the number of a fault's cause. Numbers are stable across releases, never reused, and listed in docs/interfaces.md.
+type Cause uint32
+
+// The causes.
 const (
-	MissingKey              Cause = 101
-	UnknownPath             Cause = 102
-	BodyTooLarge            Cause = 103
-	BodyMismatch            Cause = 104
-	MalformedRequest        Cause = 105
-	NotReady                Cause = 201
-	ConfigLeaseExpired      Cause = 202
-	Draining                Cause = 203
-	StoppedInFlight         Cause = 204
-	BreakerOpen             Cause = 301
-	NoProbeLeft             Cause = 302
-	NoBackend               Cause = 303
-	Overloaded              Cause = 304
-	RetryBudgetExhausted    Cause = 305
-	DeadlineExceeded        Cause = 306
-	ForwardUnreachable      Cause = 401
-	ForwardLost             Cause = 402
-	VersionOlder            Cause = 403
-	VersionBehind           Cause = 404
-	BackendLeaving          Cause = 405
-	BackendUnknown          Cause = 406
-	BackendDialFailed       Cause = 407
-	BackendIdentityMismatch Cause = 408
-	BackendUnhealthy        Cause = 409
-	ResponseBroken          Cause = 501
-	ResponseTooLarge        Cause = 502
-	ResponseTimeout         Cause = 503
-	NotExecuted             Cause = 504
-	ResponseMismatch        Cause = 505
-	KeyPending              Cause = 601
-	ClaimUnreachable        Cause = 602
-	KeyFenced               Cause = 603
-	ClaimTimeout            Cause = 604
-	ResponseExpired         Cause = 605
-	ClientClosed            Cause = 701
+	MissingKey              Cause = 101 // the request needs an idempotency key and has none
+	UnknownPath             Cause = 102 // no service or route matches the path
+	BodyTooLarge            Cause = 103 // the body exceeds the limit
+	BodyMismatch            Cause = 104 // the idempotency key was used with a different body
+	MalformedRequest        Cause = 105 // the request cannot be read
+	NotReady                Cause = 201 // the proxy has no configuration or directory yet
+	ConfigLeaseExpired      Cause = 202 // the lease on the configuration expired
+	Draining                Cause = 203 // the proxy is shutting down
+	StoppedInFlight         Cause = 204 // the proxy stopped while the request was in flight
+	BreakerOpen             Cause = 301 // the service's breaker is open
+	NoProbeLeft             Cause = 302 // the service's breaker is half open and no probe is left
+	NoBackend               Cause = 303 // no backend is available
+	Overloaded              Cause = 304 // admission control rejected the request
+	RetryBudgetExhausted    Cause = 305 // the retry budget is exhausted
+	DeadlineExceeded        Cause = 306 // the request's deadline passed
+	ForwardUnreachable      Cause = 401 // the backend's proxy could not be reached
+	ForwardLost             Cause = 402 // the backend's proxy gave no response
+	VersionOlder            Cause = 403 // the request was resolved by an older configuration than the backend's proxy has
+	VersionBehind           Cause = 404 // the request was resolved by a newer configuration than the backend's proxy has
+	BackendLeaving          Cause = 405 // the backend is shutting down
+	BackendUnknown          Cause = 406 // the backend's proxy does not have that backend
+	BackendDialFailed       Cause = 407 // the backend did not accept the connection
+	BackendIdentityMismatch Cause = 408 // another instance runs at the address
+	BackendUnhealthy        Cause = 409 // the backend failed its health check
+	ResponseBroken          Cause = 501 // the backend's response was malformed or incomplete
+	ResponseTooLarge        Cause = 502 // the backend's response exceeds the limit
+	ResponseTimeout         Cause = 503 // the backend did not respond in time
+	NotExecuted             Cause = 504 // the backend stated that it did not run the request
+	ResponseMismatch        Cause = 505 // the response belongs to another request
+	KeyPending              Cause = 601 // another attempt with the idempotency key is pending
+	ClaimUnreachable        Cause = 602 // no registry could grant the claim
+	KeyFenced               Cause = 603 // the request was read before the fence of its key
+	ClaimTimeout            Cause = 604 // the claim was not granted in time
+	ResponseExpired         Cause = 605 // the recorded response to the key has expired
+	ClientClosed            Cause = 701 // the caller closed its connection
 )
 
+// causeEntry holds what faults of one cause have in common.
 type causeEntry struct {
-	name       string
-	status     int
-	retryAfter monotonic.Micros
-	backend    bool
+	name       string           // sent to callers and in metrics
+	status     int              // of the HTTP response
+	retryAfter monotonic.Micros // zero if a retry is no use
+	backend    bool             // whether the backend is to blame
 }
 
+// retrySoon is the usual time after which a caller should retry.
 const retrySoon = monotonic.Second
 
 var catalogue = map[Cause]causeEntry{
@@ -88,10 +93,10 @@
 	ResponseExpired:         {"answer_gone", 409, 2 * retrySoon, false},
 }
 
-// Name is the cause's word in the catalogue.
+// Name returns the cause's name, which is sent to callers and used in metrics.
 func (c Cause) Name() string { return catalogue[c].name }
 
-// Causes lists the catalogue, for the documents' own test.
+// Causes returns the names of all causes.
 func Causes() map[Cause]string {
 	names := map[Cause]string{}
 	for cause, entry := range catalogue {
--- a/internal/host/clockwatch/clockwatch.go
+++ b/internal/host/clockwatch/clockwatch.go
@@ -1,5 +1,8 @@
-// Package clockwatch watches a process's clock against its own sleeps. A decision clock ought never to step; where one does, what
-// was measured on it may end too early or too late, and must not be acted on.
+// Package clockwatch detects jumps of a process's monotonic clock by comparing it with the process's own sleeps.
+//
+// Leases and timeouts are measured on that clock. If it jumps ahead, or if the process is stalled, which looks alike from
+// inside, then a duration measured across the jump says nothing about what other processes did meanwhile; whoever measures asks
+// Steady before acting on it. If the clock steps back, the process stops: its leases would last longer than others grant them.
 package clockwatch
 
 import (
@@ -13,70 +16,70 @@
 )
 
 const (
-	// beat is how often the clock is looked at.
+	// checkInterval is how often the clock is checked.
 	checkInterval = 100 * monotonic.Millisecond
-	// gap is what may lie between two looks before the clock counts as leapt, or this process as having stood still: the two
-	// can't be told apart from inside.
+	// jumpThreshold is how much may pass between two checks before it counts as a jump.
 	jumpThreshold = 700 * monotonic.Millisecond
 )
 
-// Watcher is one process's watch.
-// Invariants: pulse is the clock's reading at the last look; whoever has asked to hear of leaps has heard of each before pulse
-// moves past it.
+// Watcher watches the clock of one process. It is safe for concurrent use, except where a method says otherwise.
+//
+// Invariant: lastReading is the clock at the last check; it moves past a jump only after all callbacks of OnJump have returned.
 type Watcher struct {
-	host        host.Host
-	lastReading atomic.Int64
-	lock        sync.Mutex
-	onJump      []func(duration monotonic.Micros)
-	// rounds are the tasks done beside the looks. They don't change once Watch runs.
-	periodicTasks []periodicTask
-	// trusting takes whatever the clock shows; only rehearsals of the checkers set it.
-	trustClock bool
-}
+	host          host.Host
+	lastReading   atomic.Int64
+	periodicTasks []periodicTask // not changed once Run is called
+	trustClock    bool           // not changed once Run is called
 
-// TrustClock takes whatever the clock shows, to show that a checker sees what comes of it. No program sets it.
-func (w *Watcher) TrustClock(trust bool) { w.trustClock = trust }
+	lock   sync.Mutex // guards onJump
+	onJump []func(ahead monotonic.Micros)
+}
 
-// round is a task that is done after each so many looks.
+// periodicTask is run after every so many checks.
 type periodicTask struct {
 	every int
-	task  func()
+	run   func()
 }
 
-// New makes a watch; Watch must be run.
+// New returns a watcher. It does nothing until Run is called.
 func New(h host.Host) *Watcher {
 	watcher := &Watcher{host: h}
 	watcher.lastReading.Store(int64(h.Now()))
 	return watcher
 }
 
-// OnJump has a function called with what the clock went ahead by more than it should have. It's called before Steady is
-// true again.
-func (w *Watcher) OnJump(notify func(duration monotonic.Micros)) {
+// TrustClock makes the watcher ignore jumps. Simulations use it to prove that the invariant checkers notice what follows; no
+// program does. It must be called before Run.
+func (w *Watcher) TrustClock(trust bool) { w.trustClock = trust }
+
+// OnJump adds a callback that gets the time by which the clock went further ahead than expected. It returns before Steady
+// reports true again.
+func (w *Watcher) OnJump(callback func(ahead monotonic.Micros)) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.onJump = append(w.onJump, notify)
+	w.onJump = append(w.onJump, callback)
 }
 
-// Every has a task done after each so many looks as come nearest to a span, one at least. It's called before Watch, and the task
-// must not wait: it comes in the wake-up that the look needs anyway.
+// Every adds a task that Run runs at the multiple of the check interval nearest to interval, at least one. It saves a wake-up
+// compared to a task of its own. The task must not block. Every must be called before Run.
 func (w *Watcher) Every(interval monotonic.Micros, task func()) {
-	w.periodicTasks = append(w.periodicTasks, periodicTask{every: max(1, int((interval+checkInterval/2)/checkInterval)), task: task})
+	checks := max(1, int((interval+checkInterval/2)/checkInterval))
+	w.periodicTasks = append(w.periodicTasks, periodicTask{every: checks, run: task})
 }
 
-// WentBack tells whether the clock shows less than it did before.
+// WentBack reports whether the clock shows less than at the last check.
 func (w *Watcher) WentBack() bool {
 	return !w.trustClock && w.host.Now() < monotonic.Micros(w.lastReading.Load())
 }
 
-// Steady tells whether the clock can be trusted to have gone on as time did.
+// Steady reports whether the clock neither went back nor jumped since the last check.
 func (w *Watcher) Steady() bool {
 	ahead := w.host.Now() - monotonic.Micros(w.lastReading.Load())
 	return w.trustClock || ahead >= 0 && ahead < jumpThreshold
 }
 
-// Run looks at the clock for ever. A clock that stepped back ends the process: what was measured on it would last too
-// long, and a new life takes nothing of it over.
+// Run checks the clock and runs the periodic tasks. It returns only after the clock stepped back, when it has stopped the
+// process.
 func (w *Watcher) Run() {
 	previous := w.host.Now()
 	for checks := 1; ; checks++ {
@@ -86,31 +89,32 @@
 		if !w.check(now - previous) {
 			return
 		}
-		previous = now // what the tasks take is looked at too: no moment goes unseen
-		for _, periodic := range w.periodicTasks {
-			if checks%periodic.every == 0 {
-				periodic.task()
+		previous = now // not read anew after the tasks, so that the time they take is checked too
+		for _, task := range w.periodicTasks {
+			if checks%task.every == 0 {
+				task.run()
 			}
 		}
 	}
 }
 
-// judge looks at what passed between two looks. It tells whether the process goes on.
+// check judges what passed between two checks. It reports false if the process has to stop.
 func (w *Watcher) check(elapsed monotonic.Micros) bool {
 	if w.trustClock || elapsed >= checkInterval/2 && elapsed < jumpThreshold {
 		return true
 	}
+	ahead := elapsed - checkInterval
 	if elapsed < checkInterval/2 {
-		w.host.Report(eventlog.ClockSteppedBack, map[string]any{"micros": int64(elapsed - checkInterval)})
+		w.host.Report(eventlog.ClockSteppedBack, eventlog.ClockJump(int64(ahead)))
 		w.host.Stop("the clock stepped back")
 		return false
 	}
-	w.host.Report(eventlog.ProcessStalled, map[string]any{"micros": int64(elapsed - checkInterval)})
+	w.host.Report(eventlog.ProcessStalled, eventlog.ClockJump(int64(ahead)))
 	w.lock.Lock()
 	callbacks := w.onJump
 	w.lock.Unlock()
-	for _, notify := range callbacks {
-		notify(elapsed - checkInterval)
+	for _, callback := range callbacks {
+		callback(ahead)
 	}
 	return true
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,12 +1,12 @@
-// Package host is what a snowflow process may do to the world: read its clock, sleep, start tasks, call other
-// processes and use its disk. The real host stands on the machine; the mailround package gives a simulated one.
-// Code above this package uses nothing else, so the same code runs in both.
+// Package host is the interface between a snowflow process and its environment: the clock, tasks, messages to other processes
+// and the disk.
+//
+// Package host/machine implements it on a real machine, package simulation/world in a deterministic simulation. All code above
+// uses the environment through this package alone, so that the same code runs in both. Because the simulator runs one task at a
+// time, no lock may be held across Sleep, Call, Signal.Wait or a disk's Sync.
 package host
 
 import (
-	"slices"
-	"sync"
-
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/apierror"
@@ -15,37 +15,42 @@
 	"snowflow/internal/wal"
 )
 
-// Host is one process's way to the world.
-// Invariant: no lock is held across Sleep, Call, Wait or a disk's Sync; the simulator runs one task at a time.
+// Host is the environment of one process. It is safe for concurrent use.
 type Host interface {
 	monotonic.Clock
+	// Sleep blocks the calling task.
 	Sleep(duration monotonic.Micros)
+	// Go starts a task.
 	Go(task func())
-	// Call sends a request and waits for its reply. Its errors are seal.Unreachable (certainly not delivered),
-	// seal.Lost (may have been delivered) and seal.Refused (delivered and turned down).
+	// Call sends a request to an address and waits for its reply. Its errors are apierror.Unreachable (certainly not delivered),
+	// apierror.Lost (may have been delivered), apierror.Refused (delivered and refused) and apierror.Invalid (not encodable).
 	Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error
+	// NewSignal returns a signal that has not fired.
 	NewSignal() Signal
+	// Random returns 64 random bits.
 	Random() uint64
+	// Disk returns the process's data folder, or nil if it has none.
 	Disk() wal.Disk
-	// Report publishes a numbered event.
-	Report(number int, fields map[string]any)
-	// Stop ends this process at once, as after a failed sync.
+	// Report publishes an event of eventlog.Catalogue.
+	Report(number int, attributes map[string]any)
+	// Stop ends the process at once, for example after a failed sync. It may return before the process has ended.
 	Stop(reason string)
 }
 
-// Signal wakes one waiter. A Fire with nobody waiting is kept for the next Wait.
+// Signal wakes one waiting task. A Fire without a waiter is kept for the next Wait; further ones are dropped.
 type Signal interface {
 	Fire()
+	// Wait reports false if the signal did not fire within the timeout.
 	Wait(timeout monotonic.Micros) bool
 }
 
-// Handler answers one kind of request.
+// Handler answers an encoded request of one kind.
 type Handler func(content []byte) (proto.Message, error)
 
-// Handlers maps kinds to their handlers. It's filled before serving starts and only read afterwards.
+// Handlers are the handlers by kind. They are added before the process serves, and only read afterwards.
 type Handlers map[wire.Kind]Handler
 
-// Handle adds a typed handler to a table.
+// Handle adds a handler of typed requests. A request that cannot be decoded is answered with apierror.Invalid.
 func Handle[Request any, RequestPointer interface {
 	*Request
 	proto.Message
@@ -62,103 +67,3 @@
 		return reply, nil
 	}
 }
-
-// Queue is an unbounded queue of commands with one reader.
-type Queue[Item any] struct {
-	lock   sync.Mutex
-	items  []Item
-	signal Signal
-}
-
-// NewQueue makes an inbox in an host.
-func NewQueue[Item any](host Host) *Queue[Item] { return &Queue[Item]{signal: host.NewSignal()} }
-
-// Put adds an item.
-func (q *Queue[Item]) Put(item Item) {
-	q.lock.Lock()
-	q.items = append(q.items, item)
-	q.lock.Unlock()
-	q.signal.Fire()
-}
-
-// TakeAll removes everything, waiting up to patience for a first item. It may return nothing.
-func (q *Queue[Item]) TakeAll(timeout monotonic.Micros) []Item {
-	if items := q.takePending(); len(items) > 0 {
-		return items
-	}
-	q.signal.Wait(timeout)
-	return q.takePending()
-}
-
-func (q *Queue[Item]) takePending() []Item {
-	q.lock.Lock()
-	defer q.lock.Unlock()
-	items := q.items
-	q.items = nil
-	return items
-}
-
-// Executor runs commands one after another in a task of its own; a table's owner.
-type Executor struct {
-	host  Host
-	queue *Queue[func()]
-}
-
-// NewExecutor starts an owner.
-func NewExecutor(host Host) *Executor {
-	executor := &Executor{host: host, queue: NewQueue[func()](host)}
-	host.Go(func() {
-		for {
-			for _, command := range executor.queue.TakeAll(monotonic.Forever) {
-				command()
-			}
-		}
-	})
-	return executor
-}
-
-// Run runs a command in the owner's task and waits for it.
-func (e *Executor) Run(command func()) {
-	done := e.host.NewSignal()
-	e.queue.Put(func() { command(); done.Fire() })
-	for !done.Wait(monotonic.Forever) {
-	}
-}
-
-// Gather runs one task per name at once and waits until enough says so, all are done, or patience runs out.
-// Answers that come later are ignored. Names are visited in sorted order, so that simulated runs repeat.
-func Gather[Reply any](host Host, names []string, timeout monotonic.Micros, call func(name string) (Reply, error),
-	enough func(replies map[string]Reply, failures int) bool) map[string]Reply {
-	ordered := slices.Sorted(slices.Values(names))
-	var lock sync.Mutex
-	replies := map[string]Reply{}
-	failures, closed := 0, false
-	signal := host.NewSignal()
-	for _, name := range ordered {
-		host.Go(func() {
-			reply, err := call(name)
-			lock.Lock()
-			defer lock.Unlock()
-			if closed {
-				return
-			}
-			if err != nil {
-				failures++
-			} else {
-				replies[name] = reply
-			}
-			signal.Fire()
-		})
-	}
-	deadline := host.Now() + timeout
-	for {
-		lock.Lock()
-		if len(replies)+failures == len(ordered) || enough(replies, failures) || host.Now() >= deadline {
-			closed = true
-			lock.Unlock()
-			return replies
-		}
-		lock.Unlock()
-		signal.Wait(deadline - host.Now())
-	}
-}
--- a/internal/monotonic/monotonic.go
+++ b/internal/monotonic/monotonic.go
@@ -1,5 +1,5 @@
-// Package monotonic holds time as snowflow counts it: whole microseconds on one process's monotonic clock.
-// Nothing compares the readings of two machines.
+// Package monotonic measures time in whole microseconds on one process's monotonic clock. Readings of two processes are never
+// compared.
 package monotonic
 
 import (
@@ -10,54 +10,61 @@
 	"go.uber.org/atomic"
 )
 
-// Micros is a span or a reading of a monotonic clock, in whole microseconds.
-// A reading only has meaning within the process that took it.
+// Micros is a duration, or a timestamp of a monotonic clock, in whole microseconds. A timestamp only has meaning within the
+// process that took it.
 type Micros int64
 
+// Durations.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * Millisecond
 	Minute      Micros = 60 * Second
-	// Forever is a patience that never ends.
+	// Forever is a timeout that never passes.
 	Forever Micros = 1 << 61
 )
 
-// Duration turns a span into the standard library's form.
+// Duration converts a duration to the standard library's type.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// FromDuration turns a standard span into whole microseconds.
+// FromDuration converts a standard duration, rounded towards zero.
 func FromDuration(duration time.Duration) Micros { return Micros(duration / time.Microsecond) }
 
-// Clock reads monotonic time.
-type Clock interface{ Now() Micros }
+// Clock is a monotonic clock.
+type Clock interface {
+	// Now returns the present timestamp.
+	Now() Micros
+}
 
-// SystemClock is the clock of the real machine, counted from the moment it was made. It goes on while the machine is suspended,
-// which Go's own monotonic clock doesn't: a process must not wake with a tenure that others saw end.
+// SystemClock is the operating system's clock of the time since boot. Unlike Go's monotonic clock it includes the time during
+// which the machine is suspended: a process must not wake up holding a lease that has expired for others. It is safe for
+// concurrent use.
 type SystemClock struct {
-	origin atomic.Int64
-	// excludeSuspend reads the library's monotonic clock instead, for machines that are never suspended: it costs no system call.
-	excludeSuspend bool
-	startedAt      time.Time
+	origin         atomic.Int64 // the underlying clock's reading at which this one shows zero, in microseconds
+	excludeSuspend bool         // whether Go's monotonic clock is used instead
+	startedAt      time.Time    // set if excludeSuspend is
 }
 
-// NewSystemClock starts a clock. It starts at an hour, so that subtracting spans early on stays positive.
+// firstReading is what a new clock shows. It is above zero so that durations can be subtracted from early timestamps.
+const firstReading = 60 * Minute
+
+// NewSystemClock returns a clock that shows one hour.
 func NewSystemClock() *SystemClock {
 	clock := &SystemClock{}
-	clock.origin.Store(int64(sinceBoot() - 60*Minute))
+	clock.origin.Store(int64(sinceBoot() - firstReading))
 	return clock
 }
 
-// Jump moves the clock, as a broken one would step. Only rehearsals do.
+// Jump moves the clock ahead by a duration, or back if it is negative. Rehearsals simulate a faulty clock with it.
 func (c *SystemClock) Jump(duration Micros) { c.origin.Sub(int64(duration)) }
 
-// ExcludeSuspend has the clock go by the library's monotonic clock, which stands still while the machine is suspended. It's called
-// before anything reads the clock.
+// ExcludeSuspend makes the clock use Go's monotonic clock, which stops while the machine is suspended, but costs no system call.
+// It must be called before anything reads the clock.
 func (c *SystemClock) ExcludeSuspend() {
 	c.excludeSuspend, c.startedAt = true, time.Now()
-	c.origin.Store(-int64(60 * Minute))
+	c.origin.Store(-int64(firstReading))
 }
 
-// Now reads the clock. Jumps of the wall clock don't show.
+// Now returns the present timestamp. Steps of the wall clock do not affect it.
 func (c *SystemClock) Now() Micros {
 	if c.excludeSuspend {
 		return FromDuration(time.Since(c.startedAt)) - Micros(c.origin.Load())
@@ -65,15 +72,15 @@
 	return sinceBoot() - Micros(c.origin.Load())
 }
 
-// clockBootTime is Linux's CLOCK_BOOTTIME.
+// clockBootTime is the number of Linux's CLOCK_BOOTTIME.
 const clockBootTime = 7
 
-// sinceBoot is the time since the machine was started, suspended or not. The call can't block, so the scheduler need not
-// hear of it.
+// sinceBoot returns the time since the machine started, suspended or not. The system call never blocks, so it is made without
+// telling the scheduler, which costs several times as much.
 func sinceBoot() Micros {
 	var now syscall.Timespec
 	if _, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, clockBootTime, uintptr(unsafe.Pointer(&now)), 0); errno != 0 {
-		panic("postmark: no clock: " + errno.Error()) // every Linux since 2.6.39 has it
+		panic("monotonic: no boot-time clock: " + errno.Error()) // Linux has it since 2.6.39
 	}
 	return Micros(now.Nano() / 1000)
 }
--- a/internal/monotonic/monotonic_test.go
+++ b/internal/monotonic/monotonic_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSystemClock: the clock goes with the system's, in microseconds. Nothing here can suspend the machine; what a clock that
-// stands still would do is shown by the simulator's variant.
+// TestSystemClock checks that the clock advances with the system's, in microseconds. Nothing here can suspend the machine; the
+// simulator shows what follows from a clock that stops.
 func TestSystemClock(t *testing.T) {
 	clock := NewSystemClock()
 	before := clock.Now()
@@ -14,12 +14,12 @@
 	after := clock.Now()
 	for time.Since(began) < 5*time.Millisecond {
 	}
-	// Each bound was read on the outer side of the other clock, so a pause anywhere doesn't matter.
+	// Each bound is read outside of the other clock's readings, so that a pause anywhere does not matter.
 	least := FromDuration(time.Since(began))
 	now := clock.Now()
 	most := FromDuration(time.Since(began))
 	if now-before < least-1 || now-after > most+2 {
-		t.Errorf("%d to %d microseconds by this clock, %d to %d by the library's", now-after, now-before, least, most)
+		t.Errorf("%d to %d microseconds by this clock, %d to %d by Go's", now-after, now-before, least, most)
 	}
 }
 
