--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -33,7 +33,7 @@
 	store.Register(program.Handlers)
 	program.AddReplicationGauges(store.Member)
 	pages := api.New(program.Host, program.Resolver, program.Metrics(), func() any { return store.Status() }, config.Parse)
-	if err := program.ServeHTTP(program.Settings["desk"], api.NewServer(pages)); err != nil {
+	if err := program.ServeHTTP(program.Settings["http"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	store.Start()
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -20,7 +20,7 @@
 func build(program *daemon.Daemon) error {
 	metrics := daemon.NewRequestCounters(program.Registry)
 	sidecar := proxy.New(proxy.Options{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Domain: program.Settings["domain"],
-		Address: program.Settings["advertise"], IgnoreZones: program.Settings["choice"] == "blind", CrossZonePenalty: monotonic.Micros(program.Settings.Int("far-penalty")), Upstream: upstream.New(program.Host, upstream.DefaultDialect()), Finished: metrics.CountRequest})
+		Address: program.Settings["advertise"], IgnoreZones: program.Settings["balance"] == settings.BalanceUniform, CrossZonePenalty: monotonic.Micros(program.Settings.Int("far-penalty")), Upstream: upstream.New(program.Host, upstream.DefaultDialect()), Finished: metrics.CountRequest})
 	sidecar.Register(program.Handlers)
 	program.AddGauges([]daemon.Gauge{
 		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(sidecar.Forwarder.InFlight()) }},
@@ -29,7 +29,7 @@
 		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
 	})
 	admin := backendapi.New(program.Host, sidecar, program.Metrics(), program.Stop)
-	if err := program.ServeHTTP(program.Settings["desk"], ingress.NewServer(admin)); err != nil {
+	if err := program.ServeHTTP(program.Settings["http"], ingress.NewServer(admin)); err != nil {
 		return err
 	}
 	callers := ingress.NewServer(ingress.New(sidecar, program.Host))
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -28,7 +28,7 @@
 	pages.Handle("/metrics", program.Metrics())
 	pages.Handle("/local", daemon.StatusPage(func() any { return registry.Status() }))
 	pages.Handle("/live", daemon.StatusPage(func() any { return map[string]bool{"live": true} }))
-	if err := program.ServeHTTP(program.Settings["desk"], api.NewServer(pages)); err != nil {
+	if err := program.ServeHTTP(program.Settings["http"], api.NewServer(pages)); err != nil {
 		return err
 	}
 	registry.Start()
