--- a/internal/proxy/outlier/call.go
+++ b/internal/proxy/outlier/call.go
@@ -9,7 +9,7 @@
 // Call is one request at the backend. Close must be called for each.
 type Call struct {
 	detector  *Detector
-	ejections [2]*ejection // that let it in as a probe
+	ejections [2]*ejection // of which the call is a probe
 	domain    string
 	kind      string
 	startedAt monotonic.Micros
--- a/internal/proxy/outlier/detector.go
+++ b/internal/proxy/outlier/detector.go
@@ -66,7 +66,7 @@
 // Detector judges one backend. It isn't safe for concurrent use.
 //
 // Invariants: each Call of Admit is closed once. inFlight holds exactly the calls between Start and Close. An ejection's
-// probesInFlight counts the calls that it let in and that aren't closed. An ejection for all callers holds for each domain.
+// probesInFlight counts the calls that are probes of it and aren't closed. An ejection for all callers holds for each domain.
 type Detector struct {
 	global  ejection
 	domains map[string]*ejection
@@ -84,8 +84,7 @@
 	return &Detector{domains: map[string]*ejection{}, latency: newLatencyTracker(), peers: Peers{LatencyRatio: 1}}
 }
 
-// Admit lets a request in, or returns for how many microseconds the caller shouldn't come back. The call is nil if the request
-// isn't let in.
+// Admit admits a request, or returns a nil call and for how many microseconds the caller shouldn't come back.
 func (d *Detector) Admit(now monotonic.Micros, request RequestInfo) (call *Call, wait monotonic.Micros) {
 	d.peers = request.Peers
 	d.peers.LatencyRatio = max(1, request.Peers.LatencyRatio)
@@ -106,7 +105,7 @@
 	return call, 0
 }
 
-// wait is for how long a request isn't let in; 0 if it is.
+// wait is for how long a request isn't admitted; 0 if it is.
 func (d *Detector) wait(now monotonic.Micros, request RequestInfo, ejections [2]*ejection) monotonic.Micros {
 	ejected := false
 	for _, ejection := range ejections {
@@ -133,8 +132,7 @@
 
 func (d *Detector) mayBeEjected() bool { return MayEject(d.peers.Known, d.peers.Ejected) }
 
-// MayEject reports whether a backend may be kept from requests beside others, of which known are there and ejected are ejected
-// already.
+// MayEject reports whether a backend may be ejected beside others, of which known are there and ejected are ejected already.
 func MayEject(known, ejected int) bool {
 	return ejected < known && float64(ejected+1) <= max(1, maxEjectedShare*float64(known+1))
 }
@@ -160,7 +158,7 @@
 	if outcome == Failure {
 		d.recentFailures.add(call.domain)
 	}
-	affectsAll := !d.recentResponses.spanDomains(smoothingWindow) || d.recentFailures.spanDomains(minGlobalFailures)
+	affectsAll := !d.recentResponses.includeSeveral(smoothingWindow) || d.recentFailures.includeSeveral(minGlobalFailures)
 	for index, ejection := range d.ejectionsFor(call.domain) {
 		ejection.observe(outcome)
 		switch {
@@ -215,13 +213,13 @@
 	return changes
 }
 
-// Ejected reports whether a domain's callers are kept from the backend, but for probes.
+// Ejected reports whether the backend is ejected for a domain's callers, who then only send probes.
 func (d *Detector) Ejected(domain string) bool {
 	own := d.domains[domain]
 	return d.global.ejected || own != nil && own.ejected
 }
 
-// EjectedDomains lists the domains whose callers alone are kept from the backend, in order.
+// EjectedDomains lists the domains for whose callers alone the backend is ejected, in order.
 func (d *Detector) EjectedDomains() (domains []string) {
 	for _, domain := range slices.Sorted(maps.Keys(d.domains)) {
 		if d.domains[domain].ejected {
--- a/internal/proxy/outlier/detector_test.go
+++ b/internal/proxy/outlier/detector_test.go
@@ -25,9 +25,16 @@
 	return RequestInfo{Domain: domain, Kind: "forms", LatencyTarget: 400 * ms, Idempotent: true, Peers: bt.peers}
 }
 
-// send plays a request and reports whether it was let in.
+// send plays a request of a domain and reports whether it was admitted.
 func (bt *backendTest) send(domain string, elapsed monotonic.Micros, outcome Outcome) bool {
-	c, wait := bt.detector.Admit(bt.now, bt.request(domain))
+	bt.t.Helper()
+	return bt.play(bt.request(domain), elapsed, outcome)
+}
+
+// play plays a request and reports whether it was admitted.
+func (bt *backendTest) play(request RequestInfo, elapsed monotonic.Micros, outcome Outcome) bool {
+	bt.t.Helper()
+	c, wait := bt.detector.Admit(bt.now, request)
 	if c == nil {
 		if wait <= 0 {
 			bt.t.Error("a rejection without a time to come back")
@@ -67,7 +74,7 @@
 		t.Error("not ejected after four failures in a row")
 	}
 	if bt.send("b", 5*ms, Success) {
-		t.Error("a request was let in right after the ejection")
+		t.Error("a request was admitted right after the ejection")
 	}
 	if changes := bt.detector.TakeChanges(); len(changes) != 1 || !changes[0].Ejected || changes[0].Domain != "" {
 		t.Errorf("changes: %+v", changes)
@@ -157,7 +164,7 @@
 }
 
 // TestEjectionIsBounded: no more than half of a service is ejected, never the only backend, and a request without another
-// backend to go to is let in.
+// backend to go to is admitted.
 func TestEjectionIsBounded(t *testing.T) {
 	for name, test := range map[string]struct {
 		peers   Peers
@@ -229,7 +236,7 @@
 		inFlight = nil
 	}
 	if admittedAtOnce[0] != 1 || admittedAtOnce[1] != 1 || admittedAtOnce[2] != 2 || admittedAtOnce[3] != 4 {
-		t.Errorf("let in at once: %v", admittedAtOnce)
+		t.Errorf("admitted at once: %v", admittedAtOnce)
 	}
 	bt.warmUp("a")
 	if bt.ejected("a") || bt.detector.FaultRate("a") != 0 {
@@ -301,10 +308,7 @@
 		}
 		request := bt.request("a")
 		request.LatencyTarget = 2 * monotonic.Second
-		if c, _ := bt.detector.Admit(bt.now, request); c != nil {
-			c.Start(bt.now)
-			bt.now += elapsed
-			c.Close(bt.now, Success)
+		if bt.play(request, elapsed, Success) {
 			takenLongTarget++
 		}
 	}
@@ -332,15 +336,11 @@
 	short := func(elapsed monotonic.Micros) bool {
 		request := bt.request("a")
 		request.LatencyTarget = 120 * ms
-		c, _ := bt.detector.Admit(bt.now, request)
-		if c == nil {
+		admitted := bt.play(request, elapsed, Success)
+		if !admitted {
 			bt.now += 50 * ms
-			return false
 		}
-		c.Start(bt.now)
-		bt.now += elapsed
-		c.Close(bt.now, Success)
-		return true
+		return admitted
 	}
 	taken := 0
 	for range 60 {
--- a/internal/proxy/outlier/doc.go
+++ b/internal/proxy/outlier/doc.go
@@ -13,6 +13,6 @@
 //   - Latency. A backend that has become much slower than its peers isn't ejected, but gets only requests that it can still
 //     answer within their latency target, and now and then another one to measure it.
 //
-// A backend may only be kept from requests while other backends are there and no more than half of the service is ejected. A
-// request that has no other backend to go to is always admitted.
+// Requests are rejected only while other backends are there and no more than half of the service is ejected. A request that
+// has no other backend to go to is always admitted.
 package outlier
--- a/internal/proxy/outlier/ejection.go
+++ b/internal/proxy/outlier/ejection.go
@@ -14,7 +14,7 @@
 	successesToReinstate = 8
 )
 
-// ejection is whether the callers of one domain, or all callers, are kept from the backend, and the fault rate that they see.
+// ejection is whether the backend is ejected for the callers of one domain, or for all, and the fault rate that they see.
 //
 // Invariant: consecutiveSuccesses, probeInterval and nextProbeAt are of use only while ejected. If consecutiveSuccesses is
 // above 0, it is the number of probes that may be in flight.
--- a/internal/proxy/outlier/latency.go
+++ b/internal/proxy/outlier/latency.go
@@ -8,7 +8,7 @@
 	minOverdue    = 150 * monotonic.Millisecond
 	// defaultOverdue is used for requests of a kind of which too few were seen.
 	defaultOverdue = monotonic.Second
-	// slowFactor is how much slower than its peers a backend must be for it to be kept from requests that it would serve too
+	// slowFactor is how much slower than its peers a backend must be for requests to be rejected that it would serve too
 	// late.
 	slowFactor = 2
 	// recoveredFactor is how much slower than its peers a backend that was slow may still be to count as recovered.
@@ -35,7 +35,7 @@
 	samples      int              // that the ratio is smoothed over, up to smoothingWindow
 	slow         bool             // it has been slower than its peers by slowFactor, and hasn't recovered
 	recovered    bool             // it has recovered since takeRecovered was last called
-	slowProbedAt monotonic.Micros // when a request that may be served too late was last let in, to measure; 0 if none was
+	slowProbedAt monotonic.Micros // when a request that may be served too late was last admitted, to measure; 0 if none was
 }
 
 // latencyBaseline is a usual time.
@@ -57,7 +57,7 @@
 	return baseline
 }
 
-// wait is for how long a request isn't let in because the backend would serve it too late; 0 if it is. One request is let in
+// wait is for how long a request isn't admitted because the backend would serve it too late; 0 if it is. One request is admitted
 // each initialProbeInterval all the same, to measure.
 func (l *latencyTracker) wait(now monotonic.Micros, request RequestInfo, peerRatio float64) monotonic.Micros {
 	if !l.missesTarget(request, peerRatio) {
--- a/internal/proxy/outlier/recent.go
+++ b/internal/proxy/outlier/recent.go
@@ -11,8 +11,8 @@
 	r.count++
 }
 
-// spanDomains reports whether the last few were of more than one domain.
-func (r *recentDomains) spanDomains(last int) bool {
+// includeSeveral reports whether the last few were of more than one domain.
+func (r *recentDomains) includeSeveral(last int) bool {
 	last = min(last, r.count, smoothingWindow)
 	for back := 2; back <= last; back++ {
 		if r.domains[(r.count-back)%smoothingWindow] != r.domains[(r.count-1)%smoothingWindow] {
