--- a/internal/proxy/breaker/control.go
+++ b/internal/proxy/breaker/control.go
@@ -42,6 +42,6 @@
 		b.resetLocal()
 	}
 	b.mu.Unlock()
-	s.config.Host.Report(eventlog.BreakerManualControl, map[string]any{"service": service, "control": verb})
+	s.config.Host.Report(eventlog.BreakerManualControl, eventlog.Attributes{"service": service, "control": verb})
 	return nil
 }
--- a/internal/proxy/breaker/degraded.go
+++ b/internal/proxy/breaker/degraded.go
@@ -17,7 +17,7 @@
 // enterDegraded makes local breakers decide, because of a failed call to the registry. Queued writes will be dropped.
 func (s *Set) enterDegraded(cause error) {
 	if s.markDegraded() {
-		s.config.Host.Report(eventlog.BreakerDegraded, map[string]any{"error": cause.Error()})
+		s.config.Host.Report(eventlog.BreakerDegraded, eventlog.Attributes{"error": cause.Error()})
 	}
 }
 
@@ -52,6 +52,6 @@
 	s.degraded, s.failures = false, 0
 	s.mu.Unlock()
 	if recovered {
-		s.config.Host.Report(eventlog.BreakerRecovered, map[string]any{})
+		s.config.Host.Report(eventlog.BreakerRecovered, eventlog.Attributes{})
 	}
 }
--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -144,6 +144,6 @@
 	if b.shared != nil {
 		version = b.shared.Version
 	}
-	s.config.Host.Report(eventlog.BreakerTrippedLocally, map[string]any{"service": b.service})
+	s.config.Host.Report(eventlog.BreakerTrippedLocally, eventlog.Attributes{"service": b.service})
 	s.enqueueWrite(&wire.BreakerWriteRequest{Service: b.service, Verb: verbTrip, ExpectedVersion: version, Settings: b.settings})
 }
--- a/internal/proxy/breaker/records.go
+++ b/internal/proxy/breaker/records.go
@@ -40,5 +40,5 @@
 		return
 	}
 	b.resetLocal()
-	s.config.Host.Report(eventlog.BreakerStateChanged, map[string]any{"service": b.service, "state": record.State, "serial": record.Version})
+	s.config.Host.Report(eventlog.BreakerStateChanged, eventlog.Attributes{"service": b.service, "state": record.State, "serial": record.Version})
 }
--- a/internal/proxy/breaker/writes.go
+++ b/internal/proxy/breaker/writes.go
@@ -48,7 +48,7 @@
 }
 
 func (s *Set) reportDroppedWrite(request *wire.BreakerWriteRequest, degraded bool) {
-	s.config.Host.Report(eventlog.BreakerWriteDropped, map[string]any{"service": request.Service, "verb": request.Verb, "degraded": degraded})
+	s.config.Host.Report(eventlog.BreakerWriteDropped, eventlog.Attributes{"service": request.Service, "verb": request.Verb, "degraded": degraded})
 }
 
 // SendWrites sends the queued writes in order. It is run on one task and doesn't return.
@@ -85,7 +85,7 @@
 	switch request.Verb {
 	case verbTrip:
 		if response.Record.State == breakerstore.Closed {
-			s.config.Host.Report(eventlog.BreakerTripReported, map[string]any{"service": request.Service, "reports": len(response.Record.Reports)})
+			s.config.Host.Report(eventlog.BreakerTripReported, eventlog.Attributes{"service": request.Service, "reports": len(response.Record.Reports)})
 		}
 	case verbProbe:
 		if response.RoundComplete {
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -55,7 +55,6 @@
 	Host        host.Host
 	Proxy       string // this proxy's name
 	Incarnation uint64
-	Address     string
 	Domain      string // failure domain
 	// IgnoreDomains makes the load balancer treat all failure domains alike.
 	IgnoreDomains bool
@@ -81,7 +80,7 @@
 // Forwarder forwards requests to backends. It is safe for concurrent use.
 type Forwarder struct {
 	config           Config
-	policies         []Policy
+	policies         []policy
 	draining         atomic.Bool
 	inFlight         atomic.Int64
 	idle             host.Signal // fired when the last request in flight ends
@@ -107,7 +106,7 @@
 			SilenceTimeout:     config.SilenceTimeout,
 		}),
 	}
-	f.policies = f.builtInPolicies()
+	f.policies = f.orderedPolicies()
 	return f
 }
 
@@ -162,7 +161,7 @@
 }
 
 func (f *Forwarder) reportRejection(req *request.Request, fault *apierror.Fault) {
-	f.config.Host.Report(eventlog.RequestRejected, map[string]any{
+	f.config.Host.Report(eventlog.RequestRejected, eventlog.Attributes{
 		"request": req.ID,
 		"cause":   int(fault.Cause),
 		"verdict": string(fault.Verdict),
@@ -199,10 +198,12 @@
 	}
 	exchange.IdempotencyScope = idempotencyScope(exchange)
 	for _, policy := range f.policies {
-		if fault := policy.Enter(exchange); fault != nil {
+		if fault := policy.enter(exchange); fault != nil {
 			return nil, f.confirmVerdict(exchange, fault)
 		}
-		defer policy.Leave(exchange)
+		if policy.leave != nil {
+			defer policy.leave(exchange)
+		}
 	}
 	stop := f.watchCaller(exchange)
 	response, fault = f.forwardWithRetries(exchange)
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -13,38 +13,22 @@
 // maxKeyBytes is the longest idempotency key.
 const maxKeyBytes = 200
 
-// Policy is one step that a request takes before it is forwarded.
-type Policy interface {
-	// Enter prepares the exchange, or rejects it with a fault.
-	Enter(exchange *Exchange) *apierror.Fault
-	// Leave is called once the request has its outcome, for each policy that it entered, last entered first.
-	Leave(exchange *Exchange)
-}
-
-// policyFuncs makes a policy of functions; leave may be nil.
-type policyFuncs struct {
+// policy is one step that a request takes before it is forwarded.
+type policy struct {
+	// enter prepares the exchange, or rejects it with a fault.
 	enter func(exchange *Exchange) *apierror.Fault
+	// leave is called once the request has its outcome, for each policy that it entered, last entered first. It may be nil.
 	leave func(exchange *Exchange)
 }
 
-// Enter calls the policy's enter function.
-func (p policyFuncs) Enter(exchange *Exchange) *apierror.Fault { return p.enter(exchange) }
-
-// Leave calls the policy's leave function if it has one.
-func (p policyFuncs) Leave(exchange *Exchange) {
-	if p.leave != nil {
-		p.leave(exchange)
-	}
-}
-
-// builtInPolicies lists the policies in the order in which requests take them.
-func (f *Forwarder) builtInPolicies() []Policy {
-	return []Policy{
-		policyFuncs{enter: f.rejectWhileDraining},
-		policyFuncs{enter: f.resolve},
-		policyFuncs{enter: requireIdempotencyKey},
-		policyFuncs{enter: limitBodySize},
-		policyFuncs{enter: f.limitInFlight, leave: f.releaseInFlight},
+// orderedPolicies lists the policies in the order in which requests take them.
+func (f *Forwarder) orderedPolicies() []policy {
+	return []policy{
+		{enter: f.rejectWhileDraining},
+		{enter: f.resolve},
+		{enter: requireIdempotencyKey},
+		{enter: limitBodySize},
+		{enter: f.limitInFlight, leave: f.releaseInFlight},
 	}
 }
 
--- a/internal/proxy/loadbalancer/silence.go
+++ b/internal/proxy/loadbalancer/silence.go
@@ -119,7 +119,7 @@
 	request := &wire.DiscoverRequest{HealthCheck: true}
 	err := b.host.Call(pending.address, wire.Kind_discover, request, &wire.DiscoverResponse{}, b.silence.probeTimeout())
 	if err != nil {
-		b.host.Report(eventlog.PeerProxySilent, map[string]any{"address": pending.address, "error": err.Error()})
+		b.host.Report(eventlog.PeerProxySilent, eventlog.Failure(pending.address, err))
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
