--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -145,5 +145,5 @@
 		version = b.shared.Version
 	}
 	s.config.Host.Report(eventlog.BreakerTrippedLocally, eventlog.Attributes{"service": b.service})
-	s.enqueueWrite(&wire.BreakerWriteRequest{Service: b.service, Verb: verbTrip, ExpectedVersion: version, Settings: b.settings})
+	s.enqueueWrite(&wire.BreakerWriteRequest{Service: b.service, Verb: breakerstore.VerbTrip, ExpectedVersion: version, Settings: b.settings})
 }
--- a/internal/proxy/breaker/probes.go
+++ b/internal/proxy/breaker/probes.go
@@ -41,9 +41,9 @@
 // endProbe writes the result of a leased probe. A neutral outcome says nothing of the service, so the probe is returned for
 // another attempt.
 func (p *Permit) endProbe(outcome Outcome, slow bool) {
-	verb := verbProbe
+	verb := breakerstore.VerbProbe
 	if outcome == Neutral {
-		verb = verbReturnProbe
+		verb = breakerstore.VerbReturn
 	}
 	p.set.enqueueWrite(&wire.BreakerWriteRequest{
 		Service:         p.breaker.service,
--- a/internal/proxy/breaker/writes.go
+++ b/internal/proxy/breaker/writes.go
@@ -7,14 +7,6 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The verbs of writes to a shared record, as the registry knows them.
-const (
-	verbTrip        = "trip"   // a local breaker has opened
-	verbProbe       = "probe"  // the result of a probe
-	verbReturnProbe = "return" // a probe that has no result
-	verbDecide      = "decide" // the end of a round of probes
-)
-
 const (
 	// writeTimeout is how long a write may take, in which no caller waits. It outlasts a batch of the registry's log that a
 	// slow disk syncs.
@@ -83,11 +75,11 @@
 		return
 	}
 	switch request.Verb {
-	case verbTrip:
+	case breakerstore.VerbTrip:
 		if response.Record.State == breakerstore.Closed {
 			s.config.Host.Report(eventlog.BreakerTripReported, eventlog.Attributes{"service": request.Service, "reports": len(response.Record.Reports)})
 		}
-	case verbProbe:
+	case breakerstore.VerbProbe:
 		if response.RoundComplete {
 			s.decideRound(request, response.Record)
 		}
@@ -99,7 +91,7 @@
 func (s *Set) decideRound(last *wire.BreakerWriteRequest, record *wire.BreakerRecord) {
 	_, _ = s.write(&wire.BreakerWriteRequest{
 		Service:         last.Service,
-		Verb:            verbDecide,
+		Verb:            breakerstore.VerbDecide,
 		ExpectedVersion: record.Version,
 		Decision:        breakerstore.JudgeRound(record),
 		Proxy:           s.config.Proxy,
