--- a/internal/proxy/admission/slots/pool_test.go
+++ b/internal/proxy/admission/slots/pool_test.go
@@ -178,7 +178,7 @@
 // more, and the number of the latter is bounded.
 func TestLateRequestsRunLast(t *testing.T) {
 	f := newFixture(t, 2, slots.DefaultLimits()).withSample(100 * ms)
-	holders := f.fill()
+	running := f.fill()
 	late := f.enter(0, 120*ms, 5*monotonic.Second, true)
 	f.expectState("late, with nobody like it", late, slots.Waiting)
 	f.expectState("late, with another one there", f.enter(0, 120*ms, 5*monotonic.Second, true), slots.Rejected)
@@ -186,9 +186,9 @@
 	inTime := f.enter(1, 800*ms, 5*monotonic.Second, false)
 	f.expectState("in time, though of a lower priority", inTime, slots.Waiting)
 	f.now += 150 * ms
-	f.release(holders[0], slots.Released)
+	f.release(running[0], slots.Released)
 	f.expectState("in time", inTime, slots.Running)
-	f.release(holders[1], slots.Released)
+	f.release(running[1], slots.Released)
 	f.expectState("the first of the late", late, slots.Running)
 	f.expectState("the one that became late", becomes, slots.Waiting)
 }
@@ -221,7 +221,7 @@
 	limits := slots.DefaultLimits()
 	limits.QueuePerSlot = 2
 	f := newFixture(t, 1, limits).withSample(10 * ms)
-	holder := f.fill()
+	running := f.fill()
 	first, last := f.patient(1), f.patient(2)
 	f.expectState("the same priority as the last", f.patient(2), slots.Rejected)
 	high := f.patient(0)
@@ -231,7 +231,7 @@
 		t.Errorf("woken %d times, to be retried after %d", f.wakeups[last], last.RetryAfter())
 	}
 	f.expectState("of the lowest priority left", f.patient(1), slots.Rejected)
-	f.release(holder[0], slots.Released)
+	f.release(running[0], slots.Released)
 	f.expectState("the better one", high, slots.Running)
 	f.expectState("the other", first, slots.Waiting)
 	if f.Waiting() != 1 {
@@ -241,7 +241,7 @@
 
 func TestRejectedWhenTooLateToStart(t *testing.T) {
 	f := newFixture(t, 1, slots.DefaultLimits()).withSample(100 * ms)
-	holder := f.fill()
+	running := f.fill()
 	ticket := f.enter(0, 0, 250*ms, true)
 	if wake := f.WakeAt(ticket); wake != f.now+200*ms {
 		t.Errorf("wakes after %d", wake-f.now)
@@ -253,7 +253,7 @@
 	// A ticket that became too late since the last call is not started.
 	ticket, next := f.enter(0, 0, 250*ms, true), f.patient(1)
 	f.now += 220 * ms
-	f.release(holder[0], slots.Released)
+	f.release(running[0], slots.Released)
 	f.expectState("too late", ticket, slots.Rejected)
 	f.expectState("the next", next, slots.Running)
 }
--- a/internal/proxy/admission/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -13,7 +13,7 @@
 	largeResponse = 8 << 10
 	// sizeWindow is the number of responses over which a route's usual size is taken, the newest weighing most.
 	sizeWindow = 16
-	// maxRoutes bounds what is kept by route.
+	// maxRoutes bounds the number of routes with a usual size.
 	maxRoutes = 4096
 	// overhead is the number of bytes on the link for each byte of a response: frames, headers and acknowledgements, and room for
 	// all traffic that is not counted, which must not wait behind large responses.
--- a/internal/proxy/backendapi/backendapi.go
+++ b/internal/proxy/backendapi/backendapi.go
@@ -1,157 +1,123 @@
-// Package backendapi is the HTTP door for the machine's own backends and for the platform: registration, beats, leaving,
-// readiness, status, metrics and the guards' manual controls.
+// Package backendapi is the HTTP API of a proxy for the backends on its host, for the platform and for operators: registration and
+// heartbeats of backends, leases on singleton roles, readiness, status, metrics, and the manual control of circuit breakers.
 package backendapi
 
 import (
-	"encoding/json"
 	"net/http"
 
 	"github.com/go-chi/chi/v5"
 	"github.com/go-chi/chi/v5/middleware"
 
-	"snowflow/internal/apierror"
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/proxy"
 	"snowflow/internal/proxy/localbackends"
 )
 
-type registerRequest struct {
-	Service   string `json:"service"`
-	Instance  string `json:"instance"`
-	Address   string `json:"address"`
-	Condition string `json:"condition"`
+// api serves the requests.
+type api struct {
+	host  host.Host
+	proxy *proxy.Proxy
+	stop  func()
 }
 
-type registerResponse struct {
-	Instance        string `json:"instance"`
-	HeartbeatMicros int64  `json:"beat_micros"`
+// New returns the API's handler. metrics serves the metrics page; stop begins a planned stop and must return at once.
+func New(h host.Host, p *proxy.Proxy, metrics http.Handler, stop func()) http.Handler {
+	a := &api{host: h, proxy: p, stop: stop}
+	router := chi.NewRouter()
+	router.Post("/backends", a.register)
+	router.Post("/backends/{instance}/beat", a.heartbeat)
+	router.Post("/backends/{instance}/leave", a.leave)
+	router.Post("/duties/{duty}", a.acquireRole)
+	router.Post("/duties/{duty}/release", a.releaseRole)
+	router.Get("/ready", a.ready)
+	router.Get("/live", func(writer http.ResponseWriter, _ *http.Request) { WriteJSON(writer, http.StatusOK, live) })
+	router.Get("/status", func(writer http.ResponseWriter, _ *http.Request) { WriteJSON(writer, http.StatusOK, p.Status()) })
+	router.Post("/drain", a.drain)
+	router.Get("/guards", a.breakers)
+	router.Post("/guards/{service}/{control}", a.controlBreaker)
+	router.Handle("/metrics", metrics)
+	router.Mount("/debug", middleware.Profiler())
+	return router
 }
 
-type leaseRequest struct {
-	Instance string `json:"instance"`
-	Length   int64  `json:"length_micros"`
+func (a *api) register(writer http.ResponseWriter, incoming *http.Request) {
+	body := registerRequest{Condition: localbackends.Alive}
+	if err := ReadJSON(writer, incoming, &body); err != nil {
+		WriteError(writer, err)
+		return
+	}
+	if body.Instance == "" {
+		body.Instance = localbackends.NewInstanceID(a.host)
+	}
+	backend := localbackends.Backend{Service: body.Service, Instance: body.Instance, Address: body.Address}
+	if err := a.proxy.LocalBackends.Register(backend, body.Condition); err != nil {
+		WriteError(writer, err)
+		return
+	}
+	WriteJSON(writer, http.StatusCreated, registerResponse{Instance: body.Instance, HeartbeatMicros: int64(localbackends.HeartbeatInterval)})
 }
 
-type heartbeatRequest struct {
-	Condition string `json:"condition"`
+func (a *api) heartbeat(writer http.ResponseWriter, incoming *http.Request) {
+	body := heartbeatRequest{Condition: localbackends.Alive}
+	if incoming.ContentLength != 0 {
+		if err := ReadJSON(writer, incoming, &body); err != nil {
+			WriteError(writer, err)
+			return
+		}
+	}
+	writeNoted(writer, a.proxy.LocalBackends.Heartbeat(chi.URLParam(incoming, "instance"), body.Condition))
 }
 
-// WriteJSON answers with JSON.
-func WriteJSON(writer http.ResponseWriter, status int, content any) {
-	writer.Header().Set("Content-Type", "application/json")
-	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(content)
+func (a *api) leave(writer http.ResponseWriter, incoming *http.Request) {
+	writeNoted(writer, a.proxy.LocalBackends.Heartbeat(chi.URLParam(incoming, "instance"), localbackends.Leaving))
 }
 
-// WriteError answers with an error's text.
-func WriteError(writer http.ResponseWriter, err error) {
-	status := http.StatusBadRequest
-	if apierror.IsRefused(err) {
-		status = http.StatusNotFound
-	} else if apierror.IsLost(err) {
-		status = http.StatusServiceUnavailable
+func (a *api) acquireRole(writer http.ResponseWriter, incoming *http.Request) {
+	body := leaseRequest{}
+	if err := ReadJSON(writer, incoming, &body); err != nil {
+		WriteError(writer, err)
+		return
 	}
-	WriteJSON(writer, status, map[string]string{"error": err.Error()})
+	grant, err := a.proxy.Singleton.Acquire(chi.URLParam(incoming, "duty"), body.Instance, monotonic.Micros(body.Length))
+	if err != nil {
+		WriteError(writer, err)
+		return
+	}
+	WriteJSON(writer, http.StatusOK, grant)
 }
 
-// ReadJSON takes a JSON body without unknown fields.
-func ReadJSON(writer http.ResponseWriter, incoming *http.Request, into any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, incoming.Body, 64<<10))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		return apierror.Invalid.Wrap(err, "unreadable body")
+func (a *api) releaseRole(writer http.ResponseWriter, incoming *http.Request) {
+	body := leaseRequest{}
+	if err := ReadJSON(writer, incoming, &body); err != nil {
+		WriteError(writer, err)
+		return
 	}
-	return nil
+	writeNoted(writer, a.proxy.Singleton.Release(chi.URLParam(incoming, "duty"), body.Instance))
 }
 
-// New makes the door's handler. stop begins a planned stop.
-func New(h host.Host, p *proxy.Proxy, metrics http.Handler, stop func()) http.Handler {
-	router := chi.NewRouter()
-	router.Post("/backends", func(writer http.ResponseWriter, incoming *http.Request) {
-		body := registerRequest{Condition: localbackends.Alive}
-		if err := ReadJSON(writer, incoming, &body); err != nil {
-			WriteError(writer, err)
-			return
-		}
-		if body.Instance == "" {
-			body.Instance = localbackends.NewInstanceID(h)
-		}
-		if err := p.LocalBackends.Register(localbackends.Backend{Service: body.Service, Instance: body.Instance, Address: body.Address}, body.Condition); err != nil {
-			WriteError(writer, err)
-			return
-		}
-		WriteJSON(writer, http.StatusCreated, registerResponse{Instance: body.Instance, HeartbeatMicros: int64(localbackends.HeartbeatInterval)})
-	})
-	router.Post("/backends/{instance}/beat", func(writer http.ResponseWriter, incoming *http.Request) {
-		body := heartbeatRequest{Condition: localbackends.Alive}
-		if incoming.ContentLength != 0 {
-			if err := ReadJSON(writer, incoming, &body); err != nil {
-				WriteError(writer, err)
-				return
-			}
-		}
-		writeNoted(writer, p.LocalBackends.Heartbeat(chi.URLParam(incoming, "instance"), body.Condition))
-	})
-	router.Post("/backends/{instance}/leave", func(writer http.ResponseWriter, incoming *http.Request) {
-		writeNoted(writer, p.LocalBackends.Heartbeat(chi.URLParam(incoming, "instance"), localbackends.Leaving))
-	})
-	router.Post("/duties/{duty}", func(writer http.ResponseWriter, incoming *http.Request) {
-		request := leaseRequest{}
-		if err := ReadJSON(writer, incoming, &request); err != nil {
-			WriteError(writer, err)
-			return
-		}
-		body, err := p.Singleton.Acquire(chi.URLParam(incoming, "duty"), request.Instance, monotonic.Micros(request.Length))
-		if err != nil {
-			WriteError(writer, err)
-			return
-		}
-		WriteJSON(writer, http.StatusOK, body)
-	})
-	router.Post("/duties/{duty}/release", func(writer http.ResponseWriter, incoming *http.Request) {
-		request := leaseRequest{}
-		if err := ReadJSON(writer, incoming, &request); err != nil {
-			WriteError(writer, err)
-			return
-		}
-		writeNoted(writer, p.Singleton.Release(chi.URLParam(incoming, "duty"), request.Instance))
-	})
-	router.Get("/ready", func(writer http.ResponseWriter, _ *http.Request) {
-		ready, reason := p.Ready()
-		code := http.StatusOK
-		if !ready {
-			code = http.StatusServiceUnavailable
-		}
-		WriteJSON(writer, code, map[string]any{"ready": ready, "why": reason})
-	})
-	router.Get("/live", func(writer http.ResponseWriter, _ *http.Request) {
-		WriteJSON(writer, http.StatusOK, map[string]bool{"live": true})
-	})
-	router.Get("/status", func(writer http.ResponseWriter, _ *http.Request) { WriteJSON(writer, http.StatusOK, p.Status()) })
-	router.Post("/drain", func(writer http.ResponseWriter, _ *http.Request) {
-		stop()
-		WriteJSON(writer, http.StatusOK, map[string]bool{"draining": true})
-	})
-	router.Get("/guards", func(writer http.ResponseWriter, _ *http.Request) {
-		WriteJSON(writer, http.StatusOK, p.Breaker.Statuses())
-	})
-	router.Post("/guards/{service}/{control}", func(writer http.ResponseWriter, incoming *http.Request) {
-		if err := p.Breaker.SetControl(chi.URLParam(incoming, "service"), chi.URLParam(incoming, "control")); err != nil {
-			WriteError(writer, err)
-			return
-		}
-		WriteJSON(writer, http.StatusOK, p.Breaker.Statuses())
-	})
-	router.Handle("/metrics", metrics)
-	router.Mount("/debug", middleware.Profiler())
-	return router
+func (a *api) ready(writer http.ResponseWriter, _ *http.Request) {
+	ready, reason := a.proxy.Ready()
+	status := http.StatusOK
+	if !ready {
+		status = http.StatusServiceUnavailable
+	}
+	WriteJSON(writer, status, readyResponse{Ready: ready, Reason: reason})
 }
 
-func writeNoted(writer http.ResponseWriter, err error) {
-	if err != nil {
+func (a *api) drain(writer http.ResponseWriter, _ *http.Request) {
+	a.stop()
+	WriteJSON(writer, http.StatusOK, draining)
+}
+
+func (a *api) breakers(writer http.ResponseWriter, _ *http.Request) {
+	WriteJSON(writer, http.StatusOK, a.proxy.Breaker.Statuses())
+}
+
+func (a *api) controlBreaker(writer http.ResponseWriter, incoming *http.Request) {
+	if err := a.proxy.Breaker.SetControl(chi.URLParam(incoming, "service"), chi.URLParam(incoming, "control")); err != nil {
 		WriteError(writer, err)
 		return
 	}
-	WriteJSON(writer, http.StatusOK, map[string]bool{"noted": true})
+	WriteJSON(writer, http.StatusOK, a.proxy.Breaker.Statuses())
 }
--- a/internal/proxy/localbackends/report.go
+++ b/internal/proxy/localbackends/report.go
@@ -22,8 +22,8 @@
 }
 
 // ApplyReport registers a backend by its first report and takes later ones as heartbeats. It ignores a report that is not newer
-// than the last one of its instance, and one of an instance that ended. changed is true if other proxies are to learn of a
-// change, in which case they are told.
+// than the last one of its instance, and one of an instance that ended. changed is true if the report changed
+// what this proxy announces; the change is announced then.
 func (s *Set) ApplyReport(report Report) (changed bool, err error) {
 	if err := validate(report.Backend, report.Condition); err != nil {
 		return false, err
--- a/internal/proxy/session/client.go
+++ b/internal/proxy/session/client.go
@@ -73,7 +73,7 @@
 }
 
 // New returns a client that is not yet polling. session returns this proxy's session as it is now, and is called once for
-// each poll; clock tells whether this process's clock can be trusted.
+// each poll; clock reports whether this process's clock can be trusted.
 func New(h host.Host, resolver *discovery.Resolver, session func() *wire.Session, clock *clockwatch.Watcher) *Client {
 	c := &Client{
 		host:           h,
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestFenceMovesLeaderClock: a proxy that had a key fenced is told the fence's time. A caller that retries at this proxy at once must
+// TestFenceMovesLeaderClock: a proxy that had a key fenced learns the fence's time. A caller that retries at this proxy at once must
 // be read after the fence, however long ago the proxy polled.
 func TestFenceMovesLeaderClock(t *testing.T) {
 	runProcess(t, 1, func(_ *world.World, process *world.Host) {
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -132,7 +132,7 @@
 		}
 		for step := range 400 {
 			process.Sleep(monotonic.Micros(random.Uint64N(uint64(300 * monotonic.Millisecond))))
-			name := fmt.Sprint("carrier-", random.IntN(12))
+			name := fmt.Sprint("proxy-", random.IntN(12))
 			session := sessions[name]
 			switch random.IntN(8) {
 			case 0, 1: // a new session, or a new incarnation
@@ -242,7 +242,7 @@
 			runProcess(t, 1, func(_ *world.World, process *world.Host) {
 				registry := &registryStub{Directory: directory.New(process, 7), versions: map[directoryVersion]*Directory{}}
 				for number := range 10 {
-					registry.Observe(&wire.Session{Proxy: fmt.Sprint("carrier-", number), Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
+					registry.Observe(&wire.Session{Proxy: fmt.Sprint("proxy-", number), Incarnation: 1, Heartbeat: 1, Address: "here"}, true)
 				}
 				client := New(process, discovery.New(process, nil, nil), emptySession, nil)
 				poll := func(damage func(response *wire.RegistryPollResponse)) error {
@@ -264,14 +264,14 @@
 					t.Fatal("a complete directory was rejected")
 				}
 				before := client.Directory()
-				change("carrier-3", "carrier-10", "carrier-4")
+				change("proxy-3", "proxy-10", "proxy-4")
 				if err := poll(damage); err == nil || client.Directory() != before {
 					t.Errorf("applied: %v", err)
 				}
 				if err := poll(nil); err != nil || client.UpdateCounts() != (UpdateCounts{Snapshots: 2, Rejected: 1}) {
 					t.Errorf("%v, %+v", err, client.UpdateCounts())
 				}
-				change("carrier-5", "carrier-11", "carrier-6")
+				change("proxy-5", "proxy-11", "proxy-6")
 				if err := poll(nil); err != nil || client.UpdateCounts() != (UpdateCounts{Deltas: 1, Snapshots: 2, Rejected: 1}) || !reflect.DeepEqual(client.Directory(), NewDirectory(registry.UpdateSince(directory.Base{}).Sessions)) {
 					t.Errorf("%v, %+v", err, client.UpdateCounts())
 				}
--- a/internal/proxy/shutdown/shutdown.go
+++ b/internal/proxy/shutdown/shutdown.go
@@ -1,5 +1,5 @@
-// Package shutdown lets work be given up at one moment: when a planned stop's grace is over, whatever is still under way gets
-// its answer at once, and a true one.
+// Package shutdown lets pending work be abandoned at one moment: when the grace period of a planned stop ends, whatever is still
+// running gets a response at once, which says truthfully whether it may have run.
 package shutdown
 
 import (
@@ -11,20 +11,20 @@
 	"snowflow/internal/monotonic"
 )
 
-// Group keeps the errands under way.
-// Invariant: an errand is in open from its begin until it's done or given up; once over is set, none is begun.
+// Group is the tasks that can be abandoned together. It is safe for concurrent use.
 type Group struct {
-	host    host.Host
-	mu      sync.Mutex
-	running map[*Task]struct{}
-	stopped bool
+	host host.Host
+
+	mu      sync.Mutex         // guards the fields below
+	running map[*Task]struct{} // each task from the start of its Run to the end
+	aborted bool               // no task is added any more
 }
 
-// New makes a post.
+// New returns an empty group.
 func New(h host.Host) *Group { return &Group{host: h, running: map[*Task]struct{}{}} }
 
-// The states of an errand. From fresh it becomes either started or given up, never both: what was given up fresh has not been
-// done and won't be.
+// The states of a task. From notStarted it becomes either started or abandoned, never both: what was abandoned before its start
+// has not been done and won't be.
 const (
 	notStarted uint32 = iota
 	started
@@ -35,35 +35,34 @@
 type Task struct {
 	state  atomic.Uint32
 	done   atomic.Bool
-	wakeup host.Signal
+	wakeup host.Signal // fired when the task is done, or the group aborted
 }
 
-// Start is asked right before what can't be taken back. False means that the errand was given up, and must not be done.
+// Start must be called right before the first effect that can't be taken back. False means that the task was abandoned and must
+// not have that effect.
 func (t *Task) Start() bool {
 	return t.state.CompareAndSwap(notStarted, started) || t.state.Load() == started
 }
 
-// Outcome is how an errand ended.
+// Outcome is how a task ended.
 type Outcome int
 
-// The outcomes. Done: its work returned. Unstarted: given up, and it won't be done. Started: given up; it may be done.
 const (
+	// Done means that the work returned.
 	Done Outcome = iota
+	// NotStarted means that the task was abandoned and will have no effect.
 	NotStarted
+	// Started means that the task was abandoned and may have an effect, now or later.
 	Started
 )
 
-// Run does work in a task of its own and waits until it's done or given up. What work leaves behind may only be looked at
-// when it's done.
+// Run does the work in a goroutine of its own and waits until it is done or abandoned. What the work wrote may be read only if
+// the outcome is Done.
 func (g *Group) Run(work func(task *Task)) Outcome {
 	task := &Task{wakeup: g.host.NewSignal()}
-	g.mu.Lock()
-	if g.stopped {
-		g.mu.Unlock()
+	if !g.add(task) {
 		return NotStarted
 	}
-	g.running[task] = struct{}{}
-	g.mu.Unlock()
 	g.host.Go(func() {
 		work(task)
 		task.done.Store(true)
@@ -71,9 +70,7 @@
 	})
 	for !task.wakeup.Wait(monotonic.Forever) {
 	}
-	g.mu.Lock()
-	delete(g.running, task)
-	g.mu.Unlock()
+	g.remove(task)
 	if task.done.Load() {
 		return Done
 	}
@@ -83,11 +80,28 @@
 	return Started
 }
 
-// Abort ends every errand under way, and takes no more.
+// add reports whether the group still takes tasks.
+func (g *Group) add(task *Task) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.aborted {
+		return false
+	}
+	g.running[task] = struct{}{}
+	return true
+}
+
+func (g *Group) remove(task *Task) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.running, task)
+}
+
+// Abort abandons every running task, and makes every later Run return NotStarted.
 func (g *Group) Abort() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stopped = true
+	g.aborted = true
 	for task := range g.running {
 		task.state.CompareAndSwap(notStarted, abandoned)
 		task.wakeup.Fire()
--- a/internal/proxy/singleton/singleton.go
+++ b/internal/proxy/singleton/singleton.go
@@ -1,4 +1,7 @@
-// Package singleton holds the duties of this machine's backends: work that one backend of the whole mesh does at a time.
+// Package singleton lets a backend on this host hold a role that only one backend of the mesh has at a time, such as running a
+// scheduled job. The registry's leader grants a lease on the role; the backend renews the lease or stops when it ends.
+//
+// A proxy stores nothing about leases: each is passed on to the backend, as the time that remains.
 package singleton
 
 import (
@@ -12,46 +15,48 @@
 )
 
 const (
-	// patience is how long one ask may take, over a failover of the sorters.
+	// callTimeout bounds one call, across a failover of the registry.
 	callTimeout = 3 * monotonic.Second
-	// drift is the part of a tenure by which a doer stops early: no two clocks run alike.
+	// clockDriftDivisor is the part of a lease by which the backend stops early, because no two clocks run alike.
 	clockDriftDivisor = 50
 )
 
-// Options is what a rota is made of.
+// Options are the parts of a Client. All must be set.
 type Options struct {
 	Host  host.Host
-	Proxy string
-	// Available tells whether an instance is registered here, alive and not leaving.
+	Proxy string // name of this proxy
+	// Available reports whether an instance is registered here, alive and not leaving.
 	Available func(instance string) bool
-	// CallPrimary asks the primary sorter until patience ends.
+	// CallPrimary sends a request to the registry's leader until the timeout, see session.Client.CallPrimary.
 	CallPrimary func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
 }
 
-// Client asks for duties. It keeps nothing: a tenure is told to its doer, which stops by it.
-// Invariant: what is told ends, on this clock, before the sorters' record of it does, since it counts from before the ask
-// and is shorter by the drift.
+// Client requests leases on roles for the backends of this host. It is safe for concurrent use.
 type Client struct {
 	options Options
-	// stubborn counts tenures twice as long; only rehearsals of the checker set it.
+	// ignoreExpiry breaks the client on purpose, see IgnoreExpiry.
 	ignoreExpiry bool
 }
 
-// Grant is what a backend hears about a duty.
+// Grant is the answer to a request for a role.
 type Grant struct {
-	Granted   bool             `json:"granted"`
+	Granted bool `json:"granted"`
+	// Remaining is how long the lease still lasts. It ends, on this host's clock, before the registry's record of it does: it
+	// counts from before the request was sent and is shortened by the clocks' drift.
 	Remaining monotonic.Micros `json:"left_micros"`
-	Holder    string           `json:"holder,omitempty"`   // the carrier beside the doer
-	Instance  string           `json:"instance,omitempty"` // the doer
+	Holder    string           `json:"holder,omitempty"`   // the proxy on the leaseholder's host
+	Instance  string           `json:"instance,omitempty"` // the leaseholder
 }
 
-// New makes a rota.
+// New returns a client.
 func New(options Options) *Client { return &Client{options: options} }
 
-// IgnoreExpiry makes doers go on past their tenure, to show that a checker sees what comes of it. No program sets it.
+// IgnoreExpiry makes leases last twice as long as granted. It exists so that tests can show that the simulation's invariants detect
+// it; no program calls it.
 func (c *Client) IgnoreExpiry(enabled bool) { c.ignoreExpiry = enabled }
 
-// Acquire asks for a duty, or for more time in it. An error leaves what was granted before as it was.
+// Acquire requests the lease on a role for a backend, or renews it. The length is the requested time. After an error an earlier
+// lease holds as it was granted.
 func (c *Client) Acquire(role, instance string, length monotonic.Micros) (Grant, error) {
 	if settings.CheckName(role) != nil {
 		return Grant{}, apierror.Invalid.New("a duty's name is a lower-case letter, then up to 62 letters, digits or hyphens")
@@ -60,10 +65,10 @@
 		return Grant{}, apierror.Refused.New("instance %q is not registered here, silent or leaving", instance)
 	}
 	sentAt := c.options.Host.Now()
+	request := &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Duration: int64(length)}
 	response := &wire.SingletonLeaseResponse{}
-	err := c.options.CallPrimary(wire.Kind_singleton_lease, &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Duration: int64(length)}, response, callTimeout)
-	if err != nil {
-		return Grant{}, apierror.Lost.Wrap(err, "whether the duty was granted is not known")
+	if err := c.options.CallPrimary(wire.Kind_singleton_lease, request, response, callTimeout); err != nil {
+		return Grant{}, apierror.Lost.Wrap(err, "whether the role was granted is not known")
 	}
 	if !response.Granted {
 		return Grant{Holder: response.Owner, Instance: response.Instance}, nil
@@ -76,11 +81,12 @@
 	return Grant{Granted: true, Remaining: remaining, Holder: c.options.Proxy, Instance: instance}, nil
 }
 
-// Release gives a duty up. The backend must have stopped; if the sorters can't be told, the tenure runs out.
+// Release gives a role up. The backend must have stopped acting in it. If the registry can't be reached the lease runs out by
+// itself.
 func (c *Client) Release(role, instance string) error {
-	err := c.options.CallPrimary(wire.Kind_singleton_lease, &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Release: true}, &wire.SingletonLeaseResponse{}, callTimeout)
-	if err != nil {
-		return apierror.Lost.Wrap(err, "whether the duty was given up is not known")
+	request := &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Release: true}
+	if err := c.options.CallPrimary(wire.Kind_singleton_lease, request, &wire.SingletonLeaseResponse{}, callTimeout); err != nil {
+		return apierror.Lost.Wrap(err, "whether the role was given up is not known")
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/proxy/status.go
@@ -0,0 +1,79 @@
+package proxy
+
+import (
+	"snowflow/internal/proxy/breaker"
+	"snowflow/internal/proxy/configclient"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/proxy/session"
+	"snowflow/internal/transport/wire"
+)
+
+// Status is the state of a proxy as operators see it. The JSON keys are part of the operators' API.
+type Status struct {
+	Name        string `json:"name"`
+	Domain      string `json:"domain"`
+	Incarnation uint64 `json:"incarnation"`
+	Ready       bool   `json:"ready"`
+	Reason      string `json:"why,omitempty"` // for which it is not ready
+
+	ConfigVersion   uint64             `json:"desired_serial"`
+	ConfigDigest    string             `json:"desired_check,omitempty"` // of the resources in force
+	ConfigAgeMicros int64              `json:"desired_age_micros"`      // since the version was adopted
+	ConfigUpdates   configclient.Stats `json:"desired_taken"`
+
+	Running         int64 `json:"requests_running"` // callers' requests in flight
+	AdmittedRunning int64 `json:"passes_running"`   // requests in flight to the local backends
+
+	Backends      []*wire.Backend               `json:"backends"`
+	BackendHealth []localbackends.BackendHealth `json:"standings"` // as this proxy's outlier detection sees it
+
+	Breakers         []breaker.Status `json:"guards"`
+	BreakersDegraded bool             `json:"guards_degraded"` // the registry can't be reached; they go by local counts
+
+	Members          int                  `json:"members_seen"` // live proxies in the directory
+	DirectoryUpdates session.UpdateCounts `json:"directory_taken"`
+}
+
+// Status returns the proxy's state.
+func (p *Proxy) Status() Status {
+	ready, reason := p.Ready()
+	version, age, digest := p.ConfigClient.Adopted()
+	return Status{
+		Name:             p.options.Name,
+		Domain:           p.options.Domain,
+		Incarnation:      p.incarnation,
+		Ready:            ready,
+		Reason:           reason,
+		ConfigVersion:    version,
+		ConfigDigest:     digest,
+		ConfigAgeMicros:  int64(age),
+		ConfigUpdates:    p.ConfigClient.Stats(),
+		Running:          p.Forwarder.InFlight(),
+		AdmittedRunning:  p.Admission.Running(),
+		Backends:         p.LocalBackends.Backends(),
+		BackendHealth:    p.LocalBackends.Health(),
+		Breakers:         p.Breaker.Statuses(),
+		BreakersDegraded: p.Breaker.Degraded(),
+		Members:          p.Session.Directory().Live,
+		DirectoryUpdates: p.Session.UpdateCounts(),
+	}
+}
+
+// Ready reports whether callers may be sent to this proxy, and the reason if not.
+func (p *Proxy) Ready() (ready bool, reason string) {
+	if p.draining.Load() {
+		return false, "draining"
+	}
+	snapshot, live := p.ConfigClient.Current()
+	if snapshot == nil {
+		return false, "no configuration adopted from a live leader yet"
+	}
+	if !live {
+		return false, "the lease on the configuration has ended"
+	}
+	servesOn := p.options.ServeOn && p.Session.HasDirectory()
+	if !p.Session.Registered() && !servesOn {
+		return false, "no registry server has answered lately"
+	}
+	return true, ""
+}
