--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -4,56 +4,25 @@
 	"bufio"
 	"errors"
 	"io"
-	"net"
 	"net/http"
 	"testing"
-
-	"snowflow/internal/apierror"
-	"snowflow/internal/host/machine"
-	"snowflow/internal/monotonic"
-	"snowflow/internal/proxy/admission"
-	"snowflow/internal/proxy/localbackends"
-	"snowflow/internal/proxy/upstream"
 )
 
 // TestCancelClosesConnection: the connection of a request whose caller leaves while its backend is at work is closed at once.
 func TestCancelClosesConnection(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
+	backend := newTestBackend(t)
 	working, ended := make(chan struct{}), make(chan error, 1)
-	go func() {
-		connection, err := listener.Accept()
-		if err != nil {
-			ended <- err
-			return
-		}
-		defer connection.Close()
-		reader := bufio.NewReader(connection)
-		if _, err := http.ReadRequest(reader); err != nil {
-			ended <- err
-			return
-		}
-		close(working)
-		_, err = reader.ReadByte()
-		ended <- err
-	}()
-	dialect := upstream.DefaultDialect()
-	dialect.ChecksIdentity = false
-	clock := machine.New(nil, nil, nil)
-	backendRequest := admission.BackendRequest{ID: "a.1", Backend: localbackends.Backend{Instance: "one", Service: "forms", Address: listener.Addr().String()}, Method: "GET", Target: "/a",
-		Deadline: clock.Now() + monotonic.Minute, ResponseLimit: 1 << 20, BeforeSend: func() *apierror.Fault { return nil }}
+	go func() { ended <- backend.readUntilClosed(working) }()
+	request := backend.request("a.1", nil)
 	stopped := false
-	backendRequest.OnCancel = func(cancel func()) (stop func()) {
+	request.OnCancel = func(cancel func()) (stop func()) {
 		go func() {
 			<-working
 			cancel()
 		}()
 		return func() { stopped = true }
 	}
-	response, fault := upstream.New(clock, dialect).RoundTrip(backendRequest)
+	response, fault := backend.transport.RoundTrip(request)
 	if response != nil || fault == nil || fault.NotRun() || !stopped {
 		t.Errorf("%v %v, stopped: %v", response, fault, stopped)
 	}
@@ -61,3 +30,19 @@
 		t.Errorf("the backend saw %v", err)
 	}
 }
+
+// readUntilClosed reads one request, closes working, and returns what it reads after the request's end.
+func (b *testBackend) readUntilClosed(working chan struct{}) error {
+	connection, err := b.Accept()
+	if err != nil {
+		return err
+	}
+	defer func() { _ = connection.Close() }()
+	reader := bufio.NewReader(connection)
+	if _, err := http.ReadRequest(reader); err != nil {
+		return err
+	}
+	close(working)
+	_, err = reader.ReadByte()
+	return err
+}
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -137,7 +137,7 @@
 	}
 	bodyless := req.Method == http.MethodHead || head.StatusCode == http.StatusNoContent || head.StatusCode == http.StatusNotModified
 	if head.ContentLength < 0 && len(head.TransferEncoding) == 0 && !bodyless {
-		return nil, false, malformed(req, "the response's end can't be told from a broken connection")
+		return nil, false, malformed(req, "the answer's end can't be told from a broken connection")
 	}
 	body, fault := readBody(req, head)
 	if fault != nil {
