--- a/internal/proxy/admission/cancellations.go
+++ b/internal/proxy/admission/cancellations.go
@@ -6,8 +6,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// cancellations holds the requests in flight that are cancelled when their callers leave. Requests that run at most once are not
-// among them: they run to their end, so that a repeated request finds their response.
+// cancellations holds the requests in flight that are cancelled when their callers leave. Run-once requests are not among them: they
+// run to their end, so that a repeated request finds their response.
 type cancellations struct {
 	mu     sync.Mutex // guards active
 	active map[cancelKey]*cancellation
@@ -25,7 +25,7 @@
 
 func newCancellations() *cancellations { return &cancellations{active: map[cancelKey]*cancellation{}} }
 
-// begin adds a request. It returns nil for one that runs at most once.
+// begin adds a request. It returns nil for a run-once request.
 func (c *cancellations) begin(req *wire.ForwardRequest) *cancellation {
 	if req.RunOnce {
 		return nil
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -113,6 +113,6 @@
 // releaseClaim gives a claim back after the backend, or this proxy, was certain that the request has not run. If the registry
 // can't be reached the key stays claimed until it expires: that is safe, but the caller has to wait.
 func (c *Controller) releaseClaim(req *wire.ForwardRequest) {
-	settle := &wire.CompleteClaimRequest{Scope: req.Scope, Attempt: req.Attempt}
-	_ = c.options.CallPrimary(wire.Kind_complete_claim, settle, &wire.CompleteClaimResponse{}, claimReleaseTimeout)
+	release := &wire.CompleteClaimRequest{Scope: req.Scope, Attempt: req.Attempt}
+	_ = c.options.CallPrimary(wire.Kind_complete_claim, release, &wire.CompleteClaimResponse{}, claimReleaseTimeout)
 }
--- a/internal/proxy/admission/doc.go
+++ b/internal/proxy/admission/doc.go
@@ -9,7 +9,7 @@
 //  2. Outlier detection: an ejected backend takes health checks and last resorts only.
 //  3. Uplink: a large response must fit through this host's link in time.
 //  4. Slot: the backend runs a bounded number of requests at once, and a bounded number waits for that.
-//  5. Claim: a request that must run at most once claims its idempotency key at the registry's leader. The key's recorded
+//  5. Claim: a run-once request, that is one with an idempotency key, claims that key at the registry's leader. The key's recorded
 //     response is returned instead if an earlier attempt has run.
 //  6. Hand-over: the conditions that may have changed meanwhile are checked again right before the first byte is written.
 //
--- a/internal/proxy/admission/permit.go
+++ b/internal/proxy/admission/permit.go
@@ -24,7 +24,7 @@
 	uncountedSlotRetry = 5 * monotonic.Millisecond
 )
 
-// permit is the right to hand a request to its backend: a slot and, for a request that runs at most once, its claim.
+// permit is the right to hand a request to its backend: a slot and, for a run-once request, its claim.
 type permit struct {
 	*localbackends.Slot
 	startBy monotonic.Micros // the time by which the request must start, on this process's clock
@@ -36,7 +36,7 @@
 	slotRequest := localbackends.Request{
 		Instance: req.Instance,
 		Service:  req.Service,
-		Once:     req.RunOnce,
+		RunOnce:  req.RunOnce,
 		Request: slots.Request{
 			Priority:      req.Priority,
 			LatencyTarget: c.options.LocalBackends.DeadlineAfter(req.LatencyTarget),
@@ -115,7 +115,7 @@
 	deadline := min(startBy, h.Now()+uncountedSlotTimeout)
 	for {
 		slot, fault := c.options.LocalBackends.AdmitUncounted(slotRequest, limit)
-		if fault == nil || fault.Cause != apierror.Overloaded || !slotRequest.Once || h.Now() >= deadline {
+		if fault == nil || fault.Cause != apierror.Overloaded || !slotRequest.RunOnce || h.Now() >= deadline {
 			return slot, fault
 		}
 		h.Sleep(uncountedSlotRetry)
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -90,11 +90,12 @@
 	deadline     monotonic.Micros
 	permit       *permit
 	observation  *localbackends.Observation
-	cancellation *cancellation // nil for a request that runs at most once
+	cancellation *cancellation // nil for a run-once request
 	task         *shutdown.Task
 }
 
-// cancellable reports whether the request may be broken off while its backend works on it: only one that may be repeated.
+// cancellable reports whether the request may be broken off while its backend works on it: only one that may be repeated, so neither a
+// run-once request nor one that may run at most once and has no idempotency key.
 func (e *execution) cancellable() bool { return !e.req.RunOnce && !e.req.AtMostOnce }
 
 // execute hands a request to its backend, records what the outcome says of the backend, and returns the response.
--- a/internal/proxy/localbackends/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -9,15 +9,15 @@
 )
 
 // maxClassShare is the largest part of a backend's slots that requests of one class may take, where the backend does not report
-// its slots. The classes are requests that run at most once and all others. Neither can starve the other: requests of the first
-// kind call for some of the second at the same services, so that each would wait for the other's slots.
+// its slots. The classes are run-once requests and all others. Neither can starve the other: run-once requests cause requests
+// of the other class to the same services, so that each would wait for the other's slots.
 const maxClassShare = 0.75
 
 // Request asks for a slot. Its times are on this process's clock.
 type Request struct {
 	Instance string
 	Service  string
-	Once     bool // it must run at most once
+	RunOnce  bool // it is a run-once request: it has an idempotency key
 	slots.Request
 }
 
@@ -27,7 +27,7 @@
 	set     *Set
 	backend *backendState
 	ticket  *slots.Ticket
-	once    bool
+	runOnce bool
 }
 
 // Release gives the slot back. Further calls do nothing.
@@ -35,15 +35,15 @@
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
 	if s.ticket.State() == slots.Running {
-		s.backend.inFlight[s.once]--
+		s.backend.inFlight[s.runOnce]--
 	}
 	s.backend.slots.Release(s.set.host.Now(), s.ticket, outcome)
 }
 
 // newSlot returns the slot of a running ticket. mu is held.
-func (s *Set) newSlot(state *backendState, ticket *slots.Ticket, once bool) *Slot {
-	state.inFlight[once]++
-	return &Slot{Backend: state.Backend, set: s, backend: state, ticket: ticket, once: once}
+func (s *Set) newSlot(state *backendState, ticket *slots.Ticket, runOnce bool) *Slot {
+	state.inFlight[runOnce]++
+	return &Slot{Backend: state.Backend, set: s, backend: state, ticket: ticket, runOnce: runOnce}
 }
 
 // HasSlotCount reports whether a backend has reported the number of its slots.
@@ -55,19 +55,19 @@
 }
 
 // CheckCapacity returns the fault for which AdmitUncounted would reject a request now, or nil. It takes no slot.
-func (s *Set) CheckCapacity(instance, service string, limit uint32, once bool) *apierror.Fault {
+func (s *Set) CheckCapacity(instance, service string, limit uint32, runOnce bool) *apierror.Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.checkCapacity(s.entries[instance], instance, service, limit, once)
+	return s.checkCapacity(s.entries[instance], instance, service, limit, runOnce)
 }
 
 // checkCapacity does the work of CheckCapacity. mu is held.
-func (s *Set) checkCapacity(state *backendState, instance, service string, limit uint32, once bool) *apierror.Fault {
+func (s *Set) checkCapacity(state *backendState, instance, service string, limit uint32, runOnce bool) *apierror.Fault {
 	if fault := s.checkAvailable(state, instance, service); fault != nil {
 		return fault
 	}
 	total := state.inFlight[true] + state.inFlight[false]
-	if total >= limit || limit > 1 && float64(state.inFlight[once]) >= maxClassShare*float64(limit) {
+	if total >= limit || limit > 1 && float64(state.inFlight[runOnce]) >= maxClassShare*float64(limit) {
 		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests at %s", total, instance)
 	}
 	return nil
@@ -78,10 +78,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.entries[request.Instance]
-	if fault := s.checkCapacity(state, request.Instance, request.Service, limit, request.Once); fault != nil {
+	if fault := s.checkCapacity(state, request.Instance, request.Service, limit, request.RunOnce); fault != nil {
 		return nil, fault
 	}
-	return s.newSlot(state, state.slots.Force(s.host.Now(), request.Request), request.Once), nil
+	return s.newSlot(state, state.slots.Force(s.host.Now(), request.Request), request.RunOnce), nil
 }
 
 // Admit gives a request a slot at a backend that reports its slots, after a wait if need be, or rejects it. A rejected request has
@@ -153,7 +153,7 @@
 		fault.RetryAfter = waiting.ticket.RetryAfter()
 		return nil, fault
 	}
-	return s.newSlot(waiting.backend, waiting.ticket, request.Once), nil
+	return s.newSlot(waiting.backend, waiting.ticket, request.RunOnce), nil
 }
 
 // checkOpen rejects requests to an unavailable backend, and all requests after Close. mu is held.
--- a/internal/proxy/localbackends/localbackends_test.go
+++ b/internal/proxy/localbackends/localbackends_test.go
@@ -32,7 +32,7 @@
 			taken = append(taken, slot)
 		}
 		if len(taken) != 3 {
-			t.Errorf("%d requests were admitted to 4 slots, of which a quarter is reserved for requests that run at most once", len(taken))
+			t.Errorf("%d requests were admitted to 4 slots, of which a quarter is reserved for run-once requests", len(taken))
 		}
 		register()
 		if _, fault := admit(); fault == nil || fault.Cause != apierror.Overloaded {
--- a/internal/proxy/localbackends/set.go
+++ b/internal/proxy/localbackends/set.go
@@ -48,7 +48,7 @@
 	lastHeartbeat monotonic.Micros // when it was last heard of
 	slots         *slots.Pool
 	detector      *outlier.Detector
-	inFlight      map[bool]uint32 // requests that hold a slot, by whether they run at most once
+	inFlight      map[bool]uint32 // requests that hold a slot, by whether they are run-once requests
 	overdue       bool            // Sweep found it without heartbeats
 	departed      bool            // it deregistered
 	reported      bool            // it uses ApplyReport, and sequence is that of its last report
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -25,7 +25,7 @@
 	CheckResponse func(req admission.BackendRequest, response *http.Response) (notRun bool, err error)
 	// AllowsTrailingBytes accepts a complete response that is followed by more bytes. The connection is not used again.
 	AllowsTrailingBytes bool
-	// MaxIdleForOnce is how long a connection may have been idle to carry a request that must run at most once, which can't be
+	// MaxIdleForOnce is how long a connection may have been idle to carry a request that must not be repeated, which can't be
 	// sent again if the backend closes the connection meanwhile. Zero gives such requests a new connection.
 	MaxIdleForOnce time.Duration
 }
--- a/internal/proxy/upstream/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -40,7 +40,7 @@
 	method  string
 	body    string
 	times   int
-	once    bool // the request must run at most once
+	once    bool // the request needs a fresh connection
 	leaving bool // the backend is found to be leaving before the request is sent
 	headers bool // the request's headers are shown
 	backend *fakeBackend
