--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -73,7 +73,13 @@
 		if change.Ejected {
 			number = eventlog.BackendEjected
 		}
-		s.host.Report(number, map[string]any{"service": backend.Service, "instance": backend.Instance, "callers": change.Domain, "faults": change.FaultRate, "times": change.RecentEjections})
+		s.host.Report(number, map[string]any{
+			"service":  backend.Service,
+			"instance": backend.Instance,
+			"callers":  change.Domain,
+			"faults":   change.FaultRate,
+			"times":    change.RecentEjections,
+		})
 	}
 }
 
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -29,7 +29,12 @@
 }
 
 func newReport(instance string, sequence uint64, count uint32, condition string) localbackends.Report {
-	return localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: instance, Address: "127.0.0.1:8000"}, Slots: count, Condition: condition, Sequence: sequence}
+	return localbackends.Report{
+		Backend:   localbackends.Backend{Service: "forms", Instance: instance, Address: "127.0.0.1:8000"},
+		Slots:     count,
+		Condition: condition,
+		Sequence:  sequence,
+	}
 }
 
 func TestApplyReport(t *testing.T) {
@@ -67,7 +72,9 @@
 		apply("leaving", newReport("one", 9, 8, localbackends.Leaving), true)
 		apply("not leaving any more", newReport("one", 10, 8, localbackends.Working), false)
 		announces("leaving is final", "one", localbackends.Leaving, 8)
-		if _, err := backends.ApplyReport(localbackends.Report{Backend: localbackends.Backend{Service: "forms", Instance: "one", Address: "127.0.0.1:9000"}, Condition: localbackends.Alive, Sequence: 11}); err == nil {
+		moved := newReport("one", 11, 8, localbackends.Alive)
+		moved.Address = "127.0.0.1:9000"
+		if _, err := backends.ApplyReport(moved); err == nil {
 			t.Error("the instance moved")
 		}
 		apply("another at its address", newReport("two", 1, 6, localbackends.Alive), true)
@@ -166,14 +173,15 @@
 		if load := backends.Load("two", ""); load.Running != 0 {
 			t.Errorf("%v", load)
 		}
-		released, fault := backends.Admit(newRequest(process, "two", 300*monotonic.Millisecond))
+		uncertain, fault := backends.Admit(newRequest(process, "two", 300*monotonic.Millisecond))
 		if fault != nil {
 			t.Fatal(fault)
 		}
-		released.Release(slots.Uncertain)
+		uncertain.Release(slots.Uncertain)
 		began := process.Now()
-		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault != nil || process.Now()-began < 300*monotonic.Millisecond || process.Now()-began > 320*monotonic.Millisecond {
-			t.Errorf("admitted after %d at a slot that lingers: %v", process.Now()-began, fault)
+		_, fault = backends.Admit(newRequest(process, "two", monotonic.Second))
+		if waited := process.Now() - began; fault != nil || waited < 300*monotonic.Millisecond || waited > 320*monotonic.Millisecond {
+			t.Errorf("admitted after %d at a slot that lingers: %v", waited, fault)
 		}
 		backends.Close()
 		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault == nil || fault.Cause != apierror.Draining {
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -28,10 +28,23 @@
 	if newest := (directoryVersion{full.Source, full.Version}); r.versions[newest] == nil {
 		r.versions[newest] = NewDirectory(full.Sessions)
 	}
-	view := r.UpdateSince(directory.Base{Source: request.DirectorySource, Version: request.DirectoryVersion, Checksum: request.DirectoryChecksum, SkipYoung: request.DirectoryComplete})
-	response := &wire.RegistryPollResponse{DirectoryAge: int64(r.Age()), DirectorySource: view.Source, DirectoryVersion: view.Version, DirectoryUnchanged: view.Unchanged,
-		Sessions: view.Sessions, DirectoryIsDelta: view.Incremental, DirectoryRemoved: view.Removed, DirectoryDigest: view.Digest}
-	if view.Incremental {
+	update := r.UpdateSince(directory.Base{
+		Source:    request.DirectorySource,
+		Version:   request.DirectoryVersion,
+		Checksum:  request.DirectoryChecksum,
+		SkipYoung: request.DirectoryComplete,
+	})
+	response := &wire.RegistryPollResponse{
+		DirectoryAge:       int64(r.Age()),
+		DirectorySource:    update.Source,
+		DirectoryVersion:   update.Version,
+		DirectoryUnchanged: update.Unchanged,
+		Sessions:           update.Sessions,
+		DirectoryIsDelta:   update.Incremental,
+		DirectoryRemoved:   update.Removed,
+		DirectoryDigest:    update.Digest,
+	}
+	if update.Incremental {
 		response.DirectoryBaseSource, response.DirectoryBaseVersion = request.DirectorySource, request.DirectoryVersion
 	}
 	return proto.CloneOf(response)
@@ -44,7 +57,12 @@
 }
 
 func pollRequest(c *Client, complete bool) *wire.RegistryPollRequest {
-	request := &wire.RegistryPollRequest{DirectorySource: c.snapshot.source, DirectoryVersion: c.snapshot.version, DirectoryChecksum: c.snapshot.checksum(), DirectoryComplete: c.complete}
+	request := &wire.RegistryPollRequest{
+		DirectorySource:   c.snapshot.source,
+		DirectoryVersion:  c.snapshot.version,
+		DirectoryChecksum: c.snapshot.checksum(),
+		DirectoryComplete: c.complete,
+	}
 	if complete {
 		request.DirectoryChecksum = 0
 	}
@@ -106,90 +124,137 @@
 	return ""
 }
 
-// runFaults creates, changes, drains, ends and renews sessions at two servers that exchange them, restart and lose contact, while clients
-// poll now one and now the other. It returns the first violation, and how the clients were updated.
+// faultRun is a run of random faults: sessions are created, changed, drained, ended and renewed at two servers that exchange them,
+// restart and lose contact, while clients poll now one and now the other.
+type faultRun struct {
+	process    *world.Host
+	random     *rand.Rand
+	unchecked  bool // the clients skip their checks
+	reordering bool // answers may arrive out of order
+	versions   map[directoryVersion]*Directory
+	registries []*registryStub
+	sessions   map[string]*wire.Session
+	pairs      []*clientPair
+}
+
+// runFaults plays a run of 400 steps. It returns the first violation, and how the clients were updated.
 func runFaults(t *testing.T, seed uint64, unchecked bool) (wrong string, counts UpdateCounts) {
 	t.Helper()
-	versions := map[directoryVersion]*Directory{}
 	runProcess(t, seed, func(_ *world.World, process *world.Host) {
-		random := rand.New(rand.NewPCG(seed, 5))
-		fresh := func() *registryStub {
-			return &registryStub{Directory: directory.New(process, random.Uint64()|1), versions: versions}
-		}
-		registries := []*registryStub{fresh(), fresh()}
-		sessions := map[string]*wire.Session{}
-		pairs := []*clientPair{}
-		start := func() *clientPair {
-			pair := &clientPair{}
-			for _, into := range []**Client{&pair.deltas, &pair.snapshots} {
-				*into = New(process, discovery.New(process, nil, nil), emptySession, nil)
-				(*into).SkipDigestChecks(unchecked)
-			}
-			return pair
+		run := &faultRun{
+			process:    process,
+			random:     rand.New(rand.NewPCG(seed, 5)),
+			unchecked:  unchecked,
+			reordering: seed%2 == 0,
+			versions:   map[directoryVersion]*Directory{},
+			sessions:   map[string]*wire.Session{},
 		}
+		run.registries = []*registryStub{run.newRegistry(), run.newRegistry()}
 		for range 4 {
-			pairs = append(pairs, start())
+			run.pairs = append(run.pairs, run.newPair())
 		}
 		for step := range 400 {
-			process.Sleep(monotonic.Micros(random.Uint64N(uint64(300 * monotonic.Millisecond))))
-			name := fmt.Sprint("proxy-", random.IntN(12))
-			session := sessions[name]
-			switch random.IntN(8) {
-			case 0, 1: // a new session, or a new incarnation
-				sessions[name] = &wire.Session{Proxy: name, Incarnation: random.Uint64(), Address: name, Domain: "zone", Backends: []*wire.Backend{{Service: "forms", Instance: fmt.Sprint(random.IntN(5)), Condition: "alive"}}}
-			case 2: // draining
-				if session != nil {
-					session.Leaving = true
-				}
-			case 3: // backends are replaced
-				if session != nil {
-					session.Backends = session.Backends[:0:0]
-					for number := range random.IntN(3) {
-						session.Backends = append(session.Backends, &wire.Backend{Service: "forms", Instance: fmt.Sprint(name, number), Condition: []string{"alive", "working", "leaving"}[random.IntN(3)]})
-					}
-				}
-			case 4: // no more heartbeats
-				delete(sessions, name)
-			case 5:
-				if random.IntN(6) == 0 { // a server restarts empty
-					registries[random.IntN(2)] = fresh()
-				}
-			case 6:
-				if random.IntN(4) == 0 { // a proxy restarts
-					pairs[random.IntN(len(pairs))] = start()
-				}
-			}
-			for _, session := range sessions {
-				session.Heartbeat++
-				if at := registries[0]; random.IntN(3) > 0 {
-					at.Observe(session, true)
-				}
-			}
-			if random.IntN(3) > 0 { // the servers exchange sessions
-				for _, session := range registries[0].DirectSessions() {
-					registries[1].Observe(session, false)
-				}
-			}
-			for _, registry := range registries {
-				registry.ExpireSessions()
-			}
-			for _, pair := range pairs {
-				if random.IntN(2) > 0 {
-					continue
-				}
-				if found := pair.poll(random, registries[random.IntN(4)/3], seed%2 == 0); found != "" && wrong == "" {
-					wrong = fmt.Sprintf("step %d: %s", step, found)
-				}
+			if found := run.step(); found != "" && wrong == "" {
+				wrong = fmt.Sprintf("step %d: %s", step, found)
 			}
 		}
-		for _, pair := range pairs {
-			one := pair.deltas.UpdateCounts()
-			counts.Deltas, counts.Snapshots, counts.Rejected = counts.Deltas+one.Deltas, counts.Snapshots+one.Snapshots, counts.Rejected+one.Rejected
+		for _, pair := range run.pairs {
+			counts.add(pair.deltas.UpdateCounts())
 		}
 	})
 	return wrong, counts
 }
 
+func (u *UpdateCounts) add(other UpdateCounts) {
+	u.Deltas += other.Deltas
+	u.Snapshots += other.Snapshots
+	u.Rejected += other.Rejected
+}
+
+func (f *faultRun) newRegistry() *registryStub {
+	return &registryStub{Directory: directory.New(f.process, f.random.Uint64()|1), versions: f.versions}
+}
+
+func (f *faultRun) newPair() *clientPair {
+	pair := &clientPair{}
+	for _, into := range []**Client{&pair.deltas, &pair.snapshots} {
+		*into = New(f.process, discovery.New(f.process, nil, nil), emptySession, nil)
+		(*into).SkipDigestChecks(f.unchecked)
+	}
+	return pair
+}
+
+// step makes one change, delivers heartbeats, and lets some clients poll. It returns the first violation.
+func (f *faultRun) step() (wrong string) {
+	f.process.Sleep(monotonic.Micros(f.random.Uint64N(uint64(300 * monotonic.Millisecond))))
+	f.change()
+	f.heartbeat()
+	for _, pair := range f.pairs {
+		if f.random.IntN(2) > 0 {
+			continue
+		}
+		if found := pair.poll(f.random, f.registries[f.random.IntN(4)/3], f.reordering); found != "" && wrong == "" {
+			wrong = found
+		}
+	}
+	return wrong
+}
+
+// change changes a session, or restarts a server or a client.
+func (f *faultRun) change() {
+	name := fmt.Sprint("proxy-", f.random.IntN(12))
+	session := f.sessions[name]
+	switch f.random.IntN(8) {
+	case 0, 1: // a new session, or a new incarnation
+		f.sessions[name] = &wire.Session{Proxy: name, Incarnation: f.random.Uint64(), Address: name, Domain: "zone",
+			Backends: []*wire.Backend{{Service: "forms", Instance: fmt.Sprint(f.random.IntN(5)), Condition: "alive"}}}
+	case 2: // draining
+		if session != nil {
+			session.Leaving = true
+		}
+	case 3: // backends are replaced
+		if session != nil {
+			session.Backends = f.newBackends(name)
+		}
+	case 4: // no more heartbeats
+		delete(f.sessions, name)
+	case 5:
+		if f.random.IntN(6) == 0 { // a server restarts empty
+			f.registries[f.random.IntN(2)] = f.newRegistry()
+		}
+	case 6:
+		if f.random.IntN(4) == 0 { // a proxy restarts
+			f.pairs[f.random.IntN(len(f.pairs))] = f.newPair()
+		}
+	}
+}
+
+func (f *faultRun) newBackends(proxy string) (backends []*wire.Backend) {
+	for number := range f.random.IntN(3) {
+		condition := []string{"alive", "working", "leaving"}[f.random.IntN(3)]
+		backends = append(backends, &wire.Backend{Service: "forms", Instance: fmt.Sprint(proxy, number), Condition: condition})
+	}
+	return backends
+}
+
+// heartbeat delivers most sessions' heartbeats to the first server and, unless contact is lost, from it to the second.
+func (f *faultRun) heartbeat() {
+	for _, session := range f.sessions {
+		session.Heartbeat++
+		if f.random.IntN(3) > 0 {
+			f.registries[0].Observe(session, true)
+		}
+	}
+	if f.random.IntN(3) > 0 {
+		for _, session := range f.registries[0].DirectSessions() {
+			f.registries[1].Observe(session, false)
+		}
+	}
+	for _, registry := range f.registries {
+		registry.ExpireSessions()
+	}
+}
+
 // TestDeltasEqualSnapshots: whatever happens, a client that is updated by differences holds exactly the version that it claims, every answer
 // that is delivered leads it to the newest one, and its directory equals that of a client that only gets complete ones.
 func TestDeltasEqualSnapshots(t *testing.T) {
@@ -199,7 +264,7 @@
 		if wrong != "" {
 			t.Errorf("seed %d: %s", seed, wrong)
 		}
-		sum.Deltas, sum.Snapshots, sum.Rejected = sum.Deltas+counts.Deltas, sum.Snapshots+counts.Snapshots, sum.Rejected+counts.Rejected
+		sum.add(counts)
 	}
 	t.Logf("%+v", sum)
 	if sum.Deltas < 5*sum.Snapshots || sum.Rejected == 0 {
