--- a/internal/proxy/session/doc.go
+++ b/internal/proxy/session/doc.go
@@ -11,7 +11,7 @@
 // change. It answers a poll with the complete directory, with the difference from the version that the client holds, or
 // with nothing if that version is current. A difference is applied only to the version it was made from, and only if the
 // result has the digest that the server names; otherwise the client drops its claim to a version, which makes the next
-// answer a complete one. A server that started less than [directory.SessionLife] ago may not have heard from every
+// answer a complete one. A server that started less than [directory.SessionTimeout] ago may not have heard from every
 // proxy yet, so a client that holds a complete directory keeps it until the new server's is complete too.
 //
 // A [Directory] never changes once built. Callers may keep it and read it without a lock.
