--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -87,7 +87,7 @@
 	}
 	p.Admission = admission.New(admission.Options{Host: options.Host, Proxy: options.Name, Incarnation: p.incarnation, ConfigClient: p.ConfigClient, ServeOn: options.ServeOn,
 		LocalBackends: p.LocalBackends, Replay: replays, Upstream: options.Upstream, LinkMegabits: options.LinkMegabits, CallPrimary: p.Session.CallPrimary, CallProxy: p.callProxy})
-	p.Forwarder = forward.New(forward.Config{Host: options.Host, Proxy: options.Name, Incarnation: p.incarnation,
+	p.Forwarder = forward.New(forward.Config{Host: options.Host, Proxy: options.Name, Incarnation: p.incarnation, Address: options.Address,
 		Domain: options.Domain, IgnoreDomains: options.IgnoreZones, CrossDomainPenalty: options.CrossZonePenalty, ConfigClient: p.ConfigClient, Session: p.Session, Breakers: p.Breaker, RetryBudget: p.RetryBudget, Admission: p.Admission,
 		CallPrimary: p.Session.CallPrimary, StoreResponse: replays.Put, OnFinished: options.Finished, SilenceTimeout: options.SilenceTimeout})
 	p.clockWatch.OnJump(p.LocalBackends.ExtendHeartbeats)
