--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,10 +1,10 @@
-// Package daemon puts a daemon together: settings, events, host, listeners under a supervisor, and a planned stop.
+// Package daemon assembles a program from its settings: the event log, the host, the resolver and the listeners, which run under
+// a supervisor until a planned stop or a failure.
 package daemon
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"net/http"
 	"os"
@@ -14,9 +14,6 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/collectors"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
-	"github.com/spf13/cobra"
 	"github.com/thejerf/suture/v4"
 
 	"snowflow/internal/discovery"
@@ -33,137 +30,127 @@
 	"snowflow/internal/wal/folder"
 )
 
-// Daemon is a daemon being put together. Invariant: cleanups unwind last first, once.
+const (
+	// discoveryInterval is how often the resolver asks others for addresses.
+	discoveryInterval = monotonic.Second
+	// replyTimeout bounds how long a planned stop waits for replies to other processes that are not written yet.
+	replyTimeout = 200 * monotonic.Millisecond
+	// httpShutdownTimeout bounds how long a planned stop waits for HTTP requests.
+	httpShutdownTimeout = 250 * time.Millisecond
+	// failureTimeout is when a process that must stop is ended even if its main task is stuck.
+	failureTimeout = 2 * time.Second
+	// signalQueue is how many stop signals and failures are kept; one of each would do.
+	signalQueue = 4
+)
+
+// Daemon is a program that is being assembled or runs. Its exported fields are set before build is called, except for Drain.
 type Daemon struct {
 	Program  string
 	Settings settings.Values
 	Events   *eventlog.EventLog
 	Host     *machine.Machine
 	Resolver *discovery.Resolver
+	// Handlers answer other processes. build adds the program's.
 	Handlers host.Handlers
 	Registry *prometheus.Registry
-	// Drain is called at a planned stop, before the listeners close.
+	// Drain, unless nil, is called at a planned stop, before the listeners close. build sets it.
 	Drain func()
 
 	supervisor  *suture.Supervisor
 	cleanups    []func()
-	failures    chan string
+	failures    chan string // the reasons for which the process must stop
 	stopSignals chan os.Signal
 }
 
-// Defer adds a clean-up.
-func (d *Daemon) Defer(cleanup func()) { d.cleanups = append(d.cleanups, cleanup) }
-
-func (d *Daemon) runCleanups() {
-	for len(d.cleanups) > 0 {
-		last := d.cleanups[len(d.cleanups)-1]
-		d.cleanups = d.cleanups[:len(d.cleanups)-1]
-		last()
+// Run runs a daemon with checked settings until a planned stop, when it returns nil, or until it fails. build adds what the
+// program consists of. group is the process's replication group, empty for a process outside the control plane.
+func Run(program, group string, values settings.Values, build func(daemon *Daemon) error) error {
+	events, err := eventlog.New(program, values["name"], values["log"])
+	if err != nil {
+		return err
 	}
-}
-
-// Command makes a daemon's command line. Bad settings end with exit code 2, a failed start with 1.
-func Command(program, short string, fields []settings.Field, group string, build func(daemon *Daemon) error) *cobra.Command {
-	command := &cobra.Command{
-		Use: program, Short: short, Args: cobra.NoArgs, Version: fmt.Sprintf("%s (wire version %d)", release.Version, frame.Version),
-		SilenceUsage: true, SilenceErrors: true,
+	daemon := &Daemon{
+		Program: program, Settings: values, Events: events, Handlers: host.Handlers{}, Registry: prometheus.NewRegistry(),
+		supervisor: suture.New(program, suture.Spec{}), failures: make(chan string, signalQueue), stopSignals: make(chan os.Signal, signalQueue),
 	}
-	settings.AddFlags(command.Flags(), fields)
-	command.RunE = func(command *cobra.Command, _ []string) error {
-		values, err := settings.Load(command.Flags(), fields)
-		if err != nil {
-			return &UsageError{err}
-		}
-		return Run(program, group, values, build)
+	defer daemon.runCleanups()
+	daemon.Defer(events.Close)
+	disk, err := openDisk(values)
+	if err != nil {
+		return err
+	}
+	daemon.newHost(disk)
+	daemon.newResolver(group, disk)
+	daemon.registerMetrics()
+	if err := build(daemon); err != nil {
+		return err
 	}
-	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &UsageError{err} })
-	return command
+	return daemon.serve()
 }
 
-// UsageError marks errors of whoever started the program: exit code 2.
-type UsageError struct{ error }
-
-// Unwrap gives the error itself.
-func (e *UsageError) Unwrap() error { return e.error }
-
-// Main runs a command and ends the process with its exit code.
-func Main(command *cobra.Command) {
-	err := command.Execute()
-	if err == nil {
-		os.Exit(0)
+// openDisk opens and locks the data folder. It returns nil if the program has none. The lock is released with the process, not
+// before, since tasks may still write while the daemon stops.
+func openDisk(values settings.Values) (wal.Disk, error) {
+	path := values["data"]
+	if path == "" {
+		return nil, nil
 	}
-	fmt.Fprintln(os.Stderr, err)
-	if usage := new(UsageError); errors.As(err, &usage) {
-		os.Exit(2)
+	// A write beyond the system's limit on a file's length then fails as on a full disk, instead of ending the process.
+	signal.Ignore(syscall.SIGXFSZ)
+	disk, err := folder.OpenShared(path, values["data-owner"], values.Duration("rehearse-sync").Duration())
+	if err != nil {
+		return nil, err
 	}
-	os.Exit(1)
+	return disk, nil
 }
 
-// Run is a daemon's life from checked settings to its planned stop. group is empty for a process that isn't of the core.
-func Run(program, group string, values settings.Values, build func(daemon *Daemon) error) error {
-	events, err := eventlog.New(program, values["name"], values["log"])
-	if err != nil {
-		return err
-	}
-	daemon := &Daemon{Program: program, Settings: values, Events: events, Handlers: host.Handlers{}, Registry: prometheus.NewRegistry(),
-		failures: make(chan string, 4), stopSignals: make(chan os.Signal, 4), supervisor: suture.New(program, suture.Spec{})}
-	defer daemon.runCleanups()
-	daemon.Defer(events.Close)
-	var disk wal.Disk
-	if path := values["data"]; path != "" {
-		// Where the system bounds a file's length, a write beyond it fails as on a full disk, instead of ending the process.
-		signal.Ignore(syscall.SIGXFSZ)
-		opened, err := folder.OpenShared(path, values["data-owner"], values.Duration("rehearse-sync").Duration())
-		if err != nil {
-			return err
-		}
-		disk = opened // its lock goes with the process: tasks may still write while this one unwinds
-	}
-	daemon.Host = machine.New(disk, events, daemon.fail)
-	daemon.Host.SetLocalAddress(values["listen"])
-	if values["clock"] == "monotonic" {
-		daemon.Host.ExcludeSuspend()
+func (d *Daemon) newHost(disk wal.Disk) {
+	d.Host = machine.New(disk, d.Events, d.fail)
+	d.Host.SetLocalAddress(d.Settings["listen"])
+	if d.Settings["clock"] == "monotonic" {
+		d.Host.ExcludeSuspend()
 	}
-	if path := values["rehearse-clock"]; path != "" {
-		daemon.moveClockOnSignal(path)
+	if path := d.Settings["rehearse-clock"]; path != "" {
+		d.moveClockOnSignal(path)
 	}
-	advertised := values["advertise"]
-	if advertised == "" {
-		advertised = values["listen"]
+}
+
+func (d *Daemon) newResolver(group string, disk wal.Disk) {
+	if d.Settings["advertise"] == "" {
+		d.Settings["advertise"] = d.Settings["listen"]
 	}
-	daemon.Settings["advertise"] = advertised
 	var self *wire.PeerAddress
 	if group != "" {
-		self = &wire.PeerAddress{Name: values["name"], Address: advertised, Group: group, Domain: values["failure-domain"]}
+		self = &wire.PeerAddress{Name: d.Settings["name"], Address: d.Settings["advertise"], Group: group, Domain: d.Settings["failure-domain"]}
 	}
-	daemon.Resolver = discovery.New(daemon.Host, self, values.List("seeds"))
+	d.Resolver = discovery.New(d.Host, self, d.Settings.List("seeds"))
 	if disk != nil {
-		daemon.Resolver.Persist(disk)
-	}
-	daemon.Resolver.Register(daemon.Handlers)
-	daemon.registerMetrics()
-	if err := build(daemon); err != nil {
-		return err
+		d.Resolver.Persist(disk)
 	}
-	return daemon.serve()
+	d.Resolver.Register(d.Handlers)
 }
 
-// fail ends the process after trouble that it must not go on with. Nothing is drained: the caller's state is in doubt.
-func (d *Daemon) fail(reason string) {
-	select {
-	case d.failures <- reason:
-	default:
+// Defer adds a cleanup. Run calls each once before it returns, the last one first.
+func (d *Daemon) Defer(cleanup func()) { d.cleanups = append(d.cleanups, cleanup) }
+
+func (d *Daemon) runCleanups() {
+	for len(d.cleanups) > 0 {
+		last := d.cleanups[len(d.cleanups)-1]
+		d.cleanups = d.cleanups[:len(d.cleanups)-1]
+		last()
 	}
-	// A stuck main task must not keep a process alive that has to stop.
-	time.AfterFunc(2*time.Second, func() { os.Exit(3) })
 }
 
-func (d *Daemon) registerMetrics() {
-	d.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(processOptions))
-	d.Registry.MustRegister(&eventCounter{events: d.Events}, &peerCounter{host: d.Host})
-}
+// supervisedTask is a task as the supervisor takes it.
+type supervisedTask func() error
+
+// Serve runs the task.
+func (t supervisedTask) Serve(context.Context) error { return t() }
+
+// Add adds a task that the supervisor starts, and restarts when it returns, unless it returns suture.ErrDoNotRestart.
+func (d *Daemon) Add(task func() error) { d.supervisor.Add(supervisedTask(task)) }
 
-// ServeHTTP adds an ServeHTTP listener.
+// ServeHTTP listens on an address at once, and adds a task that serves it. It fails if the address cannot be listened on.
 func (d *Daemon) ServeHTTP(address string, server *http.Server) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -176,7 +163,7 @@
 		return suture.ErrDoNotRestart
 	})
 	d.Defer(func() {
-		limit, cancel := context.WithTimeout(context.Background(), 250*time.Millisecond)
+		limit, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 		defer cancel()
 		_ = server.Shutdown(limit)
 		_ = server.Close()
@@ -184,68 +171,52 @@
 	return nil
 }
 
-type supervisedTask func() error
-
-func (s supervisedTask) Serve(context.Context) error { return s() }
-
-// Add puts a task under the supervisor.
-func (d *Daemon) Add(task func() error) { d.supervisor.Add(supervisedTask(task)) }
-
+// serve starts all tasks and waits for a stop signal or a failure.
 func (d *Daemon) serve() error {
-	listener, err := net.Listen("tcp", d.Settings["listen"])
-	if err != nil {
+	if err := d.addTasks(); err != nil {
 		return err
 	}
-	d.Defer(func() { _ = listener.Close() })
-	d.Add(func() error {
-		if err := d.Host.Serve(listener, d.Handlers); err != nil {
-			return err
-		}
-		return suture.ErrDoNotRestart
-	})
-	d.Add(func() error { d.Resolver.Run(monotonic.Second); return nil })
-	if d.Settings.Int("processors") == 1 {
-		runtime.GOMAXPROCS(1) // said so, the runtime doesn't ask the system every second
-	} else {
-		d.Add(func() error { d.adjustProcessors(); return nil })
-	}
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.supervisor.ServeBackground(running)
-	d.Host.Report(eventlog.ProcessStarted, map[string]any{"release": release.Version, "wire": frame.Version, "listen": d.Settings["listen"], "process": os.Getpid()})
+	start := eventlog.Start{Release: release.Version, WireVersion: frame.Version, Listen: d.Settings["listen"], ProcessID: os.Getpid()}
+	d.Host.Report(eventlog.ProcessStarted, start.Attributes())
 	signal.Notify(d.stopSignals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case <-d.stopSignals:
-		// A second signal changes nothing: it waits unread while the first is heeded.
+	case <-d.stopSignals: // further ones stay unread
 		if d.Drain != nil {
 			d.Drain()
 		}
-		d.Host.WaitForReplies(200 * monotonic.Millisecond)
+		d.Host.WaitForReplies(replyTimeout)
 		return nil
 	case reason := <-d.failures:
 		return errors.New(reason)
 	}
 }
 
-// leaps moves the clock by what a file says, at each SIGUSR1.
-func (d *Daemon) moveClockOnSignal(path string) {
-	signals := make(chan os.Signal, 4)
-	signal.Notify(signals, syscall.SIGUSR1)
-	go func() {
-		for range signals {
-			var jump int64
-			content, err := os.ReadFile(path)
-			if err == nil {
-				_, err = fmt.Sscan(string(content), &jump)
-			}
-			if err == nil {
-				d.Host.Jump(monotonic.Micros(jump))
-			}
+// addTasks adds the tasks that every daemon has.
+func (d *Daemon) addTasks() error {
+	listener, err := net.Listen("tcp", d.Settings["listen"])
+	if err != nil {
+		return err
+	}
+	d.Defer(func() { _ = listener.Close() })
+	d.Add(func() error {
+		if err := d.Host.Serve(listener, d.Handlers); err != nil {
+			return err
 		}
-	}()
+		return suture.ErrDoNotRestart
+	})
+	d.Add(func() error { d.Resolver.Run(discoveryInterval); return nil })
+	if d.Settings.Int("processors") == 1 {
+		runtime.GOMAXPROCS(1) // set explicitly, the runtime doesn't ask the system for the limit every second
+	} else {
+		d.Add(func() error { d.adjustProcessors(); return nil })
+	}
+	return nil
 }
 
-// Stop begins a planned stop, as SIGTERM does.
+// Stop begins a planned stop, as SIGTERM does. It doesn't wait for it.
 func (d *Daemon) Stop() {
 	select {
 	case d.stopSignals <- syscall.SIGTERM:
@@ -253,10 +224,11 @@
 	}
 }
 
-// Metrics serves the registry in the Prometheus text format.
-func (d *Daemon) Metrics() http.Handler {
-	return promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{})
+// fail ends the process for a reason that leaves its state in doubt, so without a drain. It doesn't wait for the end.
+func (d *Daemon) fail(reason string) {
+	select {
+	case d.failures <- reason:
+	default:
+	}
+	time.AfterFunc(failureTimeout, func() { os.Exit(exitStopped) })
 }
-
-// NewUsageError marks an error as its starter's, exit code 2.
-func NewUsageError(err error) error { return &UsageError{err} }
--- a/internal/daemon/governor.go
+++ b/internal/daemon/governor.go
@@ -8,24 +8,26 @@
 )
 
 const (
+	// governInterval is how often the number of processors is adjusted.
 	governInterval = 100 * monotonic.Millisecond
-	// busy is the share of the processors in use from which more are taken at once.
+	// highUsage is the share of the processors in use above which their number is doubled.
 	highUsage = 0.6
-	// calm is the share under which half of them would do, and lowUsagePeriods how many spans in a row it takes to believe it.
+	// lowUsage is the share below which it is halved, after lowUsagePeriods intervals in a row.
 	lowUsage        = 0.25
 	lowUsagePeriods = 50
 )
 
-// governor decides on how many processors a daemon runs. At ordinary load nearly all of a carrier's work is short, and
-// the runtime wakes idle threads for it that find nothing left to do; so it starts with one processor, takes more as
-// soon as those in use are busy, and gives them back slowly.
-// Invariant: 1 <= present <= most.
+// governor decides on how many processors a daemon runs. Under ordinary load most work of a proxy is short, and the runtime
+// wakes idle threads for it that find nothing left to do. So a daemon starts with one processor, doubles their number as soon as
+// they are busy, and halves it slowly.
+//
+// Invariant: 1 <= current <= limit.
 type governor struct {
 	limit, current int
-	lowPeriods     int
+	lowPeriods     int // intervals of low usage in a row
 }
 
-// next gives the processors for the next span, from the share of the present ones that the last one used.
+// next returns the number of processors for the next interval, from the share of the current ones that the last one used.
 func (g *governor) next(share float64) int {
 	g.lowPeriods++
 	if share >= lowUsage {
@@ -40,27 +42,28 @@
 	return g.current
 }
 
-// govern never returns.
+// adjustProcessors sets the number of processors at every interval. It never returns.
 func (d *Daemon) adjustProcessors() {
 	limit := runtime.GOMAXPROCS(0)
-	if number := d.Settings.Int("processors"); number > 0 {
-		limit = min(limit, number)
+	if configured := d.Settings.Int("processors"); configured > 0 {
+		limit = min(limit, configured)
 	}
 	governor := &governor{limit: limit, current: 1}
 	runtime.GOMAXPROCS(governor.current)
-	used, at := processorTime(), d.Host.Now()
+	used, measuredAt := processorTime(), d.Host.Now()
 	for {
 		d.Host.Sleep(governInterval)
-		previousUsed, previousTime := used, at
-		used, at = processorTime(), d.Host.Now()
+		previousUsed, previouslyAt := used, measuredAt
+		used, measuredAt = processorTime(), d.Host.Now()
 		current := governor.current
-		if next := governor.next(float64(used-previousUsed) / float64(max(1, at-previousTime)) / float64(current)); next != current {
+		share := float64(used-previousUsed) / float64(max(1, measuredAt-previouslyAt)) / float64(current)
+		if next := governor.next(share); next != current {
 			runtime.GOMAXPROCS(next)
 		}
 	}
 }
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used, zero if the system does not tell.
 func processorTime() monotonic.Micros {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -1,71 +1,122 @@
 package daemon
 
 import (
+	"net/http"
 	"strconv"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"snowflow/internal/eventlog"
 	"snowflow/internal/host/machine"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/replication"
 )
 
-var processOptions = collectors.ProcessCollectorOpts{}
+// Gauge is a gauge whose value is read when metrics are collected. Read must be safe for concurrent use.
+type Gauge struct {
+	Name, Help string
+	Read       func() float64
+}
+
+// AddGauges registers gauges.
+func (d *Daemon) AddGauges(gauges []Gauge) {
+	for _, gauge := range gauges {
+		d.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Read))
+	}
+}
 
-// eventCounter shows how often each numbered event happened.
-type eventCounter struct{ events *eventlog.EventLog }
+// AddReplicationGauges registers the gauges of a replication member.
+func (d *Daemon) AddReplicationGauges(member *replication.Member) {
+	serving := func() float64 {
+		if member.Serving() {
+			return 1
+		}
+		return 0
+	}
+	d.AddGauges([]Gauge{
+		{Name: "snowflow_core_epoch", Help: "The highest epoch known.", Read: func() float64 { return float64(member.Status().Epoch) }},
+		{Name: "snowflow_core_answering", Help: "1 while this process serves as primary.", Read: serving},
+		{Name: "snowflow_core_sequence", Help: "Entries in this replica's log.", Read: func() float64 { return float64(member.Status().Sequence) }},
+		{Name: "snowflow_core_sync_micros", Help: "Microseconds that the last write took, with its sync.", Read: func() float64 { return float64(member.Status().SyncTime) }},
+	})
+}
 
-var eventsDescription = prometheus.NewDesc("snowflow_events_total", "Events by their number in the catalogue.", []string{"event"}, nil)
+// AdoptionObserver registers a histogram of the time from a version's commit to its adoption by a proxy, and returns the function
+// that observes one.
+func (d *Daemon) AdoptionObserver() func(proxy string, version uint64, duration monotonic.Micros) {
+	histogram := prometheus.NewHistogram(prometheus.HistogramOpts{
+		Name:    "snowflow_desired_take_up_micros",
+		Help:    "Microseconds from the commit of a configuration version to each proxy's acknowledgment that it has adopted it.",
+		Buckets: prometheus.ExponentialBuckets(500, 2, 17),
+	})
+	d.Registry.MustRegister(histogram)
+	return func(_ string, _ uint64, duration monotonic.Micros) { histogram.Observe(float64(duration)) }
+}
 
-func (c *eventCounter) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- eventsDescription
+// Metrics returns a handler that responds with all metrics in the Prometheus text format.
+func (d *Daemon) Metrics() http.Handler {
+	return promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{})
 }
 
-func (c *eventCounter) Collect(metrics chan<- prometheus.Metric) {
-	for number, count := range c.events.Counts() {
-		metrics <- prometheus.MustNewConstMetric(eventsDescription, prometheus.CounterValue, float64(count), strconv.Itoa(number))
-	}
+// registerMetrics registers the metrics that every daemon has.
+func (d *Daemon) registerMetrics() {
+	d.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	d.Registry.MustRegister(&eventCollector{events: d.Events}, &messageCollector{host: d.Host})
 }
 
-// peerCounter shows the bytes exchanged with each process called.
-type peerCounter struct{ host *machine.Machine }
+func newDescription(name, help string, labels ...string) *prometheus.Desc {
+	return prometheus.NewDesc(name, help, labels, nil)
+}
 
 var (
-	sentDescription         = prometheus.NewDesc("snowflow_peer_sent_bytes_total", "Bytes of calls sent, by address.", []string{"address"}, nil)
-	receivedDescription     = prometheus.NewDesc("snowflow_peer_received_bytes_total", "Bytes of replies received, by address.", []string{"address"}, nil)
-	kindMessagesDescription = prometheus.NewDesc("snowflow_kind_messages_total", "Messages exchanged with other processes, by kind and direction.", []string{"kind", "direction"}, nil)
-	kindBytesDescription    = prometheus.NewDesc("snowflow_kind_bytes_total", "Bytes exchanged with other processes, by kind and direction.", []string{"kind", "direction"}, nil)
+	eventsDescription       = newDescription("snowflow_events_total", "Events by their number in the catalogue.", "event")
+	sentDescription         = newDescription("snowflow_peer_sent_bytes_total", "Bytes of calls sent, by address.", "address")
+	receivedDescription     = newDescription("snowflow_peer_received_bytes_total", "Bytes of replies received, by address.", "address")
+	messagesDescription     = newDescription("snowflow_kind_messages_total", "Messages exchanged with other processes, by kind and direction.", "kind", "direction")
+	messageBytesDescription = newDescription("snowflow_kind_bytes_total", "Bytes exchanged with other processes, by kind and direction.", "kind", "direction")
+	messageDescriptions     = []*prometheus.Desc{sentDescription, receivedDescription, messagesDescription, messageBytesDescription}
 )
 
-func (c *peerCounter) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- sentDescription
-	descriptions <- receivedDescription
-	descriptions <- kindMessagesDescription
-	descriptions <- kindBytesDescription
+// eventCollector collects how often each event was published.
+type eventCollector struct{ events *eventlog.EventLog }
+
+// Describe implements prometheus.Collector.
+func (c *eventCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- eventsDescription
 }
 
-func (c *peerCounter) Collect(metrics chan<- prometheus.Metric) {
-	for address, totals := range c.host.Traffic() {
-		metrics <- prometheus.MustNewConstMetric(sentDescription, prometheus.CounterValue, float64(totals[0]), address)
-		metrics <- prometheus.MustNewConstMetric(receivedDescription, prometheus.CounterValue, float64(totals[1]), address)
-	}
-	for kind, total := range c.host.MessageCounts() {
-		for direction, counts := range map[string][2]uint64{"sent": {total.Sent, total.SentBytes}, "received": {total.Received, total.ReceivedBytes}} {
-			metrics <- prometheus.MustNewConstMetric(kindMessagesDescription, prometheus.CounterValue, float64(counts[0]), kind.String(), direction)
-			metrics <- prometheus.MustNewConstMetric(kindBytesDescription, prometheus.CounterValue, float64(counts[1]), kind.String(), direction)
-		}
+// Collect implements prometheus.Collector.
+func (c *eventCollector) Collect(metrics chan<- prometheus.Metric) {
+	for number, count := range c.events.Counts() {
+		metrics <- prometheus.MustNewConstMetric(eventsDescription, prometheus.CounterValue, float64(count), strconv.Itoa(number))
 	}
 }
 
-// Gauge is one figure read when it's asked for.
-type Gauge struct {
-	Name, Help string
-	Read       func() float64
+// messageCollector collects what was exchanged with other processes.
+type messageCollector struct{ host *machine.Machine }
+
+// Describe implements prometheus.Collector.
+func (c *messageCollector) Describe(descriptions chan<- *prometheus.Desc) {
+	for _, description := range messageDescriptions {
+		descriptions <- description
+	}
 }
 
-// AddGauges registers figures.
-func (d *Daemon) AddGauges(gauges []Gauge) {
-	for _, gauge := range gauges {
-		d.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Read))
+// Collect implements prometheus.Collector.
+func (c *messageCollector) Collect(metrics chan<- prometheus.Metric) {
+	count := func(description *prometheus.Desc, value uint64, labels ...string) {
+		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
+	}
+	for address, totals := range c.host.Traffic() {
+		count(sentDescription, totals.Sent, address)
+		count(receivedDescription, totals.Received, address)
+	}
+	for kind, total := range c.host.MessageCounts() {
+		count(messagesDescription, total.Sent, kind.String(), "sent")
+		count(messageBytesDescription, total.SentBytes, kind.String(), "sent")
+		count(messagesDescription, total.Received, kind.String(), "received")
+		count(messageBytesDescription, total.ReceivedBytes, kind.String(), "received")
 	}
 }
--- /dev/null
+++ b/internal/daemon/rehearsal.go
@@ -0,0 +1,34 @@
+package daemon
+
+import (
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"snowflow/internal/monotonic"
+)
+
+// moveClockOnSignal moves the process's clock at each SIGUSR1 by the number of microseconds in a file, to rehearse a faulty
+// clock.
+func (d *Daemon) moveClockOnSignal(path string) {
+	signals := make(chan os.Signal, signalQueue)
+	signal.Notify(signals, syscall.SIGUSR1)
+	go func() { // runs as long as the process
+		for range signals {
+			if jump, err := readJump(path); err == nil {
+				d.Host.Jump(jump)
+			}
+		}
+	}()
+}
+
+func readJump(path string) (monotonic.Micros, error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return 0, err
+	}
+	var jump int64
+	_, err = fmt.Sscan(string(content), &jump)
+	return monotonic.Micros(jump), err
+}
--- a/internal/host/machine/counters.go
+++ b/internal/host/machine/counters.go
@@ -1,26 +1,24 @@
 package machine
 
 import (
-	"maps"
-
 	"go.uber.org/atomic"
 
 	"snowflow/internal/transport/wire"
 )
 
-// kinds bounds the kinds that are counted. It's above every kind there is.
+// maxKinds bounds the kinds that are counted. It is above every kind there is.
 const maxKinds = 128
 
-// MessageCount is what was exchanged in messages of one kind. Bytes are those of whole frames.
+// MessageCount is what a process has exchanged in messages of one kind. Bytes are those of whole frames.
 type MessageCount struct {
-	Sent, SentBytes         uint64 // requests to others and replies to others' requests
+	Sent, SentBytes         uint64 // requests to others, and replies to others' requests
 	Received, ReceivedBytes uint64
 }
 
-// tally counts one kind. Invariant: its counts only rise.
+// messageCounter counts the messages of one kind. Its counts only rise.
 type messageCounter struct{ sent, sentBytes, received, receivedBytes atomic.Uint64 }
 
-// tallies counts by kind without a lock: every message of a process passes here.
+// messageCounters counts by kind, without a lock since it counts every message of the process.
 type messageCounters [maxKinds]messageCounter
 
 func (c *messageCounters) countSent(kind wire.Kind, bytes int) {
@@ -37,12 +35,15 @@
 	}
 }
 
-// MessageCounts tells what this process has exchanged by kind, as caller and as called.
+// MessageCounts returns what this process has exchanged by kind, as client and as server. Kinds without a message are left out.
 func (p *Peers) MessageCounts() map[wire.Kind]MessageCount {
 	totals := map[wire.Kind]MessageCount{}
 	for kind := range wire.Kind(maxKinds) {
 		counter := &p.messageCounters[kind]
-		total := MessageCount{Sent: counter.sent.Load(), SentBytes: counter.sentBytes.Load(), Received: counter.received.Load(), ReceivedBytes: counter.receivedBytes.Load()}
+		total := MessageCount{
+			Sent: counter.sent.Load(), SentBytes: counter.sentBytes.Load(),
+			Received: counter.received.Load(), ReceivedBytes: counter.receivedBytes.Load(),
+		}
 		if total != (MessageCount{}) {
 			totals[kind] = total
 		}
@@ -50,13 +51,19 @@
 	return totals
 }
 
-// CloseConnections ends every connection that this process opened. Who waits on one is told that it's lost.
-func (p *Peers) CloseConnections() {
+// ByteCount is the bytes exchanged with one address.
+type ByteCount struct{ Sent, Received uint64 }
+
+// byteCounter counts the bytes exchanged with one address. Its counts only rise.
+type byteCounter struct{ sent, received atomic.Uint64 }
+
+// Traffic returns the bytes exchanged with each address that this process has called.
+func (p *Peers) Traffic() map[string]ByteCount {
 	p.lock.Lock()
-	connections := maps.Clone(p.connections)
-	p.lock.Unlock()
-	for _, peer := range connections {
-		<-peer.dialled
-		p.remove(peer)
+	defer p.lock.Unlock()
+	totals := map[string]ByteCount{}
+	for address, counter := range p.traffic {
+		totals[address] = ByteCount{Sent: counter.sent.Load(), Received: counter.received.Load()}
 	}
+	return totals
 }
--- a/internal/host/machine/counters_test.go
+++ b/internal/host/machine/counters_test.go
@@ -10,7 +10,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestMessagesAreCountedByKind: each message counts once at each end, under its own kind, with the bytes of its whole frame.
+// TestMessagesAreCountedByKind checks that each message counts once at each end, under its kind, with the bytes of its whole
+// frame.
 func TestMessagesAreCountedByKind(t *testing.T) {
 	handlers := host.Handlers{}
 	host.Handle(handlers, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
@@ -29,10 +30,10 @@
 	}
 	const claim = frame.HeaderLength + 4 // one field: its number, its length and two letters
 	if got, want := client.MessageCounts()[wire.Kind_claim], (MessageCount{Sent: 3, SentBytes: 3 * claim, Received: 3, ReceivedBytes: 3 * claim}); got != want {
-		t.Errorf("the caller counts %+v, not %+v", got, want)
+		t.Errorf("the client counts %+v, want %+v", got, want)
 	}
 	if got, want := server.MessageCounts()[wire.Kind_claim], client.MessageCounts()[wire.Kind_claim]; got != want {
-		t.Errorf("the called counts %+v, not %+v", got, want)
+		t.Errorf("the server counts %+v, want %+v", got, want)
 	}
 	if got := client.MessageCounts()[wire.Kind_discover]; got.Sent != 1 || got.Received != 1 || got.ReceivedBytes <= frame.HeaderLength {
 		t.Errorf("a refusal counts as %+v", got)
@@ -47,7 +48,8 @@
 	}
 }
 
-// TestCloseConnections: who waits on a connection that this process ends is told that it's lost, and the next call dials anew.
+// TestCloseConnections checks that a call which waits on a closed connection ends with Lost, and that the next call dials a new
+// one.
 func TestCloseConnections(t *testing.T) {
 	handlers, received, release := host.Handlers{}, make(chan struct{}), make(chan struct{})
 	host.Handle(handlers, wire.Kind_forward, func(*wire.ForwardRequest) (*wire.ForwardResponse, error) {
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -1,4 +1,5 @@
-// Package machine is the host on a real machine: goroutines, the monotonic clock, framed TCP and a locked folder.
+// Package machine implements host.Host on a real machine: goroutines, the system's monotonic clock, framed messages over TCP, and
+// a locked data folder.
 package machine
 
 import (
@@ -7,12 +8,14 @@
 	"time"
 
 	"snowflow/internal/eventlog"
-	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/wal"
 )
 
-// Machine is the real host of one process.
+// exitStopped is the exit code of a process that stopped itself.
+const exitStopped = 3
+
+// Machine is the host of one process.
 type Machine struct {
 	*monotonic.SystemClock
 	*Peers
@@ -22,71 +25,37 @@
 	workers workerPool
 }
 
-// New makes an host. disk may be nil where a process keeps nothing.
+// New returns a host. disk is nil for a process that stores nothing, and events may be nil, which discards them. stop is called
+// by Stop; if it is nil, Stop ends the process with exit code 3.
 func New(disk wal.Disk, events *eventlog.EventLog, stop func(reason string)) *Machine {
 	machine := &Machine{SystemClock: monotonic.NewSystemClock(), disk: disk, events: events, stop: stop}
 	machine.Peers = newPeers(machine)
 	return machine
 }
 
-// Sleep waits.
+// Sleep blocks the calling goroutine.
 func (m *Machine) Sleep(duration monotonic.Micros) { time.Sleep(duration.Duration()) }
 
-// Go starts a task.
+// Go starts a task in a goroutine.
 func (m *Machine) Go(task func()) { m.workers.start(task) }
 
-// Random gives 64 random bits.
+// Random returns 64 random bits.
 func (m *Machine) Random() uint64 { return rand.Uint64() }
 
-// Disk is the data folder.
+// Disk returns the data folder, or nil if there is none.
 func (m *Machine) Disk() wal.Disk { return m.disk }
 
-// Report publishes a numbered event.
+// Report publishes an event.
 func (m *Machine) Report(number int, attributes map[string]any) {
 	m.events.Publish(number, attributes)
 }
 
-// Stop ends the process.
+// Stop ends the process at once, for a reason that leaves its state in doubt.
 func (m *Machine) Stop(reason string) {
-	m.Report(eventlog.ProcessStopped, map[string]any{"why": reason})
+	m.Report(eventlog.ProcessStopped, eventlog.Stopped(reason))
 	if m.stop != nil {
 		m.stop(reason)
 		return
 	}
-	os.Exit(3)
-}
-
-type signal struct{ channel chan struct{} }
-
-// NewSignal makes a signal.
-func (m *Machine) NewSignal() host.Signal { return &signal{channel: make(chan struct{}, 1)} }
-
-func (s *signal) Fire() {
-	select {
-	case s.channel <- struct{}{}:
-	default:
-	}
-}
-
-func (s *signal) Wait(timeout monotonic.Micros) bool {
-	select {
-	case <-s.channel:
-		return true
-	default:
-	}
-	if timeout <= 0 {
-		return false
-	}
-	if timeout >= monotonic.Forever {
-		<-s.channel
-		return true
-	}
-	timer := time.NewTimer(timeout.Duration())
-	defer timer.Stop()
-	select {
-	case <-s.channel:
-		return true
-	case <-timer.C:
-		return false
-	}
+	os.Exit(exitStopped)
 }
--- a/internal/host/machine/peers_test.go
+++ b/internal/host/machine/peers_test.go
@@ -33,8 +33,8 @@
 	return machine, listener.Addr().String(), events
 }
 
-// TestMalformedFramesCloseTheConnection sends what is no frame, a frame cut by a flipped bit, an unknown kind and a
-// version that isn't adjacent; each closes the connection and is told as an event.
+// TestMalformedFramesCloseTheConnection sends bytes that are no frame, a frame with a flipped bit, an unknown kind and a version
+// that is not adjacent. Each must close the connection and be published as an event.
 func TestMalformedFramesCloseTheConnection(t *testing.T) {
 	_, address, events := startServer(t, host.Handlers{wire.Kind_discover: nil})
 	valid := frame.Append(nil, frame.Frame{Kind: wire.Kind_forward, RequestID: 1, Content: []byte("abc")})
@@ -44,20 +44,22 @@
 	distant[5] = byte(frame.Version + 2)
 	for name, content := range map[string][]byte{"no frame": []byte("GET / HTTP/1.1\r\nHost: somebody\r\n\r\n"), "a flipped bit": flipped,
 		"an unknown kind": valid, "a distant version": distant} {
-		before := events.Counts()[eventlog.MalformedFrame]
-		connection, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_, _ = connection.Write(content)
-		_ = connection.SetReadDeadline(time.Now().Add(10 * time.Second))
-		if _, err := connection.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !isReset(err) {
-			t.Errorf("%s: the connection stays open: %v", name, err)
-		}
-		_ = connection.Close()
-		if events.Counts()[eventlog.MalformedFrame] != before+1 {
-			t.Errorf("%s: no event", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			before := events.Counts()[eventlog.MalformedFrame]
+			connection, err := net.Dial("tcp", address)
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, _ = connection.Write(content)
+			_ = connection.SetReadDeadline(time.Now().Add(10 * time.Second))
+			if _, err := connection.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !isReset(err) {
+				t.Errorf("the connection stays open: %v", err)
+			}
+			_ = connection.Close()
+			if events.Counts()[eventlog.MalformedFrame] != before+1 {
+				t.Error("no event")
+			}
+		})
 	}
 }
 
@@ -66,7 +68,7 @@
 	return errors.As(err, &operation) && !operation.Timeout()
 }
 
-// TestCallErrorsAreDistinguished: refused, unreachable and lost are told apart.
+// TestCallErrorsAreDistinguished checks that refused, unreachable and lost calls have errors of their own types.
 func TestCallErrorsAreDistinguished(t *testing.T) {
 	handlers := host.Handlers{}
 	release := make(chan struct{})
@@ -89,7 +91,7 @@
 	if err := machine.Call("127.0.0.1:1", wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, monotonic.Second); !apierror.IsUnreachable(err) {
 		t.Errorf("unreachable: %v", err)
 	}
-	// Answers find their own asks, whatever else waits on the connection.
+	// Each reply must reach its own request, whatever else waits on the connection.
 	done := make(chan bool)
 	for number := range 50 {
 		go func() {
@@ -100,13 +102,13 @@
 	}
 	for range 50 {
 		if !<-done {
-			t.Error("an answer went astray")
+			t.Error("a reply reached another request")
 		}
 	}
 }
 
-// TestLongResponseSurvivesShortTimeout: while a long answer comes in, a short ask on the same connection runs out of patience.
-// The connection is alive, so the long answer must still arrive.
+// TestLongResponseSurvivesShortTimeout checks that a request which times out while a long reply is received on the same
+// connection does not close it: the connection is alive, so the long reply must arrive.
 func TestLongResponseSurvivesShortTimeout(t *testing.T) {
 	events, err := eventlog.New("test", "test", "error")
 	if err != nil {
@@ -152,10 +154,10 @@
 	}()
 	<-started
 	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 100*monotonic.Millisecond); !apierror.IsLost(err) {
-		t.Errorf("the short ask: %v", err)
+		t.Errorf("the short call: %v", err)
 	}
 	close(timedOut)
 	if err := <-long; err != nil || len(response.Body) != 8<<20 {
-		t.Errorf("the long answer: %v", err)
+		t.Errorf("the long call: %v", err)
 	}
 }
--- a/internal/host/machine/socket/socket.go
+++ b/internal/host/machine/socket/socket.go
@@ -1,5 +1,7 @@
-// Package socket is TCP for short messages: its calls can't block, so the scheduler isn't told of them. Told of each, the runtime
-// wakes a thread that watches for calls that take long, and that one looks every 20 µs, which costs more than the call itself.
+// Package socket is a TCP connection for short messages. It makes the system calls for reading and writing without telling the Go
+// scheduler, which is safe because they never block: the descriptor is non-blocking, and waiting is left to the runtime's poller.
+// If the scheduler is told, the runtime wakes a thread that checks every 20 µs for calls that take long, which costs more than
+// the call itself.
 package socket
 
 import (
@@ -12,26 +14,27 @@
 	"unsafe"
 )
 
-// Conn is a connection. Invariants: its descriptor doesn't block, as of every connection of the net package; reading belongs to
-// whoever reads, writing to whoever holds the lock.
+// Conn is a TCP connection. It is safe for concurrent use, as any net.Conn.
+//
+// Invariant: its descriptor is non-blocking, as that of every connection of package net.
 type Conn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
-	readLock   sync.Mutex
+	readLock   sync.Mutex // guards the following
 	readBuffer []byte
 	readCount  int
 	readErrno  syscall.Errno
-	readFunc   func(descriptor uintptr) bool
+	readFunc   func(descriptor uintptr) bool // readOnce, kept to save an allocation per read
 
-	writeLock  sync.Mutex
+	writeLock  sync.Mutex // guards the following
 	unwritten  []byte
 	writeErrno syscall.Errno
-	noWait     bool // it's not to wait for room
-	writeFunc  func(descriptor uintptr) bool
+	noWait     bool                          // whether to return instead of waiting for buffer space
+	writeFunc  func(descriptor uintptr) bool // writeAll, kept to save an allocation per write
 }
 
-// Wrap takes a connection over. One that isn't TCP is left as it is.
+// Wrap returns a connection that replaces the given one. A connection that is not TCP is returned as it is.
 func Wrap(connection net.Conn) net.Conn {
 	plain, ok := connection.(*net.TCPConn)
 	if !ok {
@@ -46,8 +49,8 @@
 	return wrapped
 }
 
-// call makes a system call that doesn't block, again if a signal cut it short.
-func retryCall(number uintptr, descriptor uintptr, content []byte) (int, syscall.Errno) {
+// rawCall makes a non-blocking system call on a descriptor and a buffer, again if a signal interrupted it.
+func rawCall(number uintptr, descriptor uintptr, content []byte) (int, syscall.Errno) {
 	for {
 		count, _, errno := syscall.RawSyscall(number, descriptor, uintptr(unsafe.Pointer(unsafe.SliceData(content))), uintptr(len(content)))
 		if errno != syscall.EINTR {
@@ -56,12 +59,13 @@
 	}
 }
 
+// readOnce reads once into readBuffer. It reports false if there was nothing, which makes the poller wait.
 func (c *Conn) readOnce(descriptor uintptr) bool {
-	c.readCount, c.readErrno = retryCall(syscall.SYS_READ, descriptor, c.readBuffer)
+	c.readCount, c.readErrno = rawCall(syscall.SYS_READ, descriptor, c.readBuffer)
 	return c.readErrno != syscall.EAGAIN
 }
 
-// Read reads what there is, and waits if there is nothing.
+// Read reads what there is, and waits if there is nothing, until the read deadline.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
@@ -85,9 +89,10 @@
 // maxWriteSize bounds what one call takes: more would keep the processor from other tasks.
 const maxWriteSize = 1 << 20
 
+// writeAll writes what is unwritten. It reports false if there is no buffer space and it may wait for it.
 func (c *Conn) writeAll(descriptor uintptr) bool {
 	for len(c.unwritten) > 0 {
-		count, errno := retryCall(syscall.SYS_WRITE, descriptor, c.unwritten[:min(len(c.unwritten), maxWriteSize)])
+		count, errno := rawCall(syscall.SYS_WRITE, descriptor, c.unwritten[:min(len(c.unwritten), maxWriteSize)])
 		if errno == syscall.EAGAIN {
 			return c.noWait
 		}
@@ -99,14 +104,15 @@
 	return true
 }
 
-// Write writes all, and waits for room as long as the deadline allows.
+// Write writes all of content, and waits for buffer space until the write deadline.
 func (c *Conn) Write(content []byte) (int, error) {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
 	return c.writeLocked(content, false)
 }
 
-// put writes all, or if hurried as much as there is room for. The lock is held.
+// writeLocked writes all of content, or with noWait as much as there is buffer space for. It returns the number of bytes written.
+// The lock is held.
 func (c *Conn) writeLocked(content []byte, noWait bool) (int, error) {
 	c.unwritten, c.writeErrno, c.noWait = content, 0, noWait
 	err := c.raw.Write(c.writeFunc)
@@ -118,8 +124,8 @@
 	return written, err
 }
 
-// WriteWithin writes all, and only where there is no room for it sets a deadline that far off. It uses the deadline for writing,
-// which must not be set otherwise.
+// WriteWithin writes all of content within a timeout. It uses the write deadline, which must not be set otherwise, and sets it only
+// if the content does not fit into the system's buffer, to save the cost of a timer.
 func (c *Conn) WriteWithin(content []byte, timeout time.Duration) error {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -133,7 +139,7 @@
 	return err
 }
 
-// WriteWithin writes all to a connection within a span.
+// WriteWithin writes all of content to a connection within a timeout. It uses the connection's write deadline.
 func WriteWithin(connection net.Conn, content []byte, timeout time.Duration) error {
 	if conn, ok := connection.(*Conn); ok {
 		return conn.WriteWithin(content, timeout)
@@ -143,7 +149,7 @@
 	return err
 }
 
-// IsIdle tells whether a connection is open with nothing to read on it.
+// IsIdle reports whether a connection is open and has nothing to read. It doesn't block and reads nothing.
 func IsIdle(connection syscall.Conn) bool {
 	raw, err := connection.SyscallConn()
 	if err != nil {
@@ -163,26 +169,27 @@
 	return &net.OpError{Op: operation, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(operation, errno)}
 }
 
-// ReadFrom copies without the descriptor being handed to the kernel's own copying.
+// ReadFrom implements io.ReaderFrom by plain writes. TCPConn's would pass the descriptor to the kernel to copy.
 func (c *Conn) ReadFrom(source io.Reader) (int64, error) {
 	return io.Copy(onlyWriter{c}, source)
 }
 
-// WriteTo does the same the other way.
+// WriteTo implements io.WriterTo by plain reads.
 func (c *Conn) WriteTo(target io.Writer) (int64, error) {
 	return io.Copy(target, onlyReader{c})
 }
 
+// onlyWriter and onlyReader hide all other methods, so that io.Copy does not call ReadFrom and WriteTo again.
 type onlyWriter struct{ io.Writer }
 type onlyReader struct{ io.Reader }
 
-// listener wraps what it accepts.
+// listener wraps the connections that it accepts.
 type listener struct{ net.Listener }
 
-// WrapListener has all accepted connections wrapped.
+// WrapListener returns a listener whose connections are replaced as by Wrap.
 func WrapListener(plain net.Listener) net.Listener { return listener{plain} }
 
-// Accept waits for a connection.
+// Accept implements net.Listener.
 func (l listener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/host/machine/socket/socket_test.go
+++ b/internal/host/machine/socket/socket_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// pair gives both ends of a connection.
+// pair returns both ends of a connection.
 func pair(t *testing.T) (*Conn, *Conn) {
 	t.Helper()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,7 +31,8 @@
 	return Wrap(dialled).(*Conn), accepted.(*Conn)
 }
 
-// TestLargeTransferArrivesComplete: what is far beyond the windows of a connection arrives whole and in order, whichever way it's written.
+// TestLargeTransferArrivesComplete checks that content far beyond a connection's buffers arrives complete and in order, whichever
+// way it is written.
 func TestLargeTransferArrivesComplete(t *testing.T) {
 	client, server := pair(t)
 	content := make([]byte, 20<<20)
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestEndOfStreamAndReset: an end is told as such, also with bytes before it; a reset is an error.
+// TestEndOfStreamAndReset checks that the end of the stream reads as such, also after content, and a reset as an error.
 func TestEndOfStreamAndReset(t *testing.T) {
 	client, server := pair(t)
 	if _, err := client.Write([]byte("last")); err != nil {
@@ -76,7 +77,7 @@
 	}
 }
 
-// TestDeadlines: reading and writing end at their deadline, and a close wakes who waits.
+// TestDeadlines checks that reads and writes end at their deadline, and that closing a connection ends a read.
 func TestDeadlines(t *testing.T) {
 	client, server := pair(t)
 	_ = client.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -99,17 +100,17 @@
 	_ = server.Close()
 }
 
-// TestIsIdle: bytes that came unasked, and an end, are no quiet.
+// TestIsIdle checks that a connection with unread content, or one that has ended, is not idle.
 func TestIsIdle(t *testing.T) {
 	client, server := pair(t)
 	if !IsIdle(client) {
-		t.Error("nothing came, and it isn't quiet")
+		t.Error("an idle connection is not idle")
 	}
 	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for IsIdle(client) {
-		runtime.Gosched() // it's on its way
+		runtime.Gosched() // it is still under way
 	}
 	client, server = pair(t)
 	_ = server.Close()
@@ -117,6 +118,6 @@
 		t.Fatal(err)
 	}
 	if IsIdle(client) {
-		t.Error("quiet after its end")
+		t.Error("idle after its end")
 	}
 }
--- a/internal/host/machine/workers_test.go
+++ b/internal/host/machine/workers_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestWorkerPoolRunsEveryTaskOnce: every task runs once, also those that wait for one another, and no more hands are kept than may idle.
+// TestWorkerPoolRunsEveryTaskOnce checks that every task runs once, also tasks that wait for each other, and that no more than
+// maxIdleWorkers are kept.
 func TestWorkerPoolRunsEveryTaskOnce(t *testing.T) {
 	var pool workerPool
 	var count atomic.Int64
@@ -26,6 +27,6 @@
 	pool.lock.Lock()
 	defer pool.lock.Unlock()
 	if len(pool.idle) > maxIdleWorkers {
-		t.Errorf("%d hands idle", len(pool.idle))
+		t.Errorf("%d workers idle", len(pool.idle))
 	}
 }
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -1,5 +1,15 @@
-// Package frame puts protobuf messages on a byte stream: a fixed header with mark, wire version, kind, number,
-// length and checksum, then the message.
+// Package frame encodes messages between processes on a byte stream. A frame is a header of 28 bytes and the content, which is an
+// encoded protobuf message. All numbers of the header are big-endian:
+//
+//	offset  bytes  field
+//	0       4      magic number
+//	4       2      wire version
+//	6       2      flags
+//	8       2      kind of message
+//	10      2      unused, zero
+//	12      8      request id, unique among the requests of a connection; a reply has its request's
+//	20      4      length of the content
+//	24      4      CRC-32C of the header before it and the content
 package frame
 
 import (
@@ -14,24 +24,25 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Version is this build's wire version. A process talks with its own version and the ones next to it.
+// Version is this release's wire version. A process accepts its own version and the adjacent ones.
 const Version uint16 = 1
 
+// magic begins each frame: "snow".
 const magic uint32 = 0x736e6f77
 
-// HeaderLength is what a frame takes besides its content.
+// HeaderLength is the length of a frame's header in bytes.
 const HeaderLength = 28
 
-// Flags of a frame.
+// The flags of a frame.
 const (
-	Reply uint16 = 1 << iota // an answer to the request of the same number
-	Fault                    // the content is the text of a refusal, not a message
+	Reply uint16 = 1 << iota // the frame answers the request of the same id
+	Fault                    // the content is the text of an error, not a message
 )
 
-// ErrMalformed marks bytes that are no frame of ours. The connection is closed.
+// ErrMalformed is the error of Read for bytes that are no valid frame. The rest of the stream cannot be read.
 var ErrMalformed = errors.New("malformed frame")
 
-// Frame is one message on a connection.
+// Frame is one frame.
 type Frame struct {
 	Kind      wire.Kind
 	Flags     uint16
@@ -41,10 +52,10 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is the sum that frames and passed answers carry.
+// Checksum returns the CRC-32C of content, as frames and forwarded responses have it.
 func Checksum(content []byte) uint32 { return crc32.Checksum(content, castagnoli) }
 
-// Append encodes a frame behind buffer.
+// Append appends an encoded frame to a buffer.
 func Append(buffer []byte, frame Frame) []byte {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, HeaderLength)...)
@@ -52,7 +63,7 @@
 	return append(buffer, frame.Content...)
 }
 
-// seal fills in the header of a frame.
+// putHeader encodes the header of a frame.
 func putHeader(header []byte, frame Frame) {
 	binary.BigEndian.PutUint32(header, magic)
 	binary.BigEndian.PutUint16(header[4:], Version)
@@ -63,7 +74,8 @@
 	binary.BigEndian.PutUint32(header[24:], crc32.Update(Checksum(header[:24]), castagnoli, frame.Content))
 }
 
-// AppendMessage encodes a frame whose content is a message, behind buffer, without a copy of the content in between.
+// AppendMessage appends an encoded frame whose content is a message to a buffer. It ignores frame.Content, and encodes the message
+// directly into the buffer.
 func AppendMessage(buffer []byte, frame Frame, message proto.Message) ([]byte, error) {
 	start := len(buffer)
 	buffer, err := proto.MarshalOptions{}.MarshalAppend(append(buffer, make([]byte, HeaderLength)...), message)
@@ -75,17 +87,19 @@
 	return buffer, nil
 }
 
-// Read takes one frame off a stream. limit bounds the content.
+// Read reads one frame. It fails with ErrMalformed if the bytes are no frame, are damaged, are of a wire version that is not
+// adjacent, or if the content is longer than limit; with io.EOF if the stream ends before the frame; and with the stream's error
+// otherwise.
 func Read(stream io.Reader, limit int) (Frame, error) {
 	var header [HeaderLength]byte
 	if _, err := io.ReadFull(stream, header[:]); err != nil {
 		return Frame{}, err
 	}
 	if binary.BigEndian.Uint32(header[:]) != magic {
-		return Frame{}, fmt.Errorf("%w: no mark", ErrMalformed)
+		return Frame{}, fmt.Errorf("%w: no magic number", ErrMalformed)
 	}
 	if version := binary.BigEndian.Uint16(header[4:]); version+1 < Version || version > Version+1 {
-		return Frame{}, fmt.Errorf("%w: wire version %d, this process speaks %d and its neighbours", ErrMalformed, version, Version)
+		return Frame{}, fmt.Errorf("%w: wire version %d, this process accepts %d and the adjacent ones", ErrMalformed, version, Version)
 	}
 	length := int(binary.BigEndian.Uint32(header[20:]))
 	if length > limit {
