--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -20,7 +20,7 @@
 	"snowflow/internal/wal"
 )
 
-// maxAddresses bounds the addresses that are kept of one name.
+// maxAddresses bounds the addresses that are stored of one name.
 const maxAddresses = 4
 
 // Resolver is one process's knowledge of the control plane. It is safe for concurrent use, except where a method says otherwise.
@@ -147,9 +147,9 @@
 	if slices.Contains(p.addresses, address) {
 		return
 	}
-	kept := p.addresses[:min(len(p.addresses), maxAddresses-1)]
-	position := min(1, len(kept))
-	p.addresses = slices.Concat(kept[:position], []string{address}, kept[position:])
+	others := p.addresses[:min(len(p.addresses), maxAddresses-1)]
+	position := min(1, len(others))
+	p.addresses = slices.Concat(others[:position], []string{address}, others[position:])
 }
 
 // ObservePrimaries takes in which processes another one holds for primaries.
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -9,6 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/monotonic"
+	"snowflow/internal/registry/breakerstore"
 	"snowflow/internal/registry/statemachine"
 	"snowflow/internal/transport/wire"
 )
@@ -33,82 +34,122 @@
 	})
 }
 
-var terms = &wire.BreakerSettings{WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeLease: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second)}
+var breakerSettings = &wire.BreakerSettings{
+	WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeLease: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second),
+}
+
+// line is one line of a transcript, "SECOND COMMAND ARGUMENTS...", split into words.
+type line []string
+
+// number returns a word as a number.
+func (l line) number(t *testing.T, index int) (value uint64) {
+	t.Helper()
+	if _, err := fmt.Sscan(l[index], &value); err != nil {
+		t.Fatalf("%v: %v", l, err)
+	}
+	return value
+}
+
+// micros returns a word, a number of seconds, in microseconds.
+func (l line) micros(t *testing.T, index int) monotonic.Micros {
+	t.Helper()
+	var seconds float64
+	if _, err := fmt.Sscan(l[index], &seconds); err != nil {
+		t.Fatalf("%v: %v", l, err)
+	}
+	return monotonic.Micros(seconds * 1e6)
+}
 
-// applyLine applies one line, "SECOND COMMAND ARGUMENTS...", and returns its result and the breaker records after it.
-func applyLine(t *testing.T, state *statemachine.Machine, words []string) (text string) {
-	var second float64
-	if _, err := fmt.Sscan(words[0], &second); err != nil {
+// applyLine applies one line and returns it with its result and the breaker records after it.
+func applyLine(t *testing.T, state *statemachine.Machine, words line) string {
+	t.Helper()
+	command := parseCommand(t, words)
+	content, err := proto.Marshal(command)
+	if err != nil {
 		t.Fatal(err)
 	}
-	number := func(index int) (value uint64) { _, _ = fmt.Sscan(words[index], &value); return value }
-	command := &wire.RegistryCommand{}
+	now := words.micros(t, 0)
+	denied := command.ProbeLease != nil && state.Breakers.DeniedProbe(command.ProbeLease, now) != nil
+	result := &wire.RegistryResult{}
+	if err := proto.Unmarshal(state.Apply(7, now, content), result); err != nil {
+		t.Fatal(err)
+	}
+	if lease := result.ProbeLease; lease != nil && lease.Granted == denied {
+		t.Errorf("%v: LeaseProbe granted %v, DeniedProbe denied %v", words, lease.Granted, denied)
+	}
+	return strings.Join(words, " ") + " ->" + describeResult(result) + describeBreakers(state)
+}
+
+// parseCommand returns the command of a line.
+func parseCommand(t *testing.T, words line) *wire.RegistryCommand {
+	t.Helper()
+	write := func(verb string, request *wire.BreakerWriteRequest) *wire.RegistryCommand {
+		request.Service, request.Verb, request.Settings = "forms", verb, breakerSettings
+		return &wire.RegistryCommand{Breaker: request}
+	}
 	switch words[1] {
 	case "claim": // key body attempt proxy epoch read-second
-		command.Claim = &wire.ClaimRequest{Scope: words[2], Digest: []byte(words[3]), Attempt: words[4], Proxy: words[5],
-			ReadAt: &wire.LeaderTimestamp{Epoch: number(6), Time: int64(number(7)) * int64(monotonic.Second)}}
+		return &wire.RegistryCommand{Claim: &wire.ClaimRequest{Scope: words[2], Digest: []byte(words[3]), Attempt: words[4], Proxy: words[5],
+			ReadAt: &wire.LeaderTimestamp{Epoch: words.number(t, 6), Time: int64(words.micros(t, 7))}}}
 	case "void": // key attempt
-		command.Void = &wire.VoidClaimRequest{Scope: words[2], Attempt: words[3]}
-	case "refuse": // key
-		command.Void = &wire.VoidClaimRequest{Scope: words[2], Fence: true}
-	case "free": // key attempt
-		command.Complete = &wire.CompleteClaimRequest{Scope: words[2], Attempt: words[3]}
+		return &wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: words[2], Attempt: words[3]}}
+	case "fence": // key
+		return &wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: words[2], Fence: true}}
+	case "complete": // key attempt
+		return &wire.RegistryCommand{Complete: &wire.CompleteClaimRequest{Scope: words[2], Attempt: words[3]}}
 	case "trip": // proxy version active...
-		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "trip", Proxy: words[2], ExpectedVersion: number(3), Active: words[4:], Settings: terms}
+		return write(breakerstore.VerbTrip, &wire.BreakerWriteRequest{Proxy: words[2], ExpectedVersion: words.number(t, 3), Active: words[4:]})
 	case "lease": // proxy id active...
-		command.ProbeLease = &wire.ProbeLeaseRequest{Service: "forms", Proxy: words[2], Id: words[3], Active: words[4:]}
-		// DeniedProbe must deny exactly what LeaseProbe denies.
-		denied := state.Breakers.DeniedProbe(command.ProbeLease, monotonic.Micros(second*1e6))
-		defer func() {
-			if granted := strings.Contains(text, "granted true"); granted == (denied != nil) {
-				t.Errorf("%v: granted %v, denied beforehand %v", words, granted, denied != nil)
-			}
-		}()
+		return &wire.RegistryCommand{ProbeLease: &wire.ProbeLeaseRequest{Service: "forms", Proxy: words[2], Id: words[3], Active: words[4:]}}
 	case "return": // proxy id version
-		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "return", Proxy: words[2], Id: words[3], ExpectedVersion: number(4), Settings: terms}
+		return write(breakerstore.VerbReturn, &wire.BreakerWriteRequest{Proxy: words[2], Id: words[3], ExpectedVersion: words.number(t, 4)})
 	case "probe": // proxy id version good|bad
-		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "probe", Proxy: words[2], Id: words[3], ExpectedVersion: number(4), Success: words[5] == "good", Settings: terms}
+		return write(breakerstore.VerbProbe, &wire.BreakerWriteRequest{Proxy: words[2], Id: words[3], ExpectedVersion: words.number(t, 4), Success: words[5] == "good"})
 	case "decide": // version state
-		command.Breaker = &wire.BreakerWriteRequest{Service: "forms", Verb: "decide", ExpectedVersion: number(2), Decision: words[3], Settings: terms}
+		return write(breakerstore.VerbDecide, &wire.BreakerWriteRequest{ExpectedVersion: words.number(t, 2), Decision: words[3]})
 	case "ended": // proxy
-		command.Tick = &wire.Tick{EndedSessions: []*wire.MemberID{{Name: words[2]}}}
-	case "duty": // role proxy instance seconds
-		command.Singleton = &wire.SingletonLeaseRequest{Role: words[2], Proxy: words[3], Instance: words[4], Duration: int64(number(5)) * int64(monotonic.Second)}
-	case "stop": // role instance
-		command.Singleton = &wire.SingletonLeaseRequest{Role: words[2], Instance: words[3], Release: true}
+		return &wire.RegistryCommand{Tick: &wire.Tick{EndedSessions: []*wire.MemberID{{Name: words[2]}}}}
+	case "acquire": // role proxy instance seconds
+		return &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: words[2], Proxy: words[3], Instance: words[4], Duration: int64(words.micros(t, 5))}}
+	case "release": // role instance
+		return &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: words[2], Instance: words[3], Release: true}}
 	case "wait":
-	default:
-		t.Fatalf("unknown command %q", words[1])
-	}
-	content, err := proto.Marshal(command)
-	if err != nil {
-		t.Fatal(err)
+		return &wire.RegistryCommand{}
 	}
-	result := &wire.RegistryResult{}
-	if err := proto.Unmarshal(state.Apply(7, monotonic.Micros(second*1e6), content), result); err != nil {
-		t.Fatal(err)
-	}
-	text = strings.Join(words, " ") + " ->"
+	t.Fatalf("unknown command %q", words[1])
+	return nil
+}
+
+// describeResult returns the parts of a result that are present.
+func describeResult(result *wire.RegistryResult) string {
+	var text strings.Builder
 	if result.Claim != nil {
-		text += " " + result.Claim.Outcome
+		text.WriteString(" " + result.Claim.Outcome)
 	}
 	if result.Void != nil {
-		text += " " + result.Void.Outcome
+		text.WriteString(" " + result.Void.Outcome)
 	}
 	if result.Complete != nil {
-		text += fmt.Sprintf(" freed %v", result.Complete.Done)
+		fmt.Fprintf(&text, " completed %v", result.Complete.Done)
 	}
-	if result.Singleton != nil {
-		text += fmt.Sprintf(" granted %v for %d s, %q at %q has it", result.Singleton.Granted, result.Singleton.Duration/1e6, result.Singleton.Instance, result.Singleton.Owner)
+	if lease := result.Singleton; lease != nil {
+		fmt.Fprintf(&text, " granted %v for %d s, owner %q at %q", lease.Granted, lease.Duration/1e6, lease.Instance, lease.Owner)
 	}
 	if result.ProbeLease != nil {
-		text += fmt.Sprintf(" granted %v", result.ProbeLease.Granted)
+		fmt.Fprintf(&text, " granted %v", result.ProbeLease.Granted)
 	}
 	if result.Breaker != nil {
-		text += fmt.Sprintf(" applied %v", result.Breaker.Applied)
+		fmt.Fprintf(&text, " applied %v", result.Breaker.Applied)
 	}
+	return text.String()
+}
+
+// describeBreakers returns what matters of each breaker record.
+func describeBreakers(state *statemachine.Machine) string {
+	var text strings.Builder
 	for _, record := range state.Breakers.Records() {
-		text += fmt.Sprintf("; %s, serial %d, budget %d, out %d, tallied %d, reports %d", record.State, record.Version, record.Budget, len(record.ProbeLeases), len(record.ProbeResults), len(record.Reports))
+		fmt.Fprintf(&text, "; %s, version %d, budget %d, leased %d, results %d, reports %d", record.State, record.Version, record.Budget,
+			len(record.ProbeLeases), len(record.ProbeResults), len(record.Reports))
 	}
-	return text
+	return text.String()
 }
