--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -6,290 +6,192 @@
 
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/replication/consensus"
 	"snowflow/internal/transport/wire"
 )
 
 // recruitInterval is how often a primary with fewer backups than wanted looks for more.
 const recruitInterval = 2 * monotonic.Second
 
-// complete takes further backups once voters that may be some are back.
-func (m *Member) recruitBackups() {
-	now := m.config.Host.Now()
+// establishBackups brings backups into step and proposes an epoch that names them; only then does this primary serve. There may
+// be fewer than wanted if no further voter can be had, but there is at least one. failed are backups that have just failed,
+// which are taken last. It reports whether this member serves.
+func (m *Member) establishBackups(failed []*wire.MemberID) bool {
 	m.mu.Lock()
-	state := m.leadership
+	state, known := m.leadership, m.register
 	m.mu.Unlock()
-	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.lastRecruitment < recruitInterval {
-		return
-	}
-	m.lastRecruitment = now
-	if m.hasSpareVoter(state.backups) {
-		m.dropBackups(nil, "")
-		m.establishBackups(nil)
-	}
-}
-
-// spare tells whether some voter that holds no copy, and doesn't leave, could take one now.
-func (m *Member) hasSpareVoter(backups []*wire.MemberID) bool {
-	now := m.config.Host.Now()
-	return slices.ContainsFunc(m.otherVoters(), func(name string) bool {
-		m.mu.Lock()
-		heard, known := m.lastResponse[name]
-		leaves := m.leavingMembers(now)[name]
-		m.mu.Unlock()
-		return known && !leaves && now-heard < m.config.LeaseDuration && !slices.Contains(memberNames(backups), name) && m.reachable(name)
-	})
-}
-
-// reliefInterval is how often something is done about a slow disk: each change of the two copies holds writes up.
-const reliefInterval = 10 * monotonic.Second
-
-// minding looks at how long a batch took to sync. Three slow ones in a row make the primary hand over, if it was its own
-// disk alone, or take another backup; both only if there is a third voter.
-func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
-	slowOwn, slowBackup := false, len(slow) > 0
-	m.replicaExecutor.Run(func() { slowOwn = m.replica.lastSyncTime > m.config.SlowSyncThreshold })
-	count := func(counter *int, slow bool) bool {
-		if *counter++; !slow {
-			*counter = 0
-		}
-		return *counter >= 3
+	if state.epoch == 0 {
+		return false
 	}
-	current, _ := m.configuration()
-	tieBreaker := current.Voters.TieBreaker()
-	m.mu.Lock()
-	leave := count(&m.leadership.slowSyncs, slowOwn && !slowBackup)
-	relieve := count(&m.leadership.slowResponses, slowBackup)
-	prefer := tieBreaker != "" && m.config.Name != tieBreaker && !slices.Contains(memberNames(backups), tieBreaker) && !slowOwn && !slowBackup
-	value, due := m.register, m.config.Host.Now()-m.lastRelief >= reliefInterval
-	m.mu.Unlock()
-	if !due || !leave && !relieve && !prefer {
-		return
+	began := m.host.Now()
+	clock := m.advanceReplicaClock(state.clock.confirmed(began))
+	backups, lastResort := m.installBackups(state.epoch, m.backupCandidates(known, failed), failed)
+	if len(backups) == 0 {
+		return false
 	}
-	m.lastRelief = m.config.Host.Now()
-	if prefer && !leave && !relieve {
-		// The voter that counts double is to have a copy again, now that it's back.
-		if m.reachable(tieBreaker) {
-			m.dropBackups(backups, "another is preferred")
-			m.establishBackups(nil)
-		}
-		return
+	value, proposal, proposed := m.proposeBackups(state.epoch, backups)
+	if !proposed {
+		return false
 	}
-	// Without a third voter both disks are needed for every write, whoever leads.
-	spare := slices.ContainsFunc(m.backupCandidates(value, backups), func(name string) bool {
-		return !slices.Contains(memberNames(backups), name) && m.reachable(name)
-	})
-	if !spare {
-		return
+	m.alignReplica(state.epoch)
+	next := leadership{
+		epoch: value.Epoch, proposal: proposal, register: value, backups: backups, lastResort: lastResort,
+		clock: primaryClock{base: clock, baseAt: began, confirmedAt: began},
 	}
-	if leave {
-		m.config.Host.Report(eventlog.DiskSlow, map[string]any{"group": m.config.Group})
-		m.transferLeadership("own disk is slow")
-		return
+	if !m.continueLeadership(state.epoch, next) {
+		return false
 	}
-	m.dropBackups(slow, "its disk is slow")
-	m.establishBackups(slow)
-}
-
-// dropBackups stops answering until others are in step.
-func (m *Member) dropBackups(backups []*wire.MemberID, why string) {
-	for _, backup := range backups {
-		m.config.Host.Report(eventlog.BackupLost, map[string]any{"group": m.config.Group, "backup": backup.Name, "error": why})
+	m.renewLease()
+	if m.config.OnServing != nil {
+		m.config.OnServing(value.Epoch, m.LeaderClock())
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.leadership.serving, m.leadership.backups = false, nil
+	return m.startServing(value.Epoch, backups)
 }
 
-// reachable asks a voter something small.
-func (m *Member) reachable(name string) bool {
-	_, err := m.readRegister(name)
-	return err == nil
-}
-
-// installTimeout is how long a whole view may take to reach a new backup and be synced there.
-const installTimeout = 5 * monotonic.Second
-
-// settle brings backups into step and names them in the register; only then does the primary answer. There may be fewer than
-// wanted where no further voter can be had, but never none.
-func (m *Member) establishBackups(failed []*wire.MemberID) bool {
-	m.mu.Lock()
-	epoch, value, state := m.leadership.epoch, m.register, m.leadership
-	m.mu.Unlock()
-	if epoch == 0 {
-		return false
-	}
-	// A new backup's line begins at the view's holder time, which must be one that has certainly come, and none before what was told.
-	// Holder time goes on from there: what passed since is for the backup's own clock to say.
-	began, clock := m.config.Host.Now(), monotonic.Micros(0)
+// advanceReplicaClock moves the replica's leader clock forward to a confirmed time, and returns it. A new backup's bound on the
+// leader clock begins at this time, which must have been reached, and must not be before any time that was served.
+func (m *Member) advanceReplicaClock(confirmed monotonic.Micros) (clock monotonic.Micros) {
 	m.replicaExecutor.Run(func() {
-		m.replica.leaderClock = max(m.replica.leaderClock, state.confirmedClock(began))
+		m.replica.leaderClock = max(m.replica.leaderClock, confirmed)
 		clock = m.replica.leaderClock
 	})
-	backups, lastResort := m.installBackups(epoch, m.backupCandidates(value, failed), failed)
-	if len(backups) == 0 {
-		return false
-	}
-	fresh, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
-		if value == nil || value.Epoch != epoch || !sameMember(value.Primary, m.self()) {
+	return clock
+}
+
+// proposeBackups proposes the epoch after a given one, in which some backups are in sync. If that fails, this member steps down:
+// whether the proposal took effect may be unknown, so the register has to be read anew.
+func (m *Member) proposeBackups(epoch uint64, backups []*wire.MemberID) (value *wire.RegisterValue, proposal uint64, ok bool) {
+	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
+		if !m.leadsEpoch(value, epoch) {
 			return nil, errRegisterChanged
 		}
-		established := nextRegister(value, epoch+1, m.self(), backups)
-		established.BackupsInSync, established.Members = true, withMembers(value.Members, append([]*wire.MemberID{m.self()}, backups...)...)
-		return established, nil
+		self := m.self()
+		next := consensus.NextValue(value, epoch+1, self, backups)
+		next.BackupsInSync = true
+		next.Members = consensus.MergeMembers(value.Members, append([]*wire.MemberID{self}, backups...)...)
+		return next, nil
 	})
-	if errors.Is(err, errRegisterChanged) {
-		m.observeRegister(proposal, fresh)
-		m.stepDown(epoch, "another epoch began")
-		return false
-	}
-	if err != nil {
-		// Whether the ballot took effect is not known, so the epoch is read anew by taking over from scratch.
-		m.stepDown(epoch, "no majority for a new backup")
-		return false
-	}
-	m.observeRegister(proposal, fresh)
-	// The copy's pair of epoch and sequence must match what the backups noted on installing.
+	switch {
+	case errors.Is(err, errRegisterChanged):
+		m.observeRegister(proposal, value)
+		m.stepDown(epoch, reasonNewerEpoch)
+		return nil, 0, false
+	case err != nil:
+		m.stepDown(epoch, reasonNoQuorumForBackup)
+		return nil, 0, false
+	}
+	m.observeRegister(proposal, value)
+	return value, proposal, true
+}
+
+// alignReplica gives this replica the position that the backups took on installing: their epoch with this sequence.
+func (m *Member) alignReplica(epoch uint64) {
 	m.replicaExecutor.Run(func() {
 		m.stateMachineMu.Lock()
 		defer m.stateMachineMu.Unlock()
 		m.replica.epoch = max(m.replica.epoch, epoch)
 		m.replica.tail.addAlias(logPosition{m.replica.epoch, m.replica.sequence})
 	})
+}
+
+// continueLeadership goes on from one epoch to the next, unless this member has stepped down meanwhile. The lease and the time
+// at which the leadership began stay.
+func (m *Member) continueLeadership(epoch uint64, next leadership) bool {
 	m.mu.Lock()
+	defer m.mu.Unlock()
 	if m.leadership.epoch != epoch {
-		m.mu.Unlock()
 		return false
 	}
-	m.leadership.epoch, m.leadership.proposal, m.leadership.register, m.leadership.backups, m.leadership.preempted = fresh.Epoch, proposal, fresh, backups, false
-	m.leadership.failures, m.leadership.slowSyncs, m.leadership.slowResponses = 0, 0, 0
-	m.leadership.clockBase, m.leadership.clockBaseAt, m.leadership.clockSyncedAt = clock, began, began
-	m.leadership.lastResort = lastResort
-	m.mu.Unlock()
-	m.renewLease()
-	if m.config.OnServing != nil {
-		m.config.OnServing(fresh.Epoch, m.LeaderClock())
-	}
+	next.since = m.leadership.since
+	next.leaseUntil, next.leaseConfig = m.leadership.leaseUntil, m.leadership.leaseConfig
+	next.serving = m.leadership.serving
+	m.leadership = next
+	return true
+}
+
+// startServing lets this member serve an epoch if it has a lease.
+func (m *Member) startServing(epoch uint64, backups []*wire.MemberID) bool {
 	m.mu.Lock()
-	established := m.leadership.epoch == fresh.Epoch && m.config.Host.Now() < m.leadership.leaseUntil
-	m.leadership.serving = established
+	serving := m.leadership.epoch == epoch && m.host.Now() < m.leadership.leaseUntil
+	m.leadership.serving = serving
 	m.mu.Unlock()
-	if established {
-		m.config.Host.Report(eventlog.PrimaryReady, map[string]any{"group": m.config.Group, "epoch": fresh.Epoch, "backup": backups[0].Name, "backups": memberNames(backups)})
+	if serving {
+		names := consensus.MemberNames(backups)
+		m.host.Report(eventlog.PrimaryReady, map[string]any{"group": m.config.Group, "epoch": epoch, "backup": names[0], "backups": names})
 	}
-	return established
+	return serving
 }
 
-// installBackups installs the present view on as many candidates as there are backups wanted, and tells whether one of them had
-// just failed.
-func (m *Member) installBackups(epoch uint64, candidates []string, failed []*wire.MemberID) (backups []*wire.MemberID, lastResort bool) {
-	for len(candidates) > 0 && len(backups) < m.config.Replicas-1 {
-		name := m.preferOtherZone(candidates, backups)
-		candidates = slices.DeleteFunc(candidates, func(other string) bool { return other == name })
-		// A voter that doesn't answer a small ask isn't waited for with a large one.
-		seen, err := m.readRegister(name)
-		if err != nil {
-			continue
-		}
-		incarnation, stored := m.catchUpReplica(name, epoch, seen)
-		if !stored {
-			continue
-		}
-		backups = append(backups, &wire.MemberID{Name: name, Incarnation: incarnation})
-		lastResort = lastResort || slices.Contains(memberNames(failed), name)
+// dropBackups makes this primary stop serving until other backups are in sync.
+func (m *Member) dropBackups(backups []*wire.MemberID, reason string) {
+	for _, backup := range backups {
+		m.host.Report(eventlog.BackupLost, map[string]any{"group": m.config.Group, "backup": backup.Name, "error": reason})
 	}
-	return backups, lastResort
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.leadership.serving, m.leadership.backups = false, nil
 }
 
-// catchUpReplica gives a process's copy what it misses, or the whole view where that isn't known any more.
-func (m *Member) catchUpReplica(name string, epoch uint64, seen *wire.RegisterReadResponse) (incarnation uint64, stored bool) {
-	install := func(request *wire.InstallSnapshotRequest) bool {
-		response := &wire.InstallSnapshotResponse{}
-		request.To, request.From, request.Epoch = name, m.self(), epoch
-		err := m.config.Resolver.Call(name, wire.Kind_install_snapshot, request, response, installTimeout)
-		incarnation = response.Incarnation
-		return err == nil && response.Stored
+// recruitBackups looks for more backups, if there are fewer than wanted.
+func (m *Member) recruitBackups() {
+	now := m.host.Now()
+	state := m.currentLeadership()
+	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.lastRecruitment < recruitInterval {
+		return
 	}
-	if request := m.missingEntries(seen); request != nil && install(request) {
-		return incarnation, true
+	m.lastRecruitment = now
+	if m.hasSpareVoter(state.backups) {
+		m.dropBackups(nil, "")
+		m.establishBackups(nil)
 	}
-	return incarnation, install(&wire.InstallSnapshotRequest{Snapshot: m.takeSnapshot()})
 }
 
-// missingEntries is what a copy at a told position misses, nothing where this copy doesn't remember that far.
-func (m *Member) missingEntries(seen *wire.RegisterReadResponse) (request *wire.InstallSnapshotRequest) {
-	if !seen.HasReplica || seen.ReplicaSequence == 0 {
-		return nil
-	}
-	m.replicaExecutor.Run(func() {
-		if missed, known := m.replica.tail.entriesAfter(logPosition{seen.ReplicaEpoch, seen.ReplicaSequence}); known {
-			request = &wire.InstallSnapshotRequest{SinceEpoch: seen.ReplicaEpoch, SinceSequence: seen.ReplicaSequence, Entries: missed, LeaderClock: int64(m.replica.leaderClock)}
-		}
+// hasSpareVoter reports whether a voter that is in contact, isn't a backup and isn't leaving could become a backup now.
+func (m *Member) hasSpareVoter(backups []*wire.MemberID) bool {
+	now := m.host.Now()
+	backupNames := consensus.MemberNames(backups)
+	return slices.ContainsFunc(m.otherVoters(), func(name string) bool {
+		m.mu.Lock()
+		respondedAt, known := m.lastResponse[name]
+		leaving := m.leavingMembers(now)[name]
+		m.mu.Unlock()
+		inContact := known && now-respondedAt < m.config.LeaseDuration
+		return inContact && !leaving && !slices.Contains(backupNames, name) && m.isReachable(name)
 	})
-	return request
 }
 
-// apart picks the first candidate in a zone that has no copy yet, or else the first.
-func (m *Member) preferOtherZone(candidates []string, backups []*wire.MemberID) string {
-	if m.config.Zone == nil {
-		return candidates[0]
-	}
-	taken := map[string]bool{m.config.Zone(m.config.Name): true, "": true}
-	for _, backup := range backups {
-		taken[m.config.Zone(backup.Name)] = true
-	}
-	for _, name := range candidates {
-		if !taken[m.config.Zone(name)] {
-			return name
-		}
-	}
-	return candidates[0]
-}
-
-// takeSnapshot is the whole state as it is applied here.
-func (m *Member) takeSnapshot() (view *wire.Snapshot) {
-	m.replicaExecutor.Run(func() { view = m.snapshot() })
-	return view
+// isReachable probes a voter by a small request.
+func (m *Member) isReachable(name string) bool {
+	_, err := m.readRegister(name)
+	return err == nil
 }
 
-// backupCandidates orders the other voters: the one that counts double first, so that its half of a split core has a copy, then the
-// present copy, behind them whoever hasn't answered for a lease's length, and last one that just failed.
-func (m *Member) backupCandidates(value *wire.RegisterValue, failed []*wire.MemberID) []string {
-	current, _ := m.configuration()
-	var tieBreakers, inSync, others, quiet, last []string
-	now := m.config.Host.Now()
+// backupCandidates returns the other voters in the order in which they are tried as backups: the tie-breaker, so that its half
+// of an even split has a replica; the present backups; other voters; those that haven't responded for a lease's duration; and
+// last those that have just failed or are leaving. A voter that the change in flight removes is left out.
+func (m *Member) backupCandidates(known *wire.RegisterValue, failed []*wire.MemberID) []string {
+	current, _ := m.knownConfig()
+	tieBreaker := current.Voters.TieBreaker()
+	failedNames, backupNames := consensus.MemberNames(failed), consensus.MemberNames(consensus.BackupsOf(known))
+	var tieBreakers, backups, others, silent, last []string
+	now := m.host.Now()
 	m.mu.Lock()
 	leaving := m.leavingMembers(now)
 	m.mu.Unlock()
 	for _, name := range m.otherVoters() {
 		switch {
-		case len(current.Joint) > 0 && !slices.Contains(current.Joint, name): // it's about to leave
-		case leaving[name]:
-			last = append(last, name)
-		case slices.Contains(memberNames(failed), name):
+		case current.IsJoint() && !slices.Contains(current.Joint, name):
+		case leaving[name] || slices.Contains(failedNames, name):
 			last = append(last, name)
 		case now-m.lastResponseAt(name) > m.config.LeaseDuration:
-			quiet = append(quiet, name)
-		case name == current.Voters.TieBreaker():
+			silent = append(silent, name)
+		case name == tieBreaker:
 			tieBreakers = append(tieBreakers, name)
-		case slices.Contains(memberNames(backupsOf(value)), name):
-			inSync = append(inSync, name)
+		case slices.Contains(backupNames, name):
+			backups = append(backups, name)
 		default:
 			others = append(others, name)
 		}
 	}
-	return slices.Concat(tieBreakers, inSync, others, quiet, last)
-}
-
-func withMembers(replicas []*wire.MemberID, holders ...*wire.MemberID) []*wire.MemberID {
-	var next []*wire.MemberID
-	replaced := map[string]bool{}
-	for _, holder := range holders {
-		replaced[holder.Name] = true
-	}
-	for _, current := range replicas {
-		if !replaced[current.Name] {
-			next = append(next, current)
-		}
-	}
-	return append(next, holders...)
+	return slices.Concat(tieBreakers, backups, others, silent, last)
 }
--- a/internal/replication/consensus_search_test.go
+++ b/internal/replication/consensus/membership_search_test.go
@@ -1,4 +1,4 @@
-package replication
+package consensus
 
 import (
 	"math/bits"
--- /dev/null
+++ b/internal/replication/consensus/value.go
@@ -0,0 +1,85 @@
+package consensus
+
+import (
+	"slices"
+
+	"snowflow/internal/replication/quorum"
+	"snowflow/internal/transport/wire"
+)
+
+// ConfigOf returns who decides under a register value. A value without voters, which earlier releases wrote, and a nil
+// value stand for the voters of the settings.
+func ConfigOf(value *wire.RegisterValue, initialVoters []string) quorum.Config {
+	if value == nil || len(value.Voters) == 0 {
+		return quorum.Config{Voters: initialVoters}
+	}
+	return quorum.Config{Voters: value.Voters, Joint: value.JointVoters}
+}
+
+// BackupsOf returns a value's backups, nil for a nil value. Earlier releases had one backup and set only that field.
+func BackupsOf(value *wire.RegisterValue) []*wire.MemberID {
+	if value == nil || value.Backup == nil {
+		return nil
+	}
+	if len(value.Backups) > 0 && SameMember(value.Backups[0], value.Backup) {
+		return value.Backups
+	}
+	return []*wire.MemberID{value.Backup}
+}
+
+// HoldsReplica reports whether a value names a member as the primary or as a backup, whose replicas have every
+// acknowledged write. It is false for a nil value.
+func HoldsReplica(value *wire.RegisterValue, member *wire.MemberID) bool {
+	return value != nil && (SameMember(value.Primary, member) || ContainsMember(BackupsOf(value), member))
+}
+
+// NextValue returns a copy of a value for another epoch, with other replicas that are not in sync yet. The voters stay:
+// they change by proposals of their own.
+func NextValue(value *wire.RegisterValue, epoch uint64, primary *wire.MemberID, backups []*wire.MemberID) *wire.RegisterValue {
+	next := &wire.RegisterValue{
+		Epoch:       epoch,
+		Primary:     primary,
+		Backups:     backups,
+		Members:     value.GetMembers(),
+		Voters:      value.GetVoters(),
+		JointVoters: value.GetJointVoters(),
+	}
+	if len(backups) > 0 {
+		next.Backup = backups[0]
+	}
+	return next
+}
+
+// SameMember reports whether two IDs name the same replica. A replica that was lost and begun anew has another
+// incarnation. A nil ID is the same as no other.
+func SameMember(a, b *wire.MemberID) bool {
+	return a != nil && b != nil && a.Name == b.Name && a.Incarnation == b.Incarnation
+}
+
+// ContainsMember reports whether a list has a member.
+func ContainsMember(members []*wire.MemberID, wanted *wire.MemberID) bool {
+	return slices.ContainsFunc(members, func(member *wire.MemberID) bool { return SameMember(member, wanted) })
+}
+
+// MemberNames returns the names of some members, in their order.
+func MemberNames(members []*wire.MemberID) (names []string) {
+	for _, member := range members {
+		names = append(names, member.Name)
+	}
+	return names
+}
+
+// MergeMembers returns the members with some added; of a name that is in both, only the added one.
+func MergeMembers(members []*wire.MemberID, added ...*wire.MemberID) []*wire.MemberID {
+	replaced := map[string]bool{}
+	for _, member := range added {
+		replaced[member.Name] = true
+	}
+	var merged []*wire.MemberID
+	for _, member := range members {
+		if !replaced[member.Name] {
+			merged = append(merged, member)
+		}
+	}
+	return append(merged, added...)
+}
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -6,108 +6,219 @@
 
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/replication/consensus"
 	"snowflow/internal/transport/wire"
 )
 
-// campaign opens the next epoch with this member as primary, if the register names it as a holder of every
-// acknowledged write. Nothing is answered in that epoch until a backup is in step.
-func (m *Member) campaign(known *wire.RegisterValue) {
+const (
+	// notVacant stands for no time: a quorum isn't free, as far as this member knows.
+	notVacant = monotonic.Micros(-1)
+	// maxPollInterval bounds how long the election loop waits without being woken.
+	maxPollInterval = monotonic.Minute
+)
+
+// electionTimer is what the election loop remembers between its steps.
+type electionTimer struct {
+	// vacantSince is since when a quorum has been free to elect a primary, or notVacant.
+	vacantSince monotonic.Micros
+}
+
+// pollInterval is how soon a process that has just started, or sees nobody lead, looks again.
+func (m *Member) pollInterval() monotonic.Micros { return m.config.HeartbeatInterval / 6 }
+
+// runElections runs until the process ends. A member without a register joins; a primary renews its lease and changes the
+// membership; any other member campaigns if the primary is silent.
+func (m *Member) runElections() {
+	timer := electionTimer{vacantSince: notVacant}
+	wait := m.pollInterval()
+	for {
+		m.wakeup.Wait(wait)
+		due := m.electionStep(&timer)
+		wait = min(m.idleTime(), due)
+	}
+}
+
+// electionStep does what is due, and returns after how long something else is due at the latest.
+func (m *Member) electionStep(timer *electionTimer) (due monotonic.Micros) {
+	if !m.hasRegister() {
+		m.joinAsVoter()
+		if !m.isVoter() {
+			m.host.Sleep(m.config.LeaseDuration / 2) // the primary has to add this process first
+		}
+		return maxPollInterval
+	}
+	m.mu.Lock()
+	leading, coldStart := m.leadership.epoch != 0, m.coldStart
+	silence := m.host.Now() - m.lastLeaderContact
+	m.mu.Unlock()
+	switch {
+	case leading:
+		m.renewLease()
+		m.changeMembership()
+	case !m.isVoter() && !m.holdsReplica():
+		m.requestJoin(true)
+		m.host.Sleep(m.config.LeaseDuration - m.config.HeartbeatInterval)
+	case silence <= m.config.LeaseDuration && !coldStart || m.otherLeaseRemaining() > 0:
+		timer.vacantSince = notVacant
+	default:
+		return m.considerCampaign(timer, silence)
+	}
+	return maxPollInterval
+}
+
+// considerCampaign campaigns if a quorum is free and this member is next in line, or if the primary has been silent for the
+// election timeout. The backups are first in line; a primary that restarted waits a little longer, and at the group's first
+// start each voter longer than the one before it.
+func (m *Member) considerCampaign(timer *electionTimer, silence monotonic.Micros) (due monotonic.Micros) {
+	m.refreshRegister()
+	value := m.knownRegister()
+	backup := consensus.ContainsMember(consensus.BackupsOf(value), m.self())
+	free, wait := m.quorumAvailable()
+	if now := m.host.Now(); !free {
+		timer.vacantSince = notVacant
+	} else if timer.vacantSince < 0 {
+		timer.vacantSince = now
+	}
+	ready := value != nil && free && (backup || m.mayReclaim(value) || m.host.Now()-timer.vacantSince >= m.config.HeartbeatInterval)
+	if ready || silence > m.electionTimeout(value, backup)+m.jitter(m.config.HeartbeatInterval) {
+		m.campaign(value)
+	} else if value != nil && !free {
+		return max(wait, monotonic.Millisecond)
+	}
+	return maxPollInterval
+}
+
+// electionTimeout returns how long the primary must be silent before this member campaigns though no quorum seems free.
+func (m *Member) electionTimeout(value *wire.RegisterValue, backup bool) monotonic.Micros {
+	switch {
+	case value == nil:
+		return monotonic.Micros(m.initialRank()) * m.config.LeaseDuration
+	case backup:
+		return m.config.LeaseDuration + m.config.HeartbeatInterval
+	}
+	return m.config.LeaseDuration + 3*m.config.HeartbeatInterval
+}
+
+// jitter returns a random duration below a limit.
+func (m *Member) jitter(limit monotonic.Micros) monotonic.Micros {
+	return monotonic.Micros(m.host.Random() % uint64(limit))
+}
+
+// otherLeaseRemaining returns how long a lease that this voter granted to another member remains, zero if there is none.
+func (m *Member) otherLeaseRemaining() (remaining monotonic.Micros) {
 	self := m.self()
+	m.voterExecutor.Run(func() { remaining = m.voter.OtherLeaseRemaining(m.host.Now(), self) })
+	return remaining
+}
+
+// idleTime returns for how long the election loop has nothing to do. A handover and a request to leave end it early.
+func (m *Member) idleTime() monotonic.Micros {
+	lease := m.config.LeaseDuration
+	m.mu.Lock()
+	leading, coldStart := m.leadership.epoch != 0, m.coldStart && m.register != nil
+	silence := m.host.Now() - m.lastLeaderContact
+	m.mu.Unlock()
+	joined, leaseRemaining := false, monotonic.Micros(0)
+	self := m.self()
+	m.voterExecutor.Run(func() {
+		joined = m.voter.Joined()
+		leaseRemaining = m.voter.OtherLeaseRemaining(m.host.Now(), self)
+	})
+	switch {
+	case !joined:
+		return m.config.HeartbeatInterval
+	case leading:
+		return m.renewInterval()
+	case leaseRemaining > 0:
+		return leaseRemaining + monotonic.Millisecond
+	case coldStart && silence < 2*lease:
+		return m.pollInterval()
+	case silence < lease:
+		return min(lease-silence, lease) + monotonic.Millisecond
+	case silence > 4*lease:
+		return m.config.HeartbeatInterval
+	}
+	return 2 * m.pollInterval()
+}
+
+// mayCampaign reports whether this member's replica has every acknowledged write, as far as the newest value seen tells.
+func (m *Member) mayCampaign(known *wire.RegisterValue) bool {
 	m.mu.Lock()
 	stopping := m.stopping
 	m.mu.Unlock()
-	if stopping || known != nil && !m.config.AnyVoterMayLead && !sameMember(known.Primary, self) && !containsMember(backupsOf(known), self) {
+	if stopping {
+		return false
+	}
+	return known == nil || m.config.AnyVoterMayLead || consensus.HoldsReplica(known, m.self())
+}
+
+// campaign proposes the next epoch with this member as primary. Nothing is served in that epoch before a backup is in sync.
+func (m *Member) campaign(known *wire.RegisterValue) {
+	if !m.mayCampaign(known) {
 		return
 	}
 	m.endColdStart()
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		if value == nil {
-			if known != nil {
-				return nil, errRegisterChanged
-			}
-			return &wire.RegisterValue{Epoch: 1, Primary: self, Members: []*wire.MemberID{self}, Voters: m.config.InitialVoters}, nil
+			return m.firstValue(known)
 		}
-		others := backupsOf(value)
-		if !sameMember(value.Primary, self) {
-			if !containsMember(others, self) && !m.config.AnyVoterMayLead {
-				return nil, errRegisterChanged
-			}
-			others = append([]*wire.MemberID{value.Primary}, slices.DeleteFunc(slices.Clone(others), func(one *wire.MemberID) bool { return sameMember(one, self) })...)
-		}
-		m.replicaExecutor.Run(func() { m.replica.fenced = max(m.replica.fenced, value.Epoch+1) })
-		return nextRegister(value, value.Epoch+1, self, others), nil
+		return m.nextEpochValue(value)
 	})
 	if err != nil {
 		if errors.Is(err, errRegisterChanged) {
 			m.observeRegister(proposal, value)
 		}
 		m.mu.Lock()
-		m.lastLeaderContact = m.config.Host.Now() - m.config.LeaseDuration + monotonic.Micros(m.config.Host.Random()%uint64(2*m.config.HeartbeatInterval))
+		m.lastLeaderContact = m.host.Now() - m.config.LeaseDuration + m.jitter(2*m.config.HeartbeatInterval)
 		m.mu.Unlock()
 		return
 	}
 	m.observeRegister(proposal, value)
-	m.replicaExecutor.Run(func() {
-		for _, entry := range m.replica.pending {
-			m.apply(entry)
-		}
-		m.replica.pending = nil
-		m.replica.fenced = max(m.replica.fenced, value.Epoch)
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.leadership = leadership{epoch: value.Epoch, proposal: proposal, register: value, since: m.config.Host.Now(), clockBase: m.replica.leaderClock, clockBaseAt: m.config.Host.Now(), clockSyncedAt: m.config.Host.Now()}
-	})
-	number := eventlog.BecamePrimary
+	m.beginLeadership(value, proposal)
+	event := eventlog.BecamePrimary
 	if value.Epoch == 1 {
-		number = eventlog.GroupBootstrapped
+		event = eventlog.GroupBootstrapped
 	}
-	m.config.Host.Report(number, map[string]any{"group": m.config.Group, "epoch": value.Epoch})
+	m.host.Report(event, map[string]any{"group": m.config.Group, "epoch": value.Epoch})
 	m.renewLease()
-	m.writes.Put(nil) // the work task is to settle now
+	m.wakeCommits() // to establish backups
 }
 
-// stepDown ends this member's lead of an epoch. A lead that has moved on to a later epoch meanwhile isn't touched: news
-// that was asked for under the earlier one says nothing of it.
-func (m *Member) stepDown(epoch uint64, why string) {
-	m.mu.Lock()
-	leading := epoch != 0 && m.leadership.epoch == epoch
-	if leading {
-		m.leadership = leadership{}
-		m.lastLeaderContact = m.config.Host.Now()
-	}
-	m.mu.Unlock()
-	if leading {
-		m.config.Host.Report(eventlog.SteppedDown, map[string]any{"group": m.config.Group, "epoch": epoch, "why": why})
+// firstValue returns the register value of a group's first start. It fails if a value is known that no voter reported.
+func (m *Member) firstValue(known *wire.RegisterValue) (*wire.RegisterValue, error) {
+	if known != nil {
+		return nil, errRegisterChanged
 	}
+	self := m.self()
+	return &wire.RegisterValue{Epoch: 1, Primary: self, Members: []*wire.MemberID{self}, Voters: m.config.InitialVoters}, nil
 }
 
-// transferLeadership gives the lead to the backup: the tenure is released first, so it need not be waited out.
-func (m *Member) transferLeadership(why string) { m.transferLeadershipAs(why, "") }
-
-// transferLeadershipAs hands over; leaving is this member's name where it stops as planned, so that the heir gives it nothing to hold.
-func (m *Member) transferLeadershipAs(why, leaving string) {
-	m.mu.Lock()
-	state := m.leadership
-	m.mu.Unlock()
-	if state.epoch == 0 {
-		return
-	}
-	waiting := m.standbyNames()
-	m.stepDown(state.epoch, why)
-	var content []byte
-	if m.config.HandoverState != nil {
-		content = m.config.HandoverState() // nothing is answered any more, so this is the last word
-	}
-	m.requestLease(state.epoch, state.proposal, true)
-	if len(state.backups) > 0 {
-		successor := state.backups[0].Name
-		m.config.Host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": why})
-		_ = m.call(successor, wire.Kind_handover, &wire.HandoverRequest{To: successor, Epoch: state.epoch, Content: content, LeavingMember: leaving, WaitingMembers: waiting}, &wire.HandoverResponse{})
+// nextEpochValue returns a value's successor with this member as primary and the other replicas as backups. It fails if the
+// value doesn't name this member's replica. From then on this replica rejects primaries of earlier epochs.
+func (m *Member) nextEpochValue(value *wire.RegisterValue) (*wire.RegisterValue, error) {
+	self, others := m.self(), consensus.BackupsOf(value)
+	if !consensus.SameMember(value.Primary, self) {
+		if !consensus.ContainsMember(others, self) && !m.config.AnyVoterMayLead {
+			return nil, errRegisterChanged
+		}
+		others = slices.DeleteFunc(slices.Clone(others), func(other *wire.MemberID) bool { return consensus.SameMember(other, self) })
+		others = append([]*wire.MemberID{value.Primary}, others...)
 	}
-	m.mu.Lock()
-	m.lastLeaderContact = m.config.Host.Now() + 4*m.config.LeaseDuration
-	m.mu.Unlock()
+	m.replicaExecutor.Run(func() { m.replica.fence(value.Epoch + 1) })
+	return consensus.NextValue(value, value.Epoch+1, self, others), nil
 }
 
-// TransferLeadership gives the lead to a backup, if this member has it.
-func (m *Member) TransferLeadership(why string) { m.transferLeadership(why) }
+// beginLeadership applies what is pending in the replica and begins an epoch that this member has won.
+func (m *Member) beginLeadership(value *wire.RegisterValue, proposal uint64) {
+	m.replicaExecutor.Run(func() {
+		m.applyPendingEntries()
+		m.replica.fence(value.Epoch)
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		now := m.host.Now()
+		m.leadership = leadership{
+			epoch: value.Epoch, proposal: proposal, register: value, since: now,
+			clock: primaryClock{base: m.replica.leaderClock, baseAt: now, confirmedAt: now},
+		}
+	})
+}
--- /dev/null
+++ b/internal/replication/follower.go
@@ -0,0 +1,133 @@
+package replication
+
+import (
+	"errors"
+
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// This file is a backup's side of replication. Its methods run on the replica executor, except for the two handlers that start
+// them there.
+
+// handleReplicate appends and applies a primary's entries. A request without entries is a heartbeat.
+func (m *Member) handleReplicate(request *wire.ReplicateRequest) (response *wire.ReplicateResponse, err error) {
+	m.replicaExecutor.Run(func() { response, err = m.replicateHere(request) })
+	return response, err
+}
+
+func (m *Member) replicateHere(request *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
+	response := &wire.ReplicateResponse{Incarnation: m.replica.incarnation.Load()}
+	if response.Reason = m.replicateRejection(request); response.Reason != "" {
+		return response, nil
+	}
+	now, clock := m.host.Now(), monotonic.Micros(request.LeaderClock)
+	if limit := m.replica.clockBound.limit(now); clock > limit && !m.config.UnverifiedClock {
+		response.Reason, response.LeaderClock = reasonClockAhead, int64(limit)
+		return response, nil
+	}
+	if len(request.Entries) > 0 {
+		if err := m.appendEntries(request.Entries); err != nil {
+			return response, err
+		}
+		for _, entry := range request.Entries {
+			m.apply(entry)
+		}
+	}
+	m.replica.leaderClock = max(m.replica.leaderClock, clock)
+	m.replica.clockBound.accept(now, m.replica.leaderClock)
+	m.followPrimary(request.Epoch)
+	response.Stored = true
+	return response, nil
+}
+
+// replicateRejection returns why entries are rejected, empty if they are not.
+func (m *Member) replicateRejection(request *wire.ReplicateRequest) string {
+	r := &m.replica
+	switch {
+	case request.ToIncarnation != r.incarnation.Load():
+		return reasonOtherReplica
+	case request.Epoch < r.fenced || request.Epoch < m.knownEpoch():
+		return reasonOlderEpoch
+	case request.PreviousEpoch != r.epoch || request.PreviousSequence != r.sequence || len(r.pending) > 0:
+		return reasonNotInStep
+	}
+	return ""
+}
+
+// followPrimary takes note of the primary of an epoch, whose entries or snapshot are stored here.
+func (m *Member) followPrimary(epoch uint64) {
+	m.replica.fence(epoch)
+	m.yieldToEpoch(epoch)
+	m.recordLeaderContact()
+}
+
+// handleInstall replaces this replica's state by the primary's snapshot, or adds the entries that it lacks.
+func (m *Member) handleInstall(request *wire.InstallSnapshotRequest) (response *wire.InstallSnapshotResponse, err error) {
+	m.replicaExecutor.Run(func() { response, err = m.installHere(request) })
+	return response, err
+}
+
+func (m *Member) installHere(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
+	r := &m.replica
+	response := &wire.InstallSnapshotResponse{Incarnation: r.incarnation.Load()}
+	if request.Epoch < r.fenced || request.Epoch < m.knownEpoch() || request.Epoch < r.epoch {
+		response.Reason = reasonOlderEpoch
+		return response, nil
+	}
+	var err error
+	if request.Snapshot == nil {
+		response.Reason, err = m.installEntries(request)
+	} else {
+		err = m.installSnapshot(request.Epoch, request.Snapshot)
+	}
+	response.Stored = response.Reason == "" && err == nil
+	return response, err
+}
+
+// installSnapshot replaces the state by a snapshot, under a position in the primary's epoch.
+func (m *Member) installSnapshot(epoch uint64, sent *wire.Snapshot) error {
+	snapshot := &wire.Snapshot{Epoch: max(sent.Epoch, epoch), Sequence: sent.Sequence, LeaderClock: sent.LeaderClock, Content: sent.Content}
+	previous, incarnation := m.snapshot(), m.replica.incarnation.Load()
+	if err := m.restoreSnapshot(snapshot, incarnation); err != nil {
+		return err
+	}
+	if err := m.compact(); err != nil {
+		return errors.Join(err, m.restoreSnapshot(previous, incarnation))
+	}
+	m.resetClockBound()
+	m.followPrimary(epoch)
+	m.host.Report(eventlog.SnapshotInstalled, map[string]any{"group": m.config.Group, "epoch": epoch, "bytes": len(snapshot.Content)})
+	return nil
+}
+
+// installEntries appends and applies the entries that this replica lacks, and a watermark: the position in the primary's epoch.
+// It returns why they are rejected, empty if they are not.
+func (m *Member) installEntries(request *wire.InstallSnapshotRequest) (rejection string, err error) {
+	if m.position() != (logPosition{request.SinceEpoch, request.SinceSequence}) || len(m.replica.pending) > 0 {
+		return reasonNotInStep, nil
+	}
+	watermark := &wire.Watermark{
+		Epoch: request.Epoch, Sequence: request.SinceSequence + uint64(len(request.Entries)), LeaderClock: request.LeaderClock,
+	}
+	if m.needsCompaction() {
+		if err := m.compact(); err != nil {
+			return "", err
+		}
+	}
+	records := append(encodeEntries(request.Entries), mustMarshal(&wire.JournalRecord{Watermark: watermark}))
+	if err := m.appendRecords(records); err != nil {
+		return "", err
+	}
+	for _, entry := range request.Entries {
+		m.apply(entry)
+	}
+	if err := m.applyWatermark(watermark); err != nil {
+		return "", err
+	}
+	m.resetClockBound()
+	m.followPrimary(request.Epoch)
+	m.host.Report(eventlog.ReplicaCaughtUp, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "entries": len(request.Entries)})
+	return "", nil
+}
--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -1,73 +1,36 @@
 package replication
 
 import (
+	"google.golang.org/protobuf/proto"
+
+	"snowflow/internal/apierror"
 	"snowflow/internal/host"
-	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
-// Register adds the group's handlers.
-func (m *Member) Register(table host.Handlers) {
-	host.Handle(table, wire.Kind_register_read, func(request *wire.RegisterReadRequest) (*wire.RegisterReadResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handleRegisterRead(request)
-	})
-	host.Handle(table, wire.Kind_prepare, func(request *wire.PrepareRequest) (*wire.PrepareResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handlePrepare(request)
-	})
-	host.Handle(table, wire.Kind_accept, func(request *wire.AcceptRequest) (*wire.AcceptResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handleAccept(request)
-	})
-	host.Handle(table, wire.Kind_lease, func(request *wire.LeaseRequest) (*wire.LeaseResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handleLease(request)
-	})
-	host.Handle(table, wire.Kind_join, func(request *wire.JoinRequest) (*wire.JoinResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handleJoin(request)
-	})
-	host.Handle(table, wire.Kind_replicate, func(request *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handleReplicate(request)
-	})
-	host.Handle(table, wire.Kind_install_snapshot, func(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		return m.handleInstall(request)
-	})
-	host.Handle(table, wire.Kind_handover, func(request *wire.HandoverRequest) (*wire.HandoverResponse, error) {
-		if err := checkAddressee(m, request.To); err != nil {
-			return nil, err
-		}
-		if m.config.OnHandover != nil {
-			m.config.OnHandover(request.Epoch, request.Content)
-		}
-		m.mu.Lock()
-		m.lastLeaderContact, m.coldStart = -monotonic.Minute, false
-		now := m.config.Host.Now()
-		if request.LeavingMember != "" {
-			m.leaving[request.LeavingMember] = now
-		}
-		for _, name := range request.WaitingMembers {
-			m.standbys[name] = standby{lastContact: now, hasRegister: true}
-		}
-		m.mu.Unlock()
-		m.wakeup.Fire()
-		return &wire.HandoverResponse{Accepted: true}, nil
+// Register adds the handlers of the group's messages.
+func (m *Member) Register(handlers host.Handlers) {
+	handle(m, handlers, wire.Kind_register_read, m.handleRegisterRead)
+	handle(m, handlers, wire.Kind_prepare, m.handlePrepare)
+	handle(m, handlers, wire.Kind_accept, m.handleAccept)
+	handle(m, handlers, wire.Kind_lease, m.handleLease)
+	handle(m, handlers, wire.Kind_join, m.handleJoin)
+	handle(m, handlers, wire.Kind_replicate, m.handleReplicate)
+	handle(m, handlers, wire.Kind_install_snapshot, m.handleInstall)
+	handle(m, handlers, wire.Kind_handover, m.handleHandover)
+}
+
+// handle adds the handler of one kind of message, which rejects messages that are addressed to another process: addresses may be
+// used by one process after another.
+func handle[Request any, RequestPointer interface {
+	*Request
+	proto.Message
+	GetTo() string
+}, Response proto.Message](m *Member, handlers host.Handlers, kind wire.Kind, answer func(RequestPointer) (Response, error)) {
+	host.Handle(handlers, kind, func(request RequestPointer) (response Response, err error) {
+		if request.GetTo() != m.config.Name {
+			return response, apierror.Refused.New("addressed to %s, this is %s", request.GetTo(), m.config.Name)
+		}
+		return answer(request)
 	})
 }
--- /dev/null
+++ b/internal/replication/handover.go
@@ -0,0 +1,56 @@
+package replication
+
+import (
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// TransferLeadership passes the leadership on to the first backup if this member has it. The lease is released first, so the
+// backup needn't wait until it ends.
+func (m *Member) TransferLeadership(reason string) { m.transferLeadership(reason, "") }
+
+// transferLeadership passes the leadership on. leavingMember is this member's name if it is shutting down, so that its
+// successor gives it no replica; else it is empty.
+func (m *Member) transferLeadership(reason, leavingMember string) {
+	state := m.currentLeadership()
+	if state.epoch == 0 {
+		return
+	}
+	standbys := m.standbyNames()
+	m.stepDown(state.epoch, reason)
+	var content []byte
+	if m.config.HandoverState != nil {
+		content = m.config.HandoverState() // nothing is served any more, so this content is final
+	}
+	m.requestLease(state, true)
+	if len(state.backups) > 0 {
+		successor := state.backups[0].Name
+		m.host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": reason})
+		request := &wire.HandoverRequest{To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys}
+		// A successor that this request doesn't reach takes over after its election timeout.
+		_ = m.call(successor, wire.Kind_handover, request, &wire.HandoverResponse{})
+	}
+	m.mu.Lock()
+	m.lastLeaderContact = m.host.Now() + 4*m.config.LeaseDuration // the successor goes first
+	m.mu.Unlock()
+}
+
+// handleHandover makes this member campaign at once.
+func (m *Member) handleHandover(request *wire.HandoverRequest) (*wire.HandoverResponse, error) {
+	if m.config.OnHandover != nil {
+		m.config.OnHandover(request.Epoch, request.Content)
+	}
+	m.mu.Lock()
+	m.lastLeaderContact, m.coldStart = -monotonic.Minute, false
+	now := m.host.Now()
+	if request.LeavingMember != "" {
+		m.leaving[request.LeavingMember] = now
+	}
+	for _, name := range request.WaitingMembers {
+		m.standbys[name] = standby{lastContact: now, hasRegister: true}
+	}
+	m.mu.Unlock()
+	m.wakeup.Fire()
+	return &wire.HandoverResponse{Accepted: true}, nil
+}
--- /dev/null
+++ b/internal/replication/join.go
@@ -0,0 +1,166 @@
+package replication
+
+import (
+	"slices"
+
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/transport/wire"
+)
+
+// joinAsVoter gets a process without a register its first one:
+//   - at the group's first start, if every initial voter is blank, in contact and permitted to bootstrap;
+//   - if the configuration names this process, from so many other registers that one of every quorum is among them;
+//   - otherwise from the primary, as a standby.
+func (m *Member) joinAsVoter() {
+	// An earlier process of this name may have accepted a proposal that others haven't accepted yet. After a lease's duration
+	// they have, or never will; what is read earlier is incomplete.
+	waited := false
+	m.voterExecutor.Run(func() { waited = m.voter.WaitOver(m.host.Now()) })
+	others := m.knownPeers()
+	found := m.surveyRegisters(others, gather(m, others, m.config.CallTimeout, m.readRegister, nil))
+	current := m.configOf(found.value)
+	switch {
+	case found.bootstrap:
+		m.startVoting(found)
+	case !waited:
+		m.observeRegister(found.accepted, found.value)
+	case !current.Contains(m.config.Name):
+		m.observeRegister(found.accepted, found.value)
+		m.requestJoin(false)
+	case current.HasReadQuorum(found.intact):
+		m.startVoting(found)
+	}
+}
+
+// registerSurvey is what the registers of other processes tell a process without one.
+type registerSurvey struct {
+	// bootstrap is set if the group has never started and may start now.
+	bootstrap bool
+	// intact are the processes that have a register.
+	intact []string
+	// promised is the highest promise, and value the newest value, accepted under the proposal accepted.
+	promised, accepted uint64
+	value              *wire.RegisterValue
+}
+
+func (m *Member) surveyRegisters(others []string, responses map[string]*wire.RegisterReadResponse) registerSurvey {
+	isInitial := func(name string) bool { return slices.Contains(m.config.InitialVoters, name) }
+	found := registerSurvey{bootstrap: m.config.Bootstrap && isInitial(m.config.Name)}
+	for _, name := range others {
+		response := responses[name]
+		if response == nil {
+			found.bootstrap = found.bootstrap && !isInitial(name)
+			continue
+		}
+		// A promise without a value doesn't count: the first proposal may have failed because this voter hadn't joined yet.
+		found.bootstrap = found.bootstrap && response.Accepted == 0 && (response.CanBootstrap || !isInitial(name))
+		found.promised = max(found.promised, response.Promised)
+		if !response.Intact {
+			continue
+		}
+		found.intact = append(found.intact, name)
+		if response.Accepted > found.accepted {
+			found.accepted, found.value = response.Accepted, response.Value
+		}
+	}
+	return found
+}
+
+// startVoting saves the register that a survey found. Unless the group starts for the first time, this process doesn't vote
+// before a lease that it may have forgotten has ended.
+func (m *Member) startVoting(found registerSurvey) {
+	m.voterExecutor.Run(func() {
+		if found.bootstrap {
+			m.voter.VoteFrom(m.host.Now())
+		} else {
+			m.voter.DeferVotes(m.host.Now() + m.config.LeaseDuration)
+		}
+		if err := m.saveRecord(m.voter.Join(found.promised, found.accepted, found.value)); err != nil {
+			return // joinAsVoter is tried again
+		}
+		m.host.Report(eventlog.VoterJoined, map[string]any{"group": m.config.Group, "genesis": found.bootstrap, "promised": found.promised})
+	})
+}
+
+// requestJoin asks the primary to add this process to the voters. A process without a register begins with the primary's: no
+// configuration that may decide names it, so nothing that an earlier process of its name has forgotten counts.
+func (m *Member) requestJoin(hasRegister bool) {
+	primary := m.resolver.Leader(m.config.Group)
+	if primary == "" {
+		primary = m.knownRegister().GetPrimary().GetName()
+	}
+	if primary == "" || primary == m.config.Name {
+		return
+	}
+	response := &wire.JoinResponse{}
+	request := &wire.JoinRequest{To: primary, Name: m.config.Name, HasRegister: hasRegister}
+	if m.call(primary, wire.Kind_join, request, response) != nil {
+		return // the election loop tries again
+	}
+	m.observeRegister(response.Proposal, response.Value)
+	if hasRegister || !response.Accepted || response.Value == nil || m.configOf(response.Value).Contains(m.config.Name) {
+		return
+	}
+	m.voterExecutor.Run(func() {
+		m.voter.DeferVotes(m.host.Now() + m.config.LeaseDuration)
+		if err := m.saveRecord(m.voter.Join(response.Proposal, response.Proposal, response.Value)); err != nil {
+			return
+		}
+		m.host.Report(eventlog.VoterEnrolled, map[string]any{"group": m.config.Group, "primary": primary, "voters": response.Value.Voters})
+	})
+}
+
+// handleJoin records a process that wants to vote as a standby, and returns a register for it to begin with. It also takes
+// requests to leave.
+func (m *Member) handleJoin(request *wire.JoinRequest) (*wire.JoinResponse, error) {
+	if request.Leaving {
+		return m.handleLeave(request.Name), nil
+	}
+	serving := m.Serving()
+	current, _ := m.knownConfig()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	mayVote := current.Contains(request.Name) || m.configOf(m.leadership.register).Contains(request.Name)
+	proposed := !request.HasRegister && m.proposedVoters[request.Name]
+	if !serving || mayVote || proposed {
+		return &wire.JoinResponse{Proposal: m.registerProposal, Value: m.register}, nil
+	}
+	m.standbys[request.Name] = standby{lastContact: m.host.Now(), hasRegister: request.HasRegister}
+	return &wire.JoinResponse{Accepted: true, Proposal: m.leadership.proposal, Value: m.leadership.register}, nil
+}
+
+// standby is a process that asked to join the voters.
+type standby struct {
+	lastContact monotonic.Micros
+	// hasRegister is set once the process has a register, so that it can vote as soon as it is added.
+	hasRegister bool
+}
+
+const (
+	// standbyTimeout is how long after its last request a standby counts as being in contact.
+	standbyTimeout = 3 * monotonic.Second
+	// standbyReportInterval is how long a standby may take to report to a new primary.
+	standbyReportInterval = 1500 * monotonic.Millisecond
+)
+
+// liveStandbys returns the standbys in contact that have a register, sorted by name, and forgets those that are silent. The
+// caller holds mu.
+func (m *Member) liveStandbys(now monotonic.Micros) (names []string) {
+	for name, standby := range m.standbys {
+		if now-standby.lastContact > standbyTimeout {
+			delete(m.standbys, name)
+		} else if standby.hasRegister {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// standbyNames returns the live standbys.
+func (m *Member) standbyNames() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.liveStandbys(m.host.Now())
+}
--- /dev/null
+++ b/internal/replication/leaderclock.go
@@ -0,0 +1,119 @@
+package replication
+
+import (
+	"slices"
+
+	"snowflow/internal/eventlog"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/replication/consensus"
+	"snowflow/internal/transport/wire"
+)
+
+const (
+	// clockSyncInterval is how long a primary may go without its backups having confirmed the leader clock. It is less than
+	// maxClockLead, which a backup accepts unconfirmed.
+	clockSyncInterval = 700 * monotonic.Millisecond
+	// maxClockLead is how far the leader clock may be ahead of a backup's estimate: clocks differ in rate, and messages take
+	// time.
+	maxClockLead = monotonic.Second
+	// clockDriftDivisor allows a backup's clock to be slow by one hundredth.
+	clockDriftDivisor = 100
+)
+
+// primaryClock is the leader clock as its primary counts it. The zero value reads as the own clock.
+type primaryClock struct {
+	// base is the leader clock when the own clock read baseAt.
+	base, baseAt monotonic.Micros
+	// confirmedAt is when every backup had last accepted the leader clock, by the own clock.
+	confirmedAt monotonic.Micros
+}
+
+// at returns the leader clock at a reading of the own clock.
+func (c primaryClock) at(now monotonic.Micros) monotonic.Micros {
+	return c.base + now - c.baseAt
+}
+
+// confirmed returns a time that the leader clock has certainly reached: no more than clockSyncInterval after the last time
+// that every backup confirmed.
+func (c primaryClock) confirmed(now monotonic.Micros) monotonic.Micros {
+	return min(c.at(now), c.at(c.confirmedAt)+clockSyncInterval)
+}
+
+// clockBound is a backup's bound on the leader clock.
+//
+// Invariant: estimate is never above the leader clock accepted last, and rises by the own clock, with an allowance for drift.
+type clockBound struct {
+	// at is the reading of the own clock at which estimate was set.
+	at, estimate monotonic.Micros
+}
+
+// now returns the backup's estimate of the leader clock at a reading of its own clock.
+func (c clockBound) now(now monotonic.Micros) monotonic.Micros {
+	elapsed := max(now-c.at, 0)
+	return c.estimate + elapsed + elapsed/clockDriftDivisor
+}
+
+// limit returns the highest leader clock that the backup accepts. A primary installs a snapshot before it sends entries, so
+// there is an estimate.
+func (c clockBound) limit(now monotonic.Micros) monotonic.Micros {
+	return c.now(now) + maxClockLead
+}
+
+// accept takes a leader clock that was accepted.
+func (c *clockBound) accept(now, clock monotonic.Micros) {
+	c.at, c.estimate = now, min(clock, c.now(now))
+}
+
+// confirmClock has the backups confirm the leader clock if that is due, or if the own clock went back: it may have jumped,
+// and no timer of the state machine may end on its word alone. It returns the state with the clock they agree on. If a
+// backup doesn't answer or has another objection, the state is returned as it is: the batch that follows will show what is
+// wrong, and a backup rejects a clock that it can't confirm.
+func (m *Member) confirmClock(state leadership) leadership {
+	since := m.host.Now() - state.clock.confirmedAt
+	if since >= 0 && since < clockSyncInterval || m.config.UnverifiedClock {
+		return state
+	}
+	request := &wire.ReplicateRequest{From: m.self(), Epoch: state.epoch}
+	m.replicaExecutor.Run(func() {
+		request.PreviousEpoch, request.PreviousSequence = m.replica.epoch, m.replica.sequence
+		request.LeaderClock = int64(max(m.replica.leaderClock, state.clock.at(m.host.Now())))
+	})
+	proposed := monotonic.Micros(request.LeaderClock)
+	agreed, confirmed := m.askBackupsForClock(state.backups, request)
+	if !confirmed {
+		return state
+	}
+	if agreed < proposed {
+		m.replicaExecutor.Run(func() { agreed = max(m.replica.leaderClock, agreed) })
+		m.host.Report(eventlog.LeaderClockBounded, map[string]any{"group": m.config.Group, "micros": int64(proposed - agreed)})
+	}
+	state.clock = primaryClock{base: agreed, baseAt: m.host.Now(), confirmedAt: m.host.Now()}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leadership.epoch == state.epoch {
+		m.leadership.clock = state.clock
+	}
+	return state
+}
+
+// askBackupsForClock sends a request without entries to every backup. It returns the lowest of the request's leader clock and
+// the limits of backups that reject it as too far ahead, and false if a backup doesn't answer or rejects the request for
+// another reason.
+func (m *Member) askBackupsForClock(backups []*wire.MemberID, request *wire.ReplicateRequest) (agreed monotonic.Micros, confirmed bool) {
+	responses := gather(m, consensus.MemberNames(backups), m.config.CallTimeout, func(name string) (*wire.ReplicateResponse, error) {
+		backup := backups[slices.IndexFunc(backups, func(backup *wire.MemberID) bool { return backup.Name == name })]
+		response := &wire.ReplicateResponse{}
+		return response, m.call(name, wire.Kind_replicate, addressedTo(backup, request), response)
+	}, nil)
+	agreed = monotonic.Micros(request.LeaderClock)
+	for _, backup := range backups {
+		response := responses[backup.Name]
+		if response == nil || !response.Stored && response.Reason != reasonClockAhead {
+			return 0, false
+		}
+		if !response.Stored {
+			agreed = min(agreed, monotonic.Micros(response.LeaderClock))
+		}
+	}
+	return agreed, true
+}
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -7,78 +7,87 @@
 	"snowflow/internal/transport/wire"
 )
 
-// renew asks every voter for the primary's tenure, counted from before the ask.
+// renewLease requests a lease from every voter. The lease counts from before the request.
 func (m *Member) renewLease() {
-	h := m.config.Host
+	state := m.currentLeadership()
+	epoch := state.epoch
+	requestedAt := m.host.Now()
+	config, responses := m.requestLease(state, false)
+	granted := config.HasQuorum(grantedBy(responses))
+	superseded := m.observeLeaseResponses(state, responses)
+
 	m.mu.Lock()
-	epoch, proposal := m.leadership.epoch, m.leadership.proposal
+	if granted && m.leadership.epoch == epoch {
+		m.leadership.leaseUntil, m.leadership.leaseConfig = requestedAt+m.config.LeaseDuration, config
+	}
+	expired := m.leadership.epoch == epoch && m.host.Now() >= m.leadership.leaseUntil
+	preempted := m.leadership.preempted
 	m.mu.Unlock()
-	requestedAt := h.Now()
-	current, replies := m.requestLease(epoch, proposal, false)
-	granted := current.HasQuorum(grantedBy(replies, (*wire.LeaseResponse).GetGranted))
-	overtaken := false
-	for _, reply := range replies {
-		m.observeProposal(reply.Promised)
-		if reply.Value != nil && reply.Value.Epoch > epoch {
-			overtaken = true
+
+	if expired && superseded {
+		m.stepDown(epoch, reasonNewerEpoch)
+		return
+	}
+	if !granted && preempted {
+		m.proposeAgain(epoch)
+	}
+}
+
+// observeLeaseResponses takes what voters report, and reports whether one of them has accepted a later epoch.
+func (m *Member) observeLeaseResponses(state leadership, responses map[string]*wire.LeaseResponse) (superseded bool) {
+	for _, response := range responses {
+		m.observeProposal(response.Promised)
+		if response.Value.GetEpoch() > state.epoch {
+			superseded = true
 		}
-		if !reply.Granted {
-			m.observeRegister(reply.Accepted, reply.Value)
+		if response.Granted {
+			continue
 		}
-		if !reply.Granted && reply.Promised > proposal {
+		m.observeRegister(response.Accepted, response.Value)
+		if response.Promised > state.proposal {
 			m.mu.Lock()
 			m.leadership.preempted = true
 			m.mu.Unlock()
 		}
 	}
-	m.mu.Lock()
-	if granted && m.leadership.epoch == epoch {
-		m.leadership.leaseUntil, m.leadership.leaseConfiguration = requestedAt+m.config.LeaseDuration, current
-	}
-	expired := m.leadership.epoch == epoch && h.Now() >= m.leadership.leaseUntil
-	outbid := m.leadership.preempted
-	m.mu.Unlock()
-	if expired && overtaken {
-		m.stepDown(epoch, "another epoch began")
-		return
-	}
-	if !granted && outbid {
-		// A rival's ballot that came to nothing stands in the way: write the same value under a higher one.
-		value, fresh, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
-			if value == nil || value.Epoch != epoch || !sameMember(value.Primary, m.self()) {
-				return nil, errRegisterChanged
-			}
-			return value, nil
-		})
-		if err == nil {
-			m.adoptRegister(epoch, fresh, value)
-		} else if errors.Is(err, errRegisterChanged) {
-			m.observeRegister(fresh, value)
-			m.stepDown(epoch, "another epoch began")
+	return superseded
+}
+
+// proposeAgain proposes this primary's register value under a higher number: a rival's proposal that came to nothing stands
+// in the way of the lease.
+func (m *Member) proposeAgain(epoch uint64) {
+	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
+		if !m.leadsEpoch(value, epoch) {
+			return nil, errRegisterChanged
 		}
+		return value, nil
+	})
+	if err == nil {
+		m.adoptRegister(epoch, proposal, value)
+	} else if errors.Is(err, errRegisterChanged) {
+		m.observeRegister(proposal, value)
+		m.stepDown(epoch, reasonNewerEpoch)
 	}
 }
 
-// requestLease asks everybody who votes, and tells by which configuration it asked.
-func (m *Member) requestLease(epoch, proposal uint64, release bool) (quorum.Config, map[string]*wire.LeaseResponse) {
+// requestLease requests a lease of everybody who votes, or releases it, and returns by which configuration it did.
+func (m *Member) requestLease(state leadership, release bool) (quorum.Config, map[string]*wire.LeaseResponse) {
 	self, timeout := m.self(), m.config.LeaseDuration
 	if release {
 		timeout = m.config.CallTimeout
 	}
-	current, known := m.configuration()
-	return current, gatherResponses(m, current.Members(), timeout, func(name string) (*wire.LeaseResponse, error) {
-		request := &wire.LeaseRequest{To: name, Epoch: epoch, Proposal: proposal, Leader: self, Release: release,
-			Voters: current.Voters, JointVoters: current.Joint, KnownProposal: known, ProcessId: m.processID}
+	config, known := m.knownConfig()
+	return config, gather(m, config.Members(), timeout, func(name string) (*wire.LeaseResponse, error) {
+		request := &wire.LeaseRequest{
+			To: name, Epoch: state.epoch, Proposal: state.proposal, Leader: self, Release: release, ProcessId: m.processID,
+			Voters: config.Voters, JointVoters: config.Joint, KnownProposal: known,
+		}
 		if name == m.config.Name {
 			return m.handleLease(request)
 		}
 		response := &wire.LeaseResponse{}
-		err := m.config.Resolver.Call(name, wire.Kind_lease, request, response, timeout)
-		if err == nil {
-			m.recordResponse(name)
-		}
-		return response, err
-	}, func(replies map[string]*wire.LeaseResponse, _ int) bool {
-		return current.HasQuorum(grantedBy(replies, (*wire.LeaseResponse).GetGranted))
+		return response, m.callVoterWithin(name, wire.Kind_lease, request, response, timeout)
+	}, func(responses map[string]*wire.LeaseResponse) bool {
+		return config.HasQuorum(grantedBy(responses))
 	})
 }
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -5,80 +5,89 @@
 
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/replication/consensus"
 	"snowflow/internal/transport/wire"
 )
 
 const (
-	// LeaveLimit is how long a planned stop waits at most for its copy and seat to be taken over.
+	// LeaveLimit is how long a graceful shutdown waits at most for its replica and its vote to be taken over.
 	LeaveLimit = 2500 * monotonic.Millisecond
-	// leavePollInterval is how often a member that stops as planned asks whether it may go.
+	// leavePollInterval is how often a member that is shutting down asks whether it may go.
 	leavePollInterval = 50 * monotonic.Millisecond
-	// standbyReportInterval is how long a process that waits for a seat may take to tell a new primary so.
-	standbyReportInterval = 1500 * monotonic.Millisecond
-	// leaveTimeout is how long after its last word a process counts as leaving: its next life is none that leaves.
+	// leaveTimeout is how long after its last request a process counts as leaving: the next process of its name doesn't.
 	leaveTimeout = monotonic.Second
 )
 
-// Leave is for a planned stop. It hands the lead over and returns once this member holds no copy that is counted on, and its seat is taken by
-// a successor if one waits; or when the limit has passed, since the process is ended then in any case.
-func (m *Member) Leave(why string, limit monotonic.Micros) {
-	h := m.config.Host
-	deadline := h.Now() + limit
+// Leave is for a graceful shutdown. It transfers the leadership, and returns once no acknowledged write depends on this
+// member's replica and a standby, if there is one, has taken its vote; or after the limit, since the process then ends in any
+// case.
+func (m *Member) Leave(reason string, limit monotonic.Micros) {
+	deadline := m.host.Now() + limit
 	m.mu.Lock()
 	m.stopping = true
 	m.mu.Unlock()
-	m.transferLeadershipAs(why, m.config.Name)
-	for h.Now() < deadline && !m.config.LeaveAtOnce {
-		if m.requestLeave(deadline - h.Now()) {
-			h.Report(eventlog.MemberReleased, map[string]any{"group": m.config.Group})
+	m.transferLeadership(reason, m.config.Name)
+	for m.host.Now() < deadline && !m.config.LeaveAtOnce {
+		if m.requestLeave(deadline - m.host.Now()) {
+			m.host.Report(eventlog.MemberReleased, map[string]any{"group": m.config.Group})
 			return
 		}
-		h.Sleep(min(leavePollInterval, max(0, deadline-h.Now())))
+		m.host.Sleep(min(leavePollInterval, max(0, deadline-m.host.Now())))
 	}
-	h.Report(eventlog.MemberNotReleased, map[string]any{"group": m.config.Group})
+	m.host.Report(eventlog.MemberNotReleased, map[string]any{"group": m.config.Group})
 }
 
 // requestLeave asks the primary whether this member may go.
 func (m *Member) requestLeave(timeout monotonic.Micros) bool {
-	leader := m.config.Resolver.Leader(m.config.Group)
-	if leader == "" || leader == m.config.Name {
-		m.config.Resolver.Refresh()
+	primary := m.resolver.Leader(m.config.Group)
+	if primary == "" || primary == m.config.Name {
+		m.resolver.Refresh()
 		return false
 	}
 	response := &wire.JoinResponse{}
-	request := &wire.JoinRequest{To: leader, Name: m.config.Name, Leaving: true}
-	err := m.config.Resolver.Call(leader, wire.Kind_join, request, response, min(timeout, m.config.CallTimeout))
+	request := &wire.JoinRequest{To: primary, Name: m.config.Name, Leaving: true}
+	err := m.resolver.Call(primary, wire.Kind_join, request, response, min(timeout, m.config.CallTimeout))
 	return err == nil && response.Released
 }
 
-// handleLeave notes that a process stops as planned, and tells whether it may go: it holds no copy that is counted on, and no seat that a
-// process that waits could take.
+// handleLeave records that a process is shutting down, and tells it whether it may go: its replica isn't a backup, and no
+// standby could take its vote.
 func (m *Member) handleLeave(name string) *wire.JoinResponse {
 	if !m.Serving() {
 		return &wire.JoinResponse{}
 	}
-	now := m.config.Host.Now()
+	now := m.host.Now()
 	m.mu.Lock()
 	m.leaving[name] = now
 	delete(m.standbys, name)
 	state := m.leadership
 	m.mu.Unlock()
-	if slices.Contains(memberNames(state.backups), name) {
-		m.writes.Put(nil) // the work task gives the copy to another
+	if slices.Contains(consensus.MemberNames(state.backups), name) {
+		m.wakeCommits() // to replace the backup
 		return &wire.JoinResponse{Released: !m.hasSpareVoter(state.backups)}
 	}
-	_, current, _, found := m.membershipState()
-	// A young primary doesn't know yet who waits.
-	alone := len(found.Standbys) == 0 && now-state.since >= standbyReportInterval
-	stuck := len(found.Standbys) > 0 && found.Next() == nil
-	released := state.serving && len(current.Joint) == 0 && (!slices.Contains(current.Voters, name) || alone || stuck)
+	released := state.serving && m.voteMayGo(name, now-state.since)
 	if !released {
 		m.wakeup.Fire()
 	}
 	return &wire.JoinResponse{Released: released}
 }
 
-// leavingMembers lists the processes that said lately that they stop as planned. The caller holds the lock.
+// voteMayGo reports whether a leaving process has no vote that a standby could take. A primary that has led for less than
+// standbyReportInterval may not know of all standbys yet.
+func (m *Member) voteMayGo(name string, ledFor monotonic.Micros) bool {
+	observed := m.observeMembership()
+	if observed.config.IsJoint() {
+		return false
+	}
+	standbys := observed.state.Standbys
+	noStandby := len(standbys) == 0 && ledFor >= standbyReportInterval
+	noChange := len(standbys) > 0 && observed.state.Next() == nil
+	return !slices.Contains(observed.config.Voters, name) || noStandby || noChange
+}
+
+// leavingMembers returns the processes that lately said that they are shutting down, and forgets older ones. The caller holds
+// mu.
 func (m *Member) leavingMembers(now monotonic.Micros) map[string]bool {
 	leaving := map[string]bool{}
 	for name, at := range m.leaving {
@@ -91,21 +100,23 @@
 	return leaving
 }
 
-// replaceLeavingBackups gives the copies of backups that stop as planned to other voters, before those that leave are let go.
+// replaceLeavingBackups replaces backups that are shutting down, if other voters can take their place.
 func (m *Member) replaceLeavingBackups() {
 	m.mu.Lock()
-	state, leaving := m.leadership, m.leavingMembers(m.config.Host.Now())
+	state, leaving := m.leadership, m.leavingMembers(m.host.Now())
 	m.mu.Unlock()
-	leaves := func(backup *wire.MemberID) bool { return leaving[backup.Name] }
-	if !state.serving || !slices.ContainsFunc(state.backups, leaves) || !m.hasSpareVoter(state.backups) {
+	if !state.serving {
 		return
 	}
-	var going []*wire.MemberID
+	var departing []*wire.MemberID
 	for _, backup := range state.backups {
-		if leaves(backup) {
-			going = append(going, backup)
+		if leaving[backup.Name] {
+			departing = append(departing, backup)
 		}
 	}
-	m.dropBackups(going, "it stops as planned")
+	if len(departing) == 0 || !m.hasSpareVoter(state.backups) {
+		return
+	}
+	m.dropBackups(departing, reasonBackupLeaving)
 	m.establishBackups(nil)
 }
--- a/internal/replication/logtail.go
+++ b/internal/replication/logtail.go
@@ -7,32 +7,36 @@
 )
 
 const (
-	// maxTailBytes and maxTailEntries bound what a copy keeps of its last entries.
+	// maxTailBytes and maxTailEntries limit how many entries a replica keeps in memory.
 	maxTailBytes   = 2 << 20
 	maxTailEntries = 1 << 14
 )
 
-// position is how far a copy is. A primary numbers within an epoch that it won in this life, and brings others into step within one, so a
-// position names one state.
+// logPosition is how far a replica is. It names one state: a primary numbers within an epoch that its process won, and brings
+// other replicas into step within one.
 type logPosition struct{ epoch, sequence uint64 }
 
-// tail is what a copy remembers of the entries applied last, so that another copy that is a little behind need not be given the whole state.
+// logTail holds the entries that a replica applied last, so that another replica that is a little behind needn't be sent the
+// whole state.
 //
-// Invariants, searched by TestReplicaSearch: entries follow one another without gaps, the first right behind base; each position in marks is one of a state
-// that this copy went through; a copy at a position that since knows has the state that this one had there.
+// Invariants, explored by TestReplicaSearch: entries follow one another without gaps, the first right behind base; each alias is
+// the position of a state that this replica had; a replica at a position for which entriesAfter returns entries has the state
+// that this one had there.
 type logTail struct {
 	base    logPosition
 	entries []*wire.Entry
-	bytes   int
-	aliases []logPosition // positions that were given to a state besides that of its last entry
+	// bytes is the size of the entries' commands.
+	bytes int
+	// aliases are positions that a state was given besides that of its last entry.
+	aliases []logPosition
 }
 
-// reset begins anew behind a state at a position.
+// reset forgets all entries. base is the position of the present state.
 func (t *logTail) reset(base logPosition) {
-	t.base, t.entries, t.bytes, t.aliases = base, nil, 0, nil
+	*t = logTail{base: base}
 }
 
-// add notes an entry that was applied.
+// add takes an entry that was applied, and forgets the oldest ones beyond the limits.
 func (t *logTail) add(entry *wire.Entry) {
 	t.entries = append(t.entries, entry)
 	t.bytes += len(entry.Command)
@@ -42,27 +46,24 @@
 		t.bytes -= len(oldest.Command)
 		t.entries[0], t.entries = nil, t.entries[1:]
 	}
-	t.aliases = slices.DeleteFunc(t.aliases, func(mark logPosition) bool { return mark.sequence < t.base.sequence })
+	t.aliases = slices.DeleteFunc(t.aliases, func(alias logPosition) bool { return alias.sequence < t.base.sequence })
 }
 
-// mark notes that the present state has another position too.
-func (t *logTail) addAlias(current logPosition) {
-	if !slices.Contains(t.aliases, current) {
-		t.aliases = append(t.aliases, current)
+// addAlias gives the present state another position.
+func (t *logTail) addAlias(position logPosition) {
+	if !slices.Contains(t.aliases, position) {
+		t.aliases = append(t.aliases, position)
 	}
 }
 
-// since lists the entries behind a position, if this copy went through it and remembers all that followed.
-func (t *logTail) entriesAfter(current logPosition) (missed []*wire.Entry, known bool) {
-	if current == t.base || slices.Contains(t.aliases, current) {
-		known = true
-	}
-	at := slices.IndexFunc(t.entries, func(entry *wire.Entry) bool { return entry.Sequence == current.sequence })
-	if at >= 0 && t.entries[at].Epoch == current.epoch {
-		known = true
-	}
+// entriesAfter returns the entries behind a position. known is false if this replica never was there, or has forgotten some of
+// those entries.
+func (t *logTail) entriesAfter(position logPosition) (entries []*wire.Entry, known bool) {
+	index := slices.IndexFunc(t.entries, func(entry *wire.Entry) bool { return entry.Sequence == position.sequence })
+	known = position == t.base || slices.Contains(t.aliases, position) ||
+		index >= 0 && t.entries[index].Epoch == position.epoch
 	if !known {
 		return nil, false
 	}
-	return slices.Clone(t.entries[at+1:]), true // at is -1 for the base
+	return slices.Clone(t.entries[index+1:]), true // index is -1 for the base
 }
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -8,16 +8,13 @@
 	"snowflow/internal/apierror"
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/replication/consensus"
 )
 
-// Errors that a proposal may end with.
-var (
-	// ErrNotPrimary: the command was not taken; it has not been and will not be applied.
-	ErrNotPrimary = errors.New("replication: not the primary")
-	// ErrUnknown: the command may be applied, now or later.
-	ErrUnknown = errors.New("replication: outcome unknown")
-)
+// staleReadWindow is within which time a quorum must have been read for a read at a member that doesn't lead.
+const staleReadWindow = monotonic.Second
 
+// writeRequest is a command that waits to be committed. result and err are set before done is fired.
 type writeRequest struct {
 	command []byte
 	result  []byte
@@ -25,25 +22,21 @@
 	done    host.Signal
 }
 
-// Propose has a command applied by the primary, here, and gives its result once both copies have synced it.
-func (m *Member) Propose(command []byte) ([]byte, error) {
-	if !m.Serving() {
-		return nil, ErrNotPrimary
-	}
-	w := &writeRequest{command: command, done: m.config.Host.NewSignal()}
-	m.writes.Put(w)
-	for !w.done.Wait(monotonic.Forever) {
-	}
-	return w.result, w.err
-}
-
-// Outcome is what became of one of several commands proposed together.
+// Outcome is the result of one of several commands that were proposed together.
 type Outcome struct {
 	Result []byte
 	Err    error
 }
 
-// ProposeAll has commands applied by the primary, here, each as if proposed alone, and waits for all of them.
+// Propose has a command committed, if this member is the primary, and returns its result once every replica has synced it. It
+// returns ErrNotPrimary if the command won't be applied, and ErrUnknown if it may be.
+func (m *Member) Propose(command []byte) ([]byte, error) {
+	outcome := m.ProposeAll([][]byte{command})[0]
+	return outcome.Result, outcome.Err
+}
+
+// ProposeAll proposes commands, each as Propose does, and waits for all of them. There is one outcome for each command, in their
+// order.
 func (m *Member) ProposeAll(commands [][]byte) []Outcome {
 	outcomes := make([]Outcome, len(commands))
 	if !m.Serving() {
@@ -54,7 +47,7 @@
 	}
 	writes := make([]*writeRequest, len(commands))
 	for index, command := range commands {
-		writes[index] = &writeRequest{command: command, done: m.config.Host.NewSignal()}
+		writes[index] = &writeRequest{command: command, done: m.host.NewSignal()}
 		m.writes.Put(writes[index])
 	}
 	for index, w := range writes {
@@ -65,7 +58,8 @@
 	return outcomes
 }
 
-// Submit proposes a command that is a message, and decodes its result.
+// Submit proposes an encoded message and decodes its result into another. It returns an apierror.Refused error if this member
+// isn't the primary.
 func (m *Member) Submit(command, result proto.Message) error {
 	content, err := proto.Marshal(command)
 	if err != nil {
@@ -81,28 +75,8 @@
 	return proto.Unmarshal(answer, result)
 }
 
-// Serving tells whether this member may answer now.
-func (m *Member) Serving() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.leadership.serving && (m.config.IgnoreLease || m.config.Host.Now() < m.leadership.leaseUntil && !m.ClockWatch.WentBack())
-}
-
-// Epoch is the epoch this member leads, or zero.
-func (m *Member) Epoch() uint64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.leadership.epoch
-}
-
-// LeaderClock is the group's time as its primary counts it; it goes on across failovers.
-func (m *Member) LeaderClock() monotonic.Micros {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.leadership.confirmedClock(m.config.Host.Now())
-}
-
-// Read looks at the machine under a live tenure. It tells whether it did.
+// Read calls a function that reads the state machine, with the epoch and the leader clock. It reports whether this member was
+// serving from before the call until after it; otherwise what was read must not be used.
 func (m *Member) Read(read func(epoch uint64, now monotonic.Micros)) bool {
 	if !m.Serving() {
 		return false
@@ -114,19 +88,14 @@
 	return m.Serving() && m.Epoch() == epoch
 }
 
-// staleReadWindow is how lately a majority must have been seen by who shows its copy without leading.
-const staleReadWindow = monotonic.Second
-
-// ReadStale looks at this member's own copy, whoever leads, if the newest register that a majority told of lately names it as a holder: it has whatever was
-// answered before that, and may have what never was. It tells whether it looked.
+// ReadStale calls a function that reads this member's replica, whoever leads. It does so only if a quorum was read lately, and the
+// newest register value names this replica: it then has whatever was acknowledged before, and may have what never was. It
+// reports whether it called the function.
 func (m *Member) ReadStale(read func()) bool {
 	if !m.quorumSeen(staleReadWindow) {
 		return false
 	}
-	m.mu.Lock()
-	value, self := m.register, m.self()
-	m.mu.Unlock()
-	if value == nil || !sameMember(value.Primary, self) && !containsMember(backupsOf(value), self) {
+	if !consensus.HoldsReplica(m.knownRegister(), m.self()) {
 		return false
 	}
 	m.stateMachineMu.Lock()
@@ -134,3 +103,12 @@
 	read()
 	return true
 }
+
+// mustMarshal encodes a message that this program built itself; one that can't be encoded is a defect of the program.
+func mustMarshal(message proto.Message) []byte {
+	content, err := proto.Marshal(message)
+	if err != nil {
+		panic(err)
+	}
+	return content
+}
--- /dev/null
+++ b/internal/replication/proposer.go
@@ -0,0 +1,212 @@
+package replication
+
+import (
+	"hash/crc32"
+	"slices"
+
+	"snowflow/internal/replication/consensus"
+	"snowflow/internal/replication/quorum"
+	"snowflow/internal/transport/wire"
+)
+
+// alterFunc returns the register value to propose in place of the present one, which is nil if none was accepted. It must
+// neither change nor keep its argument. It may be called more than once in a proposal.
+type alterFunc func(value *wire.RegisterValue) (*wire.RegisterValue, error)
+
+// changeRegister runs one proposal: it reads the register from a quorum, and has the same voters accept what alter makes of
+// it. It returns the chosen value with its proposal number. If alter fails, it returns alter's error and what was read, which
+// is no more than a hint. With errNoQuorum the value may have been chosen or may yet be.
+func (m *Member) changeRegister(alter alterFunc) (value *wire.RegisterValue, proposal uint64, err error) {
+	m.proposalExecutor.Run(func() { value, proposal, err = m.runProposal(alter) })
+	return value, proposal, err
+}
+
+func (m *Member) runProposal(alter alterFunc) (*wire.RegisterValue, uint64, error) {
+	started := m.host.Now()
+	r := &proposalRound{member: m, number: m.nextProposalNumber(), self: m.self(), promises: map[string]*wire.PrepareResponse{}}
+	prepared, err := r.prepare(alter)
+	if err != nil {
+		return prepared.read, prepared.readProposal, err
+	}
+	// Promises are only good for a lease's duration.
+	if m.host.Now()-started >= m.config.LeaseDuration {
+		return nil, 0, errNoQuorum
+	}
+	if err := r.accept(prepared); err != nil {
+		return nil, 0, err
+	}
+	return prepared.written, r.number, nil
+}
+
+// proposalRound is one proposal: whom this member contacted, and their promises.
+type proposalRound struct {
+	member    *Member
+	number    uint64
+	self      *wire.MemberID
+	contacted []string
+	promises  map[string]*wire.PrepareResponse
+}
+
+// preparedChange is the result of the prepare phase: the newest value read with the proposal under which it was accepted, and
+// the value to be written.
+type preparedChange struct {
+	read, written *wire.RegisterValue
+	readProposal  uint64
+}
+
+// prepare requests promises until the voters of the value read and those of the value to be written have been contacted:
+// who must promise follows from the value that they report.
+func (r *proposalRound) prepare(alter alterFunc) (preparedChange, error) {
+	m := r.member
+	config, known := m.knownConfig()
+	for {
+		r.requestPromises(config, known)
+		value, accepted := r.highestAccepted()
+		read := m.configOf(value)
+		if r.hasUncontacted(read) {
+			config, known = read, accepted
+			continue
+		}
+		if !read.HasQuorum(grantedBy(r.promises)) || !r.promises[m.config.Name].GetGranted() {
+			return preparedChange{}, errNoQuorum
+		}
+		altered, err := alter(value)
+		if err != nil {
+			return preparedChange{read: value, readProposal: accepted}, err
+		}
+		written := m.configOf(altered)
+		if !r.hasUncontacted(written) {
+			return preparedChange{read: value, readProposal: accepted, written: altered}, nil
+		}
+		config, known = written, r.number
+	}
+}
+
+// hasUncontacted reports whether a voter of a configuration hasn't been contacted yet.
+func (r *proposalRound) hasUncontacted(config quorum.Config) bool {
+	return slices.ContainsFunc(config.Members(), func(name string) bool { return !slices.Contains(r.contacted, name) })
+}
+
+// highestAccepted returns the newest value reported with a promise, and the proposal under which it was accepted.
+func (r *proposalRound) highestAccepted() (value *wire.RegisterValue, accepted uint64) {
+	for _, name := range r.contacted {
+		if response := r.promises[name]; response.GetGranted() && response.Accepted > accepted {
+			accepted, value = response.Accepted, response.Value
+		}
+	}
+	return value, accepted
+}
+
+// requestPromises sends prepare requests to this member's own voter and to the voters of a configuration that haven't been
+// contacted yet. It returns once a quorum has promised, or this member's own voter has refused.
+func (r *proposalRound) requestPromises(config quorum.Config, known uint64) {
+	m := r.member
+	var targets []string
+	for _, name := range append(config.Members(), m.config.Name) {
+		if !slices.Contains(r.contacted, name) && !slices.Contains(targets, name) {
+			targets = append(targets, name)
+		}
+	}
+	r.contacted = append(r.contacted, targets...)
+	earlier := grantedBy(r.promises)
+	responses := gather(m, targets, m.config.LeaseDuration, func(name string) (*wire.PrepareResponse, error) {
+		return r.sendPrepare(name, config, known)
+	}, func(responses map[string]*wire.PrepareResponse) bool {
+		own := responses[m.config.Name]
+		if own != nil && !own.Granted {
+			return true // the proposal can't succeed
+		}
+		hasOwn := own != nil || r.promises[m.config.Name] != nil
+		return hasOwn && config.HasQuorum(append(grantedBy(responses), earlier...))
+	})
+	for name, response := range responses {
+		r.promises[name] = response
+		m.observeProposal(response.Promised)
+		if !response.Granted {
+			m.observeRegister(response.Accepted, response.Value)
+		}
+	}
+}
+
+func (r *proposalRound) sendPrepare(name string, config quorum.Config, known uint64) (*wire.PrepareResponse, error) {
+	m := r.member
+	request := &wire.PrepareRequest{
+		To: name, Proposal: r.number, Proposer: r.self, ProcessId: m.processID,
+		Voters: config.Voters, JointVoters: config.Joint, KnownProposal: known,
+	}
+	if name == m.config.Name {
+		return m.handlePrepare(request)
+	}
+	response := &wire.PrepareResponse{}
+	return response, m.callVoter(name, wire.Kind_prepare, request, response)
+}
+
+// accept has the value accepted by a quorum of the configuration read and of the one written, and by this member's own voter.
+// Everybody who was contacted is asked: a voter whose promise came too late to count is then up to date too, and one that
+// hasn't promised rejects the request.
+func (r *proposalRound) accept(change preparedChange) error {
+	m := r.member
+	read, written := m.configOf(change.read), m.configOf(change.written)
+	hasQuorum := func(names []string) bool { return read.HasQuorum(names) && written.HasQuorum(names) }
+	if !hasQuorum(grantedBy(r.promises)) {
+		return errNoQuorum
+	}
+	responses := gather(m, r.contacted, m.config.LeaseDuration, func(name string) (*wire.AcceptResponse, error) {
+		return r.sendAccept(name, change.written)
+	}, func(responses map[string]*wire.AcceptResponse) bool {
+		return hasQuorum(grantedBy(responses)) && responses[m.config.Name] != nil
+	})
+	for _, response := range responses {
+		m.observeProposal(response.Promised)
+	}
+	if !responses[m.config.Name].GetGranted() || !hasQuorum(grantedBy(responses)) {
+		return errNoQuorum
+	}
+	return nil
+}
+
+func (r *proposalRound) sendAccept(name string, value *wire.RegisterValue) (*wire.AcceptResponse, error) {
+	request := &wire.AcceptRequest{To: name, Proposal: r.number, Value: value, Proposer: r.self}
+	if name == r.member.config.Name {
+		return r.member.handleAccept(request)
+	}
+	response := &wire.AcceptResponse{}
+	return response, r.member.callVoter(name, wire.Kind_accept, request, response)
+}
+
+const (
+	// proposerBits is the number of low bits of a proposal number that stand for the proposer.
+	proposerBits = 8
+	// firstDerivedID is the lowest proposer ID derived from a name; below are the ranks of the initial voters.
+	firstDerivedID  = 64
+	derivedIDsCount = 1<<proposerBits - firstDerivedID
+)
+
+// nextProposalNumber returns a number higher than any seen. Its low byte is this proposer's ID. Two proposers that come to
+// use the same number do no harm: a voter promises it to one of them and accepts it from no other.
+func (m *Member) nextProposalNumber() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.highestProposal = (m.highestProposal>>proposerBits+1)<<proposerBits | m.proposerID()
+	return m.highestProposal
+}
+
+// proposerID returns this member's rank among the initial voters, or else an ID derived from its name.
+func (m *Member) proposerID() uint64 {
+	if rank := m.initialRank(); rank > 0 {
+		return uint64(rank)
+	}
+	return uint64(firstDerivedID + crc32.ChecksumIEEE([]byte(m.config.Name))%derivedIDsCount)
+}
+
+// observeProposal takes a proposal number seen.
+func (m *Member) observeProposal(proposal uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.highestProposal = max(m.highestProposal, proposal)
+}
+
+// leadsEpoch reports whether a register value has this member as the primary of an epoch.
+func (m *Member) leadsEpoch(value *wire.RegisterValue, epoch uint64) bool {
+	return value != nil && value.Epoch == epoch && consensus.SameMember(value.Primary, m.self())
+}
--- /dev/null
+++ b/internal/replication/register.go
@@ -0,0 +1,145 @@
+package replication
+
+import (
+	"slices"
+
+	"snowflow/internal/monotonic"
+	"snowflow/internal/replication/consensus"
+	"snowflow/internal/replication/quorum"
+	"snowflow/internal/transport/wire"
+)
+
+// observeRegister takes a register value and the proposal under which it was accepted, if it is the newest one seen. It is a
+// hint: the value may have been accepted by a minority only. A nil value is ignored.
+func (m *Member) observeRegister(proposal uint64, value *wire.RegisterValue) {
+	if value == nil {
+		return
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.register == nil || m.registerProposal < proposal {
+		m.register, m.registerProposal = value, proposal
+	}
+}
+
+// knownRegister returns the newest register value seen, nil if there is none.
+func (m *Member) knownRegister() *wire.RegisterValue {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.register
+}
+
+// knownEpoch returns the epoch of the newest register value seen, zero if there is none.
+func (m *Member) knownEpoch() uint64 { return m.knownRegister().GetEpoch() }
+
+// configOf returns who decides under a register value.
+func (m *Member) configOf(value *wire.RegisterValue) quorum.Config {
+	return consensus.ConfigOf(value, m.config.InitialVoters)
+}
+
+// knownConfig returns who decides under the newest register value seen, and the proposal under which it was accepted.
+func (m *Member) knownConfig() (quorum.Config, uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.configOf(m.register), m.registerProposal
+}
+
+// Voters returns who votes in the group, as far as this member knows.
+func (m *Member) Voters() []string {
+	current, _ := m.knownConfig()
+	return current.Members()
+}
+
+// otherVoters returns who votes besides this member.
+func (m *Member) otherVoters() []string {
+	return slices.DeleteFunc(m.Voters(), func(name string) bool { return name == m.config.Name })
+}
+
+// isVoter reports whether the newest register value seen has this member among its voters.
+func (m *Member) isVoter() bool {
+	current, _ := m.knownConfig()
+	return current.Contains(m.config.Name)
+}
+
+// holdsReplica reports whether the newest register value seen names this member's replica as one with every acknowledged
+// write.
+func (m *Member) holdsReplica() bool {
+	self := m.self()
+	return consensus.HoldsReplica(m.knownRegister(), self)
+}
+
+// knownPeers returns the processes that may know the register: the initial and the present voters, and the members of the
+// group that the resolver knows.
+func (m *Member) knownPeers() []string {
+	known := slices.Concat(m.config.InitialVoters, m.Voters(), m.resolver.Members(m.config.Group))
+	slices.Sort(known)
+	return slices.DeleteFunc(slices.Compact(known), func(name string) bool { return name == m.config.Name })
+}
+
+// readRegister reads another process's register and records what it reports of itself.
+func (m *Member) readRegister(name string) (*wire.RegisterReadResponse, error) {
+	response := &wire.RegisterReadResponse{}
+	request := &wire.RegisterReadRequest{To: name, From: m.config.Name, Voters: m.config.InitialVoters}
+	err := m.call(name, wire.Kind_register_read, request, response)
+	if err == nil {
+		m.recordPeer(name, response)
+	}
+	return response, err
+}
+
+// refreshRegister reads the registers of the other processes: this member may have missed the value that names it as a
+// replica. Responses that come after the timeout are recorded too.
+func (m *Member) refreshRegister() {
+	gather(m, m.knownPeers(), 2*m.pollInterval(), m.readRegister, nil)
+}
+
+// catchUpRegister reads the primary's register in the background if this member has missed its newest value.
+func (m *Member) catchUpRegister(primary string, known uint64) {
+	m.mu.Lock()
+	behind := m.registerProposal < known
+	m.mu.Unlock()
+	if behind && primary != m.config.Name {
+		m.host.Go(func() {
+			if response, err := m.readRegister(primary); err == nil {
+				m.observeRegister(response.Accepted, response.Value)
+			}
+		})
+	}
+}
+
+// hintLeader tells the resolver who leads an epoch. It is called only with what the winner of that epoch said: a value that
+// a voter accepted proves nothing, since another value may have been chosen under the same epoch.
+func (m *Member) hintLeader(epoch uint64, name string) {
+	m.resolver.ObservePrimaries([]*wire.Primary{{Group: m.config.Group, Epoch: epoch, Name: name}})
+}
+
+// recordLeaderContact notes that a primary was heard of.
+func (m *Member) recordLeaderContact() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.lastLeaderContact, m.coldStart = m.host.Now(), false
+}
+
+// endColdStart notes that a primary was heard of, or that this member has campaigned.
+func (m *Member) endColdStart() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.coldStart = false
+}
+
+// recordResponse notes that a voter responded.
+func (m *Member) recordResponse(name string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.lastResponse[name] = m.host.Now()
+}
+
+// lastResponseAt returns when a voter last responded, a time long past if it never did.
+func (m *Member) lastResponseAt(name string) monotonic.Micros {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if at, known := m.lastResponse[name]; known {
+		return at
+	}
+	return -monotonic.Minute
+}
--- a/internal/replication/sent_test.go
+++ b/internal/replication/sent_test.go
@@ -4,7 +4,7 @@
 
 // TestSentReason: a primary compares this text with what a backup of another build may send, so it stays as it is.
 func TestSentReason(t *testing.T) {
-	if clockAhead != "holder time is ahead of what passed here" {
-		t.Errorf("%q", clockAhead)
+	if reasonClockAhead != "holder time is ahead of what passed here" {
+		t.Errorf("%q", reasonClockAhead)
 	}
 }
