--- a/internal/replication/consensus/errors.go
+++ b/internal/replication/consensus/errors.go
@@ -8,13 +8,13 @@
 // Reasons for which a voter rejects a proposer or a primary. Their texts are sent as the Reason of a response, so they
 // stay as they are.
 var (
-	// ErrNotVoting: the voter has no register yet, or restarted and may have granted a lease that hasn't ended.
+	// ErrNotVoting means that the voter has no register yet, or restarted and may have granted a lease that hasn't ended.
 	ErrNotVoting = errors.New("not voting yet")
-	// ErrClockUnsteady: the voter's clock may have jumped, so it can't tell whether a lease it granted has ended.
+	// ErrClockUnsteady means that the voter's clock may have jumped, so it can't tell whether a lease it granted has ended.
 	ErrClockUnsteady = errors.New("the clock may have leapt")
-	// ErrLeaseGranted: another member holds a lease granted by the voter.
+	// ErrLeaseGranted means that another member holds a lease granted by the voter.
 	ErrLeaseGranted = errors.New("a tenure stands")
-	// ErrStaleProposal: the voter promised a higher proposal number, or accepted a higher epoch of another primary; or the
+	// ErrStaleProposal means that the voter promised a higher proposal number, or accepted a higher epoch of another primary; or the
 	// promise that an accept request relies on is too old or from an earlier process.
 	ErrStaleProposal = errors.New("a higher ballot was promised")
 )
--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -8,9 +8,9 @@
 
 // Errors of a proposed command.
 var (
-	// ErrNotPrimary: the command was not accepted; it has not been and will not be applied.
+	// ErrNotPrimary means that the command was not accepted; it has not been and will not be applied.
 	ErrNotPrimary = errors.New("replication: not the primary")
-	// ErrUnknown: the command may be applied, now or later.
+	// ErrUnknown means that the command may be applied, now or later.
 	ErrUnknown = errors.New("replication: outcome unknown")
 )
 
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -2,30 +2,36 @@
 
 import "errors"
 
-// Disk is the one data folder of a process. Names are plain file names within it.
+// Disk is the data directory of one process. Names are plain file names in it.
 type Disk interface {
+	// Open opens a file, and creates it if there is none.
 	Open(name string) (File, error)
+	// Rename moves a file, in place of any other of the new name. It lasts once SyncDirectory has returned nil.
 	Rename(from, to string) error
+	// Remove removes a file. A missing file is no error. It lasts once SyncDirectory has returned nil.
 	Remove(name string) error
+	// SyncDirectory makes files created, renamed and removed before the call last.
 	SyncDirectory() error
-	// FreeBytes tells the bytes left, for the doctor and for early handover.
+	// FreeBytes returns the space left. It is shown to operators.
 	FreeBytes() (uint64, error)
 }
 
-// File is one file. What was written lasts only once Sync has returned nil.
+// File is one file. What was written lasts once Sync has returned nil.
 type File interface {
 	ReadAll() ([]byte, error)
+	// WriteAt writes at an offset. It returns an ErrDiskFull error if the content doesn't fit.
 	WriteAt(content []byte, offset int64) error
 	Truncate(size int64) error
 	Sync() error
 	Close() error
 }
 
-// ErrDiskFull marks a disk without room.
-var ErrDiskFull = errors.New("wal: disk full")
-
-// ErrSyncFailed marks a log whose sync failed: what it holds on disk is unknown, so it's not used again in this life.
-var ErrSyncFailed = errors.New("wal: a sync failed, the file is not to be trusted")
-
-// ErrCorrupt marks a file with damage before its synced end. The copy is to be discarded.
-var ErrCorrupt = errors.New("wal: damage before the end of the file")
+var (
+	// ErrDiskFull means that the disk, a quota or a file size limit is used up.
+	ErrDiskFull = errors.New("wal: disk full")
+	// ErrSyncFailed means that a sync of the log failed. What the file holds on disk is unknown, so this process can't use the log any
+	// more.
+	ErrSyncFailed = errors.New("wal: a sync failed")
+	// ErrCorrupt means that the file is damaged before its synced end. Its content can't be used.
+	ErrCorrupt = errors.New("wal: corrupt record before the synced end")
+)
--- a/internal/wal/folder/folder.go
+++ b/internal/wal/folder/folder.go
@@ -1,4 +1,5 @@
-// Package folder is the log file's disk on a real machine: one folder, or one owner's files in it, locked against a second process.
+// Package folder implements wal.Disk on a real machine: one directory, or one owner's files in a directory that several programs
+// share. It is locked against a second process.
 package folder
 
 import (
@@ -13,68 +14,82 @@
 	"snowflow/internal/wal"
 )
 
-// Folder is a data folder, or one owner's part of it, held by this process alone until the process ends.
-// Invariant: every file of it begins with prefix, so that owners with other prefixes share the folder and nothing in it.
+const (
+	directoryMode = 0o750
+	fileMode      = 0o640
+	lockFile      = "lock"
+)
+
+// ErrLocked means that another process uses the directory, or the same owner's files in it.
+var ErrLocked = errors.New("folder: in use by another process")
+
+// Folder is a data directory, or one owner's files in it. It is locked by this process until the process ends.
+//
+// Invariant: the name of each of its files begins with prefix, so that owners with other prefixes share the directory and no
+// file in it.
 type Folder struct {
 	path   string
 	prefix string
-	lock   *os.File
-	// linger is added to each sync, to rehearse a slow disk.
+	// lock holds the lock for as long as it is open.
+	lock *os.File
+	// syncDelay is added to each sync, to rehearse a slow disk.
 	syncDelay time.Duration
 }
 
-// Open makes and locks the folder. A second process on it is turned away. linger is added to each sync.
+// Open creates and locks a directory. It returns an ErrLocked error if another process has it. syncDelay is added to each sync;
+// it is zero except in rehearsals.
 func Open(path string, syncDelay time.Duration) (*Folder, error) {
 	return OpenShared(path, "", syncDelay)
 }
 
-// OpenShared makes the folder and locks an owner's part of it, where a machine has one folder for several programs. No folder
-// is made inside it.
+// OpenShared creates a directory and locks one owner's files in it, for a machine where several programs have one directory. It
+// creates no directory inside it. An empty owner is a program that has the directory to itself.
 func OpenShared(path, owner string, syncDelay time.Duration) (*Folder, error) {
-	prefix := ""
+	f := &Folder{path: path, syncDelay: syncDelay}
 	if owner != "" {
-		prefix = owner + "-"
+		f.prefix = owner + "-"
 	}
-	if err := os.MkdirAll(path, 0o750); err != nil {
+	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(path, prefix+"lock"), os.O_CREATE|os.O_RDWR, 0o640)
+	lock, err := os.OpenFile(f.filePath(lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return nil, errors.Join(fmt.Errorf("data folder %s is held by another process: %w", path, err), lock.Close())
+		return nil, errors.Join(fmt.Errorf("%w: data folder %s: %w", ErrLocked, path, err), lock.Close())
 	}
-	return &Folder{path: path, prefix: prefix, lock: lock, syncDelay: syncDelay}, nil
+	f.lock = lock
+	return f, nil
 }
 
-// Open opens or makes a file.
+func (f *Folder) filePath(name string) string { return filepath.Join(f.path, f.prefix+name) }
+
+// Open opens a file, and creates it if there is none.
 func (f *Folder) Open(name string) (wal.File, error) {
-	file, err := os.OpenFile(filepath.Join(f.path, f.prefix+name), os.O_CREATE|os.O_RDWR, 0o640)
+	opened, err := os.OpenFile(f.filePath(name), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, wrapDiskFull(err)
 	}
-	return &handle{file: file, syncDelay: f.syncDelay}, nil
+	return &file{File: opened, syncDelay: f.syncDelay}, nil
 }
 
-// Rename moves a file over another.
+// Rename moves a file, in place of any other of the new name.
 func (f *Folder) Rename(from, to string) error {
-	return os.Rename(filepath.Join(f.path, f.prefix+from), filepath.Join(f.path, f.prefix+to))
+	return os.Rename(f.filePath(from), f.filePath(to))
 }
 
-// Remove removes a file; a missing one is fine.
+// Remove removes a file. A missing file is no error.
 func (f *Folder) Remove(name string) error {
-	if err := os.Remove(filepath.Join(f.path, f.prefix+name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(f.filePath(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	return nil
 }
 
-// SyncDirectory makes renames and removals last.
+// SyncDirectory makes files created, renamed and removed before the call last.
 func (f *Folder) SyncDirectory() error {
-	if f.syncDelay > 0 {
-		time.Sleep(f.syncDelay)
-	}
+	time.Sleep(f.syncDelay)
 	directory, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -82,7 +97,7 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// FreeBytes tells the bytes left.
+// FreeBytes returns the space that this process may still use on the file system.
 func (f *Folder) FreeBytes() (uint64, error) {
 	var status syscall.Statfs_t
 	if err := syscall.Statfs(f.path, &status); err != nil {
@@ -91,35 +106,33 @@
 	return status.Bavail * uint64(status.Bsize), nil
 }
 
-type handle struct {
-	file      *os.File
+// file is an open file of a folder.
+type file struct {
+	*os.File
 	syncDelay time.Duration
 }
 
-func (h *handle) ReadAll() ([]byte, error) {
-	if _, err := h.file.Seek(0, io.SeekStart); err != nil {
+// ReadAll returns the whole content.
+func (f *file) ReadAll() ([]byte, error) {
+	if _, err := f.Seek(0, io.SeekStart); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(h.file)
+	return io.ReadAll(f.File)
 }
 
-func (h *handle) WriteAt(content []byte, offset int64) error {
-	_, err := h.file.WriteAt(content, offset)
+// WriteAt writes at an offset. It returns a wal.ErrDiskFull error if the content doesn't fit.
+func (f *file) WriteAt(content []byte, offset int64) error {
+	_, err := f.File.WriteAt(content, offset)
 	return wrapDiskFull(err)
 }
 
-func (h *handle) Truncate(size int64) error { return h.file.Truncate(size) }
-
-func (h *handle) Sync() error {
-	if h.syncDelay > 0 {
-		time.Sleep(h.syncDelay)
-	}
-	return h.file.Sync()
+// Sync makes what was written last.
+func (f *file) Sync() error {
+	time.Sleep(f.syncDelay)
+	return f.File.Sync()
 }
 
-func (h *handle) Close() error { return h.file.Close() }
-
-// full tells a disk, a quota or a file limit that is used up from other trouble.
+// wrapDiskFull wraps wal.ErrDiskFull around an error that says that a disk, a quota or a file size limit is used up.
 func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%w: %w", wal.ErrDiskFull, err)
--- a/internal/wal/folder/folder_test.go
+++ b/internal/wal/folder/folder_test.go
@@ -1,60 +1,66 @@
 package folder_test
 
 import (
+	"errors"
 	"testing"
 
 	"snowflow/internal/wal/folder"
 )
 
-// TestOwnersShareAFolder: owners of one folder see nothing of each other, and each part belongs to one process.
-func TestOwnersShareAFolder(t *testing.T) {
+func openShared(t *testing.T, path, owner string) *folder.Folder {
+	t.Helper()
+	opened, err := folder.OpenShared(path, owner, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return opened
+}
+
+// write replaces a file's content by way of a rename.
+func write(t *testing.T, part *folder.Folder, content string) {
+	t.Helper()
+	file, err := part.Open("addresses.new")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := file.WriteAt([]byte(content), 0); err != nil {
+		t.Fatal(err)
+	}
+	if err := part.Rename("addresses.new", "addresses"); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func requireContent(t *testing.T, part *folder.Folder, want string) {
+	t.Helper()
+	file, err := part.Open("addresses")
+	if err != nil {
+		t.Fatal(err)
+	}
+	content, err := file.ReadAll()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(content) != want {
+		t.Errorf("got %q, want %q", content, want)
+	}
+}
+
+// TestOwnersShareADirectory: owners of one directory see none of each other's files, and each owner's files belong to one
+// process.
+func TestOwnersShareADirectory(t *testing.T) {
 	path := t.TempDir()
-	open := func(owner string) *folder.Folder {
-		t.Helper()
-		opened, err := folder.OpenShared(path, owner, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return opened
-	}
-	one, other := open("one"), open("other")
-	if _, err := folder.OpenShared(path, "one", 0); err == nil {
-		t.Error("a second process has the same part")
-	}
-	write := func(part *folder.Folder, content string) {
-		t.Helper()
-		file, err := part.Open("addresses.new")
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := file.WriteAt([]byte(content), 0); err != nil {
-			t.Fatal(err)
-		}
-		if err := part.Rename("addresses.new", "addresses"); err != nil {
-			t.Fatal(err)
-		}
-	}
-	read := func(part *folder.Folder) string {
-		t.Helper()
-		file, err := part.Open("addresses")
-		if err != nil {
-			t.Fatal(err)
-		}
-		content, err := file.ReadAll()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(content)
-	}
-	write(one, "of one")
-	write(other, "of the other")
-	if read(one) != "of one" || read(other) != "of the other" {
-		t.Errorf("%q and %q", read(one), read(other))
+	one, other := openShared(t, path, "one"), openShared(t, path, "other")
+	if _, err := folder.OpenShared(path, "one", 0); !errors.Is(err, folder.ErrLocked) {
+		t.Errorf("a second process opened the same files: %v", err)
 	}
+	write(t, one, "of one")
+	write(t, other, "of the other")
+	requireContent(t, one, "of one")
+	requireContent(t, other, "of the other")
 	if err := one.Remove("addresses"); err != nil {
 		t.Fatal(err)
 	}
-	if read(one) != "" || read(other) != "of the other" {
-		t.Errorf("after one was removed: %q and %q", read(one), read(other))
-	}
+	requireContent(t, one, "")
+	requireContent(t, other, "of the other")
 }
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -1,4 +1,5 @@
-// Package memory is a disk for simulated runs and tests: it loses what was not synced, fills up, slows down and fails.
+// Package memory implements wal.Disk in memory, for simulated runs and tests. A power loss drops what was not synced; the disk
+// can fill up, be slow, fail and be damaged.
 package memory
 
 import (
@@ -11,50 +12,61 @@
 	"snowflow/internal/wal"
 )
 
-// Disk is one simulated folder.
+// unlimitedBytes is reported as free by a disk without a capacity.
+const unlimitedBytes = 1 << 40
+
+// errSyncFailed is what a sync returns that was made to fail.
+var errSyncFailed = errors.New("input/output error")
+
+// Disk is one simulated data directory. It isn't safe for concurrent use.
 //
-// Invariants: durable holds what a power loss leaves, content what the process sees; a rename or removal is only
-// durable after SyncDirectory; used counts content's bytes.
+// Invariants: durableFiles and the durable content of each file are what a power loss leaves; files and their content are what
+// the process sees. Files created, renamed and removed become durable by SyncDirectory.
 type Disk struct {
-	files map[string]*file
-	// folder is the durable directory: names to files.
+	files        map[string]*file
 	durableFiles map[string]*file
-	// Capacity bounds the bytes, zero for no bound.
+	// Capacity limits the bytes of all files. Zero is no limit.
 	Capacity int
-	// SyncDelay is how long a sync takes; Wait is called with it.
+	// SyncDelay is how long a sync takes. Sleep is called with it.
 	SyncDelay monotonic.Micros
 	Sleep     func(monotonic.Micros)
-	// FailSyncs makes the next syncs fail.
+	// FailSyncs is how many of the next syncs fail.
 	FailSyncs int
-	// Renames counts how often a file took another's place.
+	// Renames counts the calls of Rename.
 	Renames int
-	// IgnoreSyncs makes syncs do nothing while saying that they did; it's there to show that checkers see it.
+	// IgnoreSyncs makes syncs return nil without effect, to show that the checkers detect it.
 	IgnoreSyncs bool
-	// TornLength is called at a power loss with the unsynced tail's length, and gives how much of it lasts.
+	// TornLength is called at a power loss with the length of a file's unsynced tail, and returns how much of it lasts.
 	TornLength func(length int) int
 }
 
+// file is one file: what the process sees of it, and what a power loss leaves.
 type file struct {
 	content []byte
 	durable []byte
 }
 
-// New makes an empty disk.
+// New returns an empty disk without a capacity or delay. A power loss leaves nothing of unsynced tails.
 func New() *Disk {
-	return &Disk{files: map[string]*file{}, durableFiles: map[string]*file{}, Sleep: func(monotonic.Micros) {}, TornLength: func(int) int { return 0 }}
+	return &Disk{
+		files:        map[string]*file{},
+		durableFiles: map[string]*file{},
+		Sleep:        func(monotonic.Micros) {},
+		TornLength:   func(int) int { return 0 },
+	}
 }
 
-// PowerLoss leaves only what was synced, and perhaps a part of an unsynced tail.
+// PowerLoss leaves only what was synced, and perhaps a part of each unsynced tail.
 func (d *Disk) PowerLoss() {
 	d.files = map[string]*file{}
-	// By name: Tear draws from the run's chance, and a replay must draw in the same order.
+	// In the order of names: TornLength draws random numbers, and a replay must draw them in the same order.
 	for _, name := range slices.Sorted(maps.Keys(d.durableFiles)) {
-		stored := d.durableFiles[name]
-		content := append([]byte(nil), stored.durable...)
-		if tail := len(stored.content) - len(stored.durable); tail > 0 && len(stored.durable) <= len(stored.content) {
-			content = append(content, stored.content[len(stored.durable):len(stored.durable)+d.TornLength(tail)]...)
+		lost := d.durableFiles[name]
+		content := slices.Clone(lost.durable)
+		if tail := len(lost.content) - len(lost.durable); tail > 0 {
+			content = append(content, lost.content[len(lost.durable):len(lost.durable)+d.TornLength(tail)]...)
 		}
-		d.files[name] = &file{content: content, durable: append([]byte(nil), content...)}
+		d.files[name] = &file{content: content, durable: slices.Clone(content)}
 		d.durableFiles[name] = d.files[name]
 	}
 }
@@ -64,17 +76,19 @@
 	d.files, d.durableFiles = map[string]*file{}, map[string]*file{}
 }
 
-// Corrupt flips a byte of a file where it lies.
+// Corrupt changes a byte of a file. It does nothing if there is no such byte.
 func (d *Disk) Corrupt(name string, offset int) {
-	if existing := d.files[name]; existing != nil && offset < len(existing.content) {
-		existing.content[offset] ^= 0x55
-		if offset < len(existing.durable) {
-			existing.durable[offset] ^= 0x55
-		}
+	existing := d.files[name]
+	if existing == nil || offset >= len(existing.content) {
+		return
+	}
+	existing.content[offset] ^= 0x55
+	if offset < len(existing.durable) {
+		existing.durable[offset] ^= 0x55
 	}
 }
 
-// Size is a file's length, as the process sees it.
+// Size returns the length of a file as the process sees it, zero if there is none.
 func (d *Disk) Size(name string) int {
 	if existing := d.files[name]; existing != nil {
 		return len(existing.content)
@@ -82,14 +96,15 @@
 	return 0
 }
 
-func (d *Disk) used() (total int) {
+// Used returns the bytes of all files.
+func (d *Disk) Used() (total int) {
 	for _, existing := range d.files {
 		total += len(existing.content)
 	}
 	return total
 }
 
-// Open opens or makes a file.
+// Open opens a file, and creates it if there is none.
 func (d *Disk) Open(name string) (wal.File, error) {
 	if d.files[name] == nil {
 		d.files[name] = &file{}
@@ -97,7 +112,7 @@
 	return &handle{disk: d, file: d.files[name]}, nil
 }
 
-// Rename moves a file over another.
+// Rename moves a file, in place of any other of the new name.
 func (d *Disk) Rename(from, to string) error {
 	if d.files[from] == nil {
 		return fmt.Errorf("no file %s", from)
@@ -108,53 +123,52 @@
 	return nil
 }
 
-// Remove removes a file; a missing one is fine.
+// Remove removes a file. A missing file is no error.
 func (d *Disk) Remove(name string) error {
 	delete(d.files, name)
 	return nil
 }
 
-// SyncDirectory makes names last.
+// SyncDirectory makes files created, renamed and removed before the call durable.
 func (d *Disk) SyncDirectory() error {
 	if err := d.sync(); err != nil {
 		return err
 	}
-	d.durableFiles = map[string]*file{}
-	for name, existing := range d.files {
-		d.durableFiles[name] = existing
-	}
+	d.durableFiles = maps.Clone(d.files)
 	return nil
 }
 
-// FreeBytes tells the bytes left.
+// FreeBytes returns the bytes left.
 func (d *Disk) FreeBytes() (uint64, error) {
 	if d.Capacity == 0 {
-		return 1 << 40, nil
+		return unlimitedBytes, nil
 	}
-	return uint64(max(0, d.Capacity-d.used())), nil
+	return uint64(max(0, d.Capacity-d.Used())), nil
 }
 
+// sync takes the time of a sync, and fails if one is to fail.
 func (d *Disk) sync() error {
 	d.Sleep(d.SyncDelay)
 	if d.FailSyncs > 0 {
 		d.FailSyncs--
-		return errors.New("input/output error")
+		return errSyncFailed
 	}
 	return nil
 }
 
+// handle is an open file.
 type handle struct {
 	disk *Disk
 	file *file
 }
 
 func (h *handle) ReadAll() ([]byte, error) {
-	return append([]byte(nil), h.file.content...), nil
+	return slices.Clone(h.file.content), nil
 }
 
 func (h *handle) WriteAt(content []byte, offset int64) error {
 	growth := int(offset) + len(content) - len(h.file.content)
-	if growth > 0 && h.disk.Capacity > 0 && h.disk.used()+growth > h.disk.Capacity {
+	if growth > 0 && h.disk.Capacity > 0 && h.disk.Used()+growth > h.disk.Capacity {
 		return wal.ErrDiskFull
 	}
 	if growth > 0 {
@@ -171,18 +185,14 @@
 
 func (h *handle) Sync() error {
 	// What is written while the sync runs is not part of it.
-	snapshot := append([]byte(nil), h.file.content...)
+	synced := slices.Clone(h.file.content)
 	if err := h.disk.sync(); err != nil {
 		return err
 	}
-	if h.disk.IgnoreSyncs {
-		return nil
+	if !h.disk.IgnoreSyncs {
+		h.file.durable = synced
 	}
-	h.file.durable = snapshot
 	return nil
 }
 
 func (h *handle) Close() error { return nil }
-
-// Used tells how many bytes the disk holds.
-func (d *Disk) Used() int { return d.used() }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,43 +1,38 @@
-// Package wal keeps records in an append-only file: each record has a number, a checksum and the number
-// that was known synced when it was written. The last tells a torn tail, which is cut, from damage, which is not mended.
 package wal
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 )
 
-// recordMagic begins each record.
-const recordMagic uint32 = 0x534e4f57
-
 const (
-	headerSize = 32
-	// MaxRecordSize is the longest record that is read back.
-	MaxRecordSize = 64 << 20
+	// rewriteSuffix is added to a file's name while it is rewritten.
+	rewriteSuffix = ".new"
+	// reserveFile is the file of ReserveSpace.
+	reserveFile = "reserve"
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// Log is an append-only file of records. It has one owner; it isn't safe for two tasks at once.
-// Invariants: records on disk are numbered without gaps from 1; synced <= last; size is the offset behind the last record.
+// Log is an append-only file of records. It isn't safe for concurrent use.
+//
+// Invariants: the records on disk are numbered without gaps from 1; synced <= last; size is the offset behind the last record.
 type Log struct {
-	disk       Disk
-	name       string
-	file       File
-	size       int64
-	last       uint64
-	synced     uint64
+	disk Disk
+	name string
+	file File
+	size int64
+	// last and synced are the numbers of the last record written, and of the last one known to be synced.
+	last, synced uint64
+	// syncFailed is set once the log can't be used any more.
 	syncFailed bool
-	// TruncatedBytes tells how many bytes of a torn tail were cut when it was opened.
+	// TruncatedBytes is the length of a torn tail that Open cut off.
 	TruncatedBytes int64
 }
 
-// Open reads a log and gives its records to visit, oldest first.
-func Open(disk Disk, name string, visit func(content []byte) error) (*Log, error) {
-	// A rewrite that did not reach its rename leaves a file that holds nothing acknowledged.
-	if err := disk.Remove(name + ".new"); err != nil {
+// Open opens a log, creates it if there is none, and calls visit with the payload of each record, oldest first. It returns an
+// ErrCorrupt error if a synced record is damaged or visit fails.
+func Open(disk Disk, name string, visit func(payload []byte) error) (*Log, error) {
+	// An interrupted rewrite leaves a file that nothing depended on.
+	if err := disk.Remove(name + rewriteSuffix); err != nil {
 		return nil, err
 	}
 	file, err := disk.Open(name)
@@ -49,29 +44,15 @@
 	if err != nil {
 		return nil, err
 	}
-	offset := int64(0)
-	for offset < int64(len(content)) {
-		number, payload, length, valid := decodeRecord(content[offset:])
-		if !valid || number != l.last+1 {
-			if corrupt := hasSyncedRecordAfter(content[offset:], l.last); corrupt {
-				return nil, fmt.Errorf("%w: %s at byte %d", ErrCorrupt, name, offset)
-			}
-			l.TruncatedBytes = int64(len(content)) - offset
-			break
-		}
-		if err := visit(payload); err != nil {
-			return nil, fmt.Errorf("%w: %s at byte %d: %w", ErrCorrupt, name, offset, err)
-		}
-		l.last = number
-		offset += length
+	if err := l.replay(content, visit); err != nil {
+		return nil, err
 	}
-	l.size = offset
 	if l.TruncatedBytes > 0 {
-		if err := file.Truncate(offset); err != nil {
+		if err := file.Truncate(l.size); err != nil {
 			return nil, err
 		}
 	}
-	// What was read may never have been synced; it's counted as kept only once it has been.
+	// What was read may never have been synced.
 	if err := errors.Join(file.Sync(), disk.SyncDirectory()); err != nil {
 		return nil, err
 	}
@@ -79,56 +60,39 @@
 	return l, nil
 }
 
-func decodeRecord(content []byte) (number uint64, payload []byte, length int64, valid bool) {
-	if len(content) < headerSize || binary.LittleEndian.Uint32(content) != recordMagic {
-		return 0, nil, 0, false
-	}
-	number = binary.LittleEndian.Uint64(content[8:])
-	size := int64(binary.LittleEndian.Uint32(content[24:]))
-	if size > MaxRecordSize || headerSize+size > int64(len(content)) {
-		return 0, nil, 0, false
-	}
-	payload = content[headerSize : headerSize+size]
-	sum := crc32.Update(crc32.Checksum(content[8:headerSize], castagnoli), castagnoli, payload)
-	return number, payload, headerSize + size, sum == binary.LittleEndian.Uint32(content[4:])
-}
-
-// hasSyncedRecordAfter looks past a bad record for a whole one that was written when the bad one was already synced.
-func hasSyncedRecordAfter(content []byte, last uint64) bool {
-	for offset := 1; offset+headerSize <= len(content); offset++ {
-		if binary.LittleEndian.Uint32(content[offset:]) != recordMagic {
-			continue
+// replay visits the records of a file's content, and sets size, last and TruncatedBytes.
+func (l *Log) replay(content []byte, visit func(payload []byte) error) error {
+	for l.size < int64(len(content)) {
+		r, valid := decodeRecord(content[l.size:])
+		if !valid || r.number != l.last+1 {
+			if hasSyncedRecordAfter(content[l.size:], l.last) {
+				return fmt.Errorf("%w: %s at byte %d", ErrCorrupt, l.name, l.size)
+			}
+			l.TruncatedBytes = int64(len(content)) - l.size
+			return nil
 		}
-		if _, _, _, valid := decodeRecord(content[offset:]); valid && binary.LittleEndian.Uint64(content[offset+16:]) > last {
-			return true
+		if err := visit(r.payload); err != nil {
+			return fmt.Errorf("%w: %s at byte %d: %w", ErrCorrupt, l.name, l.size, err)
 		}
+		l.last = r.number
+		l.size += r.size()
 	}
-	return false
-}
-
-func encodeRecord(number, synced uint64, payload []byte) []byte {
-	record := make([]byte, headerSize, headerSize+len(payload))
-	binary.LittleEndian.PutUint32(record, recordMagic)
-	binary.LittleEndian.PutUint64(record[8:], number)
-	binary.LittleEndian.PutUint64(record[16:], synced)
-	binary.LittleEndian.PutUint32(record[24:], uint32(len(payload)))
-	sum := crc32.Update(crc32.Checksum(record[8:headerSize], castagnoli), castagnoli, payload)
-	binary.LittleEndian.PutUint32(record[4:], sum)
-	return append(record, payload...)
+	return nil
 }
 
-// Append writes records behind the last one. They last only after Sync.
+// Append writes records behind the last one. They last once Sync has returned nil. After an ErrDiskFull error the log is as it
+// was before.
 func (l *Log) Append(payloads ...[]byte) error {
 	if l.syncFailed {
 		return ErrSyncFailed
 	}
 	var content []byte
 	for index, payload := range payloads {
-		content = append(content, encodeRecord(l.last+1+uint64(index), l.synced, payload)...)
+		content = record{number: l.last + 1 + uint64(index), synced: l.synced, payload: payload}.appendTo(content)
 	}
 	if err := l.file.WriteAt(content, l.size); err != nil {
-		// A part may have been written; it's cut so that the next append starts clean.
-		if cutErr := l.file.Truncate(l.size); cutErr != nil {
+		// A part may have been written. It is truncated, so that the next append follows the last record.
+		if truncateErr := l.file.Truncate(l.size); truncateErr != nil {
 			l.syncFailed = true
 		}
 		return err
@@ -138,7 +102,7 @@
 	return nil
 }
 
-// Sync makes all that was appended last. A failed sync poisons the log.
+// Sync makes all records that were appended last. If it fails, it returns an ErrSyncFailed error, and so does every later use.
 func (l *Log) Sync() error {
 	if l.syncFailed {
 		return ErrSyncFailed
@@ -152,43 +116,45 @@
 	return nil
 }
 
-// Size is the length of the file in bytes.
+// Size returns the length of the file in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Rewrite replaces the file by one that holds just these records, synced before it takes the old one's place.
+// Rewrite replaces the file by one with these records alone. It is atomic: after a crash the file has either the old records or
+// the new ones. After any error but ErrSyncFailed the log can be used as before.
 func (l *Log) Rewrite(payloads ...[]byte) error {
 	if l.syncFailed {
 		return ErrSyncFailed
 	}
-	fresh := l.name + ".new"
-	if err := l.disk.Remove(fresh); err != nil {
+	rewritten := l.name + rewriteSuffix
+	if err := l.disk.Remove(rewritten); err != nil {
 		return err
 	}
-	file, err := l.disk.Open(fresh)
+	file, err := l.disk.Open(rewritten)
 	if err != nil {
 		return err
 	}
 	var content []byte
 	for index, payload := range payloads {
-		content = append(content, encodeRecord(uint64(index+1), 0, payload)...)
+		content = record{number: uint64(index + 1), payload: payload}.appendTo(content)
 	}
 	if err := errors.Join(file.WriteAt(content, 0), file.Sync()); err != nil {
-		return errors.Join(err, file.Close(), l.disk.Remove(fresh))
+		return errors.Join(err, file.Close(), l.disk.Remove(rewritten))
 	}
-	// From here on the name may stand for either file, so a failure leaves the log unusable in this life.
-	if err := errors.Join(l.disk.Rename(fresh, l.name), l.disk.SyncDirectory()); err != nil {
+	// From here on the name may stand for either file, so after an error the log can't be used any more.
+	if err := errors.Join(l.disk.Rename(rewritten, l.name), l.disk.SyncDirectory()); err != nil {
 		l.syncFailed = true
 		return fmt.Errorf("%w: %w", ErrSyncFailed, err)
 	}
-	old := l.file
-	l.file, l.size, l.last, l.synced = file, int64(len(content)), uint64(len(payloads)), uint64(len(payloads))
-	return old.Close()
+	previous := l.file
+	count := uint64(len(payloads))
+	l.file, l.size, l.last, l.synced = file, int64(len(content)), count, count
+	return previous.Close()
 }
 
 // Close closes the file.
 func (l *Log) Close() error { return l.file.Close() }
 
-// Recreate removes a damaged log's file and opens an empty one in its place.
+// Recreate removes a corrupt log and opens an empty one in its place.
 func Recreate(disk Disk, name string) (*Log, error) {
 	if err := errors.Join(disk.Remove(name), disk.SyncDirectory()); err != nil {
 		return nil, err
@@ -196,9 +162,10 @@
 	return Open(disk, name, func([]byte) error { return nil })
 }
 
-// ReserveSpace keeps a file of this many bytes, which ReleaseReservedSpace gives up when the disk is full and a rewrite must fit.
+// ReserveSpace keeps a file of this many bytes, which ReleaseReservedSpace removes when the disk is full and a rewrite has to
+// fit.
 func ReserveSpace(disk Disk, size int) error {
-	file, err := disk.Open("reserve")
+	file, err := disk.Open(reserveFile)
 	if err != nil {
 		return err
 	}
@@ -209,7 +176,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// ReleaseReservedSpace gives the reserved bytes back to the disk.
+// ReleaseReservedSpace returns the reserved space to the disk.
 func ReleaseReservedSpace(disk Disk) error {
-	return errors.Join(disk.Remove("reserve"), disk.SyncDirectory())
+	return errors.Join(disk.Remove(reserveFile), disk.SyncDirectory())
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -3,138 +3,151 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"testing"
 
 	"snowflow/internal/wal"
 	"snowflow/internal/wal/memory"
 )
 
+// open opens a log and returns its records.
 func open(t *testing.T, disk *memory.Disk) (*wal.Log, []string, error) {
 	t.Helper()
 	var records []string
-	l, err := wal.Open(disk, "log", func(content []byte) error {
-		records = append(records, string(content))
+	log, err := wal.Open(disk, "log", func(payload []byte) error {
+		records = append(records, string(payload))
 		return nil
 	})
-	return l, records, err
+	return log, records, err
 }
 
-func fill(t *testing.T, disk *memory.Disk, count int) *wal.Log {
+// newLog returns a log with some synced records.
+func newLog(t *testing.T, disk *memory.Disk, count int) *wal.Log {
 	t.Helper()
-	l, _, err := open(t, disk)
+	log, _, err := open(t, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for index := range count {
-		if err := errors.Join(l.Append([]byte(fmt.Sprintf("record %d", index))), l.Sync()); err != nil {
-			t.Fatal(err)
-		}
+		appendSynced(t, log, fmt.Sprintf("record %d", index))
 	}
-	return l
+	return log
 }
 
-// TestTornTailIsCutAtEveryLength writes one more record without a sync and lets a power loss keep each part of it.
-func TestTornTailIsCutAtEveryLength(t *testing.T) {
-	const fullLength = 32 + len("unsynced")
-	for storedBytes := 0; storedBytes <= fullLength; storedBytes++ {
-		disk := memory.New()
-		l := fill(t, disk, 3)
-		if err := l.Append([]byte("unsynced")); err != nil {
-			t.Fatal(err)
-		}
-		disk.TornLength = func(int) int { return storedBytes }
-		disk.PowerLoss()
-		l, records, err := open(t, disk)
-		if err != nil {
-			t.Fatalf("kept %d: %v", storedBytes, err)
-		}
-		want := 3
-		if storedBytes == fullLength {
-			want = 4
-		}
-		if len(records) != want || (storedBytes > 0 && storedBytes < fullLength) != (l.TruncatedBytes > 0) {
-			t.Fatalf("kept %d: %q, cut %d", storedBytes, records, l.TruncatedBytes)
-		}
-		if err := errors.Join(l.Append([]byte("next")), l.Sync()); err != nil {
-			t.Fatal(err)
-		}
-		if _, again, err := open(t, disk); err != nil || len(again) != want+1 {
-			t.Fatalf("kept %d: after appending %q %v", storedBytes, again, err)
-		}
+func appendSynced(t *testing.T, log *wal.Log, payload string) {
+	t.Helper()
+	if err := errors.Join(log.Append([]byte(payload)), log.Sync()); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// TestDamageIsNotTakenForATornTail flips each byte of synced records; only damage to the very last one may look torn.
-func TestDamageIsNotTakenForATornTail(t *testing.T) {
-	length := 0
-	{
-		disk := memory.New()
-		fill(t, disk, 4)
-		length = disk.Size("log")
+// requireRecords checks what a log has when it is opened.
+func requireRecords(t *testing.T, disk *memory.Disk, want ...string) {
+	t.Helper()
+	if _, records, err := open(t, disk); err != nil || !slices.Equal(records, want) {
+		t.Fatalf("got %q %v, want %q", records, err, want)
+	}
+}
+
+// TestTornTailIsTruncated writes one more record without a sync, and has a power loss leave each possible part of it.
+func TestTornTailIsTruncated(t *testing.T) {
+	const fullLength = 32 + len("unsynced")
+	for stored := 0; stored <= fullLength; stored++ {
+		t.Run(fmt.Sprintf("%d bytes stored", stored), func(t *testing.T) {
+			disk := memory.New()
+			log := newLog(t, disk, 3)
+			if err := log.Append([]byte("unsynced")); err != nil {
+				t.Fatal(err)
+			}
+			disk.TornLength = func(int) int { return stored }
+			disk.PowerLoss()
+			log, records, err := open(t, disk)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := 3
+			if stored == fullLength {
+				want = 4
+			}
+			torn := stored > 0 && stored < fullLength
+			if len(records) != want || torn != (log.TruncatedBytes > 0) {
+				t.Fatalf("%q, %d bytes truncated", records, log.TruncatedBytes)
+			}
+			appendSynced(t, log, "next")
+			if _, records, err := open(t, disk); err != nil || len(records) != want+1 {
+				t.Fatalf("after another append: %q %v", records, err)
+			}
+		})
 	}
+}
+
+// TestCorruptionIsNotATornTail flips each byte of synced records. Only damage to the very last record may look like a torn tail.
+func TestCorruptionIsNotATornTail(t *testing.T) {
+	pristine := memory.New()
+	newLog(t, pristine, 4)
+	length := pristine.Size("log")
+	lastRecord := length * 3 / 4
 	for offset := range length {
 		disk := memory.New()
-		fill(t, disk, 4)
+		newLog(t, disk, 4)
 		disk.Corrupt("log", offset)
 		_, records, err := open(t, disk)
-		last := length * 3 / 4
-		if offset < last && !errors.Is(err, wal.ErrCorrupt) {
-			t.Fatalf("byte %d: damage was not seen: %q %v", offset, records, err)
+		if offset < lastRecord && !errors.Is(err, wal.ErrCorrupt) {
+			t.Fatalf("byte %d: corruption was not detected: %q %v", offset, records, err)
 		}
 	}
 }
 
-func TestFailedSyncPoisons(t *testing.T) {
+// TestFailedSyncIsFinal: a later sync that succeeds must not look as if it repaired the failed one.
+func TestFailedSyncIsFinal(t *testing.T) {
 	disk := memory.New()
-	l := fill(t, disk, 1)
-	if err := l.Append([]byte("lost")); err != nil {
+	log := newLog(t, disk, 1)
+	if err := log.Append([]byte("lost")); err != nil {
 		t.Fatal(err)
 	}
 	disk.FailSyncs = 1
-	if err := l.Sync(); !errors.Is(err, wal.ErrSyncFailed) {
-		t.Fatal(err)
-	}
-	if err := l.Sync(); !errors.Is(err, wal.ErrSyncFailed) {
-		t.Fatalf("a second sync must not look as if it mended the first: %v", err)
-	}
-	if err := l.Append([]byte("more")); !errors.Is(err, wal.ErrSyncFailed) {
-		t.Fatal(err)
+	for _, step := range []struct {
+		name string
+		use  func() error
+	}{
+		{"the sync that fails", log.Sync},
+		{"a second sync", log.Sync},
+		{"an append", func() error { return log.Append([]byte("more")) }},
+	} {
+		if err := step.use(); !errors.Is(err, wal.ErrSyncFailed) {
+			t.Fatalf("%s: %v", step.name, err)
+		}
 	}
 }
 
 func TestRewriteIsAtomic(t *testing.T) {
 	disk := memory.New()
-	l := fill(t, disk, 5)
-	if err := l.Rewrite([]byte("all of it")); err != nil {
+	log := newLog(t, disk, 5)
+	if err := log.Rewrite([]byte("all of it")); err != nil {
 		t.Fatal(err)
 	}
 	disk.PowerLoss()
-	if _, records, err := open(t, disk); err != nil || len(records) != 1 || records[0] != "all of it" {
-		t.Fatalf("%q %v", records, err)
+	requireRecords(t, disk, "all of it")
+	log, _, err := open(t, disk)
+	if err != nil {
+		t.Fatal(err)
 	}
-	l, _, _ = open(t, disk)
 	disk.FailSyncs = 1
-	if err := l.Rewrite([]byte("newer")); err == nil {
+	if err := log.Rewrite([]byte("newer")); err == nil {
 		t.Fatal("a rewrite whose file was not synced must fail")
 	}
 	disk.PowerLoss()
-	if _, records, err := open(t, disk); err != nil || len(records) != 1 || records[0] != "all of it" {
-		t.Fatalf("%q %v", records, err)
-	}
+	requireRecords(t, disk, "all of it")
 }
 
-func TestFullDiskKeepsWhatWasThere(t *testing.T) {
+func TestFullDiskLeavesTheLogAsItWas(t *testing.T) {
 	disk := memory.New()
-	l := fill(t, disk, 2)
+	log := newLog(t, disk, 2)
 	disk.Capacity = disk.Size("log") + 10
-	if err := l.Append([]byte("does not fit")); !errors.Is(err, wal.ErrDiskFull) {
+	if err := log.Append([]byte("does not fit")); !errors.Is(err, wal.ErrDiskFull) {
 		t.Fatal(err)
 	}
 	disk.Capacity = 0
-	if err := errors.Join(l.Append([]byte("fits")), l.Sync()); err != nil {
-		t.Fatal(err)
-	}
-	if _, records, err := open(t, disk); err != nil || len(records) != 3 {
-		t.Fatalf("%q %v", records, err)
-	}
+	appendSynced(t, log, "fits")
+	requireRecords(t, disk, "record 0", "record 1", "fits")
 }
