--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -35,9 +35,9 @@
 	Single bool
 	// Timeout is how long a request may take, zero to leave it to the service.
 	Timeout monotonic.Micros
-	// LatencyTarget is how long a request should take at most, zero if there is no target.
+	// LatencyTarget is the time within which a response is wanted, zero if there is no target.
 	LatencyTarget monotonic.Micros
-	// Priority ranks requests under load; more is more important.
+	// Priority ranks requests for admission under load: the lowest number is admitted first.
 	Priority uint32
 	// MaxAttempts is the most attempts of a request, zero to leave it to the service.
 	MaxAttempts uint32
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,7 +7,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// breakerStateTTL is how long the registries store the state of a service's breaker after its last change.
+// breakerStateTTL is how long after the last write the registries' record of a service's breaker returns to closed.
 const breakerStateTTL = 300 * monotonic.Second
 
 // Service is a service with its effective policies: none of their fields is left out. It must not be changed.
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -46,16 +46,16 @@
 
 // Enqueue passes on all stored versions, oldest first. It never blocks: if the queue is full the call is dropped, and the next
 // one brings what is missing. The versions must not be changed afterwards.
-func (a *Archive) Enqueue(states []*wire.StoredConfig) {
+func (a *Archive) Enqueue(versions []*wire.StoredConfig) {
 	select {
-	case a.queue <- states:
+	case a.queue <- versions:
 	default:
 	}
 }
 
 func (a *Archive) run() {
-	for states := range a.queue {
-		if err := a.write(states); err != nil {
+	for versions := range a.queue {
+		if err := a.write(versions); err != nil {
 			a.onError(err)
 		}
 		select {
@@ -66,17 +66,17 @@
 }
 
 // write commits the versions that the repository hasn't got. A repository that can't be continued is removed and begun again.
-func (a *Archive) write(states []*wire.StoredConfig) error {
-	repository, committed, err := a.open(states)
+func (a *Archive) write(versions []*wire.StoredConfig) error {
+	repository, committed, err := a.open(versions)
 	if err != nil {
 		if err := os.RemoveAll(a.folder); err != nil {
 			return err
 		}
-		if repository, committed, err = a.open(states); err != nil {
+		if repository, committed, err = a.open(versions); err != nil {
 			return err
 		}
 	}
-	for _, stored := range states[committed:] {
+	for _, stored := range versions[committed:] {
 		if err := appendCommit(repository, stored); err != nil {
 			return fmt.Errorf("version %d: %w", stored.Version, err)
 		}
@@ -86,7 +86,7 @@
 
 // open returns the repository and how many of the versions it holds already. An error means that it can't be read, or that its
 // newest commit isn't one of the versions.
-func (a *Archive) open(states []*wire.StoredConfig) (repository *git.Repository, committed int, err error) {
+func (a *Archive) open(versions []*wire.StoredConfig) (repository *git.Repository, committed int, err error) {
 	repository, err = git.PlainOpen(a.folder)
 	if errors.Is(err, git.ErrRepositoryNotExists) {
 		repository, err = git.PlainInit(a.folder, true)
@@ -105,11 +105,11 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	index, found := slices.BinarySearchFunc(states, latest.version, func(state *wire.StoredConfig, version uint64) int { return cmp.Compare(state.Version, version) })
+	index, found := slices.BinarySearchFunc(versions, latest.version, func(state *wire.StoredConfig, version uint64) int { return cmp.Compare(state.Version, version) })
 	if !found {
 		return nil, 0, fmt.Errorf("version %d of the newest commit isn't stored", latest.version)
 	}
-	if latest.content != string(states[index].Content) {
+	if latest.content != string(versions[index].Content) {
 		return nil, 0, fmt.Errorf("version %d differs from the stored one", latest.version)
 	}
 	return repository, index + 1, nil
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -56,7 +56,7 @@
 	computed     uint64
 }
 
-// New returns an empty cache. Contents are parsed by parse, which must accept all stored versions as far as possible.
+// New returns an empty cache. Versions that parse reports errors for have no differences.
 func New(parse config.Parser, limits Limits) *Cache {
 	if limits.Count == 0 {
 		limits.Count = DefaultLimits.Count
--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -12,16 +12,17 @@
 //
 // Proxies long-poll the primary (Poll). Each poll names the version that the proxy has adopted and grants the proxy a lease of
 // Timeouts.Lease, counted by the proxy from before it sent the poll. Without Timeouts.ServeStale a proxy serves only while its
-// lease stands, so that after Apply has answered
+// lease stands. When Apply has answered that a version is accepted, each proxy
 //
-//   - every proxy has adopted the version, has released its lease, or
-//   - its lease runs for at most Timeouts.LeaseSlack longer.
+//   - has adopted the version or a newer one,
+//   - has released its lease, so that it doesn't serve, or
+//   - has a lease that ends within Timeouts.LeaseSlack.
 //
 // With ServeStale a proxy keeps serving when it loses contact. Apply then waits, at most for Timeouts.AdoptionTimeout after the
 // commit, for the proxies that were heard within the last Timeouts.Lease, and says in its response whether all have adopted.
 //
 // Leases aren't replicated. A primary that takes over doesn't know which leases its predecessor granted, so it acknowledges
-// nothing until they must have run out (acknowledgeFrom). A planned handover carries the list of leases to the next primary and
+// nothing until none of them can run for more than LeaseSlack (acknowledgeFrom). A planned handover carries the list of leases to the next primary and
 // avoids that wait; see exportLeases. A clock that may have jumped has the same effect as a takeover: the ends of leases can't
 // be judged, so acknowledgements wait.
 //
--- a/internal/configstore/options.go
+++ b/internal/configstore/options.go
@@ -44,5 +44,5 @@
 	OnAdopted func(proxy string, version uint64, adoptionTime monotonic.Micros)
 	// OnAccepted is called with all stored versions, oldest first, whenever this process as primary accepts one and shortly
 	// after it becomes primary. It must not block or change them. Nil calls nothing.
-	OnAccepted func(states []*wire.StoredConfig)
+	OnAccepted func(configs []*wire.StoredConfig)
 }
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -119,8 +119,8 @@
 		return
 	}
 	s.Member.Read(func(uint64, monotonic.Micros) {
-		if states := s.store.All(); len(states) > 0 {
-			s.options.OnAccepted(states)
+		if configs := s.store.All(); len(configs) > 0 {
+			s.options.OnAccepted(configs)
 		}
 	})
 }
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -17,8 +17,8 @@
 const (
 	// leaseMargin is the least by which a lease must outlast a long poll: time for the response and the next request.
 	leaseMargin = monotonic.Second
-	// acknowledgeMargin is how much longer than a lease an apply waits for proxies: time for a primary that was just elected to
-	// pass its own unknownLeasePeriod.
+	// acknowledgeMargin is how much longer than a lease an apply waits for proxies, so that the wait can outlast a failover and
+	// the unknownLeasePeriod after it.
 	acknowledgeMargin = 9 * monotonic.Second
 )
 
@@ -31,8 +31,8 @@
 type Timeouts struct {
 	// Lease is how long a proxy may serve after a poll, counted from before it sent the poll.
 	Lease monotonic.Micros
-	// LeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. It isn't used with
-	// ServeStale.
+	// LeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. With ServeStale that is
+	// nothing, but for leases that an earlier primary granted.
 	LeaseSlack monotonic.Micros
 	// LongPoll is how long a poll stays open while there is no newer version.
 	LongPoll monotonic.Micros
--- a/internal/configstore/versions/deltas.go
+++ b/internal/configstore/versions/deltas.go
@@ -16,10 +16,10 @@
 
 // encodeDeltas returns the versions each as a delta from the one before, the first from nothing. A version whose delta can't be
 // made is left with its full content.
-func encodeDeltas(states []*wire.StoredConfig) []*wire.StoredConfig {
-	all := make([]*wire.StoredConfig, 0, len(states))
+func encodeDeltas(configs []*wire.StoredConfig) []*wire.StoredConfig {
+	all := make([]*wire.StoredConfig, 0, len(configs))
 	var previous *wire.StoredConfig
-	for _, stored := range states {
+	for _, stored := range configs {
 		all = append(all, encodeDelta(stored, previous))
 		previous = stored
 	}
@@ -39,10 +39,10 @@
 
 // decodeDeltas reverses encodeDeltas and accepts full contents too. The error names the version whose content can't be restored
 // or doesn't match its digest.
-func decodeDeltas(states []*wire.StoredConfig) ([]*wire.StoredConfig, error) {
-	all := make([]*wire.StoredConfig, 0, len(states))
+func decodeDeltas(configs []*wire.StoredConfig) ([]*wire.StoredConfig, error) {
+	all := make([]*wire.StoredConfig, 0, len(configs))
 	var previous *wire.StoredConfig
-	for _, stored := range states {
+	for _, stored := range configs {
 		full, err := decodeDelta(stored, previous)
 		if err != nil {
 			return nil, fmt.Errorf("configuration version %d: %w", stored.Version, err)
--- a/internal/configstore/versions/store.go
+++ b/internal/configstore/versions/store.go
@@ -15,9 +15,9 @@
 // Store is the state machine of the configuration stores' replication group. It isn't safe for concurrent use; the replication
 // member serializes calls. Results and snapshots depend on the commands alone, so that all replicas agree.
 //
-// Invariants: versions rise along states, with gaps where a version was named by the client; a stored version never changes; the
+// Invariants: versions rise along configs, with gaps where a version was named by the client; a stored version never changes; the
 // newest one stays, and older ones are removed oldest first, once there are more than history; requests holds exactly the
-// request IDs of states; a version number stands for one content for as long as claimed remembers it, whether that content was
+// request IDs of configs; a version number stands for one content for as long as claimed remembers it, whether that content was
 // ever the newest or not.
 type Store struct {
 	// UseDeltas reports whether snapshots may hold versions as deltas, which replicas of an early build can't read. Nil means
@@ -29,7 +29,7 @@
 	AllowVersionReuse bool
 
 	history  int
-	states   []*wire.StoredConfig
+	configs  []*wire.StoredConfig
 	requests map[string]*wire.StoredConfig
 	claimed  claimedVersions
 }
@@ -76,26 +76,26 @@
 // append stores a new newest version and removes the oldest beyond the limit.
 func (s *Store) append(stored *wire.StoredConfig) {
 	s.claimed.claim(stored.Version, stored.Digest)
-	s.states = append(s.states, stored)
+	s.configs = append(s.configs, stored)
 	if stored.Request != "" {
 		s.requests[stored.Request] = stored
 	}
-	if s.history == 0 || len(s.states) <= s.history {
+	if s.history == 0 || len(s.configs) <= s.history {
 		return
 	}
-	if oldest := s.states[0]; s.requests[oldest.Request] == oldest {
+	if oldest := s.configs[0]; s.requests[oldest.Request] == oldest {
 		delete(s.requests, oldest.Request)
 	}
 	// The list is copied, because All has given it out, and so that the oldest content can be freed.
-	s.states = slices.Clone(s.states[1:])
+	s.configs = slices.Clone(s.configs[1:])
 }
 
 // LatestVersion is the newest version number, zero before the first.
 func (s *Store) LatestVersion() uint64 {
-	if len(s.states) == 0 {
+	if len(s.configs) == 0 {
 		return 0
 	}
-	return s.states[len(s.states)-1].Version
+	return s.configs[len(s.configs)-1].Version
 }
 
 // Latest returns the newest version, nil before the first. It must not be changed.
@@ -103,16 +103,16 @@
 
 // Find returns the version with a number, nil if it isn't stored. It must not be changed.
 func (s *Store) Find(version uint64) *wire.StoredConfig {
-	index := sort.Search(len(s.states), func(index int) bool { return s.states[index].Version >= version })
-	if index == len(s.states) || s.states[index].Version != version {
+	index := sort.Search(len(s.configs), func(index int) bool { return s.configs[index].Version >= version })
+	if index == len(s.configs) || s.configs[index].Version != version {
 		return nil
 	}
-	return s.states[index]
+	return s.configs[index]
 }
 
 // FindDigest returns the newest version whose content has a digest, nil if there is none. It must not be changed.
 func (s *Store) FindDigest(digest string) *wire.StoredConfig {
-	for _, stored := range slices.Backward(s.states) {
+	for _, stored := range slices.Backward(s.configs) {
 		if stored.Digest == digest {
 			return stored
 		}
@@ -123,14 +123,14 @@
 // All returns all stored versions, oldest first. The caller may keep the list, but must not change it: later versions are only
 // appended behind its end.
 func (s *Store) All() []*wire.StoredConfig {
-	return s.states[:len(s.states):len(s.states)]
+	return s.configs[:len(s.configs):len(s.configs)]
 }
 
 // Snapshot encodes the complete state as a snapshot.
 func (s *Store) Snapshot() []byte {
-	snapshot := &wire.ConfigSnapshot{Versions: s.states, TakenVersions: s.claimed.list()}
+	snapshot := &wire.ConfigSnapshot{Versions: s.configs, TakenVersions: s.claimed.list()}
 	if s.UseDeltas == nil || s.UseDeltas() {
-		snapshot.Versions = encodeDeltas(s.states)
+		snapshot.Versions = encodeDeltas(s.configs)
 	}
 	content, err := proto.Marshal(snapshot)
 	if err != nil {
@@ -146,15 +146,15 @@
 	if err := proto.Unmarshal(content, snapshot); err != nil {
 		return err
 	}
-	states, err := decodeDeltas(snapshot.Versions)
+	configs, err := decodeDeltas(snapshot.Versions)
 	if err != nil {
 		return err
 	}
-	s.states, s.requests, s.claimed = nil, map[string]*wire.StoredConfig{}, newClaimedVersions()
+	s.configs, s.requests, s.claimed = nil, map[string]*wire.StoredConfig{}, newClaimedVersions()
 	for _, taken := range snapshot.TakenVersions {
 		s.claimed.restore(taken)
 	}
-	for _, stored := range states {
+	for _, stored := range configs {
 		s.append(stored)
 	}
 	return nil
