--- /dev/null
+++ b/internal/proxy/configclient/client_test.go
@@ -0,0 +1,206 @@
+package configclient_test
+
+import (
+	"fmt"
+	"testing"
+
+	"snowflow/internal/discovery"
+	"snowflow/internal/host"
+	"snowflow/internal/host/clockwatch"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/configclient"
+	"snowflow/internal/simulation/world"
+	"snowflow/internal/transport/wire"
+)
+
+const (
+	group        = "postmaster"
+	storeAddress = "machine:store"
+	lease        = 6 * monotonic.Second
+	longPoll     = 200 * monotonic.Millisecond
+)
+
+// fixture is a simulated configuration store whose answers a test sets, and a proxy that follows it.
+type fixture struct {
+	t      *testing.T
+	world  *world.World
+	store  *world.Node
+	proxy  *world.Host
+	client *configclient.Client
+	// answer returns the store's answer to a poll.
+	answer func(request *wire.ConfigPollRequest) *wire.ConfigPollResponse
+	polls  []*wire.ConfigPollRequest
+}
+
+// newFixture starts a store that is primary and has a version, and a proxy.
+func newFixture(t *testing.T, version uint64, serveStale bool) *fixture {
+	t.Helper()
+	f := &fixture{t: t, world: world.New(1)}
+	t.Cleanup(f.world.Close)
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(version) }
+	f.store = f.world.Add("store", storeAddress, "machine", f.startStore)
+	f.world.Start(f.store)
+	f.world.Start(f.world.Add("proxy", "proxy", "proxy", func(h *world.Host) (host.Handlers, error) {
+		resolver := discovery.New(h, nil, []string{storeAddress})
+		f.proxy = h
+		f.client = configclient.New(configclient.Options{Host: h, Resolver: resolver, Proxy: "proxy", Incarnation: 7, ClockWatch: clockwatch.New(h), ServeStale: serveStale})
+		h.Go(f.client.Run)
+		return host.Handlers{}, nil
+	}))
+	return f
+}
+
+func (f *fixture) startStore(h *world.Host) (host.Handlers, error) {
+	resolver := discovery.New(h, &wire.PeerAddress{Name: "store", Address: storeAddress, Group: group}, nil)
+	resolver.ObservePrimaries([]*wire.Primary{{Group: group, Epoch: 1, Name: "store"}})
+	handlers := host.Handlers{}
+	resolver.Register(handlers)
+	host.Handle(handlers, wire.Kind_config_poll, func(request *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
+		f.polls = append(f.polls, request)
+		response := f.answer(request)
+		if response.Version == request.CurrentVersion {
+			h.Sleep(longPoll)
+		}
+		return response, nil
+	})
+	return handlers, nil
+}
+
+func (f *fixture) run(duration monotonic.Micros) { f.world.Run(f.world.Now() + duration) }
+
+// check compares the adopted version and whether it may be served by.
+func (f *fixture) check(when string, version uint64, live bool) {
+	f.t.Helper()
+	adopted, _ := f.client.Version()
+	if _, mayServe := f.client.Current(); adopted != version || mayServe != live {
+		f.t.Fatalf("%s: version %d, live %v; wanted %d, %v", when, adopted, mayServe, version, live)
+	}
+}
+
+func (f *fixture) lastPoll() *wire.ConfigPollRequest { return f.polls[len(f.polls)-1] }
+
+// contentOf returns a valid configuration that differs for each version.
+func contentOf(version uint64) []byte {
+	return fmt.Appendf(nil, `{"note":"%d","groups":[{"name":"g","services":[{"name":"a","paths":[{"method":"GET","prefix":"/%d","class":"read"}]}]}]}`, version, version)
+}
+
+func primaryWith(version uint64) *wire.ConfigPollResponse {
+	return &wire.ConfigPollResponse{Primary: true, Epoch: 1, Version: version, Content: contentOf(version), Lease: int64(lease), LongPoll: int64(longPoll)}
+}
+
+// TestLease checks that a proxy that loses contact serves until its lease ends, or with ServeStale for as long as it hears of no
+// newer version.
+func TestLease(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		serveStale bool
+	}{{"leased", false}, {"serve stale", true}} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t, 1, test.serveStale)
+			f.run(2 * monotonic.Second)
+			f.check("in contact", 1, true)
+			f.world.Kill(f.store)
+			f.run(lease - monotonic.Second)
+			f.check("before the lease ends", 1, true)
+			f.run(monotonic.Second)
+			f.check("after the lease has ended", 1, test.serveStale)
+			f.world.Start(f.store)
+			f.run(2 * monotonic.Second)
+			f.check("in contact again", 1, true)
+		})
+	}
+}
+
+// TestVersionsNeverFall checks that an older version of the primary isn't adopted.
+func TestVersionsNeverFall(t *testing.T) {
+	f := newFixture(t, 5, false)
+	f.run(2 * monotonic.Second)
+	f.check("at first", 5, true)
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(4) }
+	f.run(2 * monotonic.Second)
+	f.check("after an older one", 5, true)
+	f.run(lease)
+	f.check("when the lease has ended", 5, false)
+}
+
+// TestRefusedDifference checks that a difference that doesn't apply changes nothing, and that the full content is asked for until the
+// next adoption.
+func TestRefusedDifference(t *testing.T) {
+	f := newFixture(t, 1, false)
+	f.run(2 * monotonic.Second)
+	f.answer = func(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
+		response := primaryWith(2)
+		if !request.Full {
+			response.Content, response.Difference = nil, []byte("no difference")
+		}
+		return response
+	}
+	f.run(2 * monotonic.Second)
+	f.check("after the full content", 2, true)
+	if stats := f.client.Stats(); stats.Rejected != 1 || stats.FullStates != 2 || stats.Differences != 0 {
+		t.Errorf("%+v", stats)
+	}
+	if poll := f.lastPoll(); poll.Full || poll.CurrentVersion != 2 || len(poll.Digest) == 0 {
+		t.Errorf("the poll after the adoption: %v", poll)
+	}
+}
+
+// TestUnconfirmedVersion checks that a proxy without a version takes that of a store that isn't the primary, but serves by it only
+// once a primary has been looked for, and that any version of a primary replaces it.
+func TestUnconfirmedVersion(t *testing.T) {
+	f := newFixture(t, 0, true)
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse {
+		return &wire.ConfigPollResponse{Version: 5, Content: contentOf(5)}
+	}
+	f.run(monotonic.Second)
+	f.check("at first", 5, false)
+	f.run(3 * monotonic.Second)
+	f.check("when no primary was found", 5, true)
+	if poll := f.lastPoll(); poll.CurrentVersion != 0 {
+		t.Errorf("a poll reports the unconfirmed version: %v", poll)
+	}
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(3) }
+	f.run(2 * monotonic.Second)
+	f.check("after the primary's", 3, true)
+}
+
+// TestRelease checks that a released lease is reported, and isn't renewed by later answers.
+func TestRelease(t *testing.T) {
+	f := newFixture(t, 1, false)
+	f.run(2 * monotonic.Second)
+	f.proxy.Go(func() { f.client.Release(monotonic.Second) })
+	f.run(50 * monotonic.Millisecond)
+	released := 0
+	for _, poll := range f.polls {
+		if poll.Release && poll.Proxy == "proxy" && poll.Incarnation == 7 {
+			released++
+		}
+	}
+	if released != 1 {
+		t.Errorf("%d polls release the lease", released)
+	}
+	f.run(2 * monotonic.Second)
+	f.check("after the release", 1, false)
+}
+
+// TestWaitForVersion checks that a waiter is woken by the adoption of its version, and not before.
+func TestWaitForVersion(t *testing.T) {
+	f := newFixture(t, 1, false)
+	f.run(2 * monotonic.Second)
+	var reached, missed, done bool
+	f.proxy.Go(func() { reached = f.client.WaitForVersion(2, 5*monotonic.Second) })
+	f.proxy.Go(func() { missed, done = !f.client.WaitForVersion(3, 2*monotonic.Second), true })
+	f.run(monotonic.Second)
+	if reached || done {
+		t.Fatal("a wait has ended early")
+	}
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(2) }
+	f.run(monotonic.Second / 2)
+	if !reached {
+		t.Error("the wait for an adopted version goes on")
+	}
+	f.run(monotonic.Second)
+	if !missed {
+		t.Error("the wait for another version didn't end at its timeout")
+	}
+}
