--- a/internal/configstore/api/api_test.go
+++ b/internal/configstore/api/api_test.go
@@ -6,7 +6,6 @@
 	"net/http"
 	"net/http/httptest"
 	"regexp"
-	"slices"
 	"strings"
 	"testing"
 
@@ -15,71 +14,31 @@
 	"snowflow/internal/config"
 	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/api"
-	"snowflow/internal/discovery"
-	"snowflow/internal/host"
+	"snowflow/internal/configstore/storetest"
 	"snowflow/internal/monotonic"
-	"snowflow/internal/simulation/world"
-	"snowflow/internal/transport/wire"
 )
 
-const stores = 3
-
-// cluster is a simulated group of configuration stores, and a process outside it that serves the HTTP interface.
-type cluster struct {
-	world   *world.World
-	outside *world.Host
+// site is a simulated group of configuration stores, and a process outside it that serves the HTTP interface.
+type site struct {
+	*storetest.Cluster
 	handler http.Handler
 }
 
-func newCluster(t *testing.T) *cluster {
+func newSite(t *testing.T) *site {
 	t.Helper()
-	c := &cluster{world: world.New(1)}
-	t.Cleanup(c.world.Close)
-	var voters, seeds []string
-	for index := range stores {
-		voters = append(voters, fmt.Sprintf("store-%d", index+1))
-		seeds = append(seeds, fmt.Sprintf("machine-%d:store", index+1))
-	}
-	for index, name := range voters {
-		c.world.Start(c.world.Add(name, seeds[index], fmt.Sprintf("machine-%d", index+1), func(h *world.Host) (host.Handlers, error) {
-			return startStore(h, name, voters, seeds)
-		}))
-	}
-	c.world.Start(c.world.Add("outside", "outside", "outside", func(h *world.Host) (host.Handlers, error) {
-		resolver := discovery.New(h, nil, seeds)
-		h.Go(func() { resolver.Run(300 * monotonic.Millisecond) })
-		c.outside = h
-		c.handler = api.New(h, resolver, http.NotFoundHandler(), func() any { return "this process" }, config.Parse)
-		return host.Handlers{}, nil
-	}))
-	c.run(20 * monotonic.Second)
-	return c
-}
-
-func startStore(h *world.Host, name string, voters, seeds []string) (host.Handlers, error) {
-	resolver := discovery.New(h, &wire.PeerAddress{Name: name, Address: h.Node().Address, Group: configstore.Group}, seeds)
-	resolver.Persist(h.Disk())
-	handlers := host.Handlers{}
-	resolver.Register(handlers)
-	h.Go(func() { resolver.Run(monotonic.Second) })
-	server, err := configstore.Open(configstore.Options{Host: h, Resolver: resolver, Name: name, Voters: slices.Clone(voters), Bootstrap: true, HistoryLimit: 2})
-	if err != nil {
-		return nil, err
-	}
-	server.Register(handlers)
-	server.Start()
-	return handlers, nil
+	s := &site{Cluster: storetest.Start(configstore.Options{HistoryLimit: 2})}
+	t.Cleanup(s.World.Close)
+	s.handler = api.New(s.Outside, s.Resolver, http.NotFoundHandler(), func() any { return "this process" }, config.Parse)
+	return s
 }
 
-func (c *cluster) run(duration monotonic.Micros) { c.world.Run(c.world.Now() + duration) }
-
 // serve answers a request, and lets the simulation run for long enough.
-func (c *cluster) serve(method, path, body string) *httptest.ResponseRecorder {
+func (s *site) serve(method, path, body string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
-	c.outside.Go(func() {
-		c.handler.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
+	s.Outside.Go(func() {
+		s.handler.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
 	})
-	c.run(30 * monotonic.Second)
+	s.Run(30 * monotonic.Second)
 	return recorder
 }
 
@@ -94,16 +53,16 @@
 // the primary's address. "request METHOD path=PATH" sends the input as body, in which LONG stands for more than is accepted, and
 // "stop" kills all stores but one.
 func TestResponses(t *testing.T) {
-	c := newCluster(t)
+	s := newSite(t)
 	datadriven.RunTest(t, "testdata/responses", func(t *testing.T, data *datadriven.TestData) string {
 		if data.Cmd == "stop" {
-			for index := range stores - 1 {
-				c.world.Kill(c.world.Node(fmt.Sprintf("store-%d", index+1)))
+			for index := range storetest.Stores - 1 {
+				s.World.Kill(s.World.Node(storetest.Name(index)))
 			}
 			return ""
 		}
 		method, path := data.CmdArgs[0].Key, strings.TrimPrefix(data.CmdArgs[1].String(), "path=")
-		recorder := c.serve(method, path, strings.ReplaceAll(data.Input, "LONG", strings.Repeat(" ", config.MaxContentSize+1)))
+		recorder := s.serve(method, path, strings.ReplaceAll(data.Input, "LONG", strings.Repeat(" ", config.MaxContentSize+1)))
 		text := fmt.Sprintf("%d %s\n", recorder.Code, recorder.Header().Get("Content-Type"))
 		if retryAfter := recorder.Header().Get("Retry-After"); retryAfter != "" {
 			text += "Retry-After: " + retryAfter + "\n"
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -5,60 +5,26 @@
 	"testing"
 
 	"snowflow/internal/configstore"
+	"snowflow/internal/configstore/storetest"
 	"snowflow/internal/configstore/versions"
-	"snowflow/internal/discovery"
-	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
-	"snowflow/internal/simulation/world"
 	"snowflow/internal/transport/wire"
 )
 
-const stores = 3
-
-// cluster is a simulated group of configuration stores, and a process outside it that applies and polls.
+// cluster is a simulated group of configuration stores, and what a test does with it from outside.
 type cluster struct {
-	t        *testing.T
-	world    *world.World
-	outside  *world.Host
-	resolver *discovery.Resolver
+	*storetest.Cluster
+	t *testing.T
 }
 
-// newCluster starts a group, and waits until it has a primary that knows no proxy may hold a lease.
+// newCluster starts a group.
 func newCluster(t *testing.T, timeouts configstore.Timeouts) *cluster {
 	t.Helper()
-	c := &cluster{t: t, world: world.New(1)}
-	t.Cleanup(c.world.Close)
-	var voters, addresses []string
-	for index := range stores {
-		voters = append(voters, fmt.Sprintf("store-%d", index+1))
-		addresses = append(addresses, fmt.Sprintf("machine-%d:store", index+1))
-	}
-	for index, name := range voters {
-		c.world.Start(c.world.Add(name, addresses[index], fmt.Sprintf("machine-%d", index+1), func(h *world.Host) (host.Handlers, error) {
-			resolver := discovery.New(h, &wire.PeerAddress{Name: name, Address: h.Node().Address, Group: configstore.Group}, addresses)
-			handlers := host.Handlers{}
-			resolver.Register(handlers)
-			h.Go(func() { resolver.Run(monotonic.Second) })
-			server, err := configstore.Open(configstore.Options{Host: h, Resolver: resolver, Name: name, Voters: voters, Bootstrap: true, Timeouts: timeouts})
-			if err != nil {
-				return nil, err
-			}
-			server.Register(handlers)
-			server.Start()
-			return handlers, nil
-		}))
-	}
-	c.world.Start(c.world.Add("outside", "outside", "outside", func(h *world.Host) (host.Handlers, error) {
-		c.outside, c.resolver = h, discovery.New(h, nil, addresses)
-		h.Go(func() { c.resolver.Run(300 * monotonic.Millisecond) })
-		return host.Handlers{}, nil
-	}))
-	c.run(20 * monotonic.Second)
+	c := &cluster{Cluster: storetest.Start(configstore.Options{Timeouts: timeouts}), t: t}
+	t.Cleanup(c.World.Close)
 	return c
 }
 
-func (c *cluster) run(duration monotonic.Micros) { c.world.Run(c.world.Now() + duration) }
-
 // application is an apply that may still run.
 type application struct {
 	response *wire.ConfigApplyResponse
@@ -70,11 +36,11 @@
 // apply starts to apply the next version.
 func (c *cluster) apply() *application {
 	a := &application{response: &wire.ConfigApplyResponse{}}
-	c.outside.Go(func() {
-		started := c.outside.Now()
+	c.Outside.Go(func() {
+		started := c.Outside.Now()
 		request := &wire.ConfigApplyRequest{AnyVersion: true, Content: fmt.Appendf(nil, `{"groups":[{"name":"g","services":[{"name":"a","paths":[{"method":"GET","prefix":"/%d","class":"read"}]}]}]}`, started)}
-		a.err = c.resolver.Call(c.resolver.Leader(configstore.Group), wire.Kind_config_apply, request, a.response, 30*monotonic.Second)
-		a.took, a.done = c.outside.Now()-started, true
+		a.err = c.Resolver.Call(c.Leader(), wire.Kind_config_apply, request, a.response, 30*monotonic.Second)
+		a.took, a.done = c.Outside.Now()-started, true
 	})
 	return a
 }
@@ -82,12 +48,12 @@
 // poll sends a proxy's poll, and waits for the answer unless it's held open.
 func (c *cluster) poll(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
 	response := &wire.ConfigPollResponse{}
-	c.outside.Go(func() {
-		if err := c.resolver.Call(c.resolver.Leader(configstore.Group), wire.Kind_config_poll, request, response, 5*monotonic.Second); err != nil {
+	c.Outside.Go(func() {
+		if err := c.Resolver.Call(c.Leader(), wire.Kind_config_poll, request, response, 5*monotonic.Second); err != nil {
 			c.t.Errorf("poll: %v", err)
 		}
 	})
-	c.run(100 * monotonic.Millisecond)
+	c.Run(100 * monotonic.Millisecond)
 	return response
 }
 
@@ -128,14 +94,14 @@
 				t.Fatalf("no lease: %v", response)
 			}
 			application := c.apply()
-			c.run(200 * monotonic.Millisecond)
+			c.Run(200 * monotonic.Millisecond)
 			if application.done {
 				t.Fatal("acknowledged at once")
 			}
 			if test.meanwhile != nil {
 				c.poll(test.meanwhile)
 			}
-			c.run(10 * monotonic.Second)
+			c.Run(10 * monotonic.Second)
 			application.accepted(t, test.least, test.most)
 			if application.response.AdoptedEverywhere != test.everywhere {
 				t.Errorf("adopted everywhere: %v", application.response.AdoptedEverywhere)
@@ -148,16 +114,16 @@
 // stand.
 func TestAcknowledgementAfterTakeover(t *testing.T) {
 	c := newCluster(t, configstore.Timeouts{})
-	before := c.resolver.Leader(configstore.Group)
-	c.world.Kill(c.world.Node(before))
+	before := c.Leader()
+	c.World.Kill(c.World.Node(before))
 	for range 1000 {
-		c.run(10 * monotonic.Millisecond)
-		if c.resolver.Leader(configstore.Group) != before {
+		c.Run(10 * monotonic.Millisecond)
+		if c.Leader() != before {
 			break
 		}
 	}
 	application := c.apply()
-	c.run(20 * monotonic.Second)
+	c.Run(20 * monotonic.Second)
 	period := configstore.DefaultTimeouts.Lease - configstore.DefaultTimeouts.LeaseSlack
 	application.accepted(t, period-monotonic.Second, period+monotonic.Second)
 }
@@ -170,13 +136,13 @@
 	if waiting.Primary {
 		t.Fatalf("answered at once: %v", waiting)
 	}
-	c.run(configstore.DefaultTimeouts.LongPoll)
+	c.Run(configstore.DefaultTimeouts.LongPoll)
 	if !waiting.Primary || waiting.Version != 0 {
 		t.Fatalf("not answered at the end of the long poll: %v", waiting)
 	}
 	woken := c.poll(request)
 	c.apply()
-	c.run(200 * monotonic.Millisecond)
+	c.Run(200 * monotonic.Millisecond)
 	if woken.Version != 1 || len(woken.Content) == 0 {
 		t.Fatalf("not answered with the new version: %v", woken)
 	}
