--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -22,9 +22,9 @@
 // commit, for the proxies that were heard within the last Timeouts.Lease, and says in its response whether all have adopted.
 //
 // Leases aren't replicated. A primary that takes over doesn't know which leases its predecessor granted, so it acknowledges
-// nothing until none of them can run for more than LeaseSlack (acknowledgeFrom). A planned handover carries the list of leases to the next primary and
-// avoids that wait; see exportLeases. A clock that may have jumped has the same effect as a takeover: the ends of leases can't
-// be judged, so acknowledgements wait.
+// nothing until none of them can run for more than LeaseSlack (acknowledgeFrom). A planned handover carries the list of leases to
+// the next primary and avoids that wait; see exportLeases. A clock that may have jumped has the same effect as a takeover: the
+// ends of leases can't be judged, so acknowledgements wait.
 //
 // # Concurrency
 //
