--- a/cmd/rehearse/compare.go
+++ b/cmd/rehearse/compare.go
@@ -31,7 +31,7 @@
 			return daemon.NewUsageError(err)
 		}
 		worse := false
-		for _, compared := range scenario.Compare(without, with, scenario.Lookup) {
+		for _, compared := range scenario.Compare(without, with, scenario.IsLookup) {
 			worse = worse || compared.Significant()
 			fmt.Println(compared.Summary())
 		}
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -30,8 +30,8 @@
 		if _, err := layout.Find(options.Layout); err != nil {
 			return daemon.NewUsageError(err)
 		}
-		if _, known := scenario.All[options.Scenario]; !known {
-			return daemon.NewUsageError(fmt.Errorf("no scenario %q; there are %v", options.Scenario, scenario.Names()))
+		if _, err := scenario.Find(options.Scenario); err != nil {
+			return daemon.NewUsageError(err)
 		}
 		if options.Duration <= 0 || options.LoadFactor <= 0 || options.SyncDelay < 0 || options.Subnet < 1 || options.Subnet > 254 {
 			return daemon.NewUsageError(errors.New("length and factor must be above zero, linger not below, base from 1 to 254"))
@@ -65,7 +65,7 @@
 	}}
 	flags := command.Flags()
 	flags.StringVar(&options.Layout, "layout", "small", "small, hops, association or raahbar")
-	flags.StringVar(&options.Scenario, "scenario", "steady", "see depot list")
+	flags.StringVar(&options.Scenario, "scenario", "steady", "see rehearse list")
 	flags.DurationVar(&options.Duration, "length", 20*time.Second, "how long the traffic goes on, about")
 	flags.Float64Var(&options.LoadFactor, "factor", 1, "multiplies the callers' rates")
 	flags.Float64Var(&options.OverloadFactor, "rush", 20, "what the rush scenario multiplies the rates by")
--- a/internal/rehearse/scenario/breakers.go
+++ b/internal/rehearse/scenario/breakers.go
@@ -13,15 +13,24 @@
 	"snowflow/internal/transport/wire"
 )
 
-// breakerTimeout is how long a guard may take to come to what a scenario waits for.
+// breakerTimeout bounds how long a breaker may take to reach the state that a scenario waits for.
 const breakerTimeout = 40 * time.Second
 
-// awaitBreaker waits until a service's shared record is as wanted, by its holder's word.
-func (r *Rehearsal) awaitBreaker(service, what string, fits func(record *wire.BreakerRecord) bool) *wire.BreakerRecord {
+// servingStatus reads the status of a registry member. It gives false if the member does not respond or does not serve as primary.
+func (r *Rehearsal) servingStatus(process *fleet.Process) (status registry.Status, serving bool) {
+	if !process.Running() || r.Operator.ReadJSON(process, "/local", &status) != nil {
+		return status, false
+	}
+	return status, status.Replication.Serving
+}
+
+// awaitBreaker waits until the registry's record of a service's breaker fits, and gives that record. It adds a finding and gives nil
+// if that takes longer than breakerTimeout.
+func (r *Rehearsal) awaitBreaker(service, wanted string, fits func(record *wire.BreakerRecord) bool) *wire.BreakerRecord {
 	for deadline := time.Now().Add(breakerTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		for _, process := range r.Fleet.Registries {
-			var status registry.Status
-			if !process.Running() || r.Operator.ReadJSON(process, "/local", &status) != nil || !status.Replication.Serving {
+			status, serving := r.servingStatus(process)
+			if !serving {
 				continue
 			}
 			for _, record := range status.Breakers {
@@ -31,7 +40,7 @@
 			}
 		}
 	}
-	r.AddFinding("rule 10: the guard of %s was never %s within %v", service, what, breakerTimeout)
+	r.AddFinding("rule 10: the breaker of %s was never %s within %v", service, wanted, breakerTimeout)
 	return nil
 }
 
@@ -39,19 +48,19 @@
 	return func(record *wire.BreakerRecord) bool { return record.State == wanted }
 }
 
-// manner has all backends of a service behave in a way, with work of a length; zero for their own.
+// setBehavior makes all backends of a service behave in a way and work this long on each request; zero for the layout's own time.
 func (r *Rehearsal) setBehavior(service, behavior string, work time.Duration) {
 	for _, backend := range r.BackendsOf(service) {
-		length := backend.Service.WorkMicros
+		micros := backend.Service.WorkMicros
 		if work > 0 {
-			length = int(work.Microseconds())
+			micros = int(work.Microseconds())
 		}
-		backend.SetWork(length)
+		backend.SetWork(micros)
 		backend.Behavior.Store(behavior)
 	}
 }
 
-// prober finds the carrier that holds the first probe of a record.
+// proberOf gives the proxy that holds the first probe lease of a record.
 func (r *Rehearsal) proberOf(record *wire.BreakerRecord) *fleet.Process {
 	for _, process := range r.Fleet.Proxies {
 		if process.Name == record.ProbeLeases[0].Proxy {
@@ -61,116 +70,147 @@
 	return r.Fleet.Proxies[0]
 }
 
-// probeFaults are what happens while probes are out.
-var probeFaults = []struct {
-	what   string
-	inject func(rehearsal *Rehearsal, record *wire.BreakerRecord)
-}{
-	{"the record's holder is killed", func(rehearsal *Rehearsal, _ *wire.BreakerRecord) {
-		victim := rehearsal.AwaitPrimary(rehearsal.Fleet.Registries)
+func failService(r *Rehearsal) error {
+	service := r.Fleet.Layout.Services[0].Name
+	r.Wait(r.partOfLength(0.2))
+	for _, backend := range r.BackendsOf(service) {
+		backend.Behavior.Store(standin.Failing)
+	}
+	r.Wait(r.partOfLength(0.4))
+	// A proxy is killed that may have a probe in flight, and so is the leader that keeps the record.
+	victim := randomItem(r.Fleet.Proxies)
+	victim.Kill()
+	leader := r.AwaitPrimary(r.Fleet.Registries)
+	leader.Kill()
+	r.Wait(2 * time.Second)
+	for _, backend := range r.BackendsOf(service) {
+		backend.Behavior.Store(standin.Normal)
+	}
+	r.restartAfter(victim, 0)
+	r.restartAfter(leader, 0)
+	r.markRecovered()
+	return nil
+}
+
+// probeFault is a fault that happens while a breaker is half open and its probes are in flight.
+type probeFault struct {
+	name   string
+	inject func(r *Rehearsal, record *wire.BreakerRecord)
+}
+
+var probeFaults = []probeFault{
+	{"the registry's leader is killed", func(r *Rehearsal, _ *wire.BreakerRecord) {
+		victim := r.AwaitPrimary(r.Fleet.Registries)
 		victim.Kill()
-		rehearsal.restartAfter(victim, 2*time.Second)
+		r.restartAfter(victim, 2*time.Second)
 	}},
-	{"a prober is killed", func(rehearsal *Rehearsal, record *wire.BreakerRecord) {
-		victim := rehearsal.proberOf(record)
+	{"a probing proxy is killed", func(r *Rehearsal, record *wire.BreakerRecord) {
+		victim := r.proberOf(record)
 		victim.Kill()
-		rehearsal.restartAfter(victim, 2*time.Second)
+		r.restartAfter(victim, 2*time.Second)
 	}},
-	{"a prober is frozen past its tenure", func(rehearsal *Rehearsal, record *wire.BreakerRecord) {
-		victim := rehearsal.proberOf(record)
+	{"a probing proxy is frozen beyond its probe lease", func(r *Rehearsal, record *wire.BreakerRecord) {
+		victim := r.proberOf(record)
 		victim.Signal(syscall.SIGSTOP)
-		rehearsal.Wait(8 * time.Second)
+		r.Wait(8 * time.Second)
 		victim.Signal(syscall.SIGCONT)
 	}},
-	{"the whole core is killed and started again", func(rehearsal *Rehearsal, _ *wire.BreakerRecord) {
-		core := rehearsal.Fleet.Core()
+	{"the whole control plane is killed and started again", func(r *Rehearsal, _ *wire.BreakerRecord) {
+		core := r.Fleet.Core()
 		for _, process := range core {
 			process.Kill()
 		}
 		for _, process := range core {
-			rehearsal.restartAfter(process, 0)
+			r.restartAfter(process, 0)
 		}
 	}},
-	{"the holder is killed, and the next one as soon as it answers", func(rehearsal *Rehearsal, _ *wire.BreakerRecord) {
+	{"the leader is killed, and its successor as soon as it serves", func(r *Rehearsal, _ *wire.BreakerRecord) {
 		for range 2 {
-			victim := rehearsal.AwaitPrimary(rehearsal.Fleet.Registries)
+			victim := r.AwaitPrimary(r.Fleet.Registries)
 			victim.Kill()
-			rehearsal.restartAfter(victim, 0) // one machine may be lost at a time
+			r.restartAfter(victim, 0) // the group tolerates the loss of one member at a time
 		}
 	}},
 }
 
-// addSlowCallRule makes slow calls count in every guard of a desired state.
+func interruptProbes(r *Rehearsal) error {
+	service := r.Fleet.Layout.Services[0].Name
+	for _, fault := range probeFaults {
+		if !r.interruptProbe(service, fault) {
+			break
+		}
+	}
+	r.markRecovered()
+	return nil
+}
+
+// interruptProbe makes a service fail until its breaker opens, injects a fault while probes are in flight, and waits until the
+// breaker is closed. It gives false if the breaker opened too late or no probe was sent.
+func (r *Rehearsal) interruptProbe(service string, fault probeFault) bool {
+	r.setBehavior(service, standin.Failing, 0)
+	if r.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open)) == nil {
+		return false
+	}
+	r.setBehavior(service, standin.Normal, 3*time.Second) // so that probes stay in flight for a while
+	record := r.awaitBreaker(service, "half open with probes in flight", func(record *wire.BreakerRecord) bool {
+		return record.State == breakerstore.HalfOpen && len(record.ProbeLeases) > 0
+	})
+	if record == nil {
+		return false
+	}
+	r.Logf("half open at version %d with %d probes in flight: %s", record.Version, len(record.ProbeLeases), fault.name)
+	began := time.Now()
+	fault.inject(r, record)
+	r.setBehavior(service, standin.Normal, 0)
+	r.awaitBreaker(service, breakerstore.Closed, func(now *wire.BreakerRecord) bool {
+		return now.State == breakerstore.Closed && now.Version > record.Version
+	})
+	r.Logf("closed again %d ms after the fault began", time.Since(began).Milliseconds())
+	return true
+}
+
+// addSlowCallRule makes slow calls count in every breaker of a desired state.
 func addSlowCallRule(content []byte) []byte {
 	return bytes.ReplaceAll(content, []byte(`"guard": {`), []byte(`"guard": {"slowRate": 0.5, "slowMicros": 700000, `))
 }
 
-func init() {
-	add(Scenario{Name: "trial", Summary: "a service fails and recovers; while its probes are out, their holders and the record's are killed and frozen", Rules: []int{1, 2, 8, 10, 12}, Run: func(rehearsal *Rehearsal) error {
-		service := rehearsal.Fleet.Layout.Services[0].Name
-		for _, fault := range probeFaults {
-			rehearsal.setBehavior(service, standin.Failing, 0)
-			if rehearsal.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open)) == nil {
-				break
-			}
-			rehearsal.setBehavior(service, standin.Normal, 3*time.Second) // probes stay out for a while
-			record := rehearsal.awaitBreaker(service, "on trial with probes out", func(record *wire.BreakerRecord) bool {
-				return record.State == breakerstore.HalfOpen && len(record.ProbeLeases) > 0
-			})
-			if record == nil {
-				break
-			}
-			rehearsal.Logf("on trial under serial %d with %d probes out: %s", record.Version, len(record.ProbeLeases), fault.what)
-			began := time.Now()
-			fault.inject(rehearsal, record)
-			rehearsal.setBehavior(service, standin.Normal, 0)
-			rehearsal.awaitBreaker(service, breakerstore.Closed, func(now *wire.BreakerRecord) bool {
-				return now.State == breakerstore.Closed && now.Version > record.Version
-			})
-			rehearsal.Logf("closed again %d ms after that began", time.Since(began).Milliseconds())
-		}
-		rehearsal.markRecovered()
-		return nil
-	}})
-	add(Scenario{Name: "trials", Summary: "two callers' networks are slow and they ask more than all others, while a service fails and recovers", Rules: []int{1, 3, 10, 11}, Run: func(rehearsal *Rehearsal) error {
-		if rehearsal.Fleet.Relays == nil {
-			return errRelaysRequired
-		}
-		if _, err := rehearsal.Operator.Apply(addSlowCallRule(rehearsal.stateVariant(1)), "any", 40*time.Second); err != nil {
-			return err
-		}
-		service := rehearsal.Fleet.Layout.Services[0].Name
-		victims := rehearsal.proxiesWithoutBackends(2)
-		if len(victims) < 2 {
-			return fmt.Errorf("trials needs two carriers without backends, which %s hasn't got", rehearsal.Fleet.Layout.Name)
-		}
-		for _, victim := range victims {
-			rehearsal.History.RecordMarker("troubled "+victim.Name, rehearsal.Clock.Now())
-			for _, other := range rehearsal.Fleet.Proxies {
-				if other != victim {
-					rehearsal.Fleet.Relays.Delay(victim.Host, other.Host, 500*time.Millisecond)
-					rehearsal.Fleet.Relays.Delay(other.Host, victim.Host, 500*time.Millisecond)
-				}
+func impairCallersOfFailingService(r *Rehearsal) error {
+	if r.Fleet.Relays == nil {
+		return errRelaysRequired
+	}
+	if _, err := r.Operator.Apply(addSlowCallRule(r.stateVariant(1)), "any", applyTimeout); err != nil {
+		return err
+	}
+	service := r.Fleet.Layout.Services[0].Name
+	victims := r.proxiesWithoutBackends(2)
+	if len(victims) < 2 {
+		return fmt.Errorf("the scenario needs two proxies without backends, which %s does not have", r.Fleet.Layout.Name)
+	}
+	for _, victim := range victims {
+		r.History.RecordMarker(markerImpaired+victim.Name, r.Clock.Now())
+		for _, other := range r.Fleet.Proxies {
+			if other != victim {
+				r.delay(victim.Host, other.Host, 500*time.Millisecond)
 			}
 		}
-		rehearsal.Load.PreferProxies(victims)
-		for range 2 {
-			rehearsal.Wait(rehearsal.partOfLength(0.2))
-			rehearsal.History.RecordMarker("failing", rehearsal.Clock.Now())
-			rehearsal.setBehavior(service, standin.Failing, 0)
-			rehearsal.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open))
-			rehearsal.Wait(3 * time.Second)
-			rehearsal.setBehavior(service, standin.Normal, 0)
-			rehearsal.History.RecordMarker("recovered", rehearsal.Clock.Now())
-			rehearsal.Wait(18 * time.Second)
-		}
-		rehearsal.Fleet.Relays.Heal()
-		rehearsal.History.RecordMarker("untroubled", rehearsal.Clock.Now())
-		return nil
-	}})
+	}
+	r.Load.PreferProxies(victims)
+	for range 2 {
+		r.Wait(r.partOfLength(0.2))
+		r.History.RecordMarker(markerServiceFailing, r.Clock.Now())
+		r.setBehavior(service, standin.Failing, 0)
+		r.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open))
+		r.Wait(3 * time.Second)
+		r.setBehavior(service, standin.Normal, 0)
+		r.History.RecordMarker(markerServiceRecovered, r.Clock.Now())
+		r.Wait(18 * time.Second)
+	}
+	r.Fleet.Relays.Heal()
+	r.History.RecordMarker(markerUnimpaired, r.Clock.Now())
+	return nil
 }
 
-// without lists carriers that have no backend beside them: only their callers notice their network.
+// proxiesWithoutBackends lists up to number proxies that have no backend on their host: only their own callers notice their network.
 func (r *Rehearsal) proxiesWithoutBackends(number int) (proxies []*fleet.Process) {
 	hosting := map[int]bool{}
 	for _, backend := range r.Backends {
@@ -183,5 +223,3 @@
 	}
 	return proxies
 }
-
-var errRelaysRequired = fmt.Errorf("cuts and delays need --relays")
--- a/internal/rehearse/scenario/comparison_test.go
+++ b/internal/rehearse/scenario/comparison_test.go
@@ -21,7 +21,7 @@
 		"refused and slower ": {[]Report{run(900, 100, 90000), run(900, 100, 90000), run(900, 100, 90000)}, 2},
 	} {
 		beyond := 0
-		for _, compared := range Compare(quiet, one.busy, Lookup) {
+		for _, compared := range Compare(quiet, one.busy, IsLookup) {
 			if compared.Significant() {
 				beyond++
 			}
@@ -30,7 +30,7 @@
 			}
 		}
 		if beyond != one.beyond {
-			t.Errorf("%s: %d beyond the noise, %v", name, beyond, Compare(quiet, one.busy, Lookup))
+			t.Errorf("%s: %d beyond the noise, %v", name, beyond, Compare(quiet, one.busy, IsLookup))
 		}
 	}
 }
--- a/internal/rehearse/scenario/fleet_test.go
+++ b/internal/rehearse/scenario/fleet_test.go
@@ -81,35 +81,45 @@
 	}
 }
 
-// TestVersions rolls a fleet to a build of the project's previous commit and back to this one, under traffic.
+// namedBuild is the last commit whose programs, folders and settings have their former names.
+const namedBuild = "ce067a0c79580d2c076c4b0c8de3fd9d522b407b"
+
+// TestVersions rolls a fleet to an earlier build and back to this one, under traffic: to the project's previous commit, and to the
+// last one before the programs were renamed.
 func TestVersions(t *testing.T) {
-	chosen := options(t, "versions", 241)
-	chosen.PreviousBinaryDir = previousBinaries(t)
-	runScenario(t, chosen)
+	for index, one := range []struct{ name, commit string }{{"previous commit", "HEAD~1"}, {"former names", namedBuild}} {
+		t.Run(one.name, func(t *testing.T) {
+			chosen := options(t, "versions", 241+index)
+			chosen.PreviousBinaryDir = earlierBinaries(t, one.commit)
+			runScenario(t, chosen)
+		})
+	}
 }
 
-// earlier builds the daemons of the commit before this one. Where the checkout has no history there's nothing to build.
-func previousBinaries(t *testing.T) string {
+// earlierBinaries builds the programs of an earlier commit, under whatever names they have there. It skips the test where the
+// checkout does not have that commit.
+func earlierBinaries(t *testing.T, commit string) string {
 	t.Helper()
-	source, folder := t.TempDir(), t.TempDir()
-	archive := exec.Command("git", "archive", "--format=tar", "--output="+filepath.Join(source, "earlier.tar"), "HEAD~1")
 	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
-	if archive.Dir = strings.TrimSpace(string(top)); err == nil {
-		err = archive.Run()
-	}
 	if err != nil {
-		t.Skipf("no previous commit in this checkout: %v", err)
+		t.Skipf("no history in this checkout: %v", err)
+	}
+	source, binaryDir := t.TempDir(), t.TempDir()
+	archive := exec.Command("git", "archive", "--format=tar", "--output="+filepath.Join(source, "earlier.tar"), commit)
+	archive.Dir = strings.TrimSpace(string(top))
+	if err := archive.Run(); err != nil {
+		t.Skipf("no commit %s in this checkout: %v", commit, err)
 	}
 	for _, command := range []*exec.Cmd{
 		exec.Command("tar", "-xf", "earlier.tar"),
-		exec.Command("go", "build", "-buildvcs=false", "-o", folder+"/", "./cmd/..."),
+		exec.Command("go", "build", "-buildvcs=false", "-o", binaryDir+"/", "./cmd/..."),
 	} {
 		command.Dir = source
 		if output, err := command.CombinedOutput(); err != nil {
 			t.Fatalf("%v: %v\n%s", command.Args, err, output)
 		}
 	}
-	return folder
+	return binaryDir
 }
 
 var variableParts = []struct {
--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -14,6 +14,7 @@
 
 	"snowflow/examples"
 	"snowflow/internal/config"
+	"snowflow/internal/configstore/api"
 	"snowflow/internal/invariants"
 	"snowflow/internal/rehearse/fleet"
 	"snowflow/internal/rehearse/layout"
@@ -21,42 +22,44 @@
 	"snowflow/internal/workload"
 )
 
-// changing are the kinds of traffic whose routes change on a Friday: submissions, corrections and downloads of batches or packs.
-var reroutedKinds = []string{"submission", "correction", "batch", "pack"}
+const (
+	// archivedRoutes is the number of routes without traffic, so that a change must leave many routes alone.
+	archivedRoutes = 200
+	// keyRetryTimeout is for how long a key is retried until it is served. It is below the minute within which the mesh executes a
+	// key at most once.
+	keyRetryTimeout = 45 * time.Second
+	// actionInterval is from the start of one action to the start of the next, if the first has ended by then.
+	actionInterval = 900 * time.Millisecond
+	// burstSize and burstInterval are the changes of one burst and the pause between them.
+	burstSize     = 8
+	burstInterval = 60 * time.Millisecond
+)
 
-// archived are routes that nobody asks for, so that there is much that a change must leave alone.
-const archivedRoutes = 200
+// reroutedKinds are the kinds of traffic whose routes change during peak traffic.
+var reroutedKinds = []string{"submission", "correction", "batch", "pack"}
 
-// keyRetryTimeout is for how long a key is asked for again, until it's served, whatever dies meanwhile. It's shorter than a minute, for which a
-// key runs at most once.
-const keyRetryTimeout = 45 * time.Second
+// peakTrafficChecks run besides the invariants.
+var peakTrafficChecks = []invariants.Check{invariants.KeysExecutedOnce, invariants.VersionsAdopted, invariants.BreakerCountersMonotonic}
 
-// families are a layout's kinds whose routes change. Each may go to a service of its own besides.
-func routeFamilies(chosen layout.Layout) (found []workload.RouteFamily) {
+// routeFamilies gives a layout's kinds of traffic whose routes change. Each may also go to an alternate service of its own.
+func routeFamilies(chosen layout.Layout) (families []workload.RouteFamily) {
 	for _, kind := range chosen.Kinds {
 		if slices.Contains(reroutedKinds, kind.Name) {
-			found = append(found, workload.RouteFamily{Kind: kind.Name, Method: kind.Method, Prefix: kind.Path, Service: kind.Service, Alternate: kind.Service + "-next"})
+			families = append(families, workload.RouteFamily{Kind: kind.Name, Method: kind.Method, Prefix: kind.Path, Service: kind.Service, Alternate: kind.Service + "-next"})
 		}
 	}
-	return found
+	return families
 }
 
-// morning is the day's first state: the layout's own, with a route for each family in place of its service's path, the other services, and the
-// archive.
+// initialState is the state before the first change: the layout's own with a route for each family in place of its service's path,
+// with the alternate services, and with the archived routes.
 func initialState(state *wire.DesiredState, families []workload.RouteFamily) *wire.DesiredState {
 	state = proto.CloneOf(state)
-	for _, one := range families {
+	for _, family := range families {
 		for _, group := range state.Groups {
-			index := slices.IndexFunc(group.Services, func(service *wire.Service) bool { return service.Name == one.Service })
-			if index >= 0 {
-				service := group.Services[index]
-				service.Paths = slices.DeleteFunc(service.Paths, func(path *wire.Path) bool { return path.Method == one.Method && path.Prefix+"/" == one.Prefix })
-				next := proto.CloneOf(service)
-				next.Name, next.Paths = one.Alternate, nil
-				group.Services = append(group.Services, next)
-			}
+			addAlternate(group, family)
 		}
-		state.Routes = append(state.Routes, one.Route())
+		state.Routes = append(state.Routes, family.Route())
 	}
 	for number := range archivedRoutes {
 		state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprint("archive-", number), Host: fmt.Sprintf("a%d.example", number%20), Prefix: fmt.Sprintf("/archive/%d/", number),
@@ -65,7 +68,20 @@
 	return state
 }
 
-// region puts every request into one of the parts of its family that may have a route of their own.
+// addAlternate takes a family's path from its service and adds its alternate service, if the group has the family's service.
+func addAlternate(group *wire.Group, family workload.RouteFamily) {
+	index := slices.IndexFunc(group.Services, func(service *wire.Service) bool { return service.Name == family.Service })
+	if index < 0 {
+		return
+	}
+	service := group.Services[index]
+	service.Paths = slices.DeleteFunc(service.Paths, func(path *wire.Path) bool { return path.Method == family.Method && path.Prefix+"/" == family.Prefix })
+	alternate := proto.CloneOf(service)
+	alternate.Name, alternate.Paths = family.Alternate, nil
+	group.Services = append(group.Services, alternate)
+}
+
+// regionPath is a request's path, which names one of the regions of its family that may have routes of their own.
 func regionPath(kind layout.Kind, number int64) string {
 	if !slices.Contains(reroutedKinds, kind.Name) {
 		return fmt.Sprint(kind.Path, number)
@@ -73,190 +89,195 @@
 	return fmt.Sprintf("%s%d/%d", kind.Path, number%workload.RegionsPerFamily, number)
 }
 
-// preparePeakTraffic starts the other services' backends and has the morning's state taken up.
-func preparePeakTraffic(rehearsal *Rehearsal) error {
-	chosen := rehearsal.Fleet.Layout
+// preparePeakTraffic starts the alternate services' backends and applies the initial state.
+func preparePeakTraffic(r *Rehearsal) error {
+	chosen := r.Fleet.Layout
 	content, err := examples.Desired(chosen.DesiredState)
 	if err != nil {
 		return err
 	}
 	state, faults := config.Parse(content)
 	if len(faults) > 0 {
-		return fmt.Errorf("%v", faults)
+		return fmt.Errorf("the example %s is invalid: %v", chosen.DesiredState, faults)
 	}
 	families := routeFamilies(chosen)
-	rehearsal.peak = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	rehearsal.Load.RequestPath, rehearsal.Load.MaxRetries, rehearsal.Load.RetryTimeout = regionPath, math.MaxInt, keyRetryTimeout
-	for _, one := range families {
-		index := slices.IndexFunc(chosen.Services, func(service layout.Service) bool { return service.Name == one.Service })
-		other := chosen.Services[index]
-		other.Name = one.Alternate
-		for number := range other.Backends {
-			if _, err := rehearsal.AddBackend(other, chosen.ProxyIndex(other, number)); err != nil {
-				return err
-			}
+	r.peak = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	r.Load.RequestPath, r.Load.MaxRetries, r.Load.RetryTimeout = regionPath, math.MaxInt, keyRetryTimeout
+	for _, family := range families {
+		if err := r.startAlternate(family); err != nil {
+			return err
 		}
-		rehearsal.History.AllowRoute(one.Kind, one.Service, 0)
-		rehearsal.History.AllowRoute(one.Kind, one.Alternate, 0)
 	}
-	applied, err := rehearsal.applyState(rehearsal.peak.State, "any")
+	applied, err := r.applyState(r.peak.State, "any")
 	if err != nil || applied.Outcome != "accepted" {
-		return fmt.Errorf("the morning's state was not accepted: %v %w", applied, err)
+		return fmt.Errorf("the initial state was not accepted: %v %w", applied, err)
 	}
-	return rehearsal.awaitProxiesReady()
+	return fleet.AwaitReady(r.Fleet.Proxies, readyTimeout)
 }
 
-// settled waits until every carrier that's ready sees the backends of all services.
-func (r *Rehearsal) awaitProxiesReady() error {
-	return fleet.AwaitReady(r.Fleet.Proxies, 20*time.Second)
+// startAlternate starts as many backends of a family's alternate service as its own service has.
+func (r *Rehearsal) startAlternate(family workload.RouteFamily) error {
+	services := r.Fleet.Layout.Services
+	index := slices.IndexFunc(services, func(service layout.Service) bool { return service.Name == family.Service })
+	alternate := services[index]
+	alternate.Name = family.Alternate
+	for number := range alternate.Backends {
+		if _, err := r.AddBackend(alternate, r.Fleet.Layout.ProxyIndex(alternate, number)); err != nil {
+			return err
+		}
+	}
+	r.History.AllowRoute(family.Kind, family.Service, 0)
+	r.History.AllowRoute(family.Kind, family.Alternate, 0)
+	return nil
 }
 
-func (r *Rehearsal) applyState(state *wire.DesiredState, expected string) (applied struct {
-	Version uint64
-	Outcome string
-}, err error) {
-	result, err := r.Operator.Apply(workload.EncodeState(state), expected, 40*time.Second)
-	applied.Version, applied.Outcome = result.Version, result.Outcome
-	return applied, err
+// applyState applies a state on top of an expected version, or of "any".
+func (r *Rehearsal) applyState(state *wire.DesiredState, expected string) (api.ApplyResult, error) {
+	return r.Operator.Apply(workload.EncodeState(state), expected, applyTimeout)
 }
 
-// deed is something that is done on a Friday.
+// action is one step of peak traffic.
 type action struct {
 	name          string
-	changesRoutes bool // it changes routes, and is left out of a quiet Friday
-	run           func(rehearsal *Rehearsal) error
-}
-
-// killed kills a process and has it start again.
-func (r *Rehearsal) killAndRestart(victim *fleet.Process, downtime time.Duration) {
-	r.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, r.Clock.Now())
-	victim.Kill()
-	r.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, r.Clock.Now())
-	r.restartAfter(victim, downtime)
+	changesRoutes bool // left out of a quiet run
+	run           func(r *Rehearsal) error
 }
 
 var (
-	changeOneRoute = action{"a change of a route", true, func(rehearsal *Rehearsal) error {
-		rehearsal.peak.State = rehearsal.peak.Next()
-		_, err := rehearsal.applyState(rehearsal.peak.State, "any")
-		return err
-	}}
-	changeStorm = action{"a storm of changes", true, func(rehearsal *Rehearsal) error {
-		ended := make(chan error, 8)
-		for range cap(ended) {
-			rehearsal.peak.State = rehearsal.peak.Next()
-			state := rehearsal.peak.State
-			go func() {
-				_, err := rehearsal.applyState(state, "any")
-				ended <- err
-			}()
-			time.Sleep(60 * time.Millisecond)
-		}
-		var faults []error
-		for range cap(ended) {
-			faults = append(faults, <-ended)
-		}
-		return errors.Join(faults...)
-	}}
-	operatorRace = action{"two operators race", true, func(rehearsal *Rehearsal) error {
-		// A change of its own first, whose serial both follow.
-		rehearsal.peak.State = rehearsal.peak.Next()
-		first, err := rehearsal.applyState(rehearsal.peak.State, "any")
-		if err != nil {
-			return err
-		}
-		type end struct {
-			state   *wire.DesiredState
-			outcome string
-			err     error
-		}
-		ended := make(chan end, 2)
-		for range cap(ended) {
-			state := rehearsal.peak.Next()
-			go func() {
-				applied, err := rehearsal.applyState(state, strconv.FormatUint(first.Version, 10))
-				ended <- end{state, applied.Outcome, err}
-			}()
-		}
-		won := 0
-		for range cap(ended) {
-			one := <-ended
-			err = errors.Join(err, one.err)
-			if one.outcome == "accepted" {
-				rehearsal.peak.State = one.state
-				won++
-			}
-		}
-		if err == nil && won != 1 {
-			rehearsal.AddFinding("%d of two operators that raced won", won)
-		}
-		return err
-	}}
-	killProxy = action{"a carrier dies and comes back", false, func(rehearsal *Rehearsal) error {
-		rehearsal.killAndRestart(randomItem(rehearsal.Fleet.Proxies), time.Second)
-		return nil
-	}}
-	restartProxy = action{"a carrier is restarted as planned", false, func(rehearsal *Rehearsal) error {
-		victim := randomItem(rehearsal.Fleet.Proxies)
-		victim.Stop(40 * time.Second)
-		rehearsal.restartAfter(victim, 100*time.Millisecond)
-		return nil
-	}}
-	killConfigStorePrimary = action{"the postmasters' primary dies", false, func(rehearsal *Rehearsal) error {
-		victim := rehearsal.AwaitPrimary(rehearsal.Fleet.ConfigStores)
-		victim.Kill()
-		rehearsal.restartAfter(victim, 2*time.Second)
-		return nil
-	}}
+	changeOneRoute         = action{"a change of a route", true, (*Rehearsal).changeRoute}
+	changeBurst            = action{"a burst of changes", true, (*Rehearsal).changeRoutesInBurst}
+	operatorRace           = action{"two operators race", true, (*Rehearsal).raceOperators}
+	killProxy              = action{"a proxy is killed and comes back", false, (*Rehearsal).killOneProxy}
+	restartProxy           = action{"a proxy is restarted as planned", false, (*Rehearsal).restartOneProxy}
+	killConfigStorePrimary = action{"the configuration store's primary is killed", false, (*Rehearsal).killConfigStorePrimary}
 )
 
-// peakActions is done again and again. Each deed begins when the one before has ended, but for the last two, which meet: the primary dies in
-// a storm.
-var peakActions = []action{changeOneRoute, changeStorm, killProxy, operatorRace, changeOneRoute, restartProxy, changeStorm, changeOneRoute}
+// peakActions repeat until the scenario's length has passed. After the last of them the configuration store's primary is killed
+// during a burst.
+var peakActions = []action{changeOneRoute, changeBurst, killProxy, operatorRace, changeOneRoute, restartProxy, changeBurst, changeOneRoute}
+
+func (r *Rehearsal) changeRoute() error {
+	r.peak.State = r.peak.Next()
+	_, err := r.applyState(r.peak.State, "any")
+	return err
+}
 
-// actionInterval is from the start of one deed to the start of the next, if that has ended.
-const actionInterval = 900 * time.Millisecond
+func (r *Rehearsal) changeRoutesInBurst() error {
+	outcomes := make(chan error, burstSize)
+	for range burstSize {
+		r.peak.State = r.peak.Next()
+		state := r.peak.State
+		go func() {
+			_, err := r.applyState(state, "any")
+			outcomes <- err
+		}()
+		time.Sleep(burstInterval)
+	}
+	var errs []error
+	for range burstSize {
+		errs = append(errs, <-outcomes)
+	}
+	return errors.Join(errs...)
+}
 
-// runPeakTraffic plays the day, with or without its changes. A quiet one does nothing where the other changes routes, at the same pace.
-func runPeakTraffic(changes bool) func(rehearsal *Rehearsal) error {
-	do := func(rehearsal *Rehearsal, one action) error {
-		if one.changesRoutes && !changes {
-			return nil
+// raceOperators has two operators apply different states on top of the same version. Exactly one of them must win.
+func (r *Rehearsal) raceOperators() error {
+	r.peak.State = r.peak.Next()
+	first, err := r.applyState(r.peak.State, "any")
+	if err != nil {
+		return err
+	}
+	type result struct {
+		state   *wire.DesiredState
+		outcome string
+		err     error
+	}
+	results := make(chan result, 2)
+	for range cap(results) {
+		state := r.peak.Next()
+		go func() {
+			applied, err := r.applyState(state, strconv.FormatUint(first.Version, 10))
+			results <- result{state, applied.Outcome, err}
+		}()
+	}
+	accepted := 0
+	for range cap(results) {
+		one := <-results
+		err = errors.Join(err, one.err)
+		if one.outcome == "accepted" {
+			r.peak.State = one.state
+			accepted++
 		}
-		rehearsal.Logf("%s", one.name)
-		return one.run(rehearsal)
 	}
-	return func(rehearsal *Rehearsal) error {
+	if err == nil && accepted != 1 {
+		r.AddFinding("%d of two operators that raced won", accepted)
+	}
+	return err
+}
+
+// killOneProxy kills a proxy and starts it again. Requests that were in flight there are excused by the markers around its end.
+func (r *Rehearsal) killOneProxy() error {
+	victim := randomItem(r.Fleet.Proxies)
+	r.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, r.Clock.Now())
+	victim.Kill()
+	r.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, r.Clock.Now())
+	r.restartAfter(victim, time.Second)
+	return nil
+}
+
+func (r *Rehearsal) restartOneProxy() error {
+	victim := randomItem(r.Fleet.Proxies)
+	victim.Stop(40 * time.Second)
+	r.restartAfter(victim, 100*time.Millisecond)
+	return nil
+}
+
+func (r *Rehearsal) killConfigStorePrimary() error {
+	victim := r.AwaitPrimary(r.Fleet.ConfigStores)
+	victim.Kill()
+	r.restartAfter(victim, 2*time.Second)
+	return nil
+}
+
+// runPeakTraffic gives the scenario's course with its route changes, or a quiet one that pauses instead, at the same intervals.
+func runPeakTraffic(changes bool) func(r *Rehearsal) error {
+	return func(r *Rehearsal) error {
 		began := time.Now()
-		for turn := 0; time.Since(began) < rehearsal.Options.Duration; turn++ {
+		for turn := 0; r.running(began); turn++ {
 			next := time.Now().Add(actionInterval)
-			if err := do(rehearsal, peakActions[turn%len(peakActions)]); err != nil {
+			if err := r.act(peakActions[turn%len(peakActions)], changes); err != nil {
 				return err
 			}
 			if turn%len(peakActions) == len(peakActions)-1 {
-				met := make(chan error, 1)
-				go func() { met <- do(rehearsal, changeStorm) }()
-				if err := errors.Join(do(rehearsal, killConfigStorePrimary), <-met); err != nil {
+				if err := r.killPrimaryDuringBurst(changes); err != nil {
 					return err
 				}
 			}
 			time.Sleep(time.Until(next))
 		}
-		rehearsal.Logf("nothing new is sent; who sent a key goes on asking")
-		rehearsal.Load.FinishRetries()
+		r.Logf("no new requests; keys that were not served yet are retried")
+		r.Load.FinishRetries()
 		if changes {
-			rehearsal.Logf("changes: %v", rehearsal.peak.Counts)
+			r.Logf("changes: %v", r.peak.Counts)
 		}
 		return nil
 	}
 }
 
-// Lookup tells whether a kind of traffic is the internal lookups of backends.
-func Lookup(kind string) bool { return strings.HasPrefix(kind, "lookup") }
+// act carries out an action, unless it changes routes and that is not wanted.
+func (r *Rehearsal) act(one action, changes bool) error {
+	if one.changesRoutes && !changes {
+		return nil
+	}
+	r.Logf("%s", one.name)
+	return one.run(r)
+}
 
-func init() {
-	checks := []invariants.Check{invariants.KeysExecutedOnce, invariants.VersionsAdopted, invariants.BreakerCountersMonotonic}
-	add(Scenario{Name: "friday-routes", Summary: "routes of submissions, corrections and downloads change alone, in storms and raced, while carriers restart and a primary dies",
-		Rules: []int{1, 3, 5, 6, 7}, Checks: checks, Prepare: preparePeakTraffic, Run: runPeakTraffic(true)})
-	add(Scenario{Name: "friday-quiet", Summary: "friday-routes without its changes, to compare", Rules: []int{1, 3, 5}, Checks: checks, Prepare: preparePeakTraffic, Run: runPeakTraffic(false)})
+func (r *Rehearsal) killPrimaryDuringBurst(changes bool) error {
+	burst := make(chan error, 1)
+	go func() { burst <- r.act(changeBurst, changes) }()
+	return errors.Join(r.act(killConfigStorePrimary, changes), <-burst)
 }
+
+// IsLookup reports whether a kind of traffic is one of the lookups that backends send to one another.
+func IsLookup(kind string) bool { return strings.HasPrefix(kind, "lookup") }
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -82,7 +82,7 @@
 // TestPeakTrafficRoutes plays a small Friday with real processes: a change of each kind, a storm and a race, while a carrier restarts and the primary
 // dies. It goes from event to event, however long each takes; callers ask for their keys until they're served.
 func TestPeakTrafficRoutes(t *testing.T) {
-	chosen := options(t, "friday-routes", 244)
+	chosen := options(t, "peak-routes", 245)
 	chosen.UseRelays = false
 	rehearsal, err := Open(chosen, t.Logf)
 	if rehearsal != nil {
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range []action{changeStorm, operatorRace} {
+	for _, one := range []action{changeBurst, operatorRace} {
 		if err := one.run(rehearsal); err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/rehearse/scenario/planned_stops.go
@@ -0,0 +1,143 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"syscall"
+	"time"
+
+	"snowflow/internal/rehearse/fleet"
+	"snowflow/internal/snowctl/doctor"
+)
+
+// errPreviousBuildRequired is the error of the versions scenario without an earlier build to roll from.
+var errPreviousBuildRequired = errors.New("the versions scenario needs --older, a folder of an earlier build's programs")
+
+func restartEachProcess(r *Rehearsal) error {
+	for _, process := range r.Fleet.All() {
+		r.Logf("stopping %s", process.Name)
+		if err := stop(process); err != nil {
+			return err
+		}
+		if err := r.restartAndAwait(process); err != nil {
+			return err
+		}
+	}
+	r.markRecovered()
+	return nil
+}
+
+// stop begins a planned stop and fails if the process does not end by itself within plannedStopTimeout.
+func stop(process *fleet.Process) error {
+	if !process.Stop(plannedStopTimeout) {
+		return fmt.Errorf("%s did not stop by itself", process.Name)
+	}
+	return nil
+}
+
+func killDrainingProxies(r *Rehearsal) error {
+	for _, backend := range r.Backends {
+		backend.SetWork(2_500_000)
+	}
+	r.Wait(r.partOfLength(0.2))
+	for turn, limit := range []time.Duration{3 * time.Second, 4 * time.Second, 5 * time.Second} {
+		victim := r.Fleet.Proxies[turn%len(r.Fleet.Proxies)]
+		began := time.Now()
+		go func() {
+			time.Sleep(500 * time.Millisecond)
+			victim.Signal(syscall.SIGTERM) // a second signal must change nothing
+		}()
+		ended := victim.Stop(limit)
+		r.Logf("%s was asked to stop, and ended by itself: %v, after %d ms", victim.Name, ended, time.Since(began).Milliseconds())
+		if err := r.restartAndAwait(victim); err != nil {
+			return err
+		}
+	}
+	for _, backend := range r.Backends {
+		backend.SetWork(backend.Service.WorkMicros)
+	}
+	r.markRecovered()
+	return nil
+}
+
+func rollVersions(r *Rehearsal) error {
+	if r.Options.PreviousBinaryDir == "" {
+		return errPreviousBuildRequired
+	}
+	for _, binaryDir := range []string{r.Options.PreviousBinaryDir, r.Fleet.BinaryDir} {
+		for _, process := range r.Fleet.All() {
+			if err := stop(process); err != nil {
+				return err
+			}
+			if err := r.Fleet.Start(process, binaryDir); err != nil {
+				return err
+			}
+			if err := fleet.AwaitReady([]*fleet.Process{process}, readyTimeout); err != nil {
+				return err
+			}
+		}
+		r.Logf("all processes run %s", binaryDir)
+		if err := r.applyVariant(time.Now().Nanosecond()); err != nil {
+			return err
+		}
+	}
+	r.markRecovered()
+	return nil
+}
+
+func moveSeeds(r *Rehearsal) error {
+	for index := range 2 {
+		r.Wait(r.partOfLength(0.2))
+		if !r.awaitSafeToStop(index) {
+			break
+		}
+		r.Logf("moving control plane host %d", index+1)
+		if err := r.moveControlPlaneHost(index); err != nil {
+			return err
+		}
+		r.Wait(r.partOfLength(0.2))
+	}
+	victim := randomItem(r.Fleet.Proxies)
+	victim.Kill()
+	if err := r.restartAndAwait(victim); err != nil {
+		return err
+	}
+	r.markRecovered()
+	return nil
+}
+
+// moveControlPlaneHost kills a control plane host's processes and starts them at another address. The seeds of all other
+// processes stay as they are.
+func (r *Rehearsal) moveControlPlaneHost(index int) error {
+	for _, process := range []*fleet.Process{r.Fleet.Registries[index], r.Fleet.ConfigStores[index]} {
+		process.Kill()
+		if err := r.Fleet.Move(process, 150+index); err != nil {
+			return err
+		}
+		if err := r.Fleet.Start(process, ""); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// awaitSafeToStop waits until the doctor reports that a control plane host may be stopped. It adds a finding and gives false
+// if that takes more than 30 s.
+func (r *Rehearsal) awaitSafeToStop(index int) bool {
+	names := []string{r.Fleet.Registries[index].Name, r.Fleet.ConfigStores[index].Name}
+	var addresses []string
+	for _, process := range r.Fleet.ConfigStores {
+		addresses = append(addresses, process.AdminAddress)
+	}
+	began := time.Now()
+	var objections []string
+	for ; time.Since(began) < 30*time.Second; time.Sleep(100 * time.Millisecond) {
+		mesh, err := doctor.Gather(addresses, 5*time.Second)
+		if _, objections = doctor.Safe(mesh, names); err == nil && len(objections) == 0 {
+			r.Logf("%v may stop, after %d ms", names, time.Since(began).Milliseconds())
+			return true
+		}
+	}
+	r.AddFinding("rule 12: %v may not stop after 30 s: %v", names, objections)
+	return false
+}
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -55,7 +55,8 @@
 // RunSize plays one run: it starts the core as processes and the carriers as hollow ones in this process, and measures.
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, Load: loadAverage(), Roles: map[string]Role{}}
-	made, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3}, options.Folder, options.Binaries, options.Base, false, "near", "warn")
+	made, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3},
+		fleet.Options{Dir: options.Folder, BinaryDir: options.Binaries, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
 	if err != nil {
 		return run, err
 	}
