--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"github.com/spf13/pflag"
+
 	"snowflow/internal/eventlog"
 	"snowflow/internal/rehearse/scenario"
 
--- a/internal/knownred/ci/main.go
+++ b/internal/knownred/ci/main.go
@@ -1,4 +1,4 @@
-// Ci runs go test with the arguments it's given and judges it by KNOWN-RED.txt.
+// Ci runs go test with its arguments and judges the run by KNOWN-RED.txt. It ends with 1 if the run doesn't pass, with 2 if it couldn't be judged.
 package main
 
 import (
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,4 +1,4 @@
-// Package knownred judges a run of the tests by the list of those that are known to fail. It lets pass just these.
+// Package knownred judges a test run by KNOWN-RED.txt, the list of tests that are known to fail: only failures of listed tests pass.
 package knownred
 
 import (
@@ -11,14 +11,15 @@
 	"strings"
 )
 
-// Entry is one line of the list.
+// Entry is one line of the list. No field is empty.
 type Entry struct {
 	Test  string // the package without its module, a dot, and the test's name
 	Cause string
 	Issue string
 }
 
-// Parse reads the list: a test, a cause and an issue on each line, with commas between. A cause may hold commas.
+// Parse reads the list: a test, a cause and an issue on each line, separated by commas. A cause may contain commas; empty lines are skipped. The error names
+// the first bad line.
 func Parse(content string) (entries []Entry, err error) {
 	seen := map[string]bool{}
 	for number, line := range strings.Split(content, "\n") {
@@ -50,22 +51,22 @@
 	Output  string
 }
 
-// outcome is what became of one test or package. Invariant: own holds what it said itself, without the go command's own lines.
+// outcome is the result of one test or package.
 type outcome struct {
 	action    string
 	output    []string
-	ownOutput bool
-	ended     bool // the testing package came to its own end with a failure, so that every test has run
+	ownOutput bool // it printed something itself, apart from the go command's own lines
+	ended     bool // the test binary ended in order with a failure, so every test has run
 }
 
-// Run is everything that was seen of one run.
+// Run is the recorded output of one run.
 type Run struct {
 	module   string
 	packages map[string]map[string]*outcome // by package, then by test; the package itself is under ""
 	stray    []string
 }
 
-// Read reads the go command's -json output.
+// Read reads the go command's -json output. Lines that aren't its events are kept and printed with the verdict.
 func Read(module string, stream io.Reader) (*Run, error) {
 	run := &Run{module: module, packages: map[string]map[string]*outcome{}}
 	lines := bufio.NewScanner(stream)
@@ -81,8 +82,9 @@
 	return run, lines.Err()
 }
 
+// record adds one event.
 func (run *Run) record(seen event) {
-	if seen.Package == "" { // of a build
+	if seen.Package == "" { // a build's output
 		if seen.Output != "" {
 			run.stray = append(run.stray, strings.TrimSuffix(seen.Output, "\n"))
 		}
@@ -108,13 +110,13 @@
 	present.ownOutput = present.ownOutput || line != "" && !strings.HasPrefix(line, "=== ") && !strings.HasPrefix(line, "--- ")
 }
 
-// Verdict is what is said of a run. Invariant: for the same list and the same outcomes it's the same text.
+// Verdict says whether a run passes, with a report. Invariant: the same list and the same outcomes give the same text.
 type Verdict struct {
 	Passed bool
 	Text   string
 }
 
-// Judge lets failures of listed tests pass, and nothing else. failed tells that the go command itself ended with a failure.
+// Judge passes a run whose only failures are of listed tests. failed means that the go command itself ended with a failure.
 func Judge(entries []Entry, run *Run, failed bool) Verdict {
 	verdict, report, red := Verdict{Passed: true}, &strings.Builder{}, map[string]bool{}
 	for _, line := range run.stray {
@@ -146,39 +148,56 @@
 	return verdict
 }
 
-// look gives what failed in a package and isn't let pass, and marks the entries that are red.
-func (run *Run) unlistedFailures(entries []Entry, name string, tests map[string]*outcome, red map[string]bool) (failures []string) {
-	folder, covered, failing := strings.TrimPrefix(name, run.module+"/"), map[string]bool{}, 0
-	for _, test := range slices.Sorted(maps.Keys(tests)) {
-		present := tests[test]
-		if test == "" || present.action != "fail" && present.action != "" && present.action != "run" {
-			continue
-		}
-		if present.action != "fail" {
-			failures = append(failures, folder+"."+test+" did not end")
-			continue
-		}
-		failing++
-		for _, entry := range entries {
-			if listed := strings.TrimPrefix(entry.Test, folder+"."); listed != entry.Test && (listed == test || strings.HasPrefix(test, listed+"/")) {
-				covered[test], red[entry.Test] = true, true
-			}
+// unlistedFailures returns what failed in a package and isn't listed, and marks the listed tests that failed in red.
+func (run *Run) unlistedFailures(entries []Entry, name string, tests map[string]*outcome, red map[string]bool) []string {
+	folder, names := strings.TrimPrefix(name, run.module+"/"), slices.Sorted(maps.Keys(tests))
+	covered, failing := map[string]bool{}, 0
+	var unended, failures []string
+	for _, test := range names {
+		switch present := tests[test]; {
+		case test == "":
+		case present.action == "fail":
+			failing++
+			covered[test] = markListed(entries, folder, test, red)
+		case present.action == "" || present.action == "run":
+			unended = append(unended, folder+"."+test+" did not end")
 		}
 	}
-	for _, test := range slices.Sorted(maps.Keys(tests)) {
+	for _, test := range names {
 		if test != "" && tests[test].action == "fail" && !covered[test] && !onlyBelow(test, tests, covered) {
 			failures = append(failures, folder+"."+test)
 		}
 	}
-	if packageOutcome := tests[""]; packageOutcome != nil && packageOutcome.action == "fail" && (failing == 0 || !packageOutcome.ended) {
-		failures = append(failures, folder+" failed otherwise than by a test")
-	} else if packageOutcome == nil || packageOutcome.action != "fail" && packageOutcome.action != "pass" && packageOutcome.action != "skip" {
-		failures = append(failures, folder+" did not end")
+	failures = append(unended, failures...)
+	if why := packageFailure(tests[""], failing); why != "" {
+		failures = append(failures, folder+why)
 	}
 	return failures
 }
 
-// onlyBelow tells whether a test failed for nothing but tests below it that are let pass: it says nothing itself.
+// markListed reports whether a failed test, or one above it, is listed, and marks the entry in red.
+func markListed(entries []Entry, folder, test string, red map[string]bool) (listed bool) {
+	for _, entry := range entries {
+		name, inFolder := strings.CutPrefix(entry.Test, folder+".")
+		if inFolder && (name == test || strings.HasPrefix(test, name+"/")) {
+			listed, red[entry.Test] = true, true
+		}
+	}
+	return listed
+}
+
+// packageFailure returns what is wrong with a package beyond its failing tests, or nothing.
+func packageFailure(present *outcome, failing int) string {
+	switch {
+	case present != nil && present.action == "fail" && (failing == 0 || !present.ended):
+		return " failed otherwise than by a test"
+	case present == nil || present.action != "fail" && present.action != "pass" && present.action != "skip":
+		return " did not end"
+	}
+	return ""
+}
+
+// onlyBelow reports whether a test failed only because of listed subtests: it has no output of its own.
 func onlyBelow(test string, tests map[string]*outcome, covered map[string]bool) bool {
 	below := false
 	for other, present := range tests {
@@ -192,7 +211,7 @@
 	return below && !tests[test].ownOutput
 }
 
-// tell says how an entry's test did, if its package was run.
+// reportEntry writes how an entry's test did, if its package was run.
 func (run *Run) reportEntry(report *strings.Builder, entry Entry, red map[string]bool) {
 	if red[entry.Test] {
 		fmt.Fprintf(report, "known red: %s, %s, %s\n", entry.Test, entry.Cause, entry.Issue)
