--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -13,8 +13,7 @@
 	"snowflow/internal/knownred"
 )
 
-// TestJudge keeps verdicts. A line is a package, a test (- for the package itself), and what became of it: an action, or text
-// that was put out.
+// TestJudge approves verdicts. A line is a package, a test (- for the package itself), and its result: an action, or text that it printed.
 func TestJudge(t *testing.T) {
 	entries := []knownred.Entry(nil)
 	datadriven.RunTest(t, "testdata/verdicts", func(t *testing.T, data *datadriven.TestData) string {
@@ -77,7 +76,7 @@
 }
 `
 
-// TestWithGo has the go command itself run tests, through the project's own .ci/run.
+// TestWithGo runs tests by the go command itself, through the project's own .ci/run.
 func TestWithGo(t *testing.T) {
 	script, err := os.ReadFile("../../.ci/run")
 	if err != nil {
