--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -20,11 +20,11 @@
 func build(program *daemon.Daemon) error {
 	metrics := daemon.NewRequestCounters(program.Registry)
 	sidecar := proxy.New(proxy.Options{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Domain: program.Settings["domain"],
-		Address: program.Settings["advertise"], IgnoreZones: program.Settings["balance"] == settings.BalanceUniform, CrossZonePenalty: monotonic.Micros(program.Settings.Int("far-penalty")), Upstream: upstream.New(program.Host, upstream.DefaultDialect()), Finished: metrics.CountRequest})
+		Address: program.Settings["advertise"], IgnoreDomains: program.Settings["balance"] == settings.BalanceUniform, CrossDomainPenalty: monotonic.Micros(program.Settings.Int("far-penalty")), Upstream: upstream.New(program.Host, upstream.DefaultDialect()), OnFinished: metrics.CountRequest})
 	sidecar.Register(program.Handlers)
 	program.AddGauges([]daemon.Gauge{
 		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(sidecar.Forwarder.InFlight()) }},
-		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(sidecar.Admission.Running()) }},
+		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(sidecar.Admission.InFlight()) }},
 		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: sidecar.LocalBackends.Ejected},
 		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
 	})
--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -53,10 +53,10 @@
 	Upstream      Upstream
 	// LinkMegabits is the capacity of this host's link in megabits a second; zero for no limit.
 	LinkMegabits float64
-	// ServeOn accepts requests whatever configuration they were routed by, and without a lease on the configuration.
-	ServeOn bool
-	// CallPrimary sends a request to the registry's leader until the timeout, see session.Client.CallPrimary.
-	CallPrimary func(kind wire.Kind, message, reply proto.Message, timeout monotonic.Micros) error
+	// ServeStale accepts requests whatever configuration they were routed by, and without a lease on the configuration.
+	ServeStale bool
+	// CallLeader sends a request to the registry's leader until the timeout, see session.Client.CallLeader.
+	CallLeader func(kind wire.Kind, message, reply proto.Message, timeout monotonic.Micros) error
 	// CallProxy sends a message to another proxy by name.
 	CallProxy func(name string, kind wire.Kind, message, reply proto.Message, timeout monotonic.Micros) error
 }
@@ -106,8 +106,8 @@
 // exists so that tests can show that the simulation's invariants detect it; no program calls it.
 func (c *Controller) ClaimPerService(enabled bool) { c.claimPerService = enabled }
 
-// Running returns the number of requests in flight.
-func (c *Controller) Running() int64 { return c.running.Load() }
+// InFlight returns the number of requests in flight.
+func (c *Controller) InFlight() int64 { return c.running.Load() }
 
 // StopAccepting makes the controller reject new requests, and those that wait for a slot, as not run.
 func (c *Controller) StopAccepting() {
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -81,7 +81,7 @@
 		ReadAt:      req.ReadAt,
 	}
 	reply := &wire.ClaimResponse{}
-	return reply, c.options.CallPrimary(wire.Kind_claim, claim, reply, timeout)
+	return reply, c.options.CallLeader(wire.Kind_claim, claim, reply, timeout)
 }
 
 // claimRejected returns the recorded response of the attempt that has the key, or the fault of a claim that was not granted.
@@ -114,5 +114,5 @@
 // can't be reached the key stays claimed until it expires: that is safe, but the caller has to wait.
 func (c *Controller) releaseClaim(req *wire.ForwardRequest) {
 	release := &wire.CompleteClaimRequest{Scope: req.Scope, Attempt: req.Attempt}
-	_ = c.options.CallPrimary(wire.Kind_complete_claim, release, &wire.CompleteClaimResponse{}, claimReleaseTimeout)
+	_ = c.options.CallLeader(wire.Kind_complete_claim, release, &wire.CompleteClaimResponse{}, claimReleaseTimeout)
 }
--- a/internal/proxy/admission/claim_test.go
+++ b/internal/proxy/admission/claim_test.go
@@ -57,7 +57,7 @@
 }
 
 func newClaimController(process *world.Host, registry *fakeRegistry) *Controller {
-	return New(Options{Host: process, Proxy: "here", Replay: replay.New(process), CallPrimary: registry.call,
+	return New(Options{Host: process, Proxy: "here", Replay: replay.New(process), CallLeader: registry.call,
 		CallProxy: func(string, wire.Kind, proto.Message, proto.Message, monotonic.Micros) error {
 			return errors.New("no other proxy")
 		}})
--- a/internal/proxy/admission/preconditions.go
+++ b/internal/proxy/admission/preconditions.go
@@ -49,7 +49,7 @@
 
 // checkLease rejects requests while this proxy has no lease on its configuration, unless it serves on without one.
 func (c *Controller) checkLease() *apierror.Fault {
-	if _, live := c.options.ConfigClient.Current(); !live && !c.options.ServeOn {
+	if _, live := c.options.ConfigClient.Current(); !live && !c.options.ServeStale {
 		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "proxy %s has no lease on its configuration", c.options.Proxy)
 	}
 	return nil
@@ -57,7 +57,7 @@
 
 // checkVersion rejects requests that were routed by an outdated configuration, or by one that this proxy does not adopt in time.
 func (c *Controller) checkVersion(req *wire.ForwardRequest) *apierror.Fault {
-	if c.options.ServeOn {
+	if c.options.ServeStale {
 		return nil
 	}
 	version, age := c.options.ConfigClient.Version()
@@ -77,7 +77,7 @@
 	if snapshot != nil && snapshot.Services[req.Service] != nil {
 		return snapshot.Services[req.Service], nil
 	}
-	if c.options.ServeOn {
+	if c.options.ServeStale {
 		return config.DefaultService(req.Service), nil // the sender has another version
 	}
 	return nil, apierror.New(apierror.VersionOlder, apierror.NotRun, "service %s is not in configuration version %d", req.Service, snapshot.Version)
--- a/internal/proxy/backendapi/backendapi.go
+++ b/internal/proxy/backendapi/backendapi.go
@@ -111,13 +111,13 @@
 }
 
 func (a *api) breakers(writer http.ResponseWriter, _ *http.Request) {
-	WriteJSON(writer, http.StatusOK, a.proxy.Breaker.Statuses())
+	WriteJSON(writer, http.StatusOK, a.proxy.Breakers.Statuses())
 }
 
 func (a *api) controlBreaker(writer http.ResponseWriter, incoming *http.Request) {
-	if err := a.proxy.Breaker.SetControl(chi.URLParam(incoming, "service"), chi.URLParam(incoming, "control")); err != nil {
+	if err := a.proxy.Breakers.SetControl(chi.URLParam(incoming, "service"), chi.URLParam(incoming, "control")); err != nil {
 		WriteError(writer, err)
 		return
 	}
-	WriteJSON(writer, http.StatusOK, a.proxy.Breaker.Statuses())
+	WriteJSON(writer, http.StatusOK, a.proxy.Breakers.Statuses())
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -33,7 +33,7 @@
 	h := p.options.Host
 	deadline := h.Now() + grace
 	replyDeadline := deadline - min(grace/5, finalReplyTime)
-	h.Report(eventlog.ProcessDraining, map[string]any{"running": p.Forwarder.InFlight() + p.Admission.Running()})
+	h.Report(eventlog.ProcessDraining, map[string]any{"running": p.Forwarder.InFlight() + p.Admission.InFlight()})
 	propagation := p.linger(replyDeadline)
 	p.leaving.Store(true)
 	p.Session.PollNow()
@@ -51,7 +51,7 @@
 	answered := p.Forwarder.Drain(deadline - h.Now())
 	answered = p.Admission.Drain(deadline-h.Now()) && answered
 	p.ConfigClient.Release(min(max(deadline-h.Now(), minLeaseReleaseTime), maxLeaseReleaseTime))
-	p.Breaker.Close(min(max(deadline-h.Now(), 0), maxBreakerCloseTime))
+	p.Breakers.Close(min(max(deadline-h.Now(), 0), maxBreakerCloseTime))
 	h.Report(eventlog.ProcessDrained, map[string]any{"answered": answered, "whole": complete})
 	return answered
 }
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -69,8 +69,8 @@
 	// SilenceTimeout is how long a proxy with requests in flight may give no response before it is sent a health check; 0
 	// stands for 700 ms.
 	SilenceTimeout monotonic.Micros
-	// CallPrimary calls the registry's leader.
-	CallPrimary func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
+	// CallLeader calls the registry's leader.
+	CallLeader func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
 	// StoreResponse is given the response of each request with an idempotency key, for repetitions of the request after the
 	// backend's proxy has gone. It may be nil.
 	StoreResponse func(scope string, digest []byte, response *request.Response)
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -134,7 +134,7 @@
 		Breakers:     breaker.NewSet(breaker.Config{Host: callHost, Proxy: "proxy-0", Call: ft.callPrimary}),
 		RetryBudget:  retry.NewBudget(callHost, func(allowance uint32) float64 { return float64(allowance) }),
 		Admission:    localAdmission{ft.t},
-		CallPrimary:  ft.callPrimary,
+		CallLeader:   ft.callPrimary,
 		OnFinished:   func(exchange *Exchange, _ *request.Response, _ *apierror.Fault) { ft.exchange = exchange },
 	})
 }
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -84,7 +84,7 @@
 	timeout := min(max(exchange.Deadline-f.config.Host.Now(), minVoidTimeout), voidTimeout)
 	message := &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence}
 	response := &wire.VoidClaimResponse{}
-	if err := f.config.CallPrimary(wire.Kind_void_claim, message, response, timeout); err != nil {
+	if err := f.config.CallLeader(wire.Kind_void_claim, message, response, timeout); err != nil {
 		return ""
 	}
 	if response.Fence != nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -38,18 +38,18 @@
 	Name     string // of this proxy, unique in the mesh
 	Domain   string // failure domain of this host, such as a zone
 	Address  string // at which other proxies reach this one
-	// IgnoreZones makes the load balancer treat backends of all failure domains alike.
-	IgnoreZones bool
-	// CrossZonePenalty is the latency that the load balancer adds to backends of other failure domains.
-	CrossZonePenalty monotonic.Micros
-	Upstream         admission.Upstream
+	// IgnoreDomains makes the load balancer treat backends of all failure domains alike.
+	IgnoreDomains bool
+	// CrossDomainPenalty is the latency that the load balancer adds to backends of other failure domains.
+	CrossDomainPenalty monotonic.Micros
+	Upstream           admission.Upstream
 	// ReadConfig reads an accepted configuration. Nil means config.Accepted.
 	ReadConfig config.Parser
-	// ServeOn makes this proxy serve on by its last known configuration while it has no contact to the configuration store. The
+	// ServeStale makes this proxy serve on by its last known configuration while it has no contact to the configuration store. The
 	// store must have the same setting.
-	ServeOn bool
-	// Finished is called with the outcome of each request of a caller.
-	Finished func(exchange *forward.Exchange, answer *request.Response, fault *apierror.Fault)
+	ServeStale bool
+	// OnFinished is called with the outcome of each request of a caller.
+	OnFinished func(exchange *forward.Exchange, answer *request.Response, fault *apierror.Fault)
 	// IdempotencyTTL is how long the responses to idempotency keys are recorded. It must be as long as the registry keeps the
 	// keys. Zero means two minutes.
 	IdempotencyTTL monotonic.Micros
@@ -69,7 +69,7 @@
 	ConfigClient  *configclient.Client
 	Session       *session.Client
 	LocalBackends *localbackends.Set
-	Breaker       *breaker.Set
+	Breakers      *breaker.Set
 	RetryBudget   *retry.Budget
 	Singleton     *singleton.Client
 	Admission     *admission.Controller
@@ -89,23 +89,23 @@
 		Incarnation: p.incarnation,
 		ClockWatch:  p.clockWatch,
 		Parse:       options.ReadConfig,
-		ServeStale:  options.ServeOn,
+		ServeStale:  options.ServeStale,
 	})
 	p.Session = session.New(options.Host, options.Resolver, p.currentSession, p.clockWatch)
 	p.LocalBackends = localbackends.New(options.Host, p.Session.PollNow)
-	p.Breaker = breaker.NewSet(breaker.Config{
+	p.Breakers = breaker.NewSet(breaker.Config{
 		Host:        options.Host,
 		Proxy:       options.Name,
 		Incarnation: p.incarnation,
 		Call:        p.callLeaderOnce,
 	})
-	p.Session.Activity = p.Breaker.TakeActivity
-	p.Session.ApplyBreakers = func(records []*wire.BreakerRecord, reached bool) { p.Breaker.ApplyPoll(records, reached) }
+	p.Session.Activity = p.Breakers.TakeActivity
+	p.Session.ApplyBreakers = func(records []*wire.BreakerRecord, reached bool) { p.Breakers.ApplyPoll(records, reached) }
 	p.Singleton = singleton.New(singleton.Options{
-		Host:        options.Host,
-		Proxy:       options.Name,
-		Available:   p.LocalBackends.Available,
-		CallPrimary: p.Session.CallPrimary,
+		Host:       options.Host,
+		Proxy:      options.Name,
+		Available:  p.LocalBackends.Available,
+		CallLeader: p.Session.CallLeader,
 	})
 	p.RetryBudget = retry.NewBudget(options.Host, p.Session.QuotaShare)
 	replays := replay.New(options.Host)
@@ -130,8 +130,8 @@
 		Replay:        replays,
 		Upstream:      p.options.Upstream,
 		LinkMegabits:  p.options.LinkMegabits,
-		ServeOn:       p.options.ServeOn,
-		CallPrimary:   p.Session.CallPrimary,
+		ServeStale:    p.options.ServeStale,
+		CallLeader:    p.Session.CallLeader,
 		CallProxy:     p.callProxy,
 	})
 }
@@ -142,16 +142,16 @@
 		Proxy:              p.options.Name,
 		Incarnation:        p.incarnation,
 		Domain:             p.options.Domain,
-		IgnoreDomains:      p.options.IgnoreZones,
-		CrossDomainPenalty: p.options.CrossZonePenalty,
+		IgnoreDomains:      p.options.IgnoreDomains,
+		CrossDomainPenalty: p.options.CrossDomainPenalty,
 		ConfigClient:       p.ConfigClient,
 		Session:            p.Session,
-		Breakers:           p.Breaker,
+		Breakers:           p.Breakers,
 		RetryBudget:        p.RetryBudget,
 		Admission:          p.Admission,
-		CallPrimary:        p.Session.CallPrimary,
+		CallLeader:         p.Session.CallLeader,
 		StoreResponse:      replays.Put,
-		OnFinished:         p.options.Finished,
+		OnFinished:         p.options.OnFinished,
 		SilenceTimeout:     p.options.SilenceTimeout,
 	})
 }
@@ -164,7 +164,7 @@
 func (p *Proxy) Start() {
 	p.clockWatch.Every(p.Forwarder.ProbeInterval(), p.Forwarder.ProbeSilentPeers)
 	p.clockWatch.Every(sweepInterval, p.LocalBackends.Sweep)
-	for _, task := range []func(){p.clockWatch.Run, p.ConfigClient.Run, p.Session.Run, p.Breaker.SendWrites} {
+	for _, task := range []func(){p.clockWatch.Run, p.ConfigClient.Run, p.Session.Run, p.Breakers.SendWrites} {
 		p.options.Host.Go(task)
 	}
 }
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -45,7 +45,7 @@
 				client := New(process, resolver, emptySession, steadyClock(process))
 				for range waiters {
 					process.Go(func() {
-						if client.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{}, &wire.ClaimResponse{}, 5*monotonic.Second) == nil {
+						if client.CallLeader(wire.Kind_claim, &wire.ClaimRequest{}, &wire.ClaimResponse{}, 5*monotonic.Second) == nil {
 							answered++
 							slowest = max(slowest, simulated.Now()-began-3*monotonic.Second)
 						}
@@ -141,7 +141,7 @@
 				claim := func(scope string, timeout monotonic.Micros, ended func(response *wire.ClaimResponse, err error)) {
 					process.Go(func() {
 						response := &wire.ClaimResponse{}
-						err := client.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: scope}, response, timeout)
+						err := client.CallLeader(wire.Kind_claim, &wire.ClaimRequest{Scope: scope}, response, timeout)
 						ended(response, err)
 					})
 				}
@@ -219,7 +219,7 @@
 			for index := range 20 {
 				process.Go(func() {
 					response := &wire.ClaimResponse{}
-					err := client.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: fmt.Sprint(index)}, response, monotonic.Second)
+					err := client.CallLeader(wire.Kind_claim, &wire.ClaimRequest{Scope: fmt.Sprint(index)}, response, monotonic.Second)
 					if err == nil && response.Outcome == fmt.Sprint(index) {
 						answered++
 					}
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -92,7 +92,7 @@
 		resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "frozen"}})
 		client := New(process, resolver, emptySession, steadyClock(process))
 		response, began := &wire.ClaimResponse{}, process.Now()
-		err := client.CallPrimary(wire.Kind_claim, &wire.ClaimRequest{Scope: "key"}, response, 600*monotonic.Millisecond)
+		err := client.CallLeader(wire.Kind_claim, &wire.ClaimRequest{Scope: "key"}, response, 600*monotonic.Millisecond)
 		if took := process.Now() - began; err != nil || response.Outcome != "key" || took > 550*monotonic.Millisecond {
 			t.Errorf("%v, %q after %d microseconds", err, response.Outcome, took)
 		}
--- a/internal/proxy/session/leader_call.go
+++ b/internal/proxy/session/leader_call.go
@@ -24,10 +24,10 @@
 	leaderCheckInterval = 50 * monotonic.Millisecond
 )
 
-// CallPrimary sends a request to the registry's leader and fills response with its answer. It repeats the request, also across
+// CallLeader sends a request to the registry's leader and fills response with its answer. It repeats the request, also across
 // a failover, until it is answered or timeout has passed, so the request must be idempotent. An error that satisfies
 // apierror.IsLost means that a leader may have executed the request; any other error means that none did.
-func (c *Client) CallPrimary(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
+func (c *Client) CallLeader(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	if batchCommand(request) != nil {
 		return c.batcher.call(kind, request, response, timeout)
 	}
--- a/internal/proxy/singleton/singleton.go
+++ b/internal/proxy/singleton/singleton.go
@@ -27,8 +27,8 @@
 	Proxy string // name of this proxy
 	// Available reports whether an instance is registered here, alive and not leaving.
 	Available func(instance string) bool
-	// CallPrimary sends a request to the registry's leader until the timeout, see session.Client.CallPrimary.
-	CallPrimary func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
+	// CallLeader sends a request to the registry's leader until the timeout, see session.Client.CallLeader.
+	CallLeader func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
 }
 
 // Client requests leases on roles for the backends of this host. It is safe for concurrent use.
@@ -67,7 +67,7 @@
 	sentAt := c.options.Host.Now()
 	request := &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Duration: int64(length)}
 	response := &wire.SingletonLeaseResponse{}
-	if err := c.options.CallPrimary(wire.Kind_singleton_lease, request, response, callTimeout); err != nil {
+	if err := c.options.CallLeader(wire.Kind_singleton_lease, request, response, callTimeout); err != nil {
 		return Grant{}, apierror.Lost.Wrap(err, "whether the role was granted is not known")
 	}
 	if !response.Granted {
@@ -85,7 +85,7 @@
 // itself.
 func (c *Client) Release(role, instance string) error {
 	request := &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Release: true}
-	if err := c.options.CallPrimary(wire.Kind_singleton_lease, request, &wire.SingletonLeaseResponse{}, callTimeout); err != nil {
+	if err := c.options.CallLeader(wire.Kind_singleton_lease, request, &wire.SingletonLeaseResponse{}, callTimeout); err != nil {
 		return apierror.Lost.Wrap(err, "whether the role was given up is not known")
 	}
 	return nil
--- a/internal/proxy/singleton/singleton_test.go
+++ b/internal/proxy/singleton/singleton_test.go
@@ -24,7 +24,7 @@
 				Host:      process,
 				Proxy:     "proxy",
 				Available: func(instance string) bool { return instance == "here" },
-				CallPrimary: func(_ wire.Kind, _, reply proto.Message, _ monotonic.Micros) error {
+				CallLeader: func(_ wire.Kind, _, reply proto.Message, _ monotonic.Micros) error {
 					process.Sleep(monotonic.Second)
 					proto.Merge(reply, response)
 					return err
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -49,11 +49,11 @@
 		ConfigAgeMicros:  int64(age),
 		ConfigUpdates:    p.ConfigClient.Stats(),
 		Running:          p.Forwarder.InFlight(),
-		AdmittedRunning:  p.Admission.Running(),
+		AdmittedRunning:  p.Admission.InFlight(),
 		Backends:         p.LocalBackends.Backends(),
 		BackendHealth:    p.LocalBackends.Health(),
-		Breakers:         p.Breaker.Statuses(),
-		BreakersDegraded: p.Breaker.Degraded(),
+		Breakers:         p.Breakers.Statuses(),
+		BreakersDegraded: p.Breakers.Degraded(),
 		Members:          p.Session.Directory().Live,
 		DirectoryUpdates: p.Session.UpdateCounts(),
 	}
@@ -71,7 +71,7 @@
 	if !live {
 		return false, "the lease on the configuration has ended"
 	}
-	servesOn := p.options.ServeOn && p.Session.HasDirectory()
+	servesOn := p.options.ServeStale && p.Session.HasDirectory()
 	if !p.Session.Registered() && !servesOn {
 		return false, "no registry server has answered lately"
 	}
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -170,7 +170,7 @@
 	present := p.present()[index]
 	response := &wire.ClaimResponse{}
 	request := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: present.name, Incarnation: present.proxy.Incarnation(), ReadAt: present.proxy.LeaderClock()}
-	err = present.proxy.Session.CallPrimary(wire.Kind_claim, request, response, timeout)
+	err = present.proxy.Session.CallLeader(wire.Kind_claim, request, response, timeout)
 	return response.Outcome == "granted", err
 }
 
@@ -178,12 +178,12 @@
 func (p *Pool) Trip(index, service int) error {
 	present := p.present()[index]
 	request := &wire.BreakerWriteRequest{Service: Service(service), Verb: "trip", Proxy: present.name, Incarnation: present.proxy.Incarnation(), Settings: config.DefaultService(Service(service)).BreakerTerms()}
-	return present.proxy.Session.CallPrimary(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
+	return present.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
 // Guarded counts the guards' records that a carrier was told of.
 func (p *Pool) Guarded(index int) int {
-	return len(p.present()[index].proxy.Breaker.Statuses())
+	return len(p.present()[index].proxy.Breakers.Statuses())
 }
 
 // Restart ends one carrier without a word and starts it anew at once.
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -93,7 +93,7 @@
 
 // counted is the number of calls that a carrier's guards have counted in all.
 func (s *configChangeScene) countedCalls(name string) (calls uint64) {
-	for _, shown := range s.mesh.proxies[name].Breaker.Statuses() {
+	for _, shown := range s.mesh.proxies[name].Breakers.Statuses() {
 		calls += shown.Calls
 	}
 	return calls
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -355,14 +355,14 @@
 		resolver.Register(table)
 		h.Go(func() { resolver.Run(monotonic.Second) })
 		instance := proxy.New(proxy.Options{Host: h, Resolver: resolver, Name: name, Domain: fmt.Sprintf("zone-%d", index%m.topology.Zones+1),
-			Address: name + ":carrier", Upstream: &simulatedUpstream{mesh: m, host: h}, ServeOn: m.topology.Bounds.ServeStale, Linger: m.topology.DrainLinger})
+			Address: name + ":carrier", Upstream: &simulatedUpstream{mesh: m, host: h}, ServeStale: m.topology.Bounds.ServeStale, Linger: m.topology.DrainLinger})
 		instance.Admission.SkipClaims(m.defects.NoClaims)
 		instance.Admission.ClaimPerService(m.defects.ClaimPerService)
 		instance.ConfigClient.IgnoreLease(m.defects.NoServingLease)
 		instance.Session.SkipDigestChecks(m.defects.UncheckedDirectoryDelta)
 		instance.Singleton.IgnoreExpiry(m.defects.IgnoreDutyExpiry)
 		instance.RetryBudget.SetUnlimited(m.defects.NoRetryBudget)
-		instance.Breaker.SkipProbeLeases(m.defects.NoProbeLease)
+		instance.Breakers.SkipProbeLeases(m.defects.NoProbeLease)
 		instance.TrustClock(m.defects.TrustClock)
 		instance.Forwarder.DisableRetryAfterJitter(m.defects.SameRetryAfter)
 		instance.Register(table)
@@ -497,9 +497,9 @@
 	now, proxyProcess := m.World.Now(), m.proxies[name]
 	if m.contentSums[view] == "" {
 		m.contentSums[view] = view.Fingerprint()
-		for _, shown := range proxyProcess.Breaker.Statuses() {
+		for _, shown := range proxyProcess.Breakers.Statuses() {
 			if m.defects.ResetCounters {
-				_ = proxyProcess.Breaker.SetControl(shown.Service, "reset")
+				_ = proxyProcess.Breakers.SetControl(shown.Service, "reset")
 			}
 		}
 	}
@@ -507,7 +507,7 @@
 	if !m.recordCallCounts {
 		return
 	}
-	for _, shown := range proxyProcess.Breaker.Statuses() {
+	for _, shown := range proxyProcess.Breakers.Statuses() {
 		m.History.RecordCallCounts(invariants.CallCounts{Proxy: name, Incarnation: proxyProcess.Incarnation(), Service: shown.Service, At: now, Calls: shown.Calls, Window: shown.Window,
 			Verdict: fmt.Sprint(shown.Shared, shown.Version, shown.Local, shown.Control)})
 	}
@@ -517,6 +517,6 @@
 func (m *Mesh) localVerdictPossible() bool {
 	return slices.ContainsFunc(m.proxyNames, func(name string) bool {
 		node, proxyProcess := m.World.Node(name), m.proxies[name]
-		return !node.Up() || m.World.Frozen(node) || proxyProcess.Breaker.Degraded() || proxyProcess.Now()-m.startedAt[name] < 5*monotonic.Second
+		return !node.Up() || m.World.Frozen(node) || proxyProcess.Breakers.Degraded() || proxyProcess.Now()-m.startedAt[name] < 5*monotonic.Second
 	})
 }
