--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -114,9 +114,9 @@
 		count(receivedDescription, totals.Received, address)
 	}
 	for kind, total := range c.host.MessageCounts() {
-		count(messagesDescription, total.Sent, kind.String(), "sent")
-		count(messageBytesDescription, total.SentBytes, kind.String(), "sent")
-		count(messagesDescription, total.Received, kind.String(), "received")
-		count(messageBytesDescription, total.ReceivedBytes, kind.String(), "received")
+		count(messagesDescription, total.Sent, machine.KindLabel(kind), "sent")
+		count(messageBytesDescription, total.SentBytes, machine.KindLabel(kind), "sent")
+		count(messagesDescription, total.Received, machine.KindLabel(kind), "received")
+		count(messageBytesDescription, total.ReceivedBytes, machine.KindLabel(kind), "received")
 	}
 }
--- a/internal/host/machine/counters_test.go
+++ b/internal/host/machine/counters_test.go
@@ -73,3 +73,19 @@
 		t.Errorf("the next call: %v", err)
 	}
 }
+
+// TestKindLabelsAreStable checks that each kind has the label under which it was first published, by its number on the wire.
+func TestKindLabelsAreStable(t *testing.T) {
+	labels := map[wire.Kind]string{
+		0: "kind_unset", 1: "whois", 2: "register_read", 3: "register_promise", 4: "register_accept", 5: "tenure_ask", 6: "replicate", 7: "install",
+		8: "handover", 9: "sessions_tell", 10: "enroll", 20: "sorter_poll", 21: "claim", 22: "void", 23: "claim_settle", 24: "probe_lease",
+		25: "guard_write", 26: "duty", 27: "sorter_status", 28: "sorter_batch", 40: "desired_poll", 41: "desired_apply", 42: "desired_read",
+		43: "postmaster_status", 60: "pass", 61: "recall", 62: "pass_bulk", 63: "pass_cancel",
+	}
+	for number := range wire.Kind_name {
+		kind := wire.Kind(number)
+		if got := KindLabel(kind); got != labels[kind] {
+			t.Errorf("kind %d is labelled %s, want %q", kind, got, labels[kind])
+		}
+	}
+}
