--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"slices"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
@@ -50,3 +51,72 @@
 		t.Errorf("the known processes are %v", full)
 	}
 }
+
+// addressesOf returns the known addresses of a name, in the order of their rank.
+func addressesOf(resolver *Resolver, name string) (addresses []string) {
+	for _, known := range resolver.Peers() {
+		if known.Name == name {
+			addresses = append(addresses, known.Address)
+		}
+	}
+	return addresses
+}
+
+// TestAddressRanks checks that a new address is ranked second, that a known one keeps its rank, that the last one is dropped beyond
+// maxAddresses, and that the first goes to the end after a failed call.
+func TestAddressRanks(t *testing.T) {
+	resolver := New(nil, nil, nil)
+	for _, address := range []string{"a", "b", "c", "a", "d", "e", ""} {
+		resolver.AddPeers([]*wire.PeerAddress{{Name: "one", Address: address, Group: "group"}})
+	}
+	if got, want := addressesOf(resolver, "one"), []string{"a", "e", "d", "c"}; !slices.Equal(got, want) {
+		t.Errorf("ranked %v, want %v", got, want)
+	}
+	resolver.demote("one", "e") // not the first
+	resolver.demote("one", "a")
+	if got, want := addressesOf(resolver, "one"), []string{"e", "d", "c", "a"}; !slices.Equal(got, want) {
+		t.Errorf("after a failed call ranked %v, want %v", got, want)
+	}
+	if members := resolver.Members("group"); !slices.Equal(members, []string{"one"}) {
+		t.Errorf("members %v", members)
+	}
+}
+
+// TestPrimariesByEpoch checks that a primary is replaced only by one of a higher epoch.
+func TestPrimariesByEpoch(t *testing.T) {
+	resolver := New(nil, nil, nil)
+	for _, step := range []struct {
+		name  string
+		epoch uint64
+		want  string
+	}{{"first", 2, "first"}, {"older", 1, "first"}, {"same", 2, "first"}, {"newer", 3, "newer"}} {
+		resolver.ObservePrimaries([]*wire.Primary{{Group: "group", Epoch: step.epoch, Name: step.name}})
+		if leader := resolver.Leader("group"); leader != step.want {
+			t.Errorf("after %s the leader is %q, want %q", step.name, leader, step.want)
+		}
+	}
+	if leader := resolver.Leader("other"); leader != "" {
+		t.Errorf("the leader of an unknown group is %q", leader)
+	}
+}
+
+// TestTargetsInTurn checks that Refresh asks its targets in turn and skips those that have not answered yet.
+func TestTargetsInTurn(t *testing.T) {
+	resolver := New(nil, nil, []string{"a", "b"})
+	resolver.AddPeers([]*wire.PeerAddress{{Name: "one", Address: "c"}, {Name: "two", Address: "a"}})
+	targets := resolver.targets()
+	if !slices.Equal(targets, []string{"a", "b", "c"}) {
+		t.Fatalf("targets %v", targets)
+	}
+	for _, want := range []string{"a", "b", "c", ""} {
+		if target := resolver.takeTarget(targets); target != want {
+			t.Errorf("target %q, want %q", target, want)
+		}
+	}
+	resolver.releaseTarget("b")
+	for _, want := range []string{"b", ""} {
+		if target := resolver.takeTarget(targets); target != want {
+			t.Errorf("after b has answered: target %q, want %q", target, want)
+		}
+	}
+}
--- a/internal/registry/breakerstore/table.go
+++ b/internal/registry/breakerstore/table.go
@@ -63,8 +63,8 @@
 // services returns the services that have a record, sorted, so that every replica visits them in the same order.
 func (t *Table) services() []string { return slices.Sorted(maps.Keys(t.records)) }
 
-// Waiting reports whether some record changes by the passing of time alone.
-func (t *Table) Waiting() bool {
+// HasTimers reports whether some record changes by the passing of time alone.
+func (t *Table) HasTimers() bool {
 	for _, record := range t.records {
 		if record.State != Closed || len(record.Reports) > 0 {
 			return true
--- a/internal/registry/idempotency/table_test.go
+++ b/internal/registry/idempotency/table_test.go
@@ -1,6 +1,7 @@
 package idempotency_test
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -178,10 +179,20 @@
 	if err := table.Restore([][]byte{valid}); err != nil {
 		t.Fatal(err)
 	}
-	for name, contents := range map[string][][]byte{"cut short": {valid[:len(valid)-1]}, "a scope twice": {valid, valid}, "an undecodable fence": {fence}, "invalid UTF-8": {text}, "not a message": {{0xff}}} {
-		t.Run(name, func(t *testing.T) {
-			if table.Restore(contents) == nil {
-				t.Error("accepted")
+	for _, test := range []struct {
+		name     string
+		contents [][]byte
+		want     error // unless nil
+	}{
+		{"cut short", [][]byte{valid[:len(valid)-1]}, nil},
+		{"a scope twice", [][]byte{valid, valid}, idempotency.ErrDuplicateScope},
+		{"an undecodable fence", [][]byte{fence}, nil},
+		{"invalid UTF-8", [][]byte{text}, idempotency.ErrInvalidText},
+		{"not a message", [][]byte{{0xff}}, nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if err := table.Restore(test.contents); err == nil || test.want != nil && !errors.Is(err, test.want) {
+				t.Errorf("rejected with %v, want %v", err, test.want)
 			}
 		})
 	}
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -45,6 +45,9 @@
 	return records
 }
 
+// Len returns the number of leases.
+func (t *Table) Len() int { return len(t.records) }
+
 // Acquire grants, renews or releases a lease. The response names the present owner if that is another instance. The granted
 // duration is the requested one within the bounds of a lease.
 func (t *Table) Acquire(request *wire.SingletonLeaseRequest, now monotonic.Micros) *wire.SingletonLeaseResponse {
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -86,5 +86,5 @@
 
 // HasTimers reports whether something changes by the passing of time alone, so that the leader clock must not stand still.
 func (m *Machine) HasTimers() bool {
-	return m.Breakers.Waiting() || m.Claims.Len() > 0 || len(m.Leases.Records()) > 0
+	return m.Breakers.HasTimers() || m.Claims.Len() > 0 || m.Leases.Len() > 0
 }
