--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -111,7 +111,7 @@
 }
 
 var (
-	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
+	codeQuote     = regexp.MustCompile("`([^`\n]+)`")
 	qualifiedName = regexp.MustCompile(`^([a-z]+)\.(\w+(?:\.\w+)?)$`)
 	packagePath   = regexp.MustCompile(`^(?:internal|platform|cmd)(?:/[a-z]+)*$`)
 	testName      = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
@@ -130,22 +130,22 @@
 	for _, path := range pages(t) {
 		name, strict := filepath.Base(path), filepath.Base(path) == "architecture.md"
 		resolved := 0
-		for _, found := range codeSpan.FindAllStringSubmatch(readPage(t, path), -1) {
-			span := found[1]
-			if strict && packagePath.MatchString(span) {
-				if _, err := os.Stat(filepath.Join("..", "..", span)); err != nil {
-					t.Errorf("%s names the package %s, which does not exist", name, span)
+		for _, found := range codeQuote.FindAllStringSubmatch(readPage(t, path), -1) {
+			quote := found[1]
+			if strict && packagePath.MatchString(quote) {
+				if _, err := os.Stat(filepath.Join("..", "..", quote)); err != nil {
+					t.Errorf("%s names the package %s, which does not exist", name, quote)
 				}
 			}
-			if goFile.MatchString(span) && !slices.ContainsFunc(files, func(file string) bool { return strings.HasSuffix(file, "/"+span) }) {
-				t.Errorf("%s names the file %s, which does not exist", name, span)
+			if goFile.MatchString(quote) && !slices.ContainsFunc(files, func(file string) bool { return strings.HasSuffix(file, "/"+quote) }) {
+				t.Errorf("%s names the file %s, which does not exist", name, quote)
 			}
-			qualified := qualifiedName.FindStringSubmatch(span)
-			if qualified == nil || fileName.MatchString(span) || !strict && !ast.IsExported(qualified[2]) {
+			qualified := qualifiedName.FindStringSubmatch(quote)
+			if qualified == nil || fileName.MatchString(quote) || !strict && !ast.IsExported(qualified[2]) {
 				continue
 			}
 			if resolved++; !declared.packages[qualified[1]][qualified[2]] && !declared.tests[qualified[2]] {
-				t.Errorf("%s names %s, which no package declares", name, span)
+				t.Errorf("%s names %s, which no package declares", name, quote)
 			}
 		}
 		if strict && resolved < 40 {
