--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -74,7 +74,7 @@
 			for _, label := range metric.Label {
 				labels[label.GetName()] = label.GetValue()
 			}
-			kind := recordedKind(labels["kind"])
+			kind := labels["kind"]
 			count := totals[kind]
 			*counterOf(&count, labels["direction"]) = uint64(metric.Counter.GetValue())
 			totals[kind] = count
@@ -86,7 +86,7 @@
 func byKindName(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
 	totals := map[string]machine.MessageCount{}
 	for kind, count := range counted {
-		totals[recordedKind(kind.String())] = count
+		totals[machine.KindLabel(kind)] = count
 	}
 	return totals
 }
--- a/internal/rehearse/sweep/record_names.go
+++ b/internal/rehearse/sweep/record_names.go
@@ -1,24 +1,5 @@
 package sweep
 
-import "snowflow/internal/transport/wire"
-
-// Recorded runs keep the names that programs and message kinds had when the first of them were written, so that all runs compare.
-var (
-	recordedPrograms = map[string]string{"proxy": "carrier", "registry": "sorter", "configstore": "postmaster"}
-	recordedKinds    = map[wire.Kind]string{
-		wire.Kind_discover: "whois", wire.Kind_prepare: "register_promise", wire.Kind_accept: "register_accept", wire.Kind_lease: "tenure_ask",
-		wire.Kind_install_snapshot: "install", wire.Kind_sessions: "sessions_tell", wire.Kind_join: "enroll", wire.Kind_registry_poll: "sorter_poll",
-		wire.Kind_void_claim: "void", wire.Kind_complete_claim: "claim_settle", wire.Kind_breaker_write: "guard_write", wire.Kind_singleton_lease: "duty",
-		wire.Kind_registry_status: "sorter_status", wire.Kind_registry_batch: "sorter_batch", wire.Kind_config_poll: "desired_poll",
-		wire.Kind_config_apply: "desired_apply", wire.Kind_config_read: "desired_read", wire.Kind_configstore_status: "postmaster_status",
-		wire.Kind_forward: "pass", wire.Kind_replay: "recall", wire.Kind_forward_bulk: "pass_bulk", wire.Kind_forward_cancel: "pass_cancel",
-	}
-)
-
-// recordedKind is the name under which records keep a kind, given by its present name.
-func recordedKind(name string) string {
-	if recorded, renamed := recordedKinds[wire.Kind(wire.Kind_value[name])]; renamed {
-		return recorded
-	}
-	return name
-}
+// recordedPrograms are the names under which records keep programs, by their present names: all recorded runs compare, also those from
+// before the programs were renamed. Kinds of messages are recorded by their labels in the metrics, which never changed.
+var recordedPrograms = map[string]string{"proxy": "carrier", "registry": "sorter", "configstore": "postmaster"}
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -24,7 +24,7 @@
 // Options are how a size is played.
 type Options struct {
 	Window   time.Duration // of steady state
-	Patience time.Duration // for everything that is waited for outside it
+	Timeout  time.Duration // for everything that is waited for outside it
 	Failures bool
 	Folder   string
 	Binaries string
@@ -66,7 +66,7 @@
 	if err := made.StartAll(); err != nil {
 		return run, err
 	}
-	if err := fleet.AwaitReady(made.Core(), options.Patience); err != nil {
+	if err := fleet.AwaitReady(made.Core(), options.Timeout); err != nil {
 		return run, err
 	}
 	seeds := []string{}
@@ -104,7 +104,7 @@
 
 // settle has a first desired state accepted and all carriers join.
 func (m *measurement) awaitJoined() error {
-	if _, _, err := m.apply(m.options.Patience); err != nil {
+	if _, _, err := m.apply(m.options.Timeout); err != nil {
 		return err
 	}
 	alone, err := residentBytes("self", "VmRSS")
@@ -120,8 +120,8 @@
 		what  string
 		count func() int
 	}{{"ready", m.pool.Ready}, {"aware of all others", m.pool.Complete}} {
-		if _, reached := pollUntil(m.options.Patience, m.countsAll(step.count)); !reached {
-			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Patience)
+		if _, reached := pollUntil(m.options.Timeout, m.countsAll(step.count)); !reached {
+			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
 		}
 	}
 	m.run.Joined = time.Since(began).Seconds()
@@ -158,8 +158,8 @@
 		}
 	}
 	complete := func() bool { return m.pool.Guarded(0) == len(first) }
-	if _, reached := pollUntil(m.options.Patience, complete); !reached {
-		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.Guarded(0), len(first), m.options.Patience)
+	if _, reached := pollUntil(m.options.Timeout, complete); !reached {
+		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.Guarded(0), len(first), m.options.Timeout)
 	}
 	m.run.Guards = len(first)
 	return nil
@@ -299,7 +299,7 @@
 // standing is how both groups stand by their primaries' word, once each has a backup.
 func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
 	found := map[string]replication.Status{}
-	_, reached := pollUntil(m.options.Patience, func() bool {
+	_, reached := pollUntil(m.options.Timeout, func() bool {
 		for _, process := range m.fleet.Core() {
 			core, err := status(process)
 			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
@@ -309,7 +309,7 @@
 		return len(found) == 2
 	})
 	if !reached {
-		return nil, fmt.Errorf("after %v only %d of 2 groups have a primary with a backup", m.options.Patience, len(found))
+		return nil, fmt.Errorf("after %v only %d of 2 groups have a primary with a backup", m.options.Timeout, len(found))
 	}
 	return found, nil
 }
@@ -330,18 +330,18 @@
 func (m *measurement) applyChanges() error {
 	return m.spreadOverWindow(m.size.Changes, func(int) error {
 		began := time.Now()
-		version, took, err := m.apply(m.options.Patience)
+		version, took, err := m.apply(m.options.Timeout)
 		if err != nil {
 			return err
 		}
 		// One that a newer state overtook at some carriers never comes to them; nothing else applies meanwhile.
 		var last time.Time
-		if _, reached := pollUntil(m.options.Patience, func() bool {
+		if _, reached := pollUntil(m.options.Timeout, func() bool {
 			adopted, missing := m.pool.Adopted(version)
 			last = adopted
 			return missing == 0
 		}); !reached {
-			return fmt.Errorf("change %d has not reached all carriers after %v", version, m.options.Patience)
+			return fmt.Errorf("change %d has not reached all carriers after %v", version, m.options.Timeout)
 		}
 		m.run.TakeUp = append(m.run.TakeUp, last.Sub(began).Seconds())
 		m.run.Answered = append(m.run.Answered, took)
@@ -389,7 +389,7 @@
 	if !m.options.Failures {
 		return nil
 	}
-	result := &Failures{CutoffSecs: m.options.Patience.Seconds()}
+	result := &Failures{CutoffSecs: m.options.Timeout.Seconds()}
 	m.run.Failures = result
 	killed := []*fleet.Process{}
 	standing, err := m.awaitPrimaries()
@@ -408,15 +408,15 @@
 	var work sync.WaitGroup
 	for into, request := range map[**float64]func() error{
 		&result.Claims: func() error {
-			_, err := m.pool.Claim(0, "service/after", monotonic.FromDuration(m.options.Patience))
+			_, err := m.pool.Claim(0, "service/after", monotonic.FromDuration(m.options.Timeout))
 			return err
 		},
 		&result.Reads: func() error {
-			return m.call(configStoreGroup, m.options.Patience, func(name string, left monotonic.Micros) error {
+			return m.call(configStoreGroup, m.options.Timeout, func(name string, left monotonic.Micros) error {
 				return m.resolver.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(left, 300*monotonic.Millisecond))
 			})
 		},
-		&result.Applies: func() error { _, _, err := m.apply(m.options.Patience); return err },
+		&result.Applies: func() error { _, _, err := m.apply(m.options.Timeout); return err },
 	} {
 		work.Add(1)
 		go func() {
@@ -433,7 +433,7 @@
 			return err
 		}
 	}
-	if err := fleet.AwaitReady(killed, m.options.Patience); err != nil {
+	if err := fleet.AwaitReady(killed, m.options.Timeout); err != nil {
 		return err
 	}
 	m.pool.Leave()
@@ -456,7 +456,7 @@
 		into  **float64
 		count func() int
 	}{{&result.Ready, m.pool.Ready}, {&result.Complete, m.pool.Complete}} {
-		if _, reached := pollUntil(m.options.Patience-time.Since(began), m.countsAll(one.count)); reached {
+		if _, reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAll(one.count)); reached {
 			took := time.Since(began).Seconds()
 			*one.into = &took
 		}
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -37,7 +37,7 @@
 	}{"calm": {calm, false, 243}, "failures": {withRestarts, true, 244}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			options := Options{Window: tinyWindow, Patience: time.Minute, Failures: course.failures, Folder: t.TempDir(), Binaries: binaries, Base: course.base}
+			options := Options{Window: tinyWindow, Timeout: time.Minute, Failures: course.failures, Folder: t.TempDir(), Binaries: binaries, Base: course.base}
 			run, err := RunSize(course.size, options, 1)
 			if err != nil {
 				t.Fatal(err)
