--- a/internal/replication/calls.go
+++ b/internal/replication/calls.go
@@ -30,7 +30,8 @@
 
 // gather calls some processes at once and returns the responses that came before enough reported true, or the timeout. A nil
 // enough waits for all.
-func gather[Response any](m *Member, names []string, timeout monotonic.Micros, call func(name string) (Response, error), enough func(responses map[string]Response) bool) map[string]Response {
+func gather[Response any](m *Member, names []string, timeout monotonic.Micros, call func(name string) (Response, error),
+	enough func(responses map[string]Response) bool) map[string]Response {
 	return host.Gather(m.host, names, timeout, call, func(responses map[string]Response, _ int) bool {
 		return enough != nil && enough(responses)
 	})
--- a/internal/replication/follower.go
+++ b/internal/replication/replica_handlers.go
@@ -8,8 +8,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// This file is a backup's side of replication. Its methods run on the replica executor, except for the two handlers that start
-// them there.
+// This file is a backup's side of replication. The two handlers run the other methods on the replica executor.
 
 // handleReplicate appends and applies a primary's entries. A request without entries is a heartbeat.
 func (m *Member) handleReplicate(request *wire.ReplicateRequest) (response *wire.ReplicateResponse, err error) {
