--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -24,7 +24,10 @@
 		return false
 	}
 	began := m.host.Now()
-	clock := m.advanceReplicaClock(state.clock.confirmed(began))
+	// A new backup's bound on the leader clock begins at this time. It must have been reached, and must not be before any time
+	// that was served.
+	var clock monotonic.Micros
+	m.replicaExecutor.Run(func() { clock = m.replica.advanceClock(state.clock.confirmed(began)) })
 	backups, lastResort := m.installBackups(state.epoch, m.backupCandidates(known, failed), failed)
 	if len(backups) == 0 {
 		return false
@@ -33,7 +36,7 @@
 	if !proposed {
 		return false
 	}
-	m.alignReplica(state.epoch)
+	m.replicaExecutor.Run(func() { m.replica.moveToEpoch(state.epoch) }) // as the backups did on installing
 	next := leadership{
 		epoch: value.Epoch, proposal: proposal, register: value, backups: backups, lastResort: lastResort,
 		clock: primaryClock{base: clock, baseAt: began, confirmedAt: began},
@@ -48,16 +51,6 @@
 	return m.startServing(value.Epoch, backups)
 }
 
-// advanceReplicaClock moves the replica's leader clock forward to a confirmed time, and returns it. A new backup's bound on the
-// leader clock begins at this time, which must have been reached, and must not be before any time that was served.
-func (m *Member) advanceReplicaClock(confirmed monotonic.Micros) (clock monotonic.Micros) {
-	m.replicaExecutor.Run(func() {
-		m.replica.leaderClock = max(m.replica.leaderClock, confirmed)
-		clock = m.replica.leaderClock
-	})
-	return clock
-}
-
 // proposeBackups proposes the epoch after a given one, in which some backups are in sync. If that fails, this member steps down:
 // whether the proposal took effect may be unknown, so the register has to be read anew.
 func (m *Member) proposeBackups(epoch uint64, backups []*wire.MemberID) (value *wire.RegisterValue, proposal uint64, ok bool) {
@@ -84,16 +77,6 @@
 	return value, proposal, true
 }
 
-// alignReplica gives this replica the position that the backups took on installing: their epoch with this sequence.
-func (m *Member) alignReplica(epoch uint64) {
-	m.replicaExecutor.Run(func() {
-		m.stateMachineMu.Lock()
-		defer m.stateMachineMu.Unlock()
-		m.replica.epoch = max(m.replica.epoch, epoch)
-		m.replica.tail.addAlias(logPosition{m.replica.epoch, m.replica.sequence})
-	})
-}
-
 // continueLeadership goes on from one epoch to the next, unless this member has stepped down meanwhile. The lease and the time
 // at which the leadership began stay.
 func (m *Member) continueLeadership(epoch uint64, next leadership) bool {
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -85,6 +85,6 @@
 
 // takeSnapshot returns the whole state as applied here.
 func (m *Member) takeSnapshot() (snapshot *wire.Snapshot) {
-	m.replicaExecutor.Run(func() { snapshot = m.snapshot() })
+	m.replicaExecutor.Run(func() { snapshot = m.replica.snapshot() })
 	return snapshot
 }
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -63,9 +63,9 @@
 }
 
 func (m *Member) hasTimers() bool {
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
-	return m.config.StateMachine.HasTimers()
+	m.replica.mu.Lock()
+	defer m.replica.mu.Unlock()
+	return m.replica.stateMachine.HasTimers()
 }
 
 // commit replicates a batch of commands to every replica and applies it. An empty batch is a heartbeat. state is the
@@ -122,7 +122,7 @@
 	m.replicaExecutor.Run(func() {
 		if m.replica.fenced > epoch || m.replica.sequence != request.PreviousSequence {
 			err = errReplicaOverwritten
-		} else if err = m.appendEntries(request.Entries); err == nil {
+		} else if err = m.replica.appendEntries(request.Entries); err == nil {
 			m.replica.pending = request.Entries
 		}
 	})
@@ -150,7 +150,7 @@
 
 // applyPending applies the entries that are synced here and not applied yet, and returns their results.
 func (m *Member) applyPending() (results [][]byte) {
-	m.replicaExecutor.Run(func() { results = m.applyPendingEntries() })
+	m.replicaExecutor.Run(func() { results = m.replica.applyPending() })
 	return results
 }
 
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -10,7 +10,7 @@
 // Each process of a group has one Member, which combines up to three roles:
 //
 //   - voter: one copy of the register, promises and leases (voter.go; decisions in package consensus);
-//   - replica: a journal on disk and the state machine it has been applied to (replica.go, logtail.go);
+//   - replica: a journal on disk and the state machine it has been applied to (replica.go, logtail.go, storage.go);
 //   - primary: the leadership of one epoch (leadership.go, commit.go, backups.go).
 //
 // # Epochs and leadership
@@ -66,8 +66,8 @@
 //
 // Three executors each run one command at a time: voterExecutor owns Member.voter, replicaExecutor owns the journal and
 // all changes of Member.replica, proposalExecutor runs this member's proposals. Commands of the proposal executor use
-// the other two; those never use the proposal executor. Member.mu and Member.stateMachineMu guard memory only and are
-// never held while waiting.
+// the other two; those never use the proposal executor. Member.mu and replica.mu guard memory only and are never held
+// while waiting.
 //
 // # Determinism
 //
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -211,7 +211,7 @@
 // beginLeadership applies what is pending in the replica and begins an epoch that this member has won.
 func (m *Member) beginLeadership(value *wire.RegisterValue, proposal uint64) {
 	m.replicaExecutor.Run(func() {
-		m.applyPendingEntries()
+		m.replica.applyPending()
 		m.replica.fence(value.Epoch)
 		m.mu.Lock()
 		defer m.mu.Unlock()
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -6,7 +6,6 @@
 	"sync"
 
 	"snowflow/internal/discovery"
-	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
 	"snowflow/internal/host/clockwatch"
 	"snowflow/internal/monotonic"
@@ -15,9 +14,6 @@
 	"snowflow/internal/wal"
 )
 
-// reservedBytes are kept free on disk for a rewrite of a file when the disk is full.
-const reservedBytes = 1 << 20
-
 // Member is one process's part in a group: its vote, its replica, and its leadership if it is the primary.
 type Member struct {
 	config   Config
@@ -31,9 +27,10 @@
 	voterExecutor    *host.Executor // owns voter and registerLog
 	replicaExecutor  *host.Executor // owns replica
 	proposalExecutor *host.Executor // runs proposals one at a time
+	storage          *storage
 	voter            *consensus.Voter
 	registerLog      *wal.Log
-	replica          replica
+	replica          *replica
 	// writes are the commands to be committed; a nil one only wakes the task that commits.
 	writes *host.Queue[*writeRequest]
 	// wakeup wakes the task that renews the lease, campaigns and joins.
@@ -43,9 +40,6 @@
 	// the task that commits uses them.
 	lastRelief, lastRecruitment monotonic.Micros
 
-	// stateMachineMu guards config.StateMachine, and the position and tail of replica.
-	stateMachineMu sync.Mutex
-
 	// mu guards the fields below. It is never held while waiting.
 	mu sync.Mutex
 	// highestProposal is the highest proposal number seen.
@@ -70,8 +64,8 @@
 	proposedVoters map[string]bool
 	// changingMembership is set while a change of the voters is in flight.
 	changingMembership bool
-	// stopped is set once a disk failed, stopping once this process shuts down gracefully and campaigns no more.
-	stopped, stopping bool
+	// stopping is set once this process shuts down gracefully and campaigns no more.
+	stopping bool
 }
 
 // Open reads the group's files, or creates them. Start must follow. It returns an apierror.Invalid error if the files belong
@@ -82,7 +76,7 @@
 		return nil, fmt.Errorf("%s is not among the initial voters of %s", config.Name, config.Group)
 	}
 	m := newMember(config)
-	if err := wal.ReserveSpace(m.host.Disk(), reservedBytes); err != nil && !isDiskFull(err) {
+	if err := m.storage.reserve(); err != nil && !isDiskFull(err) {
 		return nil, err
 	}
 	var err error
@@ -90,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.replicaExecutor.Run(func() { err = m.openReplica() })
+	m.replicaExecutor.Run(func() { err = m.replica.open() })
 	if err != nil {
 		return nil, err
 	}
@@ -99,12 +93,15 @@
 
 func newMember(config Config) *Member {
 	h := config.Host
+	files := &storage{host: h, group: config.Group}
 	m := &Member{
 		config:         config,
 		host:           h,
 		resolver:       config.Resolver,
 		ClockWatch:     clockwatch.New(h),
 		processID:      h.Random() | 1,
+		storage:        files,
+		replica:        newReplica(h, files, config),
 		voter:          consensus.NewVoter(consensus.Options{InitialVoters: config.InitialVoters, LeaseDuration: config.LeaseDuration}),
 		coldStart:      true,
 		peers:          map[string]peerState{},
@@ -142,24 +139,3 @@
 func (m *Member) initialRank() int {
 	return slices.Index(m.config.InitialVoters, m.config.Name) + 1
 }
-
-// fileName returns the name of one of the group's files.
-func (m *Member) fileName(name string) string { return m.config.Group + "." + name }
-
-// stop ends the process after a failed sync.
-func (m *Member) stop(reason string) {
-	m.mu.Lock()
-	already := m.stopped
-	m.stopped = true
-	m.mu.Unlock()
-	if !already {
-		m.host.Report(eventlog.DiskSyncFailed, map[string]any{"group": m.config.Group, "error": reason})
-		m.host.Stop(reason)
-	}
-}
-
-// releaseReserve frees the reserved space after the disk has become full, and reports whether it did.
-func (m *Member) releaseReserve() bool {
-	m.host.Report(eventlog.DiskFull, map[string]any{"group": m.config.Group})
-	return wal.ReleaseReservedSpace(m.host.Disk()) == nil
-}
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -82,9 +82,9 @@
 		return false
 	}
 	epoch, now := m.Epoch(), m.LeaderClock()
-	m.stateMachineMu.Lock()
+	m.replica.mu.Lock()
 	read(epoch, now)
-	m.stateMachineMu.Unlock()
+	m.replica.mu.Unlock()
 	return m.Serving() && m.Epoch() == epoch
 }
 
@@ -98,8 +98,8 @@
 	if !consensus.IsReplica(m.knownRegister(), m.self()) {
 		return false
 	}
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
+	m.replica.mu.Lock()
+	defer m.replica.mu.Unlock()
 	read()
 	return true
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -1,11 +1,14 @@
 package replication
 
 import (
+	"errors"
 	"fmt"
+	"sync"
 
 	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
+	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
@@ -22,7 +25,7 @@
 )
 
 // replica is this process's copy of the state: a journal on disk, and the state machine that it has been applied to. The
-// replica executor owns it.
+// replica executor owns it and runs its methods, unless they say otherwise.
 //
 // Invariants:
 //   - the journal begins with a snapshot; each entry behind it has the next sequence and an epoch that never falls;
@@ -31,171 +34,193 @@
 //   - fenced is above every epoch whose primary this replica must no longer obey;
 //   - pending entries are synced here and neither applied nor acknowledged.
 type replica struct {
+	host                host.Host
+	storage             *storage
+	compactionThreshold int64
+
 	log *wal.Log
 	// incarnation tells this replica from others under the same name, after the disk was lost. Zero until the journal is open.
+	// Any task may read it.
 	incarnation atomic.Uint64
-	epoch       uint64
-	sequence    uint64
 	leaderClock monotonic.Micros
 	fenced      uint64
 	pending     []*wire.Entry
 	// lastSyncTime is how long the last append took to sync.
 	lastSyncTime monotonic.Micros
 	clockBound   clockBound
-	tail         logTail
 	// compactedSize is the journal's size after its last compaction.
 	compactedSize int64
+
+	// mu guards stateMachine, and epoch, sequence and tail. Other tasks than the replica executor's may read those under mu;
+	// the executor's own reads of epoch, sequence and tail need no lock.
+	mu              sync.Mutex
+	stateMachine    StateMachine
+	epoch, sequence uint64
+	tail            logTail
+}
+
+// newReplica returns a replica whose journal is not open yet.
+func newReplica(h host.Host, files *storage, config Config) *replica {
+	return &replica{host: h, storage: files, stateMachine: config.StateMachine, compactionThreshold: config.CompactionThreshold}
 }
 
 // fence makes the replica reject primaries of epochs below a given one. Fences are not persisted: a primary of an earlier epoch
 // is also rejected by its position, or by the register.
 func (r *replica) fence(epoch uint64) { r.fenced = max(r.fenced, epoch) }
 
-// openReplica reads the journal into the state machine. It runs on the replica executor, as do all methods in this file.
-func (m *Member) openReplica() error {
-	name := m.fileName(journalFile)
-	log, err := wal.Open(m.host.Disk(), name, m.replayRecord)
-	if isCorrupt(err) {
-		m.reportCorrupt(name, err)
-		m.replica = replica{}
-		if log, err = wal.Recreate(m.host.Disk(), name); err == nil {
-			err = m.config.StateMachine.Restore(nil)
-		}
-	}
+// open reads the journal into the state machine.
+func (r *replica) open() error {
+	log, err := r.storage.openLog(journalFile, r.replayRecord, r.reset)
 	if err != nil {
 		return err
 	}
-	m.reportTornTail(name, log)
-	m.replica.log = log
-	m.resetClockBound()
-	if m.replica.incarnation.Load() == 0 {
-		m.replica.incarnation.Store(m.host.Random() | 1)
-		return m.compact()
+	r.log = log
+	r.resetClockBound()
+	if r.incarnation.Load() == 0 {
+		r.incarnation.Store(r.host.Random() | 1)
+		return r.compact()
 	}
 	return nil
 }
 
+// reset makes the replica an empty one, without an incarnation.
+func (r *replica) reset() error {
+	return r.restoreSnapshot(&wire.Snapshot{}, 0)
+}
+
 // replayRecord applies one record of the journal.
-func (m *Member) replayRecord(content []byte) error {
+func (r *replica) replayRecord(content []byte) error {
 	record := &wire.JournalRecord{}
 	if err := proto.Unmarshal(content, record); err != nil {
 		return err
 	}
 	switch {
 	case record.Snapshot != nil:
-		return m.restoreSnapshot(record.Snapshot, record.Chunk)
+		return r.restoreSnapshot(record.Snapshot, record.Chunk)
 	case record.Watermark != nil:
-		return m.applyWatermark(record.Watermark)
-	case record.Entry == nil || record.Entry.Sequence != m.replica.sequence+1:
+		return r.applyWatermark(record.Watermark)
+	case record.Entry == nil || record.Entry.Sequence != r.sequence+1:
 		return fmt.Errorf("entry: %w", errOutOfOrder)
 	}
-	m.apply(record.Entry)
+	r.apply(record.Entry)
 	return nil
 }
 
 // restoreSnapshot replaces the state.
-func (m *Member) restoreSnapshot(snapshot *wire.Snapshot, incarnation uint64) error {
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
-	if err := m.config.StateMachine.Restore(snapshot.Content); err != nil {
+func (r *replica) restoreSnapshot(snapshot *wire.Snapshot, incarnation uint64) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err := r.stateMachine.Restore(snapshot.Content); err != nil {
 		return err
 	}
-	m.replica.incarnation.Store(incarnation)
-	m.replica.epoch, m.replica.sequence = snapshot.Epoch, snapshot.Sequence
-	m.replica.leaderClock = monotonic.Micros(snapshot.LeaderClock)
-	m.replica.pending = nil
-	m.replica.tail.reset(logPosition{snapshot.Epoch, snapshot.Sequence})
+	r.incarnation.Store(incarnation)
+	r.epoch, r.sequence = snapshot.Epoch, snapshot.Sequence
+	r.leaderClock = monotonic.Micros(snapshot.LeaderClock)
+	r.pending = nil
+	r.tail.reset(logPosition{snapshot.Epoch, snapshot.Sequence})
 	return nil
 }
 
 // applyWatermark takes the position that the primary of an epoch gave to this replica's state.
-func (m *Member) applyWatermark(watermark *wire.Watermark) error {
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
-	if watermark.Sequence != m.replica.sequence || watermark.Epoch < m.replica.epoch {
+func (r *replica) applyWatermark(watermark *wire.Watermark) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if watermark.Sequence != r.sequence || watermark.Epoch < r.epoch {
 		return fmt.Errorf("watermark: %w", errOutOfOrder)
 	}
-	m.replica.epoch = watermark.Epoch
-	m.replica.leaderClock = max(m.replica.leaderClock, monotonic.Micros(watermark.LeaderClock))
-	m.replica.tail.addAlias(logPosition{watermark.Epoch, watermark.Sequence})
+	r.epoch = watermark.Epoch
+	r.leaderClock = max(r.leaderClock, monotonic.Micros(watermark.LeaderClock))
+	r.tail.addAlias(logPosition{watermark.Epoch, watermark.Sequence})
 	return nil
 }
 
 // position returns how far this replica is, without pending entries. Any task may call it.
-func (m *Member) position() logPosition {
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
-	return logPosition{m.replica.epoch, m.replica.sequence}
+func (r *replica) position() logPosition {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return logPosition{r.epoch, r.sequence}
 }
 
 // apply applies an entry and returns its result.
-func (m *Member) apply(entry *wire.Entry) []byte {
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
-	m.replica.epoch, m.replica.sequence = entry.Epoch, entry.Sequence
-	m.replica.leaderClock = max(m.replica.leaderClock, monotonic.Micros(entry.LeaderClock))
-	m.replica.tail.add(entry)
-	return m.config.StateMachine.Apply(entry.Epoch, monotonic.Micros(entry.LeaderClock), entry.Command)
+func (r *replica) apply(entry *wire.Entry) []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.epoch, r.sequence = entry.Epoch, entry.Sequence
+	r.leaderClock = max(r.leaderClock, monotonic.Micros(entry.LeaderClock))
+	r.tail.add(entry)
+	return r.stateMachine.Apply(entry.Epoch, monotonic.Micros(entry.LeaderClock), entry.Command)
 }
 
-// applyPendingEntries applies the pending entries and returns their results.
-func (m *Member) applyPendingEntries() (results [][]byte) {
-	for _, entry := range m.replica.pending {
-		results = append(results, m.apply(entry))
+// applyAll applies entries and returns their results.
+func (r *replica) applyAll(entries []*wire.Entry) (results [][]byte) {
+	for _, entry := range entries {
+		results = append(results, r.apply(entry))
 	}
-	m.replica.pending = nil
 	return results
 }
 
+// applyPending applies the pending entries and returns their results.
+func (r *replica) applyPending() [][]byte {
+	results := r.applyAll(r.pending)
+	r.pending = nil
+	return results
+}
+
+// moveToEpoch gives the present state a position in an epoch, if its own is earlier.
+func (r *replica) moveToEpoch(epoch uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.epoch = max(r.epoch, epoch)
+	r.tail.addAlias(logPosition{r.epoch, r.sequence})
+}
+
+// advanceClock moves the leader clock forward to a time, unless it is later already, and returns it.
+func (r *replica) advanceClock(to monotonic.Micros) monotonic.Micros {
+	r.leaderClock = max(r.leaderClock, to)
+	return r.leaderClock
+}
+
 // snapshot returns the whole state as applied.
-func (m *Member) snapshot() *wire.Snapshot {
-	m.stateMachineMu.Lock()
-	defer m.stateMachineMu.Unlock()
+func (r *replica) snapshot() *wire.Snapshot {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return &wire.Snapshot{
-		Epoch: m.replica.epoch, Sequence: m.replica.sequence, LeaderClock: int64(m.replica.leaderClock),
-		Content: m.config.StateMachine.Snapshot(),
+		Epoch: r.epoch, Sequence: r.sequence, LeaderClock: int64(r.leaderClock),
+		Content: r.stateMachine.Snapshot(),
 	}
 }
 
 // resetClockBound begins the bound on the leader clock anew, with the replica's.
-func (m *Member) resetClockBound() {
-	m.replica.clockBound = clockBound{at: m.host.Now(), estimate: m.replica.leaderClock}
+func (r *replica) resetClockBound() {
+	r.clockBound = clockBound{at: r.host.Now(), estimate: r.leaderClock}
 }
 
 // compact replaces the journal by one snapshot of what is applied.
-func (m *Member) compact() error {
-	content := mustMarshal(&wire.JournalRecord{Snapshot: m.snapshot(), Chunk: m.replica.incarnation.Load()})
-	err := m.replica.log.Rewrite(content)
-	if isDiskFull(err) && m.releaseReserve() {
-		if err = m.replica.log.Rewrite(content); err == nil {
-			_ = wal.ReserveSpace(m.host.Disk(), reservedBytes) // best effort: the doctor command reports a disk without room
+func (r *replica) compact() error {
+	content := mustMarshal(&wire.JournalRecord{Snapshot: r.snapshot(), Chunk: r.incarnation.Load()})
+	err := r.log.Rewrite(content)
+	if isDiskFull(err) && r.storage.releaseReserve() {
+		if err = r.log.Rewrite(content); err == nil {
+			_ = r.storage.reserve() // best effort: the doctor command reports a disk without room
 		}
 	}
-	m.replica.compactedSize = m.replica.log.Size()
-	return m.stopOnSyncFailure(err)
+	r.compactedSize = r.log.Size()
+	return r.storage.stopOnSyncFailure(journalFile, err)
 }
 
 // needsCompaction reports whether the journal is above its least size and several times what compaction would leave.
-func (m *Member) needsCompaction() bool {
-	return m.replica.log.Size() > max(m.config.CompactionThreshold, compactionFactor*m.replica.compactedSize)
-}
-
-// stopOnSyncFailure ends the process if an error is a failed sync. It returns the error.
-func (m *Member) stopOnSyncFailure(err error) error {
-	if isSyncFailure(err) {
-		m.stop("journal: " + err.Error())
-	}
-	return err
+func (r *replica) needsCompaction() bool {
+	return r.log.Size() > max(r.compactionThreshold, compactionFactor*r.compactedSize)
 }
 
 // appendEntries appends entries to the journal and syncs them. It doesn't apply them.
-func (m *Member) appendEntries(entries []*wire.Entry) error {
-	if m.needsCompaction() && len(m.replica.pending) == 0 {
-		if err := m.compact(); err != nil {
+func (r *replica) appendEntries(entries []*wire.Entry) error {
+	if r.needsCompaction() && len(r.pending) == 0 {
+		if err := r.compact(); err != nil {
 			return err
 		}
 	}
-	return m.appendRecords(encodeEntries(entries))
+	return r.appendRecords(encodeEntries(entries))
 }
 
 func encodeEntries(entries []*wire.Entry) [][]byte {
@@ -207,17 +232,49 @@
 }
 
 // appendRecords appends records to the journal and syncs them. If the disk is full, the journal is compacted first.
-func (m *Member) appendRecords(records [][]byte) error {
-	started := m.host.Now()
-	err := m.replica.log.Append(records...)
-	if isDiskFull(err) && len(m.replica.pending) == 0 && m.replica.log.Size() > minFullCompaction {
-		if err = m.compact(); err == nil {
-			err = m.replica.log.Append(records...)
+func (r *replica) appendRecords(records [][]byte) error {
+	started := r.host.Now()
+	err := r.log.Append(records...)
+	if isDiskFull(err) && len(r.pending) == 0 && r.log.Size() > minFullCompaction {
+		if err = r.compact(); err == nil {
+			err = r.log.Append(records...)
 		}
 	}
 	if err == nil {
-		err = m.replica.log.Sync()
+		err = r.log.Sync()
+	}
+	r.lastSyncTime = r.host.Now() - started
+	return r.storage.stopOnSyncFailure(journalFile, err)
+}
+
+// install replaces the state by a snapshot, and the journal too. If that fails the replica stays as it was.
+func (r *replica) install(snapshot *wire.Snapshot) error {
+	previous, incarnation := r.snapshot(), r.incarnation.Load()
+	if err := r.restoreSnapshot(snapshot, incarnation); err != nil {
+		return err
 	}
-	m.replica.lastSyncTime = m.host.Now() - started
-	return m.stopOnSyncFailure(err)
+	if err := r.compact(); err != nil {
+		return errors.Join(err, r.restoreSnapshot(previous, incarnation))
+	}
+	r.resetClockBound()
+	return nil
+}
+
+// catchUp appends and applies entries that this replica lacks, and takes the position and clock of a watermark behind them.
+func (r *replica) catchUp(entries []*wire.Entry, watermark *wire.Watermark) error {
+	if r.needsCompaction() {
+		if err := r.compact(); err != nil {
+			return err
+		}
+	}
+	records := append(encodeEntries(entries), mustMarshal(&wire.JournalRecord{Watermark: watermark}))
+	if err := r.appendRecords(records); err != nil {
+		return err
+	}
+	r.applyAll(entries)
+	if err := r.applyWatermark(watermark); err != nil {
+		return err
+	}
+	r.resetClockBound()
+	return nil
 }
--- a/internal/replication/replica_handlers.go
+++ b/internal/replication/replica_handlers.go
@@ -1,8 +1,6 @@
 package replication
 
 import (
-	"errors"
-
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
@@ -27,15 +25,12 @@
 		return response, nil
 	}
 	if len(request.Entries) > 0 {
-		if err := m.appendEntries(request.Entries); err != nil {
+		if err := m.replica.appendEntries(request.Entries); err != nil {
 			return response, err
 		}
-		for _, entry := range request.Entries {
-			m.apply(entry)
-		}
+		m.replica.applyAll(request.Entries)
 	}
-	m.replica.leaderClock = max(m.replica.leaderClock, clock)
-	m.replica.clockBound.accept(now, m.replica.leaderClock)
+	m.replica.clockBound.accept(now, m.replica.advanceClock(clock))
 	m.followPrimary(request.Epoch)
 	response.Stored = true
 	return response, nil
@@ -43,7 +38,7 @@
 
 // replicateRejection returns why entries are rejected, empty if they are not.
 func (m *Member) replicateRejection(request *wire.ReplicateRequest) string {
-	r := &m.replica
+	r := m.replica
 	switch {
 	case request.ToIncarnation != r.incarnation.Load():
 		return reasonOtherReplica
@@ -69,7 +64,7 @@
 }
 
 func (m *Member) installHere(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
-	r := &m.replica
+	r := m.replica
 	response := &wire.InstallSnapshotResponse{Incarnation: r.incarnation.Load()}
 	if request.Epoch < r.fenced || request.Epoch < m.knownEpoch() || request.Epoch < r.epoch {
 		response.Reason = reasonOlderEpoch
@@ -88,44 +83,27 @@
 // installSnapshot replaces the state by a snapshot, under a position in the primary's epoch.
 func (m *Member) installSnapshot(epoch uint64, sent *wire.Snapshot) error {
 	snapshot := &wire.Snapshot{Epoch: max(sent.Epoch, epoch), Sequence: sent.Sequence, LeaderClock: sent.LeaderClock, Content: sent.Content}
-	previous, incarnation := m.snapshot(), m.replica.incarnation.Load()
-	if err := m.restoreSnapshot(snapshot, incarnation); err != nil {
+	if err := m.replica.install(snapshot); err != nil {
 		return err
 	}
-	if err := m.compact(); err != nil {
-		return errors.Join(err, m.restoreSnapshot(previous, incarnation))
-	}
-	m.resetClockBound()
 	m.followPrimary(epoch)
 	m.host.Report(eventlog.SnapshotInstalled, map[string]any{"group": m.config.Group, "epoch": epoch, "bytes": len(snapshot.Content)})
 	return nil
 }
 
-// installEntries appends and applies the entries that this replica lacks, and a watermark: the position in the primary's epoch.
-// It returns why they are rejected, empty if they are not.
+// installEntries adds the entries that this replica lacks, and takes the position in the primary's epoch. It returns why they are
+// rejected, empty if they are not.
 func (m *Member) installEntries(request *wire.InstallSnapshotRequest) (rejection string, err error) {
-	if m.position() != (logPosition{request.SinceEpoch, request.SinceSequence}) || len(m.replica.pending) > 0 {
+	since := logPosition{request.SinceEpoch, request.SinceSequence}
+	if m.replica.position() != since || len(m.replica.pending) > 0 {
 		return reasonNotInStep, nil
 	}
 	watermark := &wire.Watermark{
-		Epoch: request.Epoch, Sequence: request.SinceSequence + uint64(len(request.Entries)), LeaderClock: request.LeaderClock,
-	}
-	if m.needsCompaction() {
-		if err := m.compact(); err != nil {
-			return "", err
-		}
-	}
-	records := append(encodeEntries(request.Entries), mustMarshal(&wire.JournalRecord{Watermark: watermark}))
-	if err := m.appendRecords(records); err != nil {
-		return "", err
-	}
-	for _, entry := range request.Entries {
-		m.apply(entry)
+		Epoch: request.Epoch, Sequence: since.sequence + uint64(len(request.Entries)), LeaderClock: request.LeaderClock,
 	}
-	if err := m.applyWatermark(watermark); err != nil {
+	if err := m.replica.catchUp(request.Entries, watermark); err != nil {
 		return "", err
 	}
-	m.resetClockBound()
 	m.followPrimary(request.Epoch)
 	m.host.Report(eventlog.ReplicaCaughtUp, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "entries": len(request.Entries)})
 	return "", nil
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -34,8 +34,8 @@
 		for sequence := uint64(1); sequence <= batches; sequence++ {
 			entry := &wire.Entry{Epoch: 1, Sequence: sequence, Command: bytes.Repeat([]byte("c"), 1<<10)}
 			m.replicaExecutor.Run(func() {
-				if err = m.appendEntries([]*wire.Entry{entry}); err == nil {
-					m.apply(entry)
+				if err = m.replica.appendEntries([]*wire.Entry{entry}); err == nil {
+					m.replica.apply(entry)
 					stored++
 				}
 			})
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -9,7 +9,6 @@
 	"snowflow/internal/eventlog"
 	"snowflow/internal/replication/consensus"
 	"snowflow/internal/transport/wire"
-	"snowflow/internal/wal"
 )
 
 const (
@@ -21,25 +20,21 @@
 
 // openVoter reads the voter's record. It runs on the voter executor.
 func (m *Member) openVoter() error {
-	name := m.fileName(registerFile)
 	record := &wire.RegisterRecord{}
-	log, err := wal.Open(m.host.Disk(), name, func(content []byte) error {
+	log, err := m.storage.openLog(registerFile, func(content []byte) error {
 		next := &wire.RegisterRecord{}
 		if err := proto.Unmarshal(content, next); err != nil {
 			return err
 		}
 		record = next
 		return nil
-	})
-	if isCorrupt(err) {
-		m.reportCorrupt(name, err)
+	}, func() error {
 		record = &wire.RegisterRecord{}
-		log, err = wal.Recreate(m.host.Disk(), name)
-	}
+		return nil
+	})
 	if err != nil {
 		return err
 	}
-	m.reportTornTail(name, log)
 	m.registerLog = log
 	if record.Name != "" && record.Name != m.config.Name {
 		return apierror.Invalid.New("data folder belongs to %s, not to %s", record.Name, m.config.Name)
@@ -55,16 +50,6 @@
 	return nil
 }
 
-func (m *Member) reportCorrupt(file string, err error) {
-	m.host.Report(eventlog.DiskCorrupted, map[string]any{"file": file, "error": err.Error()})
-}
-
-func (m *Member) reportTornTail(file string, log *wal.Log) {
-	if log.TruncatedBytes > 0 {
-		m.host.Report(eventlog.DiskTornTail, map[string]any{"file": file, "bytes": log.TruncatedBytes})
-	}
-}
-
 // saveRecord syncs a record of the voter. If a sync fails the process stops, since what the disk holds is unknown.
 func (m *Member) saveRecord(record *wire.RegisterRecord) error {
 	content, err := proto.Marshal(record)
@@ -77,13 +62,10 @@
 	} else if err = log.Append(content); err == nil {
 		err = log.Sync()
 	}
-	if isDiskFull(err) && m.releaseReserve() {
+	if isDiskFull(err) && m.storage.releaseReserve() {
 		err = log.Rewrite(content)
 	}
-	if err != nil {
-		if isSyncFailure(err) {
-			m.stop("register: " + err.Error())
-		}
+	if err := m.storage.stopOnSyncFailure(registerFile, err); err != nil {
 		return err
 	}
 	m.voter.RecordSaved(record)
@@ -137,7 +119,7 @@
 		LeaseRemaining: int64(pledge.Remaining),
 		LeaseGrantedTo: pledge.Leader,
 	}
-	if position := m.position(); m.replica.incarnation.Load() != 0 {
+	if position := m.replica.position(); m.replica.incarnation.Load() != 0 {
 		response.HasReplica, response.ReplicaEpoch, response.ReplicaSequence = true, position.epoch, position.sequence
 	}
 	return response
