--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -52,7 +52,7 @@
 }
 
 // proposeBackups proposes the epoch after a given one, in which some backups are in sync. If that fails, this member steps down:
-// whether the proposal took effect may be unknown, so the register has to be read anew.
+// whether the proposal took effect may be unknown, so the register has to be read again.
 func (m *Member) proposeBackups(epoch uint64, backups []*wire.MemberID) (value *wire.RegisterValue, proposal uint64, ok bool) {
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		if !m.leadsEpoch(value, epoch) {
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -53,7 +53,7 @@
 	}
 	if since := now - timer.lastBatch; len(batch) == 0 && since >= 0 && since < m.renewInterval() {
 		m.replaceLeavingBackups()
-		return m.renewInterval() - since // the backups have heard of this primary since
+		return m.renewInterval() - since // the backups have received a batch since
 	}
 	timer.lastBatch = now
 	m.commit(state, batch)
--- a/internal/replication/config.go
+++ b/internal/replication/config.go
@@ -63,7 +63,7 @@
 
 	// UnverifiedClock lets the leader clock follow the primary's clock without a bound by its backups.
 	UnverifiedClock bool
-	// IgnoreLease lets a primary serve without a lease, AnyVoterMayLead any voter campaign whatever replica it has, and
+	// IgnoreLease lets a primary serve without a lease, AnyVoterMayLead any voter campaign without regard to its replica, and
 	// LeaveAtOnce a graceful shutdown leave its replica and vote behind.
 	IgnoreLease, AnyVoterMayLead, LeaveAtOnce bool
 }
--- a/internal/replication/consensus/lease.go
+++ b/internal/replication/consensus/lease.go
@@ -87,7 +87,7 @@
 // WaitOver reports whether leases that an earlier process may have granted have ended.
 func (v *Voter) WaitOver(now monotonic.Micros) bool { return now >= v.votesAfter }
 
-// DeferVotes makes the voter wait, whatever becomes known of its grantees.
+// DeferVotes makes the voter wait, even if its grantees are found to have ended.
 func (v *Voter) DeferVotes(until monotonic.Micros) {
 	v.votesAfter, v.awaitsGrantees = max(v.votesAfter, until), false
 }
--- a/internal/replication/consensus/lease_search_test.go
+++ b/internal/replication/consensus/lease_search_test.go
@@ -38,7 +38,7 @@
 	grant     modelGrantee
 	until     uint8               // what remains of the grant
 	wait      uint8               // nothing is promised before it ends
-	inherited bool                // the wait stands for an earlier process's grants, of which the disk tells
+	inherited bool                // the wait stands for an earlier process's grants, which are recorded on disk
 	seen      [modelMembers]uint8 // the process that answered this voter process's last read
 
 	hasRequested              processSet // processes whose requests may arrive once more
@@ -57,7 +57,7 @@
 	replaceGrantees bool // a request replaces all grantees although a lease stands
 	oneEnded        bool // one grantee that has ended is enough
 	anyRelease      bool // a release counts although other processes may hold leases too
-	lateRelease     bool // a release counts for whatever process of its member holds the lease
+	lateRelease     bool // a release counts for any process of its member that holds the lease
 }
 
 func (s *leaseState) leaseStands() bool { return s.grant.process > 0 && s.until > 0 }
--- a/internal/replication/consensus/value.go
+++ b/internal/replication/consensus/value.go
@@ -27,9 +27,9 @@
 	return []*wire.MemberID{value.Backup}
 }
 
-// IsReplica reports whether a value names a member as the primary or as a backup, whose replicas have every
+// NamesReplica reports whether a value names a member as the primary or as a backup, whose replicas have every
 // acknowledged write. It is false for a nil value.
-func IsReplica(value *wire.RegisterValue, member *wire.MemberID) bool {
+func NamesReplica(value *wire.RegisterValue, member *wire.MemberID) bool {
 	return value != nil && (SameMember(value.Primary, member) || ContainsMember(BackupsOf(value), member))
 }
 
@@ -50,7 +50,7 @@
 	return next
 }
 
-// SameMember reports whether two IDs name the same replica. A replica that was lost and begun anew has another
+// SameMember reports whether two IDs name the same replica. A replica that is created again after a loss has another
 // incarnation. A nil ID is the same as no other.
 func SameMember(a, b *wire.MemberID) bool {
 	return a != nil && b != nil && a.Name == b.Name && a.Incarnation == b.Incarnation
--- a/internal/replication/consensus/voter.go
+++ b/internal/replication/consensus/voter.go
@@ -44,7 +44,7 @@
 //     voter that lost its disk can't complete a proposal that its earlier process promised;
 //   - a grant is never shortened except by its leader, and nobody else is promised or granted anything before it ends;
 //   - nothing is promised, accepted or granted before votesAfter, because an earlier process may have granted a lease;
-//   - whoever may hold a lease granted here is among record.Grantees, on disk before the grant is sent;
+//   - every process that may hold a lease granted here is among record.Grantees, on disk before the grant is sent;
 //   - votesAfter is brought forward only while it stands for an earlier process's grants alone (awaitsGrantees), and only
 //     once every grantee's process is known to have ended: a lease ends with the process that holds it.
 type Voter struct {
--- a/internal/replication/consensus/voter_test.go
+++ b/internal/replication/consensus/voter_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestConfigurationMismatch: a voter rejects whoever goes by other voters, with a typed error that names both.
+// TestConfigurationMismatch: a voter rejects requests by other voters, with a typed error that names both.
 func TestConfigurationMismatch(t *testing.T) {
 	others := []string{"x", "y"}
 	t.Run("other initial voters", func(t *testing.T) {
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -55,7 +55,7 @@
 	case leading:
 		m.renewLease()
 		m.changeMembership()
-	case !m.isVoter() && !m.isReplica():
+	case !m.isVoter() && !m.hasCurrentReplica():
 		m.requestJoin(true)
 		m.host.Sleep(m.config.LeaseDuration - m.config.HeartbeatInterval)
 	case silence <= m.config.LeaseDuration && !coldStart || m.otherLeaseRemaining() > 0:
@@ -141,7 +141,8 @@
 	return 2 * m.pollInterval()
 }
 
-// mayCampaign reports whether this member's replica has every acknowledged write, as far as the newest value seen tells.
+// mayCampaign reports whether this member isn't shutting down, and its replica has every acknowledged write as far as a value that
+// it knows tells. A nil value stands for a group that hasn't started yet.
 func (m *Member) mayCampaign(known *wire.RegisterValue) bool {
 	m.mu.Lock()
 	stopping := m.stopping
@@ -149,7 +150,7 @@
 	if stopping {
 		return false
 	}
-	return known == nil || m.config.AnyVoterMayLead || consensus.IsReplica(known, m.self())
+	return known == nil || m.config.AnyVoterMayLead || consensus.NamesReplica(known, m.self())
 }
 
 // campaign proposes the next epoch with this member as primary. Nothing is served in that epoch before a backup is in sync.
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// registerSurvey is what the registers of other processes tell a process without one.
+// registerSurvey is what a process without a register learns from those of others.
 type registerSurvey struct {
 	// bootstrap is set if the group has never started and may start now.
 	bootstrap bool
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -37,7 +37,7 @@
 	clock                              primaryClock
 }
 
-// renewInterval is how often a primary renews its lease and has its backups hear of it.
+// renewInterval is how often a primary renews its lease and sends its backups a heartbeat.
 func (m *Member) renewInterval() monotonic.Micros { return m.config.LeaseDuration / 3 }
 
 // currentLeadership returns a copy of this member's leadership.
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -50,7 +50,7 @@
 	return err == nil && response.Released
 }
 
-// handleLeave records that a process is shutting down, and tells it whether it may go: its replica isn't a backup, and no
+// handleLeave records that a process is shutting down, and returns whether it may go: its replica isn't a backup, and no
 // standby could take its vote.
 func (m *Member) handleLeave(name string) *wire.JoinResponse {
 	if !m.Serving() {
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -48,7 +48,8 @@
 	register         *wire.RegisterValue
 	registerProposal uint64
 	leadership       leadership
-	// lastLeaderContact is when a primary was last heard of. coldStart is set until this process hears of one, or campaigns.
+	// lastLeaderContact is when this process last had a sign of a live primary. coldStart is set until the first such sign, or until it
+	// campaigns.
 	lastLeaderContact monotonic.Micros
 	coldStart         bool
 	// peers is what each other process reported of itself when its register was last read.
--- a/internal/replication/membership/membership_test.go
+++ b/internal/replication/membership/membership_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestPolicyKeepsAQuorum tries every state of up to five voters: whatever is chosen can be committed by those who respond,
-// changes one place, and keeps whoever holds a replica.
+// TestPolicyKeepsAQuorum tries every state of up to five voters: every choice can be committed by those who respond, changes
+// one place, and keeps the voters that hold a replica.
 func TestPolicyKeepsAQuorum(t *testing.T) {
 	changes := 0
 	for size := 1; size <= 5; size++ {
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -95,7 +95,7 @@
 	if !m.quorumSeen(staleReadWindow) {
 		return false
 	}
-	if !consensus.IsReplica(m.knownRegister(), m.self()) {
+	if !consensus.NamesReplica(m.knownRegister(), m.self()) {
 		return false
 	}
 	m.replica.mu.Lock()
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -61,11 +61,11 @@
 	return current.Contains(m.config.Name)
 }
 
-// isReplica reports whether the newest register value seen names this member's replica as one with every acknowledged
+// hasCurrentReplica reports whether the newest register value seen names this member's replica as one with every acknowledged
 // write.
-func (m *Member) isReplica() bool {
+func (m *Member) hasCurrentReplica() bool {
 	self := m.self()
-	return consensus.IsReplica(m.knownRegister(), self)
+	return consensus.NamesReplica(m.knownRegister(), self)
 }
 
 // knownPeers returns the processes that may know the register: the initial and the present voters, and the members of the
@@ -113,21 +113,21 @@
 	m.resolver.ObservePrimaries([]*wire.Primary{{Group: m.config.Group, Epoch: epoch, Name: name}})
 }
 
-// recordLeaderContact notes that a primary was heard of.
+// recordLeaderContact records a sign of a live primary.
 func (m *Member) recordLeaderContact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lastLeaderContact, m.coldStart = m.host.Now(), false
 }
 
-// endColdStart notes that a primary was heard of, or that this member has campaigned.
+// endColdStart records the first sign of a live primary, or that this member has campaigned.
 func (m *Member) endColdStart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.coldStart = false
 }
 
-// recordResponse notes that a voter responded.
+// recordResponse records that a voter responded.
 func (m *Member) recordResponse(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// resetClockBound begins the bound on the leader clock anew, with the replica's.
+// resetClockBound restarts the bound on the leader clock from the replica's own.
 func (r *replica) resetClockBound() {
 	r.clockBound = clockBound{at: r.host.Now(), estimate: r.leaderClock}
 }
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// largeState is a state machine whose state keeps its size whatever is applied.
+// largeState is a state machine whose state keeps its size when commands are applied.
 type largeState struct{ content []byte }
 
 func (s *largeState) Apply(uint64, monotonic.Micros, []byte) []byte { return nil }
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -30,7 +30,7 @@
 )
 
 // relieveSlowDisks counts the batches that a disk was slow to sync, and acts after several in a row. Slow disks are only
-// avoided if there is a third voter: with two, both disks are needed for every write, whoever leads.
+// avoided if there is a third voter: with two, both disks are needed for every write, no matter which member leads.
 func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
 	ownSlow := false
 	m.replicaExecutor.Run(func() { ownSlow = m.replica.lastSyncTime > m.config.SlowSyncThreshold })
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -26,7 +26,7 @@
 	Sequence uint64   `json:"sequence"`
 	Journal  int64    `json:"journal_bytes"`
 	Voters   []string `json:"voters"`
-	// Joint are the voters to come while the membership changes. Members are the group's processes that were heard of.
+	// Joint are the voters to come while the membership changes. Members are the group's processes that the resolver knows.
 	Joint   []string `json:"joint_voters,omitempty"`
 	Members []string `json:"members,omitempty"`
 	// SyncTime is how long the last append to the journal took.
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -39,7 +39,7 @@
 	if record.Name != "" && record.Name != m.config.Name {
 		return apierror.Invalid.New("data folder belongs to %s, not to %s", record.Name, m.config.Name)
 	}
-	// After a start of all members at once nothing but this record may tell who votes.
+	// After a start of all members at once this record may be the only place that names the voters.
 	m.observeRegister(record.Accepted, record.Value)
 	m.observeProposal(record.Promised)
 	m.voter.Restore(m.host.Now(), record)
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -1,4 +1,4 @@
-// Package wal keeps records in an append-only file (a write-ahead log) and tells a torn tail from corruption.
+// Package wal keeps records in an append-only file (a write-ahead log) and distinguishes a torn tail from corruption.
 //
 // # Records
 //
