--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -57,7 +57,7 @@
 
 // TestExampleSettings: what operators are shown to start from is taken.
 func TestExampleSettings(t *testing.T) {
-	for program, fields := range map[string][]settings.Field{"sorter": settings.ControlPlaneFields(), "postmaster": settings.ControlPlaneFields(), "carrier": settings.ProxyFields()} {
+	for program, fields := range map[string][]settings.Field{"registry": settings.ControlPlaneFields(), "configstore": settings.ControlPlaneFields(), "proxy": settings.ProxyFields()} {
 		flags := pflag.NewFlagSet(program, pflag.ContinueOnError)
 		settings.AddFlags(flags, fields)
 		if err := flags.Set("env", "../../examples/env/"+program+"-1.json"); err != nil {
