--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -65,7 +65,7 @@
 		defer cancel()
 		for _, one := range plans {
 			if err := sweep.Sweep(one, func(size sweep.Size, number int) (sweep.Run, error) {
-				return runInSubprocess(running, own, sweepRunRequest{size, sweep.Options{Window: one.Window, Patience: timeout, Failures: one.Dimension.Failures, Binaries: binaries, Base: base}, number})
+				return runInSubprocess(running, own, sweepRunRequest{size, sweep.Options{Window: one.Window, Timeout: timeout, Failures: one.Dimension.Failures, Binaries: binaries, Base: base}, number})
 			}, logf); err != nil {
 				return err
 			}
