--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -71,7 +71,7 @@
 	for _, process := range r.Fleet.ConfigStores {
 		addresses = append(addresses, process.AdminAddress)
 	}
-	command := exec.Command(filepath.Join(r.Options.BinaryDir, "snowctl"), append(arguments, "--desks", strings.Join(addresses, ","))...)
+	command := exec.Command(filepath.Join(r.Options.BinaryDir, "snowctl"), append(arguments, "--addresses", strings.Join(addresses, ","))...)
 	content, err := command.CombinedOutput()
 	if failed := new(exec.ExitError); errors.As(err, &failed) {
 		return string(content), failed.ExitCode(), nil
@@ -180,7 +180,7 @@
 	if !strings.Contains(output, "~ route archive-7: cutoffMicros") || !strings.Contains(output, "0 added, 1 changed, 0 removed") || !strings.Contains(output, "nothing was applied") {
 		t.Errorf("preview: %s", output)
 	}
-	version := regexp.MustCompile(`it would follow serial (\d+), and go to 4 nodes`).FindStringSubmatch(output)
+	version := regexp.MustCompile(`it would follow version (\d+), and go to 4 nodes`).FindStringSubmatch(output)
 	if version == nil {
 		t.Fatalf("preview: %s", output)
 	}
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// healthy is a mesh without faults; each test spoils one thing.
+// healthy is a mesh without faults; each test changes one thing.
 func healthyMesh() Mesh {
 	mesh := Mesh{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}, QueriedAt: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
@@ -48,10 +48,10 @@
 			delete(mesh.Registries, "sorter-1")
 			delete(mesh.Registries, "sorter-2")
 		}},
-		{"copies", Unhealthy, "0 sorters answer", func(mesh Mesh) {
+		{"copies", Unhealthy, "0 members of the registry serve", func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Serving = false })
 		}},
-		{"copies", Unhealthy, "2 sorters answer", func(mesh Mesh) {
+		{"copies", Unhealthy, "2 members of the registry serve", func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Serving = true })
 		}},
 		{"copies", Warning, "knows epoch 1", func(mesh Mesh) {
@@ -72,7 +72,7 @@
 		{"disk", Warning, "last write", func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.SyncTime = int64(monotonic.Second) })
 		}},
-		{"carriers", Warning, "serial 2", func(mesh Mesh) { mesh.Registries["sorter-1"].Proxies[0].ConfigVersion = 2 }},
+		{"carriers", Warning, "version 2", func(mesh Mesh) { mesh.Registries["sorter-1"].Proxies[0].ConfigVersion = 2 }},
 		{"guards", Unhealthy, "forms is open", func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) {
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "open"}}
@@ -88,57 +88,61 @@
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
 			})
 		}},
-		{"backends", Warning, "stopped beating", func(mesh Mesh) { mesh.Registries["sorter-1"].Proxies[0].Backends[0].Condition = "overdue" }},
+		{"backends", Warning, "stopped sending heartbeats", func(mesh Mesh) { mesh.Registries["sorter-1"].Proxies[0].Backends[0].Condition = "overdue" }},
 		{"backends", Warning, "single backend", func(mesh Mesh) {
 			mesh.Registries["sorter-1"].Proxies[0].Backends = mesh.Registries["sorter-1"].Proxies[0].Backends[:1]
 		}},
 	}
 	for _, one := range cases {
-		mesh := healthyMesh()
-		one.change(mesh)
-		seen := false
-		for _, finding := range Check(mesh) {
-			seen = seen || finding.Check == one.check && finding.Level == one.level && strings.Contains(finding.What, one.contains) && finding.Advice != ""
-		}
-		if !seen {
-			t.Errorf("%s: no finding that says %q", one.check, one.contains)
-		}
+		t.Run(one.check+": "+one.contains, func(t *testing.T) {
+			mesh := healthyMesh()
+			one.change(mesh)
+			seen := false
+			for _, finding := range Check(mesh) {
+				seen = seen || finding.Check == one.check && finding.Level == one.level && strings.Contains(finding.What, one.contains) && finding.Advice != ""
+			}
+			if !seen {
+				t.Error("no such finding with advice")
+			}
+		})
 	}
 }
 
-// TestSafeToMove: the next machine may go once both copies and every other voter are there, and not before.
+// TestSafeToMove: the next host may be stopped once both replicas and every other voter are there, and not before.
 func TestSafeToMove(t *testing.T) {
 	machine := []string{"sorter-2", "postmaster-2"}
 	for _, one := range []struct {
-		what, contains string
+		name, contains string
 		names          []string
 		change         func(mesh Mesh)
 	}{
 		{"all is well", "", machine, func(Mesh) {}},
-		{"it's gone already, as while it moves", "", machine, func(mesh Mesh) { delete(mesh.Registries, "sorter-2") }},
+		{"it is stopped already, as while it moves", "", machine, func(mesh Mesh) { delete(mesh.Registries, "sorter-2") }},
 		{"two of one group", "one process of a group", []string{"sorter-1", "sorter-2"}, func(Mesh) {}},
-		{"another is away", "sorter-3 doesn't answer", machine, func(mesh Mesh) { delete(mesh.Registries, "sorter-3") }},
-		{"another is blank", "sorter-1 has not joined", machine, func(mesh Mesh) {
+		{"another is down", "sorter-3 does not respond", machine, func(mesh Mesh) { delete(mesh.Registries, "sorter-3") }},
+		{"another has an empty disk", "sorter-1 has not joined", machine, func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Joined = false })
 		}},
-		{"a witness is behind", "", machine, func(mesh Mesh) {
+		{"a voter without a replica is behind", "", machine, func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
-		{"the other copy is behind", "sorter-2 is behind", []string{"sorter-3"}, func(mesh Mesh) {
+		{"the other replica is behind", "sorter-2 is behind", []string{"sorter-3"}, func(mesh Mesh) {
 			changeRegistry(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
-		{"no backup in step", "no primary answers", machine, func(mesh Mesh) {
+		{"no backup in sync", "no primary serves", machine, func(mesh Mesh) {
 			for name := range mesh.Registries {
 				changeRegistry(mesh, name, func(status *registry.Status) { status.Replication.BackupsInSync = false })
 			}
 		}},
 	} {
-		mesh := healthyMesh()
-		one.change(mesh)
-		unknown, objections := Safe(mesh, one.names)
-		if len(unknown) > 0 || (one.contains == "") != (len(objections) == 0) || !strings.Contains(strings.Join(objections, "; "), one.contains) {
-			t.Errorf("%s: %v %v", one.what, unknown, objections)
-		}
+		t.Run(one.name, func(t *testing.T) {
+			mesh := healthyMesh()
+			one.change(mesh)
+			unknown, objections := Safe(mesh, one.names)
+			if len(unknown) > 0 || (one.contains == "") != (len(objections) == 0) || !strings.Contains(strings.Join(objections, "; "), one.contains) {
+				t.Errorf("%v %v", unknown, objections)
+			}
+		})
 	}
 	if unknown, _ := Safe(healthyMesh(), []string{"sorter-2", "sorter-9"}); len(unknown) != 1 || unknown[0] != "sorter-9" {
 		t.Errorf("unknown: %v", unknown)
--- a/internal/snowctl/doctor/groups.go
+++ b/internal/snowctl/doctor/groups.go
@@ -1,33 +1,48 @@
 package doctor
 
 import (
-	"fmt"
 	"slices"
 
+	"snowflow/internal/configstore"
+	"snowflow/internal/registry"
 	"snowflow/internal/replication"
 )
 
-// sight is what a desk sees of one group of the core.
+// groupNames are the control plane's groups, in the order of findings.
+var groupNames = []string{configstore.Group, registry.Group}
+
+// groupView is what the configuration store that responded sees of one group.
 type groupView struct {
-	group   string
+	name    string
 	voters  []string
-	seen    []string
-	missing []string
+	seen    []string // voters whose status is known
+	missing []string // the others
 	members map[string]replication.Status
 }
 
-// sights sorts the core's members by group. A voter that no member names isn't known of.
+// title names a group in findings.
+func title(group string) string {
+	switch group {
+	case configstore.Group:
+		return "configuration store"
+	case registry.Group:
+		return "registry"
+	}
+	return group
+}
+
+// groupViews sorts the members by group. Voters that no known member names are unknown.
 func groupViews(mesh Mesh) (all []groupView) {
-	for _, group := range []string{"postmaster", "sorter"} {
-		view := groupView{group: group, members: map[string]replication.Status{}}
-		for _, member := range coreMembers(mesh) {
+	for _, group := range groupNames {
+		view := groupView{name: group, members: map[string]replication.Status{}}
+		for _, member := range mesh.members() {
 			if member.Group == group {
 				view.voters = member.Voters
 				view.members[member.Name] = member
 			}
 		}
 		for _, name := range view.voters {
-			if _, answered := view.members[name]; answered {
+			if _, known := view.members[name]; known {
 				view.seen = append(view.seen, name)
 			} else {
 				view.missing = append(view.missing, name)
@@ -38,80 +53,32 @@
 	return all
 }
 
-// split tells which part of the core this desk sees, and whether that part can decide.
-func checkPartition(mesh Mesh) (findings []Finding) {
-	for _, view := range groupViews(mesh) {
-		if len(view.missing) == 0 {
-			continue
-		}
-		what := fmt.Sprintf("from this desk %v can be seen and %v can't", view.seen, view.missing)
-		if replication.HasQuorum(view.voters, view.seen) {
-			findings = append(findings, Finding{Warning, "split", what + ": those seen can decide", "bring the others back, or their way to these; until then no further machine may go"})
-		} else {
-			findings = append(findings, Finding{Unhealthy, "split", what + ": those seen can't decide", "ask a desk on the other side, which may go on; bring the ways between them back"})
+// newest is the seen member with the highest epoch, the one that serves if several have it.
+func (v groupView) newest() (newest replication.Status) {
+	for _, name := range v.seen {
+		if member := v.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
+			newest = member
 		}
 	}
-	return findings
+	return newest
 }
 
-// Safe tells why processes of the core may not be taken away, moved or emptied now: nothing if they may. unknown names those
-// that no roster has.
-func Safe(mesh Mesh, names []string) (unknown, objections []string) {
-	known := map[string]bool{}
-	for _, view := range groupViews(mesh) {
-		leaving := 0
-		for _, name := range view.voters {
-			known[name] = true
-			if slices.Contains(names, name) {
-				leaving++
-			}
-		}
-		if leaving == 0 {
-			continue
-		}
-		object := func(format string, arguments ...any) {
-			objections = append(objections, view.group+"s: "+fmt.Sprintf(format, arguments...))
-		}
-		if leaving > 1 {
-			object("only one process of a group may go at a time")
-		}
-		newest, answering := replication.Status{}, 0
-		for _, name := range view.seen {
-			if member := view.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
-				newest = member
-			}
-		}
-		for _, name := range view.seen {
-			member := view.members[name]
-			if member.Serving {
-				answering++
-			}
-			if !member.Joined && !slices.Contains(names, name) {
-				object("%s has not joined again yet", name)
-			}
-			copies := slices.Contains(newest.ReplicaNames(), name) // a witness may lag: whoever decides asks others too
-			if copies && member.Epoch != newest.Epoch && !slices.Contains(names, name) {
-				object("%s is behind, at epoch %d of %d", name, member.Epoch, newest.Epoch)
-			}
-		}
-		for _, name := range view.missing {
-			if !slices.Contains(names, name) {
-				object("%s doesn't answer", name)
-			}
-		}
-		if answering != 1 || !newest.BackupsInSync {
-			object("no primary answers with a backup in step")
-		}
-		for _, name := range newest.ReplicaNames() {
-			if _, seen := view.members[name]; !seen && !slices.Contains(names, name) {
-				object("the copy at %q can't be seen", name)
-			}
+// serving counts the seen members that serve as primary.
+func (v groupView) serving() (count int) {
+	for _, name := range v.seen {
+		if v.members[name].Serving {
+			count++
 		}
 	}
-	for _, name := range names {
-		if !known[name] {
-			unknown = append(unknown, name)
+	return count
+}
+
+// countOf counts the voters among names.
+func (v groupView) countOf(names []string) (count int) {
+	for _, name := range v.voters {
+		if slices.Contains(names, name) {
+			count++
 		}
 	}
-	return unknown, objections
+	return count
 }
--- a/internal/snowctl/rollout/rollout.go
+++ b/internal/snowctl/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package rollout tells how far a version of the desired state has come.
+// Package rollout computes how far the newest version of the desired state has rolled out, from the status of the configuration stores.
 package rollout
 
 import (
@@ -10,16 +10,16 @@
 	"snowflow/internal/configstore"
 )
 
-// Progress is how far the newest version has come, as the primary postmaster knows it.
+// Progress is how far the newest version has rolled out, as the primary configuration store knows it.
 type Progress struct {
 	Primary string `json:"primary"`
 	Version uint64 `json:"version"`
-	// Nodes are those that hold a lease, those furthest behind first, then those that took longest.
+	// Nodes are the proxies that hold a lease, those furthest behind first, then those that took longest.
 	Nodes    []configstore.LeaseStatus `json:"nodes"`
-	UpToDate int                       `json:"there"` // nodes that have the newest
+	UpToDate int                       `json:"there"` // nodes that have the newest version
 }
 
-// FromStatuses finds the primary among what the postmasters told.
+// FromStatuses finds the primary among the configuration stores' statuses, by name. It gives false if none serves as primary.
 func FromStatuses(statuses map[string]configstore.Status) (Progress, bool) {
 	for name, status := range statuses {
 		if !status.Core.Serving {
@@ -52,10 +52,10 @@
 	return 1
 }
 
-// Done tells that every node has the newest version.
+// Done reports whether every node has the newest version.
 func (p Progress) Done() bool { return p.UpToDate == len(p.Nodes) }
 
-// Line is the progress in one line.
+// Line formats the progress in one line.
 func (p Progress) Line() string {
 	text := fmt.Sprintf("version %d: %d of %d nodes", p.Version, p.UpToDate, len(p.Nodes))
 	if len(p.Nodes) == 0 {
@@ -71,12 +71,12 @@
 	return text
 }
 
-// Table lists every node: its version, since when it has it, and how long after the commit it gave its word.
+// Table formats a line for each node: its version, how long ago it adopted that, and how long after the commit it acknowledged it.
 func (p Progress) Table() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %10s %12s %12s\n", "node", "version", "ago", "took")
 	for _, node := range p.Nodes {
-		took := "-" // this primary didn't see the commit
+		took := "-" // this primary did not see the commit
 		if node.AdoptionMicros > 0 {
 			took = formatMicros(node.AdoptionMicros)
 		}
--- a/internal/snowctl/rollout/rollout_test.go
+++ b/internal/snowctl/rollout/rollout_test.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/snowctl/rollout"
 )
 
-// TestProgress: the primary's word counts, and who is furthest behind or took longest comes first.
+// TestProgress: the primary's status counts, and nodes that are furthest behind or took longest come first.
 func TestProgress(t *testing.T) {
 	holders := []configstore.LeaseStatus{{Proxy: "b", AdoptedVersion: 7, AdoptedForMicros: 2000000, AdoptionMicros: 3100}, {Proxy: "a", AdoptedVersion: 7, AdoptedForMicros: 61000000, AdoptionMicros: 4200}, {Proxy: "c", AdoptedVersion: 6, AdoptedForMicros: 900000000}}
 	statuses := map[string]configstore.Status{"postmaster-1": {Version: 6}, "postmaster-2": {Core: replication.Status{Serving: true}, Version: 7, Leases: holders}}
@@ -29,6 +29,6 @@
 	}
 	delete(statuses, "postmaster-2")
 	if _, found := rollout.FromStatuses(statuses); found {
-		t.Error("a postmaster that doesn't answer as primary was believed")
+		t.Error("the status of a store that does not serve as primary was taken")
 	}
 }
