--- a/internal/rehearse/layout/layout.go
+++ b/internal/rehearse/layout/layout.go
@@ -1,49 +1,50 @@
-// Package layout describes the fleets that depot can bring up: machines, zones, services and the callers' mix.
+// Package layout describes the fleets that a rehearsal can bring up: hosts, zones, services and the traffic that callers send.
 package layout
 
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 )
 
-// Kind is one kind of traffic.
+// Kind is one kind of traffic that callers send.
 type Kind struct {
 	Name       string
 	Method     string
-	Path       string  // a number is put behind it
-	Rate       float64 // a second, over the whole fleet
-	Idempotent bool
-	BodyBytes  int
-	Service    string
+	Path       string  // a request's number is appended
+	Rate       float64 // requests a second over the whole fleet
+	Idempotent bool    // whether requests have an idempotency key and are retried
+	BodyBytes  int     // of a request
+	Service    string  // that serves it
 }
 
 // Service is one stand-in service.
 type Service struct {
 	Name     string
-	Backends int
-	// LookupPath is the internal call each backend makes for one in LookupEvery of its requests.
+	Backends int // instances at the start
+	// LookupPath is what each backend reads from another service on every LookupEvery-th of its requests; empty for nothing.
 	LookupPath    string
 	LookupEvery   int
-	ResponseBytes int // bytes
-	WorkMicros    int // microseconds of pretended work
+	ResponseBytes int
+	WorkMicros    int // mean time that a request takes, in microseconds
 }
 
 // Layout is one deployment.
 type Layout struct {
 	Name    string
-	Zones   []string
+	Zones   []string // hosts are in them in turn
 	Proxies int
-	// CallerProxies keeps the two sides of a carrier apart, for measuring each: the first so many carriers take all callers, the
-	// others all backends. Zero has every carrier do both.
+	// CallerProxies, unless zero, separates the two sides of a proxy so that each can be measured: this many proxies take all callers,
+	// the others have all backends.
 	CallerProxies int
-	CoreHosts     int
+	CoreHosts     int // hosts of the control plane, each with a registry and a configuration store
 	Services      []Service
 	Kinds         []Kind
-	DesiredState  string
+	DesiredState  string // the example that is applied first
 }
 
-// All are the deployments by name.
+// All holds the deployments by name.
 var All = map[string]Layout{
 	"association": {
 		Name: "association", Zones: []string{"north", "middle", "south"}, Proxies: 16, CoreHosts: 3, DesiredState: "association",
@@ -95,7 +96,7 @@
 	},
 }
 
-// Find gives a layout by name.
+// Find gives a layout by name. An unknown name is an error that lists the known ones.
 func Find(name string) (Layout, error) {
 	found, known := All[name]
 	if !known {
@@ -104,25 +105,36 @@
 	return found, nil
 }
 
-// ProxyIndex is the index of the carrier that a service's backend of an index stands beside at first.
+// indexStep is prime, which keeps the services' backends from piling up on the same hosts.
+const indexStep = 5
+
+// ProxyIndex is the index of the proxy on whose host a service's backend with this index starts.
 func (l Layout) ProxyIndex(service Service, index int) int {
-	// Spread over the machines; a prime step keeps services from piling up on the same ones.
-	return l.CallerProxies + (index*5+len(service.Name))%(l.Proxies-l.CallerProxies)
+	return l.CallerProxies + (index*indexStep+len(service.Name))%(l.Proxies-l.CallerProxies)
 }
 
-// Zone is the zone of the machine with this index.
+// Zone is the zone of the host with this index.
 func (l Layout) Zone(index int) string { return l.Zones[index%len(l.Zones)] }
 
-// LookupKinds are the internal calls as kinds of traffic, for the checkers.
-func (l Layout) LookupKinds() []Kind {
-	owners := map[string]string{"/municipalities": "submissions", "/scan-index": "batches", "/revisions": "corrections", "/assignments": "households", "/eligibility": "packs"}
+// lookupServices are the services that serve the lookups, by path.
+var lookupServices = map[string]string{
+	"/municipalities": "submissions",
+	"/scan-index":     "batches",
+	"/revisions":      "corrections",
+	"/assignments":    "households",
+	"/eligibility":    "packs",
+}
+
+// LookupKinds gives the lookups that backends send as kinds of traffic, for the invariants.
+func (l Layout) LookupKinds() (kinds []Kind) {
 	seen := map[string]bool{}
-	var kinds []Kind
 	for _, service := range l.Services {
-		if service.LookupPath != "" && !seen[service.LookupPath] {
-			seen[service.LookupPath] = true
-			kinds = append(kinds, Kind{Name: "lookup" + service.LookupPath, Method: "GET", Path: service.LookupPath, Service: owners[service.LookupPath]})
+		path := service.LookupPath
+		if path == "" || seen[path] {
+			continue
 		}
+		seen[path] = true
+		kinds = append(kinds, Kind{Name: "lookup" + path, Method: http.MethodGet, Path: path, Service: lookupServices[path]})
 	}
 	return kinds
 }
--- a/internal/rehearse/scenario/comparison.go
+++ b/internal/rehearse/scenario/comparison.go
@@ -7,61 +7,70 @@
 	"strings"
 )
 
-// Comparison is one figure of one kind of traffic in paired runs.
+// Comparison is one metric of one kind of traffic in runs with changes and in runs without.
 type Comparison struct {
 	Kind     string    `json:"kind"`
-	Figure   string    `json:"figure"`
-	Baseline []float64 `json:"quiet"`
-	Changed  []float64 `json:"busy"`
-	// Noise is the wider of the two spreads from least to most. With a single pair it's nothing.
+	Figure   string    `json:"figure"` // the metric's name
+	Baseline []float64 `json:"quiet"`  // values of the runs without changes
+	Changed  []float64 `json:"busy"`   // values of the runs with changes
+	// Noise is the wider of the two ranges from the lowest to the highest value. With a single pair of runs it is zero.
 	Noise float64 `json:"noise"`
-	// Difference is by how much the busy runs' mean is worse than the quiet ones'.
+	// Difference is by how much the mean with changes is worse than the mean without.
 	Difference float64 `json:"worse"`
 }
 
-// figures are what a report says of a kind: the more the worse.
-var metrics = []struct {
-	name string
-	of   func(report Report, kind string) float64
-}{
-	{"not served, of 1", func(report Report, kind string) float64 {
-		all := 0
-		for _, count := range report.Kinds[kind] {
-			all += count
-		}
-		return 1 - float64(report.Kinds[kind]["served"])/float64(max(1, all))
-	}},
+// metric is a figure that a report gives of a kind of traffic. Higher values are worse.
+type metric struct {
+	name  string
+	value func(report Report, kind string) float64
+}
+
+var metrics = []metric{
+	{"not served, of 1", notServedShare},
 	{"p99, ms", func(report Report, kind string) float64 { return float64(report.Latency[kind][1]) / 1000 }},
 }
 
-// Compare sets runs with changes against runs without, by the kinds of traffic that pass chooses.
+// notServedShare is the share of a kind's attempts that were not served. It is 1 for a kind without attempts.
+func notServedShare(report Report, kind string) float64 {
+	all := 0
+	for _, count := range report.Kinds[kind] {
+		all += count
+	}
+	return 1 - float64(report.Kinds[kind][outcomeServed])/float64(max(1, all))
+}
+
+// Compare compares runs with changes with runs without, by the kinds of traffic that chosen accepts.
 func Compare(baseline, changed []Report, chosen func(kind string) bool) (comparisons []Comparison) {
 	kinds := map[string]bool{}
 	for _, report := range slices.Concat(baseline, changed) {
 		for kind := range report.Kinds {
-			kinds[kind] = kinds[kind] || chosen(kind)
+			if chosen(kind) {
+				kinds[kind] = true
+			}
 		}
 	}
 	for _, kind := range slices.Sorted(maps.Keys(kinds)) {
-		if !kinds[kind] {
-			continue
-		}
-		for _, figure := range metrics {
-			one := Comparison{Kind: kind, Figure: figure.name}
-			for _, report := range baseline {
-				one.Baseline = append(one.Baseline, figure.of(report, kind))
-			}
-			for _, report := range changed {
-				one.Changed = append(one.Changed, figure.of(report, kind))
-			}
-			one.Difference = mean(one.Changed) - mean(one.Baseline)
-			one.Noise = max(spread(one.Baseline), spread(one.Changed))
-			comparisons = append(comparisons, one)
+		for _, metric := range metrics {
+			comparisons = append(comparisons, metric.compare(baseline, changed, kind))
 		}
 	}
 	return comparisons
 }
 
+func (m metric) compare(baseline, changed []Report, kind string) Comparison {
+	c := Comparison{Kind: kind, Figure: m.name, Baseline: m.values(baseline, kind), Changed: m.values(changed, kind)}
+	c.Difference = mean(c.Changed) - mean(c.Baseline)
+	c.Noise = max(valueRange(c.Baseline), valueRange(c.Changed))
+	return c
+}
+
+func (m metric) values(reports []Report, kind string) (values []float64) {
+	for _, report := range reports {
+		values = append(values, m.value(report, kind))
+	}
+	return values
+}
+
 func mean(values []float64) (sum float64) {
 	for _, value := range values {
 		sum += value / float64(len(values))
@@ -69,12 +78,12 @@
 	return sum
 }
 
-func spread(values []float64) float64 { return slices.Max(values) - slices.Min(values) }
+func valueRange(values []float64) float64 { return slices.Max(values) - slices.Min(values) }
 
-// Significant tells whether the difference is beyond the noise.
+// Significant reports whether the difference is greater than the noise.
 func (c Comparison) Significant() bool { return c.Difference > c.Noise }
 
-// Summary is the comparison in one line.
+// Summary formats the comparison in one line.
 func (c Comparison) Summary() string {
 	text := fmt.Sprintf("%-24s %-18s without changes %s, with %s, worse by %.4g, noise %.4g", c.Kind, c.Figure, formatValues(c.Baseline), formatValues(c.Changed), c.Difference, c.Noise)
 	if c.Significant() {
@@ -84,9 +93,9 @@
 }
 
 func formatValues(values []float64) string {
-	var words []string
+	var texts []string
 	for _, value := range values {
-		words = append(words, fmt.Sprintf("%.4g", value))
+		texts = append(texts, fmt.Sprintf("%.4g", value))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(texts, " ")
 }
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -1,12 +1,11 @@
-// Package standin plays the mesh's outside in a rehearsal: backends, callers and operators, all of them keeping records.
+// Package standin plays everything outside the mesh in a rehearsal: backends, callers and operators. All of them record what they
+// send, execute and receive in the history that the invariants are checked on.
 package standin
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -25,79 +24,75 @@
 	"snowflow/internal/rehearse/layout"
 )
 
-// Manners in which a backend misbehaves.
 const (
-	Normal         = ""
-	Failing        = "failing"     // answers 500
-	NoResponse     = "losing"      // runs, then closes without an answer
-	ShortBody      = "short"       // announces more than it sends
-	LongBody       = "long"        // sends more than it announces
-	NotHTTP        = "garbled"     // sends no HTTP
-	CloseDelimited = "close_ended" // sends a body that only the connection's end delimits
-	NotExecuted    = "not_executed"
-	Slow           = "slow" // takes five seconds
-	Mixed          = "mixed"
+	backendTimeout     = 4 * time.Second // of a backend's own requests
+	heartbeatInterval  = 2 * time.Second
+	registrationPause  = 200 * time.Millisecond // between attempts to register
+	slowTime           = 5 * time.Second
+	identityPath       = "/.snowflow/identity"
+	conditionWorking   = "working"
+	conditionLeaving   = "leaving"
+	lookupKindPrefix   = "lookup"
+	minResponsePadding = 20 // bytes beyond the attempt's id that a body has at least
 )
 
-// Backend is one stand-in instance.
+// Backend is one instance of a stand-in service.
 type Backend struct {
-	Service    layout.Service
-	Instance   string
-	Address    string
-	proxy      *fleet.Process
-	clock      monotonic.Clock
-	history    *invariants.History
-	Behavior   atomic.String
+	Service  layout.Service
+	Instance string
+	Address  string
+	Behavior atomic.String // one of the behaviors; may be changed at any time
+	Served   atomic.Int64  // requests read so far
+
+	proxy      *fleet.Process // where it is registered and sends lookups to
+	sender     sender
 	server     *http.Server
-	listener   net.Listener
-	closing    chan struct{}
+	closing    chan struct{} // closed by Close
 	closeOnce  sync.Once
-	Served     atomic.Int64
 	workMicros atomic.Int64
 	draining   atomic.Bool
-	client     *http.Client
-	// places bounds how many requests are worked on at once; others wait, as in a backend's own queue.
+	// workers bounds how many requests are worked on at once; others wait, as in a backend's own queue. Nil for no bound.
 	workers chan struct{}
 }
 
-// LimitWorkers gives the backend this many workers that take this long for a request.
-func (b *Backend) LimitWorkers(limit, microseconds int) {
-	b.workMicros.Store(int64(microseconds))
-	b.workers = make(chan struct{}, limit)
-}
-
-// WorkMicros gives the backend's work another length.
-func (b *Backend) SetWork(microseconds int) { b.workMicros.Store(int64(microseconds)) }
-
-// NewBackend starts an instance at an address beside a carrier.
+// NewBackend starts an instance at an address, registered at a proxy.
 func NewBackend(service layout.Service, address string, proxy *fleet.Process, clock monotonic.Clock, history *invariants.History) (*Backend, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	backend := &Backend{Service: service, Address: address, proxy: proxy, clock: clock, history: history, listener: listener,
-		Instance: fmt.Sprintf("%s-%08x", service.Name, rand.Uint32()), closing: make(chan struct{}),
-		client: &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
-	backend.workMicros.Store(int64(service.WorkMicros))
-	backend.server = &http.Server{Handler: backend, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = backend.server.Serve(listener) }()
-	go backend.sendHeartbeats()
-	return backend, nil
+	client := &http.Client{Timeout: backendTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
+	b := &Backend{Service: service, Address: address, Instance: fmt.Sprintf("%s-%08x", service.Name, rand.Uint32()),
+		proxy: proxy, sender: sender{client: client, history: history, clock: clock}, closing: make(chan struct{})}
+	b.workMicros.Store(int64(service.WorkMicros))
+	b.server = &http.Server{Handler: b, ReadHeaderTimeout: 10 * time.Second}
+	go func() { _ = b.server.Serve(listener) }() // ends with Close
+	go b.sendHeartbeats()
+	return b, nil
 }
 
-// beat registers and tells signs of life until the end.
+// LimitWorkers bounds the requests worked on at once, and sets the time that each takes. It must be called before traffic starts.
+func (b *Backend) LimitWorkers(limit, microseconds int) {
+	b.SetWork(microseconds)
+	b.workers = make(chan struct{}, limit)
+}
+
+// SetWork sets the mean time that a request takes.
+func (b *Backend) SetWork(microseconds int) { b.workMicros.Store(int64(microseconds)) }
+
+// sendHeartbeats registers the instance and sends heartbeats until Close. It registers again when the proxy does not know it any more.
 func (b *Backend) sendHeartbeats() {
 	registered := false
 	for {
 		if !registered {
-			registered = b.post("/backends", map[string]string{"service": b.Service.Name, "instance": b.Instance, "address": b.Address, "condition": b.condition()}) == http.StatusCreated
-		} else if code := b.post("/backends/"+b.Instance+"/beat", map[string]string{"condition": b.condition()}); code == http.StatusNotFound {
+			registered = b.register()
+		} else if b.sendHeartbeat() == http.StatusNotFound {
 			registered = false
 			continue
 		}
-		pause := 2 * time.Second
+		pause := heartbeatInterval
 		if !registered {
-			pause = 200 * time.Millisecond
+			pause = registrationPause
 		}
 		select {
 		case <-b.closing:
@@ -107,30 +102,43 @@
 	}
 }
 
+func (b *Backend) register() bool {
+	return b.post("/backends", map[string]string{"service": b.Service.Name, "instance": b.Instance, "address": b.Address, "condition": b.condition()}) == http.StatusCreated
+}
+
+func (b *Backend) sendHeartbeat() int {
+	return b.post("/backends/"+b.Instance+"/beat", map[string]string{"condition": b.condition()})
+}
+
 func (b *Backend) condition() string {
 	if b.draining.Load() {
-		return "leaving"
+		return conditionLeaving
 	}
-	return "working"
+	return conditionWorking
 }
 
-func (b *Backend) post(path string, content any) int {
-	body, _ := json.Marshal(content)
-	response, err := b.client.Post("http://"+b.proxy.AdminAddress+path, "application/json", bytes.NewReader(body))
+// post sends JSON to the proxy's admin address and gives the response's status; zero without a response.
+func (b *Backend) post(path string, content map[string]string) int {
+	body, err := json.Marshal(content)
 	if err != nil {
 		return 0
 	}
-	defer response.Body.Close()
+	response, err := b.sender.client.Post("http://"+b.proxy.AdminAddress+path, "application/json", bytes.NewReader(body))
+	if err != nil {
+		return 0
+	}
+	defer closeBody(response)
 	_, _ = io.Copy(io.Discard, response.Body)
 	return response.StatusCode
 }
 
-// RecordDeparture says that this instance is leaving. It goes on answering what still comes.
+// Drain tells the proxy that this instance is leaving, and reports whether the proxy acknowledged that. The instance goes on to
+// respond to requests that still arrive.
 func (b *Backend) Drain() bool {
 	b.draining.Store(true)
 	acknowledged := b.post("/backends/"+b.Instance+"/leave", map[string]string{}) == http.StatusOK
 	if acknowledged {
-		b.history.RecordDeparture(b.Instance, b.clock.Now())
+		b.sender.history.RecordDeparture(b.Instance, b.sender.clock.Now())
 	}
 	return acknowledged
 }
@@ -143,76 +151,77 @@
 	})
 }
 
-// Checksum is what stand-ins seal bodies with.
-func Checksum(content []byte) string {
-	return strconv.FormatUint(uint64(crc32.ChecksumIEEE(content)), 16)
-}
-
-// Headers that stand-ins use among themselves.
-const (
-	EchoHeader     = "X-Standin-Attempt"
-	ChecksumHeader = "X-Standin-Sum"
-	InstanceHeader = "X-Standin-Instance"
-)
-
-var mixedBehaviors = []string{Normal, Normal, Normal, Failing, NoResponse, ShortBody, LongBody, NotHTTP, CloseDelimited, NotExecuted}
-
+// ServeHTTP executes a request and responds as the behavior wants.
 func (b *Backend) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
-	if incoming.URL.Path == "/.snowflow/identity" {
-		writer.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(writer).Encode(map[string]string{"service": b.Service.Name, "instance": b.Instance})
+	if incoming.URL.Path == identityPath {
+		b.writeIdentity(writer)
 		return
 	}
-	body, err := io.ReadAll(incoming.Body)
+	requestBody, err := io.ReadAll(incoming.Body)
 	if err != nil {
 		return
 	}
-	behavior := b.Behavior.Load()
-	if behavior == Mixed {
-		behavior = mixedBehaviors[rand.IntN(len(mixedBehaviors))]
-	}
+	behavior := b.chooseBehavior()
+	misbehave := misbehaviors[behavior]
 	attempt, number := splitRequestID(incoming.Header.Get(request.RequestIDHeader))
-	response := b.responseBody(attempt, body)
+	body := b.responseBody(attempt, len(requestBody))
 	run := invariants.Run{Attempt: attempt, AttemptNumber: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
-		Method: incoming.Method, Path: incoming.URL.Path, At: b.clock.Now(), Executed: behavior != NotExecuted}
-	if misbehaviors[behavior] == nil {
-		run.Sum = Checksum(response)
+		Method: incoming.Method, Path: incoming.URL.Path, At: b.sender.clock.Now(), Executed: behavior != NotExecuted}
+	if misbehave == nil {
+		run.Sum = Checksum(body)
 	}
-	b.history.RecordRun(run)
+	b.sender.history.RecordRun(run)
 	served := b.Served.Inc()
-	if misbehave := misbehaviors[behavior]; misbehave != nil {
-		misbehave(b, writer, attempt)
+	if misbehave != nil {
+		misbehave(writer, attempt)
 		return
 	}
 	if behavior == Slow {
-		time.Sleep(5 * time.Second)
+		time.Sleep(slowTime)
 	}
-	if b.Service.LookupPath != "" && served%int64(b.Service.LookupEvery) == 0 && !strings.HasPrefix(incoming.URL.Path, b.Service.LookupPath) {
-		b.callLookup(attempt, served)
+	if b.sendsLookup(served, incoming.URL.Path) {
+		b.sendLookup(attempt, served)
 	}
-	work := int(b.workMicros.Load())
+	b.work()
+	b.setHeaders(writer.Header(), attempt, body)
+	writer.WriteHeader(http.StatusOK)
+	_, _ = writer.Write(body)
+}
+
+// writeIdentity responds to the proxy's question which instance listens here.
+func (b *Backend) writeIdentity(writer http.ResponseWriter) {
+	writer.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(writer).Encode(map[string]string{"service": b.Service.Name, "instance": b.Instance})
+}
+
+// work takes between half and one and a half times the mean time, once a worker is free.
+func (b *Backend) work() {
+	micros := int(b.workMicros.Load())
 	if b.workers != nil {
 		b.workers <- struct{}{}
 		defer func() { <-b.workers }()
 	}
-	time.Sleep(time.Duration(work/2+rand.IntN(work+1)) * time.Microsecond)
-	b.setHeaders(writer.Header(), attempt, response)
-	writer.WriteHeader(http.StatusOK)
-	_, _ = writer.Write(response)
+	time.Sleep(time.Duration(micros/2+rand.IntN(micros+1)) * time.Microsecond)
 }
 
-// lookup is the quick internal call that backends make of one another, through the carrier beside them.
-func (b *Backend) callLookup(attempt string, number int64) {
-	id := fmt.Sprintf("%s-look-%d-%d", attempt, number, rand.Uint32())
-	path := fmt.Sprintf("%s/%d", b.Service.LookupPath, number)
-	tracked := &invariants.Attempt{ID: id, Kind: "lookup" + b.Service.LookupPath, Caller: b.proxy.Name, Method: "GET", Path: path, Sent: b.clock.Now()}
-	sendAttempt(b.client, b.history, b.clock, b.proxy, tracked, nil)
+// sendsLookup reports whether a request causes a lookup: each LookupEvery-th does, unless it is one itself.
+func (b *Backend) sendsLookup(served int64, path string) bool {
+	return b.Service.LookupPath != "" && served%int64(b.Service.LookupEvery) == 0 && !strings.HasPrefix(path, b.Service.LookupPath)
 }
 
-func (b *Backend) responseBody(attempt string, requestBody []byte) []byte {
-	body := bytes.Repeat([]byte("snow"), b.Service.ResponseBytes/4+1)
-	copy(body, fmt.Sprintf("{%q %d} ", attempt, len(requestBody)))
-	return body[:max(b.Service.ResponseBytes, len(attempt)+20)]
+// sendLookup sends a read to another service through the instance's proxy.
+func (b *Backend) sendLookup(attempt string, number int64) {
+	lookup := &invariants.Attempt{ID: fmt.Sprintf("%s-look-%d-%d", attempt, number, rand.Uint32()), Kind: lookupKindPrefix + b.Service.LookupPath, Caller: b.proxy.Name,
+		Method: http.MethodGet, Path: fmt.Sprintf("%s/%d", b.Service.LookupPath, number), Sent: b.sender.clock.Now()}
+	b.sender.send(b.proxy, lookup, nil)
+}
+
+// responseBody has the service's length and differs between attempts.
+func (b *Backend) responseBody(attempt string, requestBytes int) []byte {
+	const filler = "snow"
+	body := bytes.Repeat([]byte(filler), b.Service.ResponseBytes/len(filler)+1)
+	copy(body, fmt.Sprintf("{%q %d} ", attempt, requestBytes))
+	return body[:max(b.Service.ResponseBytes, len(attempt)+minResponsePadding)]
 }
 
 func (b *Backend) setHeaders(headers http.Header, attempt string, body []byte) {
@@ -222,46 +231,7 @@
 	headers.Set("Content-Type", "application/octet-stream")
 }
 
-// manners are the ways of misbehaving that don't end in a plain answer.
-var misbehaviors = map[string]func(backend *Backend, writer http.ResponseWriter, attempt string){
-	Failing: func(_ *Backend, writer http.ResponseWriter, _ string) {
-		http.Error(writer, "failing", http.StatusInternalServerError)
-	},
-	NotExecuted: func(_ *Backend, writer http.ResponseWriter, _ string) {
-		writer.Header().Set(request.NotExecutedHeader, "1")
-		writer.WriteHeader(http.StatusServiceUnavailable)
-	},
-	NoResponse: func(_ *Backend, writer http.ResponseWriter, _ string) { writeRaw(writer, "") },
-	ShortBody: func(_ *Backend, writer http.ResponseWriter, attempt string) {
-		writeRaw(writer, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n"+EchoHeader+": "+attempt+"\r\n\r\nonly this")
-	},
-	LongBody: func(_ *Backend, writer http.ResponseWriter, attempt string) {
-		writeRaw(writer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"+EchoHeader+": "+attempt+"\r\n\r\nonlyHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-	},
-	NotHTTP: func(_ *Backend, writer http.ResponseWriter, _ string) {
-		writeRaw(writer, "\x00\x01 this is no answer\r\n\r\n")
-	},
-	CloseDelimited: func(_ *Backend, writer http.ResponseWriter, attempt string) {
-		writeRaw(writer, "HTTP/1.1 200 OK\r\n"+EchoHeader+": "+attempt+"\r\n\r\nthe end may be missing")
-	},
-}
-
-// raw writes bytes past the HTTP server and closes.
-func writeRaw(writer http.ResponseWriter, content string) {
-	connection, buffered, err := writer.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	defer connection.Close()
-	writeAll(buffered.Writer, content)
-}
-
-func writeAll(writer *bufio.Writer, content string) {
-	_, _ = writer.WriteString(content)
-	_ = writer.Flush()
-}
-
-// split takes the try's number off a request id.
+// splitRequestID splits the attempt's number off a request id; it is 1 if there is none.
 func splitRequestID(id string) (attempt string, number int) {
 	position := strings.LastIndexByte(id, '.')
 	if position < 0 {
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -4,10 +4,12 @@
 	"bytes"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"strings"
 	"time"
 
@@ -20,7 +22,17 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Operator plays the operators: it applies desired states, asking again while an outcome isn't known.
+const (
+	operatorTimeout  = 25 * time.Second // of one request
+	applyRetryPause  = 200 * time.Millisecond
+	readBackAttempts = 40
+	readBackPause    = 500 * time.Millisecond
+)
+
+// errUnknownOutcome is the error of an apply whose outcome is unknown after its timeout.
+var errUnknownOutcome = errors.New("the outcome is unknown")
+
+// Operator plays the operators: it applies desired states, and repeats an apply while its outcome is unknown.
 type Operator struct {
 	Fleet   *fleet.Fleet
 	Clock   monotonic.Clock
@@ -28,35 +40,39 @@
 	Client  *http.Client
 }
 
-// NewOperator makes one.
+// NewOperator makes an operator that records in the history.
 func NewOperator(target *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *Operator {
-	return &Operator{Fleet: target, Clock: clock, History: history, Client: &http.Client{Timeout: 25 * time.Second}}
+	return &Operator{Fleet: target, Clock: clock, History: history, Client: &http.Client{Timeout: operatorTimeout}}
 }
 
-// RecordApply applies a content and notes the outcome.
+// Apply applies a content on top of an expected version, or of "any", and records the outcome. It begins at a random configuration
+// store and repeats the request at the next one until the outcome is known. A rejection is an outcome and no error.
 func (o *Operator) Apply(content []byte, expected string, timeout time.Duration) (api.ApplyResult, error) {
-	state, faults := config.Parse(content)
-	if state != nil && len(faults) == 0 {
-		o.allowRoutes(content)
+	state, fieldErrors := config.Parse(content)
+	valid := len(fieldErrors) == 0
+	if state != nil && valid {
+		o.allowRoutes(state)
 	}
-	defer func(end func(monotonic.Micros)) { end(o.Clock.Now()) }(o.History.BeginPlannedChange("a change of the desired state", o.Clock.Now()))
-	req := fmt.Sprintf("apply-%d", rand.Uint64())
+	end := o.History.BeginPlannedChange("a change of the desired state", o.Clock.Now())
+	defer func() { end(o.Clock.Now()) }()
+	requestID := fmt.Sprintf("apply-%d", rand.Uint64())
 	deadline := time.Now().Add(timeout)
 	for turn := rand.IntN(len(o.Fleet.ConfigStores)); ; turn++ {
 		store := o.Fleet.ConfigStores[turn%len(o.Fleet.ConfigStores)]
-		applied, err := o.applyOnce(store, content, expected, req)
+		applied, err := o.applyOnce(store, content, expected, requestID)
 		if err == nil && applied.Outcome != "unknown" && applied.Outcome != api.OutcomeUnreached {
-			o.History.RecordApply(invariants.AppliedConfig{Version: applied.Version, Digest: applied.Digest, Valid: len(faults) == 0, Outcome: applied.Outcome, At: o.Clock.Now(), Sum: resourceDigest(state)})
+			o.History.RecordApply(invariants.AppliedConfig{Version: applied.Version, Digest: applied.Digest, Valid: valid, Outcome: applied.Outcome,
+				At: o.Clock.Now(), Sum: resourceDigest(state)})
 			return applied, nil
 		}
 		if time.Now().After(deadline) {
-			return applied, fmt.Errorf("no certain outcome: %v %v", applied, err)
+			return applied, errors.Join(fmt.Errorf("%w: %v", errUnknownOutcome, applied), err)
 		}
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(applyRetryPause)
 	}
 }
 
-// check is the digest of a state's resources, as carriers tell it of what they have in force.
+// resourceDigest is the digest of a state's resources, as proxies report it of what they have in force; empty for no state.
 func resourceDigest(state *wire.DesiredState) string {
 	if state == nil {
 		return ""
@@ -68,37 +84,34 @@
 	return hex.EncodeToString(set.Digest())
 }
 
-// allow notes which services the content sends which kinds of traffic to.
-func (o *Operator) allowRoutes(content []byte) {
-	state, _ := config.Parse(content)
+// allowRoutes records which services the state sends which kinds of traffic to.
+func (o *Operator) allowRoutes(state *wire.DesiredState) {
 	compiled := config.Compile(state, 0, "")
-	kinds := append(o.Fleet.Layout.Kinds, o.Fleet.Layout.LookupKinds()...)
-	for _, kind := range kinds {
+	for _, kind := range slices.Concat(o.Fleet.Layout.Kinds, o.Fleet.Layout.LookupKinds()) {
 		if path, found := compiled.Resolve("", kind.Method, strings.TrimSuffix(kind.Path, "/")+"/1"); found {
 			o.History.AllowRoute(kind.Name, path.Service.Name, o.Clock.Now())
 		}
 	}
 }
 
-func (o *Operator) applyOnce(store *fleet.Process, content []byte, expected, req string) (api.ApplyResult, error) {
-	var applied api.ApplyResult
-	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", store.AdminAddress, expected, req)
-	put, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(content))
+func (o *Operator) applyOnce(store *fleet.Process, content []byte, expected, requestID string) (applied api.ApplyResult, err error) {
+	address := fmt.Sprintf("http://%s/desired-state?expected=%s&request=%s", store.AdminAddress, expected, requestID)
+	request, err := http.NewRequest(http.MethodPut, address, bytes.NewReader(content))
 	if err != nil {
 		return applied, err
 	}
-	response, err := o.Client.Do(put)
+	response, err := o.Client.Do(request)
 	if err != nil {
 		return applied, err
 	}
-	defer response.Body.Close()
+	defer closeBody(response)
 	return applied, json.NewDecoder(response.Body).Decode(&applied)
 }
 
-// ReadBack reads the whole history and notes it.
+// ReadBack reads all accepted versions and records them.
 func (o *Operator) ReadBack() error {
 	var last error
-	for turn := range 40 {
+	for turn := range readBackAttempts {
 		store := o.Fleet.ConfigStores[turn%len(o.Fleet.ConfigStores)]
 		var versions []api.StoredState
 		if last = o.ReadJSON(store, "/history", &versions); last == nil {
@@ -110,18 +123,18 @@
 			})
 			return nil
 		}
-		time.Sleep(500 * time.Millisecond)
+		time.Sleep(readBackPause)
 	}
 	return last
 }
 
-// ReadJSON reads a page of a process as JSON.
+// ReadJSON reads a page at a process's admin address into a value. A status other than 200 is an error.
 func (o *Operator) ReadJSON(process *fleet.Process, path string, into any) error {
 	response, err := o.Client.Get("http://" + process.AdminAddress + path)
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close()
+	defer closeBody(response)
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
@@ -131,3 +144,5 @@
 	}
 	return json.Unmarshal(content, into)
 }
+
+func closeBody(response *http.Response) { _ = response.Body.Close() }
