--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -7,7 +7,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/go-git/go-git/v5"
 
@@ -59,18 +58,17 @@
 	}
 }
 
-// keep hands states to an archive and waits until it holds so many commits.
-func archiveAll(t *testing.T, path string, states []*wire.StoredConfig) (contents, hashes []string) {
+// archiveAll has an archive written and gives its contents, newest first, with the hashes of their commits.
+func archiveAll(t *testing.T, path string, versions []*wire.StoredConfig) (contents, hashes []string) {
 	t.Helper()
-	archive.Open(path, func(err error) { t.Error(err) }).Enqueue(states)
-	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if contents, hashes = archived(t, path); len(contents) == len(states) {
-			return contents, hashes
-		}
-		if time.Now().After(deadline) {
-			t.Fatalf("%d of %d states are archived", len(contents), len(states))
-		}
+	if err := archive.Write(path, versions); err != nil {
+		t.Fatal(err)
+	}
+	contents, hashes = archived(t, path)
+	if len(contents) != len(versions) {
+		t.Fatalf("%d of %d versions are archived", len(contents), len(versions))
 	}
+	return contents, hashes
 }
 
 func copyFolder(t *testing.T, from, into string) {
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -55,7 +55,7 @@
 
 func (a *Archive) run() {
 	for versions := range a.queue {
-		if err := a.write(versions); err != nil {
+		if err := Write(a.folder, versions); err != nil {
 			a.onError(err)
 		}
 		select {
@@ -65,14 +65,15 @@
 	}
 }
 
-// write commits the versions that the repository hasn't got. A repository that can't be continued is removed and begun again.
-func (a *Archive) write(versions []*wire.StoredConfig) error {
-	repository, committed, err := a.open(versions)
+// Write commits the versions, oldest first, that the repository in a folder hasn't got, and returns when that is done. A
+// repository that can't be continued is removed and begun again.
+func Write(folder string, versions []*wire.StoredConfig) error {
+	repository, committed, err := openRepository(folder, versions)
 	if err != nil {
-		if err := os.RemoveAll(a.folder); err != nil {
+		if err := os.RemoveAll(folder); err != nil {
 			return err
 		}
-		if repository, committed, err = a.open(versions); err != nil {
+		if repository, committed, err = openRepository(folder, versions); err != nil {
 			return err
 		}
 	}
@@ -84,12 +85,12 @@
 	return nil
 }
 
-// open returns the repository and how many of the versions it holds already. An error means that it can't be read, or that its
+// openRepository returns the repository and how many of the versions it holds already. An error means that it can't be read, or that its
 // newest commit isn't one of the versions.
-func (a *Archive) open(versions []*wire.StoredConfig) (repository *git.Repository, committed int, err error) {
-	repository, err = git.PlainOpen(a.folder)
+func openRepository(folder string, versions []*wire.StoredConfig) (repository *git.Repository, committed int, err error) {
+	repository, err = git.PlainOpen(folder)
 	if errors.Is(err, git.ErrRepositoryNotExists) {
-		repository, err = git.PlainInit(a.folder, true)
+		repository, err = git.PlainInit(folder, true)
 	}
 	if err != nil {
 		return nil, 0, err
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -55,7 +55,7 @@
 			_ = os.RemoveAll(folder)
 			other := states(9)
 			other[8].Content = []byte("{}")
-			if err := (&Archive{folder: folder}).write(other); err != nil {
+			if err := Write(folder, other); err != nil {
 				t.Fatal(err)
 			}
 		},
