--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,10 +1,10 @@
-// Postmaster is the store of desired states, and the operators' door.
+// Configstore runs one process of the configuration store: the accepted configurations and their history, and the operators' HTTP
+// API.
 package main
 
 import (
 	"path/filepath"
 	"slices"
-	"snowflow/internal/replication"
 
 	"snowflow/internal/config"
 	"snowflow/internal/configstore"
@@ -12,21 +12,33 @@
 	"snowflow/internal/configstore/archive"
 	"snowflow/internal/daemon"
 	"snowflow/internal/eventlog"
+	"snowflow/internal/replication"
 	"snowflow/internal/settings"
 )
 
 func main() {
-	daemon.Main(daemon.Command("configstore", "the store of desired states and the operators' door", settings.ControlPlaneFields(), configstore.Group, build))
+	daemon.Main(daemon.Command("configstore", "the store of configurations and the operators' HTTP API", settings.ControlPlaneFields(), configstore.Group, build))
 }
 
+// archiveFolder is the Git repository of accepted configurations within the data folder.
+const archiveFolder = "desired.git"
+
+// build opens the configuration store from its settings, and adds its request handlers, metrics and HTTP API to the program.
 func build(program *daemon.Daemon) error {
-	// Best effort by design: the record file decides, and the archive is written anew from it.
-	objects := archive.Open(filepath.Join(program.Settings["data"], "desired.git"), func(err error) {
+	name, voters := program.Settings["name"], program.Settings.List("voters")
+	// The archive is best effort: the replicated log is authoritative, and a lost or outdated archive is rewritten from it.
+	objects := archive.Open(filepath.Join(program.Settings["data"], archiveFolder), func(err error) {
 		program.Host.Report(eventlog.ObjectStoreFailed, map[string]any{"error": err.Error()})
 	})
-	store, err := configstore.Open(configstore.Options{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Voters: program.Settings.List("voters"),
-		Bootstrap:  slices.Contains(program.Settings.List("voters"), program.Settings["name"]),
-		OnAccepted: objects.Enqueue, OnAdopted: program.AdoptionObserver()})
+	store, err := configstore.Open(configstore.Options{
+		Host:       program.Host,
+		Resolver:   program.Resolver,
+		Name:       name,
+		Voters:     voters,
+		Bootstrap:  slices.Contains(voters, name),
+		OnAccepted: objects.Enqueue,
+		OnAdopted:  program.AdoptionObserver(),
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// ProxyFields is the proxy beside each caller and each server.
+// Proxy runs the sidecar beside each caller and each server. It forwards callers' requests and admits requests to its own backends.
 package main
 
 import (
@@ -17,17 +17,22 @@
 	daemon.Main(daemon.Command("proxy", "the proxy beside each caller and each server", settings.ProxyFields(), "", build))
 }
 
+// build assembles the proxy from its settings, and adds its request handlers, metrics and HTTP listeners to the program.
 func build(program *daemon.Daemon) error {
 	metrics := daemon.NewRequestCounters(program.Registry)
-	sidecar := proxy.New(proxy.Options{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Domain: program.Settings["domain"],
-		Address: program.Settings["advertise"], IgnoreDomains: program.Settings["balance"] == settings.BalanceUniform, CrossDomainPenalty: monotonic.Micros(program.Settings.Int("far-penalty")), Upstream: upstream.New(program.Host, upstream.DefaultDialect()), OnFinished: metrics.CountRequest})
-	sidecar.Register(program.Handlers)
-	program.AddGauges([]daemon.Gauge{
-		{Name: "snowflow_requests_running", Help: "Callers' requests under way.", Read: func() float64 { return float64(sidecar.Forwarder.InFlight()) }},
-		{Name: "snowflow_passes_running", Help: "Passes from other carriers under way.", Read: func() float64 { return float64(sidecar.Admission.InFlight()) }},
-		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.", Read: sidecar.LocalBackends.Ejected},
-		{Name: "snowflow_desired_serial", Help: "The adopted desired state's serial.", Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
+	sidecar := proxy.New(proxy.Options{
+		Host:               program.Host,
+		Resolver:           program.Resolver,
+		Name:               program.Settings["name"],
+		Domain:             program.Settings["domain"],
+		Address:            program.Settings["advertise"],
+		IgnoreDomains:      program.Settings["balance"] == settings.BalanceUniform,
+		CrossDomainPenalty: monotonic.Micros(program.Settings.Int("far-penalty")),
+		Upstream:           upstream.New(program.Host, upstream.DefaultDialect()),
+		OnFinished:         metrics.CountRequest,
 	})
+	sidecar.Register(program.Handlers)
+	program.AddGauges(gauges(sidecar))
 	admin := backendapi.New(program.Host, sidecar, program.Metrics(), program.Stop)
 	if err := program.ServeHTTP(program.Settings["http"], ingress.NewServer(admin)); err != nil {
 		return err
@@ -38,7 +43,23 @@
 	}
 	sidecar.Start()
 	program.Drain = func() {
-		sidecar.Drain(program.Settings.Duration("grace"), func() { go func() { _ = callers.Shutdown(context.Background()) }() })
+		// Shutdown closes the listener at once. Its wait for idle connections goes on beside Drain, which waits for the requests itself.
+		closeCallers := func() { go func() { _ = callers.Shutdown(context.Background()) }() }
+		sidecar.Drain(program.Settings.Duration("grace"), closeCallers)
 	}
 	return nil
 }
+
+// gauges returns the proxy's own gauges. Operators' queries depend on the names, which therefore keep former terms.
+func gauges(sidecar *proxy.Proxy) []daemon.Gauge {
+	return []daemon.Gauge{
+		{Name: "snowflow_requests_running", Help: "Callers' requests in flight.",
+			Read: func() float64 { return float64(sidecar.Forwarder.InFlight()) }},
+		{Name: "snowflow_passes_running", Help: "Requests in flight that other proxies forwarded to this one.",
+			Read: func() float64 { return float64(sidecar.Admission.InFlight()) }},
+		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.",
+			Read: sidecar.LocalBackends.Ejected},
+		{Name: "snowflow_desired_serial", Help: "The version of the adopted configuration.",
+			Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
+	}
+}
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,37 +1,50 @@
-// Sorter is the registry: sessions, backends, guards, claims and duties.
+// Registry runs one process of the service registry: sessions of proxies and their backends, breaker records, claims of idempotency
+// keys, and singleton leases.
 package main
 
 import (
 	"net/http"
 	"slices"
-	"snowflow/internal/replication"
 
 	"snowflow/internal/configstore/api"
 	"snowflow/internal/daemon"
 	"snowflow/internal/registry"
+	"snowflow/internal/replication"
 	"snowflow/internal/settings"
 )
 
 func main() {
-	daemon.Main(daemon.Command("registry", "the registry of carriers, backends and guards", settings.ControlPlaneFields(), registry.Group, build))
+	daemon.Main(daemon.Command("registry", "the registry of proxies, backends, breakers and idempotency keys", settings.ControlPlaneFields(), registry.Group, build))
+}
+
+// liveness is the response of /live.
+type liveness struct {
+	Live bool `json:"live"`
 }
 
+// build opens the registry from its settings, and adds its request handlers, metrics and status pages to the program.
 func build(program *daemon.Daemon) error {
-	registry, err := registry.Open(registry.Config{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Voters: program.Settings.List("voters"),
-		Bootstrap: slices.Contains(program.Settings.List("voters"), program.Settings["name"])})
+	name, voters := program.Settings["name"], program.Settings.List("voters")
+	server, err := registry.Open(registry.Config{
+		Host:      program.Host,
+		Resolver:  program.Resolver,
+		Name:      name,
+		Voters:    voters,
+		Bootstrap: slices.Contains(voters, name),
+	})
 	if err != nil {
 		return err
 	}
-	registry.Register(program.Handlers)
-	program.AddReplicationGauges(registry.Member)
+	server.Register(program.Handlers)
+	program.AddReplicationGauges(server.Member)
 	pages := http.NewServeMux()
 	pages.Handle("/metrics", program.Metrics())
-	pages.Handle("/local", daemon.StatusPage(func() any { return registry.Status() }))
-	pages.Handle("/live", daemon.StatusPage(func() any { return map[string]bool{"live": true} }))
+	pages.Handle("/local", daemon.StatusPage(func() any { return server.Status() }))
+	pages.Handle("/live", daemon.StatusPage(func() any { return liveness{Live: true} }))
 	if err := program.ServeHTTP(program.Settings["http"], api.NewServer(pages)); err != nil {
 		return err
 	}
-	registry.Start()
-	program.Drain = func() { registry.Member.Leave("planned stop", replication.LeaveLimit) }
+	server.Start()
+	program.Drain = func() { server.Member.Leave("planned stop", replication.LeaveLimit) }
 	return nil
 }
