--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,7 +1,7 @@
 // Package apierror defines the errors of a request on its way through the mesh.
 //
-// Two kinds are told apart. A Fault is what a caller is told: a numbered cause with an HTTP status, and a verdict on whether the
-// request may have run. Unreachable, Lost, Refused and Invalid are the errors of a call between two processes of the mesh, from
+// There are two kinds. A Fault is returned to a caller: a numbered cause with an HTTP status, and a verdict on whether the request
+// may have run. Unreachable, Lost, Refused and Invalid are the errors of a call between two processes of the mesh, from
 // which such a verdict is derived.
 package apierror
 
@@ -13,7 +13,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// Verdict tells whether a request that got no backend's response may have run. Its values are sent to callers.
+// Verdict says whether a request that got no backend's response may have run. Its values are sent to callers.
 type Verdict string
 
 const (
@@ -37,19 +37,19 @@
 	Invalid = namespace.NewType("invalid")
 )
 
-// Fault is the error that a caller is told.
+// Fault is the error that is returned to a caller.
 //
 // Invariant: Verdict is NotRun only if that is certain.
 type Fault struct {
 	Cause      Cause
 	Verdict    Verdict
-	RetryAfter monotonic.Micros // zero if a retry is no use
+	RetryAfter monotonic.Micros // zero if a retry is useless
 	Detail     string
 	// Backend means that the backend is to blame, so that the fault counts against its breaker.
 	Backend bool
 	// RetryAfterMeasured means that admission control measured RetryAfter; otherwise it is the catalogue's.
 	RetryAfterMeasured bool
-	// Local means that the fault tells nothing about the backend: its cause is the network, or a connection that the backend had
+	// Local means that the fault says nothing about the backend: its cause is the network, or a connection that the backend had
 	// closed for being idle.
 	Local bool
 }
--- a/internal/apierror/causes.go
+++ b/internal/apierror/causes.go
@@ -48,7 +48,7 @@
 type causeEntry struct {
 	name       string           // sent to callers and in metrics
 	status     int              // of the HTTP response
-	retryAfter monotonic.Micros // zero if a retry is no use
+	retryAfter monotonic.Micros // zero if a retry is useless
 	backend    bool             // whether the backend is to blame
 }
 
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -7,6 +7,7 @@
 
 	"github.com/spf13/cobra"
 
+	"snowflow/internal/host/machine"
 	"snowflow/internal/release"
 	"snowflow/internal/settings"
 	"snowflow/internal/transport/frame"
@@ -16,7 +17,7 @@
 const (
 	exitFailure = 1 // it could not start
 	exitUsage   = 2 // its arguments or settings are invalid
-	exitStopped = 3 // it stopped itself because its state is in doubt
+	exitStopped = machine.ExitStopped
 )
 
 // UsageError is an error in the arguments or settings with which a program was started.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,15 +31,15 @@
 )
 
 const (
-	// discoveryInterval is how often the resolver asks others for addresses.
+	// discoveryInterval is how often the resolver sends a discover request.
 	discoveryInterval = monotonic.Second
 	// replyTimeout bounds how long a planned stop waits for replies to other processes that are not written yet.
 	replyTimeout = 200 * monotonic.Millisecond
 	// httpShutdownTimeout bounds how long a planned stop waits for HTTP requests.
 	httpShutdownTimeout = 250 * time.Millisecond
-	// failureTimeout is when a process that must stop is ended even if its main task is stuck.
+	// failureTimeout is how long after a failure the process is ended even if its main task is stuck.
 	failureTimeout = 2 * time.Second
-	// signalQueue is how many stop signals and failures are kept; one of each would do.
+	// signalQueue is how many unread stop signals and failures are buffered. One of each would be enough; more are ignored.
 	signalQueue = 4
 )
 
@@ -62,8 +62,8 @@
 	stopSignals chan os.Signal
 }
 
-// Run runs a daemon with checked settings until a planned stop, when it returns nil, or until it fails. build adds what the
-// program consists of. group is the process's replication group, empty for a process outside the control plane.
+// Run runs a daemon with checked settings until a planned stop, when it returns nil, or until it fails. build adds the program's
+// own handlers, tasks and listeners. group is the process's replication group, empty for a process outside the control plane.
 func Run(program, group string, values settings.Values, build func(daemon *Daemon) error) error {
 	events, err := eventlog.New(program, values["name"], values["log"])
 	if err != nil {
@@ -88,8 +88,8 @@
 	return daemon.serve()
 }
 
-// openDisk opens and locks the data folder. It returns nil if the program has none. The lock is released with the process, not
-// before, since tasks may still write while the daemon stops.
+// openDisk opens and locks the data folder. It returns nil if the program has none. The lock lasts until the process ends, since
+// tasks may still write while the daemon stops.
 func openDisk(values settings.Values) (wal.Disk, error) {
 	path := values["data"]
 	if path == "" {
@@ -104,6 +104,7 @@
 	return disk, nil
 }
 
+// newHost sets Host, with the clock and the local address that the settings say.
 func (d *Daemon) newHost(disk wal.Disk) {
 	d.Host = machine.New(disk, d.Events, d.fail)
 	d.Host.SetLocalAddress(d.Settings["listen"])
@@ -115,6 +116,7 @@
 	}
 }
 
+// newResolver sets Resolver. A control-plane process advertises itself; one outside the control plane (group is empty) does not.
 func (d *Daemon) newResolver(group string, disk wal.Disk) {
 	if d.Settings["advertise"] == "" {
 		d.Settings["advertise"] = d.Settings["listen"]
@@ -150,7 +152,8 @@
 // Add adds a task that the supervisor starts, and restarts when it returns, unless it returns suture.ErrDoNotRestart.
 func (d *Daemon) Add(task func() error) { d.supervisor.Add(supervisedTask(task)) }
 
-// ServeHTTP listens on an address at once, and adds a task that serves it. It fails if the address cannot be listened on.
+// ServeHTTP listens on an address at once, and adds a task that serves HTTP on it until Run ends. It fails if the address cannot be
+// listened on.
 func (d *Daemon) ServeHTTP(address string, server *http.Server) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -209,7 +212,7 @@
 	})
 	d.Add(func() error { d.Resolver.Run(discoveryInterval); return nil })
 	if d.Settings.Int("processors") == 1 {
-		runtime.GOMAXPROCS(1) // set explicitly, the runtime doesn't ask the system for the limit every second
+		runtime.GOMAXPROCS(1) // if set explicitly, the runtime doesn't read the system's limit every second
 	} else {
 		d.Add(func() error { d.adjustProcessors(); return nil })
 	}
@@ -224,7 +227,7 @@
 	}
 }
 
-// fail ends the process for a reason that leaves its state in doubt, so without a drain. It doesn't wait for the end.
+// fail ends the process without a drain, for a reason that leaves its state in doubt. It returns before the process has ended.
 func (d *Daemon) fail(reason string) {
 	select {
 	case d.failures <- reason:
--- a/internal/daemon/governor.go
+++ b/internal/daemon/governor.go
@@ -3,6 +3,7 @@
 import (
 	"runtime"
 	"syscall"
+	"time"
 
 	"snowflow/internal/monotonic"
 )
@@ -12,8 +13,9 @@
 	governInterval = 100 * monotonic.Millisecond
 	// highUsage is the share of the processors in use above which their number is doubled.
 	highUsage = 0.6
-	// lowUsage is the share below which it is halved, after lowUsagePeriods intervals in a row.
-	lowUsage        = 0.25
+	// lowUsage is the share in use below which an interval counts as one of low usage.
+	lowUsage = 0.25
+	// lowUsagePeriods is after how many intervals of low usage in a row the number of processors is halved.
 	lowUsagePeriods = 50
 )
 
@@ -53,21 +55,21 @@
 	used, measuredAt := processorTime(), d.Host.Now()
 	for {
 		d.Host.Sleep(governInterval)
-		previousUsed, previouslyAt := used, measuredAt
+		previousUsed, previousAt := used, measuredAt
 		used, measuredAt = processorTime(), d.Host.Now()
 		current := governor.current
-		share := float64(used-previousUsed) / float64(max(1, measuredAt-previouslyAt)) / float64(current)
+		share := float64(used-previousUsed) / float64(max(1, measuredAt-previousAt)) / float64(current)
 		if next := governor.next(share); next != current {
 			runtime.GOMAXPROCS(next)
 		}
 	}
 }
 
-// processorTime returns the processor time that this process has used, zero if the system does not tell.
+// processorTime returns the processor time that this process has used, or zero if the system call fails.
 func processorTime() monotonic.Micros {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return monotonic.Micros((usage.Utime.Nano() + usage.Stime.Nano()) / 1000)
+	return monotonic.FromDuration(time.Duration(usage.Utime.Nano() + usage.Stime.Nano()))
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -43,13 +43,20 @@
 	})
 }
 
+// The histogram of adoption times has buckets from 0.5 ms to 33 s, each twice as long as the one before.
+const (
+	smallestBucket = 500 // microseconds
+	bucketFactor   = 2
+	bucketCount    = 17
+)
+
 // AdoptionObserver registers a histogram of the time from a version's commit to its adoption by a proxy, and returns the function
-// that observes one.
+// that observes one. That function only uses the duration.
 func (d *Daemon) AdoptionObserver() func(proxy string, version uint64, duration monotonic.Micros) {
 	histogram := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "snowflow_desired_take_up_micros",
 		Help:    "Microseconds from the commit of a configuration version to each proxy's acknowledgment that it has adopted it.",
-		Buckets: prometheus.ExponentialBuckets(500, 2, 17),
+		Buckets: prometheus.ExponentialBuckets(smallestBucket, bucketFactor, bucketCount),
 	})
 	d.Registry.MustRegister(histogram)
 	return func(_ string, _ uint64, duration monotonic.Micros) { histogram.Observe(float64(duration)) }
--- a/internal/daemon/rehearsal.go
+++ b/internal/daemon/rehearsal.go
@@ -23,6 +23,7 @@
 	}()
 }
 
+// readJump reads the number of microseconds by which the clock is to move, negative to move it back.
 func readJump(path string) (monotonic.Micros, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/discovery/refresh.go
+++ b/internal/discovery/refresh.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// refreshInterval bounds how often a process asks, however many of its tasks call Refresh.
+	// refreshInterval is the least time between two discover requests of a process, however many of its tasks call Refresh.
 	refreshInterval = 100 * monotonic.Millisecond
 	// refreshTimeout bounds one discover request.
 	refreshTimeout = 500 * monotonic.Millisecond
@@ -20,7 +20,7 @@
 	host.Handle(handlers, wire.Kind_discover, r.handleDiscover)
 }
 
-// handleDiscover takes in what the requester knows and returns what is known here. A health check gets an empty response: it is
+// handleDiscover adds what the requester knows and returns what is known here. A health check gets an empty response: it is
 // sent for every long request, often between zones.
 func (r *Resolver) handleDiscover(request *wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
 	r.AddPeers(request.Known)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Refresh asks the next seed or known process for the addresses and primaries that it knows. It returns at once if this process
-// asked within refreshInterval, or if the next target has not answered yet.
+// Refresh requests the addresses and primaries that the next seed or known process knows. It returns at once if the last request
+// was sent within refreshInterval, or if every target has a request in flight.
 func (r *Resolver) Refresh() {
 	if !r.beginQuery() {
 		return
@@ -72,7 +72,7 @@
 	return true
 }
 
-// targets returns the addresses to ask: the seeds, then the other known addresses.
+// targets returns the addresses to send discover requests to: the seeds, then the other known addresses.
 func (r *Resolver) targets() []string {
 	r.lock.Lock()
 	targets := slices.Clone(r.seeds)
--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -1,8 +1,8 @@
-// Package discovery keeps what a process knows of the control plane: the addresses of its processes by name, and which of them
+// Package discovery holds what a process knows of the control plane: the addresses of its processes by name, and which of them
 // is the primary of each group.
 //
 // A process is identified by its name. An address is only where that name answered last, so the configured seeds may be stale:
-// any process that answers at one of them tells the others' addresses. Processes exchange what they know by discover requests,
+// any process that answers at one of them returns the others' addresses. Processes exchange what they know by discover requests,
 // and may store it on disk to find the others again after all seeds have changed.
 package discovery
 
@@ -37,7 +37,7 @@
 	primaries  map[string]*wire.Primary // by group
 	seeds      []string
 	nextTarget int              // counts the targets that Refresh chose
-	lastQuery  monotonic.Micros // when Refresh last asked; zero if it never did
+	lastQuery  monotonic.Micros // when Refresh last sent a request; zero if it never did
 	pending    map[string]bool  // targets that have not answered yet
 
 	store store // used by Persist and then by Run alone
@@ -47,7 +47,7 @@
 type peer struct {
 	group, domain   string
 	addresses       []string // never empty
-	batches, deltas bool     // whether it said that it accepts them
+	batches, deltas bool     // whether it has advertised that it accepts them
 }
 
 // New returns a resolver that knows the seeds and, unless nil, the process itself.
@@ -65,7 +65,7 @@
 	}
 }
 
-// AdvertiseBatches makes this process tell others that it accepts several commands in one message. It must be called before the
+// AdvertiseBatches makes this process advertise that it accepts several commands in one message. It must be called before the
 // process serves.
 func (r *Resolver) AdvertiseBatches() {
 	if r.self != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// AdvertiseDeltas makes this process tell others that it accepts configurations as deltas. It must be called before the process
+// AdvertiseDeltas makes this process advertise that it accepts configurations as deltas. It must be called before the process
 // serves.
 func (r *Resolver) AdvertiseDeltas() {
 	if r.self != nil {
@@ -118,8 +118,8 @@
 	r.seeds = seeds
 }
 
-// AddPeers adds addresses that another process knows. An address that is known already keeps its rank; a new one is tried right
-// after the one that works now. Entries without a name or an address are ignored.
+// AddPeers adds addresses that another process knows. An address that is known already keeps its position; a new one becomes
+// the second, tried once the first has failed. Entries without a name or an address are ignored.
 func (r *Resolver) AddPeers(addresses []*wire.PeerAddress) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -152,7 +152,7 @@
 	p.addresses = slices.Concat(others[:position], []string{address}, others[position:])
 }
 
-// ObservePrimaries takes in which processes another one holds for primaries.
+// ObservePrimaries adds the primaries that another process knows. For each group the one of the highest epoch is remembered.
 func (r *Resolver) ObservePrimaries(primaries []*wire.Primary) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -185,7 +185,7 @@
 	return ""
 }
 
-// Peers returns every known address, sorted by name, and within a name in the order of their rank.
+// Peers returns every known address, sorted by name, and within a name in the order in which they are tried.
 func (r *Resolver) Peers() []*wire.PeerAddress {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/eventlog/attributes.go
+++ b/internal/eventlog/attributes.go
@@ -24,7 +24,7 @@
 	return Attributes{"why": reason}
 }
 
-// Start is what the event ProcessStarted tells about a process.
+// Start describes the process in the event ProcessStarted.
 type Start struct {
 	Release     string // of the program
 	WireVersion uint16
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,7 +1,7 @@
 // Package eventlog writes numbered events to the log, and counts them.
 //
-// Every log line of a process is one event of the Catalogue. Events pass through a bounded queue to one writer, so that whoever
-// publishes never waits for the log; if the queue is full, an event is counted but not written.
+// Every log line of a process is one event of the Catalogue. Events pass through a bounded queue to one writer, so that
+// publishing never waits for the log; if the queue is full, an event is counted but not written.
 package eventlog
 
 import (
--- a/internal/host/clockwatch/clockwatch.go
+++ b/internal/host/clockwatch/clockwatch.go
@@ -1,8 +1,8 @@
 // Package clockwatch detects jumps of a process's monotonic clock by comparing it with the process's own sleeps.
 //
 // Leases and timeouts are measured on that clock. If it jumps ahead, or if the process is stalled, which looks alike from
-// inside, then a duration measured across the jump says nothing about what other processes did meanwhile; whoever measures asks
-// Steady before acting on it. If the clock steps back, the process stops: its leases would last longer than others grant them.
+// inside, then a duration measured across the jump says nothing about what other processes did meanwhile. A caller that
+// measures a duration therefore checks Steady before acting on it. If the clock steps back, the process stops: its leases would last longer than others grant them.
 package clockwatch
 
 import (
@@ -98,7 +98,7 @@
 	}
 }
 
-// check judges what passed between two checks. It reports false if the process has to stop.
+// check classifies the time that passed between two checks, and reports a jump. It reports false if the process has to stop.
 func (w *Watcher) check(elapsed monotonic.Micros) bool {
 	if w.trustClock || elapsed >= checkInterval/2 && elapsed < jumpThreshold {
 		return true
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -37,7 +37,7 @@
 	Stop(reason string)
 }
 
-// Signal wakes one waiting task. A Fire without a waiter is kept for the next Wait; further ones are dropped.
+// Signal wakes one waiting task. A Fire without a waiter is remembered for the next Wait; further ones are dropped.
 type Signal interface {
 	Fire()
 	// Wait reports false if the signal did not fire within the timeout.
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -12,8 +12,8 @@
 	"snowflow/internal/wal"
 )
 
-// exitStopped is the exit code of a process that stopped itself.
-const exitStopped = 3
+// ExitStopped is the exit code of a process that stopped itself because its state is in doubt.
+const ExitStopped = 3
 
 // Machine is the host of one process.
 type Machine struct {
@@ -26,7 +26,7 @@
 }
 
 // New returns a host. disk is nil for a process that stores nothing, and events may be nil, which discards them. stop is called
-// by Stop; if it is nil, Stop ends the process with exit code 3.
+// by Stop; if it is nil, Stop ends the process with ExitStopped.
 func New(disk wal.Disk, events *eventlog.EventLog, stop func(reason string)) *Machine {
 	machine := &Machine{SystemClock: monotonic.NewSystemClock(), disk: disk, events: events, stop: stop}
 	machine.Peers = newPeers(machine)
@@ -57,5 +57,5 @@
 		m.stop(reason)
 		return
 	}
-	os.Exit(exitStopped)
+	os.Exit(ExitStopped)
 }
--- a/internal/host/machine/socket/socket.go
+++ b/internal/host/machine/socket/socket.go
@@ -1,6 +1,6 @@
-// Package socket is a TCP connection for short messages. It makes the system calls for reading and writing without telling the Go
+// Package socket is a TCP connection for short messages. It makes the system calls for reading and writing without notifying the Go
 // scheduler, which is safe because they never block: the descriptor is non-blocking, and waiting is left to the runtime's poller.
-// If the scheduler is told, the runtime wakes a thread that checks every 20 µs for calls that take long, which costs more than
+// If the scheduler is notified, the runtime wakes a thread that checks every 20 µs for calls that take long, which costs more than
 // the call itself.
 package socket
 
@@ -25,13 +25,13 @@
 	readBuffer []byte
 	readCount  int
 	readErrno  syscall.Errno
-	readFunc   func(descriptor uintptr) bool // readOnce, kept to save an allocation per read
+	readFunc   func(descriptor uintptr) bool // readOnce as a value, to save an allocation per read
 
 	writeLock  sync.Mutex // guards the following
 	unwritten  []byte
 	writeErrno syscall.Errno
 	noWait     bool                          // whether to return instead of waiting for buffer space
-	writeFunc  func(descriptor uintptr) bool // writeAll, kept to save an allocation per write
+	writeFunc  func(descriptor uintptr) bool // writeAll as a value, to save an allocation per write
 }
 
 // Wrap returns a connection that replaces the given one. A connection that is not TCP is returned as it is.
--- a/internal/host/machine/workers.go
+++ b/internal/host/machine/workers.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// maxIdleWorkers bounds the goroutines that are kept for later tasks.
+// maxIdleWorkers bounds the idle goroutines that are reused for later tasks.
 const maxIdleWorkers = 32
 
 // workerPool runs tasks in goroutines that ran others before. A new goroutine grows its stack step by step and copies it each
@@ -51,7 +51,7 @@
 	return true
 }
 
-// run runs a first task, and then others as long as the pool keeps the worker.
+// run runs a first task, and then further ones until the pool has enough idle workers.
 func (p *workerPool) run(task func()) {
 	self := &worker{tasks: make(chan func(), 1)}
 	for {
--- a/internal/monotonic/monotonic.go
+++ b/internal/monotonic/monotonic.go
@@ -76,11 +76,11 @@
 const clockBootTime = 7
 
 // sinceBoot returns the time since the machine started, suspended or not. The system call never blocks, so it is made without
-// telling the scheduler, which costs several times as much.
+// notifying the scheduler, which costs several times as much.
 func sinceBoot() Micros {
 	var now syscall.Timespec
 	if _, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, clockBootTime, uintptr(unsafe.Pointer(&now)), 0); errno != 0 {
 		panic("monotonic: no boot-time clock: " + errno.Error()) // Linux has it since 2.6.39
 	}
-	return Micros(now.Nano() / 1000)
+	return FromDuration(time.Duration(now.Nano()))
 }
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -15,7 +15,7 @@
 
 const (
 	maxCount       = 1024
-	maxPenalty     = 10000000 // microseconds
+	maxPenalty     = 10_000_000 // microseconds
 	maxDuration    = time.Hour
 	maxPort        = 65535
 	minVoterCount  = 3
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// Load reads the settings file and the flags that AddFlags added, and checks all values. The error joins all that is wrong.
+// Load reads the settings file and the flags that AddFlags added, and checks all values. The error joins those of all settings; it
+// is nil if all are valid.
 func Load(flags *pflag.FlagSet, fields []Field) (Values, error) {
 	fromFile, err := readFile(flags)
 	problems := []error{err}
@@ -93,6 +94,7 @@
 	return value, nil
 }
 
+// readFlag returns the value of the field's flag, under its present or its former name, and whether it was given.
 func (f *Field) readFlag(flags *pflag.FlagSet) (value string, set bool, err error) {
 	name := f.Name
 	if f.FormerName != "" && flags.Changed(f.FormerName) {
@@ -108,6 +110,7 @@
 	return value, true, err
 }
 
+// readFile returns the field's value in the settings file, under its present or its former name, and whether it was given.
 func (f *Field) readFile(fromFile map[string]any) (value string, set bool, err error) {
 	raw, set := fromFile[f.Name]
 	if former, formerSet := fromFile[f.FormerName]; f.FormerName != "" && formerSet {
@@ -159,7 +162,7 @@
 	return problems
 }
 
-// formatValue returns a value of the settings file as its flag would have it.
+// formatValue returns a value of the settings file in the form of a flag: a list is joined by commas.
 func formatValue(raw any) (string, error) {
 	switch value := raw.(type) {
 	case string:
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -33,6 +33,9 @@
 // HeaderLength is the length of a frame's header in bytes.
 const HeaderLength = 28
 
+// checksumOffset is the offset of the checksum, the header's last field. The checksum covers the bytes before it.
+const checksumOffset = HeaderLength - crc32.Size
+
 // The flags of a frame.
 const (
 	Reply uint16 = 1 << iota // the frame answers the request of the same id
@@ -71,7 +74,7 @@
 	binary.BigEndian.PutUint16(header[8:], uint16(frame.Kind))
 	binary.BigEndian.PutUint64(header[12:], frame.RequestID)
 	binary.BigEndian.PutUint32(header[20:], uint32(len(frame.Content)))
-	binary.BigEndian.PutUint32(header[24:], crc32.Update(Checksum(header[:24]), castagnoli, frame.Content))
+	binary.BigEndian.PutUint32(header[checksumOffset:], crc32.Update(Checksum(header[:checksumOffset]), castagnoli, frame.Content))
 }
 
 // AppendMessage appends an encoded frame whose content is a message to a buffer. It ignores frame.Content, and encodes the message
@@ -109,7 +112,7 @@
 	if _, err := io.ReadFull(stream, content); err != nil {
 		return Frame{}, err
 	}
-	if crc32.Update(Checksum(header[:24]), castagnoli, content) != binary.BigEndian.Uint32(header[24:]) {
+	if crc32.Update(Checksum(header[:checksumOffset]), castagnoli, content) != binary.BigEndian.Uint32(header[checksumOffset:]) {
 		return Frame{}, fmt.Errorf("%w: checksum", ErrMalformed)
 	}
 	return Frame{
