--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,4 +1,4 @@
-// Package config parses and validates the mesh's configuration, and compiles it into the form that proxies serve by.
+// Package config parses and validates the mesh's configuration, and compiles it into the form that proxies use.
 //
 // A configuration (wire.DesiredState) is a tree of groups and their services, and a list of routes. A service has a breaker, retry
 // and limits policy, merged field by field from the defaults, its group's and its own. Requests are led to services by routes:
--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -19,12 +19,12 @@
 const (
 	// retryDelay is the time between two attempts to reach a primary.
 	retryDelay = 100 * monotonic.Millisecond
-	// reachTimeout is how long an apply looks for a primary before it's refused: time for a failover.
+	// reachTimeout is how long an apply looks for a primary before it's rejected. It's longer than a failover.
 	reachTimeout = 4 * monotonic.Second
 	// maxReachCall and minReachCall bound one attempt to reach the primary.
 	maxReachCall = 500 * monotonic.Millisecond
 	minReachCall = monotonic.Millisecond
-	// minApplyCall is the least time that is left to one apply at a primary, if there is as much.
+	// minApplyCall is the least timeout of one apply at a primary, unless the deadline is sooner.
 	minApplyCall = monotonic.Second
 )
 
@@ -37,8 +37,8 @@
 	recent recentContent
 }
 
-// waitBeforeRetry sleeps until it makes sense to try again. Meanwhile the resolver asks who leads, in a task of its own, so that
-// a silent process isn't waited for.
+// waitBeforeRetry sleeps for retryDelay, at most until the deadline. Meanwhile the resolver looks for the primary in a task of its
+// own, so that a process that doesn't respond isn't waited for.
 func (s *forwardingStore) waitBeforeRetry(deadline monotonic.Micros) {
 	s.host.Go(s.resolver.Refresh)
 	s.host.Sleep(max(0, min(retryDelay, deadline-s.host.Now())))
@@ -60,8 +60,8 @@
 	return nil, err
 }
 
-// reachesPrimary reports whether a process answers this one as primary within a timeout. It reads a version that doesn't exist:
-// only whether the process would look counts.
+// reachesPrimary reports whether a process responds as primary within a timeout. It reads a version that doesn't exist, because the
+// primary alone responds to a read without an error.
 func (s *forwardingStore) reachesPrimary(timeout monotonic.Micros) bool {
 	deadline := s.host.Now() + timeout
 	probe := &wire.ConfigReadRequest{Version: math.MaxUint64}
@@ -126,7 +126,8 @@
 	return request
 }
 
-// applyAt sends an apply to a primary. One that falls silent is given half of the remaining time, so that another may take over.
+// applyAt sends an apply to a primary. It waits for half of the remaining time at most, so that another primary may take over and get
+// the apply if this one doesn't respond.
 func (s *forwardingStore) applyAt(leader string, request *wire.ConfigApplyRequest, sendFull bool, deadline monotonic.Micros) (*wire.ConfigApplyResponse, error) {
 	response, encoded := &wire.ConfigApplyResponse{}, s.encodeContent(leader, request, sendFull)
 	remaining := deadline - s.host.Now()
--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -17,7 +17,7 @@
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
 	idleTimeout       = 60 * time.Second
-	// retryAfterSeconds is sent with each 503.
+	// retryAfterSeconds is the Retry-After header of each 503.
 	retryAfterSeconds = "2"
 )
 
@@ -84,7 +84,7 @@
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(content) // an error means that the client has gone
+	_ = json.NewEncoder(w).Encode(content) // an error means that the client has disconnected
 }
 
 func writeError(w http.ResponseWriter, status int, message string) {
--- a/internal/configstore/api/overview.go
+++ b/internal/configstore/api/overview.go
@@ -27,7 +27,7 @@
 	Addresses []*wire.PeerAddress `json:"addresses"`
 }
 
-// overview asks all control-plane processes for their status.
+// overview requests the status of all control-plane processes.
 func (h *handler) overview() Overview {
 	overview := Overview{
 		ConfigStores: map[string]json.RawMessage{},
@@ -40,7 +40,8 @@
 	return overview
 }
 
-// gatherStatus asks the members of a group, all at once, and adds their answers to statuses or their names to missing.
+// gatherStatus requests the status of all members of a group in parallel. It adds each response to statuses; members without a
+// response are added to missing.
 func (h *handler) gatherStatus(group string, kind wire.Kind, statuses map[string]json.RawMessage, missing map[string]string) {
 	members := h.resolver.Members(group)
 	call := func(name string) (*wire.StatusResponse, error) {
--- a/internal/configstore/api/store.go
+++ b/internal/configstore/api/store.go
@@ -18,8 +18,8 @@
 	errDigestMismatch = errors.New("the answer isn't what its digest says")
 )
 
-// Store applies and reads configurations, wherever the primary is. All interfaces for operators use it, whatever dialect they
-// speak.
+// Store applies and reads configurations, wherever the primary is. All interfaces for operators use it, whatever the format of
+// their configurations.
 type Store interface {
 	// Apply returns the primary's response, or an error that is ErrNotAccepted or ErrOutcomeUnknown, within a timeout. A content
 	// that names its version, or has a request ID, is accepted once however often it's applied; one that has neither is given
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// adoptionRecheck is how soon an apply checks again for itself while this process can't answer as primary.
+	// adoptionRecheck is the time between two checks of an apply that waits while this process doesn't serve as primary.
 	adoptionRecheck = 100 * monotonic.Millisecond
-	// maxAdoptionRecheck bounds the time between two checks of the leases.
+	// maxAdoptionRecheck bounds the time between two checks of the leases while this process serves as primary.
 	maxAdoptionRecheck = 250 * monotonic.Millisecond
 )
 
@@ -67,8 +67,8 @@
 	return response
 }
 
-// acknowledge completes the response to an accepted configuration once the proxies have adopted it, or, with ServeStale, once
-// they have been waited for.
+// acknowledge completes the response to an accepted configuration once the proxies have adopted it or, with ServeStale, at the
+// latest when the wait for them has timed out.
 func (s *Server) acknowledge(response *wire.ConfigApplyResponse) (*wire.ConfigApplyResponse, error) {
 	response.AdoptedEverywhere = s.waitForAdoption(response.Version)
 	if !response.AdoptedEverywhere && !s.options.Timeouts.ServeStale {
@@ -86,9 +86,10 @@
 	}
 }
 
-// waitStart is the time from which an apply of a version counts its wait. With ServeStale that is the commit of the newest
-// version, as far as this process knows, so that applying it again doesn't wait again.
-func (s *Server) waitStart(version uint64) monotonic.Micros {
+// beginWait records the commit of a version that no apply has waited for yet, and returns the time from which an apply of the
+// version counts its wait. With ServeStale that is the commit of the newest version, as far as this process knows, so that
+// applying it again doesn't wait again; otherwise it is now.
+func (s *Server) beginWait(version uint64) monotonic.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.options.Host.Now()
@@ -101,13 +102,13 @@
 	return now
 }
 
-// waitForAdoption waits until no proxy needs to be waited for any more (see allAdopted), and reports whether that was so before
-// the timeout. While this process can't answer as primary it can't tell: when it can again, onPrimary has put acknowledgeFrom
-// behind the end of any lease that another primary granted meanwhile.
+// waitForAdoption waits until allAdopted reports true for a version, and reports whether it did before the timeout. While this
+// process doesn't serve as primary the wait goes on, because another primary may grant leases that it doesn't know of. When it
+// serves again, onPrimary has set acknowledgeFrom, which covers those leases.
 func (s *Server) waitForAdoption(version uint64) bool {
 	host := s.options.Host
 	started := host.Now()
-	deadline := s.waitStart(version) + s.options.Timeouts.acknowledgeTimeout()
+	deadline := s.beginWait(version) + s.options.Timeouts.acknowledgeTimeout()
 	s.updates.notifyAll()
 	for {
 		signal := s.adoptions.subscribe()
@@ -128,7 +129,8 @@
 	}
 }
 
-// checkAdoption reports whether this process, as primary, waits for no proxy, and otherwise when to check again.
+// checkAdoption reports whether this process serves as primary and allAdopted holds; if not, recheck is the time until the next
+// check.
 func (s *Server) checkAdoption(version uint64) (adopted bool, recheck monotonic.Micros) {
 	if !s.Member.Serving() {
 		return false, adoptionRecheck
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -1,7 +1,7 @@
 // Package archive writes the accepted configuration versions to a bare Git repository, one commit a version, for people who want
 // to read them with the tools they know.
 //
-// The archive is a copy: what is stored and acknowledged never depends on it. If it's lost, corrupt or another mesh's it's
+// The archive is a copy: what is stored and acknowledged never depends on it. If it's lost, corrupt or of another mesh, it's
 // removed and written again from the stored versions. The commits of the main branch are stored versions in their order, from
 // the oldest that was stored when the repository was begun, none left out in between.
 package archive
--- a/internal/configstore/delta/delta.go
+++ b/internal/configstore/delta/delta.go
@@ -2,7 +2,7 @@
 // wherever it's sent or stored. A delta from nothing is the content, compressed.
 //
 // The encoding is Zstandard with the base content as dictionary. A delta decodes only with the very base that it was made from.
-// The encoding doesn't name that base: whoever stores or sends a delta names its base by digest, and checks the digest of the
+// The encoding doesn't name that base: code that stores or sends a delta must name its base by digest, and check the digest of the
 // decoded content.
 package delta
 
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -1,5 +1,5 @@
 // Package differences computes how the newest configuration version differs from the versions that proxies have, so that a
-// change costs one computation however many proxies ask for it. It caches the parsed versions that were used last.
+// change costs one computation however many proxies request it. It caches the parsed versions that were used last.
 package differences
 
 import (
@@ -48,7 +48,7 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// versions holds each content once, the one that was used last at the end. It keeps to the limits unless it has one alone.
+	// versions holds each content once, the one that was used last at the end. It stays within the limits, except that one version may exceed them alone.
 	versions []cachedVersion
 	// latestDigest names the content that all differences lead to. Each is from a content in versions.
 	latestDigest string
@@ -75,7 +75,7 @@
 }
 
 // Difference returns the encoded difference from base to latest, for a proxy that has made a set with the given digest of base.
-// Nil means that the full content is to be sent: the base is unknown or was parsed otherwise by the proxy, either content isn't
+// Nil means that the full content is to be sent: the base is unknown or was parsed differently by the proxy, either content isn't
 // a set of resources, or the full content is shorter.
 func (c *Cache) Difference(base, latest *wire.StoredConfig, digest []byte) []byte {
 	if base == nil || latest == nil || len(digest) == 0 || base.Version >= latest.Version {
--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -12,14 +12,14 @@
 //
 // Proxies long-poll the primary (Poll). Each poll names the version that the proxy has adopted and grants the proxy a lease of
 // Timeouts.Lease, counted by the proxy from before it sent the poll. Without Timeouts.ServeStale a proxy serves only while its
-// lease stands. When Apply has answered that a version is accepted, each proxy
+// lease is active. When Apply has answered that a version is accepted, each proxy
 //
 //   - has adopted the version or a newer one,
 //   - has released its lease, so that it doesn't serve, or
 //   - has a lease that ends within Timeouts.LeaseSlack.
 //
 // With ServeStale a proxy keeps serving when it loses contact. Apply then waits, at most for Timeouts.AdoptionTimeout after the
-// commit, for the proxies that were heard within the last Timeouts.Lease, and says in its response whether all have adopted.
+// commit, for the proxies that polled within the last Timeouts.Lease, and says in its response whether all have adopted.
 //
 // Leases aren't replicated. A primary that takes over doesn't know which leases its predecessor granted, so it acknowledges
 // nothing until none of them can run for more than LeaseSlack (acknowledgeFrom). A planned handover carries the list of leases to
--- a/internal/configstore/handover.go
+++ b/internal/configstore/handover.go
@@ -10,21 +10,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// epochsOfHandover is how far the epoch in which the next primary starts to answer lies after the epoch of the one that handed
-// over to it: between the two lies only its own takeover, in which nobody answered. The leases that were handed over are then
-// all there are.
-const epochsOfHandover = 2
+// handoverEpochs is by how many epochs a handover raises the epoch: one when the successor takes over, in which it doesn't serve,
+// and one when its backups are in sync and it begins to serve. If the epoch has risen by exactly that, no other process has been
+// primary in between, and the leases that were handed over are complete.
+const handoverEpochs = 2
 
-// notifyDelay is how long after onPrimary the stored versions are passed on: the member doesn't answer reads at once.
+// notifyDelay is how long after onPrimary the stored versions are passed to OnAccepted: the member doesn't serve reads at once.
 const notifyDelay = monotonic.Second
 
-// onPrimary is called when this process becomes primary, before it answers. Unless the leases were handed over, or this process
-// was primary in the epoch before, others may have granted leases that it doesn't know of.
+// onPrimary is called when this process becomes primary, before it serves. Unless the leases were handed over, or this process
+// was primary in the epoch before, others may have granted leases that it doesn't know of; acknowledgements then wait for their
+// end.
 func (s *Server) onPrimary(epoch uint64, _ monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.inheritedLeases != nil && epoch == s.inheritedEpoch+epochsOfHandover:
+	case s.inheritedLeases != nil && epoch == s.inheritedEpoch+handoverEpochs:
 		s.leases = s.inheritedLeases
 	case s.epoch == 0 || epoch != s.epoch+1:
 		s.acknowledgeFrom = s.options.Host.Now() + s.options.Timeouts.unknownLeasePeriod()
@@ -36,16 +37,16 @@
 	})
 }
 
-// deferAcknowledgements is called when the clock may have jumped: leases that this process granted may stand though by its clock
-// they have expired.
+// deferAcknowledgements is called when the clock may have jumped: leases that this process granted may still be active though they
+// have expired on its own clock.
 func (s *Server) deferAcknowledgements() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.acknowledgeFrom = max(s.acknowledgeFrom, s.options.Host.Now()+s.options.Timeouts.unknownLeasePeriod())
 }
 
-// exportLeases encodes the standing leases for the next primary. It's called after this process has granted its last one. Nil
-// means that the list would be incomplete: this process doesn't know all leases, or can't tell when they end.
+// exportLeases encodes the active leases for the next primary. It's called after this process has granted its last one. Nil means
+// that the list would be incomplete: this process doesn't know all leases, or its clock may have jumped.
 func (s *Server) exportLeases() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	}
 	handover := &wire.LeaseHolders{Complete: true}
 	for _, key := range slices.Sorted(maps.Keys(s.leases)) {
-		if lease := s.leases[key]; lease.standsAt(now) {
+		if lease := s.leases[key]; lease.isActiveAt(now) {
 			handover.Holders = append(handover.Holders, &wire.LeaseHolder{
 				Key:            key,
 				Proxy:          lease.proxy,
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -7,7 +7,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// unsteadyRecheck is how soon leases are judged again while the clock may have jumped.
+// unsteadyRecheck is the time until leases are checked again while the clock may have jumped.
 const unsteadyRecheck = 100 * monotonic.Millisecond
 
 // proxyLease is the lease of one incarnation of a proxy.
@@ -19,14 +19,14 @@
 	adoptedAt      monotonic.Micros
 	// adoptionTime is the time from the commit of adoptedVersion until adoptedAt, zero if this process doesn't know it.
 	adoptionTime monotonic.Micros
-	// expiresAt is no earlier than the end by which the proxy itself goes.
+	// expiresAt is no earlier than the end of the lease on the proxy's own clock, which counts from before it sent the poll.
 	expiresAt monotonic.Micros
 	// released is never reset: an incarnation that has released its lease doesn't serve again.
 	released bool
 }
 
-// standsAt reports whether the proxy may still serve by this lease at a time.
-func (l *proxyLease) standsAt(now monotonic.Micros) bool { return l.expiresAt > now && !l.released }
+// isActiveAt reports whether the lease still lets the proxy serve at a time.
+func (l *proxyLease) isActiveAt(now monotonic.Micros) bool { return l.expiresAt > now && !l.released }
 
 // leaseKey identifies one incarnation of a proxy. It's also sent in handovers.
 func leaseKey(request *wire.ConfigPollRequest) string {
@@ -84,9 +84,9 @@
 	lease.expiresAt = now + s.options.Timeouts.Lease
 }
 
-// forgetEarlierIncarnations drops the leases of a proxy's other incarnations, because a proxy has one at a time. Should a late
-// poll of an earlier one arrive, the current one is recorded again by its next poll. Without ServeStale the leases are needed
-// and waited for all the same. The caller holds mu.
+// forgetEarlierIncarnations drops the leases of a proxy's other incarnations, because a proxy runs as one process at a time. If a
+// delayed poll of an earlier incarnation arrives, the current one is recorded again by its next poll. Without ServeStale nothing
+// is dropped: an earlier incarnation that still runs may serve until its lease ends. The caller holds mu.
 func (s *Server) forgetEarlierIncarnations(proxy, currentKey string) {
 	if !s.options.Timeouts.ServeStale {
 		return
@@ -109,9 +109,9 @@
 	return &wire.ConfigPollResponse{}
 }
 
-// allAdopted reports whether no proxy may serve by a version older than the given one for longer than the lease slack. With
-// ServeStale that is so once all proxies that were heard within the last Timeouts.Lease have adopted the version. Otherwise wait
-// is the time until the leases that stand against it have ended. Leases that have expired are removed.
+// allAdopted reports whether no proxy may serve a version older than the given one for longer than the lease slack. With
+// ServeStale that is so once all proxies that polled within the last Timeouts.Lease have adopted the version. If it isn't so, wait
+// is the time until the last of the leases that prevent it has no more than the slack left. Leases that have expired are removed.
 func (s *Server) allAdopted(version uint64) (adopted bool, wait monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 			adopted, wait = false, max(wait, remaining)
 		}
 	}
-	if s.acknowledgeFrom > now { // leases that an earlier primary granted may stand
+	if s.acknowledgeFrom > now { // leases that an earlier primary granted may be active
 		adopted, wait = false, max(wait, s.acknowledgeFrom-now)
 	}
 	return adopted, wait
--- a/internal/configstore/options.go
+++ b/internal/configstore/options.go
@@ -26,7 +26,7 @@
 	Bootstrap bool
 	// AdjustReplication may change the replication options before the member is opened. Nil changes nothing.
 	AdjustReplication func(*replication.Config)
-	// Timeouts are the durations to go by. Zero fields take their values from DefaultTimeouts.
+	// Timeouts are the durations of leases, polls and waits. Zero fields take their values from DefaultTimeouts.
 	Timeouts Timeouts
 	// Parse reads configurations when they are applied and when they are compared, config.Parse if nil.
 	Parse config.Parser
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -5,9 +5,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Poll renews a proxy's lease and returns the newest version if the proxy hasn't got it; otherwise it waits for one, at most for
-// Timeouts.LongPoll. A poll that says so releases the lease instead. Where this process isn't the primary, the response names
-// the primaries it knows and grants nothing. The error is always nil.
+// Poll renews a proxy's lease and returns the newest version if the proxy doesn't have it; otherwise it waits for a newer one, at
+// most for Timeouts.LongPoll. A request with Release set ends the lease instead. If this process isn't the primary, the response
+// names the primaries that it knows and grants no lease. The error is always nil.
 func (s *Server) Poll(request *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
 	if request.Release {
 		return s.releaseLease(request), nil
@@ -38,11 +38,12 @@
 	response *wire.ConfigPollResponse
 	// latest is the newest version, nil if there is none or the proxy has it.
 	latest *wire.StoredConfig
-	// base is the version that the proxy has, nil if it isn't stored any more.
+	// base is the version that the proxy has, nil if the proxy has none or that version has been removed.
 	base *wire.StoredConfig
 }
 
-// readUpdate reads what a poll is answered with and grants the lease, if this process is primary.
+// readUpdate prepares the response to a poll and, if this process is primary, grants the lease. Both are one read of the replicated
+// state.
 func (s *Server) readUpdate(request *wire.ConfigPollRequest) pollUpdate {
 	response := &wire.ConfigPollResponse{
 		Primaries: s.options.Resolver.Primaries(),
@@ -62,8 +63,8 @@
 	return update
 }
 
-// replicaResponse is the answer of a process that isn't the primary. A proxy that has no configuration yet and may serve
-// without contact gets the version that this replica holds: until a primary is found that serves it better than nothing.
+// replicaResponse is the response of a process that isn't the primary. With ServeStale, a proxy that has no configuration yet gets
+// the newest version of this replica: it may be outdated, but lets the proxy start while there is no primary.
 func (s *Server) replicaResponse(request *wire.ConfigPollRequest, primaries []*wire.Primary) *wire.ConfigPollResponse {
 	response := &wire.ConfigPollResponse{Primaries: primaries}
 	if request.CurrentVersion > 0 || !s.options.Timeouts.ServeStale {
--- a/internal/configstore/status.go
+++ b/internal/configstore/status.go
@@ -8,12 +8,12 @@
 	"snowflow/internal/replication"
 )
 
-// Status is what operators are shown of a configuration store process.
+// Status is the status page of a configuration store process. The JSON keys keep their former names, which operators' tools read.
 type Status struct {
 	Core replication.Status `json:"core"`
 	// Version is the newest version, zero if this process isn't the primary or there is none.
 	Version uint64 `json:"serial"`
-	// Leases are the standing leases that this process knows of, by the proxies' names.
+	// Leases are the active leases that this process knows of, sorted by the proxies' names.
 	Leases []LeaseStatus `json:"tenure_holders,omitempty"`
 	// DifferencesComputed counts the differences between versions that this process has computed.
 	DifferencesComputed uint64 `json:"differences_computed"`
@@ -23,7 +23,7 @@
 type LeaseStatus struct {
 	Proxy          string `json:"carrier"`
 	AdoptedVersion uint64 `json:"adopted"`
-	// AdoptedForMicros is the time since this process first heard of the adoption.
+	// AdoptedForMicros is the time since this process received the first report of the adoption.
 	AdoptedForMicros int64 `json:"adopted_for_micros"`
 	// AdoptionMicros is the time from the commit to the proxy's report, zero if this process hasn't seen both.
 	AdoptionMicros  int64 `json:"took_micros,omitempty"`
@@ -38,7 +38,7 @@
 	defer s.mu.Unlock()
 	now := s.options.Host.Now()
 	for _, lease := range s.leases {
-		if lease.standsAt(now) {
+		if lease.isActiveAt(now) {
 			status.Leases = append(status.Leases, LeaseStatus{
 				Proxy:            lease.proxy,
 				AdoptedVersion:   lease.adoptedVersion,
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -9,8 +9,8 @@
 const (
 	// DefaultLease is how long a proxy may serve after a poll, counted from before it sent the poll.
 	DefaultLease = 6 * monotonic.Second
-	// DefaultLeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. It's less than the
-	// 2 s that are documented, so that there is some margin.
+	// DefaultLeaseSlack is how much of the lease of a proxy out of contact may be left when an apply is acknowledged. It's less
+	// than the 2 s that are documented, so that there is some margin.
 	DefaultLeaseSlack = 1500 * monotonic.Millisecond
 )
 
@@ -27,17 +27,17 @@
 	errShortLease   = errors.New("configstore: the lease must exceed the long poll by at least one second")
 )
 
-// Timeouts are the durations that a Server goes by. Zero fields take their values from DefaultTimeouts.
+// Timeouts are the durations that a Server uses. Zero fields take their values from DefaultTimeouts.
 type Timeouts struct {
 	// Lease is how long a proxy may serve after a poll, counted from before it sent the poll.
 	Lease monotonic.Micros
-	// LeaseSlack is how much of an unheard proxy's lease may be left when an apply is acknowledged. With ServeStale that is
-	// nothing, but for leases that an earlier primary granted.
+	// LeaseSlack is how much of the lease of a proxy out of contact may be left when an apply is acknowledged. With ServeStale it
+	// counts only for the leases that an earlier primary granted.
 	LeaseSlack monotonic.Micros
 	// LongPoll is how long a poll stays open while there is no newer version.
 	LongPoll monotonic.Micros
 	// AdoptionTimeout is, with ServeStale, the longest time from the commit of a version until its apply is acknowledged. Until
-	// then the apply waits for the proxies that were heard within the last Lease.
+	// then the apply waits for the proxies that polled within the last Lease.
 	AdoptionTimeout monotonic.Micros
 	// ServeStale lets proxies serve without a lease while they are out of contact, so that applies needn't wait for leases to
 	// end. The proxies must be configured alike (configclient.Options.ServeStale).
@@ -89,7 +89,7 @@
 	return t.Lease + acknowledgeMargin
 }
 
-// unknownLeasePeriod is how long a new primary must assume that leases it doesn't know of are standing.
+// unknownLeasePeriod is how long a new primary must assume that leases it doesn't know of have more than LeaseSlack left.
 func (t Timeouts) unknownLeasePeriod() monotonic.Micros { return t.Lease - t.LeaseSlack }
 
 // effectiveSlack is how much may be left of the lease of a proxy that an apply doesn't wait for.
--- a/internal/configstore/versions/apply.go
+++ b/internal/configstore/versions/apply.go
@@ -52,7 +52,7 @@
 }
 
 // acceptNext stores a content under the number that follows the newest, if that is the one the client expects. A request ID
-// that is stored with the same content gets its first answer again.
+// that is stored with the same content gets the same response again.
 func (s *Store) acceptNext(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
 	if earlier := s.requests[request.Request]; request.Request != "" && earlier != nil {
@@ -75,7 +75,7 @@
 
 // acceptVersion stores a content under the number that the client names, if that is above the newest. The same content under a
 // claimed number, and any content under a lower number that was never claimed, is acknowledged and changes nothing, so that
-// applies may be repeated and arrive in any order. Another content under a claimed number is refused: two operators never both
+// applies may be repeated and arrive in any order. Another content under a claimed number is rejected: two operators never both
 // have their content confirmed under one number. The request ID plays no part.
 func (s *Store) acceptVersion(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
--- a/internal/configstore/versions/claimed.go
+++ b/internal/configstore/versions/claimed.go
@@ -31,7 +31,7 @@
 	return prefix
 }
 
-// claim lets a number stand for a content unless it stands for one already, and reports whether it stands for this one.
+// claim assigns a number to a content unless it is assigned already, and reports whether it is assigned to this content.
 func (c *claimedVersions) claim(version uint64, digest string) bool {
 	prefix := prefixOf(digest)
 	if claimed, exists := c.digests[version]; exists {
@@ -51,7 +51,7 @@
 	}
 }
 
-// restore claims a number as a snapshot says. Of two claims on one number the first stands.
+// restore adds a claim of a snapshot. Of two claims on one number the first wins.
 func (c *claimedVersions) restore(taken *wire.TakenVersion) {
 	var prefix digestPrefix
 	copy(prefix[:], taken.Fingerprint)
--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -18,8 +18,8 @@
 	changed int
 }
 
-// adopt takes the version of an answer, if it's newer, and the lease. It returns false if the answer can't be used: it's older than
-// the adopted version or can't be parsed.
+// adopt adopts the version of a response, if it's newer, and takes the lease. It returns false if the response can't be used: its
+// version is older than the adopted one or can't be parsed.
 func (c *Client) adopt(response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) bool {
 	version, _ := c.Version()
 	if response.Primary && c.unconfirmedSince > 0 {
@@ -42,8 +42,8 @@
 	}
 	next, err := c.applyDifference(response)
 	if err != nil {
-		// The next poll, which is sent at once, asks for the full content. The lease isn't renewed until then.
-		c.refuseDifference(response, version, err)
+		// The next poll, which is sent at once, requests the full content. The lease isn't renewed until then.
+		c.rejectDifference(response, version, err)
 		return true
 	}
 	c.install(next, response, leaseExpiry)
@@ -69,7 +69,8 @@
 	return &candidate{snapshot: snapshot, resources: result.Set, changed: result.ResourcesChanged}, nil
 }
 
-func (c *Client) refuseDifference(response *wire.ConfigPollResponse, version uint64, err error) {
+// rejectDifference reports a difference that doesn't apply and makes the next poll request the full content.
+func (c *Client) rejectDifference(response *wire.ConfigPollResponse, version uint64, err error) {
 	c.requestFull = true
 	c.mu.Lock()
 	c.stats.Rejected++
@@ -77,9 +78,9 @@
 	c.host.Report(eventlog.DeltaRejected, map[string]any{"serial": response.Version, "have": version, "bytes": len(response.Difference), "error": err.Error()})
 }
 
-// compileFull makes the version of a full content, nil if it can't be parsed. What doesn't differ from the adopted version is shared
-// with it all the same. A configuration that isn't a set of resources is compiled as it is, and no differences from it are asked
-// for.
+// compileFull compiles a version from its full content, nil if that can't be parsed. The parts that don't differ from the adopted
+// version are shared with it, as they are for a difference. A configuration that isn't a set of resources is compiled on its own, and
+// the next version after it is requested in full.
 func (c *Client) compileFull(response *wire.ConfigPollResponse) *candidate {
 	state, fieldErrors := c.options.Parse(response.Content)
 	if len(fieldErrors) > 0 {
@@ -100,7 +101,7 @@
 	return next
 }
 
-// install makes a candidate the adopted version, takes the lease, and wakes those who wait for a version.
+// install makes a candidate the adopted version, takes the lease, and wakes the tasks in WaitForVersion.
 func (c *Client) install(next *candidate, response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) {
 	isDifference := len(response.Difference) > 0
 	c.requestFull = false
@@ -132,13 +133,14 @@
 	})
 }
 
+// renewLease takes the lease of a response that brings no newer version.
 func (c *Client) renewLease(response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.extendLease(response, leaseExpiry)
 }
 
-// extendLease must be called with mu held.
+// extendLease takes the lease and the poll time of a response. It must be called with mu held.
 func (c *Client) extendLease(response *wire.ConfigPollResponse, leaseExpiry monotonic.Micros) {
 	c.longPoll = monotonic.Micros(response.LongPoll)
 	if c.snapshot != nil && !c.released {
@@ -147,8 +149,8 @@
 	}
 }
 
-// Release ends the lease for good, and tells the primary so that no apply waits for its end. If the primary isn't reached within a
-// timeout the lease runs out there.
+// Release ends the lease for good, and notifies the primary, so that no apply waits for the lease to expire. If the primary isn't
+// reached within the timeout, applies wait until it has expired.
 func (c *Client) Release(timeout monotonic.Micros) {
 	c.mu.Lock()
 	c.released, c.leaseExpiry = true, 0
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -15,7 +15,7 @@
 // storeGroup is the name of the configuration stores' replication group; it's sent and stored.
 const storeGroup = "postmaster"
 
-// unconfirmedTimeout is how long a primary is looked for before an unconfirmed version is served by.
+// unconfirmedTimeout is how long the client looks for a primary before the proxy serves from an unconfirmed version.
 const unconfirmedTimeout = 1500 * monotonic.Millisecond
 
 // Options are the dependencies and settings of a Client.
@@ -29,7 +29,7 @@
 	ClockWatch *clockwatch.Watcher
 	// Parse reads accepted contents, config.ParseAccepted if nil.
 	Parse config.Parser
-	// ServeStale lets the proxy serve without a lease for as long as it hears of no newer version. The configuration stores must
+	// ServeStale lets the proxy serve without a lease until it receives a newer version. The configuration stores must
 	// be configured alike (configstore.Timeouts.ServeStale).
 	ServeStale bool
 }
@@ -45,7 +45,7 @@
 	ignoreLease bool
 	// emptyPolls counts the polls while nothing was adopted. Run alone uses it.
 	emptyPolls int
-	// requestFull is set when a difference is refused, until the next adoption. Run alone uses it.
+	// requestFull is set when a difference is rejected, until the next adoption. Run alone uses it.
 	requestFull bool
 
 	// mu guards the fields below for all but Run, which alone writes snapshot, resources and unconfirmedSince and so reads them
@@ -61,7 +61,7 @@
 	unconfirmedSince monotonic.Micros
 	// leaseExpiry is the end of the lease, counted from before the poll that granted it.
 	leaseExpiry monotonic.Micros
-	// lapseReported is set once the end of the present lease has been reported.
+	// lapseReported is set once the expiry of the present lease has been reported.
 	lapseReported bool
 	// released is set once the proxy has stopped serving for good and takes no more leases.
 	released bool
@@ -72,7 +72,7 @@
 	stats   Stats
 }
 
-// Stats counts the versions that were adopted or refused by this process.
+// Stats counts the versions that were adopted or rejected by this process. The JSON keys keep their former names.
 type Stats struct {
 	Differences uint64 `json:"differences"`
 	FullStates  uint64 `json:"wholes"`
@@ -94,14 +94,14 @@
 // program sets it.
 func (c *Client) IgnoreLease(ignore bool) { c.ignoreLease = ignore }
 
-// Current returns the adopted snapshot, nil before the first, and whether it may be served by.
+// Current returns the adopted snapshot, nil before the first, and whether the proxy may serve from it.
 func (c *Client) Current() (snapshot *config.Snapshot, live bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshot, c.snapshot != nil && c.mayServe()
 }
 
-// mayServe must be called with mu held.
+// mayServe reports whether a lease, or ServeStale, lets the proxy serve. It must be called with mu held.
 func (c *Client) mayServe() bool {
 	if c.ignoreLease {
 		return true
@@ -129,7 +129,7 @@
 }
 
 // Adopted returns the adopted version, the time since its adoption and the digest of its resources in hexadecimal, by which two
-// proxies can be seen to serve by the same; it's empty if the configuration isn't a set of resources.
+// proxies can be seen to serve the same configuration; it's empty if the configuration isn't a set of resources.
 func (c *Client) Adopted() (version uint64, age monotonic.Micros, digest string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// minRetryDelay is the least time before a poll is repeated that has failed; as much again is added at random.
+	// minRetryDelay is the least time before a failed poll is repeated. A random time of up to the same length is added.
 	minRetryDelay = 100 * monotonic.Millisecond
 	// pingTimeout is how long a configuration store that wasn't reached may take to answer a ping.
 	pingTimeout = 500 * monotonic.Millisecond
-	// transferTimeout is what the answer to a poll may take beyond the time the poll stays open: a long content on a slow link.
+	// transferTimeout is what the response to a poll may take beyond the time the poll stays open: a long content on a slow link.
 	transferTimeout = 1500 * monotonic.Millisecond
-	// minLongPoll is how long a poll is at least expected to be kept open.
+	// minLongPoll is the least time that the client allows a poll to stay open, whatever the primary said last.
 	minLongPoll = monotonic.Second
 )
 
 var errTooLong = errors.New("configclient: the content exceeds the limit of configurations")
 
-// Run polls for ever. Each adoption is reported by the next poll, which is sent at once.
+// Run polls until the process ends. Each adoption is reported by the next poll, which is sent at once.
 func (c *Client) Run() {
 	first := true
 	for {
@@ -39,8 +39,8 @@
 	}
 }
 
-// poll sends one poll and adopts what it's answered with. First is set for the first poll after a failed one: it's answered
-// without waiting for a newer version. It returns false if no primary has answered or its answer can't be used.
+// poll sends one poll and adopts the version in its response. First is set for the first poll after a failed one, whose response
+// doesn't wait for a newer version. It returns false if no primary has responded or the response can't be used.
 func (c *Client) poll(first bool) bool {
 	version, _ := c.Version()
 	current := version
@@ -95,8 +95,8 @@
 	return max(c.longPoll, minLongPoll) + transferTimeout
 }
 
-// pollTarget returns the configuration store to poll, empty if none is known: the primary, or all in turn while the proxy has no
-// version of a primary and may serve stale.
+// pollTarget returns the configuration store to poll, empty if none is known. That is the primary. While the proxy has no version
+// of a primary and may serve stale, every second poll goes to the next of all configuration stores instead.
 func (c *Client) pollTarget(current uint64) string {
 	leader := c.resolver.Leader(storeGroup)
 	if current > 0 || !c.options.ServeStale {
@@ -112,8 +112,9 @@
 	return leader
 }
 
-// ping reports whether a configuration store answers that wasn't reached, or wasn't the primary, before it's polled again. A poll
-// may take as long as a long content needs; a proxy that was cut off would be back that much later.
+// ping reports whether a configuration store responds. It's sent before the first poll after a failed one, because the timeout of a
+// poll allows for the transfer of a long content: without the ping, a proxy that was partitioned would wait that long for a store
+// that is still unreachable.
 func (c *Client) ping(target string) bool {
 	response := &wire.DiscoverResponse{}
 	if c.resolver.Call(target, wire.Kind_discover, &wire.DiscoverRequest{}, response, pingTimeout) != nil {
