--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"go.uber.org/atomic"
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/apierror"
@@ -21,39 +22,36 @@
 	"snowflow/internal/proxy/singleton"
 	"snowflow/internal/release"
 	"snowflow/internal/transport/wire"
-
-	"go.uber.org/atomic"
 )
 
-// registryGroup is the name of the registry's servers in discovery. It is sent on the wire.
-const registryGroup = "sorter"
-
-// sweepInterval is the time between two looks for backends whose heartbeats are overdue.
+// sweepInterval is the time between two checks for backends whose heartbeats are overdue.
 const sweepInterval = 500 * monotonic.Millisecond
 
-// Options are the parts and settings of a Proxy.
+// Options are the parts and settings of a Proxy. Host, Resolver, Name, Address and Upstream must be set.
 type Options struct {
-	Host     host.Host
-	Resolver *discovery.Resolver
-	Name     string // of this proxy, unique in the mesh
-	Domain   string // failure domain of this host, such as a zone
-	Address  string // at which other proxies reach this one
+	Host     host.Host           // clock, tasks and network of this process
+	Resolver *discovery.Resolver // finds the core processes and their leaders
+	Name     string              // of this proxy, unique in the mesh
+	Domain   string              // failure domain of this host, such as a zone
+	Address  string              // at which other proxies reach this one
 	// IgnoreDomains makes the load balancer treat backends of all failure domains alike.
 	IgnoreDomains bool
 	// CrossDomainPenalty is the latency that the load balancer adds to backends of other failure domains.
 	CrossDomainPenalty monotonic.Micros
-	Upstream           admission.Upstream
+	// Upstream sends requests to the local backends.
+	Upstream admission.Upstream
 	// ReadConfig reads an accepted configuration. Nil means config.Accepted.
 	ReadConfig config.Parser
-	// ServeStale makes this proxy serve on by its last known configuration while it has no contact to the configuration store. The
-	// store must have the same setting.
+	// ServeStale makes this proxy go on serving with its last known configuration while it can't reach the configuration store.
+	// The store must have the same setting.
 	ServeStale bool
-	// OnFinished is called with the outcome of each request of a caller.
-	OnFinished func(exchange *forward.Exchange, answer *request.Response, fault *apierror.Fault)
+	// OnFinished is called with the outcome of each request of a caller: either response or fault is nil. Nil for no calls.
+	OnFinished func(exchange *forward.Exchange, response *request.Response, fault *apierror.Fault)
 	// IdempotencyTTL is how long the responses to idempotency keys are recorded. It must be as long as the registry keeps the
 	// keys. Zero means two minutes.
 	IdempotencyTTL monotonic.Micros
-	// Linger is how long a draining proxy still takes callers' requests, where those who send them need that time to stop.
+	// Linger is how long a draining proxy still accepts callers' requests while it already reports that it is not ready: the time
+	// that callers need to notice that and to stop sending. Zero if they notice at once.
 	Linger monotonic.Micros
 	// LinkMegabits is the capacity of this host's network link in megabits a second; zero for no limit.
 	LinkMegabits float64
@@ -65,7 +63,7 @@
 // Proxy is one sidecar proxy.
 type Proxy struct {
 	options       Options
-	incarnation   uint64 // random, new with each start of the process
+	incarnation   uint64 // random, never zero, new with each start of the process
 	ConfigClient  *configclient.Client
 	Session       *session.Client
 	LocalBackends *localbackends.Set
@@ -74,9 +72,9 @@
 	Singleton     *singleton.Client
 	Admission     *admission.Controller
 	Forwarder     *forward.Forwarder
-	draining      atomic.Bool // the platform is to send no more callers here
-	leaving       atomic.Bool // other proxies are to choose the backends of this host no more
-	clockWatch    *clockwatch.Watcher
+	draining      atomic.Bool         // Ready reports false, so that the platform sends callers elsewhere
+	leaving       atomic.Bool         // the session announces it, so that other proxies stop choosing the backends of this host
+	clockWatch    *clockwatch.Watcher // detects jumps of this process's clock
 }
 
 // New returns a proxy that is not started.
@@ -97,10 +95,10 @@
 		Host:        options.Host,
 		Proxy:       options.Name,
 		Incarnation: p.incarnation,
-		Call:        p.callLeaderOnce,
+		Call:        p.Session.CallLeaderOnce,
 	})
 	p.Session.Activity = p.Breakers.TakeActivity
-	p.Session.ApplyBreakers = func(records []*wire.BreakerRecord, reached bool) { p.Breakers.ApplyPoll(records, reached) }
+	p.Session.ApplyBreakers = p.Breakers.ApplyPoll
 	p.Singleton = singleton.New(singleton.Options{
 		Host:       options.Host,
 		Proxy:      options.Name,
@@ -114,9 +112,7 @@
 	}
 	p.Admission = p.newAdmission(replays)
 	p.Forwarder = p.newForwarder(replays)
-	p.clockWatch.OnJump(p.LocalBackends.ExtendHeartbeats)
-	p.clockWatch.OnJump(func(monotonic.Micros) { p.RetryBudget.Clear() })
-	p.clockWatch.OnJump(func(monotonic.Micros) { p.Session.ForgetLeaderClock() })
+	p.handleClockJumps()
 	return p
 }
 
@@ -156,8 +152,15 @@
 	})
 }
 
-// TrustClock makes the proxy take whatever its clock shows for right. It exists so that tests can show that the simulation's
-// invariants detect it; no program calls it.
+// handleClockJumps drops or corrects what was measured across a jump of this process's clock.
+func (p *Proxy) handleClockJumps() {
+	p.clockWatch.OnJump(p.LocalBackends.ExtendHeartbeats)
+	p.clockWatch.OnJump(func(monotonic.Micros) { p.RetryBudget.Clear() })
+	p.clockWatch.OnJump(func(monotonic.Micros) { p.Session.ForgetLeaderClock() })
+}
+
+// TrustClock turns off the detection of clock jumps. It exists so that tests can show that the simulation's invariants detect the
+// consequences; no program calls it.
 func (p *Proxy) TrustClock(enabled bool) { p.clockWatch.TrustClock(enabled) }
 
 // Start starts the proxy's background work, which goes on until the process ends.
@@ -170,7 +173,7 @@
 }
 
 // Register adds the handlers of the messages that other processes send to this one.
-func (p *Proxy) Register(table host.Handlers) { p.Admission.Register(table) }
+func (p *Proxy) Register(handlers host.Handlers) { p.Admission.Register(handlers) }
 
 // currentSession returns the session that the next poll of the registry announces.
 func (p *Proxy) currentSession() *wire.Session {
@@ -187,20 +190,12 @@
 	}
 }
 
-// callLeaderOnce sends one message to the registry's leader, without a retry.
-func (p *Proxy) callLeaderOnce(kind wire.Kind, message, reply proto.Message, timeout monotonic.Micros) error {
-	name := p.options.Resolver.Leader(registryGroup)
-	if name == "" {
-		return apierror.Unreachable.New("no registry leader is known")
-	}
-	return p.options.Resolver.Call(name, kind, message, reply, timeout)
-}
-
+// callProxy sends one message to another proxy by its name, at the address that the directory has for it.
 func (p *Proxy) callProxy(name string, kind wire.Kind, message, reply proto.Message, timeout monotonic.Micros) error {
 	return p.options.Host.Call(p.Session.Directory().Addresses[name], kind, message, reply, timeout)
 }
 
-// LeaderClock returns a time of the registry leader's clock that has certainly passed, see session.Client.LeaderClock.
+// LeaderClock returns a lower bound of the registry leader's clock, see session.Client.LeaderClock.
 func (p *Proxy) LeaderClock() *wire.LeaderTimestamp { return p.Session.LeaderClock() }
 
 // Now returns the time on this process's clock.
--- a/internal/proxy/session/client.go
+++ b/internal/proxy/session/client.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// registryGroup is the name of the registry's servers in discovery. It is sent on the wire.
+// registryGroup is the name of the registry's servers in discovery. It is sent on the wire, and keeps the registry's former name.
 const registryGroup = "sorter"
 
 const (
--- a/internal/proxy/session/leader_call.go
+++ b/internal/proxy/session/leader_call.go
@@ -53,6 +53,16 @@
 	}
 }
 
+// CallLeaderOnce sends one message to the registry's leader and fills response with its answer, without a retry. An error that
+// satisfies apierror.IsUnreachable means that no leader is known or reachable.
+func (c *Client) CallLeaderOnce(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
+	name := c.resolver.Leader(registryGroup)
+	if name == "" {
+		return apierror.Unreachable.New("no registry leader is known")
+	}
+	return c.resolver.Call(name, kind, request, response, timeout)
+}
+
 // callTimedOut returns the error of a call that ran out of time. The error for a missing leader is made only here, not on each
 // attempt: an errorx error records its stack, which is costly.
 func callTimedOut(lastErr error, mayBeTaken bool) error {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -14,7 +14,7 @@
 	Domain      string `json:"domain"`
 	Incarnation uint64 `json:"incarnation"`
 	Ready       bool   `json:"ready"`
-	Reason      string `json:"why,omitempty"` // for which it is not ready
+	Reason      string `json:"why,omitempty"` // why it is not ready; empty if it is
 
 	ConfigVersion   uint64             `json:"desired_serial"`
 	ConfigDigest    string             `json:"desired_check,omitempty"` // of the resources in force
@@ -28,7 +28,7 @@
 	BackendHealth []localbackends.BackendHealth `json:"standings"` // as this proxy's outlier detection sees it
 
 	Breakers         []breaker.Status `json:"guards"`
-	BreakersDegraded bool             `json:"guards_degraded"` // the registry can't be reached; they go by local counts
+	BreakersDegraded bool             `json:"guards_degraded"` // the registry can't be reached; breakers use local counts only
 
 	Members          int                  `json:"members_seen"` // live proxies in the directory
 	DirectoryUpdates session.UpdateCounts `json:"directory_taken"`
@@ -71,8 +71,8 @@
 	if !live {
 		return false, "the lease on the configuration has ended"
 	}
-	servesOn := p.options.ServeStale && p.Session.HasDirectory()
-	if !p.Session.Registered() && !servesOn {
+	mayServeStale := p.options.ServeStale && p.Session.HasDirectory()
+	if !p.Session.Registered() && !mayServeStale {
 		return false, "no registry server has answered lately"
 	}
 	return true, ""
