--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -15,20 +15,20 @@
 const (
 	// maxBatch bounds the requests in one message.
 	maxBatch = 64
-	// usualSenders is the number of messages that may be in flight at any time. Requests queue only while the leader answers
-	// more slowly than they arrive.
+	// usualSenders is the number of senders, each with one message in flight, that are started without a delay. Requests queue
+	// only while the leader answers more slowly than they arrive.
 	usualSenders = 4
-	// maxSenders bounds the messages in flight. Above usualSenders one is added each extraSenderInterval, so that a leader that is
-	// slow for lack of processor time is sent little, and one whose disk is slow gets large batches and needs few syncs.
+	// maxSenders bounds the senders. Above usualSenders one is added each extraSenderInterval, so that a leader that lacks
+	// processor time is sent few messages, and one with a slow disk gets large batches and needs few syncs.
 	maxSenders          = 16
 	extraSenderInterval = 50 * monotonic.Millisecond
 	// maxSingleSenders replaces maxSenders for a leader that takes no batches.
 	maxSingleSenders = 64
-	// singleFor is how long requests are sent one by one after a batch was lost: the leader may be of a release that closes the
-	// connection on a batch.
-	singleFor = monotonic.Second
-	// slowResponse is the wait from which a lost message shows that the leader accepts requests and is slow. After a shorter one
-	// it may not be accepting any.
+	// singlePeriod is how long requests are sent one by one after a batch was lost: the leader may be of a release that closes
+	// the connection on a batch.
+	singlePeriod = monotonic.Second
+	// slowResponse distinguishes two reasons for a lost message. After a wait as long as this the leader accepts requests and is
+	// slow; after a shorter one it may not be accepting any.
 	slowResponse = 500 * monotonic.Millisecond
 )
 
@@ -41,14 +41,14 @@
 	deadline monotonic.Micros
 	done     host.Signal // fired when the call is finished by an answer
 
-	finished   bool
-	inFlight   bool // it is part of a message that is not answered yet
-	mayBeTaken bool // a leader may have executed it without confirming it
-	err        error
+	finished      bool
+	inFlight      bool // it is part of a message that is not answered yet
+	mayBeExecuted bool // a leader may have executed it without confirming it
+	err           error
 }
 
 // batcher sends requests to the registry's leader, several in one message while they arrive faster than it answers. Handling a
-// message costs the leader many times what a request in it does. Requests that nobody waits for any more are not sent.
+// message costs the leader many times what a request in it does. A request whose caller gave up is not sent.
 type batcher struct {
 	client *Client
 
@@ -96,7 +96,7 @@
 	return response
 }
 
-// call sends a request to the leader and fills response with its answer, as CallPrimary does.
+// call sends a request to the leader and fills response with its answer, as CallLeader does.
 func (b *batcher) call(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	h := b.client.host
 	call := &pendingCall{kind: kind, request: request, response: response, deadline: h.Now() + timeout, done: h.NewSignal()}
@@ -130,7 +130,7 @@
 		b.queue = slices.Delete(b.queue, at, at+1)
 	}
 	switch {
-	case call.inFlight || call.mayBeTaken:
+	case call.inFlight || call.mayBeExecuted:
 		return apierror.Lost.New("no answer of a registry leader in time")
 	case call.err != nil:
 		return call.err
@@ -186,7 +186,7 @@
 		if lost || call.err == nil {
 			call.err = err
 		}
-		call.mayBeTaken = call.mayBeTaken || lost
+		call.mayBeExecuted = call.mayBeExecuted || lost
 		again = append(again, call)
 	}
 	b.queue = append(again, b.queue...)
@@ -205,7 +205,7 @@
 	return maxSenders
 }
 
-// batchSize returns the number of requests that a message to the present leader may have. mu is held.
+// batchSize returns the number of requests that a message to the current leader may have. mu is held.
 func (b *batcher) batchSize() int {
 	name := b.client.resolver.Leader(registryGroup)
 	single := name == b.singleTarget && b.client.host.Now() < b.singleUntil
--- a/internal/proxy/session/batch_sender.go
+++ b/internal/proxy/session/batch_sender.go
@@ -23,7 +23,7 @@
 	for {
 		name := resolver.Leader(registryGroup)
 		if name == "" {
-			h.Go(resolver.Refresh) // not waited for: the server that it asks may be down too
+			h.Go(resolver.Refresh) // in the background: the server that it calls may be down too
 			h.Sleep(leaderCheckInterval)
 			if b.stopIfIdle() {
 				return
@@ -34,9 +34,9 @@
 		if calls == nil {
 			return
 		}
-		began := h.Now()
+		sentAt := h.Now()
 		err := b.send(name, calls)
-		firstFailure := b.requeue(calls, err, h.Now()-began)
+		firstFailure := b.requeue(calls, err, h.Now()-sentAt)
 		if err == nil || name != resolver.Leader(registryGroup) {
 			continue
 		}
@@ -69,17 +69,17 @@
 	for _, call := range calls {
 		request.Commands = append(request.Commands, batchCommand(call.request))
 	}
-	response, began := &wire.RegistryBatchResponse{}, b.client.host.Now()
+	response, sentAt := &wire.RegistryBatchResponse{}, b.client.host.Now()
 	if err := b.client.callWhileLeading(name, wire.Kind_registry_batch, request, response, messageTimeout); err != nil {
 		now := b.client.host.Now()
-		if name == b.client.resolver.Leader(registryGroup) && now-began < slowResponse && !apierror.IsUnreachable(err) {
+		if name == b.client.resolver.Leader(registryGroup) && now-sentAt < slowResponse && !apierror.IsUnreachable(err) {
 			b.mu.Lock()
-			b.singleTarget, b.singleUntil = name, now+singleFor
+			b.singleTarget, b.singleUntil = name, now+singlePeriod
 			b.mu.Unlock()
 		}
 		return err
 	}
-	return b.takeOutcomes(name, calls, response.Outcomes)
+	return b.finishExecuted(name, calls, response.Outcomes)
 }
 
 // sendSingle sends one call in a message of its own.
@@ -90,14 +90,14 @@
 		b.finish(call, response)
 	} else if apierror.IsRefused(err) {
 		b.mu.Lock()
-		call.mayBeTaken = true // the rejection may be of a leader that does not know the outcome
+		call.mayBeExecuted = true // the leader may reject it because it does not know the outcome
 		b.mu.Unlock()
 	}
 	return err
 }
 
-// takeOutcomes finishes the calls of a batch that were executed. The error is that of the last one that was rejected.
-func (b *batcher) takeOutcomes(name string, calls []*pendingCall, outcomes []*wire.RegistryOutcome) error {
+// finishExecuted finishes the calls of a batch that were executed. The error is that of the last one that was rejected.
+func (b *batcher) finishExecuted(name string, calls []*pendingCall, outcomes []*wire.RegistryOutcome) error {
 	var rejection error
 	for index, call := range calls {
 		outcome := &wire.RegistryOutcome{Error: "the batch's answer has too few outcomes"}
@@ -110,7 +110,7 @@
 		}
 		rejection = apierror.Refused.New("%s: %s", name, outcome.Error)
 		b.mu.Lock()
-		call.err, call.mayBeTaken = rejection, call.mayBeTaken || !outcome.Rejected
+		call.err, call.mayBeExecuted = rejection, call.mayBeExecuted || !outcome.Rejected
 		b.mu.Unlock()
 	}
 	return rejection
--- a/internal/proxy/session/client.go
+++ b/internal/proxy/session/client.go
@@ -21,6 +21,8 @@
 	// fastPollInterval replaces PollInterval while no server answers, or while the answering server's directory may be
 	// incomplete.
 	fastPollInterval = 200 * monotonic.Millisecond
+	// neverPolled is the age that the last answered poll of a new client has: beyond every timeout.
+	neverPolled = monotonic.Minute
 	// pollTimeout bounds one poll of one server.
 	pollTimeout = 600 * monotonic.Millisecond
 	// sessionTimeout is the time without an answered poll after which this proxy's session may have expired.
@@ -57,7 +59,7 @@
 	updates   UpdateCounts
 	heartbeat uint64 // sequence number of the last poll
 	// live is the largest number of live proxies reported within liveCountWindow. Servers differ for a moment after a
-	// change, and a quota share must not grow on the answer of the one that knows fewer proxies.
+	// change, and a quota share must not grow because of the one that knows fewer proxies.
 	live      uint32
 	liveSetAt monotonic.Micros
 	startedAt monotonic.Micros
@@ -72,18 +74,18 @@
 	sourceIncomplete                bool // the server that answered last may not know every proxy yet
 }
 
-// New returns a client that is not yet polling. session returns this proxy's session as it is now, and is called once for
-// each poll; clock reports whether this process's clock can be trusted.
-func New(h host.Host, resolver *discovery.Resolver, session func() *wire.Session, clock *clockwatch.Watcher) *Client {
+// New returns a client that is not yet polling. currentSession returns this proxy's session at the time of the call, and is
+// called once for each poll; clockWatch reports whether this process's clock can be trusted.
+func New(h host.Host, resolver *discovery.Resolver, currentSession func() *wire.Session, clockWatch *clockwatch.Watcher) *Client {
 	c := &Client{
 		host:           h,
 		resolver:       resolver,
-		currentSession: session,
-		clockWatch:     clock,
+		currentSession: currentSession,
+		clockWatch:     clockWatch,
 		pollNow:        h.NewSignal(),
 		directory:      buildDirectory(resource.Empty),
 		snapshot:       emptySnapshot,
-		polledAt:       -monotonic.Minute,
+		polledAt:       -neverPolled,
 		startedAt:      h.Now(),
 	}
 	c.batcher.client = c
--- a/internal/proxy/session/directory.go
+++ b/internal/proxy/session/directory.go
@@ -43,7 +43,7 @@
 type UpdateCounts struct {
 	Deltas    uint64 `json:"changes"`
 	Snapshots uint64 `json:"wholes"`
-	Rejected  uint64 `json:"refused"` // differences that did not apply
+	Rejected  uint64 `json:"refused"` // deltas that could not be applied
 }
 
 // NewDirectory returns the directory of the given sessions.
@@ -101,8 +101,8 @@
 	return c.directory
 }
 
-// Version identifies the directory that is held: the server's incarnation that returned it, and its version there. Both are
-// zero before the first answer; the version is zero after a rejected difference until the complete directory arrives.
+// Version identifies the current directory: the server's incarnation that returned it, and its version there. Both are zero
+// before the first answer; the version is zero after a rejected delta until the complete directory arrives.
 func (c *Client) Version() (source, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +116,7 @@
 	return c.updates
 }
 
-// SkipDigestChecks makes the client apply differences without checking base or digest. It exists so that tests can show that
+// SkipDigestChecks makes the client apply deltas without checking base or digest. It exists so that tests can show that
 // the simulation's invariants detect the damage; no program calls it.
 func (c *Client) SkipDigestChecks(enabled bool) {
 	c.mu.Lock()
--- a/internal/proxy/session/doc.go
+++ b/internal/proxy/session/doc.go
@@ -8,17 +8,17 @@
 // # Directory
 //
 // A server identifies its directory by a source (one incarnation of that server) and a version that rises with each
-// change. It answers a poll with the complete directory, with the difference from the version that the client holds, or
-// with nothing if that version is current. A difference is applied only to the version it was made from, and only if the
-// result has the digest that the server names; otherwise the client drops its claim to a version, which makes the next
-// answer a complete one. A server that started less than [directory.SessionTimeout] ago may not have heard from every
-// proxy yet, so a client that holds a complete directory keeps it until the new server's is complete too.
+// change. It answers a poll with the complete directory, with the delta from the version that the client has, or with
+// nothing if that version is current. A delta is applied only to the version it was made from, and only if the result has
+// the digest that the server names; otherwise the client forgets its version, which makes the next answer a complete one.
+// A server that started less than [directory.SessionTimeout] ago may not have heard from every proxy yet, so a client with
+// a complete directory uses that until the new server's is complete too.
 //
-// A [Directory] never changes once built. Callers may keep it and read it without a lock.
+// A [Directory] never changes once built, so callers need no lock to read it.
 //
 // # Calls to the leader
 //
-// [Client.CallPrimary] sends a request to the registry's leader and repeats it across a failover until a timeout. Requests
+// [Client.CallLeader] sends a request to the registry's leader and repeats it across a failover until a timeout. Requests
 // for idempotency keys are batched: up to maxBatch of them share a message when they arrive faster than the leader
 // answers.
 //
--- a/internal/proxy/session/leader_call.go
+++ b/internal/proxy/session/leader_call.go
@@ -17,8 +17,8 @@
 	// firstRetryDelay and nextRetryDelay are the waits after the first, and each further, message that failed.
 	firstRetryDelay = 50 * monotonic.Millisecond
 	nextRetryDelay  = 100 * monotonic.Millisecond
-	// leaderCheckDelay is the time without an answer after which other servers are asked who leads. It is well above the
-	// usual time to an answer.
+	// leaderCheckDelay is the time without an answer after which the resolver asks the other servers for the leader. It is well
+	// above the usual time to an answer.
 	leaderCheckDelay = 100 * monotonic.Millisecond
 	// leaderCheckInterval is the time between further checks for a new leader.
 	leaderCheckInterval = 50 * monotonic.Millisecond
@@ -32,23 +32,23 @@
 		return c.batcher.call(kind, request, response, timeout)
 	}
 	deadline := c.host.Now() + timeout
-	lastErr, mayBeTaken := error(nil), false
+	lastErr, mayBeExecuted := error(nil), false
 	for delay := firstRetryDelay; ; delay = nextRetryDelay {
 		remaining := deadline - c.host.Now()
 		if remaining <= 0 {
-			return callTimedOut(lastErr, mayBeTaken)
+			return callTimedOut(lastErr, mayBeExecuted)
 		}
 		if name := c.resolver.Leader(registryGroup); name != "" {
 			lastErr = c.callWhileLeading(name, kind, request, response, min(remaining, messageTimeout))
 			if lastErr == nil {
 				return nil
 			}
-			mayBeTaken = mayBeTaken || apierror.IsLost(lastErr)
+			mayBeExecuted = mayBeExecuted || apierror.IsLost(lastErr)
 			if name != c.resolver.Leader(registryGroup) {
 				continue
 			}
 		}
-		c.host.Go(c.resolver.Refresh) // not waited for: the server that it asks may be down too
+		c.host.Go(c.resolver.Refresh) // in the background: the server that it calls may be down too
 		c.host.Sleep(min(delay, max(deadline-c.host.Now(), 0)))
 	}
 }
@@ -65,9 +65,9 @@
 
 // callTimedOut returns the error of a call that ran out of time. The error for a missing leader is made only here, not on each
 // attempt: an errorx error records its stack, which is costly.
-func callTimedOut(lastErr error, mayBeTaken bool) error {
+func callTimedOut(lastErr error, mayBeExecuted bool) error {
 	switch {
-	case mayBeTaken && !apierror.IsLost(lastErr):
+	case mayBeExecuted && !apierror.IsLost(lastErr):
 		return apierror.Lost.New("no answer of a registry leader in time")
 	case lastErr == nil:
 		return apierror.Unreachable.New("no registry leader is known")
@@ -96,7 +96,7 @@
 	}
 }
 
-// sentMessage is a message on its way, and the answer once it is there. Its sender may stop waiting for it.
+// sentMessage is a message in flight, and its answer once that has arrived. Its sender may stop waiting for it.
 type sentMessage struct {
 	response proto.Message // must not be read before result reports an answer
 	done     host.Signal
--- a/internal/proxy/session/leader_clock.go
+++ b/internal/proxy/session/leader_clock.go
@@ -11,8 +11,8 @@
 // is not set yet.
 const clockDriftDivisor = 1000
 
-// LeaderClock returns a time of the registry leader's clock that has certainly passed. It is the zero time, which is before
-// every fence, if none is known or while this process's clock can't be trusted.
+// LeaderClock returns a lower bound of the registry leader's clock: a timestamp that it has certainly passed. It is the zero
+// timestamp, which is before every fence, if none is known or while this process's clock can't be trusted.
 func (c *Client) LeaderClock() *wire.LeaderTimestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,8 @@
 	c.leaderClock, c.leaderClockAt = proto.CloneOf(observed), c.host.Now()
 }
 
-// ForgetLeaderClock drops the bound until the next answer of the leader. It is called when this process's clock leapt, so that
-// the time since the last observation is unknown.
+// ForgetLeaderClock drops the bound until the next answer of the leader. It is called after a jump of this process's
+// clock, when the time since the last observation is unknown.
 func (c *Client) ForgetLeaderClock() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/session/poll.go
+++ b/internal/proxy/session/poll.go
@@ -34,7 +34,7 @@
 }
 
 // Poll sends one heartbeat to the registry's leader, or to another server if the leader does not answer, and applies the
-// answer. Only the leader's answer carries breaker records.
+// answer. Only the leader's answer has breaker records.
 func (c *Client) Poll() {
 	response := c.pollFirstReachable()
 	if response.GetPrimary() {
@@ -72,7 +72,7 @@
 			return response
 		}
 		if answer, err := c.pollServer(next); err == nil {
-			_ = c.apply(answer) // after a rejected difference the next poll returns the complete directory
+			_ = c.apply(answer) // after a rejected delta the next poll returns the complete directory
 			return answer
 		}
 		return response
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// pollAndApply polls one server and applies its answer. If the answer's difference is rejected, the server is polled again
+// pollAndApply polls one server and applies its answer. If the answer's delta is rejected, the server is polled again
 // and returns the complete directory. The result is nil if a poll was not answered.
 func (c *Client) pollAndApply(name string) *wire.RegistryPollResponse {
 	response, err := c.pollServer(name)
@@ -119,8 +119,8 @@
 	return response, c.resolver.Call(name, wire.Kind_registry_poll, request, response, pollTimeout)
 }
 
-// apply takes over an answer to a poll. It returns an error if the answer's difference of the directory was rejected; the
-// rest of the answer is applied all the same.
+// apply applies an answer to a poll. It returns an error if the answer's delta of the directory was rejected; the rest of the
+// answer is applied nevertheless.
 func (c *Client) apply(response *wire.RegistryPollResponse) error {
 	c.resolver.ObservePrimaries(response.Primaries)
 	c.mu.Lock()
@@ -136,7 +136,7 @@
 	return c.applyDirectory(response)
 }
 
-// applyDirectory takes over the directory in an answer, unless it is older than what is held or less complete. mu is held.
+// applyDirectory applies the directory in an answer, unless it is older or less complete than the current one. mu is held.
 func (c *Client) applyDirectory(response *wire.RegistryPollResponse) error {
 	c.sourceIncomplete = response.DirectoryAge > 0 && monotonic.Micros(response.DirectoryAge) < completeDirectoryAge
 	otherSource := response.DirectorySource != c.snapshot.source
@@ -151,7 +151,11 @@
 	if err != nil {
 		c.updates.Rejected++
 		c.snapshot.invalidate()
-		c.host.Report(eventlog.DirectoryUpdateRejected, map[string]any{"serial": response.DirectoryVersion, "have": c.snapshot.version, "error": err.Error()})
+		c.host.Report(eventlog.DirectoryUpdateRejected, map[string]any{
+			"serial": response.DirectoryVersion,
+			"have":   c.snapshot.version,
+			"error":  err.Error(),
+		})
 		return err
 	}
 	c.complete = !c.sourceIncomplete
--- a/internal/proxy/session/snapshot.go
+++ b/internal/proxy/session/snapshot.go
@@ -9,15 +9,15 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The reasons for which a difference is rejected. Nothing of a rejected difference is applied.
+// The reasons for which a delta is rejected. Nothing of a rejected delta is applied.
 var (
-	errWrongBase      = errors.New("session: the difference was made from another version of the directory")
-	errDigestMismatch = errors.New("session: the difference does not lead to the announced directory")
+	errWrongBase      = errors.New("session: the delta was made from another version of the directory")
+	errDigestMismatch = errors.New("session: the delta does not lead to the announced directory")
 )
 
 // snapshot is one version of the set of sessions. It never changes once made, except that invalidate may withdraw its
 // version. While verified is set, set is exactly what the server incarnation source published as version; otherwise no
-// difference is requested or applied.
+// delta is requested or applied.
 type snapshot struct {
 	source, version uint64
 	set             *resource.Set
@@ -25,7 +25,7 @@
 	skipChecks      bool // see Client.SkipDigestChecks
 }
 
-// emptySnapshot is what a client holds before the first answer.
+// emptySnapshot is the snapshot of a client before the first answer.
 var emptySnapshot = snapshot{set: resource.Empty}
 
 // checksum identifies the content in a poll. Zero, for an unverified snapshot, requests the complete directory.
@@ -40,9 +40,9 @@
 // directory is unchanged.
 func (s *snapshot) invalidate() { s.verified, s.version = false, 0 }
 
-// isStale reports whether an answer leads to the version that is held or to an earlier one, because it was delivered twice or
-// late. A complete directory of the version that is held is not stale: the server sends one when the checksum in the poll
-// didn't match that version.
+// isStale reports whether an answer leads to this snapshot's version or to an earlier one, because it was delivered twice or
+// late. A complete directory of this version is not stale: the server sends one when the checksum in the poll didn't match the
+// version.
 func (s *snapshot) isStale(response *wire.RegistryPollResponse) bool {
 	if response.DirectorySource != s.source {
 		return false
@@ -50,7 +50,7 @@
 	return response.DirectoryVersion < s.version || response.DirectoryIsDelta && response.DirectoryVersion == s.version
 }
 
-// next returns the snapshot that an answer leads to. It fails only for a difference.
+// next returns the snapshot that an answer leads to. It fails only for a delta.
 func (s *snapshot) next(response *wire.RegistryPollResponse) (snapshot, error) {
 	if response.DirectoryIsDelta {
 		return s.applyDelta(response)
@@ -78,7 +78,7 @@
 	return snapshot{set: set}
 }
 
-// applyDelta returns the snapshot that a difference leads to.
+// applyDelta returns the snapshot that a delta leads to.
 func (s *snapshot) applyDelta(response *wire.RegistryPollResponse) (snapshot, error) {
 	sameBase := response.DirectoryBaseSource == s.source && response.DirectoryBaseVersion == s.version
 	if !s.skipChecks && (!s.verified || !sameBase) {
@@ -100,7 +100,7 @@
 	return next, nil
 }
 
-// deltaContent returns the sessions that a difference adds or replaces, and the number of sessions that it leads to.
+// deltaContent returns the sessions that a delta adds or replaces, and the number of sessions that it leads to.
 func (s *snapshot) deltaContent(response *wire.RegistryPollResponse) (put []*resource.Resource, size int, err error) {
 	size = s.set.Len()
 	for _, name := range response.DirectoryRemoved {
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -50,7 +50,7 @@
 	return proto.CloneOf(response)
 }
 
-// clientPair is two clients that meet the same faults: one is updated by differences, the other by complete directories.
+// clientPair is two clients that meet the same faults: one is updated by deltas, the other by complete directories.
 type clientPair struct {
 	deltas, snapshots *Client
 	late              [2]*wire.RegistryPollResponse // answers that are delayed
@@ -109,7 +109,7 @@
 			}
 		}
 		present := directoryVersion{c.snapshot.source, c.snapshot.version}
-		// After a rejected difference there is no version until the complete directory has arrived.
+		// After a rejected delta there is no version until the complete directory has arrived.
 		if present.number != 0 && !reflect.DeepEqual(c.Directory(), registry.versions[present]) {
 			return "the directory is not the version that it claims to be"
 		}
@@ -255,7 +255,7 @@
 	}
 }
 
-// TestDeltasEqualSnapshots: whatever happens, a client that is updated by differences holds exactly the version that it claims, every answer
+// TestDeltasEqualSnapshots: whatever happens, a client that is updated by deltas holds exactly the version that it claims, every answer
 // that is delivered leads it to the newest one, and its directory equals that of a client that only gets complete ones.
 func TestDeltasEqualSnapshots(t *testing.T) {
 	sum := UpdateCounts{}
@@ -272,7 +272,7 @@
 	}
 }
 
-// TestUncheckedDeltasAreDetected: clients that apply differences to whatever they hold are found to be wrong.
+// TestUncheckedDeltasAreDetected: clients that apply deltas to whatever they hold are found to be wrong.
 func TestUncheckedDeltasAreDetected(t *testing.T) {
 	for seed := range uint64(20) {
 		if wrong, _ := runFaults(t, seed, true); wrong != "" {
@@ -283,8 +283,8 @@
 	t.Error("nothing was wrong in 20 seeds")
 }
 
-// TestRejectedDeltas: differences that are damaged, cut short or made from another version change nothing. The complete directory is
-// requested and applied, and differences again after it.
+// TestRejectedDeltas: deltas that are damaged, cut short or made from another version change nothing. The complete directory is
+// requested and applied, and deltas again after it.
 func TestRejectedDeltas(t *testing.T) {
 	for name, damage := range map[string]func(response *wire.RegistryPollResponse){
 		"a removed session is left out": func(response *wire.RegistryPollResponse) { response.DirectoryRemoved = nil },
@@ -314,7 +314,7 @@
 					response := registry.answer(pollRequest(client, false))
 					if damage != nil {
 						if !response.DirectoryIsDelta {
-							t.Fatalf("the answer is no difference: %v", response)
+							t.Fatalf("the answer is no delta: %v", response)
 						}
 						damage(response)
 					}
@@ -345,7 +345,7 @@
 	}
 }
 
-// TestOlderRegistry: a server of a release without differences sends no digest. Its complete directories are applied, and requested again.
+// TestOlderRegistry: a server of a release without deltas sends no digest. Its complete directories are applied, and requested again.
 func TestOlderRegistry(t *testing.T) {
 	runProcess(t, 1, func(_ *world.World, process *world.Host) {
 		client := New(process, discovery.New(process, nil, nil), emptySession, nil)
