--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -24,15 +24,15 @@
 	Target  string // path and query
 	Headers []*wire.Header
 	Body    []byte
-	// FreshConnection asks for a connection on which nothing was sent before, for a request that can't be sent again if the
-	// backend closes an idle connection at that moment.
+	// FreshConnection requires a connection on which nothing was sent before. A request that must not be repeated needs one: it
+	// can't be sent again if the backend closes an idle connection at that moment.
 	FreshConnection bool
 	Deadline        monotonic.Micros // on this process's clock
 	ResponseLimit   uint64           // largest body of a response, in bytes
 	// BeforeSend is called right before the first byte of the request is written. A fault stops the request.
 	BeforeSend func() *apierror.Fault
-	// OnCancel registers a function to call once when the caller has left, at once if it has already; stop unregisters it. Nil
-	// for a request that runs to its end.
+	// OnCancel registers a function that is called once when the caller disconnects, immediately if it already has; stop
+	// unregisters it. Nil for a request that must run to its end.
 	OnCancel func(cancel func()) (stop func())
 }
 
@@ -42,6 +42,9 @@
 	RoundTrip(backendRequest BackendRequest) (*request.Response, *apierror.Fault)
 }
 
+// drainCheckInterval is the longest time between two checks for requests in flight while the controller drains.
+const drainCheckInterval = 100 * monotonic.Millisecond
+
 // Options are the parts and settings of a Controller. All parts must be set.
 type Options struct {
 	Host          host.Host
@@ -89,13 +92,13 @@
 }
 
 // Register adds the handlers of the messages that other proxies send to this one.
-func (c *Controller) Register(table host.Handlers) {
-	host.Handle(table, wire.Kind_forward, c.Serve)
-	host.Handle(table, wire.Kind_forward_bulk, c.Serve)
-	host.Handle(table, wire.Kind_forward_cancel, func(message *wire.ForwardCancelRequest) (*wire.ForwardCancelResponse, error) {
+func (c *Controller) Register(handlers host.Handlers) {
+	host.Handle(handlers, wire.Kind_forward, c.Serve)
+	host.Handle(handlers, wire.Kind_forward_bulk, c.Serve)
+	host.Handle(handlers, wire.Kind_forward_cancel, func(message *wire.ForwardCancelRequest) (*wire.ForwardCancelResponse, error) {
 		return &wire.ForwardCancelResponse{Found: c.Cancel(message.From, message.Id)}, nil
 	})
-	host.Handle(table, wire.Kind_replay, c.serveRecall)
+	host.Handle(handlers, wire.Kind_replay, c.serveRecall)
 }
 
 // SkipClaims makes the controller run requests without claiming their idempotency keys. It exists so that tests can show that the
@@ -126,7 +129,7 @@
 		if remaining <= 0 {
 			return false
 		}
-		c.idle.Wait(min(remaining, 100*monotonic.Millisecond))
+		c.idle.Wait(min(remaining, drainCheckInterval))
 	}
 	return true
 }
--- a/internal/proxy/admission/cancellations.go
+++ b/internal/proxy/admission/cancellations.go
@@ -6,8 +6,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// cancellations holds the requests in flight that are cancelled when their callers leave. Run-once requests are not among them: they
-// run to their end, so that a repeated request finds their response.
+// cancellations holds the requests in flight that are cancelled when their callers disconnect. Run-once requests are not among
+// them: they run to their end, so that a repeated request finds their response.
 type cancellations struct {
 	mu     sync.Mutex // guards active
 	active map[cancelKey]*cancellation
@@ -52,8 +52,9 @@
 	return c.active[cancelKey{from, id}]
 }
 
-// Cancel ends the request with a sender's id, whose caller has left, and reports whether it was in flight here. It is not handed to
-// its backend any more; the connection to a backend that works on it is closed if it may be repeated.
+// Cancel cancels a request whose caller has disconnected, by the name of its sender and the sender's id for it, and reports whether
+// it was in flight here. If the request has not been handed to its backend, it never will be. If it has, and may be repeated, the
+// connection to the backend is closed; otherwise it runs to its end.
 func (c *Controller) Cancel(from, id string) bool {
 	found := c.cancellations.find(from, id)
 	if found == nil {
@@ -82,7 +83,7 @@
 	return c.happened
 }
 
-// onCancel registers the function to call when the request is cancelled, and calls it at once if that has happened. stop
+// onCancel registers the function to call when the request is cancelled, and calls it at once if it already is. stop
 // unregisters it.
 func (c *cancellation) onCancel(callback func()) (stop func()) {
 	c.mu.Lock()
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -13,22 +13,22 @@
 	claimTTL = monotonic.Second
 	// claimCallTimeout bounds one call to the registry for a claim. A claim may be sent again for the same attempt.
 	claimCallTimeout = 700 * monotonic.Millisecond
-	// claimReleaseTimeout bounds the call that gives a claim back.
+	// claimReleaseTimeout bounds the call that releases a claim.
 	claimReleaseTimeout = monotonic.Second
 )
 
 // claimResult is the outcome of a claim for an idempotency key: exactly one of startBy, recorded and fault is set.
 type claimResult struct {
 	startBy  monotonic.Micros  // granted: the time by which the request must start, on this process's clock
-	recorded *request.Response // rejected: the response that an earlier attempt left
+	recorded *request.Response // rejected: the recorded response of an earlier attempt
 	fault    *apierror.Fault   // rejected for another reason
-	// mayBeGranted is set if a registry server may have granted the claim without an answer that arrived.
+	// mayBeGranted is set if a registry server may have granted the claim though its answer did not arrive.
 	mayBeGranted bool
 }
 
 func (r *claimResult) granted() bool { return r.recorded == nil && r.fault == nil }
 
-// claimFaults make the faults of the outcomes of a claim, other than that it was granted or that another attempt has the key.
+// claimFaults create the fault of a claim by its outcome, except for Granted, and for Pending, which claimRejected handles.
 var claimFaults = map[string]func(req *wire.ForwardRequest) *apierror.Fault{
 	idempotency.BodyMismatch: func(*wire.ForwardRequest) *apierror.Fault {
 		return apierror.New(apierror.BodyMismatch, apierror.MayHaveRun, "the key was used with another body")
@@ -41,9 +41,9 @@
 	},
 }
 
-// claim claims a request's idempotency key at the registry's leader, trying until the given time. releaseSlot is called once it is
-// known that the claim is not granted, before the response of an earlier attempt is looked for. deadline is that of the
-// request.
+// claim claims a request's idempotency key at the registry's leader, and repeats failed calls until the given time. releaseSlot is
+// called once it is known that the claim is not granted, before the response of an earlier attempt is looked up. deadline is that
+// of the request.
 func (c *Controller) claim(req *wire.ForwardRequest, until, deadline monotonic.Micros, releaseSlot func()) claimResult {
 	h := c.options.Host
 	mayBeGranted := false
@@ -85,7 +85,9 @@
 }
 
 // claimRejected returns the recorded response of the attempt that has the key, or the fault of a claim that was not granted.
-func (c *Controller) claimRejected(req *wire.ForwardRequest, reply *wire.ClaimResponse, deadline monotonic.Micros) (*request.Response, *apierror.Fault) {
+func (c *Controller) claimRejected(
+	req *wire.ForwardRequest, reply *wire.ClaimResponse, deadline monotonic.Micros,
+) (*request.Response, *apierror.Fault) {
 	if reply.Outcome == idempotency.Pending {
 		response, cause := c.recall(req, reply, deadline)
 		if response != nil {
@@ -100,7 +102,7 @@
 }
 
 // claimUntilDeadline claims until the request's deadline. If the claim fails and may have been granted, now or in an earlier
-// call, it is given back.
+// call, it is released.
 func (c *Controller) claimUntilDeadline(req *wire.ForwardRequest, deadline monotonic.Micros, mayBeGranted bool) claimResult {
 	result := c.claim(req, deadline, deadline, func() {})
 	unreachable := result.fault != nil && result.fault.Cause == apierror.ClaimUnreachable
@@ -110,8 +112,8 @@
 	return result
 }
 
-// releaseClaim gives a claim back after the backend, or this proxy, was certain that the request has not run. If the registry
-// can't be reached the key stays claimed until it expires: that is safe, but the caller has to wait.
+// releaseClaim releases a claim of a request that has certainly not run. If the registry can't be reached the key stays claimed
+// until it expires: that is safe, but repeated requests are rejected until then.
 func (c *Controller) releaseClaim(req *wire.ForwardRequest) {
 	release := &wire.CompleteClaimRequest{Scope: req.Scope, Attempt: req.Attempt}
 	_ = c.options.CallLeader(wire.Kind_complete_claim, release, &wire.CompleteClaimResponse{}, claimReleaseTimeout)
--- a/internal/proxy/admission/doc.go
+++ b/internal/proxy/admission/doc.go
@@ -7,8 +7,8 @@
 //  1. Preconditions: the proxy is not stopping, the request is addressed to this incarnation of it, the proxy has a lease on
 //     its configuration, and the request was routed by that version or the one before.
 //  2. Outlier detection: an ejected backend takes health checks and last resorts only.
-//  3. Uplink: a large response must fit through this host's link in time.
-//  4. Slot: the backend runs a bounded number of requests at once, and a bounded number waits for that.
+//  3. Uplink: this host's network link must be able to send a large response in time.
+//  4. Slot: a backend has a bounded number of slots, one for each request that it runs, and a bounded queue for them.
 //  5. Claim: a run-once request, that is one with an idempotency key, claims that key at the registry's leader. The key's recorded
 //     response is returned instead if an earlier attempt has run.
 //  6. Hand-over: the conditions that may have changed meanwhile are checked again right before the first byte is written.
@@ -16,5 +16,5 @@
 // Every outcome carries a verdict, which says whether the request may have run. Callers retry on another backend only what
 // has not run, or what may run more than once.
 //
-// The package persists nothing. Responses to idempotency keys are kept in memory by package replay.
+// The package persists nothing. Package replay holds the responses to idempotency keys in memory.
 package admission
--- a/internal/proxy/admission/health.go
+++ b/internal/proxy/admission/health.go
@@ -1,6 +1,8 @@
 package admission
 
 import (
+	"net/http"
+
 	"snowflow/internal/apierror"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/proxy/admission/slots"
@@ -13,8 +15,8 @@
 // peerScale is the denominator of the fractions about a backend's peers that a request carries.
 const peerScale = 1000
 
-// checkHealth asks the outlier detection whether a request may go to its backend, and begins an observation of the backend. A
-// request of a caller without another backend to go to is always admitted.
+// checkHealth rejects a request if outlier detection has ejected its backend, and otherwise begins an observation of the backend.
+// A request without an alternative backend is always admitted.
 func (c *Controller) checkHealth(req *wire.ForwardRequest) (*localbackends.Observation, *apierror.Fault) {
 	peers := req.Peers
 	return c.options.LocalBackends.Observe(req.Instance, outlier.RequestInfo{
@@ -39,8 +41,8 @@
 	return load
 }
 
-// neutralCauses are the causes of faults that say nothing of the backend: it was not asked, or the request had too little time.
-// A backend that takes far longer than usual is found by its latency.
+// neutralCauses are the causes of faults that say nothing about the backend's health: it was not called, or the request had too
+// little time. A backend that takes far longer than usual is detected by its latency.
 var neutralCauses = map[apierror.Cause]bool{
 	apierror.ResponseTimeout:    true,
 	apierror.ResponseTooLarge:   true,
@@ -52,26 +54,27 @@
 	apierror.BackendUnknown:     true,
 }
 
-// backendOutcome returns what the end of a request says of its backend. Server errors and requests that the backend rejected
-// count like responses that it lost.
+// backendOutcome returns what the end of a request says about its backend's health. Server errors (status 500 and above) and
+// requests that the backend did not execute count as failures, like lost responses.
 func backendOutcome(response *request.Response, fault *apierror.Fault) outlier.Outcome {
 	switch {
 	case fault != nil && (fault.Local || neutralCauses[fault.Cause]):
 		return outlier.Unknown
-	case fault != nil || response.NotRun || response.Status >= 500:
+	case fault != nil || response.NotRun || response.Status >= http.StatusInternalServerError:
 		return outlier.Failure
 	}
 	return outlier.Success
 }
 
-// finishedCauses are the causes of faults after which the backend has answered, though not as it should, and works no more.
+// finishedCauses are the causes of faults after which the backend no longer works on the request: it has responded, though not as
+// it should.
 var finishedCauses = map[apierror.Cause]bool{apierror.ResponseTooLarge: true, apierror.ResponseMismatch: true}
 
-// slotOutcome returns what the end of a request says of its slot. Errors are no measure of the service time: what fails at once
-// would look fast.
+// slotOutcome returns what the end of a request says about its slot. Errors are no samples of the service time: a backend that
+// fails at once would look fast.
 func slotOutcome(response *request.Response, fault *apierror.Fault) slots.Outcome {
 	switch {
-	case fault == nil && response.Status < 500:
+	case fault == nil && response.Status < http.StatusInternalServerError:
 		return slots.Completed
 	case fault == nil || fault.NotRun() || finishedCauses[fault.Cause]:
 		return slots.Released
--- a/internal/proxy/admission/link.go
+++ b/internal/proxy/admission/link.go
@@ -6,11 +6,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// uplinkTimeShare is the part of the remaining time within which a large response must be on its way.
+// uplinkTimeShare is the part of the remaining time within which the link must have sent a large response.
 const uplinkTimeShare = 0.6
 
-// reserveUplink reserves this host's link for a response of the size that is usual on the request's route. It rejects the
-// request, which has not run, if the link can't send that in time. The size must be passed to releaseUplink.
+// reserveUplink reserves this host's link for a response of the usual size on the request's route. It rejects the request, which
+// has not run, if the link can't send such a response in time. The size, in bytes, must be passed to releaseUplink.
 func (c *Controller) reserveUplink(req *wire.ForwardRequest) (size float64, fault *apierror.Fault) {
 	if req.From == c.options.Proxy {
 		return 0, nil // the response stays on this host
@@ -23,12 +23,13 @@
 	if admitted {
 		return size, nil
 	}
-	fault = apierror.New(apierror.Overloaded, apierror.NotRun, "the link of %s is taken for %d ms", c.options.Proxy, wait/monotonic.Millisecond)
+	fault = apierror.New(
+		apierror.Overloaded, apierror.NotRun, "the link of %s is taken for %d ms", c.options.Proxy, wait/monotonic.Millisecond)
 	fault.RetryAfter = max(wait, monotonic.Millisecond)
 	return 0, fault
 }
 
-// releaseUplink replaces a reservation by the body that is sent, which is empty for a request without a response.
+// releaseUplink replaces a reservation by the size of the body that is sent, zero for a request without a response.
 func (c *Controller) releaseUplink(req *wire.ForwardRequest, size float64, reply *wire.ForwardResponse) {
 	if req.From != c.options.Proxy {
 		c.uplink.Done(c.options.Host.Now(), req.Route, size, len(reply.GetBody()))
--- a/internal/proxy/admission/permit.go
+++ b/internal/proxy/admission/permit.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// breakerWaitShare divides the time for which a circuit breaker stays open; the result bounds the wait for a slot. A request
-	// was admitted while the breaker was closed, and must not reach the backend among the probes that follow the open state.
-	breakerWaitShare = 2
+	// breakerWaitDivisor divides the time for which a circuit breaker stays open; the result bounds the wait for a slot. A request
+	// that was admitted while the breaker was closed must not reach the backend among the probes that follow the open state.
+	breakerWaitDivisor = 2
 	// claimSlotTimeout is how long a slot is held for a claim that is not answered. It is well above the usual time of a claim.
 	claimSlotTimeout = 100 * monotonic.Millisecond
 	// uncountedSlotTimeout is how long a request whose claim was granted waits for a slot at a backend that does not report its
-	// slots. When the registry comes back many claims are granted at once, more than there are slots, though each request needs
-	// its slot for some milliseconds only.
+	// number of slots. After an outage of the registry many claims are granted at once, more than there are slots, though each
+	// request needs its slot for some milliseconds only.
 	uncountedSlotTimeout = 300 * monotonic.Millisecond
 	// uncountedSlotRetry is the time between two attempts to get such a slot.
 	uncountedSlotRetry = 5 * monotonic.Millisecond
 )
 
-// permit is the right to hand a request to its backend: a slot and, for a run-once request, its claim.
+// permit is the right to send a request to its backend: a slot and, for a run-once request, its claim.
 type permit struct {
 	*localbackends.Slot
 	startBy monotonic.Micros // the time by which the request must start, on this process's clock
@@ -32,16 +32,23 @@
 
 // acquirePermit returns the permit for a request, or the recorded response of an earlier attempt. After a fault neither slot nor
 // claim is held.
-func (c *Controller) acquirePermit(req *wire.ForwardRequest, service *config.Service, deadline monotonic.Micros) (*permit, *request.Response, *apierror.Fault) {
+func (c *Controller) acquirePermit(
+	req *wire.ForwardRequest, service *config.Service, deadline monotonic.Micros,
+) (*permit, *request.Response, *apierror.Fault) {
+	now := c.options.Host.Now()
+	latencyTarget := monotonic.Micros(0) // unknown
+	if req.LatencyTarget > 0 {
+		latencyTarget = now + monotonic.Micros(req.LatencyTarget)
+	}
 	slotRequest := localbackends.Request{
 		Instance: req.Instance,
 		Service:  req.Service,
 		RunOnce:  req.RunOnce,
 		Request: slots.Request{
 			Priority:      req.Priority,
-			LatencyTarget: c.options.LocalBackends.DeadlineAfter(req.LatencyTarget),
+			LatencyTarget: latencyTarget,
 			Deadline:      deadline,
-			StartBy:       min(deadline, c.options.Host.Now()+monotonic.Micros(service.Breaker.GetWaitOpenMicros())/breakerWaitShare),
+			StartBy:       min(deadline, now+monotonic.Micros(service.Breaker.GetWaitOpenMicros())/breakerWaitDivisor),
 			Patient:       req.MayQueue,
 			Kind:          req.Route,
 		},
@@ -57,11 +64,13 @@
 	return c.claimWithSlot(req, slotRequest, slot)
 }
 
-// claimWithSlot claims the key while a slot is held. A claim takes one replicated write of some milliseconds, whereas a key claimed
-// for a request that the queue then rejects costs a second write to release it, and blocks every other attempt meanwhile.
-// During a failover of the registry claims take seconds; then the slot is given back and requested again once the claim is
-// granted, or other requests would find every slot held by requests that can't start.
-func (c *Controller) claimWithSlot(req *wire.ForwardRequest, slotRequest localbackends.Request, slot *localbackends.Slot) (*permit, *request.Response, *apierror.Fault) {
+// claimWithSlot claims the key while the request has a slot: a claim takes one replicated write of some milliseconds. In the
+// opposite order, a key claimed for a request that the queue then rejects would cost a second write to release it, and would block
+// every other attempt meanwhile. During a failover of the registry claims take seconds; then the slot is released, so that requests
+// that can't start don't take all slots, and requested again once the claim is granted.
+func (c *Controller) claimWithSlot(
+	req *wire.ForwardRequest, slotRequest localbackends.Request, slot *localbackends.Slot,
+) (*permit, *request.Response, *apierror.Fault) {
 	deadline := slotRequest.Deadline
 	release := func() { slot.Release(slots.Released) }
 	claim := c.claim(req, min(deadline, c.options.Host.Now()+claimSlotTimeout), deadline, release)
@@ -85,9 +94,11 @@
 	return &permit{Slot: slot, startBy: claim.startBy}, nil, nil
 }
 
-// admitUncounted acquires the permit at a backend that does not report its slots. A claim may take long, so no slot is held
-// meanwhile; a request that would not get one now is rejected without a claim.
-func (c *Controller) admitUncounted(req *wire.ForwardRequest, slotRequest localbackends.Request, needsClaim bool, limit uint32) (*permit, *request.Response, *apierror.Fault) {
+// admitUncounted acquires the permit at a backend that does not report its number of slots; limit bounds its requests in flight. A
+// claim may take long, so the slot is taken after it; a request that would not get one now is rejected without a claim.
+func (c *Controller) admitUncounted(
+	req *wire.ForwardRequest, slotRequest localbackends.Request, needsClaim bool, limit uint32,
+) (*permit, *request.Response, *apierror.Fault) {
 	if fault := c.options.LocalBackends.CheckCapacity(req.Instance, req.Service, limit, req.RunOnce); fault != nil {
 		return nil, nil, fault
 	}
@@ -109,8 +120,11 @@
 	return &permit{Slot: slot, startBy: startBy}, nil, nil
 }
 
-// waitForUncountedSlot takes a slot at a backend that does not report its slots. Only a request with a claim waits for one.
-func (c *Controller) waitForUncountedSlot(slotRequest localbackends.Request, limit uint32, startBy monotonic.Micros) (*localbackends.Slot, *apierror.Fault) {
+// waitForUncountedSlot takes a slot at a backend that does not report its number of slots. Only a run-once request, which has a
+// claim by then, waits for one.
+func (c *Controller) waitForUncountedSlot(
+	slotRequest localbackends.Request, limit uint32, startBy monotonic.Micros,
+) (*localbackends.Slot, *apierror.Fault) {
 	h := c.options.Host
 	deadline := min(startBy, h.Now()+uncountedSlotTimeout)
 	for {
--- a/internal/proxy/admission/preconditions.go
+++ b/internal/proxy/admission/preconditions.go
@@ -9,8 +9,8 @@
 
 const (
 	// previousVersionGrace is the time after the adoption of a configuration for which requests that were routed by the version
-	// before are still accepted. The sender's own lease is what keeps a version from being used for more than two seconds after
-	// the next one; this bounds a sender that was suspended with a request in hand.
+	// before are still accepted. The sender's own lease already ends its use of a version within two seconds after the next one;
+	// this also rejects a request whose sender was suspended between routing and sending it.
 	previousVersionGrace = monotonic.Second
 	// versionCatchUpTimeout is how long a request that was routed by a newer version waits for this proxy to adopt it.
 	versionCatchUpTimeout = 500 * monotonic.Millisecond
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// checkLease rejects requests while this proxy has no lease on its configuration, unless it serves on without one.
+// checkLease rejects requests while this proxy has no lease on its configuration, unless ServeStale allows to serve without one.
 func (c *Controller) checkLease() *apierror.Fault {
 	if _, live := c.options.ConfigClient.Current(); !live && !c.options.ServeStale {
 		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "proxy %s has no lease on its configuration", c.options.Proxy)
@@ -62,23 +62,27 @@
 	}
 	version, age := c.options.ConfigClient.Version()
 	if req.ConfigVersion < version && (req.ConfigVersion+1 < version || age > previousVersionGrace) {
-		return apierror.New(apierror.VersionOlder, apierror.NotRun, "routed by configuration version %d, %d is in force", req.ConfigVersion, version)
+		return apierror.New(apierror.VersionOlder, apierror.NotRun,
+			"routed by configuration version %d, %d is in force", req.ConfigVersion, version)
 	}
-	if req.ConfigVersion > version && !c.options.ConfigClient.WaitForVersion(req.ConfigVersion, min(versionCatchUpTimeout, monotonic.Micros(req.Remaining))) {
-		return apierror.New(apierror.VersionBehind, apierror.NotRun, "routed by configuration version %d, this proxy has %d", req.ConfigVersion, version)
+	catchUpTimeout := min(versionCatchUpTimeout, monotonic.Micros(req.Remaining))
+	if req.ConfigVersion > version && !c.options.ConfigClient.WaitForVersion(req.ConfigVersion, catchUpTimeout) {
+		return apierror.New(apierror.VersionBehind, apierror.NotRun,
+			"routed by configuration version %d, this proxy has %d", req.ConfigVersion, version)
 	}
 	return nil
 }
 
-// findService returns the configuration of a request's service in the version that counts from here on, which may be another one
-// than checkVersion saw.
+// findService returns the configuration of a request's service in the current version, which may be newer than the one that
+// checkVersion compared with. The request is executed by what it returns.
 func (c *Controller) findService(req *wire.ForwardRequest) (*config.Service, *apierror.Fault) {
 	snapshot, _ := c.options.ConfigClient.Current()
 	if snapshot != nil && snapshot.Services[req.Service] != nil {
 		return snapshot.Services[req.Service], nil
 	}
 	if c.options.ServeStale {
-		return config.DefaultService(req.Service), nil // the sender has another version
+		return config.DefaultService(req.Service), nil // the sender may use another version, which has the service
 	}
-	return nil, apierror.New(apierror.VersionOlder, apierror.NotRun, "service %s is not in configuration version %d", req.Service, snapshot.Version)
+	return nil, apierror.New(apierror.VersionOlder, apierror.NotRun,
+		"service %s is not in configuration version %d", req.Service, snapshot.Version)
 }
--- a/internal/proxy/admission/recall.go
+++ b/internal/proxy/admission/recall.go
@@ -13,14 +13,15 @@
 const (
 	// recallTimeout is how long a repeated request waits for the response of an attempt that is still running.
 	recallTimeout = 500 * monotonic.Millisecond
-	// remoteRecallTimeout is the same at the proxy that is asked. It is shorter, so that its reply is there in time.
+	// remoteRecallTimeout is how long a proxy waits on behalf of another one that requests the response. It is shorter than
+	// recallTimeout, so that the reply arrives in time.
 	remoteRecallTimeout = recallTimeout * 4 / 5
 )
 
 // NewAttemptID returns the id of an attempt that a proxy sends: its name, and a random number.
 func NewAttemptID(proxy string, random uint64) string { return fmt.Sprintf("%s-%016x", proxy, random) }
 
-// attemptSender returns the name of the proxy that made an attempt's id, or nothing for a malformed one.
+// attemptSender returns the name of the proxy that made an attempt's id, or the empty string for a malformed one.
 func attemptSender(attempt string) string {
 	if end := strings.LastIndexByte(attempt, '-'); end > 0 {
 		return attempt[:end]
@@ -28,9 +29,11 @@
 	return ""
 }
 
-// recall finds the response of the attempt that has a request's key. Without a response, the cause is KeyPending if the attempt is
-// still running, or ResponseExpired if nobody has its response any more.
-func (c *Controller) recall(req *wire.ForwardRequest, existing *wire.ClaimResponse, deadline monotonic.Micros) (*request.Response, apierror.Cause) {
+// recall returns the response of the attempt that claimed a request's key. Without a response, the cause is KeyPending if the
+// attempt is still running, or ResponseExpired if no proxy has its response any more.
+func (c *Controller) recall(
+	req *wire.ForwardRequest, existing *wire.ClaimResponse, deadline monotonic.Micros,
+) (*request.Response, apierror.Cause) {
 	until := min(deadline, c.options.Host.Now()+recallTimeout)
 	response, cause := c.recallFrom(existing.Owner, req, existing.Attempt, until-c.options.Host.Now())
 	if response != nil || cause == apierror.KeyPending {
@@ -43,8 +46,10 @@
 	return response, apierror.ResponseExpired
 }
 
-// recallFrom asks one proxy, which may be this one, for a key's recorded response.
-func (c *Controller) recallFrom(proxy string, req *wire.ForwardRequest, attempt string, timeout monotonic.Micros) (*request.Response, apierror.Cause) {
+// recallFrom requests a key's recorded response from one proxy, which may be this one.
+func (c *Controller) recallFrom(
+	proxy string, req *wire.ForwardRequest, attempt string, timeout monotonic.Micros,
+) (*request.Response, apierror.Cause) {
 	if proxy == c.options.Proxy {
 		response, running := c.recordedResponse(req.Scope, req.Digest, timeout)
 		if running {
@@ -52,8 +57,9 @@
 		}
 		return response, apierror.ResponseExpired
 	}
+	replayRequest := &wire.ReplayRequest{Scope: req.Scope, Digest: req.Digest, Attempt: attempt}
 	reply := &wire.ForwardResponse{}
-	err := c.options.CallProxy(proxy, wire.Kind_replay, &wire.ReplayRequest{Scope: req.Scope, Digest: req.Digest, Attempt: attempt}, reply, timeout)
+	err := c.options.CallProxy(proxy, wire.Kind_replay, replayRequest, reply, timeout)
 	if err == nil && reply.Rejected && apierror.Cause(reply.Cause) == apierror.KeyPending {
 		return nil, apierror.KeyPending
 	}
@@ -63,7 +69,7 @@
 	return &request.Response{Status: reply.Status, Headers: reply.Headers, Body: reply.Body, Instance: reply.Instance}, 0
 }
 
-// serveRecall answers another proxy's question for a key's recorded response.
+// serveRecall handles another proxy's request for a key's recorded response.
 func (c *Controller) serveRecall(recall *wire.ReplayRequest) (*wire.ForwardResponse, error) {
 	response, running := c.recordedResponse(recall.Scope, recall.Digest, remoteRecallTimeout)
 	if response != nil {
@@ -76,8 +82,8 @@
 	return &wire.ForwardResponse{Rejected: true, Cause: uint32(cause), Verdict: string(apierror.MayHaveRun)}, nil
 }
 
-// recordedResponse returns the response that this proxy recorded for a key, or nil. While an attempt is running here it waits
-// for that, at most for the timeout; running is true if it still is.
+// recordedResponse returns the response that this proxy recorded for a key, or nil. It first waits, at most for the timeout, while
+// an attempt is running here; running is true if it still is.
 func (c *Controller) recordedResponse(scope string, digest []byte, timeout monotonic.Micros) (response *request.Response, running bool) {
 	running = c.executions.await(scope, timeout)
 	return c.options.Replay.Lookup(scope, digest), running
--- a/internal/proxy/admission/reply.go
+++ b/internal/proxy/admission/reply.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Complete reports whether the body of a reply is the one that its sender meant to send.
+// Complete reports whether the body of a reply has the length and checksum that its sender announced.
 func Complete(reply *wire.ForwardResponse) bool {
 	return uint64(len(reply.Body)) == reply.Length && frame.Checksum(reply.Body) == reply.Checksum
 }
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -40,7 +40,7 @@
 	return c.rejection(req, apierror.New(apierror.StoppedInFlight, verdict, "proxy %s stops, and can't wait any longer", c.options.Proxy)), nil
 }
 
-// serve admits a request, runs it and returns the reply. What it reserved is given back in the reverse order.
+// serve admits a request, executes it and returns the reply. Reservations are released in the reverse order.
 func (c *Controller) serve(req *wire.ForwardRequest, task *shutdown.Task) (reply *wire.ForwardResponse) {
 	deadline := c.options.Host.Now() + monotonic.Micros(req.Remaining)
 	if c.claimPerService {
@@ -77,14 +77,21 @@
 		c.executions.begin(req.Scope)
 		defer c.executions.end(req.Scope)
 	}
-	response, fault := c.execute(&execution{req: req, deadline: deadline, permit: permit, observation: observation, cancellation: cancellation, task: task})
+	response, fault := c.execute(&execution{
+		req:          req,
+		deadline:     deadline,
+		permit:       permit,
+		observation:  observation,
+		cancellation: cancellation,
+		task:         task,
+	})
 	if fault != nil {
 		return c.rejection(req, fault)
 	}
 	return success(req.Id, response)
 }
 
-// execution is a request that was admitted and is handed to its backend.
+// execution is an admitted request on its way to its backend.
 type execution struct {
 	req          *wire.ForwardRequest
 	deadline     monotonic.Micros
@@ -94,17 +101,17 @@
 	task         *shutdown.Task
 }
 
-// cancellable reports whether the request may be broken off while its backend works on it: only one that may be repeated, so neither a
-// run-once request nor one that may run at most once and has no idempotency key.
+// cancellable reports whether the request may be aborted while its backend works on it. Only a request that may be repeated is:
+// neither a run-once request nor one that may run at most once and has no idempotency key.
 func (e *execution) cancellable() bool { return !e.req.RunOnce && !e.req.AtMostOnce }
 
-// execute hands a request to its backend, records what the outcome says of the backend, and returns the response.
+// execute sends a request to its backend, records what the outcome says about the backend, and returns the response.
 func (c *Controller) execute(e *execution) (*request.Response, *apierror.Fault) {
 	e.observation.Start()
 	response, fault := c.options.Upstream.RoundTrip(c.backendRequest(e))
 	if fault != nil && !fault.NotRun() && e.cancellable() && e.cancellation.cancelled() {
 		fault = apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "its caller left while the backend was at work")
-		fault.Local = true // that the connection was closed says nothing of the backend
+		fault.Local = true // this proxy closed the connection, which says nothing about the backend
 	}
 	e.observation.Close(backendOutcome(response, fault))
 	e.permit.Release(slotOutcome(response, fault))
@@ -147,7 +154,7 @@
 	return backendRequest
 }
 
-// checkBeforeSend is the last check before the hand-over. It covers what may have changed while the request waited.
+// checkBeforeSend is the last check before the request is sent. It covers what may have changed while the request waited.
 func (c *Controller) checkBeforeSend(e *execution) *apierror.Fault {
 	if e.cancellation.cancelled() {
 		return apierror.New(apierror.ClientClosed, apierror.NotRun, "its caller left before it was handed over")
--- a/internal/proxy/localbackends/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -195,11 +195,3 @@
 	}
 	return load
 }
-
-// DeadlineAfter returns the time on this process's clock that is so many microseconds away; zero, for none, stays zero.
-func (s *Set) DeadlineAfter(micros int64) monotonic.Micros {
-	if micros <= 0 {
-		return 0
-	}
-	return s.host.Now() + monotonic.Micros(micros)
-}
