--- a/internal/replication/consensus/lease.go
+++ b/internal/replication/consensus/lease.go
@@ -65,23 +65,24 @@
 	return v.grant.leader != nil && now < v.grant.until
 }
 
-// Pledge is until when a voter promises and grants nothing, except to the leader it granted a lease.
-type Pledge struct {
+// LeaseStatus says for how long a voter promises and grants nothing, except to the leader that it granted a lease. Until
+// a restarted voter's wait is over, it counts as a lease of an unknown leader.
+type LeaseStatus struct {
 	// Remaining is zero if the voter is free.
 	Remaining monotonic.Micros
 	// Leader is the name of the leader that is excepted, empty if nobody is.
 	Leader string
 }
 
-// Pledge returns whether this voter is bound at present.
-func (v *Voter) Pledge(now monotonic.Micros) Pledge {
+// LeaseStatus returns whether a lease keeps this voter from promising and granting, and whose.
+func (v *Voter) LeaseStatus(now monotonic.Micros) LeaseStatus {
 	switch {
 	case !v.WaitOver(now):
-		return Pledge{Remaining: v.votesAfter - now}
+		return LeaseStatus{Remaining: v.votesAfter - now}
 	case v.leaseStands(now):
-		return Pledge{Remaining: v.grant.until - now, Leader: v.grant.leader.Name}
+		return LeaseStatus{Remaining: v.grant.until - now, Leader: v.grant.leader.Name}
 	}
-	return Pledge{}
+	return LeaseStatus{}
 }
 
 // WaitOver reports whether leases that an earlier process may have granted have ended.
--- a/internal/replication/consensus/voter_test.go
+++ b/internal/replication/consensus/voter_test.go
@@ -189,18 +189,18 @@
 	}
 }
 
-func TestPledge(t *testing.T) {
+func TestLeaseStatus(t *testing.T) {
 	s := newScene(joined())
-	if pledge := s.voter.Pledge(0); pledge != (Pledge{Remaining: testLease}) {
-		t.Errorf("after a restart: %v", pledge)
+	if status := s.voter.LeaseStatus(0); status != (LeaseStatus{Remaining: testLease}) {
+		t.Errorf("after a restart: %v", status)
 	}
-	if pledge := s.voter.Pledge(s.clock.Now); pledge != (Pledge{}) {
-		t.Errorf("after the wait: %v", pledge)
+	if status := s.voter.LeaseStatus(s.clock.Now); status != (LeaseStatus{}) {
+		t.Errorf("after the wait: %v", status)
 	}
 	if err := s.lease(5, memberA); err != nil {
 		t.Fatal(err)
 	}
-	if pledge := s.voter.Pledge(s.clock.Now); pledge != (Pledge{Remaining: testLease, Leader: "a"}) {
-		t.Errorf("after a grant: %v", pledge)
+	if status := s.voter.LeaseStatus(s.clock.Now); status != (LeaseStatus{Remaining: testLease, Leader: "a"}) {
+		t.Errorf("after a grant: %v", status)
 	}
 }
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -83,8 +83,8 @@
 			return
 		}
 		freeAt[m.config.Name] = now
-		if pledge := m.voter.Pledge(m.host.Now()); pledge.Leader != m.config.Name {
-			freeAt[m.config.Name] = now + pledge.Remaining
+		if status := m.voter.LeaseStatus(m.host.Now()); status.Leader != m.config.Name {
+			freeAt[m.config.Name] = now + status.Remaining
 		}
 	})
 	return freeAt
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -106,7 +106,7 @@
 
 // describe returns what this process reports of itself.
 func (m *Member) describe(record *wire.RegisterRecord) *wire.RegisterReadResponse {
-	pledge := m.voter.Pledge(m.host.Now())
+	status := m.voter.LeaseStatus(m.host.Now())
 	response := &wire.RegisterReadResponse{
 		Intact:         record.Joined,
 		Blank:          !record.Joined,
@@ -116,8 +116,8 @@
 		Value:          record.Value,
 		CanBootstrap:   m.config.Bootstrap,
 		ProcessId:      m.processID,
-		LeaseRemaining: int64(pledge.Remaining),
-		LeaseGrantedTo: pledge.Leader,
+		LeaseRemaining: int64(status.Remaining),
+		LeaseGrantedTo: status.Leader,
 	}
 	if position := m.replica.position(); m.replica.incarnation.Load() != 0 {
 		response.HasReplica, response.ReplicaEpoch, response.ReplicaSequence = true, position.epoch, position.sequence
