--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -135,7 +135,7 @@
 	backupNames := consensus.MemberNames(backups)
 	return slices.ContainsFunc(m.otherVoters(), func(name string) bool {
 		m.mu.Lock()
-		respondedAt, known := m.lastResponse[name]
+		respondedAt, known := m.peers.lastResponseAt(name)
 		leaving := m.leavingMembers(now)[name]
 		m.mu.Unlock()
 		inContact := known && now-respondedAt < m.config.LeaseDuration
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -52,10 +52,8 @@
 	// campaigns.
 	lastLeaderContact monotonic.Micros
 	coldStart         bool
-	// peers is what each other process reported of itself when its register was last read.
-	peers map[string]peerState
-	// lastResponse is when each other voter last responded to this member.
-	lastResponse map[string]monotonic.Micros
+	// peers is what is known of the other processes.
+	peers peerTable
 	// reportedMismatch is the last difference of initial voters that was reported.
 	reportedMismatch string
 	// standbys are the processes that asked to join. leaving is when each process that is shutting down last said so.
@@ -105,8 +103,7 @@
 		replica:        newReplica(h, files, config),
 		voter:          consensus.NewVoter(consensus.Options{InitialVoters: config.InitialVoters, LeaseDuration: config.LeaseDuration}),
 		coldStart:      true,
-		peers:          map[string]peerState{},
-		lastResponse:   map[string]monotonic.Micros{},
+		peers:          newPeerTable(),
 		standbys:       map[string]standby{},
 		leaving:        map[string]monotonic.Micros{},
 		proposedVoters: map[string]bool{},
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -43,7 +43,8 @@
 		if name == m.config.Name {
 			continue
 		}
-		silence := now - max(m.lastResponse[name], lead.since)
+		respondedAt, _ := m.peers.lastResponseAt(name)
+		silence := now - max(respondedAt, lead.since)
 		if silence > 2*m.config.LeaseDuration {
 			state.Silent[name] = true
 		}
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -9,17 +9,6 @@
 	"snowflow/internal/transport/wire"
 )
 
-// peerState is what another process reported of itself when its register was read.
-type peerState struct {
-	readAt    monotonic.Micros
-	processID uint64
-	// intact is set if the process has a register.
-	intact bool
-	// pledgedUntil is until when, by this process's clock, the peer promises nothing to anybody except to pledgedTo.
-	pledgedUntil monotonic.Micros
-	pledgedTo    string
-}
-
 // recordPeer takes what a process reported. The register was read by this process, so the voter may conclude which of its
 // grantees have ended.
 func (m *Member) recordPeer(name string, response *wire.RegisterReadResponse) {
@@ -27,19 +16,10 @@
 	m.observeProposal(response.Promised)
 	now := m.host.Now()
 	m.mu.Lock()
-	m.lastResponse[name] = now
-	m.peers[name] = peerState{
-		readAt:       now,
-		processID:    response.ProcessId,
-		intact:       response.Intact,
-		pledgedUntil: now + monotonic.Micros(response.LeaseRemaining),
-		pledgedTo:    response.LeaseGrantedTo,
-	}
-	processIDs := map[string]uint64{m.config.Name: m.processID}
-	for peer, state := range m.peers {
-		processIDs[peer] = state.processID
-	}
+	m.peers.recordState(name, now, response)
+	processIDs := m.peers.processIDs()
 	m.mu.Unlock()
+	processIDs[m.config.Name] = m.processID
 	m.voterExecutor.Run(func() { m.voter.ObserveProcesses(m.host.Now(), processIDs) })
 }
 
@@ -51,14 +31,8 @@
 	now := m.host.Now()
 	freeAt := m.voterFreeAt(now)
 	m.mu.Lock()
-	for name, peer := range m.peers {
-		switch {
-		case !peer.intact || now-peer.readAt > m.config.CallTimeout:
-		case peer.pledgedTo == m.config.Name:
-			freeAt[name] = now
-		default:
-			freeAt[name] = max(peer.pledgedUntil, now)
-		}
+	for _, name := range m.peers.intactPeers(now, m.config.CallTimeout) {
+		freeAt[name] = m.peers.freeAt(name, m.config.Name, now)
 	}
 	m.mu.Unlock()
 	for _, at := range slices.Sorted(maps.Values(freeAt)) {
@@ -96,11 +70,7 @@
 	current, _ := m.knownConfig()
 	seen, now := []string{m.config.Name}, m.host.Now()
 	m.mu.Lock()
-	for name, peer := range m.peers {
-		if peer.intact && now-peer.readAt <= within {
-			seen = append(seen, name)
-		}
-	}
+	seen = append(seen, m.peers.intactPeers(now, within)...)
 	m.mu.Unlock()
 	return current.HasQuorum(seen)
 }
@@ -111,13 +81,8 @@
 	now := m.host.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, peer := range m.peers {
-		if peer.pledgedTo == m.config.Name && peer.pledgedUntil > now {
-			return true
-		}
-	}
-	return !slices.ContainsFunc(consensus.BackupsOf(value), func(backup *wire.MemberID) bool {
-		peer, known := m.peers[backup.Name]
-		return known && peer.intact && now-peer.readAt <= m.config.CallTimeout
-	})
+	return m.peers.hasLease(m.config.Name, now) ||
+		!slices.ContainsFunc(consensus.BackupsOf(value), func(backup *wire.MemberID) bool {
+			return m.peers.isIntact(backup.Name, now, m.config.CallTimeout)
+		})
 }
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -131,14 +131,14 @@
 func (m *Member) recordResponse(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lastResponse[name] = m.host.Now()
+	m.peers.recordResponse(name, m.host.Now())
 }
 
 // lastResponseAt returns when a voter last responded, a time long past if it never did.
 func (m *Member) lastResponseAt(name string) monotonic.Micros {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at, known := m.lastResponse[name]; known {
+	if at, known := m.peers.lastResponseAt(name); known {
 		return at
 	}
 	return -monotonic.Minute
