--- a/internal/registry/breakers.go
+++ b/internal/registry/breakers.go
@@ -6,8 +6,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-// allProxiesPolled is how long after it became primary a registry has heard from every proxy: one and a half poll intervals.
-const allProxiesPolled = 1500 * monotonic.Millisecond
+// directoryFillTime is the time within which every proxy polls a new primary, so that its directory knows them all: one and a half
+// poll intervals of a proxy.
+const directoryFillTime = 1500 * monotonic.Millisecond
 
 func (r *Registry) handleProbeLease(request *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
 	request.Active = r.probeContenders(request.Service)
@@ -19,16 +20,16 @@
 }
 
 // probeContenders returns the proxies that share a half-open round's probes. A registry that has only just become primary
-// counts every member, since it may not have heard yet which proxies call the service.
+// counts every member, since the proxies that call the service may not have polled it yet.
 func (r *Registry) probeContenders(service string) []string {
 	proxies := r.directory.ProxiesWithDemand(service)
-	if r.config.Host.Now()-monotonic.Micros(r.primarySince.Load()) < allProxiesPolled {
+	if r.config.Host.Now()-monotonic.Micros(r.primarySince.Load()) < directoryFillTime {
 		proxies = append(proxies, r.directory.Members()...)
 	}
 	return proxies
 }
 
-// deniedProbe denies a probe without a write if the record as it stands does not allow it, and returns nil otherwise.
+// deniedProbe denies a probe without a write if the present record does not allow it, and returns nil otherwise.
 func (r *Registry) deniedProbe(request *wire.ProbeLeaseRequest) (response *wire.ProbeLeaseResponse) {
 	if !r.Member.Read(func(_ uint64, now monotonic.Micros) { response = r.machine.Breakers.DeniedProbe(request, now) }) {
 		return nil
@@ -47,10 +48,10 @@
 
 // deferTripReport delays the report of a proxy that is the only one known to call the service. Others may call it and not have
 // polled since, so the report is proposed once they have; otherwise a single proxy would open the breaker. The response has the
-// present record, not applied. If this process stops meanwhile, the report is lost, and the proxy's next trip replaces it.
+// present record, and its Applied is false. If this process stops meanwhile, the report is lost; the proxy reports its next trip.
 func (r *Registry) deferTripReport(request *wire.BreakerWriteRequest) *wire.BreakerWriteResponse {
 	r.config.Host.Go(func() {
-		r.config.Host.Sleep(allProxiesPolled)
+		r.config.Host.Sleep(directoryFillTime)
 		request.Active = r.directory.ActiveProxies(request.Service)
 		_, _ = r.propose(&wire.RegistryCommand{Breaker: request})
 	})
--- a/internal/registry/breakerstore/change_tracker.go
+++ b/internal/registry/breakerstore/change_tracker.go
@@ -13,7 +13,7 @@
 // proxy that names a different source gets all records. It is safe for concurrent use.
 //
 // Invariants:
-//   - version rises whenever Observe finds a record that differs, is new or is gone;
+//   - version rises whenever Observe finds a record that differs, is new or was removed;
 //   - versionedRecord.version is the version at which the record became what it is;
 //   - a proxy that has a version of at least lastRemoval holds no record that has been removed since.
 type ChangeTracker struct {
@@ -76,17 +76,17 @@
 	c.records = present
 }
 
-// Change is what a proxy lacks of the records. The records are shared and must not be changed.
+// Change has the records that a proxy does not have yet. The records are shared and must not be changed.
 type Change struct {
 	Records []*wire.BreakerRecord
-	// Incremental means that Records holds only those that changed, and that the proxy keeps its others. Otherwise Records
-	// holds all there are.
+	// Incremental means that Records holds only those that changed, and that the proxy's other records are unchanged.
+	// Otherwise Records holds all there are.
 	Incremental bool
 	// Source and Version are what the proxy names in its next poll.
 	Source, Version uint64
 }
 
-// Since returns what a proxy lacks that has a version of a source: the records that changed since, or all if the source is
+// Since returns the change from the version of a source that a proxy has: the records that changed since, or all if the source is
 // another, if records were removed since, or if the version is zero or unknown.
 func (c *ChangeTracker) Since(source, version uint64) Change {
 	c.lock.Lock()
--- a/internal/registry/breakerstore/table.go
+++ b/internal/registry/breakerstore/table.go
@@ -39,7 +39,7 @@
 // New returns an empty table.
 func New() *Table { return &Table{records: map[string]*wire.BreakerRecord{}} }
 
-// Restore replaces all records. The table keeps the given messages; the caller must not change them afterwards.
+// Restore replaces all records. The table holds on to the given messages; the caller must not change them afterwards.
 func (t *Table) Restore(records []*wire.BreakerRecord) {
 	t.revision++
 	t.records = map[string]*wire.BreakerRecord{}
--- a/internal/registry/directory/activity.go
+++ b/internal/registry/directory/activity.go
@@ -7,7 +7,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// activityWindow is how long a call keeps its proxy counted as active on a service.
+// activityWindow is how long a proxy counts as active on a service after a call.
 const activityWindow = 10 * monotonic.Second
 
 // activityTable holds, by service and proxy, when the proxy was last active.
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// SessionTimeout is how long a proxy remains a member without being heard.
+// SessionTimeout is how long a proxy remains a member after its last poll of any registry.
 const SessionTimeout = 3 * monotonic.Second
 
 // endedSessionRetention is how long an ended session is remembered.
@@ -21,11 +21,11 @@
 // Directory is the table of sessions of one registry process. It is safe for concurrent use.
 //
 // Invariants:
-//   - Of two reports of one incarnation the one with the higher heartbeat stands; of two incarnations the one heard last.
+//   - Of two reports of one incarnation the one with the higher heartbeat wins; of two incarnations the one received last.
 //   - published has the public part of each session that has not ended, and the newest version in history is its content.
 type Directory struct {
 	clock     monotonic.Clock
-	source    uint64 // tells the versions of this incarnation from those of any other
+	source    uint64 // distinguishes the versions of this incarnation from those of any other
 	createdAt monotonic.Micros
 
 	lock      sync.Mutex // guards the fields below
@@ -37,10 +37,10 @@
 }
 
 type sessionEntry struct {
-	session   *wire.Session
-	lastHeard monotonic.Micros
-	direct    bool // whether the proxy sent it to this registry itself
-	ended     bool
+	session    *wire.Session
+	receivedAt monotonic.Micros
+	direct     bool // whether the proxy sent it to this registry itself
+	ended      bool
 }
 
 // live reports whether the proxy is a member that is not shutting down.
@@ -55,60 +55,60 @@
 	}
 }
 
-// Observe takes in a session that was heard session.Age microseconds ago; direct tells whether its proxy sent it to this
-// registry itself. It reports whether the proxy has become a member by it. A session older than the present one is ignored.
+// Observe stores a session that a registry received from its proxy session.Age microseconds ago; direct means that it was this
+// registry. It reports whether the proxy has become a member by it. A session older than the present one is ignored.
 func (d *Directory) Observe(session *wire.Session, direct bool) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
-	heard := now - monotonic.Micros(session.Age)
+	receivedAt := now - monotonic.Micros(session.Age)
 	present := d.sessions[session.Proxy]
-	if present != nil && !supersedes(session, heard, present) {
+	if present != nil && !supersedes(session, receivedAt, present) {
 		return false
 	}
 	isNew := present == nil || present.ended || present.session.Incarnation != session.Incarnation
 	stored := proto.CloneOf(session)
 	stored.Age = 0
-	updated := &sessionEntry{session: stored, lastHeard: heard, direct: direct, ended: now-heard >= SessionTimeout}
+	updated := &sessionEntry{session: stored, receivedAt: receivedAt, direct: direct, ended: now-receivedAt >= SessionTimeout}
 	d.sessions[session.Proxy] = updated
 	d.publish(session.Proxy)
 	return isNew && !updated.ended
 }
 
 // supersedes reports whether a session is newer than the present one of its proxy.
-func supersedes(session *wire.Session, heard monotonic.Micros, present *sessionEntry) bool {
+func supersedes(session *wire.Session, receivedAt monotonic.Micros, present *sessionEntry) bool {
 	if session.Incarnation != present.session.Incarnation || session.Heartbeat == present.session.Heartbeat {
-		return heard > present.lastHeard
+		return receivedAt > present.receivedAt
 	}
 	return session.Heartbeat > present.session.Heartbeat
 }
 
-// ExtendSessions postpones the end of every session by a duration that did not pass, or in which this process could not hear
-// anyone.
+// ExtendSessions postpones the end of every session by a duration in which this process could not receive polls, or which only
+// seemed to pass because the clock jumped.
 func (d *Directory) ExtendSessions(duration monotonic.Micros) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
 	for _, present := range d.sessions {
 		if !present.ended {
-			present.lastHeard = min(now, present.lastHeard+duration)
+			present.receivedAt = min(now, present.receivedAt+duration)
 		}
 	}
 }
 
-// ExpireSessions ends the sessions that were not heard for SessionTimeout and returns their proxies, sorted by name.
+// ExpireSessions ends the sessions that were last received SessionTimeout ago or earlier and returns their proxies, sorted by name.
 func (d *Directory) ExpireSessions() (ended []*wire.MemberID) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
 	for _, name := range d.names() {
 		present := d.sessions[name]
-		if !present.ended && now-present.lastHeard >= SessionTimeout {
+		if !present.ended && now-present.receivedAt >= SessionTimeout {
 			present.ended = true
 			d.publish(name)
 			ended = append(ended, &wire.MemberID{Name: name, Incarnation: present.session.Incarnation})
 		}
-		if now-present.lastHeard >= endedSessionRetention {
+		if now-present.receivedAt >= endedSessionRetention {
 			delete(d.sessions, name)
 		}
 	}
@@ -118,8 +118,8 @@
 // names returns the proxies of all sessions, sorted. The lock is held.
 func (d *Directory) names() []string { return slices.Sorted(maps.Keys(d.sessions)) }
 
-// DirectSessions returns copies of the sessions that proxies sent to this registry themselves, for the other registries. Age is
-// set.
+// DirectSessions returns copies of the sessions that proxies sent to this registry themselves, to be sent to the other
+// registries. Age is set.
 func (d *Directory) DirectSessions() []*wire.Session {
 	return d.copySessions(func(present *sessionEntry) bool { return present.direct })
 }
@@ -139,14 +139,14 @@
 			continue
 		}
 		copied := proto.CloneOf(present.session)
-		copied.Age = int64(now - present.lastHeard)
+		copied.Age = int64(now - present.receivedAt)
 		sessions = append(sessions, copied)
 	}
 	return sessions
 }
 
-// Age returns how long this directory has been filled, in microseconds. It is above zero, which a response to a poll needs to
-// tell it from an absent field.
+// Age returns the time since this directory was created, in microseconds. It is above zero, because zero in a response to a poll
+// means that the field is absent.
 func (d *Directory) Age() monotonic.Micros {
 	return max(1, d.clock.Now()-d.createdAt)
 }
--- a/internal/registry/directory/doc.go
+++ b/internal/registry/directory/doc.go
@@ -4,7 +4,7 @@
 // second; registries exchange the sessions that proxies sent to them directly; and a registry that lost its directory has a
 // full one again after a poll of every proxy. Nothing of it is persisted.
 //
-// A session that was not heard for SessionTimeout ends. It is remembered for a while, so that an old copy of it from another
+// A session that was not received again for SessionTimeout ends. It is remembered for a while, so that an outdated one from another
 // registry does not bring it back.
 //
 // Polling proxies get the published part of the sessions: all of them, or only what changed since the version that they have.
--- a/internal/registry/directory/history.go
+++ b/internal/registry/directory/history.go
@@ -5,7 +5,7 @@
 
 // version is one change of the published sessions.
 type version struct {
-	proxy    string // which came, changed or went
+	proxy    string // whose session was added, changed or removed
 	checksum uint64 // of all published sessions after the change
 }
 
--- a/internal/registry/directory/publish.go
+++ b/internal/registry/directory/publish.go
@@ -29,7 +29,7 @@
 		next, err = d.withSession(proxy, visible, previous == nil)
 	}
 	if err != nil {
-		return // cannot happen: the session came as a message, and one resource is added, changed or removed as counted
+		return // cannot happen: the session can be encoded, and the size that With expects is right
 	}
 	d.published = next
 	d.history.add(version{proxy: proxy, checksum: next.Sum().Short()})
@@ -49,7 +49,7 @@
 }
 
 // publicSession returns the part of a session that other proxies are sent. It leaves out what changes with every heartbeat; of
-// a slow start it only tells whether one is under way.
+// a slow start it only has whether one is in progress.
 func publicSession(session *wire.Session) *wire.Session {
 	public := &wire.Session{Proxy: session.Proxy, Incarnation: session.Incarnation, Address: session.Address,
 		Domain: session.Domain, Leaving: session.Leaving}
@@ -67,12 +67,12 @@
 	// Checksum is that of its content; zero if it wants no incremental updates.
 	Checksum uint64
 	// SkipYoung means that its content was complete, so that it ignores a directory younger than SessionTimeout, which may not
-	// have heard of every proxy yet.
+	// know every proxy yet.
 	SkipYoung bool
 }
 
 // Update is the answer to a poll. Exactly one of three cases holds:
-//   - Unchanged: the proxy keeps what it has.
+//   - Unchanged: the proxy has the newest version, or Base.SkipYoung applies.
 //   - Incremental: the proxy removes Removed from the base's sessions and adds or replaces Sessions.
 //   - neither: Sessions are all there are.
 //
@@ -86,7 +86,7 @@
 	Digest          []byte
 }
 
-// UpdateSince returns what a proxy lacks that has a base. It returns all sessions if the base's version is not known here any
+// UpdateSince returns the changes since a base. It returns all sessions if the base's version is not known here any
 // more, if its checksum is not that version's, or if more than half of the sessions changed since.
 func (d *Directory) UpdateSince(base Base) Update {
 	d.lock.Lock()
@@ -110,7 +110,7 @@
 	return update
 }
 
-// unchanged reports whether a proxy keeps what it has: it is the newest version, or this directory is too young for it.
+// unchanged reports whether a proxy with this base is sent nothing: it has the newest version, or SkipYoung applies.
 func (d *Directory) unchanged(base Base) bool {
 	if base.Source != d.source {
 		return base.SkipYoung && d.clock.Now()-d.createdAt < SessionTimeout
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -1,13 +1,13 @@
 // Package registry implements the service registry: which proxies are members of the mesh and which backends they have, and the
 // state that proxies share.
 //
-// A registry is a group of processes. Of its state,
+// A registry is a group of processes. Its state has two parts:
 //   - the directory of sessions (package directory) is held by each process in memory. Proxies report to it with every poll,
-//     and the processes exchange what they heard. Any process answers polls.
+//     and the processes exchange the sessions that they received. Any process answers polls.
 //   - the breaker records (breakerstore), the claims of idempotency keys (idempotency) and the singleton leases (leases) are one
 //     replicated state machine (statemachine) under package replication. The primary alone answers requests on it; it writes
 //     each change to its log and to its backups before it responds.
 //
-// The primary answers without a write where nothing would change: a claim that was granted before, and a probe that the record
-// denies as it stands.
+// The primary answers without a write where nothing would change: a claim that was granted before, and a probe that the present
+// record does not allow.
 package registry
--- a/internal/registry/idempotency/doc.go
+++ b/internal/registry/idempotency/doc.go
@@ -8,7 +8,7 @@
 //	         (Complete) or the record's lifetime ends.
 //
 // In either state a record has the attempts that were voided, which are never granted, and possibly a fence: an instant on the
-// leader clock such that no request read by a proxy up to it is granted. A caller that was told "not run" may rely on both.
+// leader clock such that no request read by a proxy up to it is granted. A proxy that reports not_run to its caller relies on both.
 //
 // Table is a deterministic state machine: the current time is an argument, the leader clock, in microseconds, and every replica
 // applies the same calls in the same order. Records are stored encoded, since most are written once and never read again,
--- a/internal/registry/idempotency/store.go
+++ b/internal/registry/idempotency/store.go
@@ -24,7 +24,7 @@
 // encodedRecord is one claim record in its stored form, an element of recordStore's list.
 type encodedRecord struct {
 	scope          string
-	content        []byte // an encoded wire.ClaimRecord; replaced as a whole, never modified
+	content        []byte // an encoded wire.ClaimRecord; replaced by another slice, never modified in place
 	expires        monotonic.Micros
 	previous, next *encodedRecord
 }
--- a/internal/registry/idempotency/table.go
+++ b/internal/registry/idempotency/table.go
@@ -36,7 +36,8 @@
 // Invariants of each record:
 //   - At most one attempt is pending, and never a voided one.
 //   - A claim is granted past a fence only if its request was read after the fence.
-//   - A pending record becomes free only by Complete of its owner, and goes only when its lifetime ends.
+//   - A pending record becomes free only when Complete names its attempt and states that nothing ran. It is removed only when its
+//     lifetime ends.
 type Table struct {
 	// Lifetime is how long a record lasts after its last write. It is set before the first call and must be the same at every
 	// replica.
@@ -47,7 +48,7 @@
 // New returns an empty table with DefaultLifetime.
 func New() *Table { return &Table{Lifetime: DefaultLifetime, records: newRecordStore()} }
 
-// Restore replaces all records by encoded ones, as AppendSnapshot wrote them. The table keeps the slices without copying. On
+// Restore replaces all records by encoded ones, as AppendSnapshot wrote them. The table uses the slices without copying. On
 // an error the table stays as it was.
 func (t *Table) Restore(contents [][]byte) error {
 	next, err := loadRecordStore(contents)
@@ -122,8 +123,9 @@
 	return &wire.ClaimResponse{Outcome: Granted, Owner: request.Proxy, OwnerIncarnation: request.Incarnation, Attempt: request.Attempt}
 }
 
-// Void makes sure that an attempt will never be granted the key, or answers Claimed if the key is pending. If the request asks
-// for a fence, no request that was read up to now will be granted the key either; epoch and now are the fence.
+// Void makes sure that an attempt will never be granted the key, and responds Voided. If the key is pending it responds Claimed, and
+// the attempt is voided unless it is the pending one. If the key is free and request.Fence is set, no request that was read up to
+// now will be granted the key either: the epoch and now are stored as the fence.
 func (t *Table) Void(request *wire.VoidClaimRequest, epoch uint64, now monotonic.Micros) *wire.VoidClaimResponse {
 	if present := t.find(request.Scope); present != nil && present.State == statePending {
 		if present.Attempt != request.Attempt && addVoided(present, request.Attempt) {
@@ -142,7 +144,8 @@
 	return response
 }
 
-// Complete frees a key if its owner is certain that nothing ran. The attempt stays voided.
+// Complete frees a pending key if request.Ran is false: the proxy that owns the attempt is certain that nothing ran. The attempt is
+// voided, so that it is never granted again. If request.Ran is true the record stays pending until its lifetime ends.
 func (t *Table) Complete(request *wire.CompleteClaimRequest, now monotonic.Micros) *wire.CompleteClaimResponse {
 	present := t.find(request.Scope)
 	if present == nil || present.State != statePending || present.Attempt != request.Attempt || request.Ran {
@@ -194,8 +197,8 @@
 	return true
 }
 
-// readBeforeFence reports whether a request that was read at an instant may have been read before the fence. Instants of one
-// epoch compare; an instant of an older epoch is before the fence. A request without an instant counts as read before it.
+// readBeforeFence reports whether a request with the leader timestamp readAt may have been read before the fence. Timestamps of one
+// epoch compare by time; one of an older epoch is before the fence. A request without a timestamp counts as read before it.
 func readBeforeFence(fence, readAt *wire.LeaderTimestamp) bool {
 	if fence == nil {
 		return false
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -11,7 +11,7 @@
 )
 
 // The bounds of a lease's duration. It is long enough to outlast a failover of the registry, and short enough that a lost
-// process does not keep its role.
+// process does not block its role for long.
 const (
 	minDuration = 3 * monotonic.Second
 	maxDuration = 30 * monotonic.Second
@@ -27,7 +27,7 @@
 // New returns an empty table.
 func New() *Table { return &Table{records: map[string]*wire.SingletonLeaseRecord{}} }
 
-// Restore replaces all leases. The table keeps the given messages; the caller must not change them afterwards.
+// Restore replaces all leases. The table holds on to the given messages; the caller must not change them afterwards.
 func (t *Table) Restore(records []*wire.SingletonLeaseRecord) {
 	t.records = map[string]*wire.SingletonLeaseRecord{}
 	for _, record := range records {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -44,15 +44,17 @@
 	machine        *statemachine.Machine
 	directory      *directory.Directory
 	breakerChanges *breakerstore.ChangeTracker
-	primarySince   atomic.Int64 // the host clock when this process last began to serve as primary
+	primarySince   atomic.Int64 // the host clock, in microseconds, when this process last began to serve as primary; zero if never
 }
 
 // Open reads the stored state and returns a registry that Start starts. It fails if the state cannot be read.
 func Open(config Config) (*Registry, error) {
 	source := config.Host.Random()
+	// The tracker's source must not be zero, which is what a proxy without breaker records sends.
+	breakerSource := source | 1
 	registry := &Registry{
 		config: config, machine: statemachine.New(), directory: directory.New(config.Host, source),
-		breakerChanges: breakerstore.NewChangeTracker(source | 1),
+		breakerChanges: breakerstore.NewChangeTracker(breakerSource),
 	}
 	if config.ClaimLifetime > 0 {
 		registry.machine.Claims.Lifetime = config.ClaimLifetime
@@ -80,7 +82,7 @@
 	return config
 }
 
-// Start starts the replication member and the tasks that keep the directory. They run as long as the process.
+// Start starts the replication member and the tasks that update the directory. They run as long as the process.
 func (r *Registry) Start() {
 	r.Member.Start()
 	r.config.Host.Go(r.exchangeSessions)
@@ -103,8 +105,8 @@
 	host.Handle(handlers, wire.Kind_registry_status, r.handleStatus)
 }
 
-// propose replicates a command and returns its result. An error is sent to the requester as a refusal; unless it is
-// replication.ErrNotPrimary, the command may still take effect.
+// propose replicates a command and returns its result. An error is sent to the requester as an apierror.Refused; unless
+// it is replication.ErrNotPrimary, the command may still take effect.
 func (r *Registry) propose(command *wire.RegistryCommand) (*wire.RegistryResult, error) {
 	result := &wire.RegistryResult{}
 	return result, r.Member.Submit(command, result)
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -17,8 +17,8 @@
 	expiryInterval = 250 * monotonic.Millisecond
 )
 
-// handlePoll takes in a proxy's session and returns what the proxy lacks: of the directory, and, if this registry is the
-// serving primary, of the breaker records.
+// handlePoll updates a proxy's session and returns the changes that the proxy does not have: those of the directory and, if this
+// registry is the serving primary, those of the breaker records.
 func (r *Registry) handlePoll(request *wire.RegistryPollRequest) (*wire.RegistryPollResponse, error) {
 	session := request.Session
 	if session == nil || session.Proxy == "" {
@@ -35,7 +35,7 @@
 	return response, nil
 }
 
-// addDirectory adds what the proxy lacks of the directory.
+// addDirectory adds the changes of the directory that the proxy does not have.
 func (r *Registry) addDirectory(response *wire.RegistryPollResponse, request *wire.RegistryPollRequest) {
 	update := r.directory.UpdateSince(directory.Base{
 		Source: request.DirectorySource, Version: request.DirectoryVersion, Checksum: request.DirectoryChecksum,
@@ -54,7 +54,8 @@
 	response.DirectoryAge = int64(r.directory.Age())
 }
 
-// addBreakers adds the leader clock and what the proxy lacks of the breaker records, if this registry is the serving primary.
+// addBreakers adds the leader clock and the changed breaker records that the proxy does not have, if this registry is the serving
+// primary.
 func (r *Registry) addBreakers(response *wire.RegistryPollResponse, request *wire.RegistryPollRequest) {
 	response.Primary = r.Member.Read(func(epoch uint64, now monotonic.Micros) {
 		response.Epoch, response.LeaderClock = epoch, int64(now)
@@ -69,12 +70,12 @@
 	response.BreakersSource, response.BreakersVersion = change.Source, change.Version
 }
 
-// DirectorySnapshot returns the directory as a proxy gets it that has nothing of it.
+// DirectorySnapshot returns the full directory, as a proxy gets it that has none yet.
 func (r *Registry) DirectorySnapshot() directory.Update {
 	return r.directory.UpdateSince(directory.Base{})
 }
 
-// handleSessions takes in the sessions of another registry and returns this one's.
+// handleSessions adds the sessions of another registry and returns this one's.
 func (r *Registry) handleSessions(request *wire.SessionsRequest) (*wire.SessionsResponse, error) {
 	for _, session := range request.Sessions {
 		r.directory.Observe(session, false)
@@ -94,7 +95,7 @@
 	}
 }
 
-// exchangeSessionsWith exchanges sessions with one registry. A failure is left to the next exchange.
+// exchangeSessionsWith exchanges sessions with one registry. A failed exchange is not retried: the next one sends the same.
 func (r *Registry) exchangeSessionsWith(name string) {
 	response := &wire.SessionsResponse{}
 	request := &wire.SessionsRequest{From: r.config.Name, Sessions: r.directory.DirectSessions()}
@@ -111,7 +112,7 @@
 	for {
 		r.config.Host.Sleep(expiryInterval)
 		if !r.Member.ClockWatch.Steady() {
-			continue // the clock jumped, so proxies may only seem silent
+			continue // the clock jumped, so a proxy may seem silent that is not
 		}
 		ended := r.directory.ExpireSessions()
 		for _, member := range ended {
--- a/internal/registry/statemachine/snapshot.go
+++ b/internal/registry/statemachine/snapshot.go
@@ -15,7 +15,7 @@
 // maxLengthPrefix bounds the bytes of a claim record's length prefix, for records of up to a mebibyte.
 var maxLengthPrefix = protowire.SizeVarint(1 << 20)
 
-// Snapshot returns the whole state as an encoded wire.RegistrySnapshot.
+// Snapshot returns the complete state as an encoded wire.RegistrySnapshot.
 func (m *Machine) Snapshot() []byte {
 	others := &wire.RegistrySnapshot{Breakers: m.Breakers.Records(), Singletons: m.Leases.Records(), SweptAt: int64(m.lastSweep)}
 	options := proto.MarshalOptions{}
@@ -27,7 +27,7 @@
 	return m.Claims.AppendSnapshot(content, claimsField)
 }
 
-// Restore replaces the state by a snapshot; an empty one gives the empty state. The machine keeps the content without copying
+// Restore replaces the state by a snapshot; an empty one gives the empty state. The machine uses the content without copying
 // it. On an error the state stays as it was.
 func (m *Machine) Restore(content []byte) error {
 	claims, others, err := splitSnapshot(content)
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -34,7 +34,7 @@
 	return &Machine{Breakers: breakerstore.New(), Claims: idempotency.New(), Leases: leases.New()}
 }
 
-// Apply applies an encoded command and returns its encoded result. An empty command is a tick, which only lets time pass. It
+// Apply applies an encoded command and returns its encoded result. An empty command is a tick, which only advances the time. It
 // returns nil if the command cannot be decoded.
 func (m *Machine) Apply(epoch uint64, now monotonic.Micros, content []byte) []byte {
 	command := &wire.RegistryCommand{}
@@ -49,7 +49,7 @@
 	return encoded
 }
 
-// sweep lets time pass in all tables, if enough of it did or if sessions ended.
+// sweep sweeps all tables, if sweepInterval has passed since the last sweep or if sessions ended.
 func (m *Machine) sweep(ended []*wire.MemberID, now monotonic.Micros) {
 	if now-m.lastSweep < sweepInterval && len(ended) == 0 {
 		return
@@ -84,7 +84,7 @@
 	return result
 }
 
-// HasTimers reports whether something changes by the passing of time alone, so that the leader clock must not stand still.
+// HasTimers reports whether something changes by the passing of time alone, so that the primary must keep writing ticks.
 func (m *Machine) HasTimers() bool {
 	return m.Breakers.HasTimers() || m.Claims.Len() > 0 || m.Leases.Len() > 0
 }
