--- a/internal/config/changes/changes.go
+++ b/internal/config/changes/changes.go
@@ -13,7 +13,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Errors for a difference that can't be applied. Nothing of it is applied then.
+// Errors for a difference that can't be applied. No part of it is applied then.
 var (
 	ErrMalformed      = errors.New("changes: the difference can't be decoded")
 	ErrBaseMismatch   = errors.New("changes: the difference is from another base")
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,11 +1,11 @@
 // Package config parses and validates the mesh's configuration, and compiles it into the form that proxies use.
 //
 // A configuration (wire.DesiredState) is a tree of groups and their services, and a list of routes. A service has a breaker, retry
-// and limits policy, merged field by field from the defaults, its group's and its own. Requests are led to services by routes:
+// and limits policy, merged field by field from the defaults, its group's and its own. Routes lead requests to services:
 // those of the list, which split requests among services by weight, and one for each path that a service has of its own.
 //
 // Parse reads a new configuration strictly and reports all its errors at once. ParseAccepted reads one that was accepted before,
-// maybe by another build, and doesn't judge it again. Compile makes a Snapshot of either, and Snapshot.With the next Snapshot of a
+// maybe by another build, and doesn't validate it again. Compile makes a Snapshot of either, and Snapshot.With the next Snapshot of a
 // Change. Snapshots are immutable and share what they have in common, so that a change of one route costs little however many
 // there are; package changes computes Changes.
 //
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -14,17 +14,17 @@
 // MaxContentSize is the longest configuration that is parsed or stored, in bytes.
 const MaxContentSize = 4 << 20
 
-// FieldError is one thing that is wrong with a configuration.
+// FieldError is one error in a configuration. The JSON keys are part of the documented interface.
 type FieldError struct {
-	// Location is the field's place in the tree, such as "groups[0].services[1].name"; empty for the whole.
+	// Location is the path of the field, such as "groups[0].services[1].name"; empty if the error concerns the whole content.
 	Location string `json:"place"`
 	Message  string `json:"text"`
 }
 
 func (e FieldError) String() string { return e.Location + ": " + e.Message }
 
-// Parser reads the content of a configuration, in whatever dialect it's stored in, and reports what is wrong with it. Its result
-// depends on the content alone. Parse and ParseAccepted are the parsers of this package's own dialect.
+// Parser decodes the content of a configuration and returns its errors. Its result depends on the content alone. Parse and
+// ParseAccepted are the parsers of this package's own format; a platform may store configurations in another one.
 type Parser func(content []byte) (*wire.DesiredState, []FieldError)
 
 // Parse reads a configuration from JSON and validates it. Unknown fields are errors. All errors are reported at once; the state
@@ -53,13 +53,13 @@
 	return state, nil
 }
 
-// unreadable reports an error of the JSON library, which uses non-breaking spaces now and then to keep its texts from being
-// relied on.
+// unreadable reports an error of the JSON library, which uses non-breaking spaces at random, to keep its texts from being
+// relied on; they are replaced by plain ones.
 func unreadable(err error) FieldError {
 	return FieldError{Message: strings.ReplaceAll(err.Error(), "\u00a0", " ")}
 }
 
-// Digest returns the SHA-256 digest of a content in hexadecimal, by which versions are told apart.
+// Digest returns the SHA-256 digest of a content in hexadecimal, which identifies the content.
 func Digest(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -28,7 +28,7 @@
 	// Method is "*" for any method.
 	Method string
 	Prefix string
-	// Once is set for the class "once": a request runs at most once, and bears an idempotency key by which it may be retried.
+	// Once is set for the class "once": a request runs at most once, and carries an idempotency key by which it may be retried.
 	Once bool
 	// Single is set for the class "single": a request runs at most once and has no key, so that it's retried only if it's certain
 	// that it hasn't run.
@@ -108,7 +108,7 @@
 }
 
 // compileRoute compiles a route of the configuration. Services that aren't known are left out. A route that has no known service
-// with a weight leads nowhere: Validate refuses it, so that only a configuration that was accepted by a build which checked less
+// with a weight has a nil Service: Validate rejects it, so that only a configuration that was accepted by a build which checked less
 // can have it.
 func compileRoute(route *wire.Route, services map[string]*Service) *Route {
 	compiled := &Route{
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -30,12 +30,12 @@
 	}
 }
 
-// DefaultService returns a service with all policies left out, for a name that a snapshot doesn't have.
+// DefaultService returns a service with the default policies, for a name that a snapshot doesn't have.
 func DefaultService(name string) *Service {
 	return EffectiveService(&wire.Group{}, &wire.Service{Name: name})
 }
 
-// BreakerTerms returns the breaker's settings as the registries share them among proxies.
+// BreakerTerms returns the breaker's settings in the form that proxies send to the registry. Durations are in microseconds.
 func (s *Service) BreakerTerms() *wire.BreakerSettings {
 	return &wire.BreakerSettings{
 		WaitOpen:    s.Breaker.GetWaitOpenMicros(),
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -20,8 +20,8 @@
 	table    routeTable
 }
 
-// Compile makes a snapshot of a configuration that was accepted. Of two routes that match the same requests the first stands;
-// Validate refuses such a configuration.
+// Compile makes a snapshot of a configuration that was accepted. Of two routes that match the same requests the first wins;
+// Validate rejects such a configuration.
 func Compile(state *wire.DesiredState, version uint64, digest string) *Snapshot {
 	snapshot := &Snapshot{Version: version, Digest: digest, Services: map[string]*Service{}}
 	builder := tableBuilder{}
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// Fingerprint returns a digest over what a snapshot does: its services' policies, and which requests it leads where. Two
-// snapshots with the same fingerprint serve alike, however they were made. It's slow, for tests and checks.
+// Fingerprint returns a digest over a snapshot's behavior: the policies of its services, and the route of each request. Two
+// snapshots with the same fingerprint behave alike, whether they were compiled or made by With. It's slow, for tests and checks.
 func (s *Snapshot) Fingerprint() string {
 	var lines []string
 	for _, service := range s.Services {
@@ -87,7 +87,7 @@
 	return Digest([]byte(strings.Join(lines, "\n")))
 }
 
-// deterministic encodes a policy that was decoded or built here, so that it can't fail.
+// deterministic encodes a policy deterministically. The policy was decoded or built in this package, so that an error is a bug.
 func deterministic(message proto.Message) []byte {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -11,8 +11,8 @@
 // ErrChange means that a change doesn't fit the snapshot that it was applied to.
 var ErrChange = errors.New("config: the change doesn't fit the snapshot")
 
-// Change is what turns a snapshot into the next one. What is removed includes the former paths and routes of those that changed;
-// a service that changed isn't removed, because the snapshot finds it by its name.
+// Change turns a snapshot into the next one. RemovedPaths and RemovedRoutes include the former versions of paths and routes that
+// changed. RemovedServices doesn't include services that changed, because the snapshot finds them by name.
 type Change struct {
 	Services        []*wire.ServiceInForce // added or changed
 	RemovedServices []string
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// relinkServices replaces the routes that stay and lead to a service that has changed.
+// relinkServices replaces the unchanged routes that lead to a changed service, so that they use its new policies.
 func (u *tableUpdate) relinkServices(changed map[string]bool) error {
 	if len(changed) == 0 {
 		return nil
--- a/internal/resourcepath/resourcepath.go
+++ b/internal/resourcepath/resourcepath.go
@@ -20,8 +20,8 @@
 	Encoded string
 }
 
-// Parse brings a target into canonical form: it resolves escapes, and removes empty and dot segments. Targets that different
-// servers may take for different resources are refused with an apierror.Invalid: an escaped slash, a backslash, a control
+// Parse brings a target into canonical form: it resolves escapes, and removes empty and dot segments. Targets that
+// servers may interpret differently are rejected with an apierror.Invalid: an escaped slash, a backslash, a control
 // character, and escapes that can't be decoded.
 func Parse(target string) (RequestTarget, error) {
 	escaped, query, _ := strings.Cut(target, "?")
@@ -54,6 +54,7 @@
 	return canonical, nil
 }
 
+// decodeSegment resolves the escapes of one segment. It fails if an escape is malformed or stands for an ambiguous character.
 func decodeSegment(part string) (string, error) {
 	segment, err := url.PathUnescape(part)
 	if err != nil {
@@ -65,12 +66,12 @@
 	return segment, nil
 }
 
-// ambiguous reports whether servers differ in what they take a character within a segment for.
+// ambiguous reports whether servers differ in how they interpret a decoded character within a segment.
 func ambiguous(character rune) bool {
 	return character == '/' || character == '\\' || character < ' ' || character == 0x7f
 }
 
-// TrimTrailingSlash returns a path without slashes at its end, which only some servers take for a difference. The root stays "/".
+// TrimTrailingSlash returns a path without slashes at its end, which only some servers distinguish from the path with them. The root stays "/".
 func TrimTrailingSlash(path string) string {
 	if trimmed := strings.TrimRight(path, "/"); trimmed != "" {
 		return trimmed
