--- a/internal/proxy/admission/slots/pool.go
+++ b/internal/proxy/admission/slots/pool.go
@@ -6,9 +6,10 @@
 	"snowflow/internal/monotonic"
 )
 
-// Pool is the admission to one backend.
+// Pool holds the slots of one backend and the queue for them.
 //
-// Invariants: running + lingering <= count whenever a ticket is started; nobody waits while a slot is free; the queue is sorted by
+// Invariants: running + lingering <= count whenever a ticket is started, unless count is zero or Force started it; no ticket waits
+// while a slot is free; the queue is sorted by
 // less; running is the number of tickets in that state; while neither queue nor lingering is empty, lingerWatcher is a waiting
 // ticket whose wakeAt is the first end of a lingering slot.
 type Pool struct {
@@ -23,7 +24,7 @@
 	measured      serviceTimes
 }
 
-// New returns the pool of a backend of which nothing is known yet.
+// New returns the pool of a backend whose number of slots and service time are not known yet.
 func New(limits Limits) *Pool {
 	return &Pool{limits: limits, measured: serviceTimes{byKind: map[string]*mean{}}}
 }
@@ -37,7 +38,7 @@
 // Count returns the number of slots, zero if unknown.
 func (p *Pool) Count() uint32 { return uint32(p.count) }
 
-// Taken returns the number of slots that no new request may have now.
+// Taken returns the number of slots that are not free: running or lingering.
 func (p *Pool) Taken() int { return p.running + len(p.lingering) }
 
 // Running returns the number of requests that are in their slots.
@@ -63,7 +64,7 @@
 	return ticket
 }
 
-// Force starts a request whatever the count, for a backend whose count is unknown.
+// Force starts a request without regard to the count. It is meant for a backend whose count is unknown.
 func (p *Pool) Force(now monotonic.Micros, request Request) *Ticket {
 	p.Advance(now)
 	ticket := &Ticket{request: request, serviceTime: p.expectedServiceTime(request.Kind)}
@@ -76,7 +77,7 @@
 	p.running++
 }
 
-// Release gives a running ticket's slot back. It does nothing for other tickets.
+// Release releases a running ticket's slot. It does nothing for other tickets.
 func (p *Pool) Release(now monotonic.Micros, ticket *Ticket, outcome Outcome) {
 	if ticket.state != Running {
 		return
@@ -103,7 +104,8 @@
 	}
 }
 
-// Advance lets time pass: it frees lingering slots, rejects waiting tickets that are too late, and starts others in free slots.
+// Advance applies the passing of time: it frees lingering slots, rejects waiting tickets that are too late, and starts others in
+// free slots.
 func (p *Pool) Advance(now monotonic.Micros) {
 	p.lingering = slices.DeleteFunc(p.lingering, func(until monotonic.Micros) bool { return now >= until })
 	p.rejectTooLate(now)
--- a/internal/proxy/admission/slots/queue.go
+++ b/internal/proxy/admission/slots/queue.go
@@ -32,9 +32,9 @@
 	p.assignLingerWatcher()
 }
 
-// mayQueue reports whether a ticket may wait at a position of the queue, and the wait that it must expect. It may if it will be
-// answered within its latency target and, if it has another backend to go to, without waiting for long. A patient one may
-// also wait to be answered late, behind all that can be answered in time, while few others do.
+// mayQueue reports whether a ticket may wait at a position of the queue, and its expected wait. It may if it is expected to be
+// answered within its latency target and, unless it is patient, after at most maxWait. A patient one may also wait to be answered
+// late, behind all that can be answered in time, while the number of late ones is below LateQueuePerSlot.
 func (p *Pool) mayQueue(now monotonic.Micros, ticket *Ticket, position int) (wait monotonic.Micros, allowed bool) {
 	request := ticket.request
 	wait = p.expectedWait(now, workAhead(p.queue[:position], func(other *Ticket) bool { return !other.late(now) }))
@@ -76,8 +76,8 @@
 	return workAhead(queue, func(*Ticket) bool { return true })
 }
 
-// expectedWait is the wait of a request with so much work ahead of it: slots come free one by one, each after the mean service
-// time divided by their number. A lingering slot serves nobody before its end.
+// expectedWait is the wait of a request with the given work, a sum of service times, ahead of it: slots become free one by one, each
+// after the mean service time divided by their number. A lingering slot serves no request before its end.
 func (p *Pool) expectedWait(now, ahead monotonic.Micros) monotonic.Micros {
 	if p.count == 0 {
 		return 0
@@ -90,9 +90,10 @@
 	return first - now + ahead/monotonic.Micros(max(1, p.count))
 }
 
-// latestStart is the time from which a waiting ticket is not worth starting any more, or must not be.
+// latestStart is the time from which a waiting ticket must not be started any more: its backend is unlikely to finish before the
+// deadline, or its StartBy has passed.
 func (p *Pool) latestStart(ticket *Ticket) monotonic.Micros {
-	at := ticket.request.Deadline - p.ServiceTime()/2
+	at := ticket.request.Deadline - p.ServiceTime()/latestStartDivisor
 	if ticket.request.StartBy > 0 {
 		at = min(at, ticket.request.StartBy)
 	}
@@ -112,8 +113,8 @@
 	p.queue = remaining
 }
 
-// assignLingerWatcher makes sure that one waiting ticket wakes when the first lingering slot comes free: nobody else may call the
-// pool by then.
+// assignLingerWatcher makes sure that the caller of one waiting ticket wakes when the first lingering slot becomes free: the pool
+// might not be called otherwise at that time.
 func (p *Pool) assignLingerWatcher() {
 	if len(p.queue) == 0 || len(p.lingering) == 0 {
 		p.lingerWatcher = nil
@@ -131,7 +132,7 @@
 	}
 }
 
-// WakeAt returns the time at which the owner must call Advance for a waiting ticket, if that is not woken before.
+// WakeAt returns the time at which the owner must call Advance for a waiting ticket, unless the ticket is woken before.
 func (p *Pool) WakeAt(ticket *Ticket) monotonic.Micros {
 	at := p.latestStart(ticket)
 	if ticket == p.lingerWatcher {
--- a/internal/proxy/admission/slots/service_time.go
+++ b/internal/proxy/admission/slots/service_time.go
@@ -7,7 +7,7 @@
 	meanWindow = 16
 	// maxKinds bounds the number of kinds with a mean of their own.
 	maxKinds = 256
-	// minKindSamples is the number of samples from which the mean of a kind is better than that of all requests.
+	// minKindSamples is the number of samples from which the mean of a kind is preferred to that of all requests.
 	minKindSamples = 4
 )
 
@@ -67,7 +67,7 @@
 // Measured reports whether ServiceTime was measured.
 func (p *Pool) Measured() bool { return p.measured.overall.samples > 0 }
 
-// DiscountMeasurements makes the next samples outweigh what was measured before: the backend has changed its speed.
+// DiscountMeasurements makes the next samples outweigh the earlier ones, after the backend has changed its speed.
 func (p *Pool) DiscountMeasurements() {
 	p.measured.overall.samples = min(p.measured.overall.samples, 1)
 	for _, known := range p.measured.byKind {
--- a/internal/proxy/admission/slots/ticket.go
+++ b/internal/proxy/admission/slots/ticket.go
@@ -2,7 +2,7 @@
 
 import "snowflow/internal/monotonic"
 
-// State is the state of a ticket. It only ever rises.
+// State is the state of a ticket. It changes only from a lower to a higher value.
 type State int
 
 // The states. A waiting ticket becomes running or rejected, a running one ended.
@@ -27,14 +27,15 @@
 
 // Ticket is one request at the pool.
 type Ticket struct {
-	// Wake is called when the caller of a waiting ticket must look at its state and at WakeAt again. The owner sets it.
+	// Wake is called when the state or WakeAt of a waiting ticket may have changed, so that its caller must read them again. The
+	// owner sets it.
 	Wake        func()
 	request     Request
 	dueAt       monotonic.Micros // the latest time at which its response has its full value, as far as known
 	startedAt   monotonic.Micros
 	serviceTime monotonic.Micros // expected
 	queuedLate  bool             // it was queued though it would be late
-	wakeAt      monotonic.Micros // when a lingering slot comes free, for the lingerWatcher
+	wakeAt      monotonic.Micros // when the first lingering slot becomes free; used for Pool.lingerWatcher only
 	state       State
 	retryAfter  monotonic.Micros
 }
@@ -42,7 +43,7 @@
 // State returns the ticket's state.
 func (t *Ticket) State() State { return t.state }
 
-// RetryAfter returns the wait that a rejected ticket had to expect.
+// RetryAfter returns the expected wait of a rejected ticket at the time of its rejection.
 func (t *Ticket) RetryAfter() monotonic.Micros { return t.retryAfter }
 
 // less is the order of the queue: by priority, then by the time at which the response is due. Equal tickets stay in the order of
@@ -54,7 +55,7 @@
 	return t.dueAt < other.dueAt
 }
 
-// late reports that the response can't be expected within the latency target any more.
+// late reports whether the response is not expected within the latency target.
 func (t *Ticket) late(now monotonic.Micros) bool {
 	return t.queuedLate || t.request.LatencyTarget > 0 && now+t.serviceTime > t.request.LatencyTarget
 }
--- a/internal/proxy/admission/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -1,5 +1,5 @@
 // Package uplink admits large responses to a host's network link: it tracks how long the link is taken by the responses that are being
-// sent and by those that were promised. It has no clock of its own: callers pass the time.
+// sent and by the reservations of requests in flight. It has no clock of its own: callers pass the time.
 package uplink
 
 import (
@@ -15,8 +15,10 @@
 	sizeWindow = 16
 	// maxRoutes bounds the number of routes with a usual size.
 	maxRoutes = 4096
-	// overhead is the number of bytes on the link for each byte of a response: frames, headers and acknowledgements, and room for
-	// all traffic that is not counted, which must not wait behind large responses.
+	// bitsPerByte converts a capacity in megabits a second, which are bits a microsecond, to bytes a microsecond.
+	bitsPerByte = 8
+	// overhead is the number of bytes on the link that are counted for each byte of a response: frames, headers, acknowledgements, and
+	// a reserve for all other traffic, which must not wait behind large responses.
 	overhead = 1.5
 )
 
@@ -33,7 +35,9 @@
 }
 
 // New returns an uplink of a capacity in megabits a second; zero for no limit.
-func New(megabits float64) *Uplink { return &Uplink{rate: megabits / 8, sizes: map[string]float64{}} }
+func New(megabits float64) *Uplink {
+	return &Uplink{rate: megabits / bitsPerByte, sizes: map[string]float64{}}
+}
 
 // Admit reserves the link for a response of the route's usual size, or rejects it with the wait until the link is free if the response
 // would not be sent within the limit. The size of an admitted response must be passed to Done.
@@ -52,7 +56,7 @@
 	return size, wait, true
 }
 
-// Done replaces a reservation by the bytes that are sent, zero for a request without a response.
+// Done replaces a reservation by the number of bytes that are sent, zero for a request without a response.
 func (u *Uplink) Done(now monotonic.Micros, route string, size float64, bytes int) {
 	if u.rate == 0 {
 		return
@@ -74,6 +78,7 @@
 	u.sizes[route] = known + (float64(bytes)-known)/sizeWindow
 }
 
+// transmitTime returns how long the link takes to send a response. It must not be called without a limit.
 func (u *Uplink) transmitTime(bytes float64) monotonic.Micros {
 	return monotonic.Micros(bytes * overhead / u.rate)
 }
--- a/internal/proxy/localbackends/admission.go
+++ b/internal/proxy/localbackends/admission.go
@@ -13,7 +13,10 @@
 // of the other class to the same services, so that each would wait for the other's slots.
 const maxClassShare = 0.75
 
-// Request asks for a slot. Its times are on this process's clock.
+// minWait is the shortest wait for a signal, in microseconds, so that a waiting caller always lets time pass.
+const minWait = monotonic.Micros(1)
+
+// Request is a request for a slot. Its times are on this process's clock.
 type Request struct {
 	Instance string
 	Service  string
@@ -30,7 +33,7 @@
 	runOnce bool
 }
 
-// Release gives the slot back. Further calls do nothing.
+// Release releases the slot. Further calls do nothing.
 func (s *Slot) Release(outcome slots.Outcome) {
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
@@ -54,7 +57,7 @@
 	return state != nil && state.slots.Count() > 0
 }
 
-// CheckCapacity returns the fault for which AdmitUncounted would reject a request now, or nil. It takes no slot.
+// CheckCapacity returns the fault with which AdmitUncounted would reject a request now, or nil. It takes no slot.
 func (s *Set) CheckCapacity(instance, service string, limit uint32, runOnce bool) *apierror.Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +76,7 @@
 	return nil
 }
 
-// AdmitUncounted admits a request to a backend that does not report its slots, while fewer than limit are in flight there.
+// AdmitUncounted admits a request to a backend that does not report its number of slots, while fewer than limit are in flight there.
 func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +87,8 @@
 	return s.newSlot(state, state.slots.Force(s.host.Now(), request.Request), request.RunOnce), nil
 }
 
-// Admit gives a request a slot at a backend that reports its slots, after a wait if need be, or rejects it. A rejected request has
-// not run.
+// Admit takes a slot for a request at a backend that reports its number of slots, after a wait if necessary, or rejects the request,
+// which then has not run.
 func (s *Set) Admit(request Request) (*Slot, *apierror.Fault) {
 	waiting, fault := s.enqueue(request)
 	if fault != nil {
@@ -96,7 +99,7 @@
 		if !waits {
 			break
 		}
-		waiting.signal.Wait(max(timeout, 1))
+		waiting.signal.Wait(max(timeout, minWait))
 	}
 	return s.finishAdmission(waiting, request)
 }
@@ -149,7 +152,8 @@
 		return nil, fault
 	}
 	if waiting.ticket.State() == slots.Rejected {
-		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait", pool.Taken(), pool.Count(), request.Instance, pool.Waiting())
+		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait",
+			pool.Taken(), pool.Count(), request.Instance, pool.Waiting())
 		fault.RetryAfter = waiting.ticket.RetryAfter()
 		return nil, fault
 	}
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -8,15 +8,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Observation is a request that the outlier detection of its backend let in. Its owner must close it, whatever becomes of the
-// request.
+// Observation is a request that the outlier detection of its backend admitted. Its owner must close it, also if the request is
+// rejected later.
 type Observation struct {
 	set         *Set
 	backend     *backendState
 	observation *outlier.Call
 }
 
-// Observe asks the outlier detection of a backend whether a request may go there. A rejected request has not run.
+// Observe admits a request by the outlier detection of its backend, or rejects it because the backend is ejected. A rejected request
+// has not run.
 func (s *Set) Observe(instance string, request outlier.RequestInfo) (*Observation, *apierror.Fault) {
 	s.mu.Lock()
 	state := s.entries[instance]
@@ -29,7 +30,8 @@
 	s.mu.Unlock()
 	s.reportEjections(state.Backend, changes)
 	if observation == nil {
-		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun, "instance %s is ejected as an outlier, only health checks are let in", instance)
+		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun,
+			"instance %s is ejected as an outlier, only health checks are let in", instance)
 		fault.RetryAfter = max(wait, monotonic.Millisecond)
 		return nil, fault
 	}
@@ -43,7 +45,7 @@
 	o.observation.Start(o.set.host.Now())
 }
 
-// Close records what the request's end says of the backend. Only the first call counts.
+// Close records what the request's end says about the backend. Further calls do nothing.
 func (o *Observation) Close(outcome outlier.Outcome) {
 	o.set.mu.Lock()
 	o.observation.Close(o.set.host.Now(), outcome)
@@ -52,8 +54,8 @@
 	o.set.reportEjections(o.backend.Backend, changes)
 }
 
-// applyEjections rejects the requests that wait for a backend which was ejected for all callers, so that they go elsewhere, and
-// returns the changes to report. mu is held.
+// applyEjections returns the detector's ejections and reinstatements since the last call, for reportEjections. It rejects the requests
+// that wait for a backend which was ejected for all callers, so that these retry elsewhere. mu is held.
 func (s *Set) applyEjections(state *backendState) []outlier.Change {
 	changes := state.detector.TakeChanges()
 	if state.detector.TakeRecovered() {
@@ -94,23 +96,30 @@
 	load.FaultRate, load.LatencyRatio = toThousandths(state.detector.FaultRate(domain)), toThousandths(state.detector.LatencyRatio())
 	load.Ejected = state.detector.Ejected(domain)
 	if usual := state.detector.BaselineLatency(); load.Ejected && usual > 0 {
-		// The service time of an ejected backend must not keep load balancers away: some requests must come to find out when it
-		// has recovered.
+		// An ejected backend reports its usual service time. With its current one, which may be far longer, load balancers would
+		// send it no requests, and only requests can show that it has recovered.
 		load.ServiceMicros, load.RouteMicros = int64(usual), int64(state.detector.BaselineLatencyOf(route))
 	}
 }
 
-// toThousandths encodes a ratio, which is capped at a thousand.
-func toThousandths(ratio float64) uint32 { return uint32(min(ratio, 1000) * 1000) }
+const (
+	// maxRatio is the largest ratio that is sent.
+	maxRatio = 1000
+	// ratioScale is the denominator of the ratios that are sent as whole numbers.
+	ratioScale = 1000
+)
+
+// toThousandths encodes a ratio for a message.
+func toThousandths(ratio float64) uint32 { return uint32(min(ratio, maxRatio) * ratioScale) }
 
 // BackendHealth is the health of a backend as operators see it.
 type BackendHealth struct {
 	Service      string  `json:"service"`
 	Instance     string  `json:"instance"`
-	Faults       float64 `json:"faults"` // part of its last responses that were faulty
+	Faults       float64 `json:"faults"` // part of its recent responses that were faulty, 0 to 1
 	LatencyRatio float64 `json:"pace"`   // latency of its requests divided by their usual one
 	Ejected      bool    `json:"ejected"`
-	// EjectedFor lists the failure domains whose callers alone are kept away.
+	// EjectedFor lists the failure domains for whose callers the backend is ejected, if not for all.
 	EjectedFor []string `json:"ejected_for,omitempty"`
 }
 
--- a/internal/proxy/localbackends/registration.go
+++ b/internal/proxy/localbackends/registration.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/proxy/outlier"
 )
 
-// Register adds a backend in the condition that it reports, or confirms its registration. A leaving backend stays so when it
-// registers again after a restart of the proxy. The backend that had the address before is gone.
+// Register adds a backend in the condition that it reports, or confirms its registration. A leaving backend
+// can't register again in another condition. The instance that had the address before is removed.
 func (s *Set) Register(backend Backend, condition string) error {
 	if err := validate(backend, condition); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	return changed
 }
 
-// ExtendHeartbeats adds a duration to the time that each backend has for its next heartbeat, because this process's clock leapt
-// by it or because it could not receive heartbeats in it.
+// ExtendHeartbeats adds a duration to the time that each backend has for its next heartbeat, because this process's clock jumped
+// ahead by that duration or because the process was stalled and could not receive heartbeats.
 func (s *Set) ExtendHeartbeats(duration monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +119,7 @@
 	}
 }
 
-// Sweep marks the backends whose heartbeats are overdue and forgets those without heartbeats for long.
+// Sweep marks the backends whose heartbeats are overdue and removes those without a heartbeat for forgetAfter.
 func (s *Set) Sweep() {
 	overdue := s.sweep()
 	for _, instance := range overdue {
@@ -157,7 +157,8 @@
 	return overdue
 }
 
-// Deregister ends an instance for good.
+// Deregister ends an instance: it takes no requests, and its id can't be registered again until its entry is removed, see
+// forgetAfter.
 func (s *Set) Deregister(instance string) {
 	if s.deregister(instance) {
 		s.reportLeft(instance, Leaving)
@@ -185,7 +186,11 @@
 }
 
 func (s *Set) reportRegistered(backend Backend) {
-	s.host.Report(eventlog.BackendRegistered, map[string]any{"service": backend.Service, "instance": backend.Instance, "address": backend.Address})
+	s.host.Report(eventlog.BackendRegistered, map[string]any{
+		"service":  backend.Service,
+		"instance": backend.Instance,
+		"address":  backend.Address,
+	})
 }
 
 func (s *Set) reportLeft(instance, condition string) {
--- a/internal/proxy/localbackends/report.go
+++ b/internal/proxy/localbackends/report.go
@@ -5,25 +5,25 @@
 	"snowflow/internal/monotonic"
 )
 
-// Report is the complete state of a backend as it reports it. Applying one twice changes nothing.
+// Report is the complete state that a backend reports about itself. Applying one twice changes nothing.
 type Report struct {
 	Backend
 	Slots     uint32           // number of requests that it runs at once; zero if it does not report that
-	Warmup    monotonic.Micros // how long it will still be slower than usual
+	Warmup    monotonic.Micros // how long it will still be warming up, that is, slower than usual
 	Condition string
 	Sequence  uint64 // rises with each report of an instance
 }
 
-// tombstone keeps late reports of an instance from bringing it back. An instance that deregistered can't register again either;
-// one that only lost its address to another can.
+// tombstone makes the set ignore late reports of an instance without an entry. An instance that deregistered can't register again
+// either; one that only lost its address to another can.
 type tombstone struct {
 	until    monotonic.Micros
 	departed bool
 }
 
 // ApplyReport registers a backend by its first report and takes later ones as heartbeats. It ignores a report that is not newer
-// than the last one of its instance, and one of an instance that ended. changed is true if the report changed
-// what this proxy announces; the change is announced then.
+// than the last one of its instance, and one of an instance with a tombstone. changed is true if the report changed what this proxy
+// announces; onChange was called then.
 func (s *Set) ApplyReport(report Report) (changed bool, err error) {
 	if err := validate(report.Backend, report.Condition); err != nil {
 		return false, err
@@ -41,7 +41,7 @@
 	return true, nil
 }
 
-// applyReport applies a report; fresh is true if it registered the backend.
+// applyReport does the work of ApplyReport; fresh is true if the report registered the backend.
 func (s *Set) applyReport(report Report) (changed, fresh bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/localbackends/set.go
+++ b/internal/proxy/localbackends/set.go
@@ -26,11 +26,11 @@
 var conditions = map[string]bool{Alive: true, Working: true, Leaving: true}
 
 const (
-	// HeartbeatInterval is the time between heartbeats that backends are asked to keep.
+	// HeartbeatInterval is the time between two heartbeats that backends are asked for.
 	HeartbeatInterval = 2 * monotonic.Second
 	// HeartbeatTimeout is the time without a heartbeat after which a backend takes no requests.
 	HeartbeatTimeout = 7 * monotonic.Second
-	// forgetAfter is the time without a heartbeat after which a backend's entry goes, and the life of a tombstone.
+	// forgetAfter is the time without a heartbeat after which a backend's entry is removed, and the lifetime of a tombstone.
 	forgetAfter = 60 * monotonic.Second
 )
 
@@ -44,19 +44,19 @@
 // backendState is the entry of one instance. Set.mu guards it.
 type backendState struct {
 	Backend                        // never changes
-	condition     string           // the last one reported; Leaving stays
-	lastHeartbeat monotonic.Micros // when it was last heard of
+	condition     string           // the last one reported; once Leaving, it stays so
+	lastHeartbeat monotonic.Micros // when its last heartbeat arrived, or a later time, see ExtendHeartbeats
 	slots         *slots.Pool
 	detector      *outlier.Detector
-	inFlight      map[bool]uint32 // requests that hold a slot, by whether they are run-once requests
-	overdue       bool            // Sweep found it without heartbeats
+	inFlight      map[bool]uint32 // requests that have a slot; the key is true for run-once requests
+	overdue       bool            // Sweep found its heartbeats overdue; cleared by the next one
 	departed      bool            // it deregistered
 	reported      bool            // it uses ApplyReport, and sequence is that of its last report
 	sequence      uint64
-	warmUntil     monotonic.Micros // until when it is slower than usual
+	warmUntil     monotonic.Micros // until when it warms up
 }
 
-// warmupLeft returns how long a backend will still be slower than usual.
+// warmupLeft returns how long a backend will still be warming up; zero if it is not.
 func (b *backendState) warmupLeft(now monotonic.Micros) monotonic.Micros {
 	return max(b.warmUntil-now, 0)
 }
@@ -71,17 +71,23 @@
 	mu sync.Mutex // guards the fields below
 	// entries has one entry for each instance, and at most one for each address.
 	entries map[string]*backendState
-	// tombstones are those of instances without an entry.
+	// tombstones has those of instances without an entry, until Sweep removes them.
 	tombstones map[string]tombstone
-	closed     bool
+	closed     bool // no request is admitted any more
 }
 
 // New returns an empty set. onChange is called when other proxies should learn of a change of the backends.
 func New(h host.Host, onChange func()) *Set {
-	return &Set{Limits: slots.DefaultLimits(), host: h, entries: map[string]*backendState{}, tombstones: map[string]tombstone{}, onChange: onChange}
+	return &Set{
+		Limits:     slots.DefaultLimits(),
+		host:       h,
+		onChange:   onChange,
+		entries:    map[string]*backendState{},
+		tombstones: map[string]tombstone{},
+	}
 }
 
-// NewInstanceID returns a random instance id for a backend that brings none.
+// NewInstanceID returns a random instance id for a backend that registers without one.
 func NewInstanceID(h host.Host) string {
 	return fmt.Sprintf("%016x%016x", h.Random(), h.Random())
 }
@@ -113,7 +119,7 @@
 	return backends
 }
 
-// CheckAvailable returns the fault for which an instance of a service takes no requests, or nil.
+// CheckAvailable returns the fault because of which an instance of a service takes no requests, or nil.
 func (s *Set) CheckAvailable(instance, service string) *apierror.Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
