--- a/internal/proxy/backendapi/backendapi.go
+++ b/internal/proxy/backendapi/backendapi.go
@@ -21,7 +21,10 @@
 	stop  func()
 }
 
-// New returns the API's handler. metrics serves the metrics page; stop begins a planned stop and must return at once.
+// New returns the API's handler. metrics serves the metrics page; stop begins to drain the proxy and must return at once.
+//
+// Some paths have former names, which are part of the API: a beat is a heartbeat, a duty is a singleton role, and a guard is a
+// service's circuit breaker.
 func New(h host.Host, p *proxy.Proxy, metrics http.Handler, stop func()) http.Handler {
 	a := &api{host: h, proxy: p, stop: stop}
 	router := chi.NewRouter()
--- a/internal/proxy/backendapi/codec.go
+++ b/internal/proxy/backendapi/codec.go
@@ -14,7 +14,7 @@
 type (
 	registerRequest struct {
 		Service   string `json:"service"`
-		Instance  string `json:"instance"` // empty: the proxy makes one up
+		Instance  string `json:"instance"` // empty: the proxy generates one
 		Address   string `json:"address"`
 		Condition string `json:"condition"` // left out: alive
 	}
@@ -43,7 +43,7 @@
 	}
 )
 
-// The responses of requests that only confirm.
+// The responses that only confirm a request.
 var (
 	noted    = map[string]bool{"noted": true}
 	live     = map[string]bool{"live": true}
@@ -57,7 +57,8 @@
 	_ = json.NewEncoder(writer).Encode(content) // fails only if the client has left
 }
 
-// WriteError writes a response with an error's text, and the status that suits its type.
+// WriteError writes a response with an error's text: status 404 for a refused request, 503 if the outcome is not known, and 400
+// otherwise.
 func WriteError(writer http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	if apierror.IsRefused(err) {
--- a/internal/proxy/shutdown/shutdown.go
+++ b/internal/proxy/shutdown/shutdown.go
@@ -1,5 +1,5 @@
-// Package shutdown lets pending work be abandoned at one moment: when the grace period of a planned stop ends, whatever is still
-// running gets a response at once, which says truthfully whether it may have run.
+// Package shutdown abandons pending work at the end of a drain's grace period: each request that is still running is answered at
+// once, and the answer says truthfully whether the request may have run.
 package shutdown
 
 import (
@@ -23,8 +23,8 @@
 // New returns an empty group.
 func New(h host.Host) *Group { return &Group{host: h, running: map[*Task]struct{}{}} }
 
-// The states of a task. From notStarted it becomes either started or abandoned, never both: what was abandoned before its start
-// has not been done and won't be.
+// The states of a task. From notStarted it becomes either started or abandoned, never both: a task that was abandoned before its
+// start has had no effect and never will.
 const (
 	notStarted uint32 = iota
 	started
@@ -38,8 +38,8 @@
 	wakeup host.Signal // fired when the task is done, or the group aborted
 }
 
-// Start must be called right before the first effect that can't be taken back. False means that the task was abandoned and must
-// not have that effect.
+// Start must be called right before the first irrevocable effect, such as the first byte that is sent to a backend. False means that
+// the task was abandoned and must not have that effect.
 func (t *Task) Start() bool {
 	return t.state.CompareAndSwap(notStarted, started) || t.state.Load() == started
 }
@@ -68,7 +68,7 @@
 		task.done.Store(true)
 		task.wakeup.Fire()
 	})
-	for !task.wakeup.Wait(monotonic.Forever) {
+	for !task.wakeup.Wait(monotonic.Forever) { // even Forever is a timeout
 	}
 	g.remove(task)
 	if task.done.Load() {
--- a/internal/proxy/singleton/singleton.go
+++ b/internal/proxy/singleton/singleton.go
@@ -1,7 +1,7 @@
 // Package singleton lets a backend on this host hold a role that only one backend of the mesh has at a time, such as running a
 // scheduled job. The registry's leader grants a lease on the role; the backend renews the lease or stops when it ends.
 //
-// A proxy stores nothing about leases: each is passed on to the backend, as the time that remains.
+// A proxy stores nothing about leases: it returns each to the backend, as the time that remains.
 package singleton
 
 import (
@@ -17,8 +17,10 @@
 const (
 	// callTimeout bounds one call, across a failover of the registry.
 	callTimeout = 3 * monotonic.Second
-	// clockDriftDivisor is the part of a lease by which the backend stops early, because no two clocks run alike.
+	// clockDriftDivisor divides the length of a lease; the backend stops earlier by the result, because clocks drift.
 	clockDriftDivisor = 50
+	// ignoredExpiryFactor multiplies the length of a lease, see Client.IgnoreExpiry.
+	ignoredExpiryFactor = 2
 )
 
 // Options are the parts of a Client. All must be set.
@@ -38,7 +40,7 @@
 	ignoreExpiry bool
 }
 
-// Grant is the answer to a request for a role.
+// Grant is the response to a request for a role.
 type Grant struct {
 	Granted bool `json:"granted"`
 	// Remaining is how long the lease still lasts. It ends, on this host's clock, before the registry's record of it does: it
@@ -55,8 +57,8 @@
 // it; no program calls it.
 func (c *Client) IgnoreExpiry(enabled bool) { c.ignoreExpiry = enabled }
 
-// Acquire requests the lease on a role for a backend, or renews it. The length is the requested time. After an error an earlier
-// lease holds as it was granted.
+// Acquire requests the lease on a role for a backend, or renews it. length is the requested duration in microseconds. After an error
+// an earlier lease is valid until the end that it was granted with.
 func (c *Client) Acquire(role, instance string, length monotonic.Micros) (Grant, error) {
 	if settings.CheckName(role) != nil {
 		return Grant{}, apierror.Invalid.New("a duty's name is a lower-case letter, then up to 62 letters, digits or hyphens")
@@ -75,14 +77,14 @@
 	}
 	granted := monotonic.Micros(response.Duration)
 	if c.ignoreExpiry {
-		granted *= 2
+		granted *= ignoredExpiryFactor
 	}
 	remaining := sentAt + granted - granted/clockDriftDivisor - c.options.Host.Now()
 	return Grant{Granted: true, Remaining: remaining, Holder: c.options.Proxy, Instance: instance}, nil
 }
 
-// Release gives a role up. The backend must have stopped acting in it. If the registry can't be reached the lease runs out by
-// itself.
+// Release releases the lease on a role. The backend must have stopped acting in the role. If the registry can't be reached the lease
+// expires.
 func (c *Client) Release(role, instance string) error {
 	request := &wire.SingletonLeaseRequest{Role: role, Proxy: c.options.Proxy, Instance: instance, Release: true}
 	if err := c.options.CallLeader(wire.Kind_singleton_lease, request, &wire.SingletonLeaseResponse{}, callTimeout); err != nil {
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -27,7 +27,7 @@
 	IdentityPath = "/.snowflow/identity"
 	// maxInterim bounds the interim responses (status below 200) before a response.
 	maxInterim = 4
-	// idleMargin is how much earlier than the backend announces a connection is no longer used.
+	// idleMargin is how long before the idle timeout that the backend announces a connection is no longer used.
 	idleMargin = time.Second
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 16 << 10
@@ -36,13 +36,13 @@
 // backendConn is a connection to a backend. One goroutine at a time uses it.
 type backendConn struct {
 	net       net.Conn
-	limited   *io.LimitedReader // reads net, as far as the response may be long
+	limited   *io.LimitedReader // reads net, at most as many bytes as the response may have
 	readLimit int64             // limited.N before anything of the response was read
 	reader    *bufio.Reader     // reads limited
 	buffer    bytes.Buffer      // of the encoded request
 	idleFor   time.Duration     // how long it had been idle before this request; zero for a new connection
-	idleSince time.Time
-	maxIdle   time.Duration // how long it may be idle, as far as the backend has announced
+	idleSince time.Time         // when the last response was read
+	maxIdle   time.Duration     // how long it may be idle: the backend's Keep-Alive header, or maxIdleTime
 }
 
 func newBackendConn(connection net.Conn) *backendConn {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, false, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "%s: %v", req.Backend.Instance, err)
 	}
-	c.takeKeepAlive(head.Header)
+	c.applyKeepAlive(head.Header)
 	response := &request.Response{Status: uint32(head.StatusCode), Headers: EndToEndHeaders(head.Header), Body: body, NotRun: notRun}
 	return response, !head.Close && !bodyless && trailing == 0, nil
 }
@@ -197,8 +197,8 @@
 	return body, nil
 }
 
-// takeKeepAlive takes over how long the backend keeps an idle connection open, if it announces that.
-func (c *backendConn) takeKeepAlive(headers http.Header) {
+// applyKeepAlive limits maxIdle by the timeout of the backend's Keep-Alive header, in seconds, if there is one.
+func (c *backendConn) applyKeepAlive(headers http.Header) {
 	seconds, found := strings.CutPrefix(headers.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return
@@ -209,7 +209,7 @@
 	}
 }
 
-// malformed returns the fault of a response that is incomplete or says more than it announced.
+// malformed returns the fault of a response that is incomplete, not HTTP, or followed by more bytes than it announced.
 func malformed(req admission.BackendRequest, format string, arguments ...any) *apierror.Fault {
 	return apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", req.Backend.Instance, fmt.Sprintf(format, arguments...))
 }
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -12,7 +12,7 @@
 )
 
 // Dialect is what differs between kinds of backends: the headers that they expect and send. DefaultDialect is snowflow's own. An
-// adapter to another platform makes another one, which passes the same tests (package transcript).
+// adapter to another platform defines its own, and tests it with package transcript.
 type Dialect struct {
 	// ChecksIdentity makes the transport request the identity page on each new connection. Without it Headers must name the
 	// instance.
@@ -20,13 +20,13 @@
 	// Headers returns the headers of a request; remaining is the time to its deadline. A "Host" among them replaces the
 	// backend's address in that header.
 	Headers func(req admission.BackendRequest, remaining monotonic.Micros) []*wire.Header
-	// CheckResponse examines a complete response. notRun says that the backend certainly did not run the request, an error that
-	// the bytes are not the backend's own response to it.
+	// CheckResponse examines a complete response. notRun is true if the backend certainly did not run the request; err is set if
+	// the response is not the backend's response to this request.
 	CheckResponse func(req admission.BackendRequest, response *http.Response) (notRun bool, err error)
 	// AllowsTrailingBytes accepts a complete response that is followed by more bytes. The connection is not used again.
 	AllowsTrailingBytes bool
-	// MaxIdleForOnce is how long a connection may have been idle to carry a request that must not be repeated, which can't be
-	// sent again if the backend closes the connection meanwhile. Zero gives such requests a new connection.
+	// MaxIdleForOnce is how long a connection may have been idle for a request that must not be repeated to be sent on it: such a
+	// request can't be sent again if the backend closes the connection meanwhile. Zero requires a new connection.
 	MaxIdleForOnce time.Duration
 }
 
--- a/internal/proxy/upstream/idle_limits.go
+++ b/internal/proxy/upstream/idle_limits.go
@@ -5,7 +5,8 @@
 const (
 	// minIdleTime is the shortest idle time after which the end of a connection may mean that its backend closed it as idle.
 	minIdleTime = 100 * time.Millisecond
-	// idleLimitShare is the part of an idle time that proved too long for which connections to that backend may still be idle.
+	// idleLimitShare is multiplied by the idle time of a connection that its backend had closed; the result limits the idle time of
+	// further connections to that backend.
 	idleLimitShare = 0.75
 	// idleLimitTTL is how long such a limit holds.
 	idleLimitTTL = 10 * time.Second
@@ -13,7 +14,7 @@
 	maxIdleLimits = 256
 )
 
-// idleLimits holds, by instance, how long connections may be idle where a backend turned out to close them earlier than it
+// idleLimits holds, by instance, how long connections may be idle where a backend was found to close them earlier than it
 // announces. Its owner holds a lock and passes the time.
 type idleLimits map[string]idleLimit
 
@@ -23,7 +24,7 @@
 }
 
 // observeClosed records that a connection ended without a byte of a response to what was sent on it after an idle time. It reports
-// whether the backend had probably closed it as idle, which says nothing else of the backend.
+// whether the backend had probably closed it as idle, which says nothing about the backend's health.
 func (l idleLimits) observeClosed(now time.Time, instance string, idleFor time.Duration) bool {
 	if idleFor < minIdleTime {
 		return false
--- a/internal/proxy/upstream/message.go
+++ b/internal/proxy/upstream/message.go
@@ -19,7 +19,7 @@
 		return io.ReadAll(source)
 	}
 	var body bytes.Buffer
-	body.Grow(int(min(announced, maxPreallocation)) + bytes.MinRead) // with room to see the end
+	body.Grow(int(min(announced, maxPreallocation)) + bytes.MinRead) // ReadFrom needs MinRead free bytes to see the end
 	_, err := body.ReadFrom(source)
 	return body.Bytes(), err
 }
--- a/internal/proxy/upstream/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -19,8 +19,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-// requestTimeout is the time that each request has.
-const requestTimeout = 300 * monotonic.Millisecond
+const (
+	// requestTimeout is the time from the start of each request to its deadline.
+	requestTimeout = 300 * monotonic.Millisecond
+	// responseLimit bounds the body of each response, in bytes.
+	responseLimit = 64
+	// requestID is the id of the requests, to which the number of the attempt is appended. The transcripts contain it.
+	requestID = "ask"
+	// closedCommand is the command of a transcript whose backend does not listen.
+	closedCommand = "gone"
+)
 
 // Suite is a dialect under test.
 type Suite struct {
@@ -46,10 +54,10 @@
 	backend *fakeBackend
 }
 
-// Run plays a file of transcripts.
+// Run executes the transcripts of a file and compares their outcomes.
 func (s *Suite) Run(t *testing.T, path string) {
 	t.Helper()
-	responseHeaders := strings.ReplaceAll(s.ResponseHeaders, "{id}", "ask")
+	responseHeaders := strings.ReplaceAll(s.ResponseHeaders, "{id}", requestID)
 	escapes := strings.NewReplacer(`\r`, "\r", `\n`, "\n", "\n", "", "{marks}", responseHeaders, "{other}", s.OtherHeaders)
 	datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +68,7 @@
 		exchange := s.parse(t, data)
 		exchange.backend.listener, exchange.backend.response = listener, escapes.Replace(data.Input)
 		go exchange.backend.serve()
-		if data.Cmd == "gone" {
+		if data.Cmd == closedCommand {
 			_ = listener.Close()
 		}
 		return exchange.play()
@@ -110,7 +118,7 @@
 
 func (e *exchange) request(clock monotonic.Clock, number int) admission.BackendRequest {
 	return admission.BackendRequest{
-		ID:              fmt.Sprintf("ask.%d", number),
+		ID:              fmt.Sprintf("%s.%d", requestID, number),
 		Backend:         localbackends.Backend{Service: "forms", Instance: "one", Address: e.backend.listener.Addr().String()},
 		Method:          e.method,
 		Target:          "/forms/7?page=2",
@@ -118,7 +126,7 @@
 		Body:            []byte(e.body),
 		FreshConnection: e.once,
 		Deadline:        clock.Now() + requestTimeout,
-		ResponseLimit:   64,
+		ResponseLimit:   responseLimit,
 		BeforeSend: func() *apierror.Fault {
 			if e.leaving {
 				return apierror.New(apierror.BackendLeaving, apierror.NotRun, "leaving")
--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -3,9 +3,9 @@
 // A response counts only if it is complete and well formed: its end must be announced, nothing may follow it, and it must belong
 // to the request. Anything else is a fault, whose verdict says whether the backend may have run the request.
 //
-// Connections are kept open and used again. A connection is checked before each use, because a response that arrived unasked
-// would be taken for the next one, and because many backends close idle connections earlier than they announce; the transport
-// learns how early (see idleLimits).
+// Connections are pooled. A connection is checked before each use, because unsolicited bytes on it would be read as the next
+// response, and because many backends close idle connections earlier than they announce; the transport estimates how early (see
+// idleLimits).
 package upstream
 
 import (
@@ -31,13 +31,13 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// Transport keeps connections to backends and sends requests on them. It is safe for concurrent use.
+// Transport pools connections to backends and sends requests on them. It is safe for concurrent use.
 type Transport struct {
 	clock   monotonic.Clock
 	dialect Dialect
 
 	mu sync.Mutex // guards the fields below
-	// idle holds the idle connections of each instance, the one idle for longest first. Each had its backend's identity checked
+	// idle has the idle connections of each instance, the one that is idle for longest first. Each had its backend's identity checked
 	// when it was dialled, if the dialect has such a check, and has nothing unread on it.
 	idle       map[string][]*backendConn
 	idleLimits idleLimits
@@ -55,38 +55,58 @@
 	if fault != nil {
 		return nil, fault
 	}
-	keep := false
-	defer func() {
-		if keep {
-			_ = conn.net.SetDeadline(time.Time{}) // or the deadline would wake this process
-			t.putIdle(req.Backend.Instance, conn)
-		} else {
-			_ = conn.net.Close()
-		}
-	}()
+	reusable := false
+	defer func() { t.release(req.Backend.Instance, conn, reusable) }()
 	if fault := req.BeforeSend(); fault != nil {
-		keep = true
+		reusable = true // nothing was sent
 		return nil, fault
 	}
+	response, reusable, fault := t.exchange(conn, req, deadline)
+	return response, fault
+}
+
+// exchange sends a request on a connection and reads the response. It reports whether the connection may be used again.
+func (t *Transport) exchange(
+	conn *backendConn, req admission.BackendRequest, deadline time.Time,
+) (response *request.Response, reusable bool, fault *apierror.Fault) {
 	if req.OnCancel != nil {
-		defer req.OnCancel(func() { _ = conn.net.Close() })() // most backends drop a request whose connection has closed
+		stop := req.OnCancel(func() { _ = conn.net.Close() }) // most backends drop a request whose connection has closed
+		defer stop()
 	}
 	_ = conn.net.SetDeadline(deadline)
-	if written, err := conn.net.Write(t.encode(conn, req)); err != nil {
-		verdict := apierror.MayHaveRun
-		if written == 0 {
-			verdict = apierror.NotRun
-		}
-		fault := apierror.New(apierror.ResponseBroken, verdict, "sending to %s: %v", req.Backend.Instance, err)
-		fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
-		return nil, fault
+	if fault := t.send(conn, req); fault != nil {
+		return nil, false, fault
 	}
-	response, reusable, fault := conn.readResponse(req, t.dialect)
-	keep = reusable && fault == nil
+	response, reusable, fault = conn.readResponse(req, t.dialect)
 	if fault != nil && fault.Cause == apierror.ResponseBroken && !conn.anythingRead() {
 		fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
 	}
-	return response, fault
+	return response, reusable && fault == nil, fault
+}
+
+// send writes a request to a connection.
+func (t *Transport) send(conn *backendConn, req admission.BackendRequest) *apierror.Fault {
+	written, err := conn.net.Write(t.encode(conn, req))
+	if err == nil {
+		return nil
+	}
+	verdict := apierror.MayHaveRun
+	if written == 0 {
+		verdict = apierror.NotRun
+	}
+	fault := apierror.New(apierror.ResponseBroken, verdict, "sending to %s: %v", req.Backend.Instance, err)
+	fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
+	return fault
+}
+
+// release puts a connection among the idle ones if it is reusable, and closes it otherwise.
+func (t *Transport) release(instance string, conn *backendConn, reusable bool) {
+	if !reusable {
+		_ = conn.net.Close()
+		return
+	}
+	_ = conn.net.SetDeadline(time.Time{}) // or the timer of the passed deadline would wake this process
+	t.putIdle(instance, conn)
 }
 
 // connect returns an idle connection to a request's backend, or a new one.
@@ -94,8 +114,7 @@
 	if conn := t.reuse(req); conn != nil {
 		return conn, nil
 	}
-	// No keep-alive probes of the operating system: a connection is checked before it is used again, and a response has its
-	// deadline.
+	// TCP keep-alive probes are off: a connection is checked before it is used again, and a response has its deadline.
 	dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(deadline)), KeepAlive: -1}
 	connection, err := dialer.Dial("tcp", req.Backend.Address)
 	if err != nil {
@@ -120,7 +139,7 @@
 	return one
 }
 
-// reuse returns an idle connection that may carry a request, or nil. It closes those that may not.
+// reuse returns an idle connection on which a request may be sent, or nil. It closes those that are not fit for that.
 func (t *Transport) reuse(req admission.BackendRequest) *backendConn {
 	maxIdleForOnce := t.dialect.MaxIdleForOnce
 	if req.FreshConnection && maxIdleForOnce <= 0 {
@@ -146,7 +165,7 @@
 }
 
 // closedWhileIdle records that a connection ended without a byte of a response, and reports whether the backend had probably closed
-// it while it was idle. That says nothing of the backend's health.
+// it while it was idle. That says nothing about the backend's health.
 func (t *Transport) closedWhileIdle(instance string, idleFor time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
