--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -2,7 +2,6 @@
 
 import (
 	"snowflow/internal/eventlog"
-	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
@@ -23,16 +22,18 @@
 	if m.config.HandoverState != nil {
 		content = m.config.HandoverState() // nothing is served any more, so this content is final
 	}
-	m.requestLease(state, true)
+	m.releaseLease(state)
 	if len(state.backups) > 0 {
 		successor := state.backups[0].Name
 		m.host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": reason})
-		request := &wire.HandoverRequest{To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys}
+		request := &wire.HandoverRequest{
+			To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys,
+		}
 		// A successor that this request doesn't reach takes over after its election timeout.
 		_ = m.call(successor, wire.Kind_handover, request, &wire.HandoverResponse{})
 	}
 	m.mu.Lock()
-	m.lastLeaderContact = m.host.Now() + 4*m.config.LeaseDuration // the successor goes first
+	m.lastLeaderContact = m.host.Now() + m.config.successorGrace() // the successor goes first
 	m.mu.Unlock()
 }
 
@@ -42,7 +43,7 @@
 		m.config.OnHandover(request.Epoch, request.Content)
 	}
 	m.mu.Lock()
-	m.lastLeaderContact, m.coldStart = -monotonic.Minute, false
+	m.lastLeaderContact, m.coldStart = longAgo, false
 	now := m.host.Now()
 	if request.LeavingMember != "" {
 		m.leaving[request.LeavingMember] = now
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -31,15 +31,12 @@
 	backups   []*wire.MemberID
 	// lastResort is set if a backup had just failed, and no other could be had.
 	lastResort bool
-	// failures counts consecutive batches that a backup failed; slowSyncs and slowResponses those that the own disk, or a
-	// backup, was slow to sync.
-	failures, slowSyncs, slowResponses int
-	clock                              primaryClock
+	// failures counts consecutive batches that a backup failed.
+	failures  int
+	slowDisks slowDiskDetector
+	clock     primaryClock
 }
 
-// renewInterval is how often a primary renews its lease and sends its backups a heartbeat.
-func (m *Member) renewInterval() monotonic.Micros { return m.config.LeaseDuration / 3 }
-
 // currentLeadership returns a copy of this member's leadership.
 func (m *Member) currentLeadership() leadership {
 	m.mu.Lock()
