--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,10 +1,10 @@
-// Postmaster is the store of desired states, and the operators' door.
+// Configstore is the configuration store: a replicated group that keeps the versions of the desired state, rolls them out to the
+// proxies, and serves operators.
 package main
 
 import (
 	"path/filepath"
 	"slices"
-	"snowflow/internal/replication"
 
 	"snowflow/internal/config"
 	"snowflow/internal/configstore"
@@ -12,21 +12,29 @@
 	"snowflow/internal/configstore/archive"
 	"snowflow/internal/daemon"
 	"snowflow/internal/eventlog"
+	"snowflow/internal/replication"
 	"snowflow/internal/settings"
 )
 
 func main() {
-	daemon.Main(daemon.Command("configstore", "the store of desired states and the operators' door", settings.ControlPlaneFields(), configstore.Group, build))
+	daemon.Main(daemon.Command("configstore", "the store of desired states, which serves operators", settings.ControlPlaneFields(), configstore.Group, build))
 }
 
 func build(program *daemon.Daemon) error {
-	// Best effort by design: the record file decides, and the archive is written anew from it.
+	// The archive is best effort: the replicated log is authoritative, and the archive is written anew from it.
 	objects := archive.Open(filepath.Join(program.Settings["data"], "desired.git"), func(err error) {
 		program.Host.Report(eventlog.ObjectStoreFailed, map[string]any{"error": err.Error()})
 	})
-	store, err := configstore.Open(configstore.Options{Host: program.Host, Resolver: program.Resolver, Name: program.Settings["name"], Voters: program.Settings.List("voters"),
-		Bootstrap:  slices.Contains(program.Settings.List("voters"), program.Settings["name"]),
-		OnAccepted: objects.Enqueue, OnAdopted: program.AdoptionObserver()})
+	name, voters := program.Settings["name"], program.Settings.List("voters")
+	store, err := configstore.Open(configstore.Options{
+		Host:       program.Host,
+		Resolver:   program.Resolver,
+		Name:       name,
+		Voters:     voters,
+		Bootstrap:  slices.Contains(voters, name),
+		OnAccepted: objects.Enqueue,
+		OnAdopted:  program.AdoptionObserver(),
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// writing writes the page's tables and plots anew from the records.
+// capacityCommand writes the tables and plots of the capacity page anew from the records.
 func capacityCommand() *cobra.Command {
 	results, page := "", ""
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
--- a/cmd/rehearse/compare.go
+++ b/cmd/rehearse/compare.go
@@ -12,13 +12,13 @@
 	"snowflow/internal/rehearse/scenario"
 )
 
-// errSignificantlyWorse ends compare with exit code 1.
+// errSignificantlyWorse ends compare with exit code 1, after the comparisons were printed.
 var errSignificantlyWorse = errors.New("lookups are served worse with changes than the noise explains")
 
-// comparing sets runs with route changes against runs without.
+// compareCommand compares runs with route changes with runs without.
 func compareCommand() *cobra.Command {
 	var baseline, changed []string
-	command := &cobra.Command{Use: "compare", Short: "set lookups in runs with changes against runs without, by their reports", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "compare", Short: "compare lookups in runs with changes with those in runs without, by their reports", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		if len(baseline) == 0 || len(baseline) != len(changed) {
 			return daemon.NewUsageError(errors.New("name as many reports without changes as with, one at least"))
 		}
@@ -40,7 +40,7 @@
 		}
 		return nil
 	}}
-	command.Flags().StringSliceVar(&baseline, "quiet", nil, "reports of runs without changes, by depot run --json")
+	command.Flags().StringSliceVar(&baseline, "quiet", nil, "reports of runs without changes, by rehearse run --json")
 	command.Flags().StringSliceVar(&changed, "busy", nil, "reports of runs with changes")
 	return command
 }
--- a/cmd/snowctl/main.go
+++ b/cmd/snowctl/main.go
@@ -1,4 +1,4 @@
-// Clerk is the operators' command line.
+// Snowctl is the operators' command line.
 package main
 
 import (
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,12 +1,12 @@
-// Package examples holds desired states to start from. The rehearsal fleet uses them too.
+// Package examples contains desired states to start from. Rehearsals apply them too.
 package examples
 
 import "embed"
 
-// Files are the examples by file name.
+// Files holds the examples by file name.
 //
 //go:embed *.json
 var Files embed.FS
 
-// Desired gives an example by its plain name.
+// Desired gives the content of an example by its name without the ending.
 func Desired(name string) ([]byte, error) { return Files.ReadFile(name + ".json") }
--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -45,7 +45,7 @@
 	BinaryDir     string // where the programs are
 	Subnet        int    // second part of the loopback addresses, from 1 to 254, so that fleets do not meet
 	UseRelays     bool   // connect the processes through relays
-	LoadBalancing string // how proxies choose backends: near or blind
+	LoadBalancing string // how proxies choose backends: near or uniform
 	LogLevel      string // least level that the processes log
 }
 
--- a/internal/rehearse/fleet/settings.go
+++ b/internal/rehearse/fleet/settings.go
@@ -6,8 +6,12 @@
 	"path/filepath"
 )
 
-// defaultLoadBalancing is the programs' own default for how proxies choose backends.
-const defaultLoadBalancing = "near"
+// How proxies choose backends: the programs' own default, and the other value with its former name.
+const (
+	loadBalancingNear          = "near"
+	loadBalancingUniform       = "uniform"
+	formerLoadBalancingUniform = "blind"
+)
 
 // seedCount is how many seeds each process gets.
 const seedCount = 3
@@ -41,9 +45,7 @@
 	}
 	if process.Program == ProxyProgram {
 		settings.Callers = process.CallerAddress
-		if f.LoadBalancing != defaultLoadBalancing {
-			settings.LoadBalancing = f.LoadBalancing
-		}
+		settings.LoadBalancing = formerLoadBalancing(f.LoadBalancing)
 	} else {
 		for _, member := range f.GroupOf(process) {
 			settings.Voters = append(settings.Voters, member.Name)
@@ -63,6 +65,17 @@
 	return os.WriteFile(process.settingsFile(), content, 0o644)
 }
 
+// formerLoadBalancing is a value of the setting under the name that all builds read; empty for the default.
+func formerLoadBalancing(value string) string {
+	switch value {
+	case loadBalancingNear:
+		return ""
+	case loadBalancingUniform:
+		return formerLoadBalancingUniform
+	}
+	return value
+}
+
 // seeds are addresses of control plane processes on different hosts, of the registry and the configuration store in turn.
 func (f *Fleet) seeds() []string {
 	seeds := []string{}
--- a/internal/rehearse/scenario/rehearsal.go
+++ b/internal/rehearse/scenario/rehearsal.go
@@ -38,7 +38,7 @@
 	Subnet            int           // second part of the fleet's loopback addresses, from 1 to 254
 	UseRelays         bool          // connect the processes through relays, which partitions, delays and byte counts need
 	LogLevel          string        // least level that the processes log; empty for info
-	LoadBalancing     string        // near or blind
+	LoadBalancing     string        // near or uniform
 	SyncDelay         time.Duration // how much longer each control plane disk takes for a sync
 }
 
