--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -136,7 +136,7 @@
 	return slices.ContainsFunc(m.otherVoters(), func(name string) bool {
 		m.mu.Lock()
 		respondedAt, known := m.peers.lastResponseAt(name)
-		leaving := m.leavingMembers(now)[name]
+		leaving := m.leaving.current(now)[name]
 		m.mu.Unlock()
 		inContact := known && now-respondedAt < m.config.LeaseDuration
 		return inContact && !leaving && !slices.Contains(backupNames, name) && m.isReachable(name)
@@ -159,7 +159,7 @@
 	var tieBreakers, backups, others, silent, last []string
 	now := m.host.Now()
 	m.mu.Lock()
-	leaving := m.leavingMembers(now)
+	leaving := m.leaving.current(now)
 	m.mu.Unlock()
 	for _, name := range m.otherVoters() {
 		switch {
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -27,7 +27,9 @@
 	if len(state.backups) > 0 {
 		successor := state.backups[0].Name
 		m.host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": reason})
-		request := &wire.HandoverRequest{To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys}
+		request := &wire.HandoverRequest{
+			To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys,
+		}
 		// A successor that this request doesn't reach takes over after its election timeout.
 		_ = m.call(successor, wire.Kind_handover, request, &wire.HandoverResponse{})
 	}
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -4,7 +4,6 @@
 	"slices"
 
 	"snowflow/internal/eventlog"
-	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
@@ -130,37 +129,9 @@
 	return &wire.JoinResponse{Accepted: true, Proposal: m.leadership.proposal, Value: m.leadership.register}, nil
 }
 
-// standby is a process that asked to join the voters.
-type standby struct {
-	lastContact monotonic.Micros
-	// hasRegister is set once the process has a register, so that it can vote as soon as it is added.
-	hasRegister bool
-}
-
-const (
-	// standbyTimeout is how long after its last request a standby counts as being in contact.
-	standbyTimeout = 3 * monotonic.Second
-	// standbyReportInterval is how long a standby may take to report to a new primary.
-	standbyReportInterval = 1500 * monotonic.Millisecond
-)
-
-// liveStandbys returns the standbys in contact that have a register, sorted by name, and forgets those that are silent. The
-// caller holds mu.
-func (m *Member) liveStandbys(now monotonic.Micros) (names []string) {
-	for name, standby := range m.standbys {
-		if now-standby.lastContact > standbyTimeout {
-			delete(m.standbys, name)
-		} else if standby.hasRegister {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
-}
-
-// standbyNames returns the live standbys.
+// standbyNames returns the live standbys, sorted.
 func (m *Member) standbyNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.liveStandbys(m.host.Now())
+	return m.standbys.live(m.host.Now())
 }
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -14,8 +14,6 @@
 	LeaveLimit = 2500 * monotonic.Millisecond
 	// leavePollInterval is how often a member that is shutting down asks whether it may go.
 	leavePollInterval = 50 * monotonic.Millisecond
-	// leaveTimeout is how long after its last request a process counts as leaving: the next process of its name doesn't.
-	leaveTimeout = monotonic.Second
 )
 
 // Leave is for a graceful shutdown. It transfers the leadership, and returns once no acknowledged write depends on this
@@ -86,24 +84,10 @@
 	return !slices.Contains(observed.config.Voters, name) || noStandby || noChange
 }
 
-// leavingMembers returns the processes that lately said that they are shutting down, and forgets older ones. The caller holds
-// mu.
-func (m *Member) leavingMembers(now monotonic.Micros) map[string]bool {
-	leaving := map[string]bool{}
-	for name, at := range m.leaving {
-		if now-at > leaveTimeout {
-			delete(m.leaving, name)
-			continue
-		}
-		leaving[name] = true
-	}
-	return leaving
-}
-
 // replaceLeavingBackups replaces backups that are shutting down, if other voters can take their place.
 func (m *Member) replaceLeavingBackups() {
 	m.mu.Lock()
-	state, leaving := m.leadership, m.leavingMembers(m.host.Now())
+	state, leaving := m.leadership, m.leaving.current(m.host.Now())
 	m.mu.Unlock()
 	if !state.serving {
 		return
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -56,9 +56,9 @@
 	peers peerTable
 	// reportedMismatch is the last difference of initial voters that was reported.
 	reportedMismatch string
-	// standbys are the processes that asked to join. leaving is when each process that is shutting down last said so.
-	standbys map[string]standby
-	leaving  map[string]monotonic.Micros
+	// standbys are the processes that asked this member to join, leaving those that said that they are shutting down.
+	standbys standbyTable
+	leaving  leavingTable
 	// proposedVoters are the names that proposals of this process would have made voters.
 	proposedVoters map[string]bool
 	// changingMembership is set while a change of the voters is in flight.
@@ -104,8 +104,8 @@
 		voter:          consensus.NewVoter(consensus.Options{InitialVoters: config.InitialVoters, LeaseDuration: config.LeaseDuration}),
 		coldStart:      true,
 		peers:          newPeerTable(),
-		standbys:       map[string]standby{},
-		leaving:        map[string]monotonic.Micros{},
+		standbys:       standbyTable{},
+		leaving:        leavingTable{},
 		proposedVoters: map[string]bool{},
 	}
 	m.ClockWatch.OnJump(func(monotonic.Micros) {
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -37,7 +37,7 @@
 		Replicas:   append(consensus.MemberNames(lead.backups), m.config.Name),
 		Silent:     map[string]bool{},
 		Lost:       map[string]bool{},
-		Leaving:    m.leavingMembers(now),
+		Leaving:    m.leaving.current(now),
 	}
 	for _, name := range config.Voters {
 		if name == m.config.Name {
@@ -52,7 +52,9 @@
 			state.Lost[name] = true
 		}
 	}
-	state.Standbys = slices.DeleteFunc(m.liveStandbys(now), func(name string) bool { return config.Contains(name) || state.Leaving[name] })
+	state.Standbys = slices.DeleteFunc(m.standbys.live(now), func(name string) bool {
+		return config.Contains(name) || state.Leaving[name]
+	})
 	if m.config.Zone != nil {
 		state.Zones = map[string]string{}
 		for _, name := range slices.Concat(config.Members(), state.Standbys) {
