--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -39,7 +39,7 @@
 	state := m.currentLeadership()
 	if state.epoch == 0 || now >= state.leaseUntil {
 		completeWrites(batch, ErrNotPrimary)
-		return m.renewInterval()
+		return m.config.renewInterval()
 	}
 	if !state.serving {
 		completeWrites(batch, ErrNotPrimary)
@@ -47,19 +47,19 @@
 		return m.config.HeartbeatInterval
 	}
 	// Three renewals may take a little less than the tick interval.
-	if len(batch) == 0 && now-timer.lastTick >= tickInterval-m.renewInterval()/2 && m.hasTimers() {
+	if len(batch) == 0 && now-timer.lastTick >= tickInterval-m.config.renewInterval()/2 && m.hasTimers() {
 		timer.lastTick = now
 		batch = []*writeRequest{{done: m.host.NewSignal()}}
 	}
-	if since := now - timer.lastBatch; len(batch) == 0 && since >= 0 && since < m.renewInterval() {
+	if since := now - timer.lastBatch; len(batch) == 0 && since >= 0 && since < m.config.renewInterval() {
 		m.replaceLeavingBackups()
-		return m.renewInterval() - since // the backups have received a batch since
+		return m.config.renewInterval() - since // the backups have received a batch since
 	}
 	timer.lastBatch = now
 	m.commit(state, batch)
 	m.replaceLeavingBackups()
 	m.recruitBackups()
-	return m.renewInterval()
+	return m.config.renewInterval()
 }
 
 func (m *Member) hasTimers() bool {
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -23,14 +23,11 @@
 	vacantSince monotonic.Micros
 }
 
-// pollInterval is how soon a process that has just started, or sees nobody lead, looks again.
-func (m *Member) pollInterval() monotonic.Micros { return m.config.HeartbeatInterval / 6 }
-
 // runElections runs until the process ends. A member without a register joins; a primary renews its lease and changes the
 // membership; any other member campaigns if the primary is silent.
 func (m *Member) runElections() {
 	timer := electionTimer{vacantSince: notVacant}
-	wait := m.pollInterval()
+	wait := m.config.pollInterval()
 	for {
 		m.wakeup.Wait(wait)
 		due := m.electionStep(&timer)
@@ -43,7 +40,7 @@
 	if !m.hasRegister() {
 		m.joinAsVoter()
 		if !m.isVoter() {
-			m.host.Sleep(m.config.LeaseDuration / 2) // the primary has to add this process first
+			m.host.Sleep(m.config.joinInterval()) // the primary has to add this process first
 		}
 		return maxPollInterval
 	}
@@ -57,7 +54,7 @@
 		m.changeMembership()
 	case !m.isVoter() && !m.hasCurrentReplica():
 		m.requestJoin(true)
-		m.host.Sleep(m.config.LeaseDuration - m.config.HeartbeatInterval)
+		m.host.Sleep(m.config.standbyInterval())
 	case silence <= m.config.LeaseDuration && !coldStart || m.otherLeaseRemaining() > 0:
 		timer.vacantSince = notVacant
 	default:
@@ -92,11 +89,11 @@
 func (m *Member) electionTimeout(value *wire.RegisterValue, backup bool) monotonic.Micros {
 	switch {
 	case value == nil:
-		return monotonic.Micros(m.initialRank()) * m.config.LeaseDuration
+		return m.config.firstElectionTimeout(m.initialRank())
 	case backup:
-		return m.config.LeaseDuration + m.config.HeartbeatInterval
+		return m.config.backupElectionTimeout()
 	}
-	return m.config.LeaseDuration + 3*m.config.HeartbeatInterval
+	return m.config.voterElectionTimeout()
 }
 
 // jitter returns a random duration below a limit.
@@ -128,17 +125,17 @@
 	case !joined:
 		return m.config.HeartbeatInterval
 	case leading:
-		return m.renewInterval()
+		return m.config.renewInterval()
 	case leaseRemaining > 0:
 		return leaseRemaining + monotonic.Millisecond
-	case coldStart && silence < 2*lease:
-		return m.pollInterval()
+	case coldStart && silence < m.config.coldStartTimeout():
+		return m.config.pollInterval()
 	case silence < lease:
-		return min(lease-silence, lease) + monotonic.Millisecond
-	case silence > 4*lease:
+		return min(lease-silence, lease) + monotonic.Millisecond // silence is negative after a handover
+	case silence > m.config.longSilence():
 		return m.config.HeartbeatInterval
 	}
-	return 2 * m.pollInterval()
+	return m.config.silentPollInterval()
 }
 
 // mayCampaign reports whether this member isn't shutting down, and its replica has every acknowledged write as far as a value that
@@ -170,7 +167,7 @@
 			m.observeRegister(proposal, value)
 		}
 		m.mu.Lock()
-		m.lastLeaderContact = m.host.Now() - m.config.LeaseDuration + m.jitter(2*m.config.HeartbeatInterval)
+		m.lastLeaderContact = m.host.Now() - m.config.LeaseDuration + m.jitter(m.config.maxCampaignJitter())
 		m.mu.Unlock()
 		return
 	}
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -2,7 +2,6 @@
 
 import (
 	"snowflow/internal/eventlog"
-	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
@@ -34,7 +33,7 @@
 		_ = m.call(successor, wire.Kind_handover, request, &wire.HandoverResponse{})
 	}
 	m.mu.Lock()
-	m.lastLeaderContact = m.host.Now() + 4*m.config.LeaseDuration // the successor goes first
+	m.lastLeaderContact = m.host.Now() + m.config.successorGrace() // the successor goes first
 	m.mu.Unlock()
 }
 
@@ -44,7 +43,7 @@
 		m.config.OnHandover(request.Epoch, request.Content)
 	}
 	m.mu.Lock()
-	m.lastLeaderContact, m.coldStart = -monotonic.Minute, false
+	m.lastLeaderContact, m.coldStart = longAgo, false
 	now := m.host.Now()
 	if request.LeavingMember != "" {
 		m.leaving[request.LeavingMember] = now
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -37,9 +37,6 @@
 	clock                              primaryClock
 }
 
-// renewInterval is how often a primary renews its lease and sends its backups a heartbeat.
-func (m *Member) renewInterval() monotonic.Micros { return m.config.LeaseDuration / 3 }
-
 // currentLeadership returns a copy of this member's leadership.
 func (m *Member) currentLeadership() leadership {
 	m.mu.Lock()
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -45,7 +45,7 @@
 		}
 		respondedAt, _ := m.peers.lastResponseAt(name)
 		silence := now - max(respondedAt, lead.since)
-		if silence > 2*m.config.LeaseDuration {
+		if silence > m.config.silentVoterTimeout() {
 			state.Silent[name] = true
 		}
 		if silence > m.config.VoterTimeout {
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -90,7 +90,7 @@
 // refreshRegister reads the registers of the other processes: this member may have missed the value that names it as a
 // replica. Responses that come after the timeout are recorded too.
 func (m *Member) refreshRegister() {
-	gather(m, m.knownPeers(), 2*m.pollInterval(), m.readRegister, nil)
+	gather(m, m.knownPeers(), m.config.refreshTimeout(), m.readRegister, nil)
 }
 
 // catchUpRegister reads the primary's register in the background if this member has missed its newest value.
@@ -134,12 +134,12 @@
 	m.peers.recordResponse(name, m.host.Now())
 }
 
-// lastResponseAt returns when a voter last responded, a time long past if it never did.
+// lastResponseAt returns when a voter last responded, longAgo if it never did.
 func (m *Member) lastResponseAt(name string) monotonic.Micros {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if at, known := m.peers.lastResponseAt(name); known {
 		return at
 	}
-	return -monotonic.Minute
+	return longAgo
 }
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -52,12 +52,11 @@
 	timeout monotonic.Micros
 }
 
-// replicate sends entries to every backup at once. A last-resort backup gets more time than one that can be replaced: enough to
-// compact its journal.
+// replicate sends entries to every backup at once. A last-resort backup gets more time than one that can be replaced.
 func (m *Member) replicate(state leadership, request *wire.ReplicateRequest) *replicateCalls {
 	r := &replicateCalls{member: m, started: m.host.Now(), timeout: m.config.CallTimeout}
 	if state.lastResort {
-		r.timeout = 3 * m.config.LeaseDuration
+		r.timeout = m.config.lastResortTimeout()
 	}
 	for _, backup := range state.backups {
 		r.calls = append(r.calls, r.send(backup, request))
@@ -99,7 +98,7 @@
 			call.finish(errBackupSilent, m.host.Now()-r.started)
 		}
 		for !call.isFinished() {
-			call.done.Wait(monotonic.Minute)
+			call.done.Wait(monotonic.Minute) // any length: finish fires the signal
 		}
 	}
 }
