--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -22,7 +22,7 @@
 	if m.config.HandoverState != nil {
 		content = m.config.HandoverState() // nothing is served any more, so this content is final
 	}
-	m.requestLease(state, true)
+	m.releaseLease(state)
 	if len(state.backups) > 0 {
 		successor := state.backups[0].Name
 		m.host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": reason})
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -31,10 +31,10 @@
 	backups   []*wire.MemberID
 	// lastResort is set if a backup had just failed, and no other could be had.
 	lastResort bool
-	// failures counts consecutive batches that a backup failed; slowSyncs and slowResponses those that the own disk, or a
-	// backup, was slow to sync.
-	failures, slowSyncs, slowResponses int
-	clock                              primaryClock
+	// failures counts consecutive batches that a backup failed.
+	failures  int
+	slowDisks slowDiskDetector
+	clock     primaryClock
 }
 
 // currentLeadership returns a copy of this member's leadership.
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -3,16 +3,18 @@
 import (
 	"errors"
 
+	"snowflow/internal/monotonic"
 	"snowflow/internal/replication/quorum"
 	"snowflow/internal/transport/wire"
 )
 
-// renewLease requests a lease from every voter. The lease counts from before the request.
+// renewLease requests a lease from every voter. The lease counts from before the request. It ends the leadership if the lease has
+// ended and a later epoch is known, and clears a rival's proposal out of the way by one of its own.
 func (m *Member) renewLease() {
 	state := m.currentLeadership()
 	epoch := state.epoch
 	requestedAt := m.host.Now()
-	config, responses := m.requestLease(state, false)
+	config, responses := m.requestLease(state)
 	granted := config.HasQuorum(grantedBy(responses))
 	superseded := m.observeLeaseResponses(state, responses)
 
@@ -70,16 +72,29 @@
 	}
 }
 
-// requestLease requests a lease of everybody who votes, or releases it, and returns by which configuration it did.
-func (m *Member) requestLease(state leadership, release bool) (quorum.Config, map[string]*wire.LeaseResponse) {
-	self, timeout := m.self(), m.config.LeaseDuration
-	if release {
-		timeout = m.config.CallTimeout
-	}
+// requestLease requests a lease of all voters until a quorum has granted it. It returns their responses, and by which
+// configuration it went.
+func (m *Member) requestLease(state leadership) (quorum.Config, map[string]*wire.LeaseResponse) {
+	return m.callVotersForLease(&wire.LeaseRequest{Epoch: state.epoch, Proposal: state.proposal}, m.config.LeaseDuration)
+}
+
+// releaseLease has all voters that can be reached forget the lease, so that a successor needn't wait until it ends. It returns
+// once all have responded, or after the timeout of a call.
+func (m *Member) releaseLease(state leadership) {
+	request := &wire.LeaseRequest{Epoch: state.epoch, Proposal: state.proposal, Release: true}
+	m.callVotersForLease(request, m.config.CallTimeout)
+}
+
+// callVotersForLease completes a request by what is alike for all requests about a lease, and sends it to every voter, this
+// member's own included. It returns once a quorum has granted the request, all have responded, or the timeout has passed.
+func (m *Member) callVotersForLease(
+	template *wire.LeaseRequest, timeout monotonic.Micros,
+) (quorum.Config, map[string]*wire.LeaseResponse) {
+	self := m.self()
 	config, known := m.knownConfig()
 	return config, gather(m, config.Members(), timeout, func(name string) (*wire.LeaseResponse, error) {
 		request := &wire.LeaseRequest{
-			To: name, Epoch: state.epoch, Proposal: state.proposal, Leader: self, Release: release, ProcessId: m.processID,
+			To: name, Epoch: template.Epoch, Proposal: template.Proposal, Leader: self, Release: template.Release, ProcessId: m.processID,
 			Voters: config.Voters, JointVoters: config.Joint, KnownProposal: known,
 		}
 		if name == m.config.Name {
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -12,7 +12,7 @@
 const (
 	// reliefInterval is how often something is done about a slow disk: each change of the replicas delays writes.
 	reliefInterval = 10 * monotonic.Second
-	// slowBatches is how many slow batches in a row it takes.
+	// slowBatches is how many slow batches in a row make a disk a slow one.
 	slowBatches = 3
 )
 
@@ -29,7 +29,36 @@
 	preferTieBreaker
 )
 
-// relieveSlowDisks counts the batches that a disk was slow to sync, and acts after several in a row. Slow disks are only
+// slowDiskDetector tells disks that stay slow from single slow syncs. Its zero value has seen no batch; each epoch of a
+// primary begins with a new one.
+type slowDiskDetector struct {
+	// ownSlow counts the batches in a row for which the own disk alone was slow, backupSlow those for which a backup's was.
+	ownSlow, backupSlow int
+}
+
+// observeBatch takes whether the own disk and some backup's were slow to sync a batch, and returns what is to be done.
+func (d *slowDiskDetector) observeBatch(ownSlow, backupSlow bool) diskRelief {
+	d.ownSlow = countInARow(d.ownSlow, ownSlow && !backupSlow)
+	d.backupSlow = countInARow(d.backupSlow, backupSlow)
+	switch {
+	case d.ownSlow >= slowBatches:
+		return transferToBackup
+	case d.backupSlow >= slowBatches:
+		return replaceSlowBackups
+	}
+	return noRelief
+}
+
+// countInARow returns a count of events in a row after one more chance: one more if it happened, else zero.
+func countInARow(count int, happened bool) int {
+	if !happened {
+		return 0
+	}
+	return count + 1
+}
+
+// relieveSlowDisks is called after each batch that was committed, with its backups and those that were slow to store it. It acts
+// if a disk stays slow, or if no disk is slow and the tie-breaker could be a backup again. Slow disks are only
 // avoided if there is a third voter: with two, both disks are needed for every write, no matter which member leads.
 func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
 	ownSlow := false
@@ -38,7 +67,7 @@
 	tieBreaker := current.Voters.TieBreaker()
 
 	m.mu.Lock()
-	relief := m.leadership.countSlow(ownSlow, len(slow) > 0)
+	relief := m.leadership.slowDisks.observeBatch(ownSlow, len(slow) > 0)
 	if relief == noRelief && !ownSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
 		relief = preferTieBreaker
 	}
@@ -67,25 +96,6 @@
 	m.establishBackups(slow)
 }
 
-// countSlow counts consecutive slow batches, and returns what is to be done about them.
-func (l *leadership) countSlow(ownSlow, backupSlow bool) diskRelief {
-	count := func(counter *int, slow bool) bool {
-		if *counter++; !slow {
-			*counter = 0
-		}
-		return *counter >= slowBatches
-	}
-	transfer := count(&l.slowSyncs, ownSlow && !backupSlow)
-	replace := count(&l.slowResponses, backupSlow)
-	switch {
-	case transfer:
-		return transferToBackup
-	case replace:
-		return replaceSlowBackups
-	}
-	return noRelief
-}
-
 // lacksTieBreaker reports whether the tie-breaker has no replica in sync.
 func (m *Member) lacksTieBreaker(tieBreaker string, backups []*wire.MemberID) bool {
 	return tieBreaker != "" && tieBreaker != m.config.Name && !slices.Contains(consensus.MemberNames(backups), tieBreaker)
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// saveRecord syncs a record of the voter. If a sync fails the process stops, since what the disk holds is unknown.
+// saveRecord syncs a record of the voter. It runs on the voter executor. If a sync fails the process stops, since what the disk holds is unknown.
 func (m *Member) saveRecord(record *wire.RegisterRecord) error {
 	content, err := proto.Marshal(record)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return response, nil
 }
 
-// describe returns what this process reports of itself.
+// describe returns what this process reports of itself. It runs on the voter executor.
 func (m *Member) describe(record *wire.RegisterRecord) *wire.RegisterReadResponse {
 	status := m.voter.LeaseStatus(m.host.Now())
 	response := &wire.RegisterReadResponse{
@@ -125,6 +125,7 @@
 	return response
 }
 
+// handlePrepare promises a proposal number, or rejects it. A promise is synced before it is sent.
 func (m *Member) handlePrepare(request *wire.PrepareRequest) (response *wire.PrepareResponse, err error) {
 	m.voterExecutor.Run(func() {
 		decision := m.voter.Prepare(m.voterClock(), request)
@@ -140,6 +141,8 @@
 	return response, err
 }
 
+// handleAccept stores the value of the proposal that was promised last, or rejects it. The value is synced before the response is
+// sent.
 func (m *Member) handleAccept(request *wire.AcceptRequest) (response *wire.AcceptResponse, err error) {
 	m.voterExecutor.Run(func() {
 		decision := m.voter.Accept(m.voterClock(), request)
@@ -151,6 +154,8 @@
 	return response, err
 }
 
+// handleLease grants or rejects a lease, or forgets one that its leader releases. A grant is also the sign of a live primary, and
+// tells who leads the epoch.
 func (m *Member) handleLease(request *wire.LeaseRequest) (response *wire.LeaseResponse, err error) {
 	m.voterExecutor.Run(func() {
 		if request.Release {
