--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -14,7 +14,7 @@
 const recruitInterval = 2 * monotonic.Second
 
 // establishBackups brings backups into step and proposes an epoch that names them; only then does this primary serve. There may
-// be fewer than wanted if no further voter can be had, but there is at least one. failed are backups that have just failed,
+// be fewer than wanted if no further voter can be brought into step, but there is at least one. failed are backups that have just failed,
 // which are taken last. It reports whether this member serves.
 func (m *Member) establishBackups(failed []*wire.MemberID) bool {
 	m.mu.Lock()
--- a/internal/replication/calls.go
+++ b/internal/replication/calls.go
@@ -15,7 +15,7 @@
 }
 
 // callVoter sends a request that a voter answers after a sync, and records that it responded. The timeout leaves time for a
-// slow disk: where it belongs to one of the last voters that make a quorum, the group goes on with it or not at all.
+// slow disk: without the voter it belongs to there may be no quorum.
 func (m *Member) callVoter(name string, kind wire.Kind, request, response proto.Message) error {
 	return m.callVoterWithin(name, kind, request, response, m.config.LeaseDuration)
 }
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -22,8 +22,8 @@
 	lastTick, lastBatch monotonic.Micros
 }
 
-// runCommits runs until the process ends. At a primary it establishes backups, commits batches of commands, keeps the backups
-// in touch and replaces those that are lost. At other members it rejects commands.
+// runCommits runs until the process ends. At a primary it establishes backups, commits batches of commands, sends the backups
+// heartbeats and replaces those that are lost. At other members it rejects commands.
 func (m *Member) runCommits() {
 	timer := commitTimer{}
 	wait := m.config.HeartbeatInterval
@@ -77,9 +77,9 @@
 	localErr := m.appendOwn(state.epoch, request)
 	replication.wait()
 	if localErr != nil {
-		// A backup may have entries that this replica lacks, so this member can't go on in this epoch.
+		// A backup may have entries that this replica lacks, so this member can't lead this epoch any longer.
 		completeWrites(batch, ErrUnknown)
-		m.transferLeadership("own disk: "+localErr.Error(), "")
+		m.transferLeadership(reasonOwnDiskFailed+localErr.Error(), "")
 		return
 	}
 	if failed, err := replication.failures(); err != nil {
@@ -130,7 +130,7 @@
 }
 
 // handleFailedBackups replaces backups that failed a batch. The batch is part of what the next backups get, so it is
-// acknowledged once they are in sync. A few failed heartbeats are let pass.
+// acknowledged once they are in sync. Fewer than maxFailures failed heartbeats in a row are ignored.
 func (m *Member) handleFailedBackups(state leadership, batch []*writeRequest, failed []*wire.MemberID, cause error) {
 	m.mu.Lock()
 	m.leadership.failures++
--- a/internal/replication/consensus/errors.go
+++ b/internal/replication/consensus/errors.go
@@ -19,7 +19,7 @@
 	ErrStaleProposal = errors.New("a higher ballot was promised")
 )
 
-// OutdatedConfigError is returned to a member that goes by other voters than a newer value, which the voter accepted.
+// OutdatedConfigError is returned to a member whose request names other voters than a newer value, which the voter accepted.
 type OutdatedConfigError struct {
 	// Voters are those of the newer value.
 	Voters []string
--- a/internal/replication/consensus/lease.go
+++ b/internal/replication/consensus/lease.go
@@ -18,8 +18,8 @@
 	if err := v.checkConfig(quorum.Config{Voters: request.Voters, Joint: request.JointVoters}, request.KnownProposal); err != nil {
 		return reject(err)
 	}
-	// A primary's own proposal, in flight or accepted, doesn't stand in the way of its lease: only that primary can have
-	// it chosen, and it serves nothing until it knows the outcome.
+	// A primary's own proposal, in flight or accepted, doesn't preempt its lease: only that primary can have it chosen,
+	// and it serves nothing until it knows the outcome.
 	preempted := v.record.Promised > request.Proposal && !SameMember(v.promise.proposer, request.Leader)
 	superseded := v.record.Value != nil && v.record.Value.Epoch > request.Epoch && !SameMember(v.record.Value.Primary, request.Leader)
 	if err := v.checkVote(clock, request.Leader, preempted || superseded); err != nil {
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -62,6 +62,34 @@
 // A damaged register makes the process begin without one; a damaged journal makes it begin a new replica under another
 // incarnation. A sync that fails ends the process.
 //
+// # Where to read
+//
+// Each line follows one operation through the code; "=>" is a message to another process.
+//
+//	write        Member.Propose, runCommits, commit, replicate => handleReplicate, replicateHere; wait, applyPending, completeBatch
+//	lease        renewLease, requestLease => handleLease, consensus.Voter.GrantLease, saveRecord, ConfirmLease
+//	failover     runElections, considerCampaign, campaign, changeRegister => handlePrepare, handleAccept; beginLeadership, then as below
+//	backups      establishBackups, installBackups, bringIntoStep => handleInstall; proposeBackups, startServing
+//	catch-up     missingEntries => installEntries; or takeSnapshot => installSnapshot, replica.install
+//	planned stop Leave, transferLeadership, releaseLease => handleHandover; requestLeave => handleLeave, voteMayGo
+//	join         joinAsVoter or requestJoin => handleJoin; changeMembership, membership.State.Next, proposeConfig
+//	start        Open, openVoter, replica.open, storage.openLog, wal.Open; a torn or corrupt file is dealt with in openLog
+//
+// # For readers who know etcd's raft
+//
+//   - The epoch is the term, and a promise of a proposal number is the vote. One leadership takes at least two epochs: one
+//     that is won, and one in which backups are in sync.
+//   - The register is HardState and ConfState in one value. It is decided by a quorum of voters; entries are not. An entry
+//     is committed once all replicas that the register names have synced it. There are no Match and Next indexes: a backup is
+//     in step, or it is replaced.
+//   - Who may campaign isn't decided by comparing logs, but by the newest register value that a quorum reports.
+//   - Reads rely on the lease alone, as with ReadOnlyLeaseBased. Voters reject candidates while their lease stands, as with
+//     CheckQuorum, but here safety depends on it. Hence a restarted voter waits for as long as a lease lasts.
+//   - quorumAvailable takes the part of the pre-vote, the handover that of MsgTimeoutNow, and installing that of MsgSnap.
+//   - A consensus.Decision is like a Ready: its record is synced before its response is sent.
+//   - A standby is like a learner, but has no replica: a voter needs none.
+//   - With an even number of voters the first one counts twice (package quorum).
+//
 // # Concurrency
 //
 // Three executors each run one command at a time: voterExecutor owns Member.voter, replicaExecutor owns the journal and
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -138,8 +138,8 @@
 	return m.config.silentPollInterval()
 }
 
-// mayCampaign reports whether this member isn't shutting down, and its replica has every acknowledged write as far as a value that
-// it knows tells. A nil value stands for a group that hasn't started yet.
+// mayCampaign reports whether this member isn't shutting down, and its replica has every acknowledged write as far as can be told from a
+// value that it knows. A nil value stands for a group that hasn't started yet.
 func (m *Member) mayCampaign(known *wire.RegisterValue) bool {
 	m.mu.Lock()
 	stopping := m.stopping
--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -36,12 +36,13 @@
 	reasonClockAhead   = "holder time is ahead of what passed here"
 )
 
-// Reasons for which a member stops leading, for the event log.
+// Reasons for which a member stops leading or drops a backup, for the event log.
 const (
 	reasonNewerEpoch        = "a newer epoch began"
 	reasonNoQuorumForBackup = "no quorum for a new backup"
 	reasonNewerPrimary      = "a newer primary wrote to this replica"
 	reasonOwnDiskSlow       = "own disk is slow"
+	reasonOwnDiskFailed     = "own disk: " // the error follows
 	reasonBackupDiskSlow    = "its disk is slow"
 	reasonPreferredBackup   = "another backup is preferred"
 	reasonBackupLeaving     = "it is shutting down"
--- a/internal/replication/leaderclock.go
+++ b/internal/replication/leaderclock.go
@@ -65,7 +65,7 @@
 }
 
 // confirmClock has the backups confirm the leader clock if that is due, or if the own clock went back: it may have jumped,
-// and no timer of the state machine may end on its word alone. It returns the state with the clock they agree on. If a
+// and no timer of the state machine may end by it alone. It returns the state with the clock they agree on. If a
 // backup doesn't answer or has another objection, the state is returned as it is: the batch that follows will show what is
 // wrong, and a backup rejects a clock that it can't confirm.
 func (m *Member) confirmClock(state leadership) leadership {
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -25,11 +25,11 @@
 	// leaseUntil is when the lease ends, by this process's clock.
 	leaseUntil  monotonic.Micros
 	leaseConfig quorum.Config
-	// preempted is set if a voter has promised a higher proposal, which stands in the way of the lease.
+	// preempted is set if a voter has promised a higher proposal, and so rejects the lease until this primary proposes again.
 	preempted bool
 	serving   bool
 	backups   []*wire.MemberID
-	// lastResort is set if a backup had just failed, and no other could be had.
+	// lastResort is set if a backup had just failed, and no other voter could take its place.
 	lastResort bool
 	// failures counts consecutive batches that a backup failed.
 	failures  int
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -55,8 +55,8 @@
 	return superseded
 }
 
-// proposeAgain proposes this primary's register value under a higher number: a rival's proposal that came to nothing stands
-// in the way of the lease.
+// proposeAgain proposes this primary's register value under a higher number. Voters that promised a
+// rival's proposal, which was never chosen, reject the lease until then.
 func (m *Member) proposeAgain(epoch uint64) {
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		if !m.leadsEpoch(value, epoch) {
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -24,8 +24,8 @@
 }
 
 // quorumAvailable reports whether a quorum of the voters whose registers were read lately would promise this member a
-// proposal now, and otherwise after how long it may. It is a hint that avoids proposals which would only stand in a live
-// primary's way.
+// proposal now, and otherwise after how long it may. It is a hint, like a pre-vote: it avoids proposals that would only
+// preempt a live primary.
 func (m *Member) quorumAvailable() (free bool, wait monotonic.Micros) {
 	current, _ := m.knownConfig()
 	now := m.host.Now()
@@ -76,7 +76,7 @@
 }
 
 // mayReclaim reports whether this member, the primary that a value names, needn't leave the leadership to one of its
-// backups: none of them is back, or a lease that this member's earlier process holds would stand in a backup's way.
+// backups: none of them is back, or a lease that this member's earlier process has would keep a backup from being elected.
 func (m *Member) mayReclaim(value *wire.RegisterValue) bool {
 	now := m.host.Now()
 	m.mu.Lock()
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -31,7 +31,7 @@
 //   - the journal begins with a snapshot; each entry behind it has the next sequence and an epoch that never falls;
 //   - epoch and sequence are the position of the last record applied. A primary numbers within an epoch that its process
 //     won, so a position names one state;
-//   - fenced is above every epoch whose primary this replica must no longer obey;
+//   - fenced is above every epoch whose primary this replica must reject;
 //   - pending entries are synced here and neither applied nor acknowledged.
 type replica struct {
 	host                host.Host
@@ -88,7 +88,7 @@
 	return r.restoreSnapshot(&wire.Snapshot{}, 0)
 }
 
-// replayRecord applies one record of the journal.
+// replayRecord applies one record of the journal. In a record with a snapshot the field Chunk holds the replica's incarnation.
 func (r *replica) replayRecord(content []byte) error {
 	record := &wire.JournalRecord{}
 	if err := proto.Unmarshal(content, record); err != nil {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// restoreSnapshot replaces the state.
+// restoreSnapshot replaces the state and the incarnation. It drops pending entries and the tail.
 func (r *replica) restoreSnapshot(snapshot *wire.Snapshot, incarnation uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,7 +180,7 @@
 	return r.leaderClock
 }
 
-// snapshot returns the whole state as applied.
+// snapshot returns the complete state as applied, without pending entries.
 func (r *replica) snapshot() *wire.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,7 +195,7 @@
 	r.clockBound = clockBound{at: r.host.Now(), estimate: r.leaderClock}
 }
 
-// compact replaces the journal by one snapshot of what is applied.
+// compact replaces the journal by one snapshot of what is applied, in a single record. The incarnation stands in its field Chunk.
 func (r *replica) compact() error {
 	content := mustMarshal(&wire.JournalRecord{Snapshot: r.snapshot(), Chunk: r.incarnation.Load()})
 	err := r.log.Rewrite(content)
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -7,8 +7,8 @@
 // longAgo stands for the time of an event that never happened, before any timeout that counts from it.
 const longAgo = -monotonic.Minute
 
-// renewInterval is how often a primary renews its lease and sends its backups a heartbeat: a lease outlasts two renewals that
-// fail.
+// renewInterval is how often a primary renews its lease and sends its backups a heartbeat: a lease outlasts one renewal that
+// fails.
 func (c *Config) renewInterval() monotonic.Micros { return c.LeaseDuration / 3 }
 
 // pollInterval is how soon a process that has just started looks for a primary again.
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -154,8 +154,8 @@
 	return response, err
 }
 
-// handleLease grants or rejects a lease, or forgets one that its leader releases. A grant is also the sign of a live primary, and
-// tells who leads the epoch.
+// handleLease grants or rejects a lease, or forgets one that its leader releases. A grant is also a sign of a live primary,
+// and names the leader of the epoch.
 func (m *Member) handleLease(request *wire.LeaseRequest) (response *wire.LeaseResponse, err error) {
 	m.voterExecutor.Run(func() {
 		if request.Release {
