--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -55,7 +55,6 @@
 	Host        host.Host
 	Proxy       string // this proxy's name
 	Incarnation uint64
-	Address     string
 	Domain      string // failure domain
 	// IgnoreDomains makes the load balancer treat all failure domains alike.
 	IgnoreDomains bool
