--- a/internal/workload/route_changes.go
+++ b/internal/workload/route_changes.go
@@ -1,4 +1,3 @@
-// Package workload makes a busy day's changes of routes, for the simulator's courses and for rehearsals of real processes alike.
 package workload
 
 import (
@@ -6,9 +5,8 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"slices"
+	"net/http"
 	"strings"
-	"time"
 
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
@@ -16,96 +14,72 @@
 	"snowflow/internal/transport/wire"
 )
 
-// RouteFamily is a kind of traffic whose routes change, with the other service that may take it over.
-type RouteFamily struct{ Kind, Method, Prefix, Service, Alternate string }
-
-// RegionsPerFamily are the parts of a family that a route of their own may be added for.
+// RegionsPerFamily is the number of regions of a family. A region is a one-digit number that follows the family's prefix in a
+// path, and may have a route of its own.
 const RegionsPerFamily = 10
 
-// RouteChanges are the desired states that operators make one of the other.
-// Invariant: State is the last that was handed in, or the last that won a race; each family has its general route in it.
-type RouteChanges struct {
-	State    *wire.DesiredState
-	Changes  int
-	Counts   map[string]int // of the changes made, by the family's kind and what they do
-	families []RouteFamily
-	rng      *rand.Rand
-}
-
-// NewRouteChanges begins a day with a state.
-func NewRouteChanges(state *wire.DesiredState, families []RouteFamily, rng *rand.Rand) *RouteChanges {
-	return &RouteChanges{State: state, Counts: map[string]int{}, families: families, rng: rng}
+// RouteFamily is a kind of traffic whose routes change.
+type RouteFamily struct {
+	Kind   string // the name of the kind and of its general route
+	Method string
+	Prefix string // of the paths; ends with a slash
+	// Service and Alternate are the services that the routes lead to. Alternate is empty if the routes never change.
+	Service, Alternate string
 }
 
-// Route is a family's general route.
+// Route returns the family's general route. Requests that may change something run at most once.
 func (f RouteFamily) Route() *wire.Route {
-	route := &wire.Route{Name: f.Kind, Method: f.Method, Prefix: f.Prefix, Class: wire.Path_read, Split: []*wire.Share{{Service: f.Service, Weight: 1}}}
-	if f.Method != "GET" {
+	route := &wire.Route{
+		Name:   f.Kind,
+		Method: f.Method,
+		Prefix: f.Prefix,
+		Class:  wire.Path_read,
+		Split:  []*wire.Share{{Service: f.Service, Weight: 1}},
+	}
+	if f.Method != http.MethodGet {
 		route.Class = wire.Path_once
 	}
 	return route
 }
 
-// EncodeState writes a state down; the JSON library varies its white space.
-func EncodeState(state *wire.DesiredState) []byte {
-	content, err := protojson.Marshal(state)
-	if err != nil {
-		panic(err) // it's made of plain names
-	}
-	var compact bytes.Buffer
-	if err := json.Compact(&compact, content); err != nil {
-		panic(err)
+// owns reports whether a route is the family's general route or one of a region.
+func (f RouteFamily) owns(route *wire.Route) bool {
+	if route.Method != f.Method {
+		return false
 	}
-	return compact.Bytes()
+	regional := len(route.Prefix) == len(f.Prefix)+len("0/") && strings.HasPrefix(route.Prefix, f.Prefix)
+	return route.Prefix == f.Prefix || regional
 }
 
-func pick[Item any](rng *rand.Rand, items []Item) Item { return items[rng.IntN(len(items))] }
-
-// routeChange is something that may be done to a family's routes, own being those that it has.
-type routeChange struct {
-	name  string
-	apply func(c *RouteChanges, state *wire.DesiredState, family RouteFamily, routes []*wire.Route)
+// RouteChanges makes desired states, each by a change of the one before.
+type RouteChanges struct {
+	// State is the state that the next change begins with. Callers set it to the state that was submitted last, or that won a race.
+	// Each family's general route is in it.
+	State *wire.DesiredState
+	// Changes is the number of changes made.
+	Changes int
+	// Counts are the changes made by the family's kind and the change's name, separated by a space.
+	Counts   map[string]int
+	families []RouteFamily
+	rng      *rand.Rand
 }
 
-var routeChanges = []routeChange{
-	{"moved", func(c *RouteChanges, _ *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
-		route := pick(c.rng, routes)
-		target := map[string]string{family.Service: family.Alternate, family.Alternate: family.Service}[route.Split[0].Service]
-		route.Split = []*wire.Share{{Service: target, Weight: 1}}
-	}},
-	{"weights", func(c *RouteChanges, _ *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
-		pick(c.rng, routes).Split = []*wire.Share{{Service: family.Service, Weight: uint32(1 + c.rng.IntN(9))}, {Service: family.Alternate, Weight: uint32(c.rng.IntN(9))}}
-	}},
-	{"time-out", func(c *RouteChanges, _ *wire.DesiredState, _ RouteFamily, routes []*wire.Route) {
-		pick(c.rng, routes).CutoffMicros = proto.Int64((3 * time.Second).Microseconds() + int64(c.rng.Uint64N(uint64((2 * time.Second).Microseconds()))))
-	}},
-	{"added", func(c *RouteChanges, state *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
-		prefix := fmt.Sprintf("%s%d/", family.Prefix, c.rng.IntN(RegionsPerFamily))
-		if !slices.ContainsFunc(routes, func(route *wire.Route) bool { return route.Prefix == prefix }) {
-			state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprintf("%s-%d", family.Kind, c.Changes), Method: family.Method, Prefix: prefix, Class: routes[0].Class,
-				Split: []*wire.Share{{Service: pick(c.rng, []string{family.Service, family.Alternate}), Weight: 1}}})
-		}
-	}},
-	{"removed", func(c *RouteChanges, state *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
-		// The family's general route stays, so its requests still have one.
-		removed := pick(c.rng, routes)
-		state.Routes = slices.DeleteFunc(state.Routes, func(route *wire.Route) bool { return route == removed && removed.Prefix != family.Prefix })
-	}},
-	{"renamed", func(c *RouteChanges, _ *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
-		pick(c.rng, routes).Name = fmt.Sprintf("%s-%d", family.Kind, c.Changes)
-	}},
+// NewRouteChanges returns changes that begin with a state and concern the routes of some families, each with an Alternate.
+func NewRouteChanges(state *wire.DesiredState, families []RouteFamily, rng *rand.Rand) *RouteChanges {
+	return &RouteChanges{State: state, Counts: map[string]int{}, families: families, rng: rng}
 }
 
-// KindCount is the number of different changes there are.
+// KindCount returns the number of different changes: of each kind to each family.
 func (c *RouteChanges) KindCount() int { return len(c.families) * len(routeChanges) }
 
-// Next makes the next state of the last, with one change to a family's routes.
+// Next returns the state that a random change to a random family's routes makes of State, which it leaves as it is.
 func (c *RouteChanges) Next() *wire.DesiredState {
 	family := pick(c.rng, c.families)
 	return c.apply(family, pick(c.rng, routeChanges))
 }
 
-// ApplyEach makes one change of each kind to each family's routes, one after the other, and hands each state over.
+// ApplyEach makes one change of each kind to each family's routes, one after another, and calls visit with each new State. It ends
+// with the first error of visit.
 func (c *RouteChanges) ApplyEach(visit func(state *wire.DesiredState) error) error {
 	for _, family := range c.families {
 		for _, change := range routeChanges {
@@ -118,12 +92,13 @@
 	return nil
 }
 
+// apply returns the state that a change makes of State.
 func (c *RouteChanges) apply(family RouteFamily, change routeChange) *wire.DesiredState {
 	c.Changes++
 	state := proto.CloneOf(c.State)
 	var routes []*wire.Route
 	for _, route := range state.Routes {
-		if route.Method == family.Method && (route.Prefix == family.Prefix || len(route.Prefix) == len(family.Prefix)+2 && strings.HasPrefix(route.Prefix, family.Prefix)) {
+		if family.owns(route) {
 			routes = append(routes, route)
 		}
 	}
@@ -132,3 +107,19 @@
 	c.Counts[family.Kind+" "+change.name]++
 	return state
 }
+
+// EncodeState returns a state as compact JSON, always the same for the same state: protojson varies its white space. It panics if
+// the state cannot be encoded, as with names that are not UTF-8.
+func EncodeState(state *wire.DesiredState) []byte {
+	content, err := protojson.Marshal(state)
+	if err != nil {
+		panic(err)
+	}
+	var compact bytes.Buffer
+	if err := json.Compact(&compact, content); err != nil {
+		panic(err)
+	}
+	return compact.Bytes()
+}
+
+func pick[Item any](rng *rand.Rand, items []Item) Item { return items[rng.IntN(len(items))] }
