--- a/internal/invariants/retry_rules.go
+++ b/internal/invariants/retry_rules.go
@@ -51,16 +51,16 @@
 func checkRetryBudget(history *History) (findings []Finding, seen int) {
 	services := history.runsByService()
 	for _, name := range slices.Sorted(maps.Keys(services)) {
-		highestExcess, worst := 0.0, attemptCounts{}
+		highestExcess, highest := 0.0, attemptCounts{}
 		slideRetryWindow(services[name], func(counts attemptCounts) {
 			excess := float64(counts.retries) - maxRetryRatio*float64(counts.first) - float64(history.RetryAllowance)
 			if excess > highestExcess {
-				highestExcess, worst = excess, counts
+				highestExcess, highest = excess, counts
 			}
 		})
 		if highestExcess > 0 {
 			findings = append(findings, ruleViolation(ruleRetryBudget, "%s had %d retries and %d first attempts in the 10 s up to %d",
-				name, worst.retries, worst.first, worst.until))
+				name, highest.retries, highest.first, highest.until))
 		}
 	}
 	return findings, len(history.Runs)
--- /dev/null
+++ b/internal/simulation/scenario/backends.go
@@ -0,0 +1,140 @@
+package scenario
+
+import (
+	"fmt"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy/localbackends"
+	"snowflow/internal/simulation/world"
+)
+
+// behavior is how a backend responds to requests.
+type behavior string
+
+const (
+	healthy      behavior = ""
+	failing      behavior = "failing"      // executes and responds with status 500
+	losing       behavior = "losing"       // executes and loses the response
+	truncating   behavior = "short"        // executes and truncates the response
+	notExecuting behavior = "not_executed" // responds that it did not execute the request
+	slow         behavior = "slow"         // works longer than any deadline
+	mixed        behavior = "mixed"        // one of the above at random for each request, or healthy
+)
+
+const (
+	heartbeatInterval = 2 * monotonic.Second
+	registerInterval  = 200 * monotonic.Millisecond
+	// drainPeriod is how long a backend that has announced its draining still accepts requests.
+	drainPeriod = 5 * monotonic.Second
+)
+
+// simulatedBackend is an instance of a service beside a proxy.
+type simulatedBackend struct {
+	service     string
+	instance    string
+	address     string
+	proxy       string // the name of the proxy beside it
+	up          bool
+	behavior    behavior
+	draining    bool
+	startDelay  monotonic.Micros // how long it listens before it registers
+	reportCount uint64
+	inFlight    int // requests that it works on
+	maxInFlight int // the most that it ever worked on at once
+}
+
+func (b *simulatedBackend) identity() localbackends.Backend {
+	return localbackends.Backend{Service: b.service, Instance: b.instance, Address: b.address}
+}
+
+// startBackend starts a new backend that registers at a proxy once startDelay has passed.
+func (m *Mesh) startBackend(service, proxyName, address string, startDelay monotonic.Micros) {
+	m.nextID++
+	backend := &simulatedBackend{
+		service:    service,
+		instance:   fmt.Sprintf("%s-%d", service, m.nextID),
+		address:    address,
+		proxy:      proxyName,
+		up:         true,
+		startDelay: startDelay,
+	}
+	m.backends = append(m.backends, backend)
+	m.External.Go(func() { m.runHeartbeats(backend) })
+}
+
+// startReplacement starts a backend of a service beside any proxy, under an address that is new.
+func (m *Mesh) startReplacement(replaced *simulatedBackend) {
+	m.startBackend(replaced.service, pick(m, m.proxyNames), fmt.Sprintf("%s:%d", replaced.proxy, 9000+m.nextID), 0)
+}
+
+// runHeartbeats registers a backend at its proxy and sends heartbeats until it ends.
+func (m *Mesh) runHeartbeats(backend *simulatedBackend) {
+	registered := false
+	m.External.Sleep(backend.startDelay)
+	for backend.up {
+		node := m.World.Node(backend.proxy)
+		_, err := m.External.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
+			return nil, m.sendHeartbeat(backend, registered)
+		})
+		registered = err == nil || registered && !apierror.IsRefused(err)
+		interval := heartbeatInterval
+		if !registered {
+			interval = registerInterval
+		}
+		m.External.Sleep(interval)
+	}
+}
+
+// sendHeartbeat registers a backend, or reports its condition, at the proxy beside it. It runs in the proxy's process.
+func (m *Mesh) sendHeartbeat(backend *simulatedBackend, registered bool) error {
+	local := m.proxies[backend.proxy].LocalBackends
+	condition := localbackends.Working
+	if backend.draining && !m.defects.IgnoreDraining {
+		condition = localbackends.Leaving
+	}
+	if m.topology.Slots > 0 {
+		backend.reportCount++
+		_, err := local.ApplyReport(localbackends.Report{Backend: backend.identity(), Slots: m.topology.Slots, Condition: condition, Sequence: backend.reportCount})
+		return err
+	}
+	if !registered {
+		return local.Register(backend.identity(), condition)
+	}
+	return local.Heartbeat(backend.instance, condition)
+}
+
+// drainBackend has a backend announce that it is draining, and end a while later.
+func (m *Mesh) drainBackend(backend *simulatedBackend) {
+	m.External.Go(func() {
+		backend.draining = true
+		node := m.World.Node(backend.proxy)
+		_, err := m.External.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
+			if m.defects.IgnoreDraining {
+				return nil, nil
+			}
+			return nil, m.proxies[backend.proxy].LocalBackends.Heartbeat(backend.instance, localbackends.Leaving)
+		})
+		if err == nil {
+			m.History.RecordDeparture(backend.instance, m.World.Now())
+		}
+		m.External.Sleep(drainPeriod)
+		backend.up = false
+	})
+}
+
+// liveBackends returns the backends of a service, or of all services for an empty name, that are up and not draining.
+func (m *Mesh) liveBackends(service string) (live []*simulatedBackend) {
+	for _, backend := range m.backends {
+		if backend.up && !backend.draining && (service == "" || backend.service == service) {
+			live = append(live, backend)
+		}
+	}
+	return live
+}
+
+// misbehaveFor gives a backend a behavior until a duration has passed.
+func (m *Mesh) misbehaveFor(backend *simulatedBackend, misbehavior behavior, duration monotonic.Micros) {
+	backend.behavior = misbehavior
+	m.after(duration, func() { backend.behavior = healthy })
+}
--- a/internal/simulation/scenario/caller_cancelled_test.go
+++ b/internal/simulation/scenario/caller_cancelled_test.go
@@ -10,10 +10,10 @@
 	"snowflow/internal/simulation/world"
 )
 
-// TestCallerCancels: once a caller has left, a backend is at work no longer on what may run again, and no other one begins to; a run-once
-// request goes on, and its answer is kept for whoever asks with its key.
+// TestCallerCancels: once a caller has cancelled a request that may run again, its backend stops working on it and no other begins. A
+// request with an idempotency key goes on, and its response is stored for repeats of the key.
 func TestCallerCancels(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		request request.Request
 		goesOn  bool
@@ -24,7 +24,7 @@
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
 			mesh := newServingMeshWithSeed(t, seed, servingOn)
 			mesh.workDuration = 3 * monotonic.Second
-			req, caller := one.request, mesh.proxyNames[0]
+			req, caller := test.request, mesh.proxyNames[0]
 			var leave func()
 			req.OnCallerLeft = func(action func()) (stop func() bool) {
 				leave = action
@@ -34,8 +34,8 @@
 			mesh.External.Go(func() {
 				_, fault = mesh.External.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 					req.ReadAt = mesh.proxies[caller].LeaderClock()
-					if _, refused := mesh.proxies[caller].Forwarder.Forward(&req); refused != nil {
-						return nil, refused
+					if _, rejected := mesh.proxies[caller].Forwarder.Forward(&req); rejected != nil {
+						return nil, rejected
 					}
 					return nil, nil
 				})
@@ -46,9 +46,9 @@
 				}
 				return count
 			}
-			mesh.World.Run(mesh.World.Now() + 500*monotonic.Millisecond)
+			mesh.runFor(500 * monotonic.Millisecond)
 			if running() == 0 || leave == nil {
-				t.Fatalf("%s, seed %d: %d backends are at work", one.name, seed, running())
+				t.Fatalf("%s, seed %d: %d backends are at work", test.name, seed, running())
 			}
 			mesh.External.Go(func() {
 				_, _ = mesh.External.Transact(mesh.World.Node(caller).Address, monotonic.Second, func(*world.Node) ([]byte, error) {
@@ -56,11 +56,11 @@
 					return nil, nil
 				})
 			})
-			mesh.World.Run(mesh.World.Now() + 100*monotonic.Millisecond)
-			if working := running() > 0; working != one.goesOn {
-				t.Errorf("%s, seed %d: at work a tenth of a second later: %v", one.name, seed, working)
+			mesh.runFor(100 * monotonic.Millisecond)
+			if working := running() > 0; working != test.goesOn {
+				t.Errorf("%s, seed %d: at work a tenth of a second later: %v", test.name, seed, working)
 			}
-			mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
+			mesh.runFor(5 * monotonic.Second)
 			ran := 0
 			for _, run := range mesh.History.Runs {
 				if run.Attempt == req.ID {
@@ -68,28 +68,28 @@
 				}
 			}
 			if ran != 1 || running() != 0 {
-				t.Errorf("%s, seed %d: %d runs, %d at work", one.name, seed, ran, running())
+				t.Errorf("%s, seed %d: %d runs, %d at work", test.name, seed, ran, running())
 			}
-			refused := new(apierror.Fault)
-			if !one.goesOn && (!errors.As(fault, &refused) || refused.Cause != apierror.ClientClosed || refused.NotRun()) {
-				t.Errorf("%s, seed %d: %v", one.name, seed, fault)
+			rejected := new(apierror.Fault)
+			if !test.goesOn && (!errors.As(fault, &rejected) || rejected.Cause != apierror.ClientClosed || rejected.NotRun()) {
+				t.Errorf("%s, seed %d: %v", test.name, seed, fault)
 			}
 		}
 	}
 }
 
-// TestDeadlineIsEnforced: a request whose backend works on beyond its path's limit has its final answer half a second after it at the latest, and
-// that says that it may have run.
+// TestDeadlineIsEnforced: a request whose backend works beyond the path's deadline gets its final response at most half a second after
+// it, which states that the request may have run.
 func TestDeadlineIsEnforced(t *testing.T) {
-	const cutoff = 4 * monotonic.Second // as Desired has it
+	const cutoff = 4 * monotonic.Second // of Desired
 	for _, seed := range seeds(t, 1, 2, 3) {
 		mesh := newServingMeshWithSeed(t, seed, servingOn)
 		mesh.workDuration = 8 * monotonic.Second
 		for _, req := range []request.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}} {
 			began := mesh.World.Now()
 			_, fault := mesh.forward(mesh.proxyNames[0], &req)
-			refused := new(apierror.Fault)
-			if took := mesh.World.Now() - began; took < cutoff-monotonic.Second || took > cutoff+500*monotonic.Millisecond || errors.As(fault, &refused) && refused.NotRun() {
+			rejected := new(apierror.Fault)
+			if took := mesh.World.Now() - began; took < cutoff-monotonic.Second || took > cutoff+500*monotonic.Millisecond || errors.As(fault, &rejected) && rejected.NotRun() {
 				t.Errorf("seed %d: %s ended after %d microseconds: %v", seed, req.ID, took, fault)
 			}
 		}
--- a/internal/simulation/scenario/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -5,12 +5,13 @@
 	"strings"
 	"testing"
 
+	"snowflow/internal/configstore"
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
 )
 
-// TestCatchUp: a backup that was away while others went on is given only what it missed, and one whose disk was lost everything; both hold all
-// that was acknowledged when they lead.
+// TestCatchUp: a backup that was away is sent only the entries that it missed, and one whose disk was lost a snapshot. Both hold
+// everything that was acknowledged once they lead.
 func TestCatchUp(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -31,7 +32,7 @@
 			calm := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
 			change(10)
 			for turn := range 6 {
-				primary := mesh.primary("postmaster")
+				primary := mesh.primary(configstore.Group)
 				backup := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
 				lost := turn == 3
 				if lost {
@@ -42,7 +43,7 @@
 				change(5)
 				mesh.World.Start(backup)
 				calm()
-				// The one that came in its place goes too, so that it's needed again.
+				// The backup that took its place is killed too, so that it is needed again.
 				second := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
 				entries, complete := seen(eventlog.ReplicaCaughtUp, backup.Name), seen(eventlog.SnapshotInstalled, backup.Name)
 				mesh.World.Kill(second)
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -24,14 +24,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// wide is a desired state with many routes that nobody asks for, beside those of Desired's services. alter may change it.
-func desiredWithManyRoutes(t testing.TB, routes int, alter func(state *wire.DesiredState)) []byte {
+// manyRoutes is the number of routes that no request takes.
+const manyRoutes = 400
+
+// desiredWithManyRoutes returns a desired state with many routes that no request takes besides those of Desired's services. alter may
+// change it, unless it is nil.
+func desiredWithManyRoutes(t testing.TB, alter func(state *wire.DesiredState)) []byte {
 	t.Helper()
 	state, faults := config.Parse(desiredWithRoutes(1))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	for number := range routes {
+	for number := range manyRoutes {
 		state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprint("batch-", number), Host: fmt.Sprintf("h%d.example", number%10), Prefix: fmt.Sprintf("/batches/%d/", number),
 			Class: wire.Path_read, Split: []*wire.Share{{Service: "forms", Weight: 1}}})
 	}
@@ -48,34 +52,34 @@
 	return content
 }
 
-// turned changes one route of many.
+// moveOneRoute moves one route of many to another service.
 func moveOneRoute(state *wire.DesiredState) { state.Routes[50].Split[0].Service = "households" }
 
-// taking is a mesh of eight carriers that have taken up wide's first state and are under traffic, as it's changed.
+// configChangeScene is a mesh of eight proxies that have adopted desiredWithManyRoutes and serve traffic while it is changed.
 type configChangeScene struct {
 	t       *testing.T
 	mesh    *Mesh
 	events  map[int]int
 	before  map[string]*config.Snapshot
 	calls   map[string]uint64
-	budgets map[string]float64 // the budget for further tries of forms
+	budgets map[string]float64 // the retry budget of forms, by proxy
 }
 
 func newConfigChangeScene(t *testing.T) *configChangeScene {
 	scene := &configChangeScene{t: t, mesh: Build(1, Topology{Cores: 3, Proxies: 8, Zones: 2, Backends: 3}, Defects{}), events: map[int]int{}, before: map[string]*config.Snapshot{}, calls: map[string]uint64{}, budgets: map[string]float64{}}
 	scene.mesh.World.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
-	scene.apply(desiredWithManyRoutes(t, 400, nil), 8*monotonic.Second)
+	scene.apply(desiredWithManyRoutes(t, nil), 8*monotonic.Second)
 	scene.mesh.startTraffic(60)
 	scene.run(10 * monotonic.Second)
-	for name, proxyProcess := range scene.mesh.proxies {
-		scene.before[name], _ = proxyProcess.ConfigClient.Current()
-		scene.calls[name], scene.budgets[name] = scene.countedCalls(name), proxyProcess.RetryBudget.Balance("forms")
+	for name, instance := range scene.mesh.proxies {
+		scene.before[name], _ = instance.ConfigClient.Current()
+		scene.calls[name], scene.budgets[name] = scene.countedCalls(name), instance.RetryBudget.Balance("forms")
 	}
 	return scene
 }
 
 func (s *configChangeScene) run(duration monotonic.Micros) {
-	s.mesh.World.Run(s.mesh.World.Now() + duration)
+	s.mesh.runFor(duration)
 }
 
 func (s *configChangeScene) apply(content []byte, within monotonic.Micros) {
@@ -91,7 +95,7 @@
 	}
 }
 
-// counted is the number of calls that a carrier's guards have counted in all.
+// countedCalls returns the number of calls that a proxy's breakers have counted in all.
 func (s *configChangeScene) countedCalls(name string) (calls uint64) {
 	for _, shown := range s.mesh.proxies[name].Breakers.Statuses() {
 		calls += shown.Calls
@@ -99,15 +103,17 @@
 	return calls
 }
 
-// taken checks that every carrier has the content in force, and kept the objects of what it doesn't change: turned's route is the one
-// new entry.
-func (s *configChangeScene) checkAdopted(content []byte, version uint64) {
+// changedVersion is the version of the first change of a scene.
+const changedVersion = 2
+
+// checkAdopted checks that every proxy serves, under changedVersion, by a content with one route moved, and has kept the objects of everything else.
+func (s *configChangeScene) checkAdopted(content []byte) {
 	t := s.t
 	t.Helper()
 	for _, name := range s.mesh.proxyNames {
 		view, live := s.mesh.proxies[name].ConfigClient.Current()
-		if !live || view.Version != version || view.Digest != config.Digest(content) {
-			t.Errorf("%s: serial %d, live %v", name, view.Version, live)
+		if !live || view.Version != changedVersion || view.Digest != config.Digest(content) {
+			t.Errorf("%s: version %d, live %v", name, view.Version, live)
 			continue
 		}
 		before := s.before[name]
@@ -116,7 +122,7 @@
 				t.Errorf("%s: service %s is another object", name, service)
 			}
 		}
-		for number := range 400 {
+		for number := range manyRoutes {
 			host, path := fmt.Sprintf("h%d.example", number%10), fmt.Sprintf("/batches/%d/1", number)
 			if changed := number == 47; changed == (view.Lookup(host, "GET", path) == before.Lookup(host, "GET", path)) {
 				t.Errorf("%s: batch-%d: changed %v, the same object %v", name, number, changed, !changed)
@@ -128,7 +134,7 @@
 		if now := s.countedCalls(name); now < s.calls[name] {
 			t.Errorf("%s: %d calls counted, %d before the change", name, now, s.calls[name])
 		}
-		// Nobody spends any here, and first tries fill it up.
+		// Nothing is retried here, and first attempts refill the budget.
 		if budget, known := s.budgets[name]; known && (s.mesh.proxies[name].RetryBudget.Balance("forms") < budget || budget == 0) {
 			t.Errorf("%s: the budget holds %v, %v before the change", name, s.mesh.proxies[name].RetryBudget.Balance("forms"), budget)
 		}
@@ -146,35 +152,35 @@
 	return sum
 }
 
-// TestChangesSentAsDifferences: eight carriers under traffic take a change of one route as one difference that was worked out once.
+// TestChangesSentAsDifferences: eight proxies under traffic adopt a change of one route as a difference that was computed once.
 func TestChangesSentAsDifferences(t *testing.T) {
 	scene := newConfigChangeScene(t)
 	defer scene.mesh.World.Close()
-	longest, complete := 0, len(desiredWithManyRoutes(t, 400, nil))
+	longest, complete := 0, len(desiredWithManyRoutes(t, nil))
 	scene.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 		longest = max(longest, len(response.Difference), len(response.Content))
 	}
-	content := desiredWithManyRoutes(t, 400, moveOneRoute)
+	content := desiredWithManyRoutes(t, moveOneRoute)
 	scene.apply(content, 300*monotonic.Millisecond)
-	scene.checkAdopted(content, 2)
+	scene.checkAdopted(content)
 	if sum := scene.adoptionTotals(); sum.differences != 8 || sum.fullStates != 8 || sum.rejected != 0 || sum.computed != 1 {
 		t.Errorf("%+v", sum)
 	}
 	if longest == 0 || longest > 300 || complete < 30000 {
-		t.Errorf("%d bytes were told, of %d", longest, complete)
+		t.Errorf("%d bytes were sent, of %d", longest, complete)
 	}
 }
 
-// TestRefusedDifferences: one that is damaged, cut short or from another base changes nothing; its carrier says so and has the whole
-// a poll later.
+// TestRefusedDifferences: a difference that is damaged, truncated or from another base changes nothing. The proxy reports it and
+// receives the full state by its next poll.
 func TestRefusedDifferences(t *testing.T) {
 	for name, damage := range map[string]func(response *wire.ConfigPollResponse){
 		"a bit": func(response *wire.ConfigPollResponse) { response.Difference[len(response.Difference)-2] ^= 1 },
 		"cut short": func(response *wire.ConfigPollResponse) {
 			response.Difference = response.Difference[:len(response.Difference)/2]
 		},
-		"another base":   func(response *wire.ConfigPollResponse) { response.Difference[5] ^= 1 },
-		"another serial": func(response *wire.ConfigPollResponse) { response.Version++ },
+		"another base":    func(response *wire.ConfigPollResponse) { response.Difference[5] ^= 1 },
+		"another version": func(response *wire.ConfigPollResponse) { response.Version++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -182,19 +188,19 @@
 			defer scene.mesh.World.Close()
 			scene.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 				if len(response.Difference) > 0 {
-					response.Difference = bytes.Clone(response.Difference) // the postmaster tells others the same one
+					response.Difference = bytes.Clone(response.Difference) // the configuration store sends the same slice to others
 					damage(response)
 				}
 			}
-			content := desiredWithManyRoutes(t, 400, moveOneRoute)
+			content := desiredWithManyRoutes(t, moveOneRoute)
 			scene.apply(content, 300*monotonic.Millisecond)
-			scene.checkAdopted(content, 2)
+			scene.checkAdopted(content)
 			if sum := scene.adoptionTotals(); sum.differences != 0 || sum.fullStates != 16 || sum.rejected != 8 || scene.events[eventlog.DeltaRejected] != 8 {
 				t.Errorf("%+v, %d events", sum, scene.events[eventlog.DeltaRejected])
 			}
-			// The next change goes as a difference again.
+			// The next change is sent as a difference again.
 			scene.mesh.onDesiredPoll = nil
-			scene.apply(desiredWithManyRoutes(t, 400, nil), 300*monotonic.Millisecond)
+			scene.apply(desiredWithManyRoutes(t, nil), 300*monotonic.Millisecond)
 			if sum := scene.adoptionTotals(); sum.differences != 8 || sum.fullStates != 16 {
 				t.Errorf("%+v", sum)
 			}
@@ -202,50 +208,51 @@
 	}
 }
 
-// TestNoDifferenceSupport: where postmasters know of no differences, the whole is taken, and what it doesn't change keeps its objects all the same.
+// TestNoDifferenceSupport: if the configuration stores send no differences, proxies adopt the full state and keep the objects of what it
+// does not change.
 func TestNoDifferenceSupport(t *testing.T) {
 	scene := newConfigChangeScene(t)
 	defer scene.mesh.World.Close()
-	content := desiredWithManyRoutes(t, 400, moveOneRoute)
+	content := desiredWithManyRoutes(t, moveOneRoute)
 	scene.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 		if len(response.Difference) > 0 {
 			response.Difference, response.Content = nil, content
 		}
 	}
 	scene.apply(content, 300*monotonic.Millisecond)
-	scene.checkAdopted(content, 2)
+	scene.checkAdopted(content)
 	if sum := scene.adoptionTotals(); sum.differences != 0 || sum.fullStates != 16 || sum.rejected != 0 {
 		t.Errorf("%+v", sum)
 	}
 }
 
-// TestFullStateAfterRestarts: a carrier that comes back takes the whole, and differences from then on; a primary that took over tells differences
-// from the versions that its copy has.
+// TestFullStateAfterRestarts: a restarted proxy receives the full state, and differences from then on. A new primary sends differences
+// from the versions that its replica holds.
 func TestFullStateAfterRestarts(t *testing.T) {
 	scene := newConfigChangeScene(t)
 	defer scene.mesh.World.Close()
 	mesh := scene.mesh
 	mesh.World.Kill(mesh.World.Node("carrier-3"))
 	mesh.World.Start(mesh.World.Node("carrier-3"))
-	primary := mesh.primary("postmaster")
+	primary := mesh.primary(configstore.Group)
 	mesh.World.Kill(primary)
 	scene.run(10 * monotonic.Second)
 	delete(scene.before, "carrier-3")
 	view, _ := mesh.proxies["carrier-3"].ConfigClient.Current()
 	if view == nil || view.Version != 1 {
-		t.Fatal("the carrier hasn't taken up the version in force")
+		t.Fatal("the proxy has not adopted the active version")
 	}
 	scene.before["carrier-3"], scene.calls["carrier-3"] = view, 0
-	delete(scene.budgets, "carrier-3") // it begins anew
-	content := desiredWithManyRoutes(t, 400, moveOneRoute)
+	delete(scene.budgets, "carrier-3") // the budget starts again
+	content := desiredWithManyRoutes(t, moveOneRoute)
 	scene.apply(content, 8*monotonic.Second)
-	scene.checkAdopted(content, 2)
+	scene.checkAdopted(content)
 	if sum := scene.adoptionTotals(); sum.differences != 8 || sum.fullStates != 8 || sum.rejected != 0 {
 		t.Errorf("%+v, %s", sum, strings.Join(mesh.log, "\n"))
 	}
 }
 
-// asked has one caller send a submission under a key through a carrier, and tells how it ended.
+// submit sends a submission with an idempotency key through a proxy and returns the attempt once it has ended.
 func (s *configChangeScene) submit(caller int, key string) *invariants.Attempt {
 	attempt := s.startSubmission(caller, key)
 	for limit := s.mesh.World.Now() + 8*monotonic.Second; attempt.Ended == 0 && s.mesh.World.Now() < limit; {
@@ -266,7 +273,7 @@
 	return attempt
 }
 
-// executed lists the services on which a key ran.
+// executed returns the services on which a key was executed.
 func (s *configChangeScene) executed(key string) (services []string) {
 	for _, run := range s.mesh.History.Runs {
 		if run.Key == key && run.Executed {
@@ -276,8 +283,8 @@
 	return services
 }
 
-// TestKeysOutlastChanges: a try before a change of its route's service and one after it are one operation, whatever became of the first;
-// keys of a removed route stay held; and what is under way ends under the version it began with.
+// TestKeysOutlastChanges: an attempt before a change of its route's service and one after it are one operation, whatever the outcome of
+// the first. Keys of a removed route stay claimed. A request in flight ends under the version that it began with.
 func TestKeysOutlastChanges(t *testing.T) {
 	scene := newConfigChangeScene(t)
 	mesh := scene.mesh
@@ -294,34 +301,34 @@
 	}
 	began := mesh.World.Now()
 	served("before the change", scene.submit(0, "answered"), 1, "answered")
-	// This one's answer is lost.
-	for _, one := range mesh.liveBackends("households") {
-		one.behavior = "losing"
+	// The response to this one is lost.
+	for _, backend := range mesh.liveBackends("households") {
+		backend.behavior = "losing"
 	}
 	if lost := scene.submit(1, "lost"); !lost.Mesh || lost.NotRun || len(scene.executed("lost")) != 1 {
 		t.Errorf("%+v, ran on %v", lost, scene.executed("lost"))
 	}
-	for _, one := range mesh.liveBackends("") {
-		one.behavior = ""
+	for _, backend := range mesh.liveBackends("") {
+		backend.behavior = ""
 	}
-	// And this one is under way while the change comes.
+	// This one is in flight during the change.
 	mesh.workDuration = 2 * monotonic.Second
 	under := scene.startSubmission(2, "under")
 	scene.run(500 * monotonic.Millisecond)
-	scene.apply(desiredWithManyRoutes(t, 400, moved), 300*monotonic.Millisecond)
+	scene.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
 	if under.Ended != 0 || len(scene.executed("under")) != 1 {
-		t.Fatalf("it isn't under way: %+v", under)
+		t.Fatalf("it is not in flight: %+v", under)
 	}
 	repeat := scene.startSubmission(5, "under")
 	scene.run(8 * monotonic.Second)
-	served("under way", under, 1, "under")
+	served("in flight", under, 1, "under")
 	if repeat.Mesh && repeat.NotRun {
 		t.Errorf("a repeat meanwhile: %+v", repeat)
 	}
 	mesh.workDuration = 0
 	for caller := range 8 {
-		served("answered before the change, asked again after it", scene.submit(caller, "answered"), 2, "answered")
-		served("under way in the change, asked again after it", scene.submit(caller, "under"), 2, "under")
+		served("served before the change, repeated after it", scene.submit(caller, "answered"), 2, "answered")
+		served("in flight during the change, repeated after it", scene.submit(caller, "under"), 2, "under")
 	}
 	if fresh := scene.submit(3, "fresh"); fresh.Status != 200 || len(scene.executed("fresh")) != 1 || scene.executed("fresh")[0] != "forms" {
 		t.Errorf("a new key isn't run where the route leads now: %+v, ran on %v", fresh, scene.executed("fresh"))
@@ -329,14 +336,14 @@
 	if again := scene.submit(4, "lost"); again.Mesh && again.NotRun || len(scene.executed("lost")) != 1 {
 		t.Errorf("%+v, ran on %v", again, scene.executed("lost"))
 	}
-	// Without its route a key isn't run, nor said not to have run.
-	scene.apply(desiredWithManyRoutes(t, 400, removed), 300*monotonic.Millisecond)
+	// Without its route a key is not executed, and its rejection does not state that it has not run.
+	scene.apply(desiredWithManyRoutes(t, removed), 300*monotonic.Millisecond)
 	for _, key := range []string{"answered", "lost", "under", "fresh"} {
-		if refused := scene.submit(6, key); !refused.Mesh || refused.NotRun || refused.Cause != int(apierror.UnknownPath) {
-			t.Errorf("without a route: %+v", refused)
+		if rejected := scene.submit(6, key); !rejected.Mesh || rejected.NotRun || rejected.Cause != int(apierror.UnknownPath) {
+			t.Errorf("without a route: %+v", rejected)
 		}
 	}
-	scene.apply(desiredWithManyRoutes(t, 400, moved), 300*monotonic.Millisecond)
+	scene.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
 	for key, first := range map[string]string{"answered": "households", "lost": "households", "under": "households", "fresh": "forms"} {
 		for caller := range 3 {
 			scene.submit(caller, key)
@@ -353,12 +360,13 @@
 	}
 }
 
-// TestOperatorsSeeChanges: a door tells in what two versions differ, what a content would change, and which node has which version.
+// TestOperatorsSeeChanges: the operators' API shows in what two versions differ, what a content would change, and which version each
+// node has.
 func TestOperatorsSeeChanges(t *testing.T) {
 	scene := newConfigChangeScene(t)
 	mesh := scene.mesh
 	defer mesh.World.Close()
-	scene.apply(desiredWithManyRoutes(t, 400, moveOneRoute), monotonic.Second)
+	scene.apply(desiredWithManyRoutes(t, moveOneRoute), monotonic.Second)
 	pages := api.New(mesh.External, mesh.resolver, http.NotFoundHandler(), func() any { return nil }, config.Parse)
 	call := func(method, path string, content []byte, into any) int {
 		t.Helper()
@@ -378,15 +386,15 @@
 		t.Errorf("%d %+v", code, listed)
 	}
 	preview := api.Comparison{}
-	content := desiredWithManyRoutes(t, 400, func(state *wire.DesiredState) { state.Routes = state.Routes[:400] })
+	content := desiredWithManyRoutes(t, func(state *wire.DesiredState) { state.Routes = state.Routes[:manyRoutes] })
 	if code := call("POST", "/changes", content, &preview); code != 200 || preview.From != 2 || preview.To != 0 || len(preview.Summary.Changed) != 1 || len(preview.Summary.Removed) != 3 || preview.Proxies != 8 {
 		t.Errorf("%d %+v", code, preview)
 	}
 	if mesh.latestVersion != 2 {
 		t.Error("a preview was applied")
 	}
-	for path, wanted := range map[string]int{"/changes?from=1&to=9": 404, "/changes?from=one": 400} {
-		if code := call("GET", path, nil, nil); code != wanted {
+	for path, expected := range map[string]int{"/changes?from=1&to=9": 404, "/changes?from=one": 400} {
+		if code := call("GET", path, nil, nil); code != expected {
 			t.Errorf("%s: %d", path, code)
 		}
 	}
--- a/internal/simulation/scenario/control_plane_faults_test.go
+++ b/internal/simulation/scenario/control_plane_faults_test.go
@@ -24,38 +24,40 @@
 	runScenario(t, "many-changes-5", 1)
 }
 
-// TestControlPlaneChecksDetectDefects breaks one part of the control side at a time: its course's checkers must find something in some seed.
+// TestControlPlaneChecksDetectDefects turns off one part of the control plane at a time: the scenario's checkers must detect it with some
+// seed.
 func TestControlPlaneChecksDetectDefects(t *testing.T) {
-	for name, one := range map[string]struct {
-		course string
-		broken Defects
-		sees   func(finding invariants.Finding) bool
+	for name, test := range map[string]struct {
+		scenario string
+		defects  Defects
+		sees     func(finding invariants.Finding) bool
 	}{
-		"a primary that answers without a lease":            {"cut-off-5", Defects{NoPrimaryLease: true}, foundByOperatorCalls},
-		"a successor that lacks what was confirmed":         {"many-changes-3", Defects{AnySuccessor: true}, foundByOperatorCalls},
-		"a number that stands for several contents":         {"cut-off-3", Defects{AllowContentConflicts: true}, foundByOperatorCalls},
-		"a planned stop that leaves copy and seat behind":   {"exchanges-3", Defects{KeepVoterOnStop: true}, foundByRecoveryTime},
-		"syncs that do nothing, and a member that forgot":   {"many-changes-3", Defects{NoSync: true}, func(invariants.Finding) bool { return true }},
-		"a planned stop that leaves both behind, core of 5": {"exchanges-5", Defects{KeepVoterOnStop: true, AnySuccessor: true}, foundByOperatorCalls},
+		"a primary that answers without a lease":              {"cut-off-5", Defects{NoPrimaryLease: true}, foundByOperatorCalls},
+		"a successor without what was confirmed":              {"many-changes-3", Defects{AnySuccessor: true}, foundByOperatorCalls},
+		"a version that stands for several contents":          {"cut-off-3", Defects{AllowContentConflicts: true}, foundByOperatorCalls},
+		"a planned stop that leaves replica and voter behind": {"exchanges-3", Defects{KeepVoterOnStop: true}, foundByRecoveryTime},
+		"syncs that do nothing, and a member that forgot":     {"many-changes-3", Defects{NoSync: true}, func(invariants.Finding) bool { return true }},
+		"a planned stop that leaves both behind, core of 5":   {"exchanges-5", Defects{KeepVoterOnStop: true, AnySuccessor: true}, foundByOperatorCalls},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 12; seed++ {
-				for _, finding := range Run(Scenarios[one.course], seed, one.broken).Findings {
-					if !finding.NothingExamined && one.sees(finding) {
+				for _, finding := range Run(Scenarios[test.scenario], seed, test.defects).Findings {
+					if !finding.NothingExamined && test.sees(finding) {
 						t.Logf("seed %d: %s", seed, finding)
 						return
 					}
 				}
 			}
-			t.Error("nothing was seen in 12 seeds")
+			t.Error("the defect was not detected in 12 seeds")
 		})
 	}
 }
 
-// foundByOperatorCalls and foundByRecoveryTime tell by which checker something was found.
+// foundByOperatorCalls reports whether a finding is of the check of operators' calls.
 func foundByOperatorCalls(finding invariants.Finding) bool {
 	return finding.Check == invariants.OperatorCallsLinearizable.Name
 }
 
+// foundByRecoveryTime reports whether a finding is of the rule on the recovery time.
 func foundByRecoveryTime(finding invariants.Finding) bool { return finding.Rule == 12 }
--- /dev/null
+++ b/internal/simulation/scenario/desired_state.go
@@ -0,0 +1,41 @@
+package scenario
+
+import (
+	"bytes"
+	"fmt"
+)
+
+// Desired returns the desired state of a simulated mesh; the variant makes contents differ. Some variants classify submissions
+// as reads and some route them to the other service: neither may make an idempotency key run twice.
+func Desired(variant int) []byte {
+	class, forms, households := "once", "", `{"method":"GET","prefix":"/nothing","class":"read"}`
+	if variant%5 == 4 {
+		class = "read"
+	}
+	submissions := fmt.Sprintf(`{"method":"POST","prefix":"/households","class":"%s"}`, class)
+	if variant%7 == 6 {
+		forms = "," + submissions
+	} else {
+		households = submissions
+	}
+	return []byte(fmt.Sprintf(`{"note":"variant %d","groups":[{"name":"field",
+"guard":{"windowCalls":30,"minimumCalls":8,"failureRate":0.5,"waitOpenMicros":2000000,"permittedHalfOpen":4,"probeTenureMicros":4000000},
+"retry":{"mostTries":3,"budgetRatio":0.2,"allowance":10},
+"limits":{"cutoffMicros":4000000},
+"services":[
+{"name":"forms","paths":[{"method":"GET","prefix":"/forms","class":"read"}%s]},
+{"name":"households","paths":[%s]}]}]}`, variant, forms, households))
+}
+
+// retryAllowance is the retry allowance of Desired, with what may be granted at the edges of the invariant's window.
+const retryAllowance = 10 + 2
+
+// desiredWithSlowRate returns a desired state in which slow calls trip a breaker too.
+func desiredWithSlowRate(variant int) []byte {
+	return bytes.Replace(Desired(variant), []byte(`"failureRate"`), []byte(`"slowRate":0.5,"slowMicros":700000,"failureRate"`), 1)
+}
+
+// desiredWithFewSlots returns a desired state by which backends accept few requests at once.
+func desiredWithFewSlots(variant int) []byte {
+	return bytes.Replace(Desired(variant), []byte(`"limits":{`), []byte(`"limits":{"inFlightPerBackend":8,`), 1)
+}
--- a/internal/simulation/scenario/member_replacement_test.go
+++ b/internal/simulation/scenario/member_replacement_test.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestVotersApart: two of three core machines stand in one zone; once a fourth comes in another, the voters and the copies stand in three, and the loss
-// of the zone with two machines leaves the core answering with all that was acknowledged.
+// TestVotersApart: two of three core machines are in one zone. Once a fourth has come in another, the voters and the replicas are spread
+// over three zones, and the core survives the loss of the zone with two machines with everything acknowledged.
 func TestVotersApart(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -18,9 +18,9 @@
 			topology.Replicas, topology.RemoveAfter, topology.Domains = 2, catchUpAllowance/2, []string{"a", "a", "b", "c"}
 			mesh := Build(seed, topology, Defects{})
 			t.Cleanup(mesh.World.Close)
-			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
+			mesh.runFor(8 * monotonic.Second)
 			mesh.startNewMachine()
-			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
+			mesh.runFor(20 * monotonic.Second)
 			for group, voters := range mesh.voters(t) {
 				stand := map[string]bool{}
 				for _, name := range voters {
@@ -34,7 +34,7 @@
 			if err != nil || response.Version != 100 {
 				t.Fatalf("%v %v", response, err)
 			}
-			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+			mesh.runFor(3 * monotonic.Second)
 			mesh.retire("core-1")
 			mesh.retire("core-2")
 			if response, _, err = mesh.applyVersion(101, 20*monotonic.Second); err != nil || response.Version != 101 {
@@ -44,20 +44,20 @@
 	}
 }
 
-// TestLossAfterPlannedExchange: a core machine is exchanged as planned, and soon after it another is lost for good, again and again. The core
-// answers to the end, and nothing acknowledged is missing.
-func TestLossAfterPlannedExchange(t *testing.T) {
-	for _, one := range []struct{ cores, copies int }{{3, 2}, {4, 2}, {5, 3}} {
+// TestLossAfterPlannedReplacement: a core machine is replaced as planned, and soon afterwards another is lost for good, again and again.
+// The core serves to the end, and nothing acknowledged is missing.
+func TestLossAfterPlannedReplacement(t *testing.T) {
+	for _, test := range []struct{ cores, replicas int }{{3, 2}, {4, 2}, {5, 3}} {
 		for _, seed := range seeds(t, 1, 2, 3) {
-			t.Run(fmt.Sprintf("%d/%d", one.cores, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d/%d", test.cores, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := discoveredTopology
-				topology.Cores, topology.Replicas, topology.RemoveAfter = one.cores, one.copies, catchUpAllowance/2
-				mesh := membershipRun(t, Scenario{Name: "exchange then loss", Sizes: topology, Duration: 90 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+				topology.Cores, topology.Replicas, topology.RemoveAfter = test.cores, test.replicas, catchUpAllowance/2
+				mesh, _ := runMesh(t, Scenario{Name: "exchange then loss", Topology: topology, Duration: 90 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: []fault{plannedReplacement, permanentLoss, plannedReplacement, permanentLoss}, Faults: []fault{permanentLoss, applyConfig}}, seed)
 				for group, voters := range mesh.voters(t) {
-					if wanted := max(2*one.copies-1, one.cores); len(voters) != wanted {
-						t.Errorf("the %ss' voters are %v, not %d", group, voters, wanted)
+					if expected := max(2*test.replicas-1, test.cores); len(voters) != expected {
+						t.Errorf("the %ss' voters are %v, not %d", group, voters, expected)
 					}
 				}
 			})
--- a/internal/simulation/scenario/membership_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -6,13 +6,15 @@
 	"strings"
 	"testing"
 
+	"snowflow/internal/configstore"
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/registry"
 	"snowflow/internal/replication"
 	"snowflow/internal/simulation/world"
 )
 
-// voters gives the roster that the core's processes know at the end, by group; all that are there must know the same.
+// voters returns the voters that the core's processes know, by group, and reports processes that disagree.
 func (m *Mesh) voters(t *testing.T) map[string][]string {
 	known := map[string][]string{}
 	note := func(group, name string, member *replication.Member) {
@@ -28,40 +30,23 @@
 			t.Errorf("%s knows the voters %v, another %v", name, voters, known[group])
 		}
 	}
-	for name, one := range m.registries {
-		note("sorter", name, one.Member)
+	for name, service := range m.registries {
+		note(registry.Group, name, service.Member)
 	}
-	for name, one := range m.configStores {
-		note("postmaster", name, one.Member)
+	for name, service := range m.configStores {
+		note(configstore.Group, name, service.Member)
 	}
 	return known
 }
 
-// membershipRun plays a course and has a look at the mesh at its end.
-func membershipRun(t *testing.T, scenario Scenario, seed uint64) *Mesh {
-	var mesh *Mesh
-	prepare := scenario.Prepare
-	scenario.Prepare = func(built *Mesh) {
-		if mesh = built; prepare != nil {
-			prepare(built)
-		}
-	}
-	result := Run(scenario, seed, Defects{})
-	for _, finding := range result.Findings {
-		t.Errorf("seed %d: %s", seed, finding)
-	}
-	t.Logf("served %d of %d", result.Served, result.Sent)
-	return mesh
-}
-
-// TestFourthMachine: a core of three becomes one of four once a fourth machine has come, whatever else fails.
+// TestFourthMachine: a core of three becomes one of four once a fourth machine has started, whatever else fails.
 func TestFourthMachine(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			topology := smallTopology
 			topology.Voters = 4
-			mesh := membershipRun(t, Scenario{Name: "fourth", Sizes: topology, Duration: 40 * monotonic.Second, Rate: 25, FaultInterval: 5 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+			mesh, _ := runMesh(t, Scenario{Name: "fourth", Topology: topology, Duration: 40 * monotonic.Second, Rate: 25, FaultInterval: 5 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 				InitialFaults: []fault{addCoreMachine}, Faults: []fault{killPrimary, powerOffCoreMachine, freezePrimary, partitionCore, applyConfig}}, seed)
 			for group, voters := range mesh.voters(t) {
 				if len(voters) != 4 {
@@ -72,26 +57,26 @@
 	}
 }
 
-// TestMachinesReplaced: the machines of the first start go one after another, for good, and others come in their place, some
-// seconds later or before. None of the seeds is left at the end.
+// TestMachinesReplaced: the initial machines are retired one after another, and new ones start some seconds later or before. None of the
+// seed addresses is left at the end.
 func TestMachinesReplaced(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name         string
-		wanted       int
+		expected     int
 		ahead, after monotonic.Micros
 	}{
 		{"then another comes", 0, 0, 2 * monotonic.Second},
 		{"after another came", 3, 4 * monotonic.Second, 0},
-		{"after another came, no number wanted", 0, 4 * monotonic.Second, 0},
+		{"after another came, no number expected", 0, 4 * monotonic.Second, 0},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
-			t.Run(fmt.Sprintf("%s/%d", one.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := smallTopology
-				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, one.wanted
-				// Three pauses between faults may take 72 s; in a shorter run chance left out the third.
-				exchange := replaceCoreMachine(one.ahead, one.after)
-				mesh := membershipRun(t, Scenario{Name: "exchange", Sizes: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, test.expected
+				// Three intervals between faults may take 72 s: a shorter run might end before the third.
+				exchange := replaceCoreMachine(test.ahead, test.after)
+				mesh, _ := runMesh(t, Scenario{Name: "exchange", Topology: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: []fault{exchange, exchange, exchange}, Faults: []fault{applyConfig}}, seed)
 				if len(mesh.retired) != 3 {
 					t.Errorf("%d machines were exchanged", len(mesh.retired))
@@ -108,23 +93,23 @@
 	}
 }
 
-// TestAcknowledgedThenLost: right after an acknowledgement the primary and its disk are lost, in cores of three and four; and
-// with three copies among five, a backup's with it.
+// TestAcknowledgedThenLost: right after an acknowledgement the primary and its disk are lost, in cores of three and four; with three
+// replicas among five, those of a backup too.
 func TestAcknowledgedThenLost(t *testing.T) {
-	for _, one := range []struct {
-		cores, copies int
-		lose          fault
+	for _, test := range []struct {
+		cores, replicas int
+		lose            fault
 	}{{3, 2, loseDiskAtAcknowledgement}, {4, 2, loseDiskAtAcknowledgement}, {5, 3, loseTwoDisksAtAcknowledgement}} {
 		for _, seed := range seeds(t, 1, 2) {
-			t.Run(fmt.Sprintf("%d/%d", one.cores, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d/%d", test.cores, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := smallTopology
-				topology.Cores, topology.Replicas = one.cores, one.copies
-				mesh := membershipRun(t, Scenario{Name: "lost", Sizes: topology, Duration: 60 * monotonic.Second, Rate: 25, FaultInterval: 11 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					InitialFaults: []fault{one.lose}, Faults: []fault{one.lose}}, seed)
+				topology.Cores, topology.Replicas = test.cores, test.replicas
+				mesh, _ := runMesh(t, Scenario{Name: "lost", Topology: topology, Duration: 60 * monotonic.Second, Rate: 25, FaultInterval: 11 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+					InitialFaults: []fault{test.lose}, Faults: []fault{test.lose}}, seed)
 				joined := strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %d {", eventlog.VoterJoined))
-				// Each start has one join for each process; each lost disk has another.
-				if joined <= 2*one.cores {
+				// Each process joins once when it starts, and again when its disk was lost.
+				if joined <= 2*test.cores {
 					t.Errorf("no disk was lost: %d joins", joined)
 				}
 			})
@@ -132,7 +117,7 @@
 	}
 }
 
-// TestFailover: a primary dies at any moment of its lease, and another answers within two and a half seconds.
+// TestFailover: a primary dies at any time within its lease, and another serves within two and a half seconds.
 func TestFailover(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
@@ -140,20 +125,20 @@
 			topology := Topology{Cores: cores, Proxies: 1, Zones: 1, Backends: 1, Replicas: cores/2 + 1}
 			mesh := Build(1, topology, Defects{})
 			defer mesh.World.Close()
-			mesh.World.Run(mesh.World.Now() + 10*monotonic.Second)
+			mesh.runFor(10 * monotonic.Second)
 			var longest, sum monotonic.Micros
 			const times = 20
 			for range times {
-				mesh.World.Run(mesh.World.Now() + mesh.randomDuration(8*monotonic.Second, 9*monotonic.Second))
-				for _, group := range []string{"sorter", "postmaster"} {
+				mesh.runFor(mesh.randomDuration(8*monotonic.Second, 9*monotonic.Second))
+				for _, group := range coreGroups {
 					primary := mesh.primary(group)
 					if primary == nil {
-						t.Fatalf("no %s answers", group)
+						t.Fatalf("no %s serves", group)
 					}
 					mesh.World.Kill(primary)
 					died := mesh.World.Now()
 					for mesh.primary(group) == nil && mesh.World.Now()-died < 10*monotonic.Second {
-						mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
+						mesh.runFor(10 * monotonic.Millisecond)
 					}
 					took := mesh.World.Now() - died
 					longest, sum = max(longest, took), sum+took
@@ -168,49 +153,49 @@
 	}
 }
 
-// TestPrimaryDiesDuringChange: whenever a primary has written the first half of a change, it dies within milliseconds; where no
-// machine is gone, also with its disk. The next one ends the change.
+// TestPrimaryDiesDuringChange: whenever a primary has entered a joint configuration it dies within milliseconds, also with its disk if no
+// machine is gone. The next primary completes the membership change.
 func TestPrimaryDiesDuringChange(t *testing.T) {
 	kill, power, disk := (*world.World).Kill, (*world.World).PowerLoss, (*world.World).LoseDisk
-	for _, one := range []struct {
-		name    string
-		changes []fault
-		ends    []func(*world.World, *world.Node)
-		wanted  int // voters
-		new     int // the number of the machine that must vote at the end
+	for _, test := range []struct {
+		name     string
+		changes  []fault
+		ends     []func(*world.World, *world.Node)
+		expected int // the expected number of voters
+		new      int // the number of the machine that must vote at the end
 	}{
 		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
 		{"one is exchanged", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
 		{"a fourth comes, then one is exchanged", []fault{addCoreMachine, replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
-			t.Run(fmt.Sprintf("%s/%d", one.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
 				died := map[string]int{}
 				topology := smallTopology
-				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, one.wanted
-				mesh := membershipRun(t, Scenario{Name: "halfway", Sizes: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					InitialFaults: one.changes, Faults: []fault{applyConfig}, Prepare: func(mesh *Mesh) {
+				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, test.expected
+				mesh, _ := runMesh(t, Scenario{Name: "halfway", Topology: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+					InitialFaults: test.changes, Faults: []fault{applyConfig}, Prepare: func(mesh *Mesh) {
 						trace := mesh.World.Trace
 						mesh.World.Trace = func(at monotonic.Micros, name string, number int, fields map[string]any) {
 							trace(at, name, number, fields)
 							group := strings.SplitN(name, "-", 2)[0]
-							if joint, _ := fields["joint"].([]string); number != eventlog.MembershipChanged || len(joint) == 0 || died[group] >= len(one.changes) {
+							if joint, _ := fields["joint"].([]string); number != eventlog.MembershipChanged || len(joint) == 0 || died[group] >= len(test.changes) {
 								return
 							}
 							died[group]++
-							end := pick(mesh, one.ends)
+							end := pick(mesh, test.ends)
 							mesh.after(mesh.randomDuration(0, 3*monotonic.Millisecond), func() {
 								mesh.restartAfter([]*world.Node{mesh.World.Node(name)}, mesh.randomDuration(200*monotonic.Millisecond, 3*monotonic.Second),
 									func(node *world.Node) { end(mesh.World, node) })
 							})
 						}
 					}}, seed)
-				if died["sorter"] != len(one.changes) || died["postmaster"] != len(one.changes) {
+				if died[registry.Group] != len(test.changes) || died[configstore.Group] != len(test.changes) {
 					t.Errorf("primaries that died during a change: %v", died)
 				}
 				for group, voters := range mesh.voters(t) {
-					if name := fmt.Sprintf("%s-%d", group, one.new); !slices.Contains(voters, name) {
+					if name := fmt.Sprintf("%s-%d", group, test.new); !slices.Contains(voters, name) {
 						t.Errorf("%s is not among the voters %v", name, voters)
 					}
 				}
--- /dev/null
+++ b/internal/simulation/scenario/planned_stop_test.go
@@ -0,0 +1,51 @@
+package scenario
+
+import (
+	"testing"
+
+	"snowflow/internal/configstore"
+	"snowflow/internal/monotonic"
+)
+
+// TestPlannedStopsDelayNoApply: a proxy that stops as planned gives up its lease, and a primary that stops as planned transfers the
+// leases. So an apply right after either waits for nobody. After a kill it waits until the lease has expired.
+func TestPlannedStopsDelayNoApply(t *testing.T) {
+	for name, injected := range map[string]struct {
+		fault   fault
+		delayed bool
+	}{
+		"a proxy's planned stop": {drainProxy, false},
+		"a configuration store's planned stop": {fault{"hand over", func(mesh *Mesh) {
+			node := mesh.primary(configstore.Group)
+			mesh.External.Go(func() {
+				_ = mesh.transactAt(node.Address, 5*monotonic.Second, func() { mesh.configStores[node.Name].Member.TransferLeadership("planned") })
+				mesh.now(func() { mesh.World.Kill(node) })
+			})
+		}}, false},
+		"a killed proxy":               {killProxy, true},
+		"a killed configuration store": {fault{"kill the primary", func(mesh *Mesh) { mesh.World.Kill(mesh.primary(configstore.Group)) }}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var longest monotonic.Micros
+			timed := fault{"apply and time it", func(mesh *Mesh) {
+				began := mesh.World.Now()
+				mesh.External.Go(func() {
+					if accepted(mesh.applyDesired(Desired(0), true, 0, 30*monotonic.Second)) {
+						longest = max(longest, mesh.World.Now()-began)
+					}
+				})
+			}}
+			both := fault{injected.fault.name, func(mesh *Mesh) {
+				injected.fault.inject(mesh)
+				mesh.after(2*monotonic.Second, func() { timed.inject(mesh) })
+			}}
+			runMesh(t, Scenario{Name: "planned", Topology: smallTopology, Duration: 20 * monotonic.Second, Rate: 20, FaultInterval: 10 * monotonic.Second,
+				InitialFaults: []fault{both}, Faults: []fault{noFault}}, 3)
+			t.Logf("acknowledged after %d microseconds", longest)
+			if longest == 0 || longest > monotonic.Second != injected.delayed {
+				t.Errorf("acknowledged after %d microseconds", longest)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulation/scenario/proxies.go
@@ -0,0 +1,64 @@
+package scenario
+
+import (
+	"fmt"
+
+	"snowflow/internal/discovery"
+	"snowflow/internal/host"
+	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
+	"snowflow/internal/simulation/world"
+)
+
+// networkProblem is what is wrong with a proxy's own network. The empty value means nothing.
+type networkProblem string
+
+const (
+	// shortDeadlines: requests end before any response can arrive.
+	shortDeadlines networkProblem = "late"
+	// slowNetwork: every response arrives late, as over a line that delays.
+	slowNetwork networkProblem = "slow"
+)
+
+// proxyNodePrefix begins the names of the proxies' nodes.
+const proxyNodePrefix = "carrier-"
+
+func (m *Mesh) addProxy(index int, seeds []string) {
+	name := fmt.Sprintf("%s%d", proxyNodePrefix, index+1)
+	m.proxyNames = append(m.proxyNames, name)
+	address := name + ":carrier"
+	m.World.Add(name, address, name, func(h *world.Host) (host.Handlers, error) {
+		resolver := discovery.New(h, nil, m.currentSeeds(seeds))
+		handlers := host.Handlers{}
+		resolver.Register(handlers)
+		h.Go(func() { resolver.Run(monotonic.Second) })
+		instance := proxy.New(proxy.Options{
+			Host:       h,
+			Resolver:   resolver,
+			Name:       name,
+			Domain:     fmt.Sprintf("zone-%d", index%m.topology.Zones+1),
+			Address:    address,
+			Upstream:   &simulatedUpstream{mesh: m, host: h},
+			ServeStale: m.topology.Timeouts.ServeStale,
+			Linger:     m.topology.DrainLinger,
+		})
+		m.defects.applyTo(instance)
+		instance.Register(handlers)
+		instance.Start()
+		m.proxies[name], m.startedAt[name] = instance, h.Now()
+		return handlers, nil
+	})
+}
+
+// applyTo turns the parts of a proxy off that the defects name.
+func (d Defects) applyTo(instance *proxy.Proxy) {
+	instance.Admission.SkipClaims(d.NoClaims)
+	instance.Admission.ClaimPerService(d.ClaimPerService)
+	instance.ConfigClient.IgnoreLease(d.NoServingLease)
+	instance.Session.SkipDigestChecks(d.UncheckedDirectoryDelta)
+	instance.Singleton.IgnoreExpiry(d.IgnoreDutyExpiry)
+	instance.RetryBudget.SetUnlimited(d.NoRetryBudget)
+	instance.Breakers.SkipProbeLeases(d.NoProbeLease)
+	instance.TrustClock(d.TrustClock)
+	instance.Forwarder.DisableRetryAfterJitter(d.SameRetryAfter)
+}
--- a/internal/simulation/scenario/response_replay_test.go
+++ b/internal/simulation/scenario/response_replay_test.go
@@ -7,10 +7,10 @@
 	"snowflow/internal/proxy/request"
 )
 
-// TestResponseOutlivesProxy: the carrier beside the backend that ran a submission dies, or the one that passed it on; whoever repeats the key, anywhere,
-// gets the first answer.
+// TestResponseOutlivesProxy: the proxy beside the backend that executed a submission dies, or the one that forwarded it. A repeat of the
+// key through any proxy gets the first response.
 func TestResponseOutlivesProxy(t *testing.T) {
-	for _, dies := range []string{"the carrier beside the backend", "the carrier that passed it on"} {
+	for _, dies := range []string{"the proxy beside the backend", "the proxy that forwarded it"} {
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
 			mesh := newServingMeshWithSeed(t, seed, servingOn)
 			caller := mesh.proxyNames[0]
@@ -22,21 +22,21 @@
 				t.Fatalf("seed %d: %v", seed, fault)
 			}
 			victim := caller
-			for _, one := range mesh.backends {
-				if one.instance == first.Instance && dies == "the carrier beside the backend" {
-					victim = one.proxy
+			for _, backend := range mesh.backends {
+				if backend.instance == first.Instance && dies == "the proxy beside the backend" {
+					victim = backend.proxy
 				}
 			}
-			if victim == caller && dies == "the carrier beside the backend" {
-				continue // both are one
+			if victim == caller && dies == "the proxy beside the backend" {
+				continue // it is the same proxy
 			}
 			mesh.World.Kill(mesh.World.Node(victim))
 			mesh.World.Start(mesh.World.Node(victim))
-			mesh.World.Run(mesh.World.Now() + 5*monotonic.Second)
+			mesh.runFor(5 * monotonic.Second)
 			for _, again := range mesh.proxyNames {
-				answer, fault := mesh.forward(again, submission("again-"+again))
-				if fault != nil || string(answer.Body) != string(first.Body) {
-					t.Errorf("seed %d, after %s: %s got %v, %v", seed, dies, again, answer, fault)
+				response, fault := mesh.forward(again, submission("again-"+again))
+				if fault != nil || string(response.Body) != string(first.Body) {
+					t.Errorf("seed %d, after %s: %s got %v, %v", seed, dies, again, response, fault)
 				}
 			}
 			ran := 0
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -1,18 +1,17 @@
 package scenario
 
 import (
-	"encoding/json"
 	"fmt"
 	"testing"
 
 	"snowflow/internal/apierror"
 	"snowflow/internal/invariants"
 	"snowflow/internal/monotonic"
+	"snowflow/internal/proxy"
 	"snowflow/internal/proxy/request"
-	"snowflow/internal/simulation/world"
 )
 
-// routed is a desired state whose services have no paths, only routes.
+// desiredWithRoutes returns a desired state whose services have no paths, only routes.
 func desiredWithRoutes(variant int) []byte {
 	return []byte(fmt.Sprintf(`{"note":"variant %d","groups":[{"name":"field",
 "guard":{"windowCalls":30,"minimumCalls":8,"failureRate":0.5,"waitOpenMicros":2000000,"permittedHalfOpen":4,"probeTenureMicros":4000000},
@@ -24,8 +23,8 @@
 "split":[{"service":"forms","weight":3},{"service":"households","weight":%d}]}]}`, variant, variant%2))
 }
 
-// TestRoutes: a mesh that goes by routes alone, among failures, with requests that may run at most once and have no key. None may
-// be executed twice, none that was told not run may have been, and none held longer than its route's cutoff.
+// TestRoutes: a mesh with routes alone, among failures, serves requests that may run at most once and have no key. None may be executed
+// twice, none may be executed that was rejected as not run, and none may last longer than its route's deadline.
 func TestRoutes(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -33,16 +32,16 @@
 			var mesh *Mesh
 			singles := map[string]*invariants.Attempt{}
 			late, variant := 0, 0
-			losing := fault{"a backend loses its answers, another executes nothing", func(mesh *Mesh) {
-				for index, behavior := range []string{"losing", "not_executed"} {
+			losing := fault{"a backend loses its responses, another executes nothing", func(mesh *Mesh) {
+				for index, misbehavior := range []behavior{losing, notExecuting} {
 					if live := mesh.liveBackends("forms"); index < len(live) {
-						live[index].behavior = behavior
+						live[index].behavior = misbehavior
 						mesh.after(2*monotonic.Second, func() { live[index].behavior = "" })
 					}
 				}
 			}}
-			frozen := map[string]monotonic.Micros{} // until when, of each carrier that was: nobody can answer in time while frozen
-			freeze := fault{"freeze a carrier", func(mesh *Mesh) {
+			frozen := map[string]monotonic.Micros{} // the end of each proxy's last freeze: a frozen proxy cannot respond in time
+			freeze := fault{"freeze a proxy", func(mesh *Mesh) {
 				name, duration := pick(mesh, mesh.proxyNames), mesh.randomDuration(300*monotonic.Millisecond, 8*monotonic.Second)
 				frozen[name] = max(frozen[name], mesh.World.Now()+duration)
 				mesh.freezeNode(mesh.World.Node(name), duration)
@@ -50,35 +49,23 @@
 			change := fault{"apply the next variant", func(mesh *Mesh) {
 				variant++
 				content := desiredWithRoutes(variant)
-				mesh.External.Go(func() { mesh.applyDesired(content, true, 0, 20*monotonic.Second) })
+				mesh.startApply(content, 20*monotonic.Second)
 			}}
 			send := func(number int) {
 				caller := pick(mesh, mesh.proxyNames)
 				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
 				singles[attempt.ID] = attempt
 				mesh.History.RecordAttempt(attempt)
-				content, err := mesh.External.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
-					proxyProcess, began := mesh.proxies[caller], mesh.proxies[caller].Now()
-					answer, fault := proxyProcess.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: proxyProcess.LeaderClock()})
-					if proxyProcess.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
+				_, _ = mesh.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Fault, error) {
+					began := instance.Now()
+					response, fault := instance.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: instance.LeaderClock()})
+					if instance.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
 						late++
 					}
-					if fault != nil {
-						return json.Marshal(callerReply{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), Retry: fault.RetryAfter})
-					}
-					return json.Marshal(callerReply{Status: answer.Status, Version: answer.ConfigVersion, Echo: request.HeaderValue(answer.Headers, "Echo"), Complete: request.HeaderValue(answer.Headers, "Sum") == checksum(answer.Body), Sum: checksum(answer.Body)})
+					return response, fault, nil
 				})
-				attempt.Ended = mesh.World.Now()
-				if err != nil {
-					attempt.Transport = "lost"
-					return
-				}
-				var reply callerReply
-				_ = json.Unmarshal(content, &reply)
-				attempt.Status, attempt.Version, attempt.Echo, attempt.Complete, attempt.Sum = int(reply.Status), reply.Version, reply.Echo, reply.Complete, reply.Sum
-				attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = reply.Mesh, int(reply.Cause), reply.NotRun, reply.Retry > 0
 			}
-			result := Run(Scenario{Name: "routes", Sizes: smallTopology, Duration: 60 * monotonic.Second, Rate: 20, FaultInterval: 2 * monotonic.Second, DesiredState: desiredWithRoutes,
+			result := Run(Scenario{Name: "routes", Topology: smallTopology, Duration: 60 * monotonic.Second, Rate: 20, FaultInterval: 2 * monotonic.Second, DesiredState: desiredWithRoutes,
 				Rules: []int{1, 2, 3, 5, 8}, InitialFaults: []fault{change, losing, misbehaveBackend, killProxy},
 				Faults: []fault{change, change, misbehaveBackend, killProxy, freeze, partitionProxies, replaceBackend, killPrimary, failService},
 				Prepare: func(built *Mesh) {
@@ -116,25 +103,25 @@
 					t.Errorf("%s was executed %d times", id, executed[id])
 				}
 				if attempt.Mesh && attempt.NotRun && executed[id] > 0 {
-					t.Errorf("%s was told not run by cause %d, and was executed", id, attempt.Cause)
+					t.Errorf("%s was rejected as not run by cause %d, and was executed", id, attempt.Cause)
 				}
 				switch {
 				case attempt.Transport != "":
-					counts["carrier lost"]++
+					counts["proxy lost"]++
 				case !attempt.Mesh:
-					counts["answered"]++
+					counts["served"]++
 				case attempt.NotRun:
 					counts["not run"]++
 				default:
 					counts["may have run"]++
 				}
 				if attempt.Cause == int(apierror.MissingKey) || attempt.Cause == int(apierror.UnknownPath) {
-					t.Errorf("%s was refused with cause %d", id, attempt.Cause)
+					t.Errorf("%s was rejected with cause %d", id, attempt.Cause)
 				}
 			}
-			t.Logf("%d singles: %v; runs by service %v, %d of them at a further try", len(singles), counts, services, again)
-			if counts["answered"] < 500 || counts["may have run"] == 0 || again == 0 || services["forms"] == 0 || services["households"] == 0 || late > 0 {
-				t.Errorf("%v, %d further tries, services %v, %d late", counts, again, services, late)
+			t.Logf("%d single-attempt requests: %v; runs by service %v, %d of them at a retry", len(singles), counts, services, again)
+			if counts["served"] < 500 || counts["may have run"] == 0 || again == 0 || services["forms"] == 0 || services["households"] == 0 || late > 0 {
+				t.Errorf("%v, %d retries, services %v, %d late", counts, again, services, late)
 			}
 		})
 	}
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -17,7 +17,7 @@
 
 var servingOn = configstore.Timeouts{ServeStale: true, LongPoll: 2 * monotonic.Second}
 
-// started makes a small mesh that has adopted a first desired state, under version 10.
+// newServingMesh returns a small mesh whose proxies have adopted a first desired state under version 10.
 func newServingMesh(t *testing.T, bounds configstore.Timeouts) *Mesh {
 	t.Helper()
 	return newServingMeshWithSeed(t, 3, bounds)
@@ -26,18 +26,18 @@
 func newServingMeshWithSeed(t *testing.T, seed uint64, bounds configstore.Timeouts) *Mesh {
 	t.Helper()
 	topology := smallTopology
-	topology.Bounds = bounds
+	topology.Timeouts = bounds
 	mesh := Build(seed, topology, Defects{})
 	t.Cleanup(mesh.World.Close)
-	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+	mesh.runFor(3 * monotonic.Second)
 	if response, _, err := mesh.applyVersion(10, 20*monotonic.Second); err != nil || response.Outcome != versions.Accepted || response.Version != 10 {
 		t.Fatalf("%v %v", response, err)
 	}
-	mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
+	mesh.runFor(8 * monotonic.Second)
 	return mesh
 }
 
-// raise applies a state under a version through a door's store, and tells how long that took.
+// applyVersion applies a state under a version through the operators' API, and returns how long that took.
 func (m *Mesh) applyVersion(version uint64, timeout monotonic.Micros) (response *wire.ConfigApplyResponse, took monotonic.Micros, err error) {
 	began, done := m.World.Now(), false
 	m.External.Go(func() {
@@ -45,16 +45,16 @@
 		took, done = m.World.Now()-began, true
 	})
 	for limit := began + timeout + monotonic.Minute; !done && m.World.Now() < limit; {
-		m.World.Run(m.World.Now() + 10*monotonic.Millisecond)
+		m.runFor(10 * monotonic.Millisecond)
 	}
 	if !done {
-		err = errors.New("it took no end")
+		err = errors.New("the call did not end")
 	}
 	return response, took, err
 }
 
-// TestServeOnAcknowledgement: where carriers serve on, a dead one delays an apply by about Wait, not by its lease, and only until
-// its lease has ended; one that comes again isn't delayed at all.
+// TestServeOnAcknowledgement: if proxies serve on without a lease, a dead one delays an apply by about the wait, not by its lease, and
+// only until the lease has expired. A version that has been waited for is not delayed again.
 func TestServeOnAcknowledgement(t *testing.T) {
 	t.Parallel()
 	mesh := newServingMesh(t, servingOn)
@@ -75,20 +75,20 @@
 	raise("an older one again", 25, 30, 0, wait/4, false)
 	raise("one dead, the next", 31, 31, wait, wait+wait/4, false)
 	mesh.World.Start(mesh.World.Node(mesh.proxyNames[2]))
-	mesh.World.Run(mesh.World.Now() + 2*monotonic.Second)
-	raise("it's back in another life", 35, 35, 0, wait/4, true)
+	mesh.runFor(2 * monotonic.Second)
+	raise("it is back in another incarnation", 35, 35, 0, wait/4, true)
 	mesh.World.Kill(mesh.World.Node(mesh.proxyNames[2]))
-	mesh.World.Run(mesh.World.Now() + configstore.DefaultLease + servingOn.LongPoll) // a poll that it left behind is answered, and counts, when its hold ends
+	mesh.runFor(configstore.DefaultLease + servingOn.LongPoll) // a long poll that it left behind counts until it is answered
 	raise("one long dead", 40, 40, 0, wait/4, true)
-	mesh.World.Kill(mesh.primary("postmaster"))
+	mesh.World.Kill(mesh.primary(configstore.Group))
 	raise("the primary just dead", 50, 50, 0, 8*monotonic.Second, false)
 	raise("a new primary", 51, 51, 0, wait+wait/4, false)
-	mesh.World.Run(mesh.World.Now() + configstore.DefaultLease)
+	mesh.runFor(configstore.DefaultLease)
 	raise("a primary of some time", 60, 60, 0, wait/4, true)
 }
 
-// TestLeasedAcknowledgement: where they don't, the lease is waited for, also by an older version, and a door's store that has no
-// time for that says that it doesn't know.
+// TestLeasedAcknowledgement: if proxies need a lease, an apply waits until the dead one's has expired, also that of an older version. An
+// operator's call that times out before returns an unknown outcome.
 func TestLeasedAcknowledgement(t *testing.T) {
 	t.Parallel()
 	mesh := newServingMesh(t, configstore.Timeouts{Lease: 5 * monotonic.Second, LeaseSlack: monotonic.Second})
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestStoreDistinguishesRejectedAndUnknown: without a primary within reach nothing is sent, and that is certain.
+// TestStoreDistinguishesRejectedAndUnknown: if no primary can be reached, the write has certainly not been accepted.
 func TestStoreDistinguishesRejectedAndUnknown(t *testing.T) {
 	t.Parallel()
 	mesh := newServingMesh(t, servingOn)
@@ -115,10 +115,10 @@
 		})
 		began := mesh.World.Now()
 		for !done && mesh.World.Now() < began+timeout+monotonic.Second {
-			mesh.World.Run(mesh.World.Now() + 10*monotonic.Millisecond)
+			mesh.runFor(10 * monotonic.Millisecond)
 		}
 		if !done {
-			t.Errorf("a read took more than its patience")
+			t.Errorf("a read exceeded its timeout")
 		}
 		return stored, err
 	}
@@ -140,7 +140,7 @@
 	if stored, err := read(2 * monotonic.Second); err != nil || stored.Version != 10 {
 		t.Errorf("%v %v", stored, err)
 	}
-	// A content with faults is refused under any version.
+	// An invalid content is rejected under any version.
 	done := false
 	mesh.External.Go(func() {
 		response, err := api.NewStore(mesh.External, mesh.resolver).Apply(2*monotonic.Second, &wire.ConfigApplyRequest{Content: []byte(`{"groups":[]}`), Version: 3})
@@ -149,35 +149,35 @@
 		}
 		done = true
 	})
-	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+	mesh.runFor(3 * monotonic.Second)
 	if !done {
-		t.Error("no answer to an invalid content")
+		t.Error("no response to an invalid content")
 	}
 }
 
-// carry has a carrier carry a request without a key.
-func (m *Mesh) forward(caller string, req *request.Request) (answer *request.Response, fault error) {
+// forward sends a request through a proxy and returns its response.
+func (m *Mesh) forward(caller string, req *request.Request) (response *request.Response, fault error) {
 	done := false
 	m.External.Go(func() {
 		_, err := m.External.Transact(m.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 			req.ReadAt = m.proxies[caller].LeaderClock()
-			given, refused := m.proxies[caller].Forwarder.Forward(req)
-			if refused != nil {
-				return nil, refused
+			given, rejected := m.proxies[caller].Forwarder.Forward(req)
+			if rejected != nil {
+				return nil, rejected
 			}
-			answer = given
+			response = given
 			return nil, nil
 		})
 		fault, done = err, true
 	})
 	for !done {
-		m.World.Run(m.World.Now() + monotonic.Millisecond)
+		m.runFor(monotonic.Millisecond)
 	}
-	return answer, fault
+	return response, fault
 }
 
-// TestServeOnDuringPartition: a carrier that is cut off from the core serves on past its lease, by the state it has, and passes go both
-// ways between it and those that have a newer one, also for a service that the other side doesn't know. Otherwise it refuses.
+// TestServeOnDuringPartition: a proxy that is cut off from the core serves on beyond its lease by the state that it has, and forwards to
+// proxies with a newer state and accepts requests from them. If leases are required it rejects requests.
 func TestServeOnDuringPartition(t *testing.T) {
 	for name, bounds := range map[string]configstore.Timeouts{"serving on": servingOn, "by leases": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -187,30 +187,30 @@
 			for _, core := range mesh.coreMachines {
 				mesh.partitionFor(cut, core, true, 20*monotonic.Second)
 			}
-			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
+			mesh.runFor(8 * monotonic.Second)
 			if _, _, err := mesh.applyVersion(20, 10*monotonic.Second); err != nil {
 				t.Fatal(err)
 			}
 			if version, _ := mesh.proxies[cut].ConfigClient.Version(); version != 10 {
-				t.Fatalf("%s has serial %d", cut, version)
+				t.Fatalf("%s has version %d", cut, version)
 			}
 			served := map[string]int{}
 			for number := range 20 {
 				for _, caller := range []string{cut, mesh.proxyNames[1]} {
-					answer, err := mesh.forward(caller, &request.Request{ID: fmt.Sprintf("form-%s-%d", caller, number), Method: "GET", Target: fmt.Sprintf("/forms/%d", number)})
-					if err == nil && answer.Status == 200 {
+					response, err := mesh.forward(caller, &request.Request{ID: fmt.Sprintf("form-%s-%d", caller, number), Method: "GET", Target: fmt.Sprintf("/forms/%d", number)})
+					if err == nil && response.Status == 200 {
 						served[caller]++
 					}
 				}
 			}
 			t.Logf("served %v", served)
-			wanted := map[bool]int{true: 20, false: 0}[bounds.ServeStale]
-			if served[cut] != wanted || served[mesh.proxyNames[1]] != 20 {
+			expected := map[bool]int{true: 20, false: 0}[bounds.ServeStale]
+			if served[cut] != expected || served[mesh.proxyNames[1]] != 20 {
 				t.Errorf("served %v", served)
 			}
-			mesh.World.Run(mesh.World.Now() + 20*monotonic.Second)
+			mesh.runFor(20 * monotonic.Second)
 			if version, _ := mesh.proxies[cut].ConfigClient.Version(); version != 20 {
-				t.Errorf("%s has serial %d after its return", cut, version)
+				t.Errorf("%s has version %d after its return", cut, version)
 			}
 			if _, live := mesh.proxies[cut].ConfigClient.Current(); !live {
 				t.Error("no live view after its return")
@@ -219,7 +219,8 @@
 	}
 }
 
-// TestUnlistedServices: where carriers serve on, a pass for a service that this side's view doesn't have is judged by the default.
+// TestUnlistedServices: if proxies serve on, a forwarded request for a service that the receiver's snapshot lacks is subject to the
+// defaults.
 func TestUnlistedServices(t *testing.T) {
 	service := config.DefaultService("gone")
 	if service.Name != "gone" || service.Limits.GetInFlightPerBackend() != 64 || service.Limits.GetCutoffMicros() != int64(5*monotonic.Second) {
@@ -227,43 +228,43 @@
 	}
 }
 
-// TestServeOnWithoutPrimary: where carriers serve on, one that starts anew while no primary can be had begins with what a named copy
-// holds whose process sees a majority; by leases it waits for a primary. A copy that the register no longer names, or whose process is cut off with a
-// minority, is nobody's source: others may have gone on without it.
+// TestServeOnWithoutPrimary: if proxies serve on, one that starts while there is no primary begins with what a current replica holds
+// whose process reaches a majority. With leases it waits for a primary. A replica that is no longer a member, or reaches only a
+// minority, is no source: others may have gone on without it.
 func TestServeOnWithoutPrimary(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		bounds   configstore.Timeouts
 		majority bool
-		wanted   uint64
+		expected uint64
 	}{
-		"serving on, a majority is left":     {servingOn, true, 10},
-		"serving on, one copy alone is left": {servingOn, false, 0},
-		"by leases, a majority is left":      {configstore.Timeouts{}, true, 0},
-		"by leases, one copy alone is left":  {configstore.Timeouts{}, false, 0},
+		"serving on, a majority is left":        {servingOn, true, 10},
+		"serving on, one replica alone is left": {servingOn, false, 0},
+		"by leases, a majority is left":         {configstore.Timeouts{}, true, 0},
+		"by leases, one replica alone is left":  {configstore.Timeouts{}, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			mesh := newServingMesh(t, one.bounds)
+			mesh := newServingMesh(t, test.bounds)
 			primary := mesh.primary(configstore.Group)
 			left := mesh.configStores[primary.Name].Member.Backups()[0]
 			for _, node := range mesh.World.Nodes() {
 				switch {
 				case mesh.configStores[node.Name] == nil:
-				case node == primary || node.Name != left && !one.majority:
+				case node == primary || node.Name != left && !test.majority:
 					mesh.World.Kill(node)
 				default:
-					node.Disk.SyncDelay = 5 * monotonic.Second // so that no ballot comes to an end
+					node.Disk.SyncDelay = 5 * monotonic.Second // so that no proposal completes
 				}
 			}
 			node := mesh.World.Node(mesh.proxyNames[0])
 			mesh.World.Kill(node)
-			mesh.World.Run(mesh.World.Now() + monotonic.Second)
+			mesh.runFor(monotonic.Second)
 			mesh.World.Start(node)
-			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+			mesh.runFor(3 * monotonic.Second)
 			if mesh.primary(configstore.Group) != nil {
-				t.Error("there is a primary, so nothing was shown")
+				t.Error("there is a primary, so the test shows nothing")
 			}
-			if version, _ := mesh.proxies[mesh.proxyNames[0]].ConfigClient.Version(); version != one.wanted {
-				t.Errorf("with %s left it has serial %d", left, version)
+			if version, _ := mesh.proxies[mesh.proxyNames[0]].ConfigClient.Version(); version != test.expected {
+				t.Errorf("with %s left it has version %d", left, version)
 			}
 		})
 	}
--- a/internal/simulation/scenario/singleton_test.go
+++ b/internal/simulation/scenario/singleton_test.go
@@ -10,20 +10,20 @@
 	"snowflow/internal/simulation/world"
 )
 
-// belief is a span in which a doer thinks that a duty is its own.
+// ownershipBelief is a period in which a backend believes that it owns a singleton role.
 type ownershipBelief struct {
 	holder      string
 	from, until monotonic.Micros
 }
 
-// work has a backend ask for a duty again and again, and note what it believes, counted as docs/interfaces.md says: from
-// before it asked.
-func (m *Mesh) requestDuty(one *simulatedBackend, note func(ownershipBelief)) {
-	for m.serving && one.up {
+// requestDuty has a backend request a singleton role again and again, and calls note with each belief. A belief is counted as
+// docs/interfaces.md says: from before the request was sent.
+func (m *Mesh) requestDuty(backend *simulatedBackend, note func(ownershipBelief)) {
+	for m.serving && backend.up {
 		m.External.Sleep(500*monotonic.Millisecond + monotonic.Micros(m.World.Rand().Uint64N(uint64(monotonic.Second))))
 		requestedAt := m.World.Now()
-		content, err := m.External.Transact(m.World.Node(one.proxy).Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
-			grant, err := m.proxies[one.proxy].Singleton.Acquire("tally", one.instance, 3*monotonic.Second)
+		content, err := m.External.Transact(m.World.Node(backend.proxy).Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
+			grant, err := m.proxies[backend.proxy].Singleton.Acquire("tally", backend.instance, 3*monotonic.Second)
 			if err != nil {
 				return nil, err
 			}
@@ -33,21 +33,22 @@
 		if err != nil || json.Unmarshal(content, &grant) != nil || !grant.Granted || m.World.Now() >= requestedAt+grant.Remaining {
 			continue
 		}
-		note(ownershipBelief{holder: one.instance, from: m.World.Now(), until: requestedAt + grant.Remaining})
+		note(ownershipBelief{holder: backend.instance, from: m.World.Now(), until: requestedAt + grant.Remaining})
 		if m.World.Rand().IntN(6) == 0 {
-			// Now and then a doer hangs without a word, and others want its duty.
+			// Now and then an owner hangs without notice, and others want its role.
 			m.External.Sleep(4*monotonic.Second + monotonic.Micros(m.World.Rand().Uint64N(uint64(6*monotonic.Second))))
 		}
 	}
 }
 
-// duties plays a course in which all backends want one duty, and gives the doers' beliefs in the order of their start.
+// runDuties plays a scenario in which all backends want one singleton role, and returns their beliefs in the order of their start, and
+// the findings.
 func runDuties(name string, seed uint64, defects Defects) (beliefs []ownershipBelief, findings []string) {
 	scenario := Scenarios[name]
 	scenario.Prepare = func(mesh *Mesh) {
 		mesh.serving = true
-		for _, one := range mesh.backends {
-			mesh.External.Go(func() { mesh.requestDuty(one, func(fresh ownershipBelief) { beliefs = append(beliefs, fresh) }) })
+		for _, backend := range mesh.backends {
+			mesh.External.Go(func() { mesh.requestDuty(backend, func(fresh ownershipBelief) { beliefs = append(beliefs, fresh) }) })
 		}
 	}
 	for _, finding := range Run(scenario, seed, defects).Findings {
@@ -56,7 +57,7 @@
 	return beliefs, findings
 }
 
-// overlap gives two doers' beliefs that share a moment, or nothing.
+// overlappingHolders describes two backends' beliefs that overlap, or returns an empty text.
 func overlappingHolders(beliefs []ownershipBelief) string {
 	for index, one := range beliefs {
 		for _, other := range beliefs[index+1:] {
@@ -68,7 +69,7 @@
 	return ""
 }
 
-// TestDuties: a duty has one doer at a time, whoever fails.
+// TestDuties: a singleton role has one owner at a time, whatever fails.
 func TestDuties(t *testing.T) {
 	for _, name := range []string{"core", "everything"} {
 		for _, seed := range seeds(t, 1, 2) {
@@ -83,22 +84,22 @@
 					holders[one.holder] = true
 				}
 				if len(holders) < 2 {
-					t.Errorf("%d grants to %d doers", len(beliefs), len(holders))
+					t.Errorf("%d grants to %d owners", len(beliefs), len(holders))
 				}
 				if both := overlappingHolders(beliefs); both != "" {
 					t.Error(both)
 				}
-				t.Logf("%d grants to %d doers", len(beliefs), len(holders))
+				t.Logf("%d grants to %d owners", len(beliefs), len(holders))
 			})
 		}
 	}
-	t.Run("stubborn doers are seen", func(t *testing.T) {
+	t.Run("owners that ignore the end of their lease are detected", func(t *testing.T) {
 		t.Parallel()
 		for seed := uint64(1); seed <= 12; seed++ {
 			if beliefs, _ := runDuties("core", seed, Defects{IgnoreDutyExpiry: true}); overlappingHolders(beliefs) != "" {
 				return
 			}
 		}
-		t.Error("doers that went on past their tenure were not noticed in 12 seeds")
+		t.Error("owners that went on beyond their lease were not detected in 12 seeds")
 	})
 }
--- a/internal/simulation/scenario/stale_config_test.go
+++ b/internal/simulation/scenario/stale_config_test.go
@@ -3,27 +3,29 @@
 import (
 	"testing"
 
+	"snowflow/internal/configstore"
 	"snowflow/internal/configstore/versions"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/simulation/world"
 )
 
-// late is by how much a carrier serves by an older version than was acknowledged, where carriers serve on: from the acknowledgement, and
-// from the moment from which it could reach the core's machines again. Zero: not at all.
+// staleness is how long a proxy serves by an older version than was acknowledged: since the acknowledgement, and since it could reach
+// the core's machines again. Zero means not at all.
 type staleness struct{ acknowledged, afterReturn monotonic.Micros }
 
-// isolatedProxy has a carrier miss a version because it's cut off from the core, and come back. also happens at that moment.
+// isolatedProxy lets a proxy miss a version because it is cut off from the core, and come back. also, unless nil, is called at its
+// return.
 func isolatedProxy(t *testing.T, seed uint64, outage monotonic.Micros, also func(mesh *Mesh)) staleness {
 	t.Helper()
 	topology := smallTopology
-	topology.Bounds = servingOn
+	topology.Timeouts = servingOn
 	mesh := Build(seed, topology, Defects{})
 	defer mesh.World.Close()
-	mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+	mesh.runFor(3 * monotonic.Second)
 	if response, _, err := mesh.applyVersion(10, 20*monotonic.Second); err != nil || response.Outcome != versions.Accepted {
 		t.Fatalf("seed %d: %v %v", seed, response, err)
 	}
-	mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
+	mesh.runFor(8 * monotonic.Second)
 	victim := mesh.proxyNames[1]
 	var acknowledged, returnedAt, adopted monotonic.Micros
 	for _, core := range mesh.coreMachines {
@@ -40,61 +42,61 @@
 	}
 	acknowledged = mesh.World.Now()
 	for limit := mesh.World.Now() + 2*monotonic.Minute; adopted == 0 && mesh.World.Now() < limit; {
-		mesh.World.Run(mesh.World.Now() + monotonic.Millisecond)
+		mesh.runFor(monotonic.Millisecond)
 		if view, live := mesh.proxies[victim].ConfigClient.Current(); !live {
-			t.Fatalf("seed %d: it doesn't serve on", seed)
+			t.Fatalf("seed %d: it does not serve on", seed)
 		} else if view.Version == 11 {
 			adopted = mesh.World.Now()
 		}
 	}
 	if adopted == 0 || returnedAt == 0 {
-		t.Fatalf("seed %d: never taken up", seed)
+		t.Fatalf("seed %d: never adopted", seed)
 	}
 	return staleness{max(0, adopted-acknowledged), max(0, adopted-returnedAt)}
 }
 
-// TestStalenessIsBounded: where carriers serve on, one that is cut off serves by what it has for as long as it's cut off, and then until its
-// next poll reaches a primary: at once where there is one, and after the failover where that has just died.
+// TestStalenessIsBounded: if proxies serve on, one that is cut off serves by the version that it has until its first poll after its
+// return reaches a primary: at once if there is one, or after the failover if it has just died.
 func TestStalenessIsBounded(t *testing.T) {
 	t.Parallel()
 	const outage = 4 * monotonic.Second
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		also func(mesh *Mesh)
-		most monotonic.Micros // from its return
+		most monotonic.Micros // since its return
 	}{
 		"the primary lives": {nil, monotonic.Second},
 		"the primary dies at its return": {func(mesh *Mesh) {
-			mesh.restartAfter([]*world.Node{mesh.primary("postmaster")}, 20*monotonic.Second, mesh.World.Kill)
+			mesh.restartAfter([]*world.Node{mesh.primary(configstore.Group)}, 20*monotonic.Second, mesh.World.Kill)
 		}, 2500 * monotonic.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			highest := staleness{}
 			for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12) {
-				found := isolatedProxy(t, seed, outage, one.also)
+				found := isolatedProxy(t, seed, outage, test.also)
 				highest = staleness{max(highest.acknowledged, found.acknowledged), max(highest.afterReturn, found.afterReturn)}
-				if found.afterReturn > one.most {
-					t.Errorf("seed %d: taken up %d microseconds after its return", seed, found.afterReturn)
+				if found.afterReturn > test.most {
+					t.Errorf("seed %d: adopted %d microseconds after its return", seed, found.afterReturn)
 				}
 				if found.acknowledged <= 2*monotonic.Second {
-					t.Errorf("seed %d: it was in time, so nothing was shown", seed)
+					t.Errorf("seed %d: it was in time, so the test shows nothing", seed)
 				}
 			}
-			t.Logf("at worst taken up %d microseconds after the acknowledgement, %d after its return", highest.acknowledged, highest.afterReturn)
+			t.Logf("at worst adopted %d microseconds after the acknowledgement, %d after its return", highest.acknowledged, highest.afterReturn)
 		})
 	}
 }
 
-// TestStaleReplicaIsNotServed: a carrier starts again while the primary can be reached, and beside it a postmaster that has only just come back with
-// an old copy. The carrier serves by no older version than the primary has.
+// TestStaleReplicaIsNotServed: a proxy restarts while the primary can be reached and a configuration store process has only just come
+// back with an old replica. The proxy serves by no older version than the primary has.
 func TestStaleReplicaIsNotServed(t *testing.T) {
 	t.Parallel()
 	older := 0
 	for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8) {
 		topology := smallTopology
-		topology.Bounds = servingOn
+		topology.Timeouts = servingOn
 		mesh := Build(seed, topology, Defects{})
-		mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+		mesh.runFor(3 * monotonic.Second)
 		raise := func(version uint64) {
 			t.Helper()
 			if response, _, err := mesh.applyVersion(version, 20*monotonic.Second); err != nil || response.Outcome != versions.Accepted {
@@ -102,8 +104,8 @@
 			}
 		}
 		raise(10)
-		mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
-		primary := mesh.primary("postmaster")
+		mesh.runFor(8 * monotonic.Second)
+		primary := mesh.primary(configstore.Group)
 		for turn, name := range []string{"carrier-1", "carrier-2", "carrier-3", "carrier-4"} {
 			for _, stale := range []string{"postmaster-1", "postmaster-2", "postmaster-3"} {
 				if stale != primary.Name {
@@ -111,9 +113,9 @@
 					break
 				}
 			}
-			mesh.World.Run(mesh.World.Now() + 8*monotonic.Second)
+			mesh.runFor(8 * monotonic.Second)
 			raise(uint64(20 + 10*turn))
-			mesh.World.Run(mesh.World.Now() + 3*monotonic.Second)
+			mesh.runFor(3 * monotonic.Second)
 			mesh.World.Kill(mesh.World.Node(name))
 			for _, node := range mesh.World.Nodes() {
 				if !node.Up() {
@@ -121,14 +123,14 @@
 				}
 			}
 			for until := mesh.World.Now() + 3*monotonic.Second; mesh.World.Now() < until; {
-				mesh.World.Run(mesh.World.Now() + 5*monotonic.Millisecond)
+				mesh.runFor(5 * monotonic.Millisecond)
 				if view, live := mesh.proxies[name].ConfigClient.Current(); live && view.Version < uint64(20+10*turn) {
 					older++
 					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, view.Version, 20+10*turn)
 					break
 				}
 			}
-			primary = mesh.primary("postmaster")
+			primary = mesh.primary(configstore.Group)
 			if primary == nil {
 				t.Fatalf("seed %d: nobody leads", seed)
 			}
--- a/internal/simulation/world/node.go
+++ b/internal/simulation/world/node.go
@@ -16,8 +16,8 @@
 	driftDivisor = 5000
 	// minBootClock is the least clock that a process starts with: as on a real machine, well above zero.
 	minBootClock = monotonic.Minute
-	// laterBootClock is what a clock below that is moved to.
-	laterBootClock = 60 * monotonic.Minute
+	// adjustedBootClock is what a clock below that is set to.
+	adjustedBootClock = 60 * monotonic.Minute
 	// maxSyncJitter bounds what is added to each wait for the disk.
 	maxSyncJitter = 500
 )
@@ -88,7 +88,7 @@
 	node.incarnation++
 	node.up, node.frozenUntil, node.handlers = true, 0, nil
 	if now := node.now(); now < minBootClock {
-		node.clockOffset += laterBootClock - now
+		node.clockOffset += adjustedBootClock - now
 	}
 	h := &Host{node: node, incarnation: node.incarnation}
 	w.spawn(node, func() {
