--- a/internal/simulation/scenario/proxies.go
+++ b/internal/simulation/scenario/proxies.go
@@ -33,14 +33,14 @@
 		resolver.Register(handlers)
 		h.Go(func() { resolver.Run(monotonic.Second) })
 		instance := proxy.New(proxy.Options{
-			Host:     h,
-			Resolver: resolver,
-			Name:     name,
-			Domain:   fmt.Sprintf("zone-%d", index%m.topology.Zones+1),
-			Address:  address,
-			Upstream: &simulatedUpstream{mesh: m, host: h},
-			ServeStale:  m.topology.Timeouts.ServeStale,
-			Linger:   m.topology.DrainLinger,
+			Host:       h,
+			Resolver:   resolver,
+			Name:       name,
+			Domain:     fmt.Sprintf("zone-%d", index%m.topology.Zones+1),
+			Address:    address,
+			Upstream:   &simulatedUpstream{mesh: m, host: h},
+			ServeStale: m.topology.Timeouts.ServeStale,
+			Linger:     m.topology.DrainLinger,
 		})
 		m.defects.applyTo(instance)
 		instance.Register(handlers)
