--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -18,7 +18,7 @@
 // which are taken last. It reports whether this member serves.
 func (m *Member) establishBackups(failed []*wire.MemberID) bool {
 	m.mu.Lock()
-	state, known := m.leadership, m.register
+	state, known := m.leadership, m.register.value
 	m.mu.Unlock()
 	if state.epoch == 0 {
 		return false
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -66,7 +66,7 @@
 //
 // Each line follows one operation through the code; "=>" is a message to another process.
 //
-//	write        Member.Propose, runCommits, commit, replicate => handleReplicate, replicateHere; wait, applyPending, completeBatch
+//	write        Member.Propose, runCommits, commit, replicate => handleReplicate, storeEntries; wait, applyPending, completeBatch
 //	lease        renewLease, requestLease => handleLease, consensus.Voter.GrantLease, saveRecord, ConfirmLease
 //	failover     runElections, considerCampaign, campaign, changeRegister => handlePrepare, handleAccept; beginLeadership, then as below
 //	backups      establishBackups, installBackups, bringIntoStep => handleInstall; proposeBackups, startServing
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -45,8 +45,8 @@
 		return maxPollInterval
 	}
 	m.mu.Lock()
-	leading, coldStart := m.leadership.epoch != 0, m.coldStart
-	silence := m.host.Now() - m.lastLeaderContact
+	leading, coldStart := m.leadership.epoch != 0, m.contact.coldStart
+	silence := m.contact.silence(m.host.Now())
 	m.mu.Unlock()
 	switch {
 	case leading:
@@ -112,8 +112,8 @@
 func (m *Member) idleTime() monotonic.Micros {
 	lease := m.config.LeaseDuration
 	m.mu.Lock()
-	leading, coldStart := m.leadership.epoch != 0, m.coldStart && m.register != nil
-	silence := m.host.Now() - m.lastLeaderContact
+	leading, coldStart := m.leadership.epoch != 0, m.contact.coldStart && m.register.value != nil
+	silence := m.contact.silence(m.host.Now())
 	m.mu.Unlock()
 	joined, leaseRemaining := false, monotonic.Micros(0)
 	self := m.self()
@@ -167,7 +167,7 @@
 			m.observeRegister(proposal, value)
 		}
 		m.mu.Lock()
-		m.lastLeaderContact = m.host.Now() - m.config.LeaseDuration + m.jitter(m.config.maxCampaignJitter())
+		m.contact.last = m.host.Now() - m.config.LeaseDuration + m.jitter(m.config.maxCampaignJitter())
 		m.mu.Unlock()
 		return
 	}
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -33,7 +33,7 @@
 		_ = m.call(successor, wire.Kind_handover, request, &wire.HandoverResponse{})
 	}
 	m.mu.Lock()
-	m.lastLeaderContact = m.host.Now() + m.config.successorGrace() // the successor goes first
+	m.contact.last = m.host.Now() + m.config.successorGrace() // the successor goes first
 	m.mu.Unlock()
 }
 
@@ -43,7 +43,7 @@
 		m.config.OnHandover(request.Epoch, request.Content)
 	}
 	m.mu.Lock()
-	m.lastLeaderContact, m.coldStart = longAgo, false
+	m.contact.expire()
 	now := m.host.Now()
 	if request.LeavingMember != "" {
 		m.leaving[request.LeavingMember] = now
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -123,7 +123,7 @@
 	mayVote := current.Contains(request.Name) || m.configOf(m.leadership.register).Contains(request.Name)
 	proposed := !request.HasRegister && m.proposedVoters[request.Name]
 	if !serving || mayVote || proposed {
-		return &wire.JoinResponse{Proposal: m.registerProposal, Value: m.register}, nil
+		return &wire.JoinResponse{Proposal: m.register.acceptedProposal, Value: m.register.value}, nil
 	}
 	m.standbys[request.Name] = standby{lastContact: m.host.Now(), hasRegister: request.HasRegister}
 	return &wire.JoinResponse{Accepted: true, Proposal: m.leadership.proposal, Value: m.leadership.register}, nil
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -81,7 +81,7 @@
 	leading := epoch != 0 && m.leadership.epoch == epoch
 	if leading {
 		m.leadership = leadership{}
-		m.lastLeaderContact = m.host.Now()
+		m.contact.last = m.host.Now()
 	}
 	m.mu.Unlock()
 	if leading {
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -42,16 +42,10 @@
 
 	// mu guards the fields below. It is never held while waiting.
 	mu sync.Mutex
-	// highestProposal is the highest proposal number seen.
-	highestProposal uint64
-	// register is the newest value seen, which was accepted under registerProposal, perhaps by a minority only.
-	register         *wire.RegisterValue
-	registerProposal uint64
-	leadership       leadership
-	// lastLeaderContact is when this process last had a sign of a live primary. coldStart is set until the first such sign, or until it
-	// campaigns.
-	lastLeaderContact monotonic.Micros
-	coldStart         bool
+	// register is what has been seen of the group's register.
+	register   observedRegister
+	leadership leadership
+	contact    leaderContact
 	// peers is what is known of the other processes.
 	peers peerTable
 	// reportedMismatch is the last difference of initial voters that was reported.
@@ -102,7 +96,7 @@
 		storage:        files,
 		replica:        newReplica(h, files, config),
 		voter:          consensus.NewVoter(consensus.Options{InitialVoters: config.InitialVoters, LeaseDuration: config.LeaseDuration}),
-		coldStart:      true,
+		contact:        leaderContact{last: h.Now(), coldStart: true},
 		peers:          newPeerTable(),
 		standbys:       standbyTable{},
 		leaving:        leavingTable{},
@@ -116,7 +110,6 @@
 	m.replicaExecutor = host.NewExecutor(h)
 	m.proposalExecutor = host.NewExecutor(h)
 	m.writes, m.wakeup = host.NewQueue[*writeRequest](h), h.NewSignal()
-	m.lastLeaderContact = h.Now()
 	return m
 }
 
--- a/internal/replication/proposer.go
+++ b/internal/replication/proposer.go
@@ -187,8 +187,7 @@
 func (m *Member) nextProposalNumber() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.highestProposal = (m.highestProposal>>proposerBits+1)<<proposerBits | m.proposerID()
-	return m.highestProposal
+	return m.register.nextProposal(m.proposerID())
 }
 
 // proposerID returns this member's rank among the initial voters, or else an ID derived from its name.
@@ -203,7 +202,7 @@
 func (m *Member) observeProposal(proposal uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.highestProposal = max(m.highestProposal, proposal)
+	m.register.observeProposal(proposal)
 }
 
 // leadsEpoch reports whether a register value has this member as the primary of an epoch.
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -12,21 +12,16 @@
 // observeRegister takes a register value and the proposal under which it was accepted, if it is the newest one seen. It is a
 // hint: the value may have been accepted by a minority only. A nil value is ignored.
 func (m *Member) observeRegister(proposal uint64, value *wire.RegisterValue) {
-	if value == nil {
-		return
-	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.register == nil || m.registerProposal < proposal {
-		m.register, m.registerProposal = value, proposal
-	}
+	m.register.observe(proposal, value)
 }
 
 // knownRegister returns the newest register value seen, nil if there is none.
 func (m *Member) knownRegister() *wire.RegisterValue {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.register
+	return m.register.value
 }
 
 // knownEpoch returns the epoch of the newest register value seen, zero if there is none.
@@ -41,7 +36,7 @@
 func (m *Member) knownConfig() (quorum.Config, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.configOf(m.register), m.registerProposal
+	return m.configOf(m.register.value), m.register.acceptedProposal
 }
 
 // Voters returns who votes in the group, as far as this member knows.
@@ -96,7 +91,7 @@
 // catchUpRegister reads the primary's register in the background if this member has missed its newest value.
 func (m *Member) catchUpRegister(primary string, known uint64) {
 	m.mu.Lock()
-	behind := m.registerProposal < known
+	behind := m.register.acceptedProposal < known
 	m.mu.Unlock()
 	if behind && primary != m.config.Name {
 		m.host.Go(func() {
@@ -117,14 +112,14 @@
 func (m *Member) recordLeaderContact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lastLeaderContact, m.coldStart = m.host.Now(), false
+	m.contact.record(m.host.Now())
 }
 
 // endColdStart records the first sign of a live primary, or that this member has campaigned.
 func (m *Member) endColdStart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.coldStart = false
+	m.contact.coldStart = false
 }
 
 // recordResponse records that a voter responded.
--- a/internal/replication/replica_handlers.go
+++ b/internal/replication/replica_handlers.go
@@ -6,15 +6,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-// This file is a backup's side of replication. The two handlers run the other methods on the replica executor.
+// This file is a backup's side of replication.
 
 // handleReplicate appends and applies a primary's entries. A request without entries is a heartbeat.
 func (m *Member) handleReplicate(request *wire.ReplicateRequest) (response *wire.ReplicateResponse, err error) {
-	m.replicaExecutor.Run(func() { response, err = m.replicateHere(request) })
+	m.replicaExecutor.Run(func() { response, err = m.storeEntries(request) })
 	return response, err
 }
 
-func (m *Member) replicateHere(request *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
+// storeEntries checks a request, stores its entries and accepts its leader clock. It runs on the replica executor.
+func (m *Member) storeEntries(request *wire.ReplicateRequest) (*wire.ReplicateResponse, error) {
 	response := &wire.ReplicateResponse{Incarnation: m.replica.incarnation.Load()}
 	if response.Reason = m.replicateRejection(request); response.Reason != "" {
 		return response, nil
@@ -59,11 +60,12 @@
 
 // handleInstall replaces this replica's state by the primary's snapshot, or adds the entries that it lacks.
 func (m *Member) handleInstall(request *wire.InstallSnapshotRequest) (response *wire.InstallSnapshotResponse, err error) {
-	m.replicaExecutor.Run(func() { response, err = m.installHere(request) })
+	m.replicaExecutor.Run(func() { response, err = m.storeInstalled(request) })
 	return response, err
 }
 
-func (m *Member) installHere(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
+// storeInstalled checks that the primary is current, and stores its snapshot or entries. It runs on the replica executor.
+func (m *Member) storeInstalled(request *wire.InstallSnapshotRequest) (*wire.InstallSnapshotResponse, error) {
 	r := m.replica
 	response := &wire.InstallSnapshotResponse{Incarnation: r.incarnation.Load()}
 	if request.Epoch < r.fenced || request.Epoch < m.knownEpoch() || request.Epoch < r.epoch {
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -71,7 +71,7 @@
 	if relief == noRelief && !ownSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
 		relief = preferTieBreaker
 	}
-	known, due := m.register, m.host.Now()-m.lastRelief >= reliefInterval
+	known, due := m.register.value, m.host.Now()-m.lastRelief >= reliefInterval
 	m.mu.Unlock()
 	if !due || relief == noRelief {
 		return
