--- a/internal/configstore/api/overview.go
+++ b/internal/configstore/api/overview.go
@@ -4,16 +4,16 @@
 	"encoding/json"
 
 	"snowflow/internal/configstore"
+	"snowflow/internal/discovery"
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 )
 
 const (
-	// registryGroup is the name of the registries' replication group; it's sent and stored.
-	registryGroup = "sorter"
-	// statusTimeout is how long one process may take to answer, and gatherTimeout all of a group.
+	// statusTimeout is how long one process may take to respond.
 	statusTimeout = 1500 * monotonic.Millisecond
+	// gatherTimeout is how long all processes of a group together may take to respond.
 	gatherTimeout = 2 * monotonic.Second
 )
 
@@ -36,7 +36,7 @@
 		Addresses:    h.resolver.Peers(),
 	}
 	h.gatherStatus(configstore.Group, wire.Kind_configstore_status, overview.ConfigStores, overview.Missing)
-	h.gatherStatus(registryGroup, wire.Kind_registry_status, overview.Registries, overview.Missing)
+	h.gatherStatus(discovery.RegistryGroup, wire.Kind_registry_status, overview.Registries, overview.Missing)
 	return overview
 }
 
--- a/internal/configstore/compression_test.go
+++ b/internal/configstore/compression_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestCompression checks that a long content is compressed once for all proxies that accept that and sent plain to others, and
-// that what is sent is the content of the version asked for.
+// that what is sent is the content of the requested version.
 func TestCompression(t *testing.T) {
 	cache := &compressionCache{}
 	for version, content := range map[uint64][]byte{3: contentWithRoutes("old"), 4: contentWithRoutes("new")} {
--- a/internal/configstore/options.go
+++ b/internal/configstore/options.go
@@ -10,9 +10,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Group is the name of the configuration stores' replication group. It's sent between processes and stored with their
-// addresses.
-const Group = "postmaster"
+// Group is the name of the configuration stores' replication group.
+const Group = discovery.ConfigStoreGroup
 
 // Options are the dependencies and settings of a Server.
 type Options struct {
--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -20,6 +20,13 @@
 	"snowflow/internal/wal"
 )
 
+// The names of the replication groups. They are sent between processes, stored with their addresses and in the register, and keep
+// former terms.
+const (
+	RegistryGroup    = "sorter"
+	ConfigStoreGroup = "postmaster"
+)
+
 // maxAddresses bounds the addresses that are stored of one name.
 const maxAddresses = 4
 
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestTargetsInTurn checks that Refresh asks its targets in turn and skips those that have not answered yet.
+// TestTargetsInTurn checks that Refresh sends requests to its targets in turn and skips those that have not responded yet.
 func TestTargetsInTurn(t *testing.T) {
 	resolver := New(nil, nil, []string{"a", "b"})
 	resolver.AddPeers([]*wire.PeerAddress{{Name: "one", Address: "c"}, {Name: "two", Address: "a"}})
--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -5,6 +5,7 @@
 
 	"snowflow/internal/config"
 	"snowflow/internal/config/changes"
+	"snowflow/internal/discovery"
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
@@ -155,7 +156,7 @@
 	c.mu.Lock()
 	c.released, c.leaseExpiry = true, 0
 	c.mu.Unlock()
-	leader := c.resolver.Leader(storeGroup)
+	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
 	if leader == "" {
 		return
 	}
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -12,9 +12,6 @@
 	"snowflow/internal/monotonic"
 )
 
-// storeGroup is the name of the configuration stores' replication group; it's sent and stored.
-const storeGroup = "postmaster"
-
 // unconfirmedTimeout is how long the client looks for a primary before the proxy serves from an unconfirmed version.
 const unconfirmedTimeout = 1500 * monotonic.Millisecond
 
--- a/internal/proxy/configclient/client_test.go
+++ b/internal/proxy/configclient/client_test.go
@@ -88,8 +88,8 @@
 	return &wire.ConfigPollResponse{Primary: true, Epoch: 1, Version: version, Content: contentOf(version), Lease: int64(lease), LongPoll: int64(longPoll)}
 }
 
-// TestLease checks that a proxy that loses contact serves until its lease ends, or with ServeStale for as long as it hears of no
-// newer version.
+// TestLease checks that a proxy that loses contact serves until its lease ends, or with ServeStale until it receives a newer
+// version.
 func TestLease(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -123,7 +123,7 @@
 	f.check("when the lease has ended", 5, false)
 }
 
-// TestRefusedDifference checks that a difference that doesn't apply changes nothing, and that the full content is asked for until the
+// TestRefusedDifference checks that a difference that doesn't apply changes nothing, and that the full content is requested until the
 // next adoption.
 func TestRefusedDifference(t *testing.T) {
 	f := newFixture(t, 1, false)
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -7,6 +7,7 @@
 	"io"
 
 	"snowflow/internal/config"
+	"snowflow/internal/discovery"
 	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
@@ -42,11 +43,7 @@
 // poll sends one poll and adopts the version in its response. First is set for the first poll after a failed one, whose response
 // doesn't wait for a newer version. It returns false if no primary has responded or the response can't be used.
 func (c *Client) poll(first bool) bool {
-	version, _ := c.Version()
-	current := version
-	if c.unconfirmedSince > 0 {
-		current = 0
-	}
+	current := c.confirmedVersion()
 	target := c.pollTarget(current)
 	if target == "" || first && current > 0 && !c.ping(target) {
 		c.resolver.Refresh()
@@ -65,15 +62,32 @@
 		return false
 	}
 	if !response.Primary {
-		if current == 0 && c.options.ServeStale && response.Version > version {
-			c.adopt(response, 0)
-		}
+		c.adoptUnconfirmed(response)
 		c.resolver.Refresh()
 		return false
 	}
 	return c.adopt(response, requestedAt+monotonic.Micros(response.Lease))
 }
 
+// confirmedVersion returns the adopted version, zero if there is none or it is unconfirmed: the primary then sends its own version.
+func (c *Client) confirmedVersion() uint64 {
+	if c.unconfirmedSince > 0 {
+		return 0
+	}
+	version, _ := c.Version()
+	return version
+}
+
+// adoptUnconfirmed adopts the version of a configuration store that isn't the primary, without a lease. It does so only with
+// ServeStale, if the version is newer than the adopted one and no version of a primary has been adopted.
+func (c *Client) adoptUnconfirmed(response *wire.ConfigPollResponse) {
+	version, _ := c.Version()
+	if c.options.ServeStale && c.confirmedVersion() == 0 && response.Version > version {
+		c.adopt(response, 0)
+	}
+}
+
+// pollRequest returns a poll that names the version to which the response is to be a difference, zero to get the full content.
 func (c *Client) pollRequest(current uint64, first bool) *wire.ConfigPollRequest {
 	request := &wire.ConfigPollRequest{
 		Proxy:             c.options.Proxy,
@@ -89,6 +103,7 @@
 	return request
 }
 
+// pollTimeout returns the timeout of a poll: the time for which the primary may leave it open, and the time of the transfer.
 func (c *Client) pollTimeout() monotonic.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +113,7 @@
 // pollTarget returns the configuration store to poll, empty if none is known. That is the primary. While the proxy has no version
 // of a primary and may serve stale, every second poll goes to the next of all configuration stores instead.
 func (c *Client) pollTarget(current uint64) string {
-	leader := c.resolver.Leader(storeGroup)
+	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
 	if current > 0 || !c.options.ServeStale {
 		return leader
 	}
@@ -106,7 +121,7 @@
 	if leader != "" && c.emptyPolls%2 == 1 {
 		return leader
 	}
-	if members := c.resolver.Members(storeGroup); len(members) > 0 {
+	if members := c.resolver.Members(discovery.ConfigStoreGroup); len(members) > 0 {
 		return members[c.emptyPolls/2%len(members)]
 	}
 	return leader
--- a/internal/registry/breakerstore/change_tracker_test.go
+++ b/internal/registry/breakerstore/change_tracker_test.go
@@ -54,7 +54,7 @@
 		for step := range 600 {
 			now += monotonic.Micros(random.IntN(8))
 			table := tables[leader]
-			service, proxy := fmt.Sprintf("service-%d", random.IntN(12)), fmt.Sprintf("carrier-%d", random.IntN(3))
+			service, proxy := fmt.Sprintf("service-%d", random.IntN(12)), fmt.Sprintf("proxy-%d", random.IntN(3))
 			switch random.IntN(8) {
 			case 0, 1:
 				version := uint64(1)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -13,8 +13,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Group is the name of the registries' replication group. It is stored in the register and sent in messages.
-const Group = "sorter"
+// Group is the name of the registries' replication group.
+const Group = discovery.RegistryGroup
 
 // Config configures a registry process.
 type Config struct {
