--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"strings"
 
-	"snowflow/internal/monotonic"
 	"snowflow/internal/resourcepath"
 	"snowflow/internal/settings"
 	"snowflow/internal/transport/wire"
@@ -23,7 +22,7 @@
 
 var methods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, anyMethod: true}
 
-// Validate returns everything that is wrong with a configuration.
+// Validate returns all errors of a configuration, nil if it is valid.
 func Validate(state *wire.DesiredState) []FieldError {
 	v := &validator{services: map[string]string{}, matches: map[string]string{}}
 	if len(state.Groups) == 0 {
@@ -46,10 +45,12 @@
 	matches map[string]string
 }
 
+// addf adds an error, whose message is formatted as by fmt.Sprintf.
 func (v *validator) addf(location, format string, arguments ...any) {
 	v.fieldErrors = append(v.fieldErrors, FieldError{Location: location, Message: fmt.Sprintf(format, arguments...)})
 }
 
+// checkGroups checks the groups with their services, and records the services' names for checkRoutes.
 func (v *validator) checkGroups(state *wire.DesiredState) {
 	groups := map[string]string{}
 	for index, group := range state.Groups {
@@ -78,7 +79,7 @@
 	}
 }
 
-// checkName checks the name of a group or service. Seen holds the locations of the names that came before.
+// checkName checks the name of a group or service. Seen has the locations of the names that were checked before it.
 func (v *validator) checkName(location, name string, seen map[string]string) {
 	if settings.CheckName(name) != nil {
 		v.addf(location+".name", "%q must be a lower-case letter, then up to 62 letters, digits or hyphens", name)
@@ -86,6 +87,7 @@
 	v.checkUnused(location, name, seen)
 }
 
+// checkUnused checks that a name isn't in seen, and adds it.
 func (v *validator) checkUnused(location, name string, seen map[string]string) {
 	if other, duplicate := seen[name]; duplicate {
 		v.addf(location+".name", "%q is already used at %s", name, other)
@@ -93,6 +95,7 @@
 	seen[name] = location
 }
 
+// checkRoutes checks the list of routes. The groups must have been checked before.
 func (v *validator) checkRoutes(routes []*wire.Route) {
 	names := map[string]string{}
 	for index, route := range routes {
@@ -106,12 +109,13 @@
 		}
 		v.checkMatch(location, route.Host, methodOf(route.Method), route.Prefix, route.Class)
 		v.checkSplit(location+".split", route.Split)
-		v.checkDuration(location+".cutoffMicros", route.CutoffMicros, 1, 10*monotonic.Minute)
-		v.checkDuration(location+".aimMicros", route.AimMicros, 1, 10*monotonic.Minute)
-		v.checkCount(location+".mostTries", route.MostTries, 1, 10)
+		v.checkDuration(location+".cutoffMicros", route.CutoffMicros, 1, maxRequestDuration)
+		v.checkDuration(location+".aimMicros", route.AimMicros, 1, maxRequestDuration)
+		v.checkCount(location+".mostTries", route.MostTries, 1, maxAttempts)
 	}
 }
 
+// checkSplit checks a route's split: the services must exist, and one weight at least must be above zero.
 func (v *validator) checkSplit(location string, split []*wire.Share) {
 	if len(split) == 0 {
 		v.addf(location, "at least one service is needed")
@@ -153,75 +157,3 @@
 	}
 	v.matches[key] = location
 }
-
-// checkPolicies checks the policies of a group or service, of which any may be nil.
-func (v *validator) checkPolicies(location string, breaker *wire.Breaker, retry *wire.Retry, limits *wire.Limits) {
-	if breaker != nil {
-		location := location + ".guard"
-		v.checkCount(location+".windowCalls", breaker.WindowCalls, 5, 10000)
-		v.checkCount(location+".minimumCalls", breaker.MinimumCalls, 1, 10000)
-		v.checkRatio(location+".failureRate", breaker.FailureRate, 0.01, 1)
-		v.checkRatio(location+".slowRate", breaker.SlowRate, 0.01, 1)
-		v.checkDuration(location+".slowMicros", breaker.SlowMicros, monotonic.Millisecond, 10*monotonic.Minute)
-		v.checkDuration(location+".waitOpenMicros", breaker.WaitOpenMicros, 100*monotonic.Millisecond, 2*monotonic.Minute)
-		v.checkCount(location+".permittedHalfOpen", breaker.PermittedHalfOpen, 1, 1000)
-		v.checkDuration(location+".probeTenureMicros", breaker.ProbeTenureMicros, 100*monotonic.Millisecond, 2*monotonic.Minute)
-	}
-	if retry != nil {
-		location := location + ".retry"
-		v.checkCount(location+".mostTries", retry.MostTries, 1, 10)
-		v.checkRatio(location+".budgetRatio", retry.BudgetRatio, 0, 0.2)
-		v.checkCount(location+".allowance", retry.Allowance, 0, 1000)
-		v.checkDuration(location+".backoffMicros", retry.BackoffMicros, 0, 10*monotonic.Second)
-	}
-	if limits != nil {
-		location := location + ".limits"
-		v.checkDuration(location+".cutoffMicros", limits.CutoffMicros, 10*monotonic.Millisecond, 30*monotonic.Second)
-		v.checkCount(location+".inFlightPerBackend", limits.InFlightPerBackend, 1, 100000)
-		v.checkBytes(location+".bodyBytes", limits.BodyBytes, 1, 32<<20)
-		v.checkBytes(location+".answerBytes", limits.AnswerBytes, 1, 32<<20)
-	}
-}
-
-// checkEffective checks what only shows once a service's policies are merged with its group's and the defaults.
-func (v *validator) checkEffective(location string, group *wire.Group, service *wire.Service) {
-	breaker, limits := mergeBreaker(group, service), mergeLimits(group, service)
-	if breaker.GetProbeTenureMicros() < limits.GetCutoffMicros() {
-		v.addf(location+".guard.probeTenureMicros", "%d is less than the cutoff of %d: a probe would go back while its call still runs (group and defaults counted in)",
-			breaker.GetProbeTenureMicros(), limits.GetCutoffMicros())
-	}
-	if breaker.GetSlowRate() < 1 && breaker.GetSlowMicros() >= limits.GetCutoffMicros() {
-		v.addf(location+".guard.slowMicros", "%d is not less than the cutoff of %d: no call would ever count as slow (group and defaults counted in)",
-			breaker.GetSlowMicros(), limits.GetCutoffMicros())
-	}
-	if breaker.GetMinimumCalls() > breaker.GetWindowCalls() {
-		v.addf(location+".guard.minimumCalls", "%d is more than the window of %d calls (group and defaults counted in)",
-			breaker.GetMinimumCalls(), breaker.GetWindowCalls())
-	}
-}
-
-// The checks below accept nil, which stands for a field that is left out. Minimum and maximum are allowed.
-
-func (v *validator) checkDuration(location string, value *int64, minimum, maximum monotonic.Micros) {
-	if value != nil && (monotonic.Micros(*value) < minimum || monotonic.Micros(*value) > maximum) {
-		v.addf(location, "%d is not between %d and %d microseconds", *value, minimum, maximum)
-	}
-}
-
-func (v *validator) checkCount(location string, value *uint32, minimum, maximum uint32) {
-	if value != nil && (*value < minimum || *value > maximum) {
-		v.addf(location, "%d is not between %d and %d", *value, minimum, maximum)
-	}
-}
-
-func (v *validator) checkBytes(location string, value *uint64, minimum, maximum uint64) {
-	if value != nil && (*value < minimum || *value > maximum) {
-		v.addf(location, "%d is not between %d and %d bytes", *value, minimum, maximum)
-	}
-}
-
-func (v *validator) checkRatio(location string, value *float64, minimum, maximum float64) {
-	if value != nil && !(*value >= minimum && *value <= maximum) { // not a number fails too
-		v.addf(location, "%v is not between %v and %v", *value, minimum, maximum)
-	}
-}
