--- a/internal/configstore/api/comparison.go
+++ b/internal/configstore/api/comparison.go
@@ -105,8 +105,8 @@
 	return version, nil
 }
 
-// readSet reads a stored version, the newest for version zero, and its set of resources. Errors that the content has by now
-// don't matter, if it can be read: the build that accepted it may have checked less.
+// readSet reads a stored version, the newest for version zero, and its set of resources. Errors that this build finds in the
+// content are ignored if it can be parsed: the build that accepted it may have checked less.
 func (h *handler) readSet(version uint64) (*wire.StoredConfig, *changes.Set, error) {
 	response, err := h.store.readPrimary(&wire.ConfigReadRequest{Version: version}, readTimeLimit)
 	if err != nil {
@@ -124,6 +124,7 @@
 	return stored, set, err
 }
 
+// writeReadError writes the response to a comparison whose versions couldn't be read.
 func writeReadError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
@@ -135,10 +136,11 @@
 	writeError(w, status, err.Error())
 }
 
-// compare completes a comparison.
+// compare completes a comparison: the summary, the length of the encoded difference, and the number of proxies with a lease.
 func (h *handler) compare(base, next *changes.Set, comparison Comparison) Comparison {
 	difference := changes.Diff(base, next)
 	comparison.Summary = changes.Summarize(base, difference)
+	// Only the length counts, so that any digest will do.
 	if content, err := changes.Encode(difference, comparison.To, config.Digest(nil)); err == nil {
 		comparison.DifferenceBytes = len(content)
 	}
--- a/internal/configstore/api/deltas.go
+++ b/internal/configstore/api/deltas.go
@@ -9,9 +9,6 @@
 	"snowflow/internal/transport/wire"
 )
 
-// minDeltaSize is the length from which a content is sent as a delta, in bytes.
-const minDeltaSize = 2 << 10
-
 // recentContent is a content with its digest. It's safe for concurrent use.
 type recentContent struct {
 	// mu guards the fields below. Digest is that of content.
@@ -36,7 +33,7 @@
 // sendFull, for a primary that doesn't know the recent one. A short content, or one for a primary of an early build, is sent
 // plain.
 func (s *forwardingStore) encodeContent(leader string, request *wire.ConfigApplyRequest, sendFull bool) *wire.ConfigApplyRequest {
-	if len(request.Content) < minDeltaSize || !s.resolver.AllSupportDeltas(leader) {
+	if len(request.Content) < delta.MinContentSize || !s.resolver.AllSupportDeltas(leader) {
 		return request
 	}
 	baseDigest, base := s.recent.get()
--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -32,7 +32,7 @@
 type forwardingStore struct {
 	host     host.Host
 	resolver *discovery.Resolver
-	// recent is the content that was last accepted or read. It's only a base for deltas: what is answered always comes from the
+	// recent is the content that was last accepted or read. It's only a base for deltas: responses always come from the
 	// primary.
 	recent recentContent
 }
--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Write commits the versions, oldest first, that the repository in a folder hasn't got, and returns when that is done. A
-// repository that can't be continued is removed and begun again.
+// Write commits the versions, oldest first, that the repository in a folder doesn't have, and returns when that is done. A
+// repository that can't be read or continued is removed and written from the first version.
 func Write(folder string, versions []*wire.StoredConfig) error {
 	repository, committed, err := openRepository(folder, versions)
 	if err != nil {
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestGapsAndBoundedHistories checks that versions may have gaps and that the oldest may be gone, and that an archive whose newest
+// TestGapsAndBoundedHistories checks that versions may have gaps and that the oldest may be removed, and that an archive whose newest
 // version isn't stored any more is written again.
 func TestGapsAndBoundedHistories(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
--- a/internal/configstore/archive/commit.go
+++ b/internal/configstore/archive/commit.go
@@ -29,6 +29,7 @@
 	content string
 }
 
+// readCommit returns the version in a commit. It fails if appendCommit didn't make the commit.
 func readCommit(repository *git.Repository, hash plumbing.Hash) (committedVersion, error) {
 	commit, err := repository.CommitObject(hash)
 	if err != nil {
@@ -46,7 +47,7 @@
 	return committedVersion{version: version, content: content}, err
 }
 
-// appendCommit adds a version to the main branch. The commit's time is made from the version, because no wall-clock time is
+// appendCommit adds a version to the main branch. The commit's time is derived from the version number, because no wall-clock time is
 // stored with it: the same versions give the same commits.
 func appendCommit(repository *git.Repository, stored *wire.StoredConfig) error {
 	blob, err := storeObject(repository, plumbing.BlobObject, func(encoded plumbing.EncodedObject) error { return writeContent(encoded, stored.Content) })
@@ -86,6 +87,7 @@
 	return errors.Join(err, writer.Close())
 }
 
+// storeObject adds an object to the repository and returns its hash. The encode function writes the object's content.
 func storeObject(repository *git.Repository, kind plumbing.ObjectType, encode func(plumbing.EncodedObject) error) (plumbing.Hash, error) {
 	encoded := repository.Storer.NewEncodedObject()
 	encoded.SetType(kind)
--- a/internal/configstore/compression.go
+++ b/internal/configstore/compression.go
@@ -5,12 +5,10 @@
 	"compress/flate"
 	"sync"
 
+	"snowflow/internal/configstore/delta"
 	"snowflow/internal/transport/wire"
 )
 
-// minCompressedSize is the length from which a content is sent in compressed form, in bytes.
-const minCompressedSize = 2 << 10
-
 // compressionCache holds the newest content in compressed form, so that it's compressed once for all proxies. Configurations
 // repeat themselves a lot: on a slow link thousands of routes would take seconds without compression.
 type compressionCache struct {
@@ -24,7 +22,7 @@
 // fillContent puts the content of a stored version into a poll's response: compressed if the proxy accepts that and the content
 // isn't short, plain otherwise.
 func (c *compressionCache) fillContent(response *wire.ConfigPollResponse, stored *wire.StoredConfig, acceptsCompressed bool) {
-	if !acceptsCompressed || len(stored.Content) < minCompressedSize {
+	if !acceptsCompressed || len(stored.Content) < delta.MinContentSize {
 		response.Content = stored.Content
 		return
 	}
--- a/internal/configstore/delta/delta.go
+++ b/internal/configstore/delta/delta.go
@@ -17,8 +17,11 @@
 // ErrCorrupt means that bytes can't be decoded with the given base, or give a content longer than allowed.
 var ErrCorrupt = errors.New("delta: corrupt, too long or from another base")
 
+// MinContentSize is the length from which a content is sent as a delta or in compressed form, in bytes.
+const MinContentSize = 2 << 10
+
 const (
-	// dictionaryID is the number by which frames name their dictionary. Each frame has one, so that any number will do.
+	// dictionaryID is the number by which frames name their dictionary. There is only one dictionary, so that any number will do.
 	dictionaryID = 1
 	// minWindow is the smallest window of the encoding, in bytes.
 	minWindow = zstd.MinWindowSize
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -66,7 +66,7 @@
 // deltaRequest returns an apply with its content as a delta from the newest version, nil if that can't be done or isn't worth
 // it.
 func (s *Server) deltaRequest(request *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
-	if len(request.Content) < minCompressedSize || !s.allVotersAcceptDeltas() {
+	if len(request.Content) < delta.MinContentSize || !s.allVotersAcceptDeltas() {
 		return nil
 	}
 	var latest *wire.StoredConfig
@@ -80,15 +80,11 @@
 	return compact
 }
 
-// encodeDelta returns a stored version with its content as a delta from a base that the client has, or compressed if base is
-// nil. Short contents stay plain.
-func encodeDelta(stored, base *wire.StoredConfig) *wire.StoredConfig {
-	if len(stored.Content) < minCompressedSize {
+// encodeForRead returns a stored version as it's sent to a reader: with its content as a delta from a base that the reader has, or
+// compressed if base is nil. Short contents stay plain.
+func encodeForRead(stored, base *wire.StoredConfig) *wire.StoredConfig {
+	if len(stored.Content) < delta.MinContentSize {
 		return stored
 	}
-	encoded, err := delta.Encode(base.GetContent(), stored.Content)
-	if err != nil {
-		return stored
-	}
-	return &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request, Delta: encoded, Base: base.GetDigest()}
+	return versions.EncodeDelta(stored, base)
 }
--- a/internal/configstore/read.go
+++ b/internal/configstore/read.go
@@ -28,7 +28,7 @@
 		return nil, errNotPrimary()
 	}
 	if request.Deltas && response.Found {
-		response.Versions[0] = encodeDelta(response.Versions[0], base)
+		response.Versions[0] = encodeForRead(response.Versions[0], base)
 	}
 	return response, nil
 }
--- a/internal/configstore/storetest/storetest.go
+++ b/internal/configstore/storetest/storetest.go
@@ -19,7 +19,7 @@
 	// startTime is how long the group is given to elect a primary, and the primary to know that no proxy may hold a lease of an
 	// earlier one.
 	startTime = 20 * monotonic.Second
-	// resolverInterval is how often the outside process asks who is primary.
+	// resolverInterval is how often the outside process looks for the primary.
 	resolverInterval = 300 * monotonic.Millisecond
 )
 
--- a/internal/configstore/versions/deltas.go
+++ b/internal/configstore/versions/deltas.go
@@ -20,20 +20,22 @@
 	all := make([]*wire.StoredConfig, 0, len(configs))
 	var previous *wire.StoredConfig
 	for _, stored := range configs {
-		all = append(all, encodeDelta(stored, previous))
+		all = append(all, EncodeDelta(stored, previous))
 		previous = stored
 	}
 	return all
 }
 
-func encodeDelta(stored, previous *wire.StoredConfig) *wire.StoredConfig {
+// EncodeDelta returns a version with its content as a delta from a base, compressed if base is nil. If the delta can't be made the
+// result has the full content. The given messages aren't changed.
+func EncodeDelta(stored, base *wire.StoredConfig) *wire.StoredConfig {
 	compact := &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request}
-	encoded, err := delta.Encode(previous.GetContent(), stored.Content)
+	encoded, err := delta.Encode(base.GetContent(), stored.Content)
 	if err != nil {
 		compact.Content = stored.Content
 		return compact
 	}
-	compact.Delta, compact.Base = encoded, previous.GetDigest()
+	compact.Delta, compact.Base = encoded, base.GetDigest()
 	return compact
 }
 
@@ -53,6 +55,7 @@
 	return all, nil
 }
 
+// decodeDelta returns a version with its full content, decoded from the version before it if it has a delta, and checks its digest.
 func decodeDelta(stored, previous *wire.StoredConfig) (*wire.StoredConfig, error) {
 	full := stored
 	if len(stored.Delta) > 0 {
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrInvalidSet means that resources don't form a set, because some key is there twice.
+// ErrInvalidSet means that resources don't form a set, because two have the same key.
 var ErrInvalidSet = errors.New("resource: no set of resources")
 
-// bucketCount is the number of buckets of a set. It's part of what the digest means: processes of all builds must use the same.
+// bucketCount is the number of buckets of a set. The digest depends on it, so processes of all builds must use the same.
 const bucketCount = 256
 
-// bucket holds the resources whose keys' hashes name it. It's immutable once it's in a set. The digest is over the digests of the
+// bucket holds the resources whose keys hash to its index. It's immutable once it's in a set. The digest is over the digests of the
 // keys and of the resources, in the order of the keys.
 type bucket struct {
 	resources map[string]*Resource
 	digest    Digest
 }
 
-// noBucket stands for a bucket without resources, which a set holds as nil.
+// noBucket is returned for a bucket without resources, which a set holds as nil.
 var noBucket = &bucket{}
 
 // Set is one version of a set. It's immutable. The digest is over the buckets' digests in their order; the zero Set has no digest
@@ -73,7 +73,7 @@
 
 func bucketIndex(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
-// With returns the set in which some resources are set and others removed. Size is how many resources it must have then;
+// With returns the set in which some resources are set and others removed. Size is the number of resources that it must have then;
 // otherwise the error is ErrInvalidSet.
 func (s *Set) With(updated []*Resource, removed []string, size int) (*Set, error) {
 	e := &edit{next: &Set{buckets: s.buckets, size: s.size}, copied: map[int]bool{}}
