--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -19,7 +19,7 @@
 
 // build assembles the proxy from its settings, and adds its request handlers, metrics and HTTP listeners to the program.
 func build(program *daemon.Daemon) error {
-	metrics := daemon.NewRequestCounters(program.Registry)
+	metrics := daemon.NewRequestCounters(program.MetricsRegistry)
 	sidecar := proxy.New(proxy.Options{
 		Host:               program.Host,
 		Resolver:           program.Resolver,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,7 +52,8 @@
 	Resolver *discovery.Resolver
 	// Handlers answer other processes. build adds the program's.
 	Handlers host.Handlers
-	Registry *prometheus.Registry
+	// MetricsRegistry collects the metrics that Metrics serves.
+	MetricsRegistry *prometheus.Registry
 	// Drain, unless nil, is called at a planned stop, before the listeners close. build sets it.
 	Drain func()
 
@@ -70,7 +71,7 @@
 		return err
 	}
 	daemon := &Daemon{
-		Program: program, Settings: values, Events: events, Handlers: host.Handlers{}, Registry: prometheus.NewRegistry(),
+		Program: program, Settings: values, Events: events, Handlers: host.Handlers{}, MetricsRegistry: prometheus.NewRegistry(),
 		supervisor: suture.New(program, suture.Spec{}), failures: make(chan string, signalQueue), stopSignals: make(chan os.Signal, signalQueue),
 	}
 	defer daemon.runCleanups()
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -23,7 +23,7 @@
 // AddGauges registers gauges.
 func (d *Daemon) AddGauges(gauges []Gauge) {
 	for _, gauge := range gauges {
-		d.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Read))
+		d.MetricsRegistry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.Name, Help: gauge.Help}, gauge.Read))
 	}
 }
 
@@ -58,19 +58,19 @@
 		Help:    "Microseconds from the commit of a configuration version to each proxy's acknowledgment that it has adopted it.",
 		Buckets: prometheus.ExponentialBuckets(smallestBucket, bucketFactor, bucketCount),
 	})
-	d.Registry.MustRegister(histogram)
+	d.MetricsRegistry.MustRegister(histogram)
 	return func(_ string, _ uint64, duration monotonic.Micros) { histogram.Observe(float64(duration)) }
 }
 
 // Metrics returns a handler that responds with all metrics in the Prometheus text format.
 func (d *Daemon) Metrics() http.Handler {
-	return promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{})
+	return promhttp.HandlerFor(d.MetricsRegistry, promhttp.HandlerOpts{})
 }
 
 // registerMetrics registers the metrics that every daemon has.
 func (d *Daemon) registerMetrics() {
-	d.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	d.Registry.MustRegister(&eventCollector{events: d.Events}, &messageCollector{host: d.Host})
+	d.MetricsRegistry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	d.MetricsRegistry.MustRegister(&eventCollector{events: d.Events}, &messageCollector{host: d.Host})
 }
 
 func newDescription(name, help string, labels ...string) *prometheus.Desc {
