--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -154,7 +154,7 @@
 	return last, missing
 }
 
-// MessageCounts tells what all carriers have exchanged by kind, in all their lives.
+// Kinds gives what all carriers have exchanged by kind, in all their incarnations.
 func (p *Pool) Kinds() map[wire.Kind]machine.MessageCount {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -28,44 +28,46 @@
 	"snowflow/internal/workload"
 )
 
-// TestPeakTrafficStates: each layout has families, and its morning and whatever follows are accepted.
+// TestPeakTrafficStates: each layout has route families, and its initial state and all states that follow are valid.
 func TestPeakTrafficStates(t *testing.T) {
-	for name, wanted := range map[string]int{"association": 3, "raahbar": 2, "small": 1} {
-		chosen := layout.All[name]
-		content, err := examples.Desired(chosen.DesiredState)
-		if err != nil {
-			t.Fatal(err)
-		}
-		state, faults := config.Parse(content)
-		of := routeFamilies(chosen)
-		if len(faults) > 0 || len(of) != wanted {
-			t.Fatal(name, faults, of)
-		}
-		day := workload.NewRouteChanges(initialState(state, of), of, rand.New(rand.NewPCG(1, 2)))
-		taken := 0
-		take := func(state *wire.DesiredState) error {
-			if _, faults := config.Parse(workload.EncodeState(state)); len(faults) > 0 {
-				return fmt.Errorf("%s: %v", state.Note, faults)
+	for name, familyCount := range map[string]int{"association": 3, "raahbar": 2, "small": 1} {
+		t.Run(name, func(t *testing.T) {
+			chosen := layout.All[name]
+			content, err := examples.Desired(chosen.DesiredState)
+			if err != nil {
+				t.Fatal(err)
 			}
-			taken++
-			return nil
-		}
-		if err := take(day.State); err != nil {
-			t.Error(name, err)
-		}
-		if err := day.ApplyEach(take); err != nil || taken != day.KindCount()+1 || len(day.Counts) != day.KindCount() {
-			t.Error(name, err, taken, day.Counts)
-		}
-		for range 200 {
-			day.State = day.Next()
-			if err := take(day.State); err != nil {
-				t.Fatal(name, err)
+			state, faults := config.Parse(content)
+			families := routeFamilies(chosen)
+			if len(faults) > 0 || len(families) != familyCount {
+				t.Fatal(faults, families)
 			}
-		}
+			routeChanges := workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(1, 2)))
+			valid := 0
+			checkValid := func(state *wire.DesiredState) error {
+				if _, faults := config.Parse(workload.EncodeState(state)); len(faults) > 0 {
+					return fmt.Errorf("%s: %v", state.Note, faults)
+				}
+				valid++
+				return nil
+			}
+			if err := checkValid(routeChanges.State); err != nil {
+				t.Error(err)
+			}
+			if err := routeChanges.ApplyEach(checkValid); err != nil || valid != routeChanges.KindCount()+1 || len(routeChanges.Counts) != routeChanges.KindCount() {
+				t.Error(err, valid, routeChanges.Counts)
+			}
+			for range 200 {
+				routeChanges.State = routeChanges.Next()
+				if err := checkValid(routeChanges.State); err != nil {
+					t.Fatal(err)
+				}
+			}
+		})
 	}
 }
 
-// clerk runs the operators' program against a stage.
+// snowctl runs the operators' command line against a rehearsal's configuration stores.
 func (r *Rehearsal) snowctl(arguments ...string) (output string, code int, err error) {
 	addresses := []string{}
 	for _, process := range r.Fleet.ConfigStores {
@@ -79,14 +81,14 @@
 	return string(content), 0, err
 }
 
-// TestPeakTrafficRoutes plays a small Friday with real processes: a change of each kind, a storm and a race, while a carrier restarts and the primary
-// dies. It goes from event to event, however long each takes; callers ask for their keys until they're served.
+// TestPeakTrafficRoutes runs a small peak with real processes: a change of each kind, a burst and a race, while a proxy restarts and a
+// primary is killed. It goes from event to event, however long each takes; callers retry their keys until they are served.
 func TestPeakTrafficRoutes(t *testing.T) {
 	chosen := options(t, "peak-routes", 245)
 	chosen.UseRelays = false
 	rehearsal, err := Open(chosen, t.Logf)
 	if rehearsal != nil {
-		defer rehearsal.Close()
+		t.Cleanup(rehearsal.Close)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +99,7 @@
 	rehearsal.Load.RetryTimeout = 0
 	rehearsal.Watch()
 	rehearsal.Load.Start(0.3)
-	arrived := func() {
+	awaitRollout := func() {
 		t.Helper()
 		output, code, err := rehearsal.snowctl("rollout", "--wait", "300s")
 		if err != nil || code != 0 {
@@ -121,7 +123,7 @@
 		if err := fleet.AwaitReady(rehearsal.Fleet.All(), 5*time.Minute); err != nil {
 			return err
 		}
-		arrived()
+		awaitRollout()
 		return nil
 	})
 	if err != nil {
@@ -131,7 +133,7 @@
 		if err := one.run(rehearsal); err != nil {
 			t.Fatal(err)
 		}
-		arrived()
+		awaitRollout()
 	}
 	t.Run("snowctl", func(t *testing.T) { checkSnowctl(t, rehearsal) })
 	rehearsal.Load.FinishRetries()
@@ -141,9 +143,9 @@
 	}
 	findings, seen := invariants.Inspect(rehearsal.History, 1, 2, 3, 5, 7)
 	for _, check := range []invariants.Check{invariants.KeysExecutedOnce, invariants.ContentMatchesVersion, invariants.BreakerCountersMonotonic} {
-		found, looked := check.Run(rehearsal.History)
+		found, observed := check.Run(rehearsal.History)
 		findings = append(findings, found...)
-		t.Logf("%s looked at %d", check.Name, looked)
+		t.Logf("%s observed %d", check.Name, observed)
 	}
 	for _, finding := range findings {
 		t.Error(finding)
@@ -158,13 +160,14 @@
 	}
 }
 
-// operate has an operator compare versions, look at what a content would change, and see it roll out.
+// checkSnowctl compares versions, previews what a content would change, and follows its roll-out.
 func checkSnowctl(t *testing.T, rehearsal *Rehearsal) {
-	runSnowctl := func(wanted int, arguments ...string) string {
+	t.Helper()
+	runSnowctl := func(wantedCode int, arguments ...string) string {
 		t.Helper()
 		output, code, err := rehearsal.snowctl(arguments...)
-		if err != nil || code != wanted {
-			t.Errorf("clerk %v: %v, exit code %d\n%s", arguments, err, code, output)
+		if err != nil || code != wantedCode {
+			t.Errorf("snowctl %v: %v, exit code %d\n%s", arguments, err, code, output)
 		}
 		return output
 	}
@@ -198,42 +201,43 @@
 		t.Fatal(err)
 	}
 	if output, code, err := rehearsal.snowctl("apply", file, "--preview"); err != nil || code == 0 {
-		t.Errorf("a bad content was previewed: %v\n%s", err, output)
+		t.Errorf("an invalid content was previewed: %v\n%s", err, output)
 	}
-	if output = runSnowctl(0, "rollout", "--json"); !json.Valid([]byte(output[strings.Index(output, "{"):])) {
+	output = runSnowctl(0, "rollout", "--json")
+	if begin := strings.Index(output, "{"); begin < 0 || !json.Valid([]byte(output[begin:])) {
 		t.Errorf("rollout: %s", output)
 	}
 }
 
-func parseNumber(t *testing.T, text string) (read int) {
+func parseNumber(t *testing.T, text string) (number int) {
 	t.Helper()
-	if _, err := fmt.Sscan(text, &read); err != nil {
+	if _, err := fmt.Sscan(text, &number); err != nil {
 		t.Fatal(err)
 	}
-	return read
+	return number
 }
 
-// TestWatcherObservesFaults has a carrier that is broken in one way at a time tell how it stands. The check that it's for finds it in what the
-// watcher noted, and nothing in what a sound one tells.
+// TestWatcherObservesFaults has the watcher read the status of a proxy with one defect at a time. The check for that defect must find it
+// in the history, and no check may find anything for a proxy without defects.
 func TestWatcherObservesFaults(t *testing.T) {
-	sound := func(version uint64, calls uint64) proxy.Status {
+	statusOf := func(version uint64, calls uint64) proxy.Status {
 		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, ConfigVersion: version, ConfigDigest: fmt.Sprint("version ", version),
 			Breakers: []breaker.Status{{Service: "forms", Shared: "closed", Local: "closed", Calls: calls, Window: int(calls)}}}
 	}
 	for name, one := range map[string]struct {
-		check invariants.Check
-		last  func(status *proxy.Status)
+		check  invariants.Check
+		defect func(status *proxy.Status)
 	}{
 		"nothing":                               {invariants.VersionsAdopted, func(*proxy.Status) {}},
-		"stays at an older version":             {invariants.VersionsAdopted, func(status *proxy.Status) { *status = sound(1, 9) }},
+		"stays at an older version":             {invariants.VersionsAdopted, func(status *proxy.Status) { *status = statusOf(1, 9) }},
 		"a difference applied on a wrong base":  {invariants.ContentMatchesVersion, func(status *proxy.Status) { status.ConfigDigest = "version 1" }},
-		"a whole that begins its windows anew":  {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Window = 1 }},
-		"a whole that forgets what was counted": {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Calls = 1 }},
+		"a full state that empties the windows": {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Window = 1 }},
+		"a full state that resets the counters": {invariants.BreakerCountersMonotonic, func(status *proxy.Status) { status.Breakers[0].Calls = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reported := sound(1, 4)
+			reported := statusOf(1, 4)
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(writer).Encode(reported) }))
-			defer server.Close()
+			t.Cleanup(server.Close)
 			rehearsal := &Rehearsal{Clock: nil, History: &invariants.History{}}
 			observe := func(at int64) {
 				var status proxy.Status
@@ -241,7 +245,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer response.Body.Close()
+				defer func() { _ = response.Body.Close() }()
 				if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
 					t.Fatal(err)
 				}
@@ -251,8 +255,8 @@
 				rehearsal.History.RecordApply(invariants.AppliedConfig{Version: uint64(version + 1), Outcome: "accepted", At: monotonic.Micros(at), Sum: fmt.Sprint("version ", version+1)})
 			}
 			observe(1500)
-			reported = sound(2, 9)
-			one.last(&reported)
+			reported = statusOf(2, 9)
+			one.defect(&reported)
 			observe(4_000_000)
 			found, _ := one.check.Run(rehearsal.History)
 			if (len(found) > 0) != (name != "nothing") {
--- a/internal/rehearse/scenario/race_test.go
+++ b/internal/rehearse/scenario/race_test.go
@@ -2,4 +2,4 @@
 
 package scenario
 
-func init() { raced = true }
+func init() { raceDetector = true }
