--- a/internal/eventlog/catalogue.go
+++ b/internal/eventlog/catalogue.go
@@ -3,7 +3,7 @@
 import "github.com/apex/log"
 
 // The numbers of the events. They are stable across releases and never reused: 1xx process, 2xx replication, 3xx sessions and
-// backends, 4xx configurations, 5xx breakers, 6xx requests, 7xx disk.
+// backends, 4xx configurations, 5xx breakers, 6xx requests, 7xx disk. docs/events.md says what operators do about each.
 const (
 	ProcessStarted          = 101
 	ProcessStopped          = 102
--- a/internal/registry/breakerstore/injected_faults.go
+++ b/internal/registry/breakerstore/injected_faults.go
@@ -17,9 +17,9 @@
 
 // faultySweeps replace defaultSweeps under some of the faults.
 var faultySweeps = map[string]sweepsByState{
-	FaultSkipsTrial:  {Closed: sweepClosed, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
-	FaultShortWait:   {Closed: sweepClosed, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
-	FaultKeepsProbes: {Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepClosed},
+	FaultSkipsTrial:  {Closed: sweepNothing, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
+	FaultShortWait:   {Closed: sweepNothing, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
+	FaultKeepsProbes: {Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepNothing},
 }
 
 func closeWithoutTrial(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
--- a/internal/registry/breakerstore/sweep.go
+++ b/internal/registry/breakerstore/sweep.go
@@ -17,7 +17,7 @@
 // sweepsByState are the sweeps of each state.
 type sweepsByState map[string]sweepFunc
 
-var defaultSweeps = sweepsByState{Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepHalfOpen}
+var defaultSweeps = sweepsByState{Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepHalfOpen}
 
 // Sweep applies the passing of time to all records: open records become half open, probes whose lease ended or whose proxy's
 // session ended return to the budget, completed rounds without a decision are decided, and unused records expire.
@@ -35,6 +35,7 @@
 	}
 }
 
+// sweepRecord drops old trip reports, closes a record that has expired, and otherwise applies the sweep of the record's state.
 func sweepRecord(record *wire.BreakerRecord, sweeps sweepsByState, ended endedSessions, now monotonic.Micros) {
 	if record.Settings == nil {
 		return
@@ -47,8 +48,10 @@
 	sweeps[record.State](record, ended, now)
 }
 
-func sweepClosed(*wire.BreakerRecord, endedSessions, monotonic.Micros) {}
+// sweepNothing is the sweep of a closed record, which time alone doesn't change.
+func sweepNothing(*wire.BreakerRecord, endedSessions, monotonic.Micros) {}
 
+// sweepOpen starts a half-open round once the record has been open for WaitOpen.
 func sweepOpen(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
 	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 		setState(record, HalfOpen, now)
@@ -56,6 +59,7 @@
 	}
 }
 
+// sweepHalfOpen returns the probes whose lease or session ended to the budget, and decides a completed round after decisionTimeout.
 func sweepHalfOpen(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros) {
 	remaining := []*wire.ProbeLease{}
 	for _, probe := range record.ProbeLeases {
--- a/internal/registry/claims.go
+++ b/internal/registry/claims.go
@@ -5,6 +5,7 @@
 	"snowflow/internal/transport/wire"
 )
 
+// handleClaim replicates a claim of an idempotency key and returns its outcome (idempotency.Table.Claim).
 func (r *Registry) handleClaim(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	if response := r.repeatedGrant(request); response != nil {
 		return response, nil
@@ -13,16 +14,19 @@
 	return result.GetClaim(), err
 }
 
+// handleVoidClaim replicates the voiding of an attempt and returns its outcome (idempotency.Table.Void).
 func (r *Registry) handleVoidClaim(request *wire.VoidClaimRequest) (*wire.VoidClaimResponse, error) {
 	result, err := r.propose(&wire.RegistryCommand{Void: request})
 	return result.GetVoid(), err
 }
 
+// handleCompleteClaim replicates the end of a claim (idempotency.Table.Complete).
 func (r *Registry) handleCompleteClaim(request *wire.CompleteClaimRequest) (*wire.CompleteClaimResponse, error) {
 	result, err := r.propose(&wire.RegistryCommand{Complete: request})
 	return result.GetComplete(), err
 }
 
+// handleSingletonLease replicates a request to acquire, renew or release a singleton lease (leases.Table.Acquire).
 func (r *Registry) handleSingletonLease(request *wire.SingletonLeaseRequest) (*wire.SingletonLeaseResponse, error) {
 	result, err := r.propose(&wire.RegistryCommand{Singleton: request})
 	return result.GetSingleton(), err
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -105,8 +105,9 @@
 	host.Handle(handlers, wire.Kind_registry_status, r.handleStatus)
 }
 
-// propose replicates a command and returns its result. An error is sent to the requester as an apierror.Refused; unless
-// it is replication.ErrNotPrimary, the command may still take effect.
+// propose replicates a command and returns its result. An apierror.Refused means that this registry isn't the primary and the command
+// has no effect; after any other error it may still take effect. To the requester each of them is an apierror.Refused; only a batch's
+// outcomes distinguish them (wire.RegistryOutcome).
 func (r *Registry) propose(command *wire.RegistryCommand) (*wire.RegistryResult, error) {
 	result := &wire.RegistryResult{}
 	return result, r.Member.Submit(command, result)
--- a/internal/transport/wire/status_json.go
+++ b/internal/transport/wire/status_json.go
@@ -3,7 +3,7 @@
 import "encoding/json"
 
 // The status pages of the programs show sessions and records as JSON. The keys on those pages are a public interface that is older
-// than the names of the fields, so they are written and read as they always were: each table leads from a field's name to its key.
+// than the names of the fields, so they differ from some of them: each table maps the name of a field to its key.
 var (
 	sessionKeys         = map[string]string{"proxy": "carrier", "heartbeat": "beat", "config_version": "desired_serial"}
 	backendKeys         = map[string]string{"slow_start": "warm"}
