--- a/internal/configstore/api/apply.go
+++ b/internal/configstore/api/apply.go
@@ -37,6 +37,7 @@
 // applyTimeout is how long an apply may take: reaching the primary, and adoption by all proxies.
 const applyTimeout = 24 * monotonic.Second
 
+// statusCodes are the HTTP statuses of the outcomes that Store.Apply returns.
 var statusCodes = map[string]int{
 	versions.Accepted: http.StatusOK,
 	versions.Conflict: http.StatusPreconditionFailed,
@@ -129,6 +130,7 @@
 	return content, true
 }
 
+// readBody reads a request's body. It fails if the body is longer than a configuration may be.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxContentSize))
 }
@@ -139,11 +141,12 @@
 	if len(fieldErrors) == 0 {
 		return false
 	}
-	writeJSON(w, http.StatusBadRequest, ApplyResult{Outcome: versions.Invalid, RequestID: requestID, Errors: texts(fieldErrors)})
+	writeJSON(w, http.StatusBadRequest, ApplyResult{Outcome: versions.Invalid, RequestID: requestID, Errors: errorTexts(fieldErrors)})
 	return true
 }
 
-func texts(fieldErrors []config.FieldError) []string {
+// errorTexts returns the errors in the form that operators are shown.
+func errorTexts(fieldErrors []config.FieldError) []string {
 	all := make([]string, len(fieldErrors))
 	for index, fieldError := range fieldErrors {
 		all[index] = fieldError.String()
--- a/internal/configstore/api/comparison.go
+++ b/internal/configstore/api/comparison.go
@@ -39,7 +39,7 @@
 func ParseSet(parse config.Parser, content []byte) (*changes.Set, error) {
 	state, fieldErrors := parse(content)
 	if len(fieldErrors) > 0 {
-		return nil, errors.New(strings.Join(texts(fieldErrors), "; "))
+		return nil, errors.New(strings.Join(errorTexts(fieldErrors), "; "))
 	}
 	return changes.NewSet(state)
 }
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -50,6 +50,7 @@
 	}
 	s.recordVersion(response.Version)
 	s.notifyAccepted()
+	// An apply under a number below the newest is acknowledged but changes nothing, so it isn't reported.
 	superseded := request.Version > 0 && response.Version != request.Version
 	if !superseded {
 		s.options.Host.Report(eventlog.ConfigAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
