--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -21,6 +21,7 @@
 	Message  string `json:"text"`
 }
 
+// String returns the error as operators are shown it.
 func (e FieldError) String() string { return e.Location + ": " + e.Message }
 
 // Parser decodes the content of a configuration and returns its errors. Its result depends on the content alone. Parse and
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -80,6 +80,7 @@
 // anyMethod matches every method; a route may also leave its method out.
 const anyMethod = "*"
 
+// methodOf returns a route's method, anyMethod if it is left out.
 func methodOf(method string) string {
 	if method == "" {
 		return anyMethod
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -24,6 +24,7 @@
 	return v.fieldErrors
 }
 
+// joinLocation returns the location of a field within another, which is empty for the root.
 func joinLocation(location, name string) string {
 	if location == "" {
 		return name
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -10,6 +10,7 @@
 // matchKey is what a route matches, and its key in the table.
 type matchKey struct{ host, prefix, method string }
 
+// keyOf returns the key of a route in a table.
 func keyOf(route *Route) matchKey { return matchKey{route.Host, route.Prefix, route.Method} }
 
 // routeTable holds all routes by host, prefix and method. It's immutable, and shares with other versions the hosts, prefixes and
--- a/internal/configstore/api/apply.go
+++ b/internal/configstore/api/apply.go
@@ -56,6 +56,7 @@
 	Errors    []string `json:"faults,omitempty"`
 }
 
+// apply serves PUT /desired-state.
 func (h *handler) apply(w http.ResponseWriter, r *http.Request) {
 	content, ok := readContent(w, r)
 	if !ok {
@@ -112,6 +113,7 @@
 	return request, nil
 }
 
+// check serves POST /desired-state/check: it validates a configuration and stores nothing.
 func (h *handler) check(w http.ResponseWriter, r *http.Request) {
 	content, ok := readContent(w, r)
 	if !ok || rejectInvalid(w, content, "") {
--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -86,6 +86,7 @@
 	if !s.reachesPrimary(min(reachTimeout, timeout)) {
 		return nil, ErrNotAccepted
 	}
+	// sent is set once a primary may have received the apply. sendFull is set once a primary didn't have the base of its delta.
 	sent, sendFull := false, false
 	var lastErr error = apierror.Unreachable.New("no time was left")
 	for s.host.Now() < deadline {
--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -78,6 +78,7 @@
 	writeJSON(w, http.StatusOK, readiness{Ready: true})
 }
 
+// writeJSON writes a response. A 503 also has a Retry-After header.
 func writeJSON(w http.ResponseWriter, status int, content any) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
--- a/internal/configstore/api/read.go
+++ b/internal/configstore/api/read.go
@@ -27,8 +27,10 @@
 	Content json.RawMessage `json:"content,omitempty"`
 }
 
+// readLatest serves GET /desired-state.
 func (h *handler) readLatest(w http.ResponseWriter, _ *http.Request) { h.readState(w, 0) }
 
+// readNumbered serves GET /desired-state/VERSION.
 func (h *handler) readNumbered(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(chi.URLParam(r, versionParameter), 10, 64)
 	if err != nil || version == 0 {
@@ -53,6 +55,7 @@
 	writeJSON(w, http.StatusOK, StoredState{Version: stored.Version, Digest: stored.Digest, RequestID: stored.Request, Content: stored.Content})
 }
 
+// listHistory serves GET /history.
 func (h *handler) listHistory(w http.ResponseWriter, _ *http.Request) {
 	response, err := h.store.readPrimary(&wire.ConfigReadRequest{List: true}, readTimeLimit)
 	if err != nil {
--- a/internal/configstore/compression.go
+++ b/internal/configstore/compression.go
@@ -34,6 +34,7 @@
 	response.Compressed = compressed
 }
 
+// compress returns the compressed content of a stored version, from the cache if it was compressed last.
 func (c *compressionCache) compress(stored *wire.StoredConfig) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -58,6 +58,7 @@
 	return s.submit(request)
 }
 
+// submit commits an apply and returns the state machine's response. Its errors are those of Member.Submit.
 func (s *Server) submit(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	response := &wire.ConfigApplyResponse{}
 	return response, s.Member.Submit(&wire.ConfigCommand{Apply: request}, response)
--- a/internal/configstore/differences/differences.go
+++ b/internal/configstore/differences/differences.go
@@ -109,6 +109,7 @@
 
 // The methods below must be called with mu held.
 
+// compute computes and caches the difference between two versions. It returns nil if it isn't shorter than the full content.
 func (c *Cache) compute(base, latest *wire.StoredConfig, from, to *changes.Set) []byte {
 	c.computed++
 	content, err := changes.Encode(changes.Diff(from, to), latest.Version, latest.Digest)
@@ -138,6 +139,7 @@
 	return c.add(stored.Digest, len(stored.Content), state)
 }
 
+// add caches a version, unless it is cached, and returns its resources, nil if it isn't a set of resources.
 func (c *Cache) add(digest string, length int, state *wire.DesiredState) *changes.Set {
 	if found := c.touch(digest); found != nil {
 		return found.set
@@ -168,6 +170,7 @@
 	}
 }
 
+// size returns what counts towards Limits.Bytes.
 func (c *Cache) size() (size int) {
 	for _, version := range c.versions {
 		size += version.bytes
--- a/internal/configstore/read.go
+++ b/internal/configstore/read.go
@@ -33,6 +33,7 @@
 	return response, nil
 }
 
+// listVersions returns all stored versions without their contents, oldest first.
 func (s *Server) listVersions() (*wire.ConfigReadResponse, error) {
 	response := &wire.ConfigReadResponse{Found: true}
 	done := s.Member.Read(func(uint64, monotonic.Micros) {
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -79,6 +79,7 @@
 	return s, err
 }
 
+// replicationOptions returns the configuration of the replication member.
 func (s *Server) replicationOptions() replication.Config {
 	replicationOptions := replication.Config{
 		Host:          s.options.Host,
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -52,6 +52,7 @@
 	AdoptionTimeout: 1200 * monotonic.Millisecond,
 }
 
+// withDefaults returns the timeouts with zero fields replaced by those of DefaultTimeouts.
 func (t Timeouts) withDefaults() Timeouts {
 	for _, field := range []struct {
 		value        *monotonic.Micros
--- a/internal/configstore/versions/apply.go
+++ b/internal/configstore/versions/apply.go
@@ -88,10 +88,12 @@
 	return accepted(s.Latest())
 }
 
+// accepted returns the response to an apply that is acknowledged, with the version that is in force.
 func accepted(stored *wire.StoredConfig) *wire.ConfigApplyResponse {
 	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: stored.Version, Digest: stored.Digest}
 }
 
+// conflict returns the response to an apply that is rejected, with the newest version and the reasons, which may be none.
 func (s *Store) conflict(reasons ...string) *wire.ConfigApplyResponse {
 	return &wire.ConfigApplyResponse{Outcome: Conflict, Version: s.LatestVersion(), Errors: reasons}
 }
--- a/internal/configstore/versions/claimed.go
+++ b/internal/configstore/versions/claimed.go
@@ -25,6 +25,7 @@
 
 func newClaimedVersions() claimedVersions { return claimedVersions{digests: map[uint64]digestPrefix{}} }
 
+// prefixOf returns the beginning of a digest in hexadecimal.
 func prefixOf(digest string) (prefix digestPrefix) {
 	sum, _ := hex.DecodeString(digest) // made by config.Digest, so always hexadecimal
 	copy(prefix[:], sum)
--- a/internal/discovery/refresh.go
+++ b/internal/discovery/refresh.go
@@ -102,6 +102,7 @@
 	return ""
 }
 
+// releaseTarget marks a target as not pending, so that it may be chosen again.
 func (r *Resolver) releaseTarget(target string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -66,6 +66,7 @@
 	return resolver
 }
 
+// addSelf adds the process itself to the known ones, with what it advertises.
 func (r *Resolver) addSelf() {
 	if r.self != nil {
 		r.AddPeers([]*wire.PeerAddress{r.self})
--- a/internal/registry/breakers.go
+++ b/internal/registry/breakers.go
@@ -10,6 +10,8 @@
 // poll intervals of a proxy.
 const directoryFillTime = 1500 * monotonic.Millisecond
 
+// handleProbeLease leases a probe of a half-open round to a proxy. It fills in the contending proxies, by which the state machine
+// divides the round.
 func (r *Registry) handleProbeLease(request *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
 	request.Active = r.probeContenders(request.Service)
 	if response := r.deniedProbe(request); response != nil {
@@ -37,6 +39,8 @@
 	return response
 }
 
+// handleBreakerWrite replicates a write to a breaker record. It fills in the active proxies, of which enough must report a trip
+// before the record opens.
 func (r *Registry) handleBreakerWrite(request *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
 	request.Active = r.directory.ActiveProxies(request.Service)
 	if request.Verb == breakerstore.VerbTrip && len(request.Active) < 2 && r.directory.LiveCount() > 1 {
--- a/internal/registry/breakerstore/injected_faults.go
+++ b/internal/registry/breakerstore/injected_faults.go
@@ -22,12 +22,14 @@
 	FaultKeepsProbes: {Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepNothing},
 }
 
+// closeWithoutTrial is the sweep of an open record under FaultSkipsTrial.
 func closeWithoutTrial(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
 	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 		setState(record, Closed, now)
 	}
 }
 
+// sweepOpenEarly is the sweep of an open record under FaultShortWait.
 func sweepOpenEarly(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros) {
 	sweepOpen(record, ended, now+monotonic.Micros(record.Settings.WaitOpen*3/4))
 }
--- a/internal/registry/directory/activity.go
+++ b/internal/registry/directory/activity.go
@@ -13,6 +13,7 @@
 // activityTable holds, by service and proxy, when the proxy was last active.
 type activityTable map[string]map[string]monotonic.Micros
 
+// record notes that a proxy is active on a service now.
 func (a activityTable) record(service, proxy string, now monotonic.Micros) {
 	if a[service] == nil {
 		a[service] = map[string]monotonic.Micros{}
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -129,6 +129,7 @@
 	return d.copySessions(func(*sessionEntry) bool { return true })
 }
 
+// copySessions returns copies of the sessions that have not ended and are to be included, sorted by proxy, with their Age.
 func (d *Directory) copySessions(include func(*sessionEntry) bool) (sessions []*wire.Session) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/registry/idempotency/store.go
+++ b/internal/registry/idempotency/store.go
@@ -174,6 +174,7 @@
 	s.size += len(added.content)
 }
 
+// remove removes a record of the store.
 func (s *recordStore) remove(removed *encodedRecord) {
 	if removed.previous != nil {
 		removed.previous.next = removed.next
--- a/internal/registry/idempotency/table.go
+++ b/internal/registry/idempotency/table.go
@@ -119,6 +119,7 @@
 	return &wire.ClaimResponse{Outcome: Pending, Owner: record.Proxy, OwnerIncarnation: record.Incarnation, Attempt: record.Attempt}
 }
 
+// grant returns the response that grants a claim.
 func grant(request *wire.ClaimRequest) *wire.ClaimResponse {
 	return &wire.ClaimResponse{Outcome: Granted, Owner: request.Proxy, OwnerIncarnation: request.Incarnation, Attempt: request.Attempt}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -70,6 +70,7 @@
 	return registry, err
 }
 
+// replicationConfig returns the configuration of the replication member.
 func (r *Registry) replicationConfig() replication.Config {
 	config := replication.Config{
 		Host: r.config.Host, Resolver: r.config.Resolver, Group: Group, Name: r.config.Name, InitialVoters: r.config.Voters,
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -31,6 +31,7 @@
 	return status
 }
 
+// handleStatus returns the status page, for the overview of a configuration store.
 func (r *Registry) handleStatus(*wire.StatusRequest) (*wire.StatusResponse, error) {
 	content, err := json.Marshal(r.Status())
 	return &wire.StatusResponse{Json: content}, err
