--- a/internal/configstore/versions/apply.go
+++ b/internal/configstore/versions/apply.go
@@ -76,7 +76,7 @@
 // acceptVersion stores a content under the number that the client names, if that is above the newest. The same content under a
 // claimed number, and any content under a lower number that was never claimed, is acknowledged and changes nothing, so that
 // applies may be repeated and arrive in any order. Another content under a claimed number is rejected: two operators never both
-// have their content confirmed under one number. The request ID plays no part.
+// have their content confirmed under one number. The request ID is ignored.
 func (s *Store) acceptVersion(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
 	if !s.claimed.claim(request.Version, digest) && !s.AllowVersionReuse {
@@ -88,7 +88,7 @@
 	return accepted(s.Latest())
 }
 
-// accepted returns the response to an apply that is acknowledged, with the version that is in force.
+// accepted returns the response to an apply that is acknowledged with a stored version.
 func accepted(stored *wire.StoredConfig) *wire.ConfigApplyResponse {
 	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: stored.Version, Digest: stored.Digest}
 }
