--- a/internal/registry/breakerstore/injected_faults.go
+++ b/internal/registry/breakerstore/injected_faults.go
@@ -17,17 +17,19 @@
 
 // faultySweeps replace defaultSweeps under some of the faults.
 var faultySweeps = map[string]sweepsByState{
-	FaultSkipsTrial:  {Closed: sweepClosed, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
-	FaultShortWait:   {Closed: sweepClosed, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
-	FaultKeepsProbes: {Closed: sweepClosed, Open: sweepOpen, HalfOpen: sweepClosed},
+	FaultSkipsTrial:  {Closed: sweepNothing, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
+	FaultShortWait:   {Closed: sweepNothing, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
+	FaultKeepsProbes: {Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepNothing},
 }
 
+// closeWithoutTrial is the sweep of an open record under FaultSkipsTrial.
 func closeWithoutTrial(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
 	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 		setState(record, Closed, now)
 	}
 }
 
+// sweepOpenEarly is the sweep of an open record under FaultShortWait.
 func sweepOpenEarly(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros) {
 	sweepOpen(record, ended, now+monotonic.Micros(record.Settings.WaitOpen*3/4))
 }
