--- a/internal/proxy/admission/cancellations_test.go
+++ b/internal/proxy/admission/cancellations_test.go
@@ -6,7 +6,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestCancel checks when the function that ends a request is called: once, whether it was registered before the caller left or after.
+// TestCancel checks when the function that ends a request is called: once, whether it was registered before the caller disconnected or after.
 func TestCancel(t *testing.T) {
 	req := &wire.ForwardRequest{From: "caller", Id: "1"}
 	newController := func() (*Controller, *cancellation) {
@@ -18,7 +18,7 @@
 		calls := 0
 		cancellation.onCancel(func() { calls++ })
 		if cancellation.cancelled() || calls != 0 {
-			t.Error("cancelled before the caller left")
+			t.Error("cancelled before the caller disconnected")
 		}
 		for range 2 {
 			if !c.Cancel("caller", "1") {
--- a/internal/proxy/admission/claim_test.go
+++ b/internal/proxy/admission/claim_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// fakeRegistry answers claims with a fixed outcome or error, and counts the claims that are given back.
+// fakeRegistry answers claims with a fixed outcome or error, and counts the claims that are released.
 type fakeRegistry struct {
 	process  *world.Host
 	outcome  *wire.ClaimResponse
@@ -63,7 +63,7 @@
 		}})
 }
 
-// TestClaimOutcomes checks what each outcome of a claim means for the request, and that its slot is given back unless it may run.
+// TestClaimOutcomes checks what each outcome of a claim means for the request, and that its slot is released unless it may run.
 func TestClaimOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -76,7 +76,11 @@
 		{"voided attempt", &wire.ClaimResponse{Outcome: idempotency.Voided}, apierror.KeyFenced, apierror.NotRun},
 		{"fenced key", &wire.ClaimResponse{Outcome: idempotency.Fenced}, apierror.KeyFenced, apierror.NotRun},
 		{"unknown outcome", &wire.ClaimResponse{Outcome: "new"}, apierror.ClaimUnreachable, apierror.MayHaveRun},
-		{"response gone", &wire.ClaimResponse{Outcome: idempotency.Pending, Owner: "there", Attempt: "there-1"}, apierror.ResponseExpired, apierror.MayHaveRun},
+		{
+			"response expired",
+			&wire.ClaimResponse{Outcome: idempotency.Pending, Owner: "there", Attempt: "there-1"},
+			apierror.ResponseExpired, apierror.MayHaveRun,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			runProcess(t, func(process *world.Host) {
@@ -119,7 +123,7 @@
 	})
 }
 
-// TestUnansweredClaim: a claim that was not answered until the deadline is given back if a registry server may have granted it, and not
+// TestUnansweredClaim: a claim that was not answered until the deadline is released if a registry server may have granted it, and not
 // otherwise. In both cases the request has certainly not run.
 func TestUnansweredClaim(t *testing.T) {
 	for _, test := range []struct {
@@ -140,7 +144,7 @@
 					t.Errorf("%v", result.fault)
 				}
 				if registry.released != test.released {
-					t.Errorf("%d claims given back", registry.released)
+					t.Errorf("%d claims released", registry.released)
 				}
 			})
 		})
--- a/internal/proxy/admission/slots/pool_test.go
+++ b/internal/proxy/admission/slots/pool_test.go
@@ -211,7 +211,7 @@
 	}
 	f.expectState("a lookup ends in time", enter("lookup"), slots.Waiting)
 	if form := enter("form"); form.State() != slots.Waiting || f.Waiting() != 2 {
-		t.Fatal("one form may wait though it will be late")
+		t.Fatal("one request may wait though it will be late")
 	}
 	f.expectState("a second late one", enter("form"), slots.Rejected)
 	f.expectState("another lookup", enter("lookup"), slots.Waiting)
@@ -281,7 +281,7 @@
 	f.release(first, slots.Uncertain)
 	f.expectState("the backend may still work on it", waiting, slots.Waiting)
 	if f.wakeups[waiting] != 1 || f.WakeAt(waiting) != f.now+405*ms {
-		t.Errorf("woken %d times, to wake after %d: nobody watches the slot's end", f.wakeups[waiting], f.WakeAt(waiting)-f.now)
+		t.Errorf("woken %d times, to wake after %d: no ticket watches the slot's end", f.wakeups[waiting], f.WakeAt(waiting)-f.now)
 	}
 	if f.Taken() != 2 || f.Running() != 1 {
 		t.Errorf("%d taken, %d running", f.Taken(), f.Running())
@@ -290,7 +290,7 @@
 	better := f.enter(0, 900*ms, monotonic.Second, true)
 	f.expectState("better", better, slots.Waiting)
 	if f.WakeAt(better) != f.now+950*ms {
-		t.Errorf("there are two watchers")
+		t.Errorf("two tickets watch the slot's end")
 	}
 	f.advance(404 * ms)
 	f.expectState("before the deadline's margin", better, slots.Waiting)
@@ -315,7 +315,7 @@
 	f.expectState("flushed", other, slots.Rejected)
 	next := f.enter(0, 0, 3*monotonic.Second, true)
 	if f.WakeAt(next) != f.now+1005*ms {
-		t.Errorf("nobody watches the slot's end")
+		t.Errorf("no ticket watches the slot's end")
 	}
 	f.expectState("all linger: rejected until then", f.enter(0, 900*ms, 3*monotonic.Second, false), slots.Rejected)
 }
@@ -327,11 +327,11 @@
 	f.release(f.patient(0), slots.Uncertain)
 	f.advance(50*ms - 1)
 	if f.Taken() != 1 {
-		t.Error("given back too early")
+		t.Error("released too early")
 	}
 	f.advance(1)
 	if f.Taken() != 0 {
-		t.Error("not given back")
+		t.Error("not released")
 	}
 }
 
@@ -397,7 +397,9 @@
 			}
 			switch pick := random.IntN(20); {
 			case pick < 11:
-				live = append(live, f.enter(uint32(random.IntN(3)), monotonic.Micros(random.IntN(300000)), monotonic.Micros(1+random.IntN(600000)), random.IntN(2) == 0))
+				priority, target := uint32(random.IntN(3)), monotonic.Micros(random.IntN(300000))
+				deadline, patient := monotonic.Micros(1+random.IntN(600000)), random.IntN(2) == 0
+				live = append(live, f.enter(priority, target, deadline, patient))
 			case pick < 18 && len(live) > 0:
 				f.release(live[random.IntN(len(live))], slots.Outcome(random.IntN(3)))
 			case pick == 18:
--- a/internal/proxy/localbackends/set.go
+++ b/internal/proxy/localbackends/set.go
@@ -14,7 +14,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The conditions that a backend reports. The values are part of the backends' API and are sent on the wire.
+// The conditions that a backend reports. Only an alive or working backend takes new requests. The values are part of the backends'
+// API and are sent on the wire.
 const (
 	Alive   = "alive"
 	Working = "working"
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -186,7 +186,7 @@
 }
 
 // TestLostBatchFallsBackToSingleCalls: where a batch closes its connection, as at a leader that was replaced by one of an earlier release, its
-// requests are sent one by one. The requests of a batch that is rejected as not taken are known not to have been executed.
+// requests are sent one by one. The requests of a batch that the leader did not accept are known not to have been executed.
 func TestLostBatchFallsBackToSingleCalls(t *testing.T) {
 	simulated := world.New(1)
 	t.Cleanup(simulated.Close)
@@ -240,6 +240,6 @@
 		t.Fatal(simulated.Panicked)
 	}
 	if answered != 20 || !rejected || untaken != 20 {
-		t.Errorf("%d of 20 answered one by one; rejected: %v, and %d of 20 are known not to be taken", answered, rejected, untaken)
+		t.Errorf("%d of 20 answered one by one; rejected: %v, and %d of 20 are known not to have been executed", answered, rejected, untaken)
 	}
 }
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -52,7 +52,7 @@
 		}
 		client.ObserveLeaderClock(&wire.LeaderTimestamp{Epoch: 1, Time: 5})
 		if clock := client.LeaderClock(); clock.Time < fence.Time {
-			t.Errorf("an earlier time was taken: %d", clock.Time)
+			t.Errorf("an earlier time replaced the bound: %d", clock.Time)
 		}
 	})
 }
--- a/internal/proxy/session/directory.go
+++ b/internal/proxy/session/directory.go
@@ -4,16 +4,11 @@
 	"cmp"
 	"slices"
 
+	"snowflow/internal/proxy/localbackends"
 	"snowflow/internal/resource"
 	"snowflow/internal/transport/wire"
 )
 
-// The conditions in which a backend takes new requests. The values are sent on the wire.
-const (
-	conditionAlive   = "alive"
-	conditionWorking = "working"
-)
-
 // Candidate is one backend that a load balancer may choose.
 type Candidate struct {
 	Proxy       string // name of the proxy on the backend's host
@@ -78,7 +73,7 @@
 	d.ProxiesByDomain[session.Domain]++
 	d.Live++
 	for _, backend := range session.Backends {
-		if backend.Condition != conditionAlive && backend.Condition != conditionWorking {
+		if backend.Condition != localbackends.Alive && backend.Condition != localbackends.Working {
 			continue
 		}
 		d.Candidates[backend.Service] = append(d.Candidates[backend.Service], Candidate{
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -137,7 +137,7 @@
 	pairs      []*clientPair
 }
 
-// runFaults plays a run of 400 steps. It returns the first violation, and how the clients were updated.
+// runFaults executes a run of 400 steps. It returns the first violation, and how the clients were updated.
 func runFaults(t *testing.T, seed uint64, unchecked bool) (wrong string, counts UpdateCounts) {
 	t.Helper()
 	runProcess(t, seed, func(_ *world.World, process *world.Host) {
@@ -272,7 +272,7 @@
 	}
 }
 
-// TestUncheckedDeltasAreDetected: clients that apply deltas to whatever they hold are found to be wrong.
+// TestUncheckedDeltasAreDetected: clients that apply deltas without checking their base are found to have a wrong directory.
 func TestUncheckedDeltasAreDetected(t *testing.T) {
 	for seed := range uint64(20) {
 		if wrong, _ := runFaults(t, seed, true); wrong != "" {
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestCancelClosesConnection: the connection of a request whose caller leaves while its backend is at work is closed at once.
+// TestCancelClosesConnection: the connection of a request whose caller disconnects while its backend works on it is closed at once.
 func TestCancelClosesConnection(t *testing.T) {
 	backend := newTestBackend(t)
 	working, ended := make(chan struct{}), make(chan error, 1)
--- a/internal/proxy/upstream/idle_limits_test.go
+++ b/internal/proxy/upstream/idle_limits_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestIdleLimits: once a backend closed a connection that was idle, no connection to it that was idle for nearly as long is used for a while.
-// The end of one that was hardly idle says something else of the backend.
+// TestIdleLimits: once a backend closed an idle connection, no connection to it that was idle for nearly as long is used for a while. The
+// end of a connection that was hardly idle sets no limit.
 func TestIdleLimits(t *testing.T) {
 	now, known := time.Unix(1000, 0), idleLimits{}
 	if !known.allows(now, "one", 9*time.Second) {
