--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -106,8 +106,9 @@
 		report.Warmup = 3 * monotonic.Second
 		_, _ = backends.ApplyReport(report)
 		process.Sleep(monotonic.Second)
-		if load := backends.Load("one", ""); load.SlowStartMicros > int64(2*monotonic.Second) || load.SlowStartMicros < int64(1900*monotonic.Millisecond) {
-			t.Errorf("%d left", load.SlowStartMicros)
+		left := monotonic.Micros(backends.Load("one", "").SlowStartMicros)
+		if left > 2*monotonic.Second || left < 1900*monotonic.Millisecond {
+			t.Errorf("%d left", left)
 		}
 		process.Sleep(3 * monotonic.Second)
 		if load := backends.Load("one", ""); load.SlowStartMicros != 0 || load.Slots != 6 {
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -40,7 +40,10 @@
 			simulated.Start(simulated.Add("second", "second", "second", leader(recovered)))
 			simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 				resolver := discovery.New(process, nil, nil)
-				resolver.AddPeers([]*wire.PeerAddress{{Name: "first", Address: "first", Group: registryGroup}, {Name: "second", Address: "second", Group: registryGroup}})
+				resolver.AddPeers([]*wire.PeerAddress{
+					{Name: "first", Address: "first", Group: registryGroup},
+					{Name: "second", Address: "second", Group: registryGroup},
+				})
 				resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "first"}})
 				client := New(process, resolver, emptySession, steadyClock(process))
 				for range waiters {
@@ -67,7 +70,8 @@
 				t.Errorf("%d messages for %d requests in 3 s", messages, waiters)
 			}
 			if answered != waiters || slowest > 400*monotonic.Millisecond {
-				t.Errorf("%d of %d are answered, the last one %d ms after the leader accepts requests", answered, waiters, slowest/monotonic.Millisecond)
+				t.Errorf("%d of %d are answered, the last one %d ms after the leader accepts requests",
+					answered, waiters, slowest/monotonic.Millisecond)
 			}
 		})
 	}
@@ -89,7 +93,8 @@
 				resolver := discovery.New(process, nil, nil)
 				resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "first"}})
 				b := &batcher{client: New(process, resolver, emptySession, steadyClock(process))}
-				if firstFailure := b.requeue(nil, apierror.Refused.New("not the leader"), monotonic.Millisecond); !firstFailure || b.senderLimit() != 1 {
+				firstFailure := b.requeue(nil, apierror.Refused.New("not the leader"), monotonic.Millisecond)
+				if !firstFailure || b.senderLimit() != 1 {
 					t.Errorf("%d senders may run after a rejection, first failure: %v", b.senderLimit(), firstFailure)
 				}
 				if firstFailure := b.requeue(nil, apierror.Lost.New("no answer"), test.waited); firstFailure {
@@ -128,7 +133,8 @@
 					serve(len(request.Commands))
 					response := &wire.RegistryBatchResponse{}
 					for _, command := range request.Commands {
-						response.Outcomes = append(response.Outcomes, &wire.RegistryOutcome{Result: &wire.RegistryResult{Claim: &wire.ClaimResponse{Outcome: command.Claim.Scope}}})
+						result := &wire.RegistryResult{Claim: &wire.ClaimResponse{Outcome: command.Claim.Scope}}
+						response.Outcomes = append(response.Outcomes, &wire.RegistryOutcome{Result: result})
 					}
 					return response, nil
 				})
@@ -185,8 +191,8 @@
 	}
 }
 
-// TestLostBatchFallsBackToSingleCalls: where a batch closes its connection, as at a leader that was replaced by one of an earlier release, its
-// requests are sent one by one. The requests of a batch that the leader did not accept are known not to have been executed.
+// TestLostBatchFallsBackToSingleCalls: where a batch closes its connection, as at a leader that was replaced by one of an earlier
+// release, its requests are sent one by one. The requests of a batch that the leader did not accept are known not to have been executed.
 func TestLostBatchFallsBackToSingleCalls(t *testing.T) {
 	simulated := world.New(1)
 	t.Cleanup(simulated.Close)
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -88,7 +88,10 @@
 	ended := false
 	simulated.Start(simulated.Add("one", "one", "one", func(process *world.Host) (host.Handlers, error) {
 		resolver := discovery.New(process, nil, []string{"frozen", "next"})
-		resolver.AddPeers([]*wire.PeerAddress{{Name: "frozen", Address: "frozen", Group: registryGroup}, {Name: "next", Address: "next", Group: registryGroup}})
+		resolver.AddPeers([]*wire.PeerAddress{
+			{Name: "frozen", Address: "frozen", Group: registryGroup},
+			{Name: "next", Address: "next", Group: registryGroup},
+		})
 		resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "frozen"}})
 		client := New(process, resolver, emptySession, steadyClock(process))
 		response, began := &wire.ClaimResponse{}, process.Now()
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -337,9 +337,12 @@
 					t.Errorf("%v, %+v", err, client.UpdateCounts())
 				}
 				change("proxy-5", "proxy-11", "proxy-6")
-				if err := poll(nil); err != nil || client.UpdateCounts() != (UpdateCounts{Deltas: 1, Snapshots: 2, Rejected: 1}) || !reflect.DeepEqual(client.Directory(), NewDirectory(registry.UpdateSince(directory.Base{}).Sessions)) {
+				if err := poll(nil); err != nil || client.UpdateCounts() != (UpdateCounts{Deltas: 1, Snapshots: 2, Rejected: 1}) {
 					t.Errorf("%v, %+v", err, client.UpdateCounts())
 				}
+				if complete := registry.UpdateSince(directory.Base{}); !reflect.DeepEqual(client.Directory(), NewDirectory(complete.Sessions)) {
+					t.Errorf("%+v differs from the registry's directory", client.Directory())
+				}
 			})
 		})
 	}
@@ -349,11 +352,13 @@
 func TestOlderRegistry(t *testing.T) {
 	runProcess(t, 1, func(_ *world.World, process *world.Host) {
 		client := New(process, discovery.New(process, nil, nil), emptySession, nil)
-		response := &wire.RegistryPollResponse{DirectorySource: 4, DirectoryVersion: 9, Sessions: []*wire.Session{{Proxy: "one", Address: "here"}}}
+		sessions := []*wire.Session{{Proxy: "one", Address: "here"}}
+		response := &wire.RegistryPollResponse{DirectorySource: 4, DirectoryVersion: 9, Sessions: sessions}
 		if err := client.apply(response); err != nil || client.Directory().Live != 1 {
 			t.Error(err, client.Directory())
 		}
-		if request := pollRequest(client, false); request.DirectoryChecksum != 0 || request.DirectorySource != 4 || request.DirectoryVersion != 9 {
+		request := pollRequest(client, false)
+		if request.DirectoryChecksum != 0 || request.DirectorySource != 4 || request.DirectoryVersion != 9 {
 			t.Error(request)
 		}
 	})
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -182,11 +182,13 @@
 func readBody(req admission.BackendRequest, head *http.Response) ([]byte, *apierror.Fault) {
 	limit := int64(req.ResponseLimit)
 	if head.ContentLength > limit {
-		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun, "%s announced %d bytes, limit %d", req.Backend.Instance, head.ContentLength, limit)
+		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun,
+			"%s announced %d bytes, limit %d", req.Backend.Instance, head.ContentLength, limit)
 	}
 	body, err := ReadAll(io.LimitReader(head.Body, limit+1), head.ContentLength)
 	if isTimeout(err) {
-		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "%s did not finish its response before the deadline", req.Backend.Instance)
+		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun,
+			"%s did not finish its response before the deadline", req.Backend.Instance)
 	}
 	if err != nil {
 		return nil, malformed(req, "%v", err)
--- a/internal/proxy/upstream/idle_limits_test.go
+++ b/internal/proxy/upstream/idle_limits_test.go
@@ -15,7 +15,10 @@
 	if known.observeClosed(now, "one", 20*time.Millisecond) {
 		t.Error("20 ms is not idle")
 	}
-	if !known.observeClosed(now, "one", 400*time.Millisecond) || known.allows(now, "one", 300*time.Millisecond) || !known.allows(now, "one", 290*time.Millisecond) || !known.allows(now, "other", time.Second) {
+	if !known.observeClosed(now, "one", 400*time.Millisecond) {
+		t.Error("400 ms is idle")
+	}
+	if known.allows(now, "one", 300*time.Millisecond) || !known.allows(now, "one", 290*time.Millisecond) || !known.allows(now, "other", time.Second) {
 		t.Error("an idle time of 400 ms was too long: 300 ms is the limit from now on, at that backend")
 	}
 	if known.observeClosed(now.Add(time.Second), "one", 2*time.Second); known.allows(now.Add(time.Second), "one", 310*time.Millisecond) {
