--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -11,9 +11,9 @@
 // Observation is a request that the outlier detection of its backend admitted. Its owner must close it, also if the request is
 // rejected later.
 type Observation struct {
-	set         *Set
-	backend     *backendState
-	observation *outlier.Call
+	set     *Set
+	backend *backendState
+	call    *outlier.Call
 }
 
 // Observe admits a request by the outlier detection of its backend, or rejects it because the backend is ejected. A rejected request
@@ -25,30 +25,30 @@
 		s.mu.Unlock()
 		return nil, apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s here", instance)
 	}
-	observation, wait := state.detector.Admit(s.host.Now(), request)
+	call, wait := state.detector.Admit(s.host.Now(), request)
 	changes := s.applyEjections(state)
 	s.mu.Unlock()
 	s.reportEjections(state.Backend, changes)
-	if observation == nil {
+	if call == nil {
 		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun,
 			"instance %s is ejected as an outlier, only health checks are let in", instance)
 		fault.RetryAfter = max(wait, monotonic.Millisecond)
 		return nil, fault
 	}
-	return &Observation{set: s, backend: state, observation: observation}, nil
+	return &Observation{set: s, backend: state, call: call}, nil
 }
 
 // Start records that the request is being handed to the backend.
 func (o *Observation) Start() {
 	o.set.mu.Lock()
 	defer o.set.mu.Unlock()
-	o.observation.Start(o.set.host.Now())
+	o.call.Start(o.set.host.Now())
 }
 
 // Close records what the request's end says about the backend. Further calls do nothing.
 func (o *Observation) Close(outcome outlier.Outcome) {
 	o.set.mu.Lock()
-	o.observation.Close(o.set.host.Now(), outcome)
+	o.call.Close(o.set.host.Now(), outcome)
 	changes := o.set.applyEjections(o.backend)
 	o.set.mu.Unlock()
 	o.set.reportEjections(o.backend.Backend, changes)
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -9,24 +9,18 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
 
-	"snowflow/internal/apierror"
 	"snowflow/internal/host/machine/socket"
-	"snowflow/internal/proxy/admission"
 	"snowflow/internal/proxy/localbackends"
-	"snowflow/internal/proxy/request"
 )
 
 const (
 	// IdentityPath is the page on which a backend names its service and instance.
 	IdentityPath = "/.snowflow/identity"
-	// maxInterim bounds the interim responses (status below 200) before a response.
-	maxInterim = 4
 	// idleMargin is how long before the idle timeout that the backend announces a connection is no longer used.
 	idleMargin = time.Second
 	// readBufferBytes is the size of a connection's read buffer.
@@ -41,7 +35,7 @@
 	reader    *bufio.Reader     // reads limited
 	buffer    bytes.Buffer      // of the encoded request
 	idleFor   time.Duration     // how long it had been idle before this request; zero for a new connection
-	idleSince time.Time         // when the last response was read
+	idleSince time.Time         // when it was last put among the idle ones
 	maxIdle   time.Duration     // how long it may be idle: the backend's Keep-Alive header, or maxIdleTime
 }
 
@@ -95,110 +89,6 @@
 	return nil
 }
 
-// encode returns the bytes of a request, which are valid until the next call for the connection.
-func (t *Transport) encode(conn *backendConn, req admission.BackendRequest) []byte {
-	buffer := &conn.buffer
-	buffer.Reset()
-	headers, host := t.dialect.Headers(req, req.Deadline-t.clock.Now()), req.Backend.Address
-	for _, header := range headers {
-		if header.Name == "Host" {
-			host = header.Value
-		}
-	}
-	writeStrings(buffer, req.Method, " ", req.Target, " HTTP/1.1\r\nHost: ", host, "\r\n")
-	for _, header := range headers {
-		if header.Name != "Host" {
-			writeStrings(buffer, header.Name, ": ", header.Value, "\r\n")
-		}
-	}
-	if len(req.Body) > 0 || takesBody(req.Method) {
-		writeStrings(buffer, "Content-Length: ", strconv.Itoa(len(req.Body)), "\r\n")
-	}
-	buffer.WriteString("\r\n")
-	buffer.Write(req.Body)
-	return buffer.Bytes()
-}
-
-func writeStrings(buffer *bytes.Buffer, parts ...string) {
-	for _, part := range parts {
-		buffer.WriteString(part)
-	}
-}
-
-func takesBody(method string) bool {
-	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
-}
-
-// readResponse reads the response to a request, and reports whether the connection may be used again.
-func (c *backendConn) readResponse(req admission.BackendRequest, dialect Dialect) (*request.Response, bool, *apierror.Fault) {
-	head, fault := c.readHead(req)
-	if fault != nil {
-		return nil, false, fault
-	}
-	bodyless := req.Method == http.MethodHead || head.StatusCode == http.StatusNoContent || head.StatusCode == http.StatusNotModified
-	if head.ContentLength < 0 && len(head.TransferEncoding) == 0 && !bodyless {
-		return nil, false, malformed(req, "the answer's end can't be told from a broken connection")
-	}
-	body, fault := readBody(req, head)
-	if fault != nil {
-		return nil, false, fault
-	}
-	c.idleSince = time.Now()
-	trailing := c.reader.Buffered()
-	if trailing > 0 && !dialect.AllowsTrailingBytes {
-		return nil, false, malformed(req, "%d bytes after the end of the response", trailing)
-	}
-	notRun, err := dialect.CheckResponse(req, head)
-	if err != nil {
-		return nil, false, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "%s: %v", req.Backend.Instance, err)
-	}
-	c.applyKeepAlive(head.Header)
-	response := &request.Response{Status: uint32(head.StatusCode), Headers: EndToEndHeaders(head.Header), Body: body, NotRun: notRun}
-	return response, !head.Close && !bodyless && trailing == 0, nil
-}
-
-// readHead reads the status and the headers of a response, past any interim ones.
-func (c *backendConn) readHead(req admission.BackendRequest) (*http.Response, *apierror.Fault) {
-	c.readLimit = int64(req.ResponseLimit) + maxHeaderBytes
-	c.limited.N = c.readLimit
-	httpRequest := &http.Request{Method: req.Method}
-	for interim := 0; ; interim++ {
-		head, err := http.ReadResponse(c.reader, httpRequest)
-		if isTimeout(err) {
-			return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "%s gave no response before the deadline", req.Backend.Instance)
-		}
-		if err != nil {
-			return nil, malformed(req, "%v", err)
-		}
-		if head.StatusCode >= http.StatusOK {
-			return head, nil
-		}
-		if head.StatusCode == http.StatusSwitchingProtocols || interim >= maxInterim {
-			return nil, malformed(req, "interim status %d", head.StatusCode)
-		}
-	}
-}
-
-func readBody(req admission.BackendRequest, head *http.Response) ([]byte, *apierror.Fault) {
-	limit := int64(req.ResponseLimit)
-	if head.ContentLength > limit {
-		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun,
-			"%s announced %d bytes, limit %d", req.Backend.Instance, head.ContentLength, limit)
-	}
-	body, err := ReadAll(io.LimitReader(head.Body, limit+1), head.ContentLength)
-	if isTimeout(err) {
-		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun,
-			"%s did not finish its response before the deadline", req.Backend.Instance)
-	}
-	if err != nil {
-		return nil, malformed(req, "%v", err)
-	}
-	if int64(len(body)) > limit {
-		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun, "%s sent more than %d bytes", req.Backend.Instance, limit)
-	}
-	return body, nil
-}
-
 // applyKeepAlive limits maxIdle by the timeout of the backend's Keep-Alive header, in seconds, if there is one.
 func (c *backendConn) applyKeepAlive(headers http.Header) {
 	seconds, found := strings.CutPrefix(headers.Get("Keep-Alive"), "timeout=")
@@ -210,10 +100,3 @@
 		c.maxIdle = min(maxIdleTime, time.Duration(count)*time.Second-idleMargin)
 	}
 }
-
-// malformed returns the fault of a response that is incomplete, not HTTP, or followed by more bytes than it announced.
-func malformed(req admission.BackendRequest, format string, arguments ...any) *apierror.Fault {
-	return apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", req.Backend.Instance, fmt.Sprintf(format, arguments...))
-}
-
-func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- /dev/null
+++ b/internal/proxy/upstream/response.go
@@ -0,0 +1,92 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+
+	"snowflow/internal/apierror"
+	"snowflow/internal/proxy/admission"
+	"snowflow/internal/proxy/request"
+)
+
+// maxInterim bounds the interim responses (status below 200) before a response.
+const maxInterim = 4
+
+// readResponse reads the response to a request, and reports whether the connection may be used again.
+func (c *backendConn) readResponse(req admission.BackendRequest, dialect Dialect) (*request.Response, bool, *apierror.Fault) {
+	head, fault := c.readHead(req)
+	if fault != nil {
+		return nil, false, fault
+	}
+	bodyless := req.Method == http.MethodHead || head.StatusCode == http.StatusNoContent || head.StatusCode == http.StatusNotModified
+	if head.ContentLength < 0 && len(head.TransferEncoding) == 0 && !bodyless {
+		return nil, false, malformed(req, "the answer's end can't be told from a broken connection")
+	}
+	body, fault := readBody(req, head)
+	if fault != nil {
+		return nil, false, fault
+	}
+	trailing := c.reader.Buffered()
+	if trailing > 0 && !dialect.AllowsTrailingBytes {
+		return nil, false, malformed(req, "%d bytes after the end of the response", trailing)
+	}
+	notRun, err := dialect.CheckResponse(req, head)
+	if err != nil {
+		return nil, false, apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "%s: %v", req.Backend.Instance, err)
+	}
+	c.applyKeepAlive(head.Header)
+	response := &request.Response{Status: uint32(head.StatusCode), Headers: EndToEndHeaders(head.Header), Body: body, NotRun: notRun}
+	return response, !head.Close && !bodyless && trailing == 0, nil
+}
+
+// readHead reads the status and the headers of a response, past any interim ones.
+func (c *backendConn) readHead(req admission.BackendRequest) (*http.Response, *apierror.Fault) {
+	c.readLimit = int64(req.ResponseLimit) + maxHeaderBytes
+	c.limited.N = c.readLimit
+	httpRequest := &http.Request{Method: req.Method}
+	for interim := 0; ; interim++ {
+		head, err := http.ReadResponse(c.reader, httpRequest)
+		if isTimeout(err) {
+			return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "%s gave no response before the deadline", req.Backend.Instance)
+		}
+		if err != nil {
+			return nil, malformed(req, "%v", err)
+		}
+		if head.StatusCode >= http.StatusOK {
+			return head, nil
+		}
+		if head.StatusCode == http.StatusSwitchingProtocols || interim >= maxInterim {
+			return nil, malformed(req, "interim status %d", head.StatusCode)
+		}
+	}
+}
+
+func readBody(req admission.BackendRequest, head *http.Response) ([]byte, *apierror.Fault) {
+	limit := int64(req.ResponseLimit)
+	if head.ContentLength > limit {
+		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun,
+			"%s announced %d bytes, limit %d", req.Backend.Instance, head.ContentLength, limit)
+	}
+	body, err := ReadAll(io.LimitReader(head.Body, limit+1), head.ContentLength)
+	if isTimeout(err) {
+		return nil, apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun,
+			"%s did not finish its response before the deadline", req.Backend.Instance)
+	}
+	if err != nil {
+		return nil, malformed(req, "%v", err)
+	}
+	if int64(len(body)) > limit {
+		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun, "%s sent more than %d bytes", req.Backend.Instance, limit)
+	}
+	return body, nil
+}
+
+// malformed returns the fault of a response that is incomplete, not HTTP, or followed by more bytes than it announced.
+func malformed(req admission.BackendRequest, format string, arguments ...any) *apierror.Fault {
+	return apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", req.Backend.Instance, fmt.Sprintf(format, arguments...))
+}
+
+func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
