--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -97,8 +97,8 @@
 
 // countedCalls returns the number of calls that a proxy's breakers have counted in all.
 func (s *configChangeScene) countedCalls(name string) (calls uint64) {
-	for _, shown := range s.mesh.proxies[name].Breakers.Statuses() {
-		calls += shown.Calls
+	for _, status := range s.mesh.proxies[name].Breakers.Statuses() {
+		calls += status.Calls
 	}
 	return calls
 }
@@ -111,24 +111,24 @@
 	t := s.t
 	t.Helper()
 	for _, name := range s.mesh.proxyNames {
-		view, live := s.mesh.proxies[name].ConfigClient.Current()
-		if !live || view.Version != changedVersion || view.Digest != config.Digest(content) {
-			t.Errorf("%s: version %d, live %v", name, view.Version, live)
+		snapshot, live := s.mesh.proxies[name].ConfigClient.Current()
+		if !live || snapshot.Version != changedVersion || snapshot.Digest != config.Digest(content) {
+			t.Errorf("%s: version %d, live %v", name, snapshot.Version, live)
 			continue
 		}
 		before := s.before[name]
 		for service := range before.Services {
-			if view.Services[service] != before.Services[service] {
+			if snapshot.Services[service] != before.Services[service] {
 				t.Errorf("%s: service %s is another object", name, service)
 			}
 		}
 		for number := range manyRoutes {
 			host, path := fmt.Sprintf("h%d.example", number%10), fmt.Sprintf("/batches/%d/1", number)
-			if changed := number == 47; changed == (view.Lookup(host, "GET", path) == before.Lookup(host, "GET", path)) {
+			if changed := number == 47; changed == (snapshot.Lookup(host, "GET", path) == before.Lookup(host, "GET", path)) {
 				t.Errorf("%s: batch-%d: changed %v, the same object %v", name, number, changed, !changed)
 			}
 		}
-		if found := view.Lookup("h7.example", "GET", "/batches/47/1"); found == nil || found.Service != view.Services["households"] {
+		if found := snapshot.Lookup("h7.example", "GET", "/batches/47/1"); found == nil || found.Service != snapshot.Services["households"] {
 			t.Errorf("%s: the route leads to %v", name, found)
 		}
 		if now := s.countedCalls(name); now < s.calls[name] {
@@ -141,13 +141,16 @@
 	}
 }
 
-func (s *configChangeScene) adoptionTotals() (sum struct{ differences, fullStates, rejected, computed uint64 }) {
+// adoptionTotals counts, over all proxies, what they adopted and rejected, and the differences that the configuration stores computed.
+type adoptionTotals struct{ differences, fullStates, rejected, computed uint64 }
+
+func (s *configChangeScene) adoptionTotals() (sum adoptionTotals) {
 	for _, name := range s.mesh.proxyNames {
 		adopted := s.mesh.proxies[name].ConfigClient.Stats()
 		sum.differences, sum.fullStates, sum.rejected = sum.differences+adopted.Differences, sum.fullStates+adopted.FullStates, sum.rejected+adopted.Rejected
 	}
-	for _, one := range s.mesh.configStores {
-		sum.computed += one.DifferencesComputed()
+	for _, store := range s.mesh.configStores {
+		sum.computed += store.DifferencesComputed()
 	}
 	return sum
 }
@@ -238,11 +241,11 @@
 	mesh.World.Kill(primary)
 	scene.run(10 * monotonic.Second)
 	delete(scene.before, "carrier-3")
-	view, _ := mesh.proxies["carrier-3"].ConfigClient.Current()
-	if view == nil || view.Version != 1 {
+	snapshot, _ := mesh.proxies["carrier-3"].ConfigClient.Current()
+	if snapshot == nil || snapshot.Version != 1 {
 		t.Fatal("the proxy has not adopted the active version")
 	}
-	scene.before["carrier-3"], scene.calls["carrier-3"] = view, 0
+	scene.before["carrier-3"], scene.calls["carrier-3"] = snapshot, 0
 	delete(scene.budgets, "carrier-3") // the budget starts again
 	content := desiredWithManyRoutes(t, moveOneRoute)
 	scene.apply(content, 8*monotonic.Second)
--- a/internal/simulation/scenario/directory_test.go
+++ b/internal/simulation/scenario/directory_test.go
@@ -62,9 +62,9 @@
 	type directoryVersion struct{ source, version uint64 }
 	published, seen := map[directoryVersion]*session.Directory{}, map[string]*session.Directory{}
 	m.onRegistryPoll = func(registryName string, _ *wire.RegistryPollRequest, _ *wire.RegistryPollResponse) {
-		view := m.registries[registryName].DirectorySnapshot()
-		if newest := (directoryVersion{view.Source, view.Version}); published[newest] == nil {
-			published[newest] = session.NewDirectory(view.Sessions)
+		snapshot := m.registries[registryName].DirectorySnapshot()
+		if newest := (directoryVersion{snapshot.Source, snapshot.Version}); published[newest] == nil {
+			published[newest] = session.NewDirectory(snapshot.Sessions)
 		}
 	}
 	m.External.Go(func() {
@@ -158,7 +158,7 @@
 		draining, began := mesh.liveBackends("forms")[0], mesh.World.Now()
 		mesh.drainBackend(draining)
 		knows := func(name string) bool {
-			return slices.ContainsFunc(mesh.proxies[name].Session.Directory().Candidates["forms"], func(one session.Candidate) bool { return one.Instance == draining.instance })
+			return slices.ContainsFunc(mesh.proxies[name].Session.Directory().Candidates["forms"], func(candidate session.Candidate) bool { return candidate.Instance == draining.instance })
 		}
 		for slices.ContainsFunc(mesh.proxyNames, knows) {
 			mesh.runFor(monotonic.Millisecond)
--- a/internal/simulation/scenario/member_replacement_test.go
+++ b/internal/simulation/scenario/member_replacement_test.go
@@ -53,7 +53,7 @@
 				t.Parallel()
 				topology := discoveredTopology
 				topology.Cores, topology.Replicas, topology.RemoveAfter = test.cores, test.replicas, catchUpAllowance/2
-				mesh, _ := runMesh(t, Scenario{Name: "exchange then loss", Topology: topology, Duration: 90 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+				mesh, _ := runMesh(t, Scenario{Name: "replacement then loss", Topology: topology, Duration: 90 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: []fault{plannedReplacement, permanentLoss, plannedReplacement, permanentLoss}, Faults: []fault{permanentLoss, applyConfig}}, seed)
 				for group, voters := range mesh.voters(t) {
 					if expected := max(2*test.replicas-1, test.cores); len(voters) != expected {
--- a/internal/simulation/scenario/membership_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -76,10 +76,10 @@
 				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, test.expected
 				// Three intervals between faults may take 72 s: a shorter run might end before the third.
 				exchange := replaceCoreMachine(test.ahead, test.after)
-				mesh, _ := runMesh(t, Scenario{Name: "exchange", Topology: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+				mesh, _ := runMesh(t, Scenario{Name: "replacement", Topology: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: []fault{exchange, exchange, exchange}, Faults: []fault{applyConfig}}, seed)
 				if len(mesh.retired) != 3 {
-					t.Errorf("%d machines were exchanged", len(mesh.retired))
+					t.Errorf("%d machines were replaced", len(mesh.retired))
 				}
 				for group, voters := range mesh.voters(t) {
 					for _, number := range []int{4, 5, 6} {
@@ -165,8 +165,8 @@
 		new      int // the number of the machine that must vote at the end
 	}{
 		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
-		{"one is exchanged", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
-		{"a fourth comes, then one is exchanged", []fault{addCoreMachine, replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
+		{"one is replaced", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
+		{"a fourth comes, then one is replaced", []fault{addCoreMachine, replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -44,11 +44,11 @@
 	for name, defects := range map[string]Defects{"everything": {}, "acknowledged": {NoSync: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			one := Run(Scenarios[name], 7, defects)
+			first := Run(Scenarios[name], 7, defects)
 			for range 2 {
-				other := Run(Scenarios[name], 7, defects)
-				if one.Digest != other.Digest || one.Served != other.Served || one.Events != other.Events {
-					t.Fatalf("the same seed gave another run: %d events and %d served, then %d and %d", one.Events, one.Served, other.Events, other.Served)
+				again := Run(Scenarios[name], 7, defects)
+				if first.Digest != again.Digest || first.Served != again.Served || first.Events != again.Events {
+					t.Fatalf("the same seed gave another run: %d events and %d served, then %d and %d", first.Events, first.Served, again.Events, again.Served)
 				}
 			}
 		})
--- a/internal/simulation/scenario/singleton_test.go
+++ b/internal/simulation/scenario/singleton_test.go
@@ -59,10 +59,10 @@
 
 // overlappingHolders describes two backends' beliefs that overlap, or returns an empty text.
 func overlappingHolders(beliefs []ownershipBelief) string {
-	for index, one := range beliefs {
+	for index, belief := range beliefs {
 		for _, other := range beliefs[index+1:] {
-			if one.holder != other.holder && other.from < one.until && one.from < other.until {
-				return fmt.Sprintf("%s from %d to %d, %s from %d to %d", one.holder, one.from, one.until, other.holder, other.from, other.until)
+			if belief.holder != other.holder && other.from < belief.until && belief.from < other.until {
+				return fmt.Sprintf("%s from %d to %d, %s from %d to %d", belief.holder, belief.from, belief.until, other.holder, other.from, other.until)
 			}
 		}
 	}
@@ -80,8 +80,8 @@
 					t.Error(finding)
 				}
 				holders := map[string]bool{}
-				for _, one := range beliefs {
-					holders[one.holder] = true
+				for _, belief := range beliefs {
+					holders[belief.holder] = true
 				}
 				if len(holders) < 2 {
 					t.Errorf("%d grants to %d owners", len(beliefs), len(holders))
--- a/internal/simulation/scenario/stale_config_test.go
+++ b/internal/simulation/scenario/stale_config_test.go
@@ -43,9 +43,9 @@
 	acknowledged = mesh.World.Now()
 	for limit := mesh.World.Now() + 2*monotonic.Minute; adopted == 0 && mesh.World.Now() < limit; {
 		mesh.runFor(monotonic.Millisecond)
-		if view, live := mesh.proxies[victim].ConfigClient.Current(); !live {
+		if snapshot, live := mesh.proxies[victim].ConfigClient.Current(); !live {
 			t.Fatalf("seed %d: it does not serve on", seed)
-		} else if view.Version == 11 {
+		} else if snapshot.Version == 11 {
 			adopted = mesh.World.Now()
 		}
 	}
@@ -124,9 +124,9 @@
 			}
 			for until := mesh.World.Now() + 3*monotonic.Second; mesh.World.Now() < until; {
 				mesh.runFor(5 * monotonic.Millisecond)
-				if view, live := mesh.proxies[name].ConfigClient.Current(); live && view.Version < uint64(20+10*turn) {
+				if snapshot, live := mesh.proxies[name].ConfigClient.Current(); live && snapshot.Version < uint64(20+10*turn) {
 					older++
-					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, view.Version, 20+10*turn)
+					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, snapshot.Version, 20+10*turn)
 					break
 				}
 			}
