--- a/internal/replication/consensus/voter_test.go
+++ b/internal/replication/consensus/voter_test.go
@@ -32,12 +32,17 @@
 
 // joined is the record of a voter that accepted a value of epoch 5 under proposal 10.
 func joined() *wire.RegisterRecord {
-	return &wire.RegisterRecord{Joined: true, Promised: 10, Accepted: 10, Value: &wire.RegisterValue{Epoch: 5, Primary: memberA, Voters: testVoters}}
+	return &wire.RegisterRecord{
+		Joined: true, Promised: 10, Accepted: 10,
+		Value: &wire.RegisterValue{Epoch: 5, Primary: memberA, Voters: testVoters},
+	}
 }
 
 // prepare requests a promise and confirms it.
 func (s *scene) prepare(proposal uint64, proposer *wire.MemberID) error {
-	decision := s.voter.Prepare(s.clock, &wire.PrepareRequest{Proposal: proposal, Proposer: proposer, Voters: testVoters, KnownProposal: 10, ProcessId: proposer.Incarnation})
+	decision := s.voter.Prepare(s.clock, &wire.PrepareRequest{
+		Proposal: proposal, Proposer: proposer, Voters: testVoters, KnownProposal: 10, ProcessId: proposer.Incarnation,
+	})
 	if decision.Rejection == nil {
 		s.voter.RecordSaved(decision.Record)
 		s.voter.ConfirmPromise(s.clock.Now, proposer)
@@ -46,7 +51,10 @@
 }
 
 func (s *scene) accept(proposal uint64, proposer *wire.MemberID) error {
-	decision := s.voter.Accept(s.clock, &wire.AcceptRequest{Proposal: proposal, Proposer: proposer, Value: &wire.RegisterValue{Epoch: 6, Primary: proposer, Voters: testVoters}})
+	decision := s.voter.Accept(s.clock, &wire.AcceptRequest{
+		Proposal: proposal, Proposer: proposer,
+		Value: &wire.RegisterValue{Epoch: 6, Primary: proposer, Voters: testVoters},
+	})
 	if decision.Rejection == nil {
 		s.voter.RecordSaved(decision.Record)
 	}
@@ -56,7 +64,9 @@
 // lease requests a lease for an epoch that proposal 10 won, and confirms it.
 func (s *scene) lease(epoch uint64, leader *wire.MemberID) error {
 	const proposal = 10
-	decision := s.voter.GrantLease(s.clock, &wire.LeaseRequest{Epoch: epoch, Proposal: proposal, Leader: leader, Voters: testVoters, KnownProposal: proposal, ProcessId: leader.Incarnation})
+	decision := s.voter.GrantLease(s.clock, &wire.LeaseRequest{
+		Epoch: epoch, Proposal: proposal, Leader: leader, Voters: testVoters, KnownProposal: proposal, ProcessId: leader.Incarnation,
+	})
 	if decision.Rejection == nil {
 		if decision.Record != nil {
 			s.voter.RecordSaved(decision.Record)
@@ -91,7 +101,8 @@
 			func(s *scene) error { s.clock.Now += testLease; return s.accept(11, memberB) }, nil},
 		"and not longer": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
 			func(s *scene) error { s.clock.Now += testLease + 1; return s.accept(11, memberB) }, ErrStaleProposal},
-		"without a register there is no vote": {&wire.RegisterRecord{}, nil, func(s *scene) error { return s.prepare(11, memberB) }, ErrNotVoting},
+		"without a register there is no vote": {&wire.RegisterRecord{}, nil,
+			func(s *scene) error { return s.prepare(11, memberB) }, ErrNotVoting},
 		"a restarted voter waits": {joined(), nil,
 			func(s *scene) error { s.clock.Now = testLease - 1; return s.prepare(11, memberB) }, ErrNotVoting},
 		"an unsteady clock": {joined(), nil, func(s *scene) error { s.clock.Steady = false; return s.prepare(11, memberB) }, ErrClockUnsteady},
@@ -168,10 +179,12 @@
 		"the grantee's next process answered": {[]*wire.Grantee{{Name: "a", ProcessId: 1}}, false, map[string]uint64{"a": 2}, true},
 		"the grantee itself answered":         {[]*wire.Grantee{{Name: "a", ProcessId: 1}}, false, map[string]uint64{"a": 1}, false},
 		"nobody answered":                     {[]*wire.Grantee{{Name: "a", ProcessId: 1}}, false, nil, false},
-		"one of two grantees ended":           {[]*wire.Grantee{{Name: "a", ProcessId: 1}, {Name: "b", ProcessId: 1}}, false, map[string]uint64{"a": 2}, false},
-		"a grantee of an earlier release":     {[]*wire.Grantee{{Name: "a"}}, false, map[string]uint64{"a": 2}, false},
-		"grantees are not known":              {nil, false, map[string]uint64{"a": 2}, false},
-		"the clock has jumped":                {[]*wire.Grantee{{Name: "a", ProcessId: 1}}, true, map[string]uint64{"a": 2}, false},
+		"one of two grantees ended": {
+			[]*wire.Grantee{{Name: "a", ProcessId: 1}, {Name: "b", ProcessId: 1}}, false, map[string]uint64{"a": 2}, false,
+		},
+		"a grantee of an earlier release": {[]*wire.Grantee{{Name: "a"}}, false, map[string]uint64{"a": 2}, false},
+		"grantees are not known":          {nil, false, map[string]uint64{"a": 2}, false},
+		"the clock has jumped":            {[]*wire.Grantee{{Name: "a", ProcessId: 1}}, true, map[string]uint64{"a": 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			record := joined()
--- a/internal/replication/logtail.go
+++ b/internal/replication/logtail.go
@@ -19,7 +19,7 @@
 // logTail holds the entries that a replica applied last, so that another replica that is a little behind needn't be sent the
 // whole state.
 //
-// Invariants, explored by TestReplicaSearch: entries follow one another without gaps, the first right behind base; each alias is
+// Invariants, explored by TestReplicaSearch: entries follow one another without gaps, the first right after base; each alias is
 // the position of a state that this replica had; a replica at a position for which entriesAfter returns entries has the state
 // that this one had there.
 type logTail struct {
@@ -56,7 +56,7 @@
 	}
 }
 
-// entriesAfter returns the entries behind a position. known is false if this replica never was there, or has forgotten some of
+// entriesAfter returns the entries after a position. known is false if this replica never was there, or has forgotten some of
 // those entries.
 func (t *logTail) entriesAfter(position logPosition) (entries []*wire.Entry, known bool) {
 	index := slices.IndexFunc(t.entries, func(entry *wire.Entry) bool { return entry.Sequence == position.sequence })
--- a/internal/replication/membership/membership_test.go
+++ b/internal/replication/membership/membership_test.go
@@ -33,35 +33,122 @@
 		state State
 		want  quorum.Voters
 	}{
-		"nothing to do":                                            {State{Voters: three, TargetSize: 3}, nil},
-		"a fourth standby":                                         {State{Voters: three, TargetSize: 4, Standbys: []string{"d"}}, four},
-		"one at a time":                                            {State{Voters: three, TargetSize: 5, Standbys: []string{"d", "e"}}, four},
-		"as many as wanted, five":                                  {State{Voters: five, TargetSize: 5, Standbys: []string{"f"}}, nil},
-		"as many as wanted, three":                                 {State{Voters: three, TargetSize: 3, Standbys: []string{"d"}}, nil},
-		"fewer than wanted":                                        {State{Voters: three, TargetSize: 4, Standbys: []string{"d"}}, four},
-		"no addition while a voter is silent":                      {State{Voters: three, TargetSize: 4, Silent: set("b"), Standbys: []string{"d"}}, nil},
-		"lost, without a standby":                                  {State{Voters: three, TargetSize: 3, Silent: set("b"), Lost: set("b")}, nil},
-		"lost, with a standby":                                     {State{Voters: three, Silent: set("b"), Lost: set("b"), Standbys: []string{"d"}}, quorum.Voters{"a", "d", "c"}},
-		"the tie-breaker is lost":                                  {State{Voters: four, Silent: set("a"), Lost: set("a"), Standbys: []string{"e"}}, quorum.Voters{"e", "b", "c", "d"}},
-		"lost, but holds a replica":                                {State{Voters: three, Replicas: []string{"a", "b"}, Silent: set("b"), Lost: set("b"), Standbys: []string{"d"}}, nil},
-		"lost, and more voters than wanted":                        {State{Voters: four, TargetSize: 3, Silent: set("d"), Lost: set("d")}, three},
-		"lost, and as many voters as wanted":                       {State{Voters: three, TargetSize: 3, Silent: set("c"), Lost: set("c")}, nil},
-		"leaving, with a standby":                                  {State{Voters: three, TargetSize: 3, Leaving: set("b"), Standbys: []string{"d"}}, quorum.Voters{"a", "d", "c"}},
-		"leaving, without a standby":                               {State{Voters: three, TargetSize: 3, Leaving: set("b")}, nil},
-		"leaving, and more voters than wanted":                     {State{Voters: four, TargetSize: 3, Leaving: set("d")}, three},
-		"leaving, but holds a replica":                             {State{Voters: three, TargetSize: 3, Replicas: []string{"b"}, Leaving: set("b"), Standbys: []string{"d"}}, nil},
-		"a lost voter before a leaving one":                        {State{Voters: three, TargetSize: 3, Silent: set("c"), Lost: set("c"), Leaving: set("b"), Standbys: []string{"d"}}, quorum.Voters{"a", "b", "d"}},
-		"two lost of five, one standby":                            {State{Voters: five, Silent: set("b", "c"), Lost: set("b", "c"), Standbys: []string{"f"}}, quorum.Voters{"a", "f", "c", "d", "e"}},
-		"responsive voters are no quorum":                          {State{Voters: three, Silent: set("b", "c"), Lost: set("b"), Standbys: []string{"d"}}, nil},
-		"after a removal the responsive voters would be no quorum": {State{Voters: four, TargetSize: 3, Silent: set("a", "b"), Lost: set("b")}, nil},
-		"a replacement keeps the number of voters":                 {State{Voters: three, TargetSize: 3, Silent: set("c"), Lost: set("c"), Standbys: []string{"d"}}, quorum.Voters{"a", "b", "d"}},
-		"a standby in a zone of its own":                           {State{Voters: three, TargetSize: 4, Standbys: []string{"d", "e"}, Zones: parseZones("a1 b2 c3 d1 e4")}, quorum.Voters{"a", "b", "c", "e"}},
-		"a replacement in another zone":                            {State{Voters: three, TargetSize: 3, Silent: set("b"), Lost: set("b"), Standbys: []string{"d", "e"}, Zones: parseZones("a1 b2 c3 d1 e2")}, quorum.Voters{"a", "e", "c"}},
-		"two voters in one zone":                                   {State{Voters: three, TargetSize: 3, Replicas: []string{"a"}, Standbys: []string{"d"}, Zones: parseZones("a1 b1 c2 d3")}, quorum.Voters{"a", "d", "c"}},
-		"two voters in one zone, no better standby":                {State{Voters: three, TargetSize: 3, Standbys: []string{"d"}, Zones: parseZones("a1 b1 c2 d2")}, nil},
-		"two voters in one zone, both hold replicas":               {State{Voters: three, TargetSize: 3, Replicas: []string{"a", "b"}, Standbys: []string{"d"}, Zones: parseZones("a1 b1 c2 d3")}, nil},
-		"unknown zones":                                            {State{Voters: three, TargetSize: 3, Standbys: []string{"d"}, Zones: parseZones("")}, nil},
-		"a single voter, and a standby":                            {State{Voters: quorum.Voters{"a"}, TargetSize: 3, Standbys: []string{"b"}}, quorum.Voters{"a", "b"}},
+		"nothing to do": {
+			State{Voters: three, TargetSize: 3},
+			nil,
+		},
+		"a fourth standby": {
+			State{Voters: three, TargetSize: 4, Standbys: []string{"d"}},
+			four,
+		},
+		"one at a time": {
+			State{Voters: three, TargetSize: 5, Standbys: []string{"d", "e"}},
+			four,
+		},
+		"as many as wanted, five": {
+			State{Voters: five, TargetSize: 5, Standbys: []string{"f"}},
+			nil,
+		},
+		"as many as wanted, three": {
+			State{Voters: three, TargetSize: 3, Standbys: []string{"d"}},
+			nil,
+		},
+		"fewer than wanted": {
+			State{Voters: three, TargetSize: 4, Standbys: []string{"d"}},
+			four,
+		},
+		"no addition while a voter is silent": {
+			State{Voters: three, TargetSize: 4, Silent: set("b"), Standbys: []string{"d"}},
+			nil,
+		},
+		"lost, without a standby": {
+			State{Voters: three, TargetSize: 3, Silent: set("b"), Lost: set("b")},
+			nil,
+		},
+		"lost, with a standby": {
+			State{Voters: three, Silent: set("b"), Lost: set("b"), Standbys: []string{"d"}},
+			quorum.Voters{"a", "d", "c"},
+		},
+		"the tie-breaker is lost": {
+			State{Voters: four, Silent: set("a"), Lost: set("a"), Standbys: []string{"e"}},
+			quorum.Voters{"e", "b", "c", "d"},
+		},
+		"lost, but holds a replica": {
+			State{Voters: three, Replicas: []string{"a", "b"}, Silent: set("b"), Lost: set("b"), Standbys: []string{"d"}},
+			nil,
+		},
+		"lost, and more voters than wanted": {
+			State{Voters: four, TargetSize: 3, Silent: set("d"), Lost: set("d")},
+			three,
+		},
+		"lost, and as many voters as wanted": {
+			State{Voters: three, TargetSize: 3, Silent: set("c"), Lost: set("c")},
+			nil,
+		},
+		"leaving, with a standby": {
+			State{Voters: three, TargetSize: 3, Leaving: set("b"), Standbys: []string{"d"}},
+			quorum.Voters{"a", "d", "c"},
+		},
+		"leaving, without a standby": {
+			State{Voters: three, TargetSize: 3, Leaving: set("b")},
+			nil,
+		},
+		"leaving, and more voters than wanted": {
+			State{Voters: four, TargetSize: 3, Leaving: set("d")},
+			three,
+		},
+		"leaving, but holds a replica": {
+			State{Voters: three, TargetSize: 3, Replicas: []string{"b"}, Leaving: set("b"), Standbys: []string{"d"}},
+			nil,
+		},
+		"a lost voter before a leaving one": {
+			State{Voters: three, TargetSize: 3, Silent: set("c"), Lost: set("c"), Leaving: set("b"), Standbys: []string{"d"}},
+			quorum.Voters{"a", "b", "d"},
+		},
+		"two lost of five, one standby": {
+			State{Voters: five, Silent: set("b", "c"), Lost: set("b", "c"), Standbys: []string{"f"}},
+			quorum.Voters{"a", "f", "c", "d", "e"},
+		},
+		"responsive voters are no quorum": {
+			State{Voters: three, Silent: set("b", "c"), Lost: set("b"), Standbys: []string{"d"}},
+			nil,
+		},
+		"after a removal the responsive voters would be no quorum": {
+			State{Voters: four, TargetSize: 3, Silent: set("a", "b"), Lost: set("b")},
+			nil,
+		},
+		"a replacement keeps the number of voters": {
+			State{Voters: three, TargetSize: 3, Silent: set("c"), Lost: set("c"), Standbys: []string{"d"}},
+			quorum.Voters{"a", "b", "d"},
+		},
+		"a standby in a zone of its own": {
+			State{Voters: three, TargetSize: 4, Standbys: []string{"d", "e"}, Zones: parseZones("a1 b2 c3 d1 e4")},
+			quorum.Voters{"a", "b", "c", "e"},
+		},
+		"a replacement in another zone": {
+			State{Voters: three, TargetSize: 3, Silent: set("b"), Lost: set("b"), Standbys: []string{"d", "e"}, Zones: parseZones("a1 b2 c3 d1 e2")},
+			quorum.Voters{"a", "e", "c"},
+		},
+		"two voters in one zone": {
+			State{Voters: three, TargetSize: 3, Replicas: []string{"a"}, Standbys: []string{"d"}, Zones: parseZones("a1 b1 c2 d3")},
+			quorum.Voters{"a", "d", "c"},
+		},
+		"two voters in one zone, no better standby": {
+			State{Voters: three, TargetSize: 3, Standbys: []string{"d"}, Zones: parseZones("a1 b1 c2 d2")},
+			nil,
+		},
+		"two voters in one zone, both hold replicas": {
+			State{Voters: three, TargetSize: 3, Replicas: []string{"a", "b"}, Standbys: []string{"d"}, Zones: parseZones("a1 b1 c2 d3")},
+			nil,
+		},
+		"unknown zones": {
+			State{Voters: three, TargetSize: 3, Standbys: []string{"d"}, Zones: parseZones("")},
+			nil,
+		},
+		"a single voter, and a standby": {
+			State{Voters: quorum.Voters{"a"}, TargetSize: 3, Standbys: []string{"b"}},
+			quorum.Voters{"a", "b"},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := test.state.Next(); !slices.Equal(got, test.want) {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -28,7 +28,7 @@
 // replica executor owns it and runs its methods, unless they say otherwise.
 //
 // Invariants:
-//   - the journal begins with a snapshot; each entry behind it has the next sequence and an epoch that never falls;
+//   - the journal begins with a snapshot; each entry after it has the next sequence and an epoch that never falls;
 //   - epoch and sequence are the position of the last record applied. A primary numbers within an epoch that its process
 //     won, so a position names one state;
 //   - fenced is above every epoch whose primary this replica must reject;
@@ -260,7 +260,7 @@
 	return nil
 }
 
-// catchUp appends and applies entries that this replica lacks, and takes the position and clock of a watermark behind them.
+// catchUp appends and applies entries that this replica lacks, and takes the position and clock of a watermark after them.
 func (r *replica) catchUp(entries []*wire.Entry, watermark *wire.Watermark) error {
 	if r.needsCompaction() {
 		if err := r.compact(); err != nil {
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// saveRecord syncs a record of the voter. It runs on the voter executor. If a sync fails the process stops, since what the disk holds is unknown.
+// saveRecord syncs a record of the voter. It runs on the voter executor. If a sync fails the process stops, since what the disk
+// holds is unknown.
 func (m *Member) saveRecord(record *wire.RegisterRecord) error {
 	content, err := proto.Marshal(record)
 	if err != nil {
--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -6,22 +6,25 @@
 type Disk interface {
 	// Open opens a file, and creates it if there is none.
 	Open(name string) (File, error)
-	// Rename moves a file, in place of any other of the new name. It lasts once SyncDirectory has returned nil.
+	// Rename moves a file, and replaces a file of the new name. The change is durable once SyncDirectory has returned nil.
 	Rename(from, to string) error
-	// Remove removes a file. A missing file is no error. It lasts once SyncDirectory has returned nil.
+	// Remove removes a file. A missing file is no error. The change is durable once SyncDirectory has returned nil.
 	Remove(name string) error
-	// SyncDirectory makes files created, renamed and removed before the call last.
+	// SyncDirectory makes durable which files were created, renamed and removed before the call.
 	SyncDirectory() error
 	// FreeBytes returns the space left. It is shown to operators.
 	FreeBytes() (uint64, error)
 }
 
-// File is one file. What was written lasts once Sync has returned nil.
+// File is one open file. What was written is durable once Sync has returned nil.
 type File interface {
+	// ReadAll returns the complete content.
 	ReadAll() ([]byte, error)
 	// WriteAt writes at an offset. It returns an ErrDiskFull error if the content doesn't fit.
 	WriteAt(content []byte, offset int64) error
+	// Truncate cuts the file to this many bytes.
 	Truncate(size int64) error
+	// Sync makes what was written before the call durable. After an error, what the disk holds is unknown.
 	Sync() error
 	Close() error
 }
--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -6,7 +6,7 @@
 //
 //	offset  size
 //	     0     4  magic, 0x534e4f57
-//	     4     4  CRC-32C of everything behind it
+//	     4     4  CRC-32C of everything after it
 //	     8     8  number, counted from 1
 //	    16     8  number of the last record known to be synced when this one was written
 //	    24     4  length of the payload
@@ -16,7 +16,7 @@
 // # Torn tails and corruption
 //
 // A process or machine that stops while records are written leaves an incomplete tail. No response depended on those records,
-// since responses wait for a sync; Open truncates the tail. If a valid record behind the bad one says that the bad one was
+// since responses wait for a sync; Open truncates the tail. If a valid record after the bad one says that the bad one was
 // synced, the file is corrupt: acknowledged records may be lost, and Open fails with ErrCorrupt. The caller then gives up the
 // file (Recreate) and recovers its content from other members. Damage to the very last record looks like a torn tail.
 //
--- a/internal/wal/folder/folder.go
+++ b/internal/wal/folder/folder.go
@@ -69,7 +69,7 @@
 	return &file{File: opened, syncDelay: f.syncDelay}, nil
 }
 
-// Rename moves a file, in place of any other of the new name.
+// Rename moves a file, and replaces a file of the new name.
 func (f *Folder) Rename(from, to string) error {
 	return os.Rename(f.filePath(from), f.filePath(to))
 }
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// SyncDirectory makes files created, renamed and removed before the call last.
+// SyncDirectory makes durable which files were created, renamed and removed before the call.
 func (f *Folder) SyncDirectory() error {
 	time.Sleep(f.syncDelay)
 	directory, err := os.Open(f.path)
@@ -121,7 +121,7 @@
 	return wrapDiskFull(err)
 }
 
-// Sync makes what was written last.
+// Sync makes what was written durable.
 func (f *file) Sync() error {
 	time.Sleep(f.syncDelay)
 	return f.File.Sync()
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -36,7 +36,7 @@
 	Renames int
 	// IgnoreSyncs makes syncs return nil without effect, to show that the checkers detect it.
 	IgnoreSyncs bool
-	// TornLength is called at a power loss with the length of a file's unsynced tail, and returns how much of it lasts.
+	// TornLength is called at a power loss with the length of a file's unsynced tail, and returns how much of it survives.
 	TornLength func(length int) int
 }
 
@@ -112,7 +112,7 @@
 	return &handle{disk: d, file: d.files[name]}, nil
 }
 
-// Rename moves a file, in place of any other of the new name.
+// Rename moves a file, and replaces a file of the new name.
 func (d *Disk) Rename(from, to string) error {
 	if d.files[from] == nil {
 		return fmt.Errorf("no file %s", from)
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -31,7 +31,7 @@
 // size returns the length of the encoded record.
 func (r record) size() int64 { return headerSize + int64(len(r.payload)) }
 
-// appendTo encodes a record behind some content.
+// appendTo appends the encoded record to some content.
 func (r record) appendTo(content []byte) []byte {
 	header := make([]byte, headerSize)
 	binary.LittleEndian.PutUint32(header, recordMagic)
@@ -60,12 +60,12 @@
 	return r, checksum(content[:headerSize], r.payload) == binary.LittleEndian.Uint32(content[checksumOffset:])
 }
 
-// checksum covers the header behind the checksum itself, and the payload.
+// checksum covers the part of the header after the checksum itself, and the payload.
 func checksum(header, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header[numberOffset:], castagnoli), castagnoli, payload)
 }
 
-// hasSyncedRecordAfter reports whether some content, which begins with a bad record behind the one numbered last, has a valid
+// hasSyncedRecordAfter reports whether some content, which begins with a bad record after the one numbered last, has a valid
 // record that was written when the bad one was already synced.
 func hasSyncedRecordAfter(content []byte, last uint64) bool {
 	for offset := 1; offset+headerSize <= len(content); offset++ {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -14,14 +14,14 @@
 
 // Log is an append-only file of records. It isn't safe for concurrent use.
 //
-// Invariants: the records on disk are numbered without gaps from 1; synced <= last; size is the offset behind the last record.
+// Invariants: the records on disk are numbered without gaps from 1; syncedNumber <= lastNumber; size is the offset after the last record.
 type Log struct {
 	disk Disk
 	name string
 	file File
 	size int64
-	// last and synced are the numbers of the last record written, and of the last one known to be synced.
-	last, synced uint64
+	// lastNumber and syncedNumber are the numbers of the last record written, and of the last one known to be synced.
+	lastNumber, syncedNumber uint64
 	// syncFailed is set once the log can't be used any more.
 	syncFailed bool
 	// TruncatedBytes is the length of a torn tail that Open cut off.
@@ -52,20 +52,20 @@
 			return nil, err
 		}
 	}
-	// What was read may never have been synced.
+	// What was read may not have been synced before the process ended.
 	if err := errors.Join(file.Sync(), disk.SyncDirectory()); err != nil {
 		return nil, err
 	}
-	l.synced = l.last
+	l.syncedNumber = l.lastNumber
 	return l, nil
 }
 
-// replay visits the records of a file's content, and sets size, last and TruncatedBytes.
+// replay visits the records of a file's content, and sets size, lastNumber and TruncatedBytes.
 func (l *Log) replay(content []byte, visit func(payload []byte) error) error {
 	for l.size < int64(len(content)) {
 		r, valid := decodeRecord(content[l.size:])
-		if !valid || r.number != l.last+1 {
-			if hasSyncedRecordAfter(content[l.size:], l.last) {
+		if !valid || r.number != l.lastNumber+1 {
+			if hasSyncedRecordAfter(content[l.size:], l.lastNumber) {
 				return fmt.Errorf("%w: %s at byte %d", ErrCorrupt, l.name, l.size)
 			}
 			l.TruncatedBytes = int64(len(content)) - l.size
@@ -74,13 +74,13 @@
 		if err := visit(r.payload); err != nil {
 			return fmt.Errorf("%w: %s at byte %d: %w", ErrCorrupt, l.name, l.size, err)
 		}
-		l.last = r.number
+		l.lastNumber = r.number
 		l.size += r.size()
 	}
 	return nil
 }
 
-// Append writes records behind the last one. They last once Sync has returned nil. After an ErrDiskFull error the log is as it
+// Append writes records after the last one. They are durable once Sync has returned nil. After an ErrDiskFull error the log is as it
 // was before.
 func (l *Log) Append(payloads ...[]byte) error {
 	if l.syncFailed {
@@ -88,7 +88,7 @@
 	}
 	var content []byte
 	for index, payload := range payloads {
-		content = record{number: l.last + 1 + uint64(index), synced: l.synced, payload: payload}.appendTo(content)
+		content = record{number: l.lastNumber + 1 + uint64(index), synced: l.syncedNumber, payload: payload}.appendTo(content)
 	}
 	if err := l.file.WriteAt(content, l.size); err != nil {
 		// A part may have been written. It is truncated, so that the next append follows the last record.
@@ -98,21 +98,21 @@
 		return err
 	}
 	l.size += int64(len(content))
-	l.last += uint64(len(payloads))
+	l.lastNumber += uint64(len(payloads))
 	return nil
 }
 
-// Sync makes all records that were appended last. If it fails, it returns an ErrSyncFailed error, and so does every later use.
+// Sync makes all records that were appended durable. If it fails, it returns an ErrSyncFailed error, and so does every later use.
 func (l *Log) Sync() error {
 	if l.syncFailed {
 		return ErrSyncFailed
 	}
-	last := l.last
+	last := l.lastNumber
 	if err := l.file.Sync(); err != nil {
 		l.syncFailed = true
 		return fmt.Errorf("%w: %w", ErrSyncFailed, err)
 	}
-	l.synced = last
+	l.syncedNumber = last
 	return nil
 }
 
@@ -140,14 +140,14 @@
 	if err := errors.Join(file.WriteAt(content, 0), file.Sync()); err != nil {
 		return errors.Join(err, file.Close(), l.disk.Remove(rewritten))
 	}
-	// From here on the name may stand for either file, so after an error the log can't be used any more.
+	// After an error from here on it's unknown which of the two files has the name, so the log can't be used any more.
 	if err := errors.Join(l.disk.Rename(rewritten, l.name), l.disk.SyncDirectory()); err != nil {
 		l.syncFailed = true
 		return fmt.Errorf("%w: %w", ErrSyncFailed, err)
 	}
 	previous := l.file
 	count := uint64(len(payloads))
-	l.file, l.size, l.last, l.synced = file, int64(len(content)), count, count
+	l.file, l.size, l.lastNumber, l.syncedNumber = file, int64(len(content)), count, count
 	return previous.Close()
 }
 
