--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -119,10 +119,10 @@
 func (m *Member) recruitBackups() {
 	now := m.host.Now()
 	state := m.currentLeadership()
-	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.lastRecruitment < recruitInterval {
+	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.commitTimes.recruitment < recruitInterval {
 		return
 	}
-	m.lastRecruitment = now
+	m.commitTimes.recruitment = now
 	if m.hasSpareVoter(state.backups) {
 		m.dropBackups(nil, "")
 		m.establishBackups(nil)
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -17,24 +17,26 @@
 // wakeCommits wakes the task that commits, without a command.
 func (m *Member) wakeCommits() { m.writes.Put(nil) }
 
-// commitTimer is what the commit loop remembers between batches.
-type commitTimer struct {
-	lastTick, lastBatch monotonic.Micros
+// commitTimes is when the commit loop last did each thing that it does by time. Only the task of that loop uses it.
+type commitTimes struct {
+	// tick is when a command without content was committed last, batch when any batch was sent to the backups.
+	tick, batch monotonic.Micros
+	// relief is when something was done about a slow disk, recruitment when more backups were looked for.
+	relief, recruitment monotonic.Micros
 }
 
 // runCommits runs until the process ends. At a primary it establishes backups, commits batches of commands, sends the backups
 // heartbeats and replaces those that are lost. At other members it rejects commands.
 func (m *Member) runCommits() {
-	timer := commitTimer{}
 	wait := m.config.HeartbeatInterval
 	for {
 		batch := slices.DeleteFunc(m.writes.TakeAll(wait), func(w *writeRequest) bool { return w == nil })
-		wait = m.commitStep(&timer, batch)
+		wait = m.commitStep(batch)
 	}
 }
 
 // commitStep does what is due, and returns after how long something else is due at the latest.
-func (m *Member) commitStep(timer *commitTimer, batch []*writeRequest) (due monotonic.Micros) {
+func (m *Member) commitStep(batch []*writeRequest) (due monotonic.Micros) {
 	now := m.host.Now()
 	state := m.currentLeadership()
 	if state.epoch == 0 || now >= state.leaseUntil {
@@ -47,15 +49,15 @@
 		return m.config.HeartbeatInterval
 	}
 	// Three renewals may take a little less than the tick interval.
-	if len(batch) == 0 && now-timer.lastTick >= tickInterval-m.config.renewInterval()/2 && m.hasTimers() {
-		timer.lastTick = now
+	if len(batch) == 0 && now-m.commitTimes.tick >= tickInterval-m.config.renewInterval()/2 && m.hasTimers() {
+		m.commitTimes.tick = now
 		batch = []*writeRequest{{done: m.host.NewSignal()}}
 	}
-	if since := now - timer.lastBatch; len(batch) == 0 && since >= 0 && since < m.config.renewInterval() {
+	if since := now - m.commitTimes.batch; len(batch) == 0 && since >= 0 && since < m.config.renewInterval() {
 		m.replaceLeavingBackups()
 		return m.config.renewInterval() - since // the backups have received a batch since
 	}
-	timer.lastBatch = now
+	m.commitTimes.batch = now
 	m.commit(state, batch)
 	m.replaceLeavingBackups()
 	m.recruitBackups()
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -43,6 +43,7 @@
 	value              *wire.RegisterValue
 }
 
+// surveyRegisters combines the responses of other processes; those of others that didn't respond are missing.
 func (m *Member) surveyRegisters(others []string, responses map[string]*wire.RegisterReadResponse) registerSurvey {
 	isInitial := func(name string) bool { return slices.Contains(m.config.InitialVoters, name) }
 	found := registerSurvey{bootstrap: m.config.Bootstrap && isInitial(m.config.Name)}
@@ -121,7 +122,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mayVote := current.Contains(request.Name) || m.configOf(m.leadership.register).Contains(request.Name)
-	proposed := !request.HasRegister && m.proposedVoters[request.Name]
+	proposed := !request.HasRegister && m.change.proposedVoters[request.Name]
 	if !serving || mayVote || proposed {
 		return &wire.JoinResponse{Proposal: m.register.acceptedProposal, Value: m.register.value}, nil
 	}
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -14,7 +14,11 @@
 	"snowflow/internal/wal"
 )
 
-// Member is one process's part in a group: its vote, its replica, and its leadership if it is the primary.
+// Member is one process's part in a group: its vote, its replica, and its leadership if it is the primary. Its exported methods may
+// be called by any task, except for Register and Start, which are called once after Open.
+//
+// What a member knows is in types of their own; its methods are in the files of the operations that use them (see the package
+// documentation). Each field is owned by one executor, one task or mu.
 type Member struct {
 	config   Config
 	host     host.Host
@@ -25,7 +29,7 @@
 	ClockWatch *clockwatch.Watcher
 
 	voterExecutor    *host.Executor // owns voter and registerLog
-	replicaExecutor  *host.Executor // owns replica
+	replicaExecutor  *host.Executor // owns replica, except for what replica.mu guards
 	proposalExecutor *host.Executor // runs proposals one at a time
 	storage          *storage
 	voter            *consensus.Voter
@@ -36,9 +40,7 @@
 	// wakeup wakes the task that renews the lease, campaigns and joins.
 	wakeup host.Signal
 
-	// lastRelief is when the primary last acted on a slow disk, lastRecruitment when it last looked for more backups. Only
-	// the task that commits uses them.
-	lastRelief, lastRecruitment monotonic.Micros
+	commitTimes commitTimes // owned by the task of runCommits
 
 	// mu guards the fields below. It is never held while waiting.
 	mu sync.Mutex
@@ -53,10 +55,7 @@
 	// standbys are the processes that asked this member to join, leaving those that said that they are shutting down.
 	standbys standbyTable
 	leaving  leavingTable
-	// proposedVoters are the names that proposals of this process would have made voters.
-	proposedVoters map[string]bool
-	// changingMembership is set while a change of the voters is in flight.
-	changingMembership bool
+	change   membershipChange
 	// stopping is set once this process shuts down gracefully and campaigns no more.
 	stopping bool
 }
@@ -88,19 +87,19 @@
 	h := config.Host
 	files := &storage{host: h, group: config.Group}
 	m := &Member{
-		config:         config,
-		host:           h,
-		resolver:       config.Resolver,
-		ClockWatch:     clockwatch.New(h),
-		processID:      h.Random() | 1,
-		storage:        files,
-		replica:        newReplica(h, files, config),
-		voter:          consensus.NewVoter(consensus.Options{InitialVoters: config.InitialVoters, LeaseDuration: config.LeaseDuration}),
-		contact:        leaderContact{last: h.Now(), coldStart: true},
-		peers:          newPeerTable(),
-		standbys:       standbyTable{},
-		leaving:        leavingTable{},
-		proposedVoters: map[string]bool{},
+		config:     config,
+		host:       h,
+		resolver:   config.Resolver,
+		ClockWatch: clockwatch.New(h),
+		processID:  h.Random() | 1,
+		storage:    files,
+		replica:    newReplica(h, files, config),
+		voter:      consensus.NewVoter(consensus.Options{InitialVoters: config.InitialVoters, LeaseDuration: config.LeaseDuration}),
+		contact:    leaderContact{last: h.Now(), coldStart: true},
+		peers:      newPeerTable(),
+		standbys:   standbyTable{},
+		leaving:    leavingTable{},
+		change:     membershipChange{proposedVoters: map[string]bool{}},
 	}
 	m.ClockWatch.OnJump(func(monotonic.Micros) {
 		// A lease granted here may seem to have ended though it hasn't.
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -74,6 +74,27 @@
 	return quorum.Config{Voters: o.config.Voters, Joint: voters}, voters != nil
 }
 
+// membershipChange is what a member remembers of the steps that it proposed. It isn't safe for concurrent use.
+type membershipChange struct {
+	// inFlight is set while a step is being proposed.
+	inFlight bool
+	// proposedVoters are the names that proposals of this process would have made voters. None of them may begin with this
+	// primary's register, as a process that never voted: the proposal may count on its vote.
+	proposedVoters map[string]bool
+}
+
+// begin marks a step as in flight. It returns false if one already is.
+func (c *membershipChange) begin(next quorum.Config) bool {
+	if c.inFlight {
+		return false
+	}
+	c.inFlight = true
+	for _, name := range next.Joint {
+		c.proposedVoters[name] = true
+	}
+	return true
+}
+
 // changeMembership starts the next step of a membership change if one is due and none is in flight.
 func (m *Member) changeMembership() {
 	observed := m.observeMembership()
@@ -94,21 +115,12 @@
 func (m *Member) beginChange(next quorum.Config) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.changingMembership {
-		return false
-	}
-	m.changingMembership = true
-	// From now on no such process may begin with this primary's register, as one that never voted: the proposal may count on
-	// its vote.
-	for _, name := range next.Joint {
-		m.proposedVoters[name] = true
-	}
-	return true
+	return m.change.begin(next)
 }
 
 func (m *Member) endChange() {
 	m.mu.Lock()
-	m.changingMembership = false
+	m.change.inFlight = false
 	m.mu.Unlock()
 }
 
@@ -129,7 +141,7 @@
 	m.adoptRegister(observed.epoch, proposal, value)
 	if len(value.JointVoters) == 0 {
 		m.mu.Lock()
-		m.proposedVoters = map[string]bool{} // this value supersedes earlier proposals
+		m.change.proposedVoters = map[string]bool{} // this value supersedes earlier proposals
 		m.mu.Unlock()
 	}
 	m.host.Report(eventlog.MembershipChanged, map[string]any{"group": m.config.Group, "voters": value.Voters, "joint": value.JointVoters})
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -92,7 +92,7 @@
 // timeout.
 func (r *replicateCalls) wait() {
 	m := r.member
-	mayGiveUp := r.timeout <= m.config.CallTimeout
+	mayGiveUp := r.timeout <= m.config.CallTimeout // not a last-resort backup, whose timeout is longer
 	for _, call := range r.calls {
 		if mayGiveUp && !call.done.Wait(probeAfter) && m.isSilent(call) {
 			call.finish(errBackupSilent, m.host.Now()-r.started)
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -71,12 +71,12 @@
 	if relief == noRelief && !ownSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
 		relief = preferTieBreaker
 	}
-	known, due := m.register.value, m.host.Now()-m.lastRelief >= reliefInterval
+	known, due := m.register.value, m.host.Now()-m.commitTimes.relief >= reliefInterval
 	m.mu.Unlock()
 	if !due || relief == noRelief {
 		return
 	}
-	m.lastRelief = m.host.Now()
+	m.commitTimes.relief = m.host.Now()
 	if relief == preferTieBreaker {
 		if m.isReachable(tieBreaker) {
 			m.dropBackups(backups, reasonPreferredBackup)
