--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -10,7 +10,7 @@
 // Each process of a group has one Member, which combines up to three roles:
 //
 //   - voter: one copy of the register, promises and leases (voter.go; decisions in package consensus);
-//   - replica: a journal on disk and the state machine it has been applied to (replica.go, logtail.go, storage.go);
+//   - replica: a journal on disk and the state machine it has been applied to (replica.go, journal.go, logtail.go, storage.go);
 //   - primary: the leadership of one epoch (leadership.go, commit.go, backups.go).
 //
 // # Epochs and leadership
@@ -90,6 +90,12 @@
 //   - A standby is like a learner, but has no replica: a voter needs none.
 //   - With an even number of voters the first one counts twice (package quorum).
 //
+// # On call
+//
+// What the group reports are events 2xx and 7xx of docs/events.md. Member.Status is what a process shows operators and the
+// doctor command of itself. A group doesn't serve if no quorum of voters is in contact, if none of the replicas that the register names is back, or if
+// the only one of them that is back finds no second voter to become its backup.
+//
 // # Concurrency
 //
 // Three executors each run one command at a time: voterExecutor owns Member.voter, replicaExecutor owns the journal and
