--- a/internal/rehearse/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -14,19 +14,19 @@
 // Invariants: Error is the slope's standard error, from what is left over with Points-2 degrees of freedom; Most is the
 // highest value that it was drawn through.
 type Line struct {
-	Intercept, Slope, Error float64
-	Points                  int
-	Most                    float64
+	Intercept, Slope, SlopeError float64
+	Points                       int
+	MaxX                         float64
 }
 
 // At is the line's value.
 func (l Line) At(value float64) float64 { return l.Intercept + l.Slope*value }
 
-// Certain tells whether the slope is beyond twice its standard error.
-func (l Line) Certain() bool { return math.Abs(l.Slope) > 2*l.Error }
+// Significant tells whether the slope is beyond twice its standard error.
+func (l Line) Significant() bool { return math.Abs(l.Slope) > 2*l.SlopeError }
 
-// Rises tells whether it rises beyond doubt.
-func (l Line) Rises() bool { return l.Certain() && l.Slope > 0 }
+// Increasing tells whether it rises beyond doubt.
+func (l Line) Increasing() bool { return l.Significant() && l.Slope > 0 }
 
 // Fit draws the line. There must be three points at least, at two values at least.
 func Fit(values, measured []float64) (Line, bool) {
@@ -34,30 +34,30 @@
 		return Line{}, false
 	}
 	intercept, slope := stat.LinearRegression(values, measured, nil, false)
-	left := 0.0
+	residualSquares := 0.0
 	for index, value := range values {
-		apart := measured[index] - intercept - slope*value
-		left += apart * apart
+		residual := measured[index] - intercept - slope*value
+		residualSquares += residual * residual
 	}
-	mean, spread := stat.Mean(values, nil), 0.0
+	mean, deviationSquares := stat.Mean(values, nil), 0.0
 	for _, value := range values {
-		spread += (value - mean) * (value - mean)
+		deviationSquares += (value - mean) * (value - mean)
 	}
-	return Line{Intercept: intercept, Slope: slope, Error: math.Sqrt(left / float64(len(values)-2) / spread), Points: len(values), Most: slices.Max(values)}, true
+	return Line{Intercept: intercept, Slope: slope, SlopeError: math.Sqrt(residualSquares / float64(len(values)-2) / deviationSquares), Points: len(values), MaxX: slices.Max(values)}, true
 }
 
-// Along draws a figure's line along a dimension.
-func Along(points []sweep.Point, dimension sweep.Dimension, figure sweep.Figure) (Line, bool) {
-	values, measured := Pairs(points, dimension, figure)
+// RunsAlong draws a figure's line along a dimension.
+func FitAlong(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (Line, bool) {
+	values, measured := Samples(points, dimension, metric)
 	return Fit(values, measured)
 }
 
-// Pairs gives what a figure's line is drawn through: nothing if all is of one size, whose windows only differ a little.
-func Pairs(points []sweep.Point, dimension sweep.Dimension, figure sweep.Figure) (values, measured []float64) {
+// Samples gives what a figure's line is drawn through: nothing if all is of one size, whose windows only differ a little.
+func Samples(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (values, measured []float64) {
 	sizes := map[sweep.Size]bool{}
-	for _, run := range sweep.Along(points, dimension) {
-		if value, known := figure.Of(run); known {
-			values, measured = append(values, dimension.Value(run)), append(measured, value)
+	for _, run := range sweep.RunsAlong(points, dimension) {
+		if value, known := metric.Measure(run); known {
+			values, measured = append(values, dimension.Coordinate(run)), append(measured, value)
 			sizes[run.Size] = true
 		}
 	}
--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -8,75 +8,75 @@
 
 // The size to design for. Routes and the share of calls that claim aren't part of it: they are this page's assumptions.
 const (
-	Nodes    = 7700
-	Services = 580
-	Calls    = 930000
-	Day      = 86400
-	Changes  = 3500.0 / Day
-	Restarts = (2400.0 + 21) / Day
+	Nodes         = 7700
+	Services      = 580
+	Calls         = 930000
+	SecondsPerDay = 86400
+	Changes       = 3500.0 / SecondsPerDay
+	Restarts      = (2400.0 + 21) / SecondsPerDay
 
 	Routes = 10 * Services
 	Claims = Calls / 100.0
 
-	window = 10 // seconds, of the runs that the changes of the base are spread over
+	windowSeconds = 10 // seconds, of the runs that the changes of the base are spread over
 )
 
 // Term is a part of a need: a slope along a dimension, times how far the size is from the base, times the carriers over
 // the base's to a power, for what grows with both.
 type Term struct {
 	Dimension string
-	Figure    string
+	Metric    string
 	Amount    float64
 	Power     int
 }
 
-// Need is one line of the page's table.
-type Need struct {
-	Role  string
-	What  string
-	Unit  string
-	Terms []Term
-	Bound float64 // zero: the letter gives none, nor does this page assume one
-	By    string  // the mechanism that carries it
+// Requirement is one line of the page's table.
+type Requirement struct {
+	Role        string
+	Description string
+	Unit        string
+	Terms       []Term
+	Bound       float64 // zero: the letter gives none, nor does this page assume one
+	Mechanism   string  // the mechanism that carries it
 }
 
 // baseChanges is the changes a second of the base, which slopes along services and routes were measured at.
-const baseChanges = 4.0 / window
+const baseChanges = 4.0 / windowSeconds
 
 // What the base's changes, four in a window, have to be multiplied by to give the letter's.
 const changesOverBase = Changes / baseChanges
 
 // adding gives the terms of a figure: alone in the number of carriers, then what each other dimension adds. With shared, the
 // figure is that of a process that all carriers talk to, so what each carrier adds is multiplied by their number.
-func adding(figure string, shared bool) []Term {
-	grows := 0
+func allTerms(metric string, shared bool) []Term {
+	power := 0
 	if shared {
-		grows = 1
+		power = 1
 	}
 	return []Term{
-		{"carriers", figure, Nodes, 0},
-		{"services", figure, Services - 10, grows},
-		{"routes", figure, (Routes - 10) * changesOverBase, grows},
-		{"calls", figure, perProxy(shared), 0},
-		{"restarts", figure, Restarts, grows + 1},
+		{"carriers", metric, Nodes, 0},
+		{"services", metric, Services - 10, power},
+		{"routes", metric, (Routes - 10) * changesOverBase, power},
+		{"calls", metric, perProxy(shared), 0},
+		{"restarts", metric, Restarts, power + 1},
 	}
 }
 
 // traffic gives the terms of a role's bytes. What services add to polls of sorters comes with each poll, what they and routes
 // add to a desired state with each change.
-func traffic(role string, shared bool, kinds ...string) (terms []Term) {
-	grows := 0
+func trafficTerms(role string, shared bool, kinds ...string) (terms []Term) {
+	power := 0
 	if shared {
-		grows = 1
+		power = 1
 	}
 	terms = []Term{{"carriers", role + " bytes", Nodes, 0}}
-	every := map[string][]Term{
-		"sorter_poll":  {{"services", role + " bytes of sorter_poll", Services - 10, grows}, {"restarts", role + " bytes of sorter_poll", Restarts, grows + 1}},
-		"desired_poll": {{"services", role + " bytes of desired_poll", (Services - 10) * changesOverBase, grows}, {"routes", role + " bytes of desired_poll", (Routes - 10) * changesOverBase, grows}},
+	byKind := map[string][]Term{
+		"sorter_poll":  {{"services", role + " bytes of sorter_poll", Services - 10, power}, {"restarts", role + " bytes of sorter_poll", Restarts, power + 1}},
+		"desired_poll": {{"services", role + " bytes of desired_poll", (Services - 10) * changesOverBase, power}, {"routes", role + " bytes of desired_poll", (Routes - 10) * changesOverBase, power}},
 		"claim":        {{"calls", role + " bytes of claim", perProxy(shared), 0}},
 	}
 	for _, kind := range kinds {
-		terms = append(terms, every[kind]...)
+		terms = append(terms, byKind[kind]...)
 	}
 	return terms
 }
@@ -90,15 +90,15 @@
 	return Claims / Nodes * float64(sweep.Base.Proxies)
 }
 
-// Needs are the page's lines.
-var Needs = []Need{
+// Requirements are the page's lines.
+var Requirements = []Requirement{
 	{"carrier", "control traffic, calm", "B/s", []Term{{"carriers", "carrier bytes", Nodes, 0}}, 7000, "`carrier/roll`, `carrier/desk` (shared-state, roll-out)"},
-	{"carrier", "control traffic, all", "B/s", traffic("carrier", false, "sorter_poll", "desired_poll", "claim"), 7000, "as above, and `sorter/directory`, `sorter/breakerstore` (membership, failure-detection)"},
+	{"carrier", "control traffic, all", "B/s", trafficTerms("carrier", false, "sorter_poll", "desired_poll", "claim"), 7000, "as above, and `sorter/directory`, `sorter/breakerstore` (membership, failure-detection)"},
 	{"carrier", "processor for control, calm", "µs/s", []Term{{"carriers", "carrier processor", Nodes, 0}}, 19000, "`carrier/roll`, `carrier/desk`, `house` governor (processor)"},
-	{"carrier", "processor for control, all", "µs/s", adding("carrier processor", false), 19000, "as above"},
+	{"carrier", "processor for control, all", "µs/s", allTerms("carrier processor", false), 19000, "as above"},
 	{"carrier", "memory", "KB", []Term{{"carriers", "carrier memory", Nodes, 0}, {"services", "carrier memory", Services - 10, 0}, {"routes", "carrier memory", Routes - 10, 0}}, 128000, "`carrier/roll` directory, `franking` view (membership, roll-out)"},
 	{"sorter", "primary: messages, calm", "1/s", []Term{{"carriers", "sorter primary messages", Nodes, 0}}, 0, "`sorter` polls (shared-state)"},
-	{"sorter", "primary: traffic, all", "B/s", traffic("sorter primary", true, "sorter_poll", "claim"), 125e6, "`sorter/directory`, `sorter/breakerstore` (membership, shared-state)"},
+	{"sorter", "primary: traffic, all", "B/s", trafficTerms("sorter primary", true, "sorter_poll", "claim"), 125e6, "`sorter/directory`, `sorter/breakerstore` (membership, shared-state)"},
 	{"sorter", "primary: processor, calm", "µs/s", []Term{{"carriers", "sorter primary processor", Nodes, 0}}, 8e6, "`sorter` polls, `sorter/directory` (membership)"},
 	{"sorter", "primary: processor for guards' records", "µs/s", []Term{{"services", "sorter primary processor", Services - 10, 1}}, 8e6, "`sorter/breakerstore`, whole with each poll (shared-state)"},
 	{"sorter", "primary: processor for claims", "µs/s", []Term{{"calls", "sorter primary processor", Claims, 0}}, 8e6, "`sorter/claims`, `replication` group commit (run-once)"},
@@ -107,7 +107,7 @@
 	{"sorter", "backup: processor, calm", "µs/s", []Term{{"carriers", "sorter backup processor", Nodes, 0}}, 8e6, "as above"},
 	{"sorter", "claims answered again after the primary's death", "s", []Term{{"carriers", "until claims again", Nodes, 0}}, 0, "`replication` (election)"},
 	{"postmaster", "primary: messages, calm", "1/s", []Term{{"carriers", "postmaster primary messages", Nodes, 0}}, 0, "`postmaster` held polls (roll-out)"},
-	{"postmaster", "primary: traffic, mean of a day", "B/s", traffic("postmaster primary", true, "desired_poll"), 125e6, "`postmaster` held polls, whole states (roll-out)"},
+	{"postmaster", "primary: traffic, mean of a day", "B/s", trafficTerms("postmaster primary", true, "desired_poll"), 125e6, "`postmaster` held polls, whole states (roll-out)"},
 	{"postmaster", "primary: processor, calm", "µs/s", []Term{{"carriers", "postmaster primary processor", Nodes, 0}}, 8e6, "as above"},
 	{"postmaster", "primary: memory, calm", "KB", []Term{{"carriers", "postmaster primary memory", Nodes, 0}}, 0, "`postmaster` holders, `postmaster/ledger` (roll-out)"},
 	{"postmaster", "one desired state", "B", []Term{{"carriers", "desired state", Nodes, 0}, {"services", "desired state", Services - 10, 0}, {"routes", "desired state", Routes - 10, 0}}, 0, "`postmaster/ledger`, `franking` (roll-out)"},
@@ -130,27 +130,27 @@
 
 // Parts works the terms out. A first term along carriers is the line's value at the size, or at the most that was played if it doesn't rise;
 // the others are slopes times a difference. Only a slope that is above twice its standard error counts.
-func (n Need) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
+func (n Requirement) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
 	for index, term := range n.Terms {
 		dimension, err := sweep.Find(term.Dimension)
 		if err != nil {
 			return nil, 0, err
 		}
-		figure, err := sweep.FindFigure(term.Figure)
+		metric, err := sweep.FindMetric(term.Metric)
 		if err != nil {
 			return nil, 0, err
 		}
-		line, drawn := Along(points, dimension, figure)
-		if !drawn {
-			return nil, 0, fmt.Errorf("no line of %s along %s: too few runs are recorded", term.Figure, term.Dimension)
+		line, fitted := FitAlong(points, dimension, metric)
+		if !fitted {
+			return nil, 0, fmt.Errorf("no line of %s along %s: too few runs are recorded", term.Metric, term.Dimension)
 		}
 		value := 0.0
 		switch {
-		case index == 0 && term.Dimension == "carriers" && line.Rises():
+		case index == 0 && term.Dimension == "carriers" && line.Increasing():
 			value = line.At(term.Amount)
 		case index == 0 && term.Dimension == "carriers":
-			value = line.At(line.Most)
-		case line.Rises():
+			value = line.At(line.MaxX)
+		case line.Increasing():
 			value = line.Slope * term.Amount
 		}
 		for range term.Power {
--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -10,7 +10,7 @@
 )
 
 // tables are the page's generated parts by name.
-var tables = map[string]func(points []sweep.Point) (string, error){"played": played, "spans": spans, "slopes": slopes, "needs": needs}
+var tables = map[string]func(points []sweep.Point) (string, error){"played": measuredTable, "spans": durationsTable, "slopes": slopesTable, "needs": requirementsTable}
 
 // Render gives the page with each marked part written anew. Every part must be marked, once.
 func Render(page string, points []sweep.Point) (string, error) {
@@ -30,8 +30,8 @@
 	return page, nil
 }
 
-// Number writes three digits that count.
-func Number(value float64) string {
+// FormatNumber writes three digits that count.
+func FormatNumber(value float64) string {
 	if value == 0 {
 		return "0"
 	}
@@ -43,9 +43,9 @@
 }
 
 // scales write a value in the unit that suits its size, from the least that each is for.
-var scales = map[string][]struct {
-	least, by float64
-	unit      string
+var unitScales = map[string][]struct {
+	minimum, divisor float64
+	unit             string
 }{
 	"B/s":  {{1e6, 1e6, "MB/s"}, {1e3, 1e3, "KB/s"}},
 	"B":    {{1e9, 1e9, "GB"}, {1e6, 1e6, "MB"}, {1e3, 1e3, "KB"}},
@@ -54,14 +54,14 @@
 	"µs/s": {{1e6, 1e6, "processors"}, {1e3, 1e4, "% of a processor"}},
 }
 
-// Amount writes a value with its unit.
-func Amount(value float64, unit string) string {
-	for _, scale := range scales[unit] {
-		if math.Abs(value) >= scale.least {
-			return Number(value/scale.by) + " " + scale.unit
+// FormatValue writes a value with its unit.
+func FormatValue(value float64, unit string) string {
+	for _, scale := range unitScales[unit] {
+		if math.Abs(value) >= scale.minimum {
+			return FormatNumber(value/scale.divisor) + " " + scale.unit
 		}
 	}
-	return Number(value) + " " + unit
+	return FormatNumber(value) + " " + unit
 }
 
 func median(values []float64) float64 {
@@ -73,11 +73,11 @@
 }
 
 // spread writes the median, and least to most.
-func spread(values []float64) string {
+func medianAndRange(values []float64) string {
 	if len(values) == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%s (%s to %s)", Number(median(values)), Number(slices.Min(values)), Number(slices.Max(values)))
+	return fmt.Sprintf("%s (%s to %s)", FormatNumber(median(values)), FormatNumber(slices.Min(values)), FormatNumber(slices.Max(values)))
 }
 
 func collect(runs []sweep.Run, of func(run sweep.Run) (float64, bool)) (values []float64) {
@@ -89,32 +89,32 @@
 	return values
 }
 
-func table(header ...string) *strings.Builder {
+func newTable(header ...string) *strings.Builder {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "| %s |\n|%s\n", strings.Join(header, " | "), strings.Repeat("---|", len(header)))
 	return text
 }
 
-func line(text *strings.Builder, cells ...string) {
+func writeRow(text *strings.Builder, cells ...string) {
 	fmt.Fprintf(text, "| %s |\n", strings.Join(cells, " | "))
 }
 
-func played(points []sweep.Point) (string, error) {
-	text := table("swept", "size", "runs", "window, s", "desired state, KB", "guards' records", "load average before", "runs in which an epoch changed: sorters, postmasters")
+func measuredTable(points []sweep.Point) (string, error) {
+	text := newTable("swept", "size", "runs", "window, s", "desired state, KB", "guards' records", "load average before", "runs in which an epoch changed: sorters, postmasters")
 	for _, point := range points {
 		of := func(read func(run sweep.Run) float64) []float64 {
 			return collect(point.Runs, func(run sweep.Run) (float64, bool) { return read(run), true })
 		}
-		line(text, point.Dimension, fmt.Sprint(point.Value), fmt.Sprint(len(point.Runs)), spread(of(func(run sweep.Run) float64 { return run.Seconds })),
-			Number(median(of(func(run sweep.Run) float64 { return float64(run.Content) / 1000 }))), Number(median(of(func(run sweep.Run) float64 { return float64(run.Guards) }))),
-			spread(of(func(run sweep.Run) float64 { return run.Load })), fmt.Sprintf("%d, %d", changed(point, "sorter"), changed(point, "postmaster")))
+		writeRow(text, point.Dimension, fmt.Sprint(point.Value), fmt.Sprint(len(point.Runs)), medianAndRange(of(func(run sweep.Run) float64 { return run.Seconds })),
+			FormatNumber(median(of(func(run sweep.Run) float64 { return float64(run.ConfigBytes) / 1000 }))), FormatNumber(median(of(func(run sweep.Run) float64 { return float64(run.Breakers) }))),
+			medianAndRange(of(func(run sweep.Run) float64 { return run.LoadAverage })), fmt.Sprintf("%d, %d", countEpochChanges(point, "sorter"), countEpochChanges(point, "postmaster")))
 	}
 	return text.String(), nil
 }
 
-func changed(point sweep.Point, group string) (count int) {
+func countEpochChanges(point sweep.Point, group string) (count int) {
 	for _, run := range point.Runs {
-		if run.Changed(group) {
+		if run.EpochChanged(group) {
 			count++
 		}
 	}
@@ -129,61 +129,61 @@
 	return ordered[min(len(ordered)-1, int(float64(len(ordered))*part))]
 }
 
-func spans(points []sweep.Point) (string, error) {
-	text := table("swept", "size", "take-up at the slowest carrier: changes, p50, p99, most", "claim: granted, other, p50, p99", "claims again", "reads again", "changes again", "all ready", "all see all", "KB for each carrier until then")
+func durationsTable(points []sweep.Point) (string, error) {
+	text := newTable("swept", "size", "take-up at the slowest carrier: changes, p50, p99, most", "claim: granted, other, p50, p99", "claims again", "reads again", "changes again", "all ready", "all see all", "KB for each carrier until then")
 	for _, point := range points {
 		var takeUp []float64
 		granted, other := 0, 0
-		var half, most []float64
+		var medians, p99s []float64
 		for _, run := range point.Runs {
 			takeUp = append(takeUp, run.TakeUp...)
 			granted, other = granted+run.Claims.Granted, other+run.Claims.Other
-			half, most = append(half, run.Claims.P50), append(most, run.Claims.P99)
+			medians, p99s = append(medians, run.Claims.P50), append(p99s, run.Claims.P99)
 		}
 		cells := []string{point.Dimension, fmt.Sprint(point.Value),
-			fmt.Sprintf("%d, %s, %s, %s", len(takeUp), Number(quantile(takeUp, 0.5)), Number(quantile(takeUp, 0.99)), Number(quantile(takeUp, 1))),
-			fmt.Sprintf("%d, %d, %s, %s", granted, other, Number(median(half)), Number(median(most)))}
+			fmt.Sprintf("%d, %s, %s, %s", len(takeUp), FormatNumber(quantile(takeUp, 0.5)), FormatNumber(quantile(takeUp, 0.99)), FormatNumber(quantile(takeUp, 1))),
+			fmt.Sprintf("%d, %d, %s, %s", granted, other, FormatNumber(median(medians)), FormatNumber(median(p99s)))}
 		for _, name := range []string{"until claims again", "until reads again", "until changes again", "until all are ready", "until all see all"} {
-			figure, err := sweep.FindFigure(name)
+			metric, err := sweep.FindMetric(name)
 			if err != nil {
 				return "", err
 			}
-			values := collect(point.Runs, figure.Of)
-			cell := spread(values)
+			values := collect(point.Runs, metric.Measure)
+			cell := medianAndRange(values)
 			if measured := collect(point.Runs, func(run sweep.Run) (float64, bool) { return 0, run.Failures != nil }); len(values) < len(measured) {
 				cell += fmt.Sprintf("; not reached in %d", len(measured)-len(values))
 			}
 			cells = append(cells, cell)
 		}
-		cells = append(cells, spread(collect(point.Runs, func(run sweep.Run) (float64, bool) {
+		cells = append(cells, medianAndRange(collect(point.Runs, func(run sweep.Run) (float64, bool) {
 			if run.Failures == nil {
 				return 0, false
 			}
 			return run.Failures.Bytes / 1000, true
 		})))
-		line(text, cells...)
+		writeRow(text, cells...)
 	}
 	return text.String(), nil
 }
 
-func slopes(points []sweep.Point) (string, error) {
-	text := table("along", "of", "at the base", "slope", "standard error", "runs")
+func slopesTable(points []sweep.Point) (string, error) {
+	text := newTable("along", "of", "at the base", "slope", "standard error", "runs")
 	for _, dimension := range sweep.Dimensions {
-		without := 0
-		for _, figure := range sweep.Figures() {
-			drawn, possible := Along(points, dimension, figure)
-			if !possible {
+		insignificant := 0
+		for _, metric := range sweep.Metrics() {
+			line, fitted := FitAlong(points, dimension, metric)
+			if !fitted {
 				continue
 			}
-			if !drawn.Certain() {
-				without++
+			if !line.Significant() {
+				insignificant++
 				continue
 			}
 			base, _ := baseValue(points, dimension)
-			line(text, dimension.Name, figure.Name, Number(drawn.At(base))+" "+figure.Unit, Number(drawn.Slope)+" "+figure.Unit+" for a "+dimension.Unit, Number(drawn.Error), fmt.Sprint(drawn.Points))
+			writeRow(text, dimension.Name, metric.Name, FormatNumber(line.At(base))+" "+metric.Unit, FormatNumber(line.Slope)+" "+metric.Unit+" for a "+dimension.Unit, FormatNumber(line.SlopeError), fmt.Sprint(line.Points))
 		}
-		if without > 0 {
-			line(text, dimension.Name, fmt.Sprintf("%d more, with no slope beyond twice its error", without), "", "", "", "")
+		if insignificant > 0 {
+			writeRow(text, dimension.Name, fmt.Sprintf("%d more, with no slope beyond twice its error", insignificant), "", "", "", "")
 		}
 	}
 	return text.String(), nil
@@ -195,36 +195,36 @@
 	for _, point := range points {
 		for _, run := range point.Runs {
 			if run.Size == sweep.Base {
-				values = append(values, dimension.Value(run))
+				values = append(values, dimension.Coordinate(run))
 			}
 		}
 	}
 	return median(values), len(values) > 0
 }
 
-func needs(points []sweep.Point) (string, error) {
-	text := table("role", "need", "at the letter's size", "made of", "bound", "holds", "carried by")
-	for _, need := range Needs {
-		parts, sum, err := need.Parts(points)
+func requirementsTable(points []sweep.Point) (string, error) {
+	text := newTable("role", "need", "at the letter's size", "made of", "bound", "holds", "carried by")
+	for _, requirement := range Requirements {
+		parts, sum, err := requirement.Parts(points)
 		if err != nil {
 			return "", err
 		}
-		made := []string{}
+		contributions := []string{}
 		for _, part := range parts {
 			note := ""
-			if !part.Line.Rises() {
+			if !part.Line.Increasing() {
 				note = " (doesn't rise)"
 			}
-			made = append(made, fmt.Sprintf("%s %s%s", part.Term.Dimension, Amount(part.Value, need.Unit), note))
+			contributions = append(contributions, fmt.Sprintf("%s %s%s", part.Term.Dimension, FormatValue(part.Value, requirement.Unit), note))
 		}
-		bound, met := "none given", "-"
-		if need.Bound > 0 {
-			bound, met = Amount(need.Bound, need.Unit), "yes"
-			if sum > need.Bound {
-				met = fmt.Sprintf("**no, %s times over**", Number(sum/need.Bound))
+		bound, holds := "none given", "-"
+		if requirement.Bound > 0 {
+			bound, holds = FormatValue(requirement.Bound, requirement.Unit), "yes"
+			if sum > requirement.Bound {
+				holds = fmt.Sprintf("**no, %s times over**", FormatNumber(sum/requirement.Bound))
 			}
 		}
-		line(text, need.Role, need.What, Amount(sum, need.Unit), strings.Join(made, ", "), bound, met, need.By)
+		writeRow(text, requirement.Role, requirement.Description, FormatValue(sum, requirement.Unit), strings.Join(contributions, ", "), bound, holds, requirement.Mechanism)
 	}
 	return text.String(), nil
 }
--- a/internal/rehearse/hollow/incarnation.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -21,7 +21,7 @@
 // Invariant: once over is set, no task of this life gets past its next wait; offices hold no lock there, so none stays held.
 type incarnation struct {
 	*machine.Machine
-	over    atomic.Bool
+	ended   atomic.Bool
 	lock    sync.Mutex
 	adopted map[uint64]time.Time // by serial
 }
@@ -30,8 +30,8 @@
 	return &incarnation{Machine: machine.New(nil, nil, nil), adopted: map[uint64]time.Time{}}
 }
 
-func (i *incarnation) wait() {
-	if i.over.Load() {
+func (i *incarnation) exitIfEnded() {
+	if i.ended.Load() {
 		runtime.Goexit()
 	}
 }
@@ -39,14 +39,14 @@
 // Sleep waits, and ends the task if its life ended.
 func (i *incarnation) Sleep(duration monotonic.Micros) {
 	i.Machine.Sleep(duration)
-	i.wait()
+	i.exitIfEnded()
 }
 
 // Call calls, and ends the task if its life ended.
 func (i *incarnation) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
-	i.wait()
+	i.exitIfEnded()
 	err := i.Machine.Call(address, kind, request, reply, timeout)
-	i.wait()
+	i.exitIfEnded()
 	return err
 }
 
@@ -58,7 +58,7 @@
 // Wait waits, and ends the task if its life ended.
 func (s *signal) Wait(timeout monotonic.Micros) bool {
 	fired := s.Signal.Wait(timeout)
-	s.incarnation.wait()
+	s.incarnation.exitIfEnded()
 	return fired
 }
 
@@ -82,7 +82,7 @@
 func (i *incarnation) Stop(string) { i.end() }
 
 func (i *incarnation) end() {
-	if i.over.CompareAndSwap(false, true) {
+	if i.ended.CompareAndSwap(false, true) {
 		i.CloseConnections()
 	}
 }
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -16,8 +16,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Settings are a crowd's.
-type Settings struct {
+// Options are a crowd's.
+type Options struct {
 	Proxies  int
 	Services int
 	Calls    int // services that each carrier tells to have called since its last poll
@@ -25,16 +25,16 @@
 	Seeds    []string
 }
 
-// Service is a service's name by its index.
-func Service(index int) string { return fmt.Sprintf("service-%04d", index) }
+// ServiceName is a service's name by its index.
+func ServiceName(index int) string { return fmt.Sprintf("service-%04d", index) }
 
 // Pool is all carriers of the process.
 // Invariant: the carrier of an index has one backend, of the service index modulo Services, in every life.
 type Pool struct {
-	settings Settings
-	lock     sync.Mutex
-	members  []*member
-	past     map[wire.Kind]machine.MessageCount // of lives that ended
+	options     Options
+	lock        sync.Mutex
+	members     []*member
+	endedCounts map[wire.Kind]machine.MessageCount // of lives that ended
 }
 
 type member struct {
@@ -45,106 +45,106 @@
 }
 
 // NewPool makes a crowd that isn't there yet.
-func NewPool(settings Settings) *Pool {
-	return &Pool{settings: settings, past: map[wire.Kind]machine.MessageCount{}}
+func NewPool(options Options) *Pool {
+	return &Pool{options: options, endedCounts: map[wire.Kind]machine.MessageCount{}}
 }
 
-// Arrive starts every carrier anew, each so long after the one before; all at once for zero.
-func (p *Pool) Arrive(apart time.Duration) error {
-	for index := range p.settings.Proxies {
-		present, err := p.start(index)
+// StartAll starts every carrier anew, each so long after the one before; all at once for zero.
+func (p *Pool) StartAll(apart time.Duration) error {
+	for index := range p.options.Proxies {
+		current, err := p.start(index)
 		if err != nil {
 			return err
 		}
 		p.lock.Lock()
-		p.members = append(slices.Clip(p.members), present)
+		p.members = append(slices.Clip(p.members), current)
 		p.lock.Unlock()
 		time.Sleep(apart)
 	}
 	return nil
 }
 
-// Leave ends every carrier at once without a word.
-func (p *Pool) Leave() {
-	for _, present := range p.present() {
-		present.incarnation.end()
+// StopAll ends every carrier at once without a word.
+func (p *Pool) StopAll() {
+	for _, current := range p.currentMembers() {
+		current.incarnation.end()
 	}
-	totals := p.Kinds()
+	totals := p.MessageCounts()
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	p.members, p.past = nil, totals
+	p.members, p.endedCounts = nil, totals
 }
 
-func (p *Pool) present() []*member {
+func (p *Pool) currentMembers() []*member {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.members
 }
 
 func (p *Pool) start(index int) (*member, error) {
-	host := newIncarnation()
+	incarnationHost := newIncarnation()
 	name := fmt.Sprintf("hollow-%05d", index)
 	// Nobody passes a request to a hollow carrier, so nothing listens at its address; it only has to be its own.
 	address := fmt.Sprintf("10.%d.%d.%d:7300", index>>16, index>>8&255, index&255)
-	resolver := discovery.New(host, nil, p.settings.Seeds)
-	made := proxy.New(proxy.Options{Host: host, Resolver: resolver, Name: name, Domain: p.settings.Zones[index%len(p.settings.Zones)], Address: address})
-	made.Session.Activity = func() []*wire.Activity { return p.activity(index) }
-	instance := fmt.Sprintf("%016x", host.Random())
-	err := made.LocalBackends.Register(localbackends.Backend{Service: Service(index % p.settings.Services), Instance: instance, Address: address}, localbackends.Working)
+	resolver := discovery.New(incarnationHost, nil, p.options.Seeds)
+	hollowProxy := proxy.New(proxy.Options{Host: incarnationHost, Resolver: resolver, Name: name, Domain: p.options.Zones[index%len(p.options.Zones)], Address: address})
+	hollowProxy.Session.Activity = func() []*wire.Activity { return p.activity(index) }
+	instance := fmt.Sprintf("%016x", incarnationHost.Random())
+	err := hollowProxy.LocalBackends.Register(localbackends.Backend{Service: ServiceName(index % p.options.Services), Instance: instance, Address: address}, localbackends.Working)
 	if err != nil {
 		return nil, err
 	}
-	host.Go(func() { resolver.Run(monotonic.Second) })
-	host.Go(func() {
+	incarnationHost.Go(func() { resolver.Run(monotonic.Second) })
+	incarnationHost.Go(func() {
 		for {
-			host.Sleep(localbackends.HeartbeatInterval)
-			_ = made.LocalBackends.Heartbeat(instance, localbackends.Working) // it's registered for as long as its carrier lives
+			incarnationHost.Sleep(localbackends.HeartbeatInterval)
+			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working) // it's registered for as long as its carrier lives
 		}
 	})
-	made.Start()
-	return &member{incarnation: host, name: name, proxy: made, resolver: resolver}, nil
+	hollowProxy.Start()
+	return &member{incarnation: incarnationHost, name: name, proxy: hollowProxy, resolver: resolver}, nil
 }
 
 // activity tells of one call to each service of this carrier's part; neighbours' parts overlap, so each service has several callers.
 func (p *Pool) activity(index int) (called []*wire.Activity) {
-	for _, service := range p.Called(index) {
-		called = append(called, &wire.Activity{Service: Service(service), Calls: 1, Attempts: 1})
+	for _, service := range p.CalledServices(index) {
+		called = append(called, &wire.Activity{Service: ServiceName(service), Calls: 1, Attempts: 1})
 	}
 	return called
 }
 
-// Called lists the services that a carrier calls.
-func (p *Pool) Called(index int) (services []int) {
-	for turn := range min(p.settings.Calls, p.settings.Services) {
-		services = append(services, (index*p.settings.Calls+turn)%p.settings.Services)
+// CalledServices lists the services that a carrier calls.
+func (p *Pool) CalledServices(index int) (services []int) {
+	for offset := range min(p.options.Calls, p.options.Services) {
+		services = append(services, (index*p.options.Calls+offset)%p.options.Services)
 	}
 	return services
 }
 
-// Ready counts the carriers that could be sent callers.
-func (p *Pool) Ready() (count int) {
-	for _, present := range p.present() {
-		if ready, _ := present.proxy.Ready(); ready {
+// ReadyCount counts the carriers that could be sent callers.
+func (p *Pool) ReadyCount() (count int) {
+	for _, current := range p.currentMembers() {
+		if ready, _ := current.proxy.Ready(); ready {
 			count++
 		}
 	}
 	return count
 }
 
-// Complete counts the carriers that see every other one.
-func (p *Pool) Complete() (count int) {
-	for _, present := range p.present() {
-		if present.proxy.Session.Directory().Live == p.settings.Proxies {
+// CompleteCount counts the carriers that see every other one.
+func (p *Pool) CompleteCount() (count int) {
+	for _, current := range p.currentMembers() {
+		if current.proxy.Session.Directory().Live == p.options.Proxies {
 			count++
 		}
 	}
 	return count
 }
 
-// Adopted tells when the last carrier adopted a serial, or how many haven't.
-func (p *Pool) Adopted(version uint64) (last time.Time, missing int) {
-	for _, present := range p.present() {
-		at, known := present.incarnation.adoptedAt(version)
+// LastAdoption tells when the last carrier adopted a serial, or how many haven't.
+func (p *Pool) LastAdoption(version uint64) (last time.Time, missing int) {
+	for _, current := range p.currentMembers() {
+		at, known := current.incarnation.adoptedAt(version)
 		if !known {
 			missing++
 		} else if at.After(last) {
@@ -155,40 +155,40 @@
 }
 
 // MessageCounts tells what all carriers have exchanged by kind, in all their lives.
-func (p *Pool) Kinds() map[wire.Kind]machine.MessageCount {
+func (p *Pool) MessageCounts() map[wire.Kind]machine.MessageCount {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	totals := maps.Clone(p.past)
-	for _, present := range p.members {
-		add(totals, present.incarnation.MessageCounts())
+	totals := maps.Clone(p.endedCounts)
+	for _, current := range p.members {
+		addCounts(totals, current.incarnation.MessageCounts())
 	}
 	return totals
 }
 
 // Claim has a carrier claim a key, as for a request that it's about to hand to its backend.
 func (p *Pool) Claim(index int, scope string, timeout monotonic.Micros) (granted bool, err error) {
-	present := p.present()[index]
+	current := p.currentMembers()[index]
 	response := &wire.ClaimResponse{}
-	request := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: present.name, Incarnation: present.proxy.Incarnation(), ReadAt: present.proxy.LeaderClock()}
-	err = present.proxy.Session.CallLeader(wire.Kind_claim, request, response, timeout)
+	request := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: current.name, Incarnation: current.proxy.Incarnation(), ReadAt: current.proxy.LeaderClock()}
+	err = current.proxy.Session.CallLeader(wire.Kind_claim, request, response, timeout)
 	return response.Outcome == "granted", err
 }
 
-// Trip has a carrier report trouble with a service, after which the service's guard has a shared record.
-func (p *Pool) Trip(index, service int) error {
-	present := p.present()[index]
-	request := &wire.BreakerWriteRequest{Service: Service(service), Verb: "trip", Proxy: present.name, Incarnation: present.proxy.Incarnation(), Settings: config.DefaultService(Service(service)).BreakerTerms()}
-	return present.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
+// TripBreaker has a carrier report trouble with a service, after which the service's guard has a shared record.
+func (p *Pool) TripBreaker(index, service int) error {
+	current := p.currentMembers()[index]
+	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: current.name, Incarnation: current.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerTerms()}
+	return current.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
-// Guarded counts the guards' records that a carrier was told of.
-func (p *Pool) Guarded(index int) int {
-	return len(p.present()[index].proxy.Breakers.Statuses())
+// BreakerCount counts the guards' records that a carrier was told of.
+func (p *Pool) BreakerCount(index int) int {
+	return len(p.currentMembers()[index].proxy.Breakers.Statuses())
 }
 
 // Restart ends one carrier without a word and starts it anew at once.
 func (p *Pool) Restart(index int) error {
-	old := p.present()[index]
+	old := p.currentMembers()[index]
 	old.incarnation.end()
 	totals := old.incarnation.MessageCounts()
 	fresh, err := p.start(index)
@@ -199,15 +199,15 @@
 	defer p.lock.Unlock()
 	p.members = slices.Clone(p.members)
 	p.members[index] = fresh
-	add(p.past, totals)
+	addCounts(p.endedCounts, totals)
 	return nil
 }
 
-func add(totals, more map[wire.Kind]machine.MessageCount) {
-	for kind, counted := range more {
+func addCounts(totals, more map[wire.Kind]machine.MessageCount) {
+	for kind, count := range more {
 		total := totals[kind]
-		total.Sent, total.SentBytes = total.Sent+counted.Sent, total.SentBytes+counted.SentBytes
-		total.Received, total.ReceivedBytes = total.Received+counted.Received, total.ReceivedBytes+counted.ReceivedBytes
+		total.Sent, total.SentBytes = total.Sent+count.Sent, total.SentBytes+count.SentBytes
+		total.Received, total.ReceivedBytes = total.Received+count.Received, total.ReceivedBytes+count.ReceivedBytes
 		totals[kind] = total
 	}
 }
--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -18,23 +18,23 @@
 	"snowflow/internal/transport/wire"
 )
 
-var client = &http.Client{Timeout: 10 * time.Second}
+var adminClient = &http.Client{Timeout: 10 * time.Second}
 
 // status asks a process of the core how its group stands.
-func status(process *fleet.Process) (replication.Status, error) {
-	answer := struct {
+func fetchStatus(process *fleet.Process) (replication.Status, error) {
+	report := struct {
 		Core replication.Status `json:"core"`
 	}{}
-	response, err := client.Get("http://" + process.AdminAddress + "/local")
+	response, err := adminClient.Get("http://" + process.AdminAddress + "/local")
 	if err != nil {
-		return answer.Core, err
+		return report.Core, err
 	}
 	defer response.Body.Close()
-	return answer.Core, json.NewDecoder(response.Body).Decode(&answer)
+	return report.Core, json.NewDecoder(response.Body).Decode(&report)
 }
 
 // role names what a process is in its group.
-func role(process *fleet.Process, core replication.Status) string {
+func roleName(process *fleet.Process, core replication.Status) string {
 	switch process.Name {
 	case core.Primary:
 		return recordedPrograms[process.Program] + " primary"
@@ -45,8 +45,8 @@
 }
 
 // kinds reads a process's counts by kind from its metrics.
-func kinds(process *fleet.Process) (map[string]machine.MessageCount, error) {
-	response, err := client.Get("http://" + process.AdminAddress + "/metrics")
+func fetchMessageCounts(process *fleet.Process) (map[string]machine.MessageCount, error) {
+	response, err := adminClient.Get("http://" + process.AdminAddress + "/metrics")
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	return totals, nil
 }
 
-func byKindName(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
+func labelCounts(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
 	totals := map[string]machine.MessageCount{}
 	for kind, count := range counted {
 		totals[machine.KindLabel(kind)] = count
@@ -94,20 +94,20 @@
 // rates divides what came between two readings by time and processes.
 func perSecond(before, after map[string]machine.MessageCount, divisor float64) map[string]Traffic {
 	traffic := map[string]Traffic{}
-	for kind, late := range after {
-		early := before[kind]
-		one := Traffic{Sent: float64(late.Sent-early.Sent) / divisor, SentBytes: float64(late.SentBytes-early.SentBytes) / divisor,
-			Received: float64(late.Received-early.Received) / divisor, ReceivedBytes: float64(late.ReceivedBytes-early.ReceivedBytes) / divisor}
-		if one != (Traffic{}) {
-			traffic[kind] = one
+	for kind, later := range after {
+		earlier := before[kind]
+		rate := Traffic{Sent: float64(later.Sent-earlier.Sent) / divisor, SentBytes: float64(later.SentBytes-earlier.SentBytes) / divisor,
+			Received: float64(later.Received-earlier.Received) / divisor, ReceivedBytes: float64(later.ReceivedBytes-earlier.ReceivedBytes) / divisor}
+		if rate != (Traffic{}) {
+			traffic[kind] = rate
 		}
 	}
 	return traffic
 }
 
 // resident reads a field such as VmHWM, the most a process had resident, in bytes.
-func residentBytes(process, field string) (float64, error) {
-	content, err := os.ReadFile("/proc/" + process + "/status")
+func residentBytes(pid, field string) (float64, error) {
+	content, err := os.ReadFile("/proc/" + pid + "/status")
 	if err != nil {
 		return 0, err
 	}
@@ -117,11 +117,11 @@
 			return kilobytes * 1024, err
 		}
 	}
-	return 0, fmt.Errorf("process %s has no %s", process, field)
+	return 0, fmt.Errorf("process %s has no %s", pid, field)
 }
 
 // processor is what this process used so far, in microseconds.
-func processor() float64 {
+func ownCPUMicros() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -32,7 +32,7 @@
 }
 
 // arrival is how far apart carriers come before the window; their return at once is measured behind it.
-const arrival = 10 * time.Millisecond
+const startInterval = 10 * time.Millisecond
 
 const (
 	configStoreGroup = "postmaster"
@@ -41,44 +41,44 @@
 
 // play is a run under way.
 type measurement struct {
-	size        Size
-	options     Options
-	fleet       *fleet.Fleet
-	pool        *hollow.Pool
-	host        *machine.Machine // the operator's
-	resolver    *discovery.Resolver
-	run         *Run
-	version     int     // of the changes' contents
-	ownResident float64 // what this process had resident before the carriers came
+	size             Size
+	options          Options
+	fleet            *fleet.Fleet
+	pool             *hollow.Pool
+	host             *machine.Machine // the operator's
+	resolver         *discovery.Resolver
+	run              *Run
+	version          int     // of the changes' contents
+	baselineResident float64 // what this process had resident before the carriers came
 }
 
 // RunSize plays one run: it starts the core as processes and the carriers as hollow ones in this process, and measures.
 func RunSize(size Size, options Options, number int) (Run, error) {
-	run := Run{Size: size, Number: number, Load: loadAverage(), Roles: map[string]Role{}}
-	made, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3},
+	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]Role{}}
+	coreFleet, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3},
 		fleet.Options{Dir: options.Folder, BinaryDir: options.Binaries, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
 	if err != nil {
 		return run, err
 	}
-	defer made.Close()
-	m := &measurement{size: size, options: options, fleet: made, run: &run, host: machine.New(nil, nil, nil)}
+	defer coreFleet.Close()
+	m := &measurement{size: size, options: options, fleet: coreFleet, run: &run, host: machine.New(nil, nil, nil)}
 	defer m.host.CloseConnections()
-	if err := made.StartAll(); err != nil {
+	if err := coreFleet.StartAll(); err != nil {
 		return run, err
 	}
-	if err := fleet.AwaitReady(made.Core(), options.Timeout); err != nil {
+	if err := fleet.AwaitReady(coreFleet.Core(), options.Timeout); err != nil {
 		return run, err
 	}
 	seeds := []string{}
-	for _, process := range made.Core() {
+	for _, process := range coreFleet.Core() {
 		seeds = append(seeds, process.PeerAddress)
 	}
 	m.resolver = discovery.New(m.host, nil, seeds)
 	// Each service is called by two carriers at least, so that a report of trouble is kept.
 	calls := max(4, (2*size.Services+size.Proxies-1)/size.Proxies)
-	m.pool = hollow.NewPool(hollow.Settings{Proxies: size.Proxies, Services: size.Services, Calls: calls, Zones: made.Layout.Zones, Seeds: seeds[1:4]})
-	defer m.pool.Leave()
-	for _, step := range []func() error{m.awaitJoined, m.tripBreakers, m.measure, m.measureFailures} {
+	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, Calls: calls, Zones: coreFleet.Layout.Zones, Seeds: seeds[1:4]})
+	defer m.pool.StopAll()
+	for _, step := range []func() error{m.joinProxies, m.tripBreakers, m.measure, m.measureFailures} {
 		if err := step(); err != nil {
 			return run, err
 		}
@@ -98,33 +98,33 @@
 	return time.Since(started).Seconds(), true
 }
 
-func (m *measurement) countsAll(count func() int) func() bool {
+func (m *measurement) countsAllProxies(count func() int) func() bool {
 	return func() bool { return count() == m.size.Proxies }
 }
 
 // settle has a first desired state accepted and all carriers join.
-func (m *measurement) awaitJoined() error {
+func (m *measurement) joinProxies() error {
 	if _, _, err := m.apply(m.options.Timeout); err != nil {
 		return err
 	}
-	alone, err := residentBytes("self", "VmRSS")
+	baseline, err := residentBytes("self", "VmRSS")
 	if err != nil {
 		return err
 	}
-	m.ownResident = alone
+	m.baselineResident = baseline
 	began := time.Now()
-	if err := m.pool.Arrive(arrival); err != nil {
+	if err := m.pool.StartAll(startInterval); err != nil {
 		return err
 	}
 	for _, step := range []struct {
 		what  string
 		count func() int
-	}{{"ready", m.pool.Ready}, {"aware of all others", m.pool.Complete}} {
-		if _, reached := pollUntil(m.options.Timeout, m.countsAll(step.count)); !reached {
+	}{{"ready", m.pool.ReadyCount}, {"aware of all others", m.pool.CompleteCount}} {
+		if _, reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
 			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
 		}
 	}
-	m.run.Joined = time.Since(began).Seconds()
+	m.run.JoinSeconds = time.Since(began).Seconds()
 	return nil
 }
 
@@ -132,7 +132,7 @@
 func (m *measurement) tripBreakers() error {
 	first := map[int]int{}
 	for index := range m.size.Proxies {
-		for _, service := range m.pool.Called(index) {
+		for _, service := range m.pool.CalledServices(index) {
 			if _, known := first[service]; !known {
 				first[service] = index
 			}
@@ -147,7 +147,7 @@
 			defer reports.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			faults <- m.pool.Trip(index, service)
+			faults <- m.pool.TripBreaker(index, service)
 		}()
 	}
 	reports.Wait()
@@ -157,42 +157,42 @@
 			return err
 		}
 	}
-	complete := func() bool { return m.pool.Guarded(0) == len(first) }
+	complete := func() bool { return m.pool.BreakerCount(0) == len(first) }
 	if _, reached := pollUntil(m.options.Timeout, complete); !reached {
-		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.Guarded(0), len(first), m.options.Timeout)
+		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.BreakerCount(0), len(first), m.options.Timeout)
 	}
-	m.run.Guards = len(first)
+	m.run.Breakers = len(first)
 	return nil
 }
 
 // content writes the next desired state. Each differs in one route's cutoff, or in the note where there are no routes.
-func (m *measurement) content() ([]byte, error) {
+func (m *measurement) nextConfig() ([]byte, error) {
 	m.version++
 	state := &wire.DesiredState{Note: fmt.Sprintf("change %d", m.version), Groups: []*wire.Group{{Name: "all"}}}
 	for index := range m.size.Services {
-		state.Groups[0].Services = append(state.Groups[0].Services, &wire.Service{Name: hollow.Service(index),
+		state.Groups[0].Services = append(state.Groups[0].Services, &wire.Service{Name: hollow.ServiceName(index),
 			Paths: []*wire.Path{{Method: "POST", Prefix: fmt.Sprintf("/s/%04d", index), Class: wire.Path_once}}})
 	}
 	for index := range m.size.Routes {
 		route := &wire.Route{Name: fmt.Sprintf("route-%06d", index), Method: "GET", Prefix: fmt.Sprintf("/r/%06d", index), Class: wire.Path_read,
-			Split: []*wire.Share{{Service: hollow.Service(index % m.size.Services), Weight: 1}}}
+			Split: []*wire.Share{{Service: hollow.ServiceName(index % m.size.Services), Weight: 1}}}
 		if index == m.version%m.size.Routes {
-			cutoff := int64(1000000 + m.version)
-			route.CutoffMicros = &cutoff
+			deadlineMicros := int64(1000000 + m.version)
+			route.CutoffMicros = &deadlineMicros
 		}
 		state.Routes = append(state.Routes, route)
 	}
 	content, err := protojson.Marshal(state)
-	m.run.Content = len(content)
+	m.run.ConfigBytes = len(content)
 	return content, err
 }
 
 // call asks a group's primary, again until patience ends.
-func (m *measurement) call(group string, timeout time.Duration, request func(name string, left monotonic.Micros) error) error {
-	cutoff, err := time.Now().Add(timeout), errors.New("no primary is known")
-	for time.Now().Before(cutoff) {
+func (m *measurement) callPrimary(group string, timeout time.Duration, request func(name string, left monotonic.Micros) error) error {
+	deadline, err := time.Now().Add(timeout), errors.New("no primary is known")
+	for time.Now().Before(deadline) {
 		if name := m.resolver.Leader(group); name != "" {
-			if err = request(name, monotonic.FromDuration(time.Until(cutoff))); err == nil {
+			if err = request(name, monotonic.FromDuration(time.Until(deadline))); err == nil {
 				return nil
 			}
 		}
@@ -204,14 +204,14 @@
 
 // apply has a change accepted. It gives its serial and how long it took to be acknowledged.
 func (m *measurement) apply(timeout time.Duration) (version uint64, took float64, err error) {
-	content, err := m.content()
+	content, err := m.nextConfig()
 	if err != nil {
 		return 0, 0, err
 	}
 	began := time.Now()
 	request := &wire.ConfigApplyRequest{Content: content, AnyVersion: true, Request: strconv.Itoa(m.version)}
 	response := &wire.ConfigApplyResponse{}
-	err = m.call(configStoreGroup, timeout, func(name string, left monotonic.Micros) error {
+	err = m.callPrimary(configStoreGroup, timeout, func(name string, left monotonic.Micros) error {
 		return m.resolver.Call(name, wire.Kind_config_apply, request, response, left)
 	})
 	if err == nil && response.Outcome != "accepted" {
@@ -221,28 +221,28 @@
 }
 
 // reading is what all processes had used and exchanged by a moment.
-type reading struct {
-	at        time.Time
-	processor map[string]float64
-	kinds     map[string]map[string]machine.MessageCount
+type usageReading struct {
+	at            time.Time
+	cpuMicros     map[string]float64
+	messageCounts map[string]map[string]machine.MessageCount
 }
 
-func (m *measurement) read() (reading, error) {
-	taken := reading{at: time.Now(), processor: map[string]float64{proxyRole: processor()}, kinds: map[string]map[string]machine.MessageCount{proxyRole: byKindName(m.pool.Kinds())}}
+func (m *measurement) readUsage() (usageReading, error) {
+	taken := usageReading{at: time.Now(), cpuMicros: map[string]float64{proxyRole: ownCPUMicros()}, messageCounts: map[string]map[string]machine.MessageCount{proxyRole: labelCounts(m.pool.MessageCounts())}}
 	for _, process := range m.fleet.Core() {
-		taken.processor[process.Name] = float64(process.CPUTime())
-		counted, err := kinds(process)
+		taken.cpuMicros[process.Name] = float64(process.CPUTime())
+		counted, err := fetchMessageCounts(process)
 		if err != nil {
 			return taken, err
 		}
-		taken.kinds[process.Name] = counted
+		taken.messageCounts[process.Name] = counted
 	}
 	return taken, nil
 }
 
 // measure is the window: changes, claims and restarts at their rates, and what everybody needs meanwhile.
 func (m *measurement) measure() error {
-	before, err := m.read()
+	before, err := m.readUsage()
 	if err != nil {
 		return err
 	}
@@ -259,7 +259,7 @@
 	}
 	time.Sleep(m.options.Window)
 	work.Wait()
-	after, err := m.read()
+	after, err := m.readUsage()
 	if err != nil {
 		return err
 	}
@@ -272,46 +272,46 @@
 	return m.recordUsage(before, after)
 }
 
-func (m *measurement) recordUsage(before, after reading) error {
+func (m *measurement) recordUsage(before, after usageReading) error {
 	peak, err := residentBytes("self", "VmHWM")
 	if err != nil {
 		return err
 	}
-	count, seconds := float64(m.size.Proxies), m.run.Seconds
-	m.run.Roles[proxyRole] = Role{Processes: m.size.Proxies, Processor: (after.processor[proxyRole] - before.processor[proxyRole]) / seconds / count,
-		Resident: (peak - m.ownResident) / count, Kinds: perSecond(before.kinds[proxyRole], after.kinds[proxyRole], seconds*count)}
-	standing, err := m.awaitPrimaries()
+	proxies, seconds := float64(m.size.Proxies), m.run.Seconds
+	m.run.Roles[proxyRole] = Role{Processes: m.size.Proxies, CPUMicros: (after.cpuMicros[proxyRole] - before.cpuMicros[proxyRole]) / seconds / proxies,
+		ResidentBytes: (peak - m.baselineResident) / proxies, Kinds: perSecond(before.messageCounts[proxyRole], after.messageCounts[proxyRole], seconds*proxies)}
+	statuses, err := m.awaitPrimaries()
 	if err != nil {
 		return err
 	}
 	for _, process := range m.fleet.Core() {
-		core := standing[process.Program]
+		core := statuses[process.Program]
 		peak, err := residentBytes(strconv.Itoa(process.PID()), "VmHWM")
 		if err != nil {
 			return err
 		}
-		m.run.Roles[role(process, core)] = Role{Processes: 1, Processor: (after.processor[process.Name] - before.processor[process.Name]) / seconds,
-			Resident: peak, Kinds: perSecond(before.kinds[process.Name], after.kinds[process.Name], seconds)}
+		m.run.Roles[roleName(process, core)] = Role{Processes: 1, CPUMicros: (after.cpuMicros[process.Name] - before.cpuMicros[process.Name]) / seconds,
+			ResidentBytes: peak, Kinds: perSecond(before.messageCounts[process.Name], after.messageCounts[process.Name], seconds)}
 	}
 	return nil
 }
 
 // standing is how both groups stand by their primaries' word, once each has a backup.
 func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
-	found := map[string]replication.Status{}
+	statuses := map[string]replication.Status{}
 	_, reached := pollUntil(m.options.Timeout, func() bool {
 		for _, process := range m.fleet.Core() {
-			core, err := status(process)
+			core, err := fetchStatus(process)
 			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
-				found[process.Program] = core
+				statuses[process.Program] = core
 			}
 		}
-		return len(found) == 2
+		return len(statuses) == 2
 	})
 	if !reached {
-		return nil, fmt.Errorf("after %v only %d of 2 groups have a primary with a backup", m.options.Timeout, len(found))
+		return nil, fmt.Errorf("after %v only %d of 2 groups have a primary with a backup", m.options.Timeout, len(statuses))
 	}
-	return found, nil
+	return statuses, nil
 }
 
 // spread runs a number of things one after another, evenly over the window.
@@ -337,14 +337,14 @@
 		// One that a newer state overtook at some carriers never comes to them; nothing else applies meanwhile.
 		var last time.Time
 		if _, reached := pollUntil(m.options.Timeout, func() bool {
-			adopted, missing := m.pool.Adopted(version)
+			adopted, missing := m.pool.LastAdoption(version)
 			last = adopted
 			return missing == 0
 		}); !reached {
 			return fmt.Errorf("change %d has not reached all carriers after %v", version, m.options.Timeout)
 		}
 		m.run.TakeUp = append(m.run.TakeUp, last.Sub(began).Seconds())
-		m.run.Answered = append(m.run.Answered, took)
+		m.run.Acknowledged = append(m.run.Acknowledged, took)
 		return nil
 	})
 }
@@ -392,12 +392,12 @@
 	result := &Failures{CutoffSecs: m.options.Timeout.Seconds()}
 	m.run.Failures = result
 	killed := []*fleet.Process{}
-	standing, err := m.awaitPrimaries()
+	statuses, err := m.awaitPrimaries()
 	if err != nil {
 		return err
 	}
 	for _, process := range m.fleet.Core() {
-		if standing[process.Program].Primary == process.Name {
+		if statuses[process.Program].Primary == process.Name {
 			killed = append(killed, process)
 		}
 	}
@@ -412,7 +412,7 @@
 			return err
 		},
 		&result.Reads: func() error {
-			return m.call(configStoreGroup, m.options.Timeout, func(name string, left monotonic.Micros) error {
+			return m.callPrimary(configStoreGroup, m.options.Timeout, func(name string, left monotonic.Micros) error {
 				return m.resolver.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(left, 300*monotonic.Millisecond))
 			})
 		},
@@ -436,29 +436,29 @@
 	if err := fleet.AwaitReady(killed, m.options.Timeout); err != nil {
 		return err
 	}
-	m.pool.Leave()
+	m.pool.StopAll()
 	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // all sessions end
-	return m.measureReturn(result)
+	return m.measureMassRestart(result)
 }
 
-func (m *measurement) measureReturn(result *Failures) error {
+func (m *measurement) measureMassRestart(result *Failures) error {
 	bytes := func() (total float64) {
-		for _, counted := range m.pool.Kinds() {
+		for _, counted := range m.pool.MessageCounts() {
 			total += float64(counted.SentBytes + counted.ReceivedBytes)
 		}
 		return total
 	}
 	before, began := bytes(), time.Now()
-	if err := m.pool.Arrive(0); err != nil {
+	if err := m.pool.StartAll(0); err != nil {
 		return err
 	}
-	for _, one := range []struct {
+	for _, target := range []struct {
 		into  **float64
 		count func() int
-	}{{&result.Ready, m.pool.Ready}, {&result.Complete, m.pool.Complete}} {
-		if _, reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAll(one.count)); reached {
+	}{{&result.Ready, m.pool.ReadyCount}, {&result.Complete, m.pool.CompleteCount}} {
+		if _, reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
 			took := time.Since(began).Seconds()
-			*one.into = &took
+			*target.into = &took
 		}
 	}
 	result.Bytes = (bytes() - before) / float64(m.size.Proxies)
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -29,7 +29,7 @@
 	Name  string
 	Unit  string // of what slopes go by
 	Sizes []int  // that are played if none are asked for
-	Of    func(size *Size) *int
+	Field func(size *Size) *int
 	// PerWindow: the figure is a number within the window, so slopes go by it divided by the window's length.
 	PerWindow bool
 	// Failures: each run ends with the primaries killed, and with all carriers returning at once.
@@ -38,12 +38,12 @@
 
 // Dimensions are all that can be swept, in the order they are played.
 var Dimensions = []Dimension{
-	{Name: "carriers", Unit: "carrier", Sizes: []int{50, 200, 800}, Of: func(size *Size) *int { return &size.Proxies }, Failures: true},
-	{Name: "services", Unit: "service", Sizes: []int{580}, Of: func(size *Size) *int { return &size.Services }},
-	{Name: "routes", Unit: "route", Sizes: []int{10000}, Of: func(size *Size) *int { return &size.Routes }},
-	{Name: "changes", Unit: "change a second", Sizes: []int{40}, Of: func(size *Size) *int { return &size.Changes }, PerWindow: true},
-	{Name: "calls", Unit: "claim a second", Sizes: []int{400}, Of: func(size *Size) *int { return &size.Calls }},
-	{Name: "restarts", Unit: "restart a second", Sizes: []int{10}, Of: func(size *Size) *int { return &size.Restarts }, PerWindow: true},
+	{Name: "carriers", Unit: "carrier", Sizes: []int{50, 200, 800}, Field: func(size *Size) *int { return &size.Proxies }, Failures: true},
+	{Name: "services", Unit: "service", Sizes: []int{580}, Field: func(size *Size) *int { return &size.Services }},
+	{Name: "routes", Unit: "route", Sizes: []int{10000}, Field: func(size *Size) *int { return &size.Routes }},
+	{Name: "changes", Unit: "change a second", Sizes: []int{40}, Field: func(size *Size) *int { return &size.Changes }, PerWindow: true},
+	{Name: "calls", Unit: "claim a second", Sizes: []int{400}, Field: func(size *Size) *int { return &size.Calls }},
+	{Name: "restarts", Unit: "restart a second", Sizes: []int{10}, Field: func(size *Size) *int { return &size.Restarts }, PerWindow: true},
 }
 
 // Find gives a dimension by name.
@@ -64,23 +64,23 @@
 	return names
 }
 
-// At is the base with this dimension's figure moved.
-func (d Dimension) At(value int) Size {
+// SizeAt is the base with this dimension's figure moved.
+func (d Dimension) SizeAt(value int) Size {
 	size := Base
-	*d.Of(&size) = value
+	*d.Field(&size) = value
 	return size
 }
 
-// Along tells whether a size differs from the base in this dimension only.
-func (d Dimension) Along(size Size) bool {
+// Includes tells whether a size differs from the base in this dimension only.
+func (d Dimension) Includes(size Size) bool {
 	moved := size
-	*d.Of(&moved) = *d.Of(&Base)
+	*d.Field(&moved) = *d.Field(&Base)
 	return moved == Base
 }
 
-// Value is what slopes go by.
-func (d Dimension) Value(run Run) float64 {
-	value := float64(*d.Of(&run.Size))
+// Coordinate is what slopes go by.
+func (d Dimension) Coordinate(run Run) float64 {
+	value := float64(*d.Field(&run.Size))
 	if d.PerWindow {
 		return value / run.Seconds
 	}
@@ -90,17 +90,17 @@
 // What a hollow carrier takes, with its part of the core's memory: buffers of its connections and its own, and one entry
 // of the directory for each other member, twice because garbage stays until it's collected.
 const (
-	coreBytes   = 6 * 60 << 20
-	proxyBytes  = 1200 << 10
-	memberBytes = 1600
-	routeBytes  = 2500 // at each carrier, and kept with each change at the postmasters
-	filesEach   = 7    // connections of a hollow carrier: one to each process of the core, and one to spare
+	coreBytes     = 6 * 60 << 20
+	proxyBytes    = 1200 << 10
+	memberBytes   = 1600
+	routeBytes    = 2500 // at each carrier, and kept with each change at the postmasters
+	filesPerProxy = 7    // connections of a hollow carrier: one to each process of the core, and one to spare
 )
 
-// Estimate is the memory that a size may take, in bytes.
-func (s Size) Estimate() uint64 {
-	carriers := uint64(s.Proxies)
-	return coreBytes + carriers*proxyBytes + carriers*carriers*memberBytes + uint64(s.Routes)*routeBytes*(carriers+3*uint64(s.Changes))
+// EstimateMemory is the memory that a size may take, in bytes.
+func (s Size) EstimateMemory() uint64 {
+	proxies := uint64(s.Proxies)
+	return coreBytes + proxies*proxyBytes + proxies*proxies*memberBytes + uint64(s.Routes)*routeBytes*(proxies+3*uint64(s.Changes))
 }
 
 // Bounds are what a run may take of the machine.
@@ -136,11 +136,11 @@
 	if size.Proxies < 2 || size.Routes < 0 || size.Changes < 0 || size.Calls < 0 || size.Restarts < 0 {
 		return fmt.Errorf("%+v: there must be two carriers, and no figure below zero", size)
 	}
-	if estimate := size.Estimate(); estimate > b.Memory {
+	if estimate := size.EstimateMemory(); estimate > b.Memory {
 		return fmt.Errorf("%d carriers with %d routes may take %d MB (%d KB each and %d bytes for each pair); half of this machine's memory is %d MB",
 			size.Proxies, size.Routes, estimate>>20, proxyBytes>>10, memberBytes, b.Memory>>20)
 	}
-	if files := uint64(size.Proxies)*filesEach + 200; files > b.Files {
+	if files := uint64(size.Proxies)*filesPerProxy + 200; files > b.Files {
 		return fmt.Errorf("%d carriers may take %d open files; a process may have %d", size.Proxies, files, b.Files)
 	}
 	return nil
@@ -156,20 +156,20 @@
 
 // Role is what one process of a role needed within the window; where there are several, their mean.
 type Role struct {
-	Processes int                `json:"processes"`
-	Processor float64            `json:"processor"`     // microseconds a second
-	Resident  float64            `json:"resident_peak"` // bytes
-	Kinds     map[string]Traffic `json:"kinds"`
+	Processes     int                `json:"processes"`
+	CPUMicros     float64            `json:"processor"`     // microseconds a second
+	ResidentBytes float64            `json:"resident_peak"` // bytes
+	Kinds         map[string]Traffic `json:"kinds"`
 }
 
-// All sums up the kinds.
-func (r Role) All() (all Traffic) {
+// Total sums up the kinds.
+func (r Role) Total() (total Traffic) {
 	for _, name := range slices.Sorted(maps.Keys(r.Kinds)) {
-		counted := r.Kinds[name]
-		all.Sent, all.SentBytes = all.Sent+counted.Sent, all.SentBytes+counted.SentBytes
-		all.Received, all.ReceivedBytes = all.Received+counted.Received, all.ReceivedBytes+counted.ReceivedBytes
+		traffic := r.Kinds[name]
+		total.Sent, total.SentBytes = total.Sent+traffic.Sent, total.SentBytes+traffic.SentBytes
+		total.Received, total.ReceivedBytes = total.Received+traffic.Received, total.ReceivedBytes+traffic.ReceivedBytes
 	}
-	return all
+	return total
 }
 
 // Failures is what came of killing both primaries at once, and of all carriers returning at once. All are seconds; one that
@@ -186,18 +186,18 @@
 
 // Run is one run of one size.
 type Run struct {
-	Size     Size            `json:"size"`
-	Number   int             `json:"run"`
-	Seconds  float64         `json:"seconds"` // the window's length
-	Load     float64         `json:"load"`    // the machine's load average before the run, others' work
-	Content  int             `json:"desired_bytes"`
-	Guards   int             `json:"guards_records"`
-	Joined   float64         `json:"joined_seconds"` // from the first start until each carrier sees all others
-	Roles    map[string]Role `json:"roles"`
-	TakeUp   []float64       `json:"take_up_seconds"` // of each change, until the slowest carrier had adopted it
-	Answered []float64       `json:"acknowledged_seconds"`
-	Claims   Claims          `json:"claims"`
-	Failures *Failures       `json:"failures,omitempty"`
+	Size         Size            `json:"size"`
+	Number       int             `json:"run"`
+	Seconds      float64         `json:"seconds"` // the window's length
+	LoadAverage  float64         `json:"load"`    // the machine's load average before the run, others' work
+	ConfigBytes  int             `json:"desired_bytes"`
+	Breakers     int             `json:"guards_records"`
+	JoinSeconds  float64         `json:"joined_seconds"` // from the first start until each carrier sees all others
+	Roles        map[string]Role `json:"roles"`
+	TakeUp       []float64       `json:"take_up_seconds"` // of each change, until the slowest carrier had adopted it
+	Acknowledged []float64       `json:"acknowledged_seconds"`
+	Claims       Claims          `json:"claims"`
+	Failures     *Failures       `json:"failures,omitempty"`
 }
 
 // Claims tells how the claims of the window went.
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -25,7 +25,7 @@
 		return fmt.Errorf("there must be a size, a run and a window at least")
 	}
 	for _, value := range p.Sizes {
-		if err := bounds.Check(p.Dimension.At(value)); err != nil {
+		if err := bounds.Check(p.Dimension.SizeAt(value)); err != nil {
 			return fmt.Errorf("%s %d: %w", p.Dimension.Name, value, err)
 		}
 	}
@@ -39,12 +39,12 @@
 		point := Point{Dimension: plan.Dimension.Name, Value: value, Window: plan.Window}
 		for number := 1; number <= plan.Runs; number++ {
 			began := time.Now()
-			run, err := play(plan.Dimension.At(value), number)
+			run, err := play(plan.Dimension.SizeAt(value), number)
 			if err != nil {
 				return fmt.Errorf("%s %d, run %d: %w", plan.Dimension.Name, value, number, err)
 			}
 			point.Runs = append(point.Runs, run)
-			say("%s %d (size %d of %d), run %d of %d: %.1f s, load %.1f", plan.Dimension.Name, value, position+1, len(plan.Sizes), number, plan.Runs, time.Since(began).Seconds(), run.Load)
+			say("%s %d (size %d of %d), run %d of %d: %.1f s, load %.1f", plan.Dimension.Name, value, position+1, len(plan.Sizes), number, plan.Runs, time.Since(began).Seconds(), run.LoadAverage)
 		}
 		if err := Record(plan.Results, point); err != nil {
 			return err
@@ -97,11 +97,11 @@
 	return points, nil
 }
 
-// Along gives the runs that a dimension's slopes are drawn through, the base's among them.
-func Along(points []Point, dimension Dimension) (runs []Run) {
+// Includes gives the runs that a dimension's slopes are drawn through, the base's among them.
+func RunsAlong(points []Point, dimension Dimension) (runs []Run) {
 	for _, point := range points {
 		for _, run := range point.Runs {
-			if dimension.Along(run.Size) {
+			if dimension.Includes(run.Size) {
 				runs = append(runs, run)
 			}
 		}
@@ -109,9 +109,9 @@
 	return runs
 }
 
-// Changed tells whether a group's epoch changed within the window, to another primary or backup: then voters were asked for
+// EpochChanged tells whether a group's epoch changed within the window, to another primary or backup: then voters were asked for
 // promises.
-func (r Run) Changed(group string) bool {
+func (r Run) EpochChanged(group string) bool {
 	for name, role := range r.Roles {
 		if strings.HasPrefix(name, group+" ") && role.Kinds["register_promise"].Received > 0 {
 			return true
@@ -120,29 +120,29 @@
 	return false
 }
 
-// Figure is something that is measured in each run.
-type Figure struct {
-	Name string
-	Unit string
-	Of   func(run Run) (value float64, known bool)
+// Metric is something that is measured in each run.
+type Metric struct {
+	Name    string
+	Unit    string
+	Measure func(run Run) (value float64, known bool)
 }
 
-var roles = []string{"carrier", "sorter primary", "sorter backup", "sorter witness", "postmaster primary", "postmaster backup", "postmaster witness"}
+var roleNames = []string{"carrier", "sorter primary", "sorter backup", "sorter witness", "postmaster primary", "postmaster backup", "postmaster witness"}
 
-// Figures are all that slopes are drawn of: for each role processor time, resident memory, messages and bytes; and spans.
-func Figures() (figures []Figure) {
-	for _, name := range roles {
-		of := func(read func(role Role) float64) func(run Run) (float64, bool) {
+// Metrics are all that slopes are drawn of: for each role processor time, resident memory, messages and bytes; and spans.
+func Metrics() (metrics []Metric) {
+	for _, name := range roleNames {
+		ofRole := func(read func(role Role) float64) func(run Run) (float64, bool) {
 			return func(run Run) (float64, bool) {
 				role, known := run.Roles[name]
 				return read(role), known
 			}
 		}
-		figures = append(figures,
-			Figure{name + " processor", "µs/s", of(func(role Role) float64 { return role.Processor })},
-			Figure{name + " memory", "KB", of(func(role Role) float64 { return role.Resident / 1024 })},
-			Figure{name + " messages", "1/s", of(func(role Role) float64 { all := role.All(); return all.Sent + all.Received })},
-			Figure{name + " bytes", "B/s", of(func(role Role) float64 { all := role.All(); return all.SentBytes + all.ReceivedBytes })})
+		metrics = append(metrics,
+			Metric{name + " processor", "µs/s", ofRole(func(role Role) float64 { return role.CPUMicros })},
+			Metric{name + " memory", "KB", ofRole(func(role Role) float64 { return role.ResidentBytes / 1024 })},
+			Metric{name + " messages", "1/s", ofRole(func(role Role) float64 { all := role.Total(); return all.Sent + all.Received })},
+			Metric{name + " bytes", "B/s", ofRole(func(role Role) float64 { all := role.Total(); return all.SentBytes + all.ReceivedBytes })})
 	}
 	failures := func(read func(failures *Failures) *float64) func(run Run) (float64, bool) {
 		return func(run Run) (float64, bool) {
@@ -152,42 +152,42 @@
 			return *read(run.Failures), true
 		}
 	}
-	most := func(values []float64) (float64, bool) {
+	highest := func(values []float64) (float64, bool) {
 		if len(values) == 0 {
 			return 0, false
 		}
 		return slices.Max(values), true
 	}
-	return append(figures,
-		Figure{"desired state", "B", func(run Run) (float64, bool) { return float64(run.Content), run.Content > 0 }},
-		Figure{"take-up, slowest carrier", "s", func(run Run) (float64, bool) { return most(run.TakeUp) }},
-		Figure{"acknowledgement", "s", func(run Run) (float64, bool) { return most(run.Answered) }},
-		Figure{"claim, p99", "s", func(run Run) (float64, bool) { return run.Claims.P99, run.Claims.Granted > 0 }},
-		Figure{"until claims again", "s", failures(func(failures *Failures) *float64 { return failures.Claims })},
-		Figure{"until reads again", "s", failures(func(failures *Failures) *float64 { return failures.Reads })},
-		Figure{"until changes again", "s", failures(func(failures *Failures) *float64 { return failures.Applies })},
-		Figure{"until all are ready", "s", failures(func(failures *Failures) *float64 { return failures.Ready })},
-		Figure{"until all see all", "s", failures(func(failures *Failures) *float64 { return failures.Complete })})
+	return append(metrics,
+		Metric{"desired state", "B", func(run Run) (float64, bool) { return float64(run.ConfigBytes), run.ConfigBytes > 0 }},
+		Metric{"take-up, slowest carrier", "s", func(run Run) (float64, bool) { return highest(run.TakeUp) }},
+		Metric{"acknowledgement", "s", func(run Run) (float64, bool) { return highest(run.Acknowledged) }},
+		Metric{"claim, p99", "s", func(run Run) (float64, bool) { return run.Claims.P99, run.Claims.Granted > 0 }},
+		Metric{"until claims again", "s", failures(func(failures *Failures) *float64 { return failures.Claims })},
+		Metric{"until reads again", "s", failures(func(failures *Failures) *float64 { return failures.Reads })},
+		Metric{"until changes again", "s", failures(func(failures *Failures) *float64 { return failures.Applies })},
+		Metric{"until all are ready", "s", failures(func(failures *Failures) *float64 { return failures.Ready })},
+		Metric{"until all see all", "s", failures(func(failures *Failures) *float64 { return failures.Complete })})
 }
 
-// Kind is the figure of one role's bytes in messages of one kind.
-func Kind(role, kind string) Figure {
-	return Figure{Name: role + " bytes of " + kind, Unit: "B/s", Of: func(run Run) (float64, bool) {
+// KindBytes is the figure of one role's bytes in messages of one kind.
+func KindBytes(role, kind string) Metric {
+	return Metric{Name: role + " bytes of " + kind, Unit: "B/s", Measure: func(run Run) (float64, bool) {
 		of, known := run.Roles[role]
 		counted := of.Kinds[kind]
 		return counted.SentBytes + counted.ReceivedBytes, known
 	}}
 }
 
-// FindFigure gives a figure by its name.
-func FindFigure(name string) (Figure, error) {
-	for _, figure := range Figures() {
-		if figure.Name == name {
-			return figure, nil
+// FindMetric gives a figure by its name.
+func FindMetric(name string) (Metric, error) {
+	for _, metric := range Metrics() {
+		if metric.Name == name {
+			return metric, nil
 		}
 	}
-	if role, kind, found := strings.Cut(name, " bytes of "); found && slices.Contains(roles, role) {
-		return Kind(role, kind), nil
+	if role, kind, found := strings.Cut(name, " bytes of "); found && slices.Contains(roleNames, role) {
+		return KindBytes(role, kind), nil
 	}
-	return Figure{}, fmt.Errorf("no figure %q", name)
+	return Metric{}, fmt.Errorf("no figure %q", name)
 }
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func daemons(t *testing.T) string {
+func buildDaemons(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	if output, err := exec.Command("go", "build", "-buildvcs=false", "-o", folder+"/", "snowflow/cmd/registry", "snowflow/cmd/configstore").CombinedOutput(); err != nil {
@@ -26,33 +26,33 @@
 // TestTinySweep plays runs with five hollow carriers against real control programs. Only what is recorded is judged, not how
 // long anything took. The failures' run takes the leases' time, so it stands apart and both go on at once.
 func TestTinySweep(t *testing.T) {
-	binaries := daemons(t)
+	binaries := buildDaemons(t)
 	calm := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, Calls: 20}
 	withRestarts := calm
 	withRestarts.Restarts = 1
-	for name, course := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		size     Size
 		failures bool
 		base     int
 	}{"calm": {calm, false, 243}, "failures": {withRestarts, true, 244}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			options := Options{Window: tinyWindow, Timeout: time.Minute, Failures: course.failures, Folder: t.TempDir(), Binaries: binaries, Base: course.base}
-			run, err := RunSize(course.size, options, 1)
+			options := Options{Window: tinyWindow, Timeout: time.Minute, Failures: testCase.failures, Folder: t.TempDir(), Binaries: binaries, Base: testCase.base}
+			run, err := RunSize(testCase.size, options, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			complete(t, run, course.size)
+			checkRun(t, run, testCase.size)
 			failures := run.Failures
-			if (failures != nil) != course.failures {
+			if (failures != nil) != testCase.failures {
 				t.Fatalf("failures: %+v", failures)
 			}
 			if failures != nil && (failures.Claims == nil || failures.Reads == nil || failures.Applies == nil || failures.Ready == nil || failures.Complete == nil || failures.Bytes <= 0) {
 				t.Errorf("failures: %+v", failures)
 			}
-			for _, figure := range Figures() {
-				if _, known := figure.Of(run); !known && (course.failures || !strings.HasPrefix(figure.Name, "until ")) {
-					t.Errorf("the run tells no %s", figure.Name)
+			for _, metric := range Metrics() {
+				if _, known := metric.Measure(run); !known && (testCase.failures || !strings.HasPrefix(metric.Name, "until ")) {
+					t.Errorf("the run tells no %s", metric.Name)
 				}
 			}
 		})
@@ -60,24 +60,24 @@
 }
 
 // complete judges what every run records.
-func complete(t *testing.T, run Run, size Size) {
+func checkRun(t *testing.T, run Run, size Size) {
 	t.Helper()
-	if run.Size != size || run.Seconds <= 0 || run.Content == 0 || run.Guards != size.Services {
+	if run.Size != size || run.Seconds <= 0 || run.ConfigBytes == 0 || run.Breakers != size.Services {
 		t.Errorf("the record says %+v", run)
 	}
-	if len(run.TakeUp) != size.Changes || len(run.Answered) != size.Changes {
-		t.Errorf("of %d changes, %d were timed at the carriers and %d at the operator", size.Changes, len(run.TakeUp), len(run.Answered))
+	if len(run.TakeUp) != size.Changes || len(run.Acknowledged) != size.Changes {
+		t.Errorf("of %d changes, %d were timed at the carriers and %d at the operator", size.Changes, len(run.TakeUp), len(run.Acknowledged))
 	}
 	if expected := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
 		t.Errorf("of %d claims %+v", expected, run.Claims)
 	}
-	for _, name := range roles {
+	for _, name := range roleNames {
 		role, known := run.Roles[name]
-		if !known || role.Resident <= 0 || role.All().SentBytes <= 0 || role.All().Received <= 0 {
+		if !known || role.ResidentBytes <= 0 || role.Total().SentBytes <= 0 || role.Total().Received <= 0 {
 			t.Errorf("%s: %+v", name, role)
 		}
 	}
-	if len(run.Roles) != len(roles) || run.Roles["carrier"].Processes != size.Proxies {
+	if len(run.Roles) != len(roleNames) || run.Roles["carrier"].Processes != size.Proxies {
 		t.Errorf("the roles are %v", run.Roles)
 	}
 	for role, kinds := range map[string][]string{"carrier": {"sorter_poll", "desired_poll", "whois", "claim"}, "sorter primary": {"sorter_poll", "claim", "replicate", "sessions_tell", "tenure_ask"},
@@ -121,12 +121,12 @@
 	bounds := Bounds{Memory: 4 << 30, Files: 20000}
 	for _, dimension := range Dimensions {
 		for _, value := range dimension.Sizes {
-			if err := bounds.Check(dimension.At(value)); err != nil {
+			if err := bounds.Check(dimension.SizeAt(value)); err != nil {
 				t.Errorf("%s %d: %v", dimension.Name, value, err)
 			}
 		}
 	}
-	for name, course := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		size Size
 		want string
 	}{
@@ -140,7 +140,7 @@
 		if name == "files" {
 			bounds.Memory = 1 << 40
 		}
-		if err := bounds.Check(course.size); err == nil || !strings.Contains(err.Error(), course.want) {
+		if err := bounds.Check(testCase.size); err == nil || !strings.Contains(err.Error(), testCase.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -155,13 +155,13 @@
 // TestAlong: only runs that differ from the base in one figure are on its line.
 func TestAlong(t *testing.T) {
 	for _, dimension := range Dimensions {
-		moved := dimension.At(77)
+		moved := dimension.SizeAt(77)
 		for _, other := range Dimensions {
-			if on := other.Along(moved); on != (other.Name == dimension.Name) {
+			if on := other.Includes(moved); on != (other.Name == dimension.Name) {
 				t.Errorf("a size moved along %s is on %s: %v", dimension.Name, other.Name, on)
 			}
 		}
-		if !dimension.Along(Base) {
+		if !dimension.Includes(Base) {
 			t.Errorf("the base isn't on %s", dimension.Name)
 		}
 	}
