--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -22,7 +22,7 @@
 	return points
 }
 
-// TestPageAgreesWithRecords: the page's tables are what the records give.
+// TestPageAgreesWithRecords checks that the page's tables are those computed from the records.
 func TestPageAgreesWithRecords(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(docsFolder, "CAPACITY.md"))
 	if err != nil {
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if fresh != string(content) {
-		t.Error("the page's tables differ from docs/capacity; run depot capacity")
+		t.Error("the page's tables differ from docs/capacity; run rehearse capacity")
 	}
 	for _, found := range regexp.MustCompile(`\]\((capacity/[^)]+)\)`).FindAllStringSubmatch(string(content), -1) {
 		if _, err := os.Stat(filepath.Join(docsFolder, found[1])); err != nil {
-			t.Errorf("the page leads nowhere: %s", found[1])
+			t.Errorf("the page links to a missing file: %s", found[1])
 		}
 	}
 	for dimension, metrics := range PlottedMetrics {
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestEveryDimensionIsRecorded: each has its sizes, with as many runs as the page says, and each run belongs where it stands.
+// TestEveryDimensionIsRecorded checks that each dimension has records, with as many runs as the page says, and that each run is of its
+// point's size.
 func TestEveryDimensionIsRecorded(t *testing.T) {
 	points := map[string][]int{}
 	for _, point := range recordedPoints(t) {
@@ -74,15 +75,15 @@
 	}
 }
 
-// TestFit compares with a line worked out by hand: 1, 2, 3 and 4 measured as 2, 4, 5 and 8 give 1.9x with residuals
-// 0.1, 0.2, -0.7 and 0.4, so a standard error of the root of 0.7/2/5.
+// TestFit compares with a line computed by hand: the values 2, 4, 5 and 8 at 1, 2, 3 and 4 give 1.9x with residuals 0.1, 0.2, -0.7
+// and 0.4, so the slope's standard error is the square root of 0.7/2/5.
 func TestFit(t *testing.T) {
 	line, drawn := Fit([]float64{1, 2, 3, 4}, []float64{2, 4, 5, 8})
 	if !drawn || math.Abs(line.Slope-1.9) > 1e-9 || math.Abs(line.Intercept) > 1e-9 || math.Abs(line.SlopeError-math.Sqrt(0.07)) > 1e-9 || line.Points != 4 || !line.Significant() {
 		t.Errorf("%+v", line)
 	}
 	if level, _ := Fit([]float64{1, 2, 3, 4}, []float64{5, 4, 5, 4}); level.Significant() {
-		t.Errorf("%+v is taken for a slope", level)
+		t.Errorf("%+v is reported as significant", level)
 	}
 	for name, values := range map[string][]float64{"two points": {1, 2}, "one value": {3, 3, 3}, "nothing": {}} {
 		if _, drawn := Fit(values, make([]float64, len(values))); drawn {
@@ -91,22 +92,23 @@
 	}
 }
 
-func newRun(proxies, number int) sweep.Run {
+// newRun returns a run of the base size with another number of proxies and their bytes per second, 100 and 2 for each proxy.
+func newRun(proxies int) sweep.Run {
 	size := sweep.Base
 	size.Proxies = proxies
-	return sweep.Run{Size: size, Number: number, Seconds: 10, Roles: map[string]sweep.Role{
+	return sweep.Run{Size: size, Number: 1, Seconds: 10, Roles: map[string]sweep.Role{
 		"carrier": {Processes: proxies, Kinds: map[string]sweep.Traffic{"sorter_poll": {SentBytes: 100, ReceivedBytes: float64(2 * proxies)}}}}}
 }
 
-// TestNeeds works a need out from made-up runs: along carriers 100 bytes and 2 for each, and at ten more routes or services
-// nothing else.
-func TestNeeds(t *testing.T) {
-	points := []sweep.Point{{Dimension: "carriers", Runs: []sweep.Run{newRun(50, 1), newRun(200, 1), newRun(800, 1)}}}
+// TestRequirements computes a requirement from synthetic runs: 100 bytes and 2 for each proxy along "carriers", and 3 more for each
+// service above the base along "services".
+func TestRequirements(t *testing.T) {
+	points := []sweep.Point{{Dimension: "carriers", Runs: []sweep.Run{newRun(50), newRun(200), newRun(800)}}}
 	requirement := Requirement{Terms: []Term{{"carriers", "carrier bytes", Nodes, 0}}}
 	if _, sum, err := requirement.Parts(points); err != nil || math.Abs(sum-(100+2*Nodes)) > 1e-6 {
 		t.Errorf("%v, %v", sum, err)
 	}
-	moved := newRun(50, 1)
+	moved := newRun(50)
 	moved.Size.Services = 110
 	moved.Roles["carrier"].Kinds["sorter_poll"] = sweep.Traffic{SentBytes: 100, ReceivedBytes: 100 + 300}
 	points = append(points, sweep.Point{Dimension: "services", Runs: []sweep.Run{moved, moved}})
@@ -115,7 +117,7 @@
 		t.Errorf("%+v, %v, %v", parts, sum, err)
 	}
 	if _, _, err := (Requirement{Terms: []Term{{"calls", "carrier bytes", 1, 0}}}).Parts(points); err == nil {
-		t.Error("a need is worked out from runs that aren't there")
+		t.Error("a requirement was computed without runs")
 	}
 	for _, requirement := range Requirements {
 		if requirement.Role == "" || requirement.Mechanism == "" || len(requirement.Terms) == 0 {
@@ -124,7 +126,8 @@
 	}
 }
 
-// TestRenderNeedsItsMarks: a page that marks a part not at all, or twice, is refused.
+// TestRenderNeedsItsMarks checks that a page which lacks a section's marks or has them twice is rejected, and that rendering is
+// idempotent.
 func TestRenderNeedsItsMarks(t *testing.T) {
 	marked := ""
 	for name := range tables {
@@ -136,11 +139,11 @@
 		t.Fatal(err)
 	}
 	if again, err := Render(once, points); err != nil || again != once {
-		t.Errorf("a second writing differs, or %v", err)
+		t.Errorf("the second rendering differs, or failed: %v", err)
 	}
 	for _, broken := range []string{strings.Replace(marked, "<!-- needs -->", "", 1), strings.Replace(marked, "<!-- end of needs -->", "", 1), marked + marked} {
 		if _, err := Render(broken, points); err == nil {
-			t.Errorf("taken: %s", broken)
+			t.Errorf("accepted: %s", broken)
 		}
 	}
 }
--- a/internal/rehearse/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -1,4 +1,5 @@
-// Package capacity works out what the letter's size needs from recorded sweeps, and writes it into the page on capacity.
+// Package capacity extrapolates recorded sweeps to the size to design for, and writes the generated tables and plots of
+// docs/CAPACITY.md. It fits a straight line to each metric along each dimension and compares what the lines give with the bounds.
 package capacity
 
 import (
@@ -10,25 +11,24 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// Line is a straight line by least squares.
-// Invariants: Error is the slope's standard error, from what is left over with Points-2 degrees of freedom; Most is the
-// highest value that it was drawn through.
+// Line is a straight line fitted by least squares.
 type Line struct {
-	Intercept, Slope, SlopeError float64
-	Points                       int
-	MaxX                         float64
+	Intercept, Slope float64
+	SlopeError       float64 // standard error of the slope, with Points-2 degrees of freedom
+	Points           int
+	MaxX             float64 // highest x value of the points
 }
 
-// At is the line's value.
-func (l Line) At(value float64) float64 { return l.Intercept + l.Slope*value }
+// At returns the line's value at x.
+func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Significant tells whether the slope is beyond twice its standard error.
+// Significant reports whether the slope exceeds twice its standard error.
 func (l Line) Significant() bool { return math.Abs(l.Slope) > 2*l.SlopeError }
 
-// Increasing tells whether it rises beyond doubt.
+// Increasing reports whether the slope is significant and positive.
 func (l Line) Increasing() bool { return l.Significant() && l.Slope > 0 }
 
-// Fit draws the line. There must be three points at least, at two values at least.
+// Fit fits a line to measured over values. It reports false unless there are at least three points at two different values.
 func Fit(values, measured []float64) (Line, bool) {
 	if len(values) < 3 || slices.Min(values) == slices.Max(values) {
 		return Line{}, false
@@ -46,13 +46,14 @@
 	return Line{Intercept: intercept, Slope: slope, SlopeError: math.Sqrt(residualSquares / float64(len(values)-2) / deviationSquares), Points: len(values), MaxX: slices.Max(values)}, true
 }
 
-// RunsAlong draws a figure's line along a dimension.
+// FitAlong fits a line to a metric along a dimension. It reports false if the records have too few runs for one.
 func FitAlong(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (Line, bool) {
 	values, measured := Samples(points, dimension, metric)
 	return Fit(values, measured)
 }
 
-// Samples gives what a figure's line is drawn through: nothing if all is of one size, whose windows only differ a little.
+// Samples returns the points that a metric's line is fitted to. There are none if all runs are of one size: along a dimension counted
+// per window they would differ only by the windows' lengths, which says nothing about a slope.
 func Samples(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (values, measured []float64) {
 	sizes := map[sweep.Size]bool{}
 	for _, run := range sweep.RunsAlong(points, dimension) {
--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -6,7 +6,8 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// The size to design for. Routes and the share of calls that claim aren't part of it: they are this page's assumptions.
+// The size to design for. Calls, Changes, Restarts and Claims are per second. Routes and Claims, the calls that claim an idempotency
+// key, are assumptions.
 const (
 	Nodes         = 7700
 	Services      = 580
@@ -18,11 +19,11 @@
 	Routes = 10 * Services
 	Claims = Calls / 100.0
 
-	windowSeconds = 10 // seconds, of the runs that the changes of the base are spread over
+	windowSeconds = 10 // length of the recorded runs' window, which the base's changes are spread over
 )
 
-// Term is a part of a need: a slope along a dimension, times how far the size is from the base, times the carriers over
-// the base's to a power, for what grows with both.
+// Term is one summand of a requirement: the slope of Metric along Dimension, times Amount, the target's distance from the base, times
+// the ratio of the target's proxies to the base's to the power of Power, for a cost that also grows with the proxies.
 type Term struct {
 	Dimension string
 	Metric    string
@@ -30,24 +31,24 @@
 	Power     int
 }
 
-// Requirement is one line of the page's table.
+// Requirement is one resource that a role requires at the target size, a row of the page's table.
 type Requirement struct {
 	Role        string
 	Description string
 	Unit        string
 	Terms       []Term
-	Bound       float64 // zero: the letter gives none, nor does this page assume one
-	Mechanism   string  // the mechanism that carries it
+	Bound       float64 // 0 if none is given
+	Mechanism   string  // the packages and notes that account for it
 }
 
-// baseChanges is the changes a second of the base, which slopes along services and routes were measured at.
+// baseChanges is the base's rate of changes per second, at which slopes along services and routes were measured.
 const baseChanges = 4.0 / windowSeconds
 
-// What the base's changes, four in a window, have to be multiplied by to give the letter's.
+// changesOverBase is the ratio of the target's rate of changes to the base's.
 const changesOverBase = Changes / baseChanges
 
-// adding gives the terms of a figure: alone in the number of carriers, then what each other dimension adds. With shared, the
-// figure is that of a process that all carriers talk to, so what each carrier adds is multiplied by their number.
+// allTerms returns a metric's terms along all dimensions but changes. shared says that the metric is of a process that serves all
+// proxies, so that what services, routes and restarts add is multiplied by the number of proxies.
 func allTerms(metric string, shared bool) []Term {
 	power := 0
 	if shared {
@@ -62,8 +63,9 @@
 	}
 }
 
-// traffic gives the terms of a role's bytes. What services add to polls of sorters comes with each poll, what they and routes
-// add to a desired state with each change.
+// trafficTerms returns the terms of a role's bytes per second: all bytes along proxies, and along other dimensions those of the given
+// message kinds. What services add to polls of the registry is sent with each poll; what services and routes add to a configuration
+// is sent with each change, and so scaled to the target's rate of changes.
 func trafficTerms(role string, shared bool, kinds ...string) (terms []Term) {
 	power := 0
 	if shared {
@@ -81,8 +83,8 @@
 	return terms
 }
 
-// perProxy is the claims a second: all of them, or those at which a carrier of the base claims as often as one of the
-// letter's size.
+// perProxy returns the claims per second to extrapolate to: the target's for a shared process, otherwise the rate at which a proxy of
+// the base claims as often as one of the target.
 func perProxy(shared bool) float64 {
 	if shared {
 		return Claims
@@ -90,7 +92,7 @@
 	return Claims / Nodes * float64(sweep.Base.Proxies)
 }
 
-// Requirements are the page's lines.
+// Requirements lists the rows of the page's table, in its order. Roles, metrics and mechanisms bear the names of the records and the page.
 var Requirements = []Requirement{
 	{"carrier", "control traffic, calm", "B/s", []Term{{"carriers", "carrier bytes", Nodes, 0}}, 7000, "`carrier/roll`, `carrier/desk` (shared-state, roll-out)"},
 	{"carrier", "control traffic, all", "B/s", trafficTerms("carrier", false, "sorter_poll", "desired_poll", "claim"), 7000, "as above, and `sorter/directory`, `sorter/breakerstore` (membership, failure-detection)"},
@@ -121,17 +123,18 @@
 	{"witness", "postmaster: memory, calm", "KB", []Term{{"carriers", "postmaster witness memory", Nodes, 0}}, 0, "connections of `host/machine` (election)"},
 }
 
-// Part is one term's value and the line it comes from.
+// Part is the value of one term and the line that it was computed from.
 type Part struct {
 	Term  Term
 	Line  Line
 	Value float64
 }
 
-// Parts works the terms out. A first term along carriers is the line's value at the size, or at the most that was played if it doesn't rise;
-// the others are slopes times a difference. Only a slope that is above twice its standard error counts.
-func (n Requirement) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
-	for index, term := range n.Terms {
+// Parts computes a requirement's terms and their sum. A first term along carriers is the line's value at Amount, or at the largest
+// measured size if the line is not increasing. The others are a slope times Amount, or 0 if the line is not increasing. It returns an
+// error if a name is unknown or too few runs are recorded.
+func (r Requirement) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
+	for index, term := range r.Terms {
 		dimension, err := sweep.Find(term.Dimension)
 		if err != nil {
 			return nil, 0, err
--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -9,10 +9,10 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// tables are the page's generated parts by name.
+// tables renders the page's generated sections, by the name in their marks.
 var tables = map[string]func(points []sweep.Point) (string, error){"played": measuredTable, "spans": durationsTable, "slopes": slopesTable, "needs": requirementsTable}
 
-// Render gives the page with each marked part written anew. Every part must be marked, once.
+// Render returns the page with each marked section rendered from points. It returns an error unless each section is marked exactly once.
 func Render(page string, points []sweep.Point) (string, error) {
 	for name, write := range tables {
 		begin, end := "<!-- "+name+" -->\n", "<!-- end of "+name+" -->"
@@ -30,7 +30,7 @@
 	return page, nil
 }
 
-// FormatNumber writes three digits that count.
+// FormatNumber formats a value to three significant digits.
 func FormatNumber(value float64) string {
 	if value == 0 {
 		return "0"
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%.3g", value)
 }
 
-// scales write a value in the unit that suits its size, from the least that each is for.
+// unitScales lists, by unit, the larger units for values of at least minimum, in descending order.
 var unitScales = map[string][]struct {
 	minimum, divisor float64
 	unit             string
@@ -54,7 +54,7 @@
 	"µs/s": {{1e6, 1e6, "processors"}, {1e3, 1e4, "% of a processor"}},
 }
 
-// FormatValue writes a value with its unit.
+// FormatValue formats a value with its unit, or a larger one that suits it.
 func FormatValue(value float64, unit string) string {
 	for _, scale := range unitScales[unit] {
 		if math.Abs(value) >= scale.minimum {
@@ -64,6 +64,7 @@
 	return FormatNumber(value) + " " + unit
 }
 
+// median returns the upper median; 0 if there are no values.
 func median(values []float64) float64 {
 	ordered := slices.Sorted(slices.Values(values))
 	if len(ordered) == 0 {
@@ -72,7 +73,7 @@
 	return ordered[len(ordered)/2]
 }
 
-// spread writes the median, and least to most.
+// medianAndRange formats the median with the lowest and highest value.
 func medianAndRange(values []float64) string {
 	if len(values) == 0 {
 		return "-"
@@ -80,6 +81,7 @@
 	return fmt.Sprintf("%s (%s to %s)", FormatNumber(median(values)), FormatNumber(slices.Min(values)), FormatNumber(slices.Max(values)))
 }
 
+// collect reads a metric from the runs that have it.
 func collect(runs []sweep.Run, of func(run sweep.Run) (float64, bool)) (values []float64) {
 	for _, run := range runs {
 		if value, known := of(run); known {
@@ -89,16 +91,19 @@
 	return values
 }
 
+// newTable starts a Markdown table.
 func newTable(header ...string) *strings.Builder {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "| %s |\n|%s\n", strings.Join(header, " | "), strings.Repeat("---|", len(header)))
 	return text
 }
 
+// writeRow adds a row to a Markdown table.
 func writeRow(text *strings.Builder, cells ...string) {
 	fmt.Fprintf(text, "| %s |\n", strings.Join(cells, " | "))
 }
 
+// measuredTable lists the recorded sizes with the conditions of their runs.
 func measuredTable(points []sweep.Point) (string, error) {
 	text := newTable("swept", "size", "runs", "window, s", "desired state, KB", "guards' records", "load average before", "runs in which an epoch changed: sorters, postmasters")
 	for _, point := range points {
@@ -112,6 +117,7 @@
 	return text.String(), nil
 }
 
+// countEpochChanges returns the number of runs in which a group's epoch changed.
 func countEpochChanges(point sweep.Point, group string) (count int) {
 	for _, run := range point.Runs {
 		if run.EpochChanged(group) {
@@ -121,14 +127,16 @@
 	return count
 }
 
-func quantile(values []float64, part float64) float64 {
+// quantile returns the value below which a fraction of the values lie; 0 if there are none.
+func quantile(values []float64, fraction float64) float64 {
 	ordered := slices.Sorted(slices.Values(values))
 	if len(ordered) == 0 {
 		return 0
 	}
-	return ordered[min(len(ordered)-1, int(float64(len(ordered))*part))]
+	return ordered[min(len(ordered)-1, int(float64(len(ordered))*fraction))]
 }
 
+// durationsTable lists, for each size, how long changes, claims and recoveries took.
 func durationsTable(points []sweep.Point) (string, error) {
 	text := newTable("swept", "size", "take-up at the slowest carrier: changes, p50, p99, most", "claim: granted, other, p50, p99", "claims again", "reads again", "changes again", "all ready", "all see all", "KB for each carrier until then")
 	for _, point := range points {
@@ -166,6 +174,7 @@
 	return text.String(), nil
 }
 
+// slopesTable lists all significant slopes, and counts the others.
 func slopesTable(points []sweep.Point) (string, error) {
 	text := newTable("along", "of", "at the base", "slope", "standard error", "runs")
 	for _, dimension := range sweep.Dimensions {
@@ -189,7 +198,7 @@
 	return text.String(), nil
 }
 
-// baseValue is what slopes of a dimension go by at the base.
+// baseValue returns the median coordinate of the base's runs along a dimension, and whether there are any.
 func baseValue(points []sweep.Point, dimension sweep.Dimension) (float64, bool) {
 	values := []float64{}
 	for _, point := range points {
@@ -202,6 +211,7 @@
 	return median(values), len(values) > 0
 }
 
+// requirementsTable compares each requirement at the target size with its bound.
 func requirementsTable(points []sweep.Point) (string, error) {
 	text := newTable("role", "need", "at the letter's size", "made of", "bound", "holds", "carried by")
 	for _, requirement := range Requirements {
--- a/internal/rehearse/capacity/plot.go
+++ b/internal/rehearse/capacity/plot.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// PlottedMetrics are the figures that are drawn, by dimension.
+// PlottedMetrics lists the metrics that are plotted, by dimension.
 var PlottedMetrics = map[string][]string{
 	"carriers": {"sorter primary processor", "sorter primary bytes", "postmaster primary processor", "carrier processor", "carrier memory", "take-up, slowest carrier"},
 	"routes":   {"carrier bytes", "take-up, slowest carrier"},
@@ -21,12 +21,12 @@
 	"restarts": {"carrier bytes"},
 }
 
-// PlotFile is a plot's file name.
+// PlotFile returns the file name of a metric's plot along a dimension.
 func PlotFile(dimension, metric string) string {
 	return strings.NewReplacer(" ", "-", ",", "").Replace(dimension+"-"+metric) + ".svg"
 }
 
-// Plots draws every shown figure with its runs and its line into a folder.
+// Plots writes a plot of each metric in PlottedMetrics, with its runs and the fitted line, into a folder.
 func Plots(points []sweep.Point, folder string) error {
 	for name, metrics := range PlottedMetrics {
 		dimension, err := sweep.Find(name)
@@ -46,6 +46,7 @@
 	return nil
 }
 
+// drawPlot writes one plot as an SVG file.
 func drawPlot(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric, path string) error {
 	values, measured := Samples(points, dimension, metric)
 	line, fitted := Fit(values, measured)
--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -9,12 +9,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestIncarnationEnds: tasks that sleep, wait or call when their life ends don't go on, and their deferred work is done.
+// TestIncarnationEnds checks that goroutines of an ended incarnation exit at their next sleep, wait or call, and run their deferred
+// functions.
 func TestIncarnationEnds(t *testing.T) {
 	incarnationHost := newIncarnation()
 	signal := incarnationHost.NewSignal()
 	incarnationHost.end()
-	incarnationHost.end() // an end is final, and may come twice
+	incarnationHost.end() // idempotent
 	for name, wait := range map[string]func(){
 		"sleep":  func() { incarnationHost.Sleep(monotonic.Micros(1)) },
 		"signal": func() { signal.Fire(); signal.Wait(monotonic.Minute) },
@@ -27,26 +28,26 @@
 		incarnationHost.Go(func() {
 			defer done.Done()
 			wait()
-			t.Errorf("a task goes on behind its %s", name)
+			t.Errorf("a goroutine continued after its %s", name)
 		})
 		done.Wait()
 	}
 }
 
-// TestAdoptionsAreNoted: when a serial was adopted is known, and of nothing else.
-func TestAdoptionsAreNoted(t *testing.T) {
+// TestAdoptionsAreRecorded checks that only events of adopted configurations set the time of a version's adoption.
+func TestAdoptionsAreRecorded(t *testing.T) {
 	incarnationHost := newIncarnation()
 	incarnationHost.Report(eventlog.ConfigAdopted, map[string]any{"serial": uint64(3)})
 	incarnationHost.Report(eventlog.ClockSteppedBack, map[string]any{"serial": uint64(4)})
 	if _, known := incarnationHost.adoptedAt(3); !known {
-		t.Error("an adoption isn't known")
+		t.Error("the adoption was not recorded")
 	}
 	if _, known := incarnationHost.adoptedAt(4); known {
-		t.Error("another event is taken for an adoption")
+		t.Error("another event was recorded as an adoption")
 	}
 }
 
-// TestEveryServiceIsCalledByTwo: with calls enough for two callers of each service, each has two different ones at least.
+// TestEveryServiceIsCalledByTwo checks that each service has at least two different callers if there are enough calls for that.
 func TestEveryServiceIsCalledByTwo(t *testing.T) {
 	for _, size := range []Options{{Proxies: 5, Services: 7, Calls: 4}, {Proxies: 50, Services: 10, Calls: 4}, {Proxies: 50, Services: 580, Calls: 24}, {Proxies: 800, Services: 10, Calls: 4}} {
 		callers := map[int]int{}
@@ -57,7 +58,7 @@
 		}
 		for service := range size.Services {
 			if callers[service] < 2 {
-				t.Errorf("%+v: service %d is called by %d", size, service, callers[service])
+				t.Errorf("%+v: service %d has %d callers", size, service, callers[service])
 			}
 		}
 	}
--- a/internal/rehearse/hollow/incarnation.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -1,5 +1,5 @@
-// Package hollow runs many carriers in one process: the carrier's own code with an host, a session and connections for
-// each, and without callers and backends' traffic.
+// Package hollow runs many proxies in one process, to load the control plane without their data traffic. Each proxy runs the
+// production code with a host, a session and connections of its own; no requests pass through it.
 package hollow
 
 import (
@@ -17,32 +17,34 @@
 	"snowflow/internal/transport/wire"
 )
 
-// life is the host of one carrier's life.
-// Invariant: once over is set, no task of this life gets past its next wait; offices hold no lock there, so none stays held.
+// incarnation is the host of one proxy from its start to its end.
+// Invariant: once ended is set, each of its goroutines exits at its next wait. The proxy's code holds no lock while it waits, so no
+// lock stays held.
 type incarnation struct {
 	*machine.Machine
 	ended   atomic.Bool
-	lock    sync.Mutex
-	adopted map[uint64]time.Time // by serial
+	lock    sync.Mutex           // guards adopted
+	adopted map[uint64]time.Time // when a configuration was adopted, by version
 }
 
 func newIncarnation() *incarnation {
 	return &incarnation{Machine: machine.New(nil, nil, nil), adopted: map[uint64]time.Time{}}
 }
 
+// exitIfEnded exits the calling goroutine, running its deferred functions, if the incarnation has ended.
 func (i *incarnation) exitIfEnded() {
 	if i.ended.Load() {
 		runtime.Goexit()
 	}
 }
 
-// Sleep waits, and ends the task if its life ended.
+// Sleep waits, and exits the goroutine if the incarnation has ended.
 func (i *incarnation) Sleep(duration monotonic.Micros) {
 	i.Machine.Sleep(duration)
 	i.exitIfEnded()
 }
 
-// Call calls, and ends the task if its life ended.
+// Call sends a request and waits for its response, and exits the goroutine if the incarnation has ended.
 func (i *incarnation) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	i.exitIfEnded()
 	err := i.Machine.Call(address, kind, request, reply, timeout)
@@ -50,24 +52,25 @@
 	return err
 }
 
+// signal is a host's signal whose Wait exits the goroutine if the incarnation has ended.
 type signal struct {
 	host.Signal
 	incarnation *incarnation
 }
 
-// Wait waits, and ends the task if its life ended.
+// Wait waits until the signal fires or timeout has passed, and exits the goroutine if the incarnation has ended.
 func (s *signal) Wait(timeout monotonic.Micros) bool {
 	fired := s.Signal.Wait(timeout)
 	s.incarnation.exitIfEnded()
 	return fired
 }
 
-// NewSignal makes a signal.
+// NewSignal returns a signal of this incarnation.
 func (i *incarnation) NewSignal() host.Signal {
 	return &signal{Signal: i.Machine.NewSignal(), incarnation: i}
 }
 
-// Report notes when a desired state was adopted. Nothing else is kept: thousands of carriers share one log.
+// Report records the time at which a configuration was adopted. Other events are dropped, as thousands of proxies would share one log.
 func (i *incarnation) Report(number int, fields map[string]any) {
 	if number != eventlog.ConfigAdopted {
 		return
@@ -78,15 +81,17 @@
 	i.adopted[version] = time.Now()
 }
 
-// Stop ends the life, as it would its process.
+// Stop ends the incarnation, as it ends the process on a real host.
 func (i *incarnation) Stop(string) { i.end() }
 
+// end closes all connections and makes the incarnation's goroutines exit. It may be called more than once.
 func (i *incarnation) end() {
 	if i.ended.CompareAndSwap(false, true) {
 		i.CloseConnections()
 	}
 }
 
+// adoptedAt returns the time at which a version was adopted, if it was.
 func (i *incarnation) adoptedAt(version uint64) (at time.Time, known bool) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -16,27 +16,28 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Options are a crowd's.
+// Options configures a pool.
 type Options struct {
 	Proxies  int
 	Services int
-	Calls    int // services that each carrier tells to have called since its last poll
-	Zones    []string
-	Seeds    []string
+	Calls    int      // number of services that each proxy reports as called with each poll
+	Zones    []string // failure domains, which proxies are in by turns
+	Seeds    []string // addresses of control plane processes, for discovery
 }
 
-// ServiceName is a service's name by its index.
+// ServiceName returns the name of the service with an index.
 func ServiceName(index int) string { return fmt.Sprintf("service-%04d", index) }
 
-// Pool is all carriers of the process.
-// Invariant: the carrier of an index has one backend, of the service index modulo Services, in every life.
+// Pool holds all proxies of this process.
+// Invariant: the proxy of an index has one backend, of the service with that index modulo Services, in each incarnation.
 type Pool struct {
 	options     Options
-	lock        sync.Mutex
-	members     []*member
-	endedCounts map[wire.Kind]machine.MessageCount // of lives that ended
+	lock        sync.Mutex                         // guards members and endedCounts
+	members     []*member                          // replaced, never written to, as currentMembers hands it out
+	endedCounts map[wire.Kind]machine.MessageCount // messages of incarnations that have ended
 }
 
+// member is one proxy of a pool in its present incarnation.
 type member struct {
 	incarnation *incarnation
 	name        string
@@ -44,13 +45,13 @@
 	resolver    *discovery.Resolver
 }
 
-// NewPool makes a crowd that isn't there yet.
+// NewPool returns a pool whose proxies have not started.
 func NewPool(options Options) *Pool {
 	return &Pool{options: options, endedCounts: map[wire.Kind]machine.MessageCount{}}
 }
 
-// StartAll starts every carrier anew, each so long after the one before; all at once for zero.
-func (p *Pool) StartAll(apart time.Duration) error {
+// StartAll starts all proxies, interval apart; an interval of 0 starts them all at once. It must not be called while they run.
+func (p *Pool) StartAll(interval time.Duration) error {
 	for index := range p.options.Proxies {
 		current, err := p.start(index)
 		if err != nil {
@@ -59,12 +60,12 @@
 		p.lock.Lock()
 		p.members = append(slices.Clip(p.members), current)
 		p.lock.Unlock()
-		time.Sleep(apart)
+		time.Sleep(interval)
 	}
 	return nil
 }
 
-// StopAll ends every carrier at once without a word.
+// StopAll ends all proxies at once without a graceful shutdown.
 func (p *Pool) StopAll() {
 	for _, current := range p.currentMembers() {
 		current.incarnation.end()
@@ -75,16 +76,18 @@
 	p.members, p.endedCounts = nil, totals
 }
 
+// currentMembers returns a snapshot of the members, which the caller must not change.
 func (p *Pool) currentMembers() []*member {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.members
 }
 
+// start starts a new incarnation of the proxy with an index, and registers its backend.
 func (p *Pool) start(index int) (*member, error) {
 	incarnationHost := newIncarnation()
 	name := fmt.Sprintf("hollow-%05d", index)
-	// Nobody passes a request to a hollow carrier, so nothing listens at its address; it only has to be its own.
+	// No requests are forwarded to these proxies, so nothing listens at the address. It only has to be unique.
 	address := fmt.Sprintf("10.%d.%d.%d:7300", index>>16, index>>8&255, index&255)
 	resolver := discovery.New(incarnationHost, nil, p.options.Seeds)
 	hollowProxy := proxy.New(proxy.Options{Host: incarnationHost, Resolver: resolver, Name: name, Domain: p.options.Zones[index%len(p.options.Zones)], Address: address})
@@ -98,14 +101,14 @@
 	incarnationHost.Go(func() {
 		for {
 			incarnationHost.Sleep(localbackends.HeartbeatInterval)
-			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working) // it's registered for as long as its carrier lives
+			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working) // can't fail, as the backend stays registered as long as its proxy runs
 		}
 	})
 	hollowProxy.Start()
 	return &member{incarnation: incarnationHost, name: name, proxy: hollowProxy, resolver: resolver}, nil
 }
 
-// activity tells of one call to each service of this carrier's part; neighbours' parts overlap, so each service has several callers.
+// activity reports one call to each of the services that a proxy calls.
 func (p *Pool) activity(index int) (called []*wire.Activity) {
 	for _, service := range p.CalledServices(index) {
 		called = append(called, &wire.Activity{Service: ServiceName(service), Calls: 1, Attempts: 1})
@@ -113,7 +116,8 @@
 	return called
 }
 
-// CalledServices lists the services that a carrier calls.
+// CalledServices lists the indexes of the services that a proxy calls. Consecutive proxies call consecutive services, so that calls
+// spread evenly.
 func (p *Pool) CalledServices(index int) (services []int) {
 	for offset := range min(p.options.Calls, p.options.Services) {
 		services = append(services, (index*p.options.Calls+offset)%p.options.Services)
@@ -121,7 +125,7 @@
 	return services
 }
 
-// ReadyCount counts the carriers that could be sent callers.
+// ReadyCount returns the number of proxies that are ready for callers' requests.
 func (p *Pool) ReadyCount() (count int) {
 	for _, current := range p.currentMembers() {
 		if ready, _ := current.proxy.Ready(); ready {
@@ -131,7 +135,7 @@
 	return count
 }
 
-// CompleteCount counts the carriers that see every other one.
+// CompleteCount returns the number of proxies whose directory has every other proxy.
 func (p *Pool) CompleteCount() (count int) {
 	for _, current := range p.currentMembers() {
 		if current.proxy.Session.Directory().Live == p.options.Proxies {
@@ -141,7 +145,7 @@
 	return count
 }
 
-// LastAdoption tells when the last carrier adopted a serial, or how many haven't.
+// LastAdoption returns when the last proxy adopted a version, and how many have not adopted it.
 func (p *Pool) LastAdoption(version uint64) (last time.Time, missing int) {
 	for _, current := range p.currentMembers() {
 		at, known := current.incarnation.adoptedAt(version)
@@ -154,7 +158,7 @@
 	return last, missing
 }
 
-// MessageCounts tells what all carriers have exchanged by kind, in all their lives.
+// MessageCounts returns what all proxies have sent and received by message kind, over all their incarnations.
 func (p *Pool) MessageCounts() map[wire.Kind]machine.MessageCount {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -165,7 +169,7 @@
 	return totals
 }
 
-// Claim has a carrier claim a key, as for a request that it's about to hand to its backend.
+// Claim claims an idempotency key at the registry's leader, as a proxy does before it forwards a request to its backend.
 func (p *Pool) Claim(index int, scope string, timeout monotonic.Micros) (granted bool, err error) {
 	current := p.currentMembers()[index]
 	response := &wire.ClaimResponse{}
@@ -174,19 +178,19 @@
 	return response.Outcome == "granted", err
 }
 
-// TripBreaker has a carrier report trouble with a service, after which the service's guard has a shared record.
+// TripBreaker reports a fault of a service on behalf of a proxy, after which the service's breaker has a shared record.
 func (p *Pool) TripBreaker(index, service int) error {
 	current := p.currentMembers()[index]
 	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: current.name, Incarnation: current.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerTerms()}
 	return current.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
-// BreakerCount counts the guards' records that a carrier was told of.
+// BreakerCount returns the number of breaker records that a proxy has received.
 func (p *Pool) BreakerCount(index int) int {
 	return len(p.currentMembers()[index].proxy.Breakers.Statuses())
 }
 
-// Restart ends one carrier without a word and starts it anew at once.
+// Restart ends one proxy without a graceful shutdown and starts its next incarnation at once.
 func (p *Pool) Restart(index int) error {
 	old := p.currentMembers()[index]
 	old.incarnation.end()
@@ -203,6 +207,7 @@
 	return nil
 }
 
+// addCounts adds the counts of more to totals.
 func addCounts(totals, more map[wire.Kind]machine.MessageCount) {
 	for kind, count := range more {
 		total := totals[kind]
--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -18,9 +18,10 @@
 	"snowflow/internal/transport/wire"
 )
 
+// adminClient reads the admin endpoints of control plane processes.
 var adminClient = &http.Client{Timeout: 10 * time.Second}
 
-// status asks a process of the core how its group stands.
+// fetchStatus reads the replication status that a control plane process reports at its admin address.
 func fetchStatus(process *fleet.Process) (replication.Status, error) {
 	report := struct {
 		Core replication.Status `json:"core"`
@@ -29,11 +30,11 @@
 	if err != nil {
 		return report.Core, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	return report.Core, json.NewDecoder(response.Body).Decode(&report)
 }
 
-// role names what a process is in its group.
+// roleName gives the name under which a process's usage is recorded: its program and its part in the replication group.
 func roleName(process *fleet.Process, core replication.Status) string {
 	switch process.Name {
 	case core.Primary:
@@ -44,13 +45,13 @@
 	return recordedPrograms[process.Program] + " witness"
 }
 
-// kinds reads a process's counts by kind from its metrics.
+// fetchMessageCounts reads a process's message counters from its metrics endpoint, by the message kind's label.
 func fetchMessageCounts(process *fleet.Process) (map[string]machine.MessageCount, error) {
 	response, err := adminClient.Get("http://" + process.AdminAddress + "/metrics")
 	if err != nil {
 		return nil, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	parser := expfmt.TextParser{}
 	families, err := parser.TextToMetricFamilies(response.Body)
 	if err != nil {
@@ -67,7 +68,7 @@
 	} {
 		family := families[name]
 		if family == nil {
-			return nil, fmt.Errorf("%s shows no %s", process.Name, name)
+			return nil, fmt.Errorf("%s exports no metric %s", process.Name, name)
 		}
 		for _, metric := range family.Metric {
 			labels := map[string]string{}
@@ -83,6 +84,7 @@
 	return totals, nil
 }
 
+// labelCounts replaces message kinds by their metric labels, the form in which counts of other processes are read.
 func labelCounts(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
 	totals := map[string]machine.MessageCount{}
 	for kind, count := range counted {
@@ -91,7 +93,8 @@
 	return totals
 }
 
-// rates divides what came between two readings by time and processes.
+// perSecond divides the increase between two readings by divisor, the product of seconds and processes. Kinds without traffic
+// in between are left out.
 func perSecond(before, after map[string]machine.MessageCount, divisor float64) map[string]Traffic {
 	traffic := map[string]Traffic{}
 	for kind, later := range after {
@@ -105,22 +108,22 @@
 	return traffic
 }
 
-// resident reads a field such as VmHWM, the most a process had resident, in bytes.
+// residentBytes reads a memory field of /proc/PID/status in bytes, such as VmHWM, the peak resident set size.
 func residentBytes(pid, field string) (float64, error) {
 	content, err := os.ReadFile("/proc/" + pid + "/status")
 	if err != nil {
 		return 0, err
 	}
 	for _, line := range strings.Split(string(content), "\n") {
-		if rest, found := strings.CutPrefix(line, field+":"); found {
-			kilobytes, err := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+		if value, found := strings.CutPrefix(line, field+":"); found {
+			kilobytes, err := strconv.ParseFloat(strings.Fields(value)[0], 64)
 			return kilobytes * 1024, err
 		}
 	}
 	return 0, fmt.Errorf("process %s has no %s", pid, field)
 }
 
-// processor is what this process used so far, in microseconds.
+// ownCPUMicros gives the CPU time that this process has used since its start, in microseconds; 0 if it can't be read.
 func ownCPUMicros() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -129,7 +132,7 @@
 	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1000
 }
 
-// load is the machine's load average over the last minute.
+// loadAverage gives the machine's load average over the last minute; 0 if it can't be read.
 func loadAverage() (average float64) {
 	content, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
--- a/internal/rehearse/sweep/record_names.go
+++ b/internal/rehearse/sweep/record_names.go
@@ -1,5 +1,5 @@
 package sweep
 
-// recordedPrograms are the names under which records keep programs, by their present names: all recorded runs compare, also those from
-// before the programs were renamed. Kinds of messages are recorded by their labels in the metrics, which never changed.
+// recordedPrograms maps a program's name to the one used in recorded runs. Records keep the programs' former names so that runs
+// from before the programs were renamed stay comparable. Message kinds are recorded by their metric labels, which have not changed.
 var recordedPrograms = map[string]string{"proxy": "carrier", "registry": "sorter", "configstore": "postmaster"}
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -21,38 +21,40 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Options are how a size is played.
+// Options configures how one run is measured.
 type Options struct {
-	Window   time.Duration // of steady state
-	Timeout  time.Duration // for everything that is waited for outside it
-	Failures bool
-	Folder   string
-	Binaries string
-	Base     int // second part of the fleet's loopback numbers
+	Window   time.Duration // length of the steady state that is measured
+	Timeout  time.Duration // for each wait outside the window's schedule, such as until all proxies are ready
+	Failures bool          // whether failures of the primaries and a restart of all proxies are measured after the window
+	Folder   string        // working directory of the control plane's processes
+	Binaries string        // directory of the programs
+	Base     int           // second octet of the fleet's loopback addresses
 }
 
-// arrival is how far apart carriers come before the window; their return at once is measured behind it.
+// startInterval is the time between the starts of two proxies before the window. After the window they are restarted all at once.
 const startInterval = 10 * time.Millisecond
 
+// Names in recorded runs and of replication groups, unchanged since the programs were renamed.
 const (
 	configStoreGroup = "postmaster"
 	proxyRole        = "carrier"
 )
 
-// play is a run under way.
+// measurement is the state of one run in progress.
 type measurement struct {
 	size             Size
 	options          Options
 	fleet            *fleet.Fleet
 	pool             *hollow.Pool
-	host             *machine.Machine // the operator's
+	host             *machine.Machine // of the operator, who applies configurations
 	resolver         *discovery.Resolver
 	run              *Run
-	version          int     // of the changes' contents
-	baselineResident float64 // what this process had resident before the carriers came
+	version          int     // counts the configurations written, so that each differs from the one before
+	baselineResident float64 // resident bytes of this process before the proxies started
 }
 
-// RunSize plays one run: it starts the core as processes and the carriers as hollow ones in this process, and measures.
+// RunSize measures one run of a size. It starts the control plane as processes of their own and the proxies, which carry no
+// traffic, within this process. The result bears number, the run's place among those of its size.
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]Role{}}
 	coreFleet, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3},
@@ -74,7 +76,7 @@
 		seeds = append(seeds, process.PeerAddress)
 	}
 	m.resolver = discovery.New(m.host, nil, seeds)
-	// Each service is called by two carriers at least, so that a report of trouble is kept.
+	// Each service gets at least two callers, as the registry defers a fault report of the only one.
 	calls := max(4, (2*size.Services+size.Proxies-1)/size.Proxies)
 	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, Calls: calls, Zones: coreFleet.Layout.Zones, Seeds: seeds[1:4]})
 	defer m.pool.StopAll()
@@ -86,23 +88,24 @@
 	return run, nil
 }
 
-// until looks again and again until something is so.
-func pollUntil(timeout time.Duration, condition func() bool) (seconds float64, reached bool) {
+// pollUntil checks condition every 5 ms until it holds, and reports whether it did within timeout.
+func pollUntil(timeout time.Duration, condition func() bool) (reached bool) {
 	started := time.Now()
 	for !condition() {
 		if time.Since(started) > timeout {
-			return time.Since(started).Seconds(), false
+			return false
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(started).Seconds(), true
+	return true
 }
 
+// countsAllProxies gives the condition that count has reached the number of proxies.
 func (m *measurement) countsAllProxies(count func() int) func() bool {
 	return func() bool { return count() == m.size.Proxies }
 }
 
-// settle has a first desired state accepted and all carriers join.
+// joinProxies applies a first configuration, starts all proxies and waits until each is ready and knows all others.
 func (m *measurement) joinProxies() error {
 	if _, _, err := m.apply(m.options.Timeout); err != nil {
 		return err
@@ -120,15 +123,16 @@
 		what  string
 		count func() int
 	}{{"ready", m.pool.ReadyCount}, {"aware of all others", m.pool.CompleteCount}} {
-		if _, reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
-			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
+		if reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
+			return fmt.Errorf("only %d of %d proxies are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
 		}
 	}
 	m.run.JoinSeconds = time.Since(began).Seconds()
 	return nil
 }
 
-// guard gives each service a shared guard's record, by a report of trouble from one carrier that calls it.
+// tripBreakers creates a shared breaker record for each service, by a fault report from one proxy that calls it, and waits until
+// the first proxy has received all of them.
 func (m *measurement) tripBreakers() error {
 	first := map[int]int{}
 	for index := range m.size.Proxies {
@@ -158,14 +162,15 @@
 		}
 	}
 	complete := func() bool { return m.pool.BreakerCount(0) == len(first) }
-	if _, reached := pollUntil(m.options.Timeout, complete); !reached {
-		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.BreakerCount(0), len(first), m.options.Timeout)
+	if reached := pollUntil(m.options.Timeout, complete); !reached {
+		return fmt.Errorf("a proxy has received %d of %d breaker records after %v", m.pool.BreakerCount(0), len(first), m.options.Timeout)
 	}
 	m.run.Breakers = len(first)
 	return nil
 }
 
-// content writes the next desired state. Each differs in one route's cutoff, or in the note where there are no routes.
+// nextConfig writes the next configuration as JSON. Each differs from the one before in its note and, if there are routes, in the
+// timeout of one of them.
 func (m *measurement) nextConfig() ([]byte, error) {
 	m.version++
 	state := &wire.DesiredState{Note: fmt.Sprintf("change %d", m.version), Groups: []*wire.Group{{Name: "all"}}}
@@ -177,8 +182,8 @@
 		route := &wire.Route{Name: fmt.Sprintf("route-%06d", index), Method: "GET", Prefix: fmt.Sprintf("/r/%06d", index), Class: wire.Path_read,
 			Split: []*wire.Share{{Service: hollow.ServiceName(index % m.size.Services), Weight: 1}}}
 		if index == m.version%m.size.Routes {
-			deadlineMicros := int64(1000000 + m.version)
-			route.CutoffMicros = &deadlineMicros
+			timeoutMicros := int64(1000000 + m.version)
+			route.CutoffMicros = &timeoutMicros
 		}
 		state.Routes = append(state.Routes, route)
 	}
@@ -187,7 +192,8 @@
 	return content, err
 }
 
-// call asks a group's primary, again until patience ends.
+// callPrimary sends a request to a group's primary and retries every 10 ms until it succeeds or timeout has passed. It returns the
+// last error.
 func (m *measurement) callPrimary(group string, timeout time.Duration, request func(name string, left monotonic.Micros) error) error {
 	deadline, err := time.Now().Add(timeout), errors.New("no primary is known")
 	for time.Now().Before(deadline) {
@@ -202,7 +208,7 @@
 	return err
 }
 
-// apply has a change accepted. It gives its serial and how long it took to be acknowledged.
+// apply applies the next configuration. It returns the accepted version and the seconds until it was acknowledged.
 func (m *measurement) apply(timeout time.Duration) (version uint64, took float64, err error) {
 	content, err := m.nextConfig()
 	if err != nil {
@@ -220,13 +226,14 @@
 	return response.Version, time.Since(began).Seconds(), err
 }
 
-// reading is what all processes had used and exchanged by a moment.
+// usageReading is what all processes have used and exchanged up to one time.
 type usageReading struct {
 	at            time.Time
-	cpuMicros     map[string]float64
-	messageCounts map[string]map[string]machine.MessageCount
+	cpuMicros     map[string]float64                         // by process name; the proxies together under proxyRole
+	messageCounts map[string]map[string]machine.MessageCount // by process name as above, then by kind
 }
 
+// readUsage reads the counters of this process and of all control plane processes.
 func (m *measurement) readUsage() (usageReading, error) {
 	taken := usageReading{at: time.Now(), cpuMicros: map[string]float64{proxyRole: ownCPUMicros()}, messageCounts: map[string]map[string]machine.MessageCount{proxyRole: labelCounts(m.pool.MessageCounts())}}
 	for _, process := range m.fleet.Core() {
@@ -240,7 +247,8 @@
 	return taken, nil
 }
 
-// measure is the window: changes, claims and restarts at their rates, and what everybody needs meanwhile.
+// measure applies changes, claims keys and restarts proxies at the size's rates for the window, and records what each role used
+// meanwhile.
 func (m *measurement) measure() error {
 	before, err := m.readUsage()
 	if err != nil {
@@ -272,6 +280,8 @@
 	return m.recordUsage(before, after)
 }
 
+// recordUsage records each role's CPU time, memory and traffic between two readings. A control plane process is recorded under the
+// role that it has at the window's end.
 func (m *measurement) recordUsage(before, after usageReading) error {
 	peak, err := residentBytes("self", "VmHWM")
 	if err != nil {
@@ -296,10 +306,10 @@
 	return nil
 }
 
-// standing is how both groups stand by their primaries' word, once each has a backup.
+// awaitPrimaries waits until both groups have a serving primary with a backup, and returns the primaries' statuses by program.
 func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
 	statuses := map[string]replication.Status{}
-	_, reached := pollUntil(m.options.Timeout, func() bool {
+	reached := pollUntil(m.options.Timeout, func() bool {
 		for _, process := range m.fleet.Core() {
 			core, err := fetchStatus(process)
 			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
@@ -314,7 +324,7 @@
 	return statuses, nil
 }
 
-// spread runs a number of things one after another, evenly over the window.
+// spreadOverWindow calls do count times, one after another, evenly spread over the window. It stops at the first error.
 func (m *measurement) spreadOverWindow(count int, do func(index int) error) error {
 	began := time.Now()
 	for index := range count {
@@ -327,6 +337,7 @@
 	return nil
 }
 
+// applyChanges applies the size's changes and records, for each, how long its acknowledgement and its adoption by all proxies took.
 func (m *measurement) applyChanges() error {
 	return m.spreadOverWindow(m.size.Changes, func(int) error {
 		began := time.Now()
@@ -334,14 +345,14 @@
 		if err != nil {
 			return err
 		}
-		// One that a newer state overtook at some carriers never comes to them; nothing else applies meanwhile.
+		// A proxy skips a version that a newer one has replaced, so no other change may be applied during this wait.
 		var last time.Time
-		if _, reached := pollUntil(m.options.Timeout, func() bool {
+		if reached := pollUntil(m.options.Timeout, func() bool {
 			adopted, missing := m.pool.LastAdoption(version)
 			last = adopted
 			return missing == 0
 		}); !reached {
-			return fmt.Errorf("change %d has not reached all carriers after %v", version, m.options.Timeout)
+			return fmt.Errorf("change %d was not adopted by all proxies after %v", version, m.options.Timeout)
 		}
 		m.run.TakeUp = append(m.run.TakeUp, last.Sub(began).Seconds())
 		m.run.Acknowledged = append(m.run.Acknowledged, took)
@@ -349,9 +360,10 @@
 	})
 }
 
-// claim claims at a steady rate; each claim has a task of its own, so that slow ones don't slow the others.
+// claimKeys claims idempotency keys at a steady rate. Each claim has a goroutine of its own, so that a slow one does not delay the
+// next.
 func (m *measurement) claimKeys() error {
-	var lock sync.Mutex
+	var lock sync.Mutex // guards took and m.run.Claims
 	var work sync.WaitGroup
 	var took []float64
 	count := int(float64(m.size.Calls) * m.options.Window.Seconds())
@@ -380,16 +392,18 @@
 	return err
 }
 
+// restartProxies restarts proxies one at a time, evenly spread over the window.
 func (m *measurement) restartProxies() error {
 	return m.spreadOverWindow(m.size.Restarts, func(index int) error { return m.pool.Restart(index % m.size.Proxies) })
 }
 
-// fail kills both primaries at once and sees how long the groups don't answer; then all carriers go, and return at once.
+// measureFailures kills both primaries at once and records how long claims, reads and changes fail. Then it stops all proxies, waits
+// for their sessions to expire and starts them again at once. It does nothing unless the options ask for failures.
 func (m *measurement) measureFailures() error {
 	if !m.options.Failures {
 		return nil
 	}
-	result := &Failures{CutoffSecs: m.options.Timeout.Seconds()}
+	result := &Failures{TimeoutSeconds: m.options.Timeout.Seconds()}
 	m.run.Failures = result
 	killed := []*fleet.Process{}
 	statuses, err := m.awaitPrimaries()
@@ -437,10 +451,12 @@
 		return err
 	}
 	m.pool.StopAll()
-	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // all sessions end
+	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // all sessions expire
 	return m.measureMassRestart(result)
 }
 
+// measureMassRestart starts all proxies at once, and records how long it takes until they are ready and know all others and how many
+// bytes each exchanges until then.
 func (m *measurement) measureMassRestart(result *Failures) error {
 	bytes := func() (total float64) {
 		for _, counted := range m.pool.MessageCounts() {
@@ -456,7 +472,7 @@
 		into  **float64
 		count func() int
 	}{{&result.Ready, m.pool.ReadyCount}, {&result.Complete, m.pool.CompleteCount}} {
-		if _, reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
+		if reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
 			took := time.Since(began).Seconds()
 			*target.into = &took
 		}
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -1,5 +1,8 @@
-// Package sweep measures what the control programs need as a mesh grows: it plays sizes, each several times, and records
-// them.
+// Package sweep measures what the control plane and the proxies' control traffic cost as a mesh grows. A sweep moves one dimension
+// of a base size at a time, measures each size in several runs and records them as JSON, from which package capacity extrapolates.
+//
+// Keys and names in records date from before the programs were renamed: carrier is the proxy, sorter the registry, postmaster the
+// configuration store, and guards are breakers.
 package sweep
 
 import (
@@ -11,32 +14,33 @@
 	"time"
 )
 
-// Size is one point that is played. Every figure is the whole mesh's.
+// Size is the size of a mesh and the load on it. All numbers are of the mesh as a whole.
 type Size struct {
 	Proxies  int `json:"carriers"`
 	Services int `json:"services"`
 	Routes   int `json:"routes"`
-	Changes  int `json:"changes"`  // applies within the window
+	Changes  int `json:"changes"`  // configurations applied within the window
 	Calls    int `json:"calls"`    // claims a second
-	Restarts int `json:"restarts"` // carriers killed and started anew within the window
+	Restarts int `json:"restarts"` // proxies restarted within the window
 }
 
-// Base is the point from which one figure at a time is moved.
+// Base is the size from which each sweep moves one dimension.
 var Base = Size{Proxies: 50, Services: 10, Routes: 10, Changes: 4, Calls: 10}
 
-// Dimension is one figure of a size that is swept.
+// Dimension is a field of Size that can be swept.
 type Dimension struct {
 	Name  string
-	Unit  string // of what slopes go by
-	Sizes []int  // that are played if none are asked for
+	Unit  string // of Coordinate
+	Sizes []int  // measured by default
+	// Field points to the dimension's field in a size.
 	Field func(size *Size) *int
-	// PerWindow: the figure is a number within the window, so slopes go by it divided by the window's length.
+	// PerWindow says that the field counts events within the window, so that Coordinate divides it by the window's length.
 	PerWindow bool
-	// Failures: each run ends with the primaries killed, and with all carriers returning at once.
+	// Failures says that each run ends with failures of both primaries and a restart of all proxies at once.
 	Failures bool
 }
 
-// Dimensions are all that can be swept, in the order they are played.
+// Dimensions lists all dimensions in the order in which they are swept.
 var Dimensions = []Dimension{
 	{Name: "carriers", Unit: "carrier", Sizes: []int{50, 200, 800}, Field: func(size *Size) *int { return &size.Proxies }, Failures: true},
 	{Name: "services", Unit: "service", Sizes: []int{580}, Field: func(size *Size) *int { return &size.Services }},
@@ -46,7 +50,7 @@
 	{Name: "restarts", Unit: "restart a second", Sizes: []int{10}, Field: func(size *Size) *int { return &size.Restarts }, PerWindow: true},
 }
 
-// Find gives a dimension by name.
+// Find returns the dimension with a name, or an error that lists the known names.
 func Find(name string) (Dimension, error) {
 	for _, dimension := range Dimensions {
 		if dimension.Name == name {
@@ -56,7 +60,7 @@
 	return Dimension{}, fmt.Errorf("no dimension %q; there are %v", name, Names())
 }
 
-// Names lists the dimensions.
+// Names lists the dimensions' names in their order.
 func Names() (names []string) {
 	for _, dimension := range Dimensions {
 		names = append(names, dimension.Name)
@@ -64,21 +68,21 @@
 	return names
 }
 
-// SizeAt is the base with this dimension's figure moved.
+// SizeAt returns the base with this dimension set to value.
 func (d Dimension) SizeAt(value int) Size {
 	size := Base
 	*d.Field(&size) = value
 	return size
 }
 
-// Includes tells whether a size differs from the base in this dimension only.
+// Includes reports whether a size differs from the base in no other dimension. The base itself is included.
 func (d Dimension) Includes(size Size) bool {
 	moved := size
 	*d.Field(&moved) = *d.Field(&Base)
 	return moved == Base
 }
 
-// Coordinate is what slopes go by.
+// Coordinate returns a run's position along the dimension, the x value of slopes.
 func (d Dimension) Coordinate(run Run) float64 {
 	value := float64(*d.Field(&run.Size))
 	if d.PerWindow {
@@ -87,29 +91,29 @@
 	return value
 }
 
-// What a hollow carrier takes, with its part of the core's memory: buffers of its connections and its own, and one entry
-// of the directory for each other member, twice because garbage stays until it's collected.
+// Estimated memory in bytes and open files. A proxy's share counts its connections' buffers at both ends and one directory entry for
+// each other member, doubled for garbage that has not been collected yet.
 const (
 	coreBytes     = 6 * 60 << 20
 	proxyBytes    = 1200 << 10
 	memberBytes   = 1600
-	routeBytes    = 2500 // at each carrier, and kept with each change at the postmasters
-	filesPerProxy = 7    // connections of a hollow carrier: one to each process of the core, and one to spare
+	routeBytes    = 2500 // at each proxy, and for each version that a configuration store keeps
+	filesPerProxy = 7    // a connection to each of the six control plane processes and one spare
 )
 
-// EstimateMemory is the memory that a size may take, in bytes.
+// EstimateMemory estimates the memory that a run of this size takes, in bytes, over all processes.
 func (s Size) EstimateMemory() uint64 {
 	proxies := uint64(s.Proxies)
 	return coreBytes + proxies*proxyBytes + proxies*proxies*memberBytes + uint64(s.Routes)*routeBytes*(proxies+3*uint64(s.Changes))
 }
 
-// Bounds are what a run may take of the machine.
+// Bounds limits the resources that a run may take.
 type Bounds struct {
-	Memory uint64
-	Files  uint64
+	Memory uint64 // bytes
+	Files  uint64 // open files of this process
 }
 
-// Half gives the bounds to stay under: half the machine's memory, and the files that a process may open.
+// Half returns this machine's bounds: half its memory, and the number of files that a process may open.
 func Half() (Bounds, error) {
 	content, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -126,7 +130,7 @@
 	return Bounds{Memory: total << 10 / 2, Files: limit.Cur}, nil
 }
 
-// Check refuses a size before anything is started.
+// Check returns an error if a size is invalid or by estimate exceeds the bounds.
 func (b Bounds) Check(size Size) error {
 	for name, value := range map[string]int{"carriers": size.Proxies, "services": size.Services} {
 		if value < 1 {
@@ -146,7 +150,7 @@
 	return nil
 }
 
-// Traffic is what one process exchanged a second in messages of one kind, or of all.
+// Traffic is the mean number of messages and bytes that one process exchanged per second, of one kind or in total.
 type Traffic struct {
 	Sent          float64 `json:"sent"`
 	SentBytes     float64 `json:"sent_bytes"`
@@ -154,15 +158,15 @@
 	ReceivedBytes float64 `json:"received_bytes"`
 }
 
-// Role is what one process of a role needed within the window; where there are several, their mean.
+// Role is what one process of a role used within the window, as the mean over its processes.
 type Role struct {
 	Processes     int                `json:"processes"`
-	CPUMicros     float64            `json:"processor"`     // microseconds a second
-	ResidentBytes float64            `json:"resident_peak"` // bytes
-	Kinds         map[string]Traffic `json:"kinds"`
+	CPUMicros     float64            `json:"processor"`     // CPU microseconds per second
+	ResidentBytes float64            `json:"resident_peak"` // peak resident set size
+	Kinds         map[string]Traffic `json:"kinds"`         // by the message kind's metric label
 }
 
-// Total sums up the kinds.
+// Total sums the traffic of all kinds. The order of summation is fixed, so that results are reproducible to the last bit.
 func (r Role) Total() (total Traffic) {
 	for _, name := range slices.Sorted(maps.Keys(r.Kinds)) {
 		traffic := r.Kinds[name]
@@ -172,43 +176,43 @@
 	return total
 }
 
-// Failures is what came of killing both primaries at once, and of all carriers returning at once. All are seconds; one that
-// is missing wasn't reached before the run was cut off.
+// Failures holds the recovery times, in seconds, after both primaries were killed at once and after all proxies were restarted at
+// once. Nil means that the state was not reached before the timeout.
 type Failures struct {
-	Claims     *float64 `json:"until_claims,omitempty"`  // until a claim was granted again
-	Reads      *float64 `json:"until_reads,omitempty"`   // until a postmaster gave the desired state again
-	Applies    *float64 `json:"until_applies,omitempty"` // until a change was acknowledged again
-	Ready      *float64 `json:"until_ready,omitempty"`   // from the carriers' return until each may be sent callers
-	Complete   *float64 `json:"until_whole,omitempty"`   // from the carriers' return until each sees all others
-	Bytes      float64  `json:"bytes_until_whole"`       // of each carrier, from its return to Whole or the cutoff
-	CutoffSecs float64  `json:"cutoff_seconds"`
+	Claims         *float64 `json:"until_claims,omitempty"`  // until a claim was granted again
+	Reads          *float64 `json:"until_reads,omitempty"`   // until a configuration store answered a read again
+	Applies        *float64 `json:"until_applies,omitempty"` // until a change was acknowledged again
+	Ready          *float64 `json:"until_ready,omitempty"`   // from the proxies' restart until all are ready
+	Complete       *float64 `json:"until_whole,omitempty"`   // from the proxies' restart until each knows all others
+	Bytes          float64  `json:"bytes_until_whole"`       // per proxy, from the restart until Complete or the timeout
+	TimeoutSeconds float64  `json:"cutoff_seconds"`
 }
 
-// Run is one run of one size.
+// Run is the record of one run of a size.
 type Run struct {
 	Size         Size            `json:"size"`
 	Number       int             `json:"run"`
-	Seconds      float64         `json:"seconds"` // the window's length
-	LoadAverage  float64         `json:"load"`    // the machine's load average before the run, others' work
-	ConfigBytes  int             `json:"desired_bytes"`
-	Breakers     int             `json:"guards_records"`
-	JoinSeconds  float64         `json:"joined_seconds"` // from the first start until each carrier sees all others
-	Roles        map[string]Role `json:"roles"`
-	TakeUp       []float64       `json:"take_up_seconds"` // of each change, until the slowest carrier had adopted it
-	Acknowledged []float64       `json:"acknowledged_seconds"`
+	Seconds      float64         `json:"seconds"`              // the window's length
+	LoadAverage  float64         `json:"load"`                 // the machine's load average before the run, from other work
+	ConfigBytes  int             `json:"desired_bytes"`        // size of the last configuration
+	Breakers     int             `json:"guards_records"`       // breaker records at the window's start
+	JoinSeconds  float64         `json:"joined_seconds"`       // from the first proxy's start until each knows all others
+	Roles        map[string]Role `json:"roles"`                // by role name, such as "sorter primary"
+	TakeUp       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
+	Acknowledged []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
 	Claims       Claims          `json:"claims"`
 	Failures     *Failures       `json:"failures,omitempty"`
 }
 
-// Claims tells how the claims of the window went.
+// Claims summarizes the claims of idempotency keys within the window. Percentiles are of granted claims, in seconds.
 type Claims struct {
 	Granted int     `json:"granted"`
-	Other   int     `json:"other"`
+	Other   int     `json:"other"` // rejected or failed
 	P50     float64 `json:"p50_seconds"`
 	P99     float64 `json:"p99_seconds"`
 }
 
-// Point is what is recorded of one size.
+// Point is the record of one size along a dimension, the content of a record file.
 type Point struct {
 	Dimension string        `json:"dimension"`
 	Value     int           `json:"value"`
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Plan is what a sweep is to play.
+// Plan describes a sweep along one dimension.
 type Plan struct {
 	Dimension Dimension
-	Sizes     []int
-	Runs      int
+	Sizes     []int // values of the dimension
+	Runs      int   // of each size
 	Window    time.Duration
-	Results   string // folder of the records
+	Results   string // directory of the records
 }
 
-// Check refuses what can't be played, before anything starts.
+// Check returns an error if the plan is empty or one of its sizes is invalid or exceeds the bounds.
 func (p Plan) Check(bounds Bounds) error {
 	if p.Runs < 1 || p.Window <= 0 || len(p.Sizes) == 0 {
 		return fmt.Errorf("there must be a size, a run and a window at least")
@@ -32,19 +32,19 @@
 	return nil
 }
 
-// Sweep plays each size as often as the plan says and records it once all its runs are done, so one that is cut off leaves
-// the sizes before. play plays one run.
-func Sweep(plan Plan, play func(size Size, number int) (Run, error), say func(format string, arguments ...any)) error {
+// Sweep measures each size of a plan and records it when all its runs are done, so that an interrupted sweep keeps the sizes before.
+// measureRun measures one run; logf reports progress, once for each run.
+func Sweep(plan Plan, measureRun func(size Size, number int) (Run, error), logf func(format string, arguments ...any)) error {
 	for position, value := range plan.Sizes {
 		point := Point{Dimension: plan.Dimension.Name, Value: value, Window: plan.Window}
 		for number := 1; number <= plan.Runs; number++ {
 			began := time.Now()
-			run, err := play(plan.Dimension.SizeAt(value), number)
+			run, err := measureRun(plan.Dimension.SizeAt(value), number)
 			if err != nil {
 				return fmt.Errorf("%s %d, run %d: %w", plan.Dimension.Name, value, number, err)
 			}
 			point.Runs = append(point.Runs, run)
-			say("%s %d (size %d of %d), run %d of %d: %.1f s, load %.1f", plan.Dimension.Name, value, position+1, len(plan.Sizes), number, plan.Runs, time.Since(began).Seconds(), run.LoadAverage)
+			logf("%s %d (size %d of %d), run %d of %d: %.1f s, load %.1f", plan.Dimension.Name, value, position+1, len(plan.Sizes), number, plan.Runs, time.Since(began).Seconds(), run.LoadAverage)
 		}
 		if err := Record(plan.Results, point); err != nil {
 			return err
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Record writes a point into its file, whole or not at all.
+// Record writes a point into its file in folder, atomically.
 func Record(folder string, point Point) error {
 	content, err := json.MarshalIndent(point, "", " ")
 	if err != nil {
@@ -69,7 +69,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// Results reads every point recorded in a folder, by dimension and value.
+// Results reads all points recorded in a folder, ordered by dimension and value.
 func Results(folder string) ([]Point, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
@@ -97,7 +97,7 @@
 	return points, nil
 }
 
-// Includes gives the runs that a dimension's slopes are drawn through, the base's among them.
+// RunsAlong returns the runs whose size differs from the base in no other dimension, those of the base included.
 func RunsAlong(points []Point, dimension Dimension) (runs []Run) {
 	for _, point := range points {
 		for _, run := range point.Runs {
@@ -109,8 +109,8 @@
 	return runs
 }
 
-// EpochChanged tells whether a group's epoch changed within the window, to another primary or backup: then voters were asked for
-// promises.
+// EpochChanged reports whether a group's primary or backup changed within the window, which shows in prepare messages that its members
+// received.
 func (r Run) EpochChanged(group string) bool {
 	for name, role := range r.Roles {
 		if strings.HasPrefix(name, group+" ") && role.Kinds["register_promise"].Received > 0 {
@@ -120,16 +120,17 @@
 	return false
 }
 
-// Metric is something that is measured in each run.
+// Metric is a number that can be read from a run.
 type Metric struct {
 	Name    string
 	Unit    string
-	Measure func(run Run) (value float64, known bool)
+	Measure func(run Run) (value float64, known bool) // known is false if the run has no such number
 }
 
+// roleNames are the roles as recorded, in the order of the page.
 var roleNames = []string{"carrier", "sorter primary", "sorter backup", "sorter witness", "postmaster primary", "postmaster backup", "postmaster witness"}
 
-// Metrics are all that slopes are drawn of: for each role processor time, resident memory, messages and bytes; and spans.
+// Metrics lists all metrics that lines are fitted to: CPU time, memory, messages and bytes of each role, then durations.
 func Metrics() (metrics []Metric) {
 	for _, name := range roleNames {
 		ofRole := func(read func(role Role) float64) func(run Run) (float64, bool) {
@@ -170,7 +171,7 @@
 		Metric{"until all see all", "s", failures(func(failures *Failures) *float64 { return failures.Complete })})
 }
 
-// KindBytes is the figure of one role's bytes in messages of one kind.
+// KindBytes returns the metric of the bytes that a role exchanges in messages of one kind.
 func KindBytes(role, kind string) Metric {
 	return Metric{Name: role + " bytes of " + kind, Unit: "B/s", Measure: func(run Run) (float64, bool) {
 		of, known := run.Roles[role]
@@ -179,7 +180,7 @@
 	}}
 }
 
-// FindMetric gives a figure by its name.
+// FindMetric returns the metric with a name, also one of KindBytes, or an error if there is none.
 func FindMetric(name string) (Metric, error) {
 	for _, metric := range Metrics() {
 		if metric.Name == name {
@@ -189,5 +190,5 @@
 	if role, kind, found := strings.Cut(name, " bytes of "); found && slices.Contains(roleNames, role) {
 		return KindBytes(role, kind), nil
 	}
-	return Metric{}, fmt.Errorf("no figure %q", name)
+	return Metric{}, fmt.Errorf("no metric %q", name)
 }
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// buildDaemons builds the control plane's programs into a temporary folder.
 func buildDaemons(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -20,11 +21,11 @@
 	return folder
 }
 
-// tinyWindow holds a poll of every carrier and an ask who the core is: they come once a second and every 1.25 s at the latest.
+// tinyWindow is long enough for each proxy to send a poll and a leader discovery request, at most 1 s and 1.25 s apart.
 const tinyWindow = 2 * time.Second
 
-// TestTinySweep plays runs with five hollow carriers against real control programs. Only what is recorded is judged, not how
-// long anything took. The failures' run takes the leases' time, so it stands apart and both go on at once.
+// TestTinySweep measures runs of five proxies without traffic against real control plane processes. It checks what is recorded, not
+// how long anything took. The run with failures has to wait for leases to expire, so both cases run in parallel.
 func TestTinySweep(t *testing.T) {
 	binaries := buildDaemons(t)
 	calm := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, Calls: 20}
@@ -52,21 +53,21 @@
 			}
 			for _, metric := range Metrics() {
 				if _, known := metric.Measure(run); !known && (testCase.failures || !strings.HasPrefix(metric.Name, "until ")) {
-					t.Errorf("the run tells no %s", metric.Name)
+					t.Errorf("the run has no %s", metric.Name)
 				}
 			}
 		})
 	}
 }
 
-// complete judges what every run records.
+// checkRun checks what every run records.
 func checkRun(t *testing.T, run Run, size Size) {
 	t.Helper()
 	if run.Size != size || run.Seconds <= 0 || run.ConfigBytes == 0 || run.Breakers != size.Services {
-		t.Errorf("the record says %+v", run)
+		t.Errorf("the record is %+v", run)
 	}
 	if len(run.TakeUp) != size.Changes || len(run.Acknowledged) != size.Changes {
-		t.Errorf("of %d changes, %d were timed at the carriers and %d at the operator", size.Changes, len(run.TakeUp), len(run.Acknowledged))
+		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.TakeUp), len(run.Acknowledged))
 	}
 	if expected := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
 		t.Errorf("of %d claims %+v", expected, run.Claims)
@@ -90,22 +91,22 @@
 	}
 }
 
-// TestSweepCutOff: sizes whose runs were all played stay recorded, and the one that was cut off leaves nothing.
+// TestSweepCutOff checks that an interrupted sweep keeps the sizes that were complete and nothing of the interrupted one.
 func TestSweepCutOff(t *testing.T) {
 	dimension, err := Find("carriers")
 	if err != nil {
 		t.Fatal(err)
 	}
 	plan := Plan{Dimension: dimension, Sizes: []int{50, 60, 70}, Runs: 2, Window: time.Second, Results: filepath.Join(t.TempDir(), "results")}
-	cut, said := errors.New("cut off"), 0
+	interrupted, reports := errors.New("cut off"), 0
 	err = Sweep(plan, func(size Size, number int) (Run, error) {
 		if size.Proxies == 60 && number == 2 {
-			return Run{}, cut
+			return Run{}, interrupted
 		}
 		return Run{Size: size, Number: number, Seconds: 1, TakeUp: []float64{0.5}}, nil
-	}, func(string, ...any) { said++ })
-	if !errors.Is(err, cut) || said != 3 {
-		t.Errorf("ended with %v after %d runs", err, said)
+	}, func(string, ...any) { reports++ })
+	if !errors.Is(err, interrupted) || reports != 3 {
+		t.Errorf("ended with %v after %d runs", err, reports)
 	}
 	points, err := Results(plan.Results)
 	if err != nil || len(points) != 1 || points[0].Value != 50 || len(points[0].Runs) != 2 || points[0].Runs[1].Number != 2 || !reflect.DeepEqual(points[0].Runs[0].TakeUp, []float64{0.5}) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestBoundsRefuse: what wouldn't fit is refused with the figure, and so are points that can't be played.
+// TestBoundsRefuse checks that sizes that exceed the bounds are rejected with the estimate, and so are invalid sizes.
 func TestBoundsRefuse(t *testing.T) {
 	bounds := Bounds{Memory: 4 << 30, Files: 20000}
 	for _, dimension := range Dimensions {
@@ -152,17 +153,17 @@
 	}
 }
 
-// TestAlong: only runs that differ from the base in one figure are on its line.
-func TestAlong(t *testing.T) {
+// TestDimensionIncludes checks that a dimension includes the base and sizes moved along itself, but none moved along another.
+func TestDimensionIncludes(t *testing.T) {
 	for _, dimension := range Dimensions {
 		moved := dimension.SizeAt(77)
 		for _, other := range Dimensions {
 			if on := other.Includes(moved); on != (other.Name == dimension.Name) {
-				t.Errorf("a size moved along %s is on %s: %v", dimension.Name, other.Name, on)
+				t.Errorf("a size moved along %s is included by %s: %v", dimension.Name, other.Name, on)
 			}
 		}
 		if !dimension.Includes(Base) {
-			t.Errorf("the base isn't on %s", dimension.Name)
+			t.Errorf("the base isn't included by %s", dimension.Name)
 		}
 	}
 }
