--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -90,6 +90,12 @@
 //   - A standby is like a learner, but has no replica: a voter needs none.
 //   - With an even number of voters the first one counts twice (package quorum).
 //
+// # On call
+//
+// What the group reports are events 2xx and 7xx of docs/events.md. Member.Status is what a process shows operators and the
+// doctor command of itself. A group doesn't serve if no quorum of voters is in contact, if none of the replicas that the register names is back, or if
+// the only one of them that is back finds no second voter to become its backup.
+//
 // # Concurrency
 //
 // Three executors each run one command at a time: voterExecutor owns Member.voter, replicaExecutor owns the journal and
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -73,7 +73,7 @@
 	free, wait := m.quorumAvailable()
 	if now := m.host.Now(); !free {
 		timer.vacantSince = notVacant
-	} else if timer.vacantSince < 0 {
+	} else if timer.vacantSince == notVacant {
 		timer.vacantSince = now
 	}
 	ready := value != nil && free && (backup || m.mayReclaim(value) || m.host.Now()-timer.vacantSince >= m.config.HeartbeatInterval)
--- a/internal/replication/quorum/quorum.go
+++ b/internal/replication/quorum/quorum.go
@@ -17,15 +17,21 @@
 // is a quorum, and of the two halves of an even split exactly one is.
 type Voters []string
 
+const (
+	voterWeight = 1
+	// tieBreakerWeight is the weight of the first of an even number of voters.
+	tieBreakerWeight = 2
+)
+
 // Weight returns how much a voter counts: zero for a name that isn't among the voters.
 func (v Voters) Weight(name string) int {
 	if !slices.Contains(v, name) {
 		return 0
 	}
 	if name == v.TieBreaker() {
-		return 2
+		return tieBreakerWeight
 	}
-	return 1
+	return voterWeight
 }
 
 // WeightOf returns the sum of the weights of some names.
@@ -49,7 +55,7 @@
 // HasReadQuorum reports whether some names include a voter of every quorum.
 func (v Voters) HasReadQuorum(names []string) bool { return v.WeightOf(names) >= v.ReadWeight() }
 
-// TieBreaker returns the voter that has weight two, empty if there is none.
+// TieBreaker returns the voter that has tieBreakerWeight, empty if the number of voters is odd or zero.
 func (v Voters) TieBreaker() string {
 	if len(v) == 0 || len(v)%2 != 0 {
 		return ""
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -22,7 +22,7 @@
 	size int64
 	// lastNumber and syncedNumber are the numbers of the last record written, and of the last one known to be synced.
 	lastNumber, syncedNumber uint64
-	// syncFailed is set once the log can't be used any more.
+	// syncFailed is set once the log can't be used any more: a sync failed, or what the file holds is unknown for another reason.
 	syncFailed bool
 	// TruncatedBytes is the length of a torn tail that Open cut off.
 	TruncatedBytes int64
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Append writes records after the last one. They are durable once Sync has returned nil. After an ErrDiskFull error the log is as it
-// was before.
+// Append writes records after the last one. They are durable once Sync has returned nil. After an error, ErrDiskFull for one, the
+// log is as it was before; if a part that was written can't be removed, every later use fails with ErrSyncFailed.
 func (l *Log) Append(payloads ...[]byte) error {
 	if l.syncFailed {
 		return ErrSyncFailed
