--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -10,7 +10,7 @@
 // Each process of a group has one Member, which combines up to three roles:
 //
 //   - voter: one copy of the register, promises and leases (voter.go; decisions in package consensus);
-//   - replica: a journal on disk and the state machine it has been applied to (replica.go, logtail.go, storage.go);
+//   - replica: a journal on disk and the state machine it has been applied to (replica.go, journal.go, logtail.go, storage.go);
 //   - primary: the leadership of one epoch (leadership.go, commit.go, backups.go).
 //
 // # Epochs and leadership
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -11,17 +11,6 @@
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
-	"snowflow/internal/wal"
-)
-
-const (
-	// journalFile is the file of the replica's journal, after the group's name.
-	journalFile = "journal"
-	// compactionFactor is how many times the size of a compacted journal the journal may reach. It keeps a large state from
-	// being rewritten with every batch.
-	compactionFactor = 3
-	// minFullCompaction is the size in bytes from which compaction is tried when the disk is full.
-	minFullCompaction = 64 << 10
 )
 
 // replica is this process's copy of the state: a journal on disk, and the state machine that it has been applied to. The
@@ -34,22 +23,15 @@
 //   - fenced is above every epoch whose primary this replica must reject;
 //   - pending entries are synced here and neither applied nor acknowledged.
 type replica struct {
-	host                host.Host
-	storage             *storage
-	compactionThreshold int64
-
-	log *wal.Log
+	host    host.Host
+	journal journal
 	// incarnation tells this replica from others under the same name, after the disk was lost. Zero until the journal is open.
 	// Any task may read it.
 	incarnation atomic.Uint64
 	leaderClock monotonic.Micros
 	fenced      uint64
 	pending     []*wire.Entry
-	// lastSyncTime is how long the last append took to sync.
-	lastSyncTime monotonic.Micros
-	clockBound   clockBound
-	// compactedSize is the journal's size after its last compaction.
-	compactedSize int64
+	clockBound  clockBound
 
 	// mu guards stateMachine, and epoch, sequence and tail. Other tasks than the replica executor's may read those under mu;
 	// the executor's own reads of epoch, sequence and tail need no lock.
@@ -61,7 +43,10 @@
 
 // newReplica returns a replica whose journal is not open yet.
 func newReplica(h host.Host, files *storage, config Config) *replica {
-	return &replica{host: h, storage: files, stateMachine: config.StateMachine, compactionThreshold: config.CompactionThreshold}
+	return &replica{
+		host: h, stateMachine: config.StateMachine,
+		journal: journal{host: h, storage: files, compactionThreshold: config.CompactionThreshold},
+	}
 }
 
 // fence makes the replica reject primaries of epochs below a given one. Fences are not persisted: a primary of an earlier epoch
@@ -70,11 +55,9 @@
 
 // open reads the journal into the state machine.
 func (r *replica) open() error {
-	log, err := r.storage.openLog(journalFile, r.replayRecord, r.reset)
-	if err != nil {
+	if err := r.journal.open(r.replayRecord, r.reset); err != nil {
 		return err
 	}
-	r.log = log
 	r.resetClockBound()
 	if r.incarnation.Load() == 0 {
 		r.incarnation.Store(r.host.Random() | 1)
@@ -197,25 +180,12 @@
 
 // compact replaces the journal by one snapshot of what is applied, in a single record. The incarnation stands in its field Chunk.
 func (r *replica) compact() error {
-	content := mustMarshal(&wire.JournalRecord{Snapshot: r.snapshot(), Chunk: r.incarnation.Load()})
-	err := r.log.Rewrite(content)
-	if isDiskFull(err) && r.storage.releaseReserve() {
-		if err = r.log.Rewrite(content); err == nil {
-			_ = r.storage.reserve() // best effort: the doctor command reports a disk without room
-		}
-	}
-	r.compactedSize = r.log.Size()
-	return r.storage.stopOnSyncFailure(journalFile, err)
-}
-
-// needsCompaction reports whether the journal is above its least size and several times what compaction would leave.
-func (r *replica) needsCompaction() bool {
-	return r.log.Size() > max(r.compactionThreshold, compactionFactor*r.compactedSize)
+	return r.journal.rewrite(mustMarshal(&wire.JournalRecord{Snapshot: r.snapshot(), Chunk: r.incarnation.Load()}))
 }
 
 // appendEntries appends entries to the journal and syncs them. It doesn't apply them.
 func (r *replica) appendEntries(entries []*wire.Entry) error {
-	if r.needsCompaction() && len(r.pending) == 0 {
+	if r.journal.needsCompaction() && len(r.pending) == 0 {
 		if err := r.compact(); err != nil {
 			return err
 		}
@@ -231,20 +201,13 @@
 	return records
 }
 
-// appendRecords appends records to the journal and syncs them. If the disk is full, the journal is compacted first.
+// appendRecords appends records to the journal and syncs them. If the disk is full, the journal is compacted first; not while entries
+// are pending, which the snapshot would leave out.
 func (r *replica) appendRecords(records [][]byte) error {
-	started := r.host.Now()
-	err := r.log.Append(records...)
-	if isDiskFull(err) && len(r.pending) == 0 && r.log.Size() > minFullCompaction {
-		if err = r.compact(); err == nil {
-			err = r.log.Append(records...)
-		}
-	}
-	if err == nil {
-		err = r.log.Sync()
+	if len(r.pending) > 0 {
+		return r.journal.appendSynced(records, nil)
 	}
-	r.lastSyncTime = r.host.Now() - started
-	return r.storage.stopOnSyncFailure(journalFile, err)
+	return r.journal.appendSynced(records, r.compact)
 }
 
 // install replaces the state by a snapshot, and the journal too. If that fails the replica stays as it was.
@@ -262,7 +225,7 @@
 
 // catchUp appends and applies entries that this replica lacks, and takes the position and clock of a watermark after them.
 func (r *replica) catchUp(entries []*wire.Entry, watermark *wire.Watermark) error {
-	if r.needsCompaction() {
+	if r.journal.needsCompaction() {
 		if err := r.compact(); err != nil {
 			return err
 		}
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -62,7 +62,7 @@
 // avoided if there is a third voter: with two, both disks are needed for every write, no matter which member leads.
 func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
 	ownSlow := false
-	m.replicaExecutor.Run(func() { ownSlow = m.replica.lastSyncTime > m.config.SlowSyncThreshold })
+	m.replicaExecutor.Run(func() { ownSlow = m.replica.journal.lastSyncTime > m.config.SlowSyncThreshold })
 	current, _ := m.knownConfig()
 	tieBreaker := current.Voters.TieBreaker()
 
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -56,7 +56,7 @@
 		Release: release.Version, Wire: frame.Version, Wall: time.Now().UnixMicro(),
 	}
 	m.replicaExecutor.Run(func() {
-		status.Sequence, status.Journal, status.SyncTime = m.replica.sequence, m.replica.log.Size(), int64(m.replica.lastSyncTime)
+		status.Sequence, status.Journal, status.SyncTime = m.replica.sequence, m.replica.journal.size(), int64(m.replica.journal.lastSyncTime)
 	})
 	if value := m.knownRegister(); value != nil {
 		status.Epoch, status.Primary, status.BackupsInSync = value.Epoch, value.Primary.Name, value.BackupsInSync
