--- a/internal/rehearse/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -1,4 +1,4 @@
-// Package capacity works out what the letter's size needs from recorded sweeps, and writes it into the page on capacity.
+// Package capacity works out what the target size needs from recorded sweeps, and writes it into the page on capacity.
 package capacity
 
 import (
--- a/internal/rehearse/hollow/incarnation.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -1,4 +1,4 @@
-// Package hollow runs many carriers in one process: the carrier's own code with an host, a session and connections for
+// Package hollow runs many proxies in one process: the proxy's own code with a host, a session and connections for
 // each, and without callers and backends' traffic.
 package hollow
 
@@ -17,13 +17,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// life is the host of one carrier's life.
-// Invariant: once over is set, no task of this life gets past its next wait; offices hold no lock there, so none stays held.
+// incarnation is the host of one proxy's incarnation.
+// Invariant: once over is set, no task of this incarnation gets past its next wait; no lock is held there, so none stays locked.
 type incarnation struct {
 	*machine.Machine
 	ended   atomic.Bool
 	lock    sync.Mutex
-	adopted map[uint64]time.Time // by serial
+	adopted map[uint64]time.Time // by version
 }
 
 func newIncarnation() *incarnation {
@@ -36,13 +36,13 @@
 	}
 }
 
-// Sleep waits, and ends the task if its life ended.
+// Sleep waits, and ends the task if its incarnation ended.
 func (i *incarnation) Sleep(duration monotonic.Micros) {
 	i.Machine.Sleep(duration)
 	i.exitIfEnded()
 }
 
-// Call calls, and ends the task if its life ended.
+// Call calls, and ends the task if its incarnation ended.
 func (i *incarnation) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	i.exitIfEnded()
 	err := i.Machine.Call(address, kind, request, reply, timeout)
@@ -55,7 +55,7 @@
 	incarnation *incarnation
 }
 
-// Wait waits, and ends the task if its life ended.
+// Wait waits, and ends the task if its incarnation ended.
 func (s *signal) Wait(timeout monotonic.Micros) bool {
 	fired := s.Signal.Wait(timeout)
 	s.incarnation.exitIfEnded()
@@ -67,7 +67,7 @@
 	return &signal{Signal: i.Machine.NewSignal(), incarnation: i}
 }
 
-// Report notes when a desired state was adopted. Nothing else is kept: thousands of carriers share one log.
+// Report notes when a desired state was adopted. Nothing else is kept: thousands of proxies share one log.
 func (i *incarnation) Report(number int, fields map[string]any) {
 	if number != eventlog.ConfigAdopted {
 		return
@@ -78,7 +78,7 @@
 	i.adopted[version] = time.Now()
 }
 
-// Stop ends the life, as it would its process.
+// Stop ends the incarnation, as it would its process.
 func (i *incarnation) Stop(string) { i.end() }
 
 func (i *incarnation) end() {
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -20,10 +20,10 @@
 	return folder
 }
 
-// tinyWindow holds a poll of every carrier and an ask who the core is: they come once a second and every 1.25 s at the latest.
+// tinyWindow holds a poll of every proxy and an ask who the core is: they come once a second and every 1.25 s at the latest.
 const tinyWindow = 2 * time.Second
 
-// TestTinySweep plays runs with five hollow carriers against real control programs. Only what is recorded is judged, not how
+// TestTinySweep plays runs with five hollow proxies against real control programs. Only what is recorded is judged, not how
 // long anything took. The failures' run takes the leases' time, so it stands apart and both go on at once.
 func TestTinySweep(t *testing.T) {
 	binaries := buildDaemons(t)
