--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -91,22 +91,22 @@
 	}
 }
 
-func newRun(proxies, number int) sweep.Run {
+func newRun(proxies int) sweep.Run {
 	size := sweep.Base
 	size.Proxies = proxies
-	return sweep.Run{Size: size, Number: number, Seconds: 10, Roles: map[string]sweep.Role{
+	return sweep.Run{Size: size, Number: 1, Seconds: 10, Roles: map[string]sweep.Role{
 		"carrier": {Processes: proxies, Kinds: map[string]sweep.Traffic{"sorter_poll": {SentBytes: 100, ReceivedBytes: float64(2 * proxies)}}}}}
 }
 
 // TestNeeds works a need out from made-up runs: along carriers 100 bytes and 2 for each, and at ten more routes or services
 // nothing else.
 func TestNeeds(t *testing.T) {
-	points := []sweep.Point{{Dimension: "carriers", Runs: []sweep.Run{newRun(50, 1), newRun(200, 1), newRun(800, 1)}}}
+	points := []sweep.Point{{Dimension: "carriers", Runs: []sweep.Run{newRun(50), newRun(200), newRun(800)}}}
 	requirement := Requirement{Terms: []Term{{"carriers", "carrier bytes", Nodes, 0}}}
 	if _, sum, err := requirement.Parts(points); err != nil || math.Abs(sum-(100+2*Nodes)) > 1e-6 {
 		t.Errorf("%v, %v", sum, err)
 	}
-	moved := newRun(50, 1)
+	moved := newRun(50)
 	moved.Size.Services = 110
 	moved.Roles["carrier"].Kinds["sorter_poll"] = sweep.Traffic{SentBytes: 100, ReceivedBytes: 100 + 300}
 	points = append(points, sweep.Point{Dimension: "services", Runs: []sweep.Run{moved, moved}})
--- a/internal/rehearse/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -46,7 +46,7 @@
 	return Line{Intercept: intercept, Slope: slope, SlopeError: math.Sqrt(residualSquares / float64(len(values)-2) / deviationSquares), Points: len(values), MaxX: slices.Max(values)}, true
 }
 
-// RunsAlong draws a figure's line along a dimension.
+// FitAlong draws a figure's line along a dimension.
 func FitAlong(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (Line, bool) {
 	values, measured := Samples(points, dimension, metric)
 	return Fit(values, measured)
--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return report.Core, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	return report.Core, json.NewDecoder(response.Body).Decode(&report)
 }
 
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	parser := expfmt.TextParser{}
 	families, err := parser.TextToMetricFamilies(response.Body)
 	if err != nil {
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -87,15 +87,15 @@
 }
 
 // until looks again and again until something is so.
-func pollUntil(timeout time.Duration, condition func() bool) (seconds float64, reached bool) {
+func pollUntil(timeout time.Duration, condition func() bool) (reached bool) {
 	started := time.Now()
 	for !condition() {
 		if time.Since(started) > timeout {
-			return time.Since(started).Seconds(), false
+			return false
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	return time.Since(started).Seconds(), true
+	return true
 }
 
 func (m *measurement) countsAllProxies(count func() int) func() bool {
@@ -120,7 +120,7 @@
 		what  string
 		count func() int
 	}{{"ready", m.pool.ReadyCount}, {"aware of all others", m.pool.CompleteCount}} {
-		if _, reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
+		if reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
 			return fmt.Errorf("only %d of %d carriers are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
 		}
 	}
@@ -158,7 +158,7 @@
 		}
 	}
 	complete := func() bool { return m.pool.BreakerCount(0) == len(first) }
-	if _, reached := pollUntil(m.options.Timeout, complete); !reached {
+	if reached := pollUntil(m.options.Timeout, complete); !reached {
 		return fmt.Errorf("a carrier was told of %d of %d guards after %v", m.pool.BreakerCount(0), len(first), m.options.Timeout)
 	}
 	m.run.Breakers = len(first)
@@ -299,7 +299,7 @@
 // standing is how both groups stand by their primaries' word, once each has a backup.
 func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
 	statuses := map[string]replication.Status{}
-	_, reached := pollUntil(m.options.Timeout, func() bool {
+	reached := pollUntil(m.options.Timeout, func() bool {
 		for _, process := range m.fleet.Core() {
 			core, err := fetchStatus(process)
 			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
@@ -336,7 +336,7 @@
 		}
 		// One that a newer state overtook at some carriers never comes to them; nothing else applies meanwhile.
 		var last time.Time
-		if _, reached := pollUntil(m.options.Timeout, func() bool {
+		if reached := pollUntil(m.options.Timeout, func() bool {
 			adopted, missing := m.pool.LastAdoption(version)
 			last = adopted
 			return missing == 0
@@ -456,7 +456,7 @@
 		into  **float64
 		count func() int
 	}{{&result.Ready, m.pool.ReadyCount}, {&result.Complete, m.pool.CompleteCount}} {
-		if _, reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
+		if reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
 			took := time.Since(began).Seconds()
 			*target.into = &took
 		}
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -97,7 +97,7 @@
 	return points, nil
 }
 
-// Includes gives the runs that a dimension's slopes are drawn through, the base's among them.
+// RunsAlong gives the runs that a dimension's slopes are drawn through, the base's among them.
 func RunsAlong(points []Point, dimension Dimension) (runs []Run) {
 	for _, point := range points {
 		for _, run := range point.Runs {
