--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// notVacant stands for no time: a quorum isn't free, as far as this member knows.
-	notVacant = monotonic.Micros(-1)
+	// quorumNotFree is the value of quorumFreeSince while no quorum is free, as far as this member knows.
+	quorumNotFree = monotonic.Micros(-1)
 	// maxPollInterval bounds how long the election loop waits without being woken.
 	maxPollInterval = monotonic.Minute
 )
 
 // electionTimer is what the election loop remembers between its steps.
 type electionTimer struct {
-	// vacantSince is since when a quorum has been free to elect a primary, or notVacant.
-	vacantSince monotonic.Micros
+	// quorumFreeSince is since when a quorum of voters has been free to promise this member a proposal, or quorumNotFree.
+	quorumFreeSince monotonic.Micros
 }
 
 // runElections runs until the process ends. A member without a register joins; a primary renews its lease and changes the
 // membership; any other member campaigns if the primary is silent.
 func (m *Member) runElections() {
-	timer := electionTimer{vacantSince: notVacant}
+	timer := electionTimer{quorumFreeSince: quorumNotFree}
 	wait := m.config.pollInterval()
 	for {
 		m.wakeup.Wait(wait)
@@ -56,7 +56,7 @@
 		m.requestJoin(true)
 		m.host.Sleep(m.config.standbyInterval())
 	case silence <= m.config.LeaseDuration && !coldStart || m.otherLeaseRemaining() > 0:
-		timer.vacantSince = notVacant
+		timer.quorumFreeSince = quorumNotFree
 	default:
 		return m.considerCampaign(timer, silence)
 	}
@@ -72,12 +72,13 @@
 	backup := consensus.ContainsMember(consensus.BackupsOf(value), m.self())
 	free, wait := m.quorumAvailable()
 	if now := m.host.Now(); !free {
-		timer.vacantSince = notVacant
-	} else if timer.vacantSince == notVacant {
-		timer.vacantSince = now
+		timer.quorumFreeSince = quorumNotFree
+	} else if timer.quorumFreeSince == quorumNotFree {
+		timer.quorumFreeSince = now
 	}
-	ready := value != nil && free && (backup || m.mayReclaim(value) || m.host.Now()-timer.vacantSince >= m.config.HeartbeatInterval)
-	if ready || silence > m.electionTimeout(value, backup)+m.jitter(m.config.HeartbeatInterval) {
+	freeForLong := m.host.Now()-timer.quorumFreeSince >= m.config.HeartbeatInterval
+	mayCampaignEarly := value != nil && free && (backup || m.mayReclaim(value) || freeForLong)
+	if mayCampaignEarly || silence > m.electionTimeout(value, backup)+m.jitter(m.config.HeartbeatInterval) {
 		m.campaign(value)
 	} else if value != nil && !free {
 		return max(wait, monotonic.Millisecond)
