--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -227,14 +227,14 @@
 			}
 			contributions = append(contributions, fmt.Sprintf("%s %s%s", part.Term.Dimension, FormatValue(part.Value, requirement.Unit), note))
 		}
-		bound, holds := "none given", "-"
+		bound, met := "none given", "-"
 		if requirement.Bound > 0 {
-			bound, holds = FormatValue(requirement.Bound, requirement.Unit), "yes"
+			bound, met = FormatValue(requirement.Bound, requirement.Unit), "yes"
 			if sum > requirement.Bound {
-				holds = fmt.Sprintf("**no, %s times over**", FormatNumber(sum/requirement.Bound))
+				met = fmt.Sprintf("**no, %s times over**", FormatNumber(sum/requirement.Bound))
 			}
 		}
-		writeRow(text, requirement.Role, requirement.Description, FormatValue(sum, requirement.Unit), strings.Join(contributions, ", "), bound, holds, requirement.Mechanism)
+		writeRow(text, requirement.Role, requirement.Description, FormatValue(sum, requirement.Unit), strings.Join(contributions, ", "), bound, met, requirement.Mechanism)
 	}
 	return text.String(), nil
 }
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// healthy is a mesh without faults; each test changes one thing.
+// healthyMesh is a mesh without faults; each test changes one thing.
 func healthyMesh() Mesh {
 	mesh := Mesh{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}, QueriedAt: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
