--- a/internal/proxy/loadbalancer/two_choices.go
+++ b/internal/proxy/loadbalancer/two_choices.go
@@ -5,9 +5,9 @@
 // randomSteps is the resolution of random fractions.
 const randomSteps = 1000000
 
-// preferLocalDomain keeps to the own domain with the probability that levels the load of all backends: the domain's share of
-// the backends over its share of the callers. The rest goes to domains that have backends to spare, of which two candidates
-// are drawn. The caller holds the lock.
+// preferLocalDomain stays in the own domain with the probability that levels the load of all backends: the domain's share of
+// the backends over its share of the callers. Otherwise two candidates are drawn from the domains whose share of the
+// backends exceeds their share of the callers. The caller holds the lock.
 func (b *Balancer) preferLocalDomain(directory *session.Directory, candidates []session.Candidate) []session.Candidate {
 	domains := newDomainShares(directory, candidates)
 	local := domains.candidates[b.domain]
@@ -60,7 +60,7 @@
 	return float64(proxies) / float64(max(1, s.directory.Live))
 }
 
-// localProbability is the probability with which a caller keeps to its own domain. It may exceed 1.
+// localProbability is the probability with which a caller stays in its own domain. It may exceed 1.
 func (s domainShares) localProbability(domain string) float64 {
 	return s.backends(domain) / s.callers(max(1, s.directory.ProxiesByDomain[domain]))
 }
@@ -70,8 +70,8 @@
 	return s.backends(domain) - s.callers(s.directory.ProxiesByDomain[domain])
 }
 
-// spareCandidates are the candidates of all domains but the own one that have backends to spare, each with its part of what
-// its domain has to spare as its weight.
+// spareCandidates are the candidates of all other domains whose spare is above 0. A domain's spare is divided evenly among its
+// candidates, as their weights.
 func (s domainShares) spareCandidates(own string, candidates []session.Candidate) weightedCandidates {
 	var spare weightedCandidates
 	for _, candidate := range candidates {
