--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -42,9 +42,6 @@
 	RoundTrip(backendRequest BackendRequest) (*request.Response, *apierror.Fault)
 }
 
-// drainCheckInterval is the longest time between two checks for requests in flight while the controller drains.
-const drainCheckInterval = 100 * monotonic.Millisecond
-
 // Options are the parts and settings of a Controller. All parts must be set.
 type Options struct {
 	Host          host.Host
@@ -67,9 +64,8 @@
 // Controller admits forwarded requests to the local backends. It is safe for concurrent use.
 type Controller struct {
 	options       Options
-	running       atomic.Int64 // requests that were received and not yet answered
-	closed        atomic.Bool  // set by StopAccepting
-	idle          host.Signal  // fired when running falls to zero
+	inFlight      *shutdown.InFlight // requests that were received and not yet answered
+	closed        atomic.Bool        // set by StopAccepting
 	shutdown      *shutdown.Group
 	executions    *executions
 	cancellations *cancellations
@@ -83,7 +79,7 @@
 func New(options Options) *Controller {
 	return &Controller{
 		options:       options,
-		idle:          options.Host.NewSignal(),
+		inFlight:      shutdown.NewInFlight(options.Host),
 		shutdown:      shutdown.New(options.Host),
 		executions:    newExecutions(options.Host),
 		cancellations: newCancellations(),
@@ -110,7 +106,7 @@
 func (c *Controller) ClaimPerService(enabled bool) { c.claimPerService = enabled }
 
 // InFlight returns the number of requests in flight.
-func (c *Controller) InFlight() int64 { return c.running.Load() }
+func (c *Controller) InFlight() int64 { return c.inFlight.Count() }
 
 // StopAccepting makes the controller reject new requests, and those that wait for a slot, as not run.
 func (c *Controller) StopAccepting() {
@@ -122,14 +118,4 @@
 func (c *Controller) Abort() { c.shutdown.Abort() }
 
 // Drain waits until no request is in flight, at most for the timeout, and reports whether none is.
-func (c *Controller) Drain(timeout monotonic.Micros) bool {
-	deadline := c.options.Host.Now() + timeout
-	for c.running.Load() > 0 {
-		remaining := deadline - c.options.Host.Now()
-		if remaining <= 0 {
-			return false
-		}
-		c.idle.Wait(min(remaining, drainCheckInterval))
-	}
-	return true
-}
+func (c *Controller) Drain(timeout monotonic.Micros) bool { return c.inFlight.Drain(timeout) }
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -21,12 +21,8 @@
 
 // Serve handles one request from another proxy, or from this one. The error is always nil: faults are part of the reply.
 func (c *Controller) Serve(req *wire.ForwardRequest) (*wire.ForwardResponse, error) {
-	c.running.Inc()
-	defer func() {
-		if c.running.Dec() == 0 {
-			c.idle.Fire()
-		}
-	}()
+	c.inFlight.Begin()
+	defer c.inFlight.End()
 	var reply *wire.ForwardResponse
 	outcome := c.shutdown.Run(func(task *shutdown.Task) { reply = c.serve(req, task) })
 	if outcome == shutdown.Done {
--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -1,6 +1,7 @@
 package forward
 
 import (
+	"net/http"
 	"strconv"
 
 	"snowflow/internal/apierror"
@@ -37,7 +38,7 @@
 	return attemptResult{fault: fault, retriable: retriable, lastBackend: a.lastBackend}
 }
 
-// failNeutrally ends an attempt that says nothing of its backend, and that isn't to be repeated.
+// failNeutrally ends an attempt that is no evidence for or against its backend, and that isn't to be repeated.
 func (a *attempt) failNeutrally(fault *apierror.Fault) attemptResult {
 	a.permit.Done(breaker.Neutral)
 	return a.fail(fault, false)
@@ -48,8 +49,8 @@
 	return attemptResult{fault: fault, lastBackend: true}
 }
 
-// attempt makes one attempt, at a backend that hasn't been tried if there is one left, and adds it to tried.
-func (f *Forwarder) attempt(exchange *Exchange, tried map[string]bool) attemptResult {
+// attemptBackend makes one attempt, at a backend that hasn't been tried if there is one left, and adds that backend to tried.
+func (f *Forwarder) attemptBackend(exchange *Exchange, tried map[string]bool) attemptResult {
 	snapshot, live := f.config.ConfigClient.Current()
 	if !live {
 		return notAttempted(configLeaseExpired(snapshot))
@@ -95,7 +96,7 @@
 	}
 	response, err := f.send(a.candidate, message, remaining)
 	if a.exchange.cancellation.End() {
-		// How a cancelled attempt ended says nothing of the backend, and nobody waits for it.
+		// How a cancelled attempt ended is no evidence on the backend, and its response is no longer wanted.
 		return a.failNeutrally(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
 	}
 	if err != nil {
@@ -143,8 +144,10 @@
 	return message
 }
 
-// send sends a message to a backend's proxy, and without a connection if that is this proxy.
-func (f *Forwarder) send(candidate session.Candidate, message *wire.ForwardRequest, timeout monotonic.Micros) (*wire.ForwardResponse, error) {
+// send sends a message to a backend's proxy. It calls the admission directly if that is this proxy.
+func (f *Forwarder) send(
+	candidate session.Candidate, message *wire.ForwardRequest, timeout monotonic.Micros,
+) (*wire.ForwardResponse, error) {
 	if f.isSelf(candidate.Proxy, candidate.Incarnation) {
 		return f.config.Admission.Serve(message)
 	}
@@ -161,14 +164,15 @@
 	return proxy == f.config.Proxy && incarnation == f.config.Incarnation
 }
 
-// handleResponse takes what a response says of its backend, and the response itself.
+// handleResponse records the load, health and outcome that a response shows of its backend, and returns the attempt's result.
 func (f *Forwarder) handleResponse(a *attempt, message *wire.ForwardRequest, response *wire.ForwardResponse) attemptResult {
 	exchange, instance := a.exchange, a.candidate.Instance
 	f.balancer.ObserveLoad(instance, exchange.Route.Name, response.Load)
 	backendOnly := f.balancer.ObserveHealth(f.config.Session.Directory(), exchange.Service.Name, instance, response.Load)
 	if response.Id != message.Id || !response.Rejected && !admission.Complete(response) {
 		a.permit.Done(breaker.Neutral)
-		fault := apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun, "the response to attempt %s is incomplete or not its own", message.Id)
+		fault := apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun,
+			"the response to attempt %s is incomplete or not its own", message.Id)
 		return a.fail(fault, exchange.mayRepeat())
 	}
 	if response.Rejected {
@@ -176,7 +180,7 @@
 	}
 	f.balancer.ObserveSize(exchange.Route.Name, len(message.Body)+len(response.Body))
 	outcome := breaker.Success
-	if response.Status >= 500 && !backendOnly {
+	if response.Status >= http.StatusInternalServerError && !backendOnly {
 		outcome = breaker.Failure
 	}
 	a.permit.Done(outcome)
--- a/internal/proxy/forward/doc.go
+++ b/internal/proxy/forward/doc.go
@@ -10,14 +10,14 @@
 //     redispatched to another backend at once. Other failures are retried after a backoff, if that can't make the request run
 //     twice, within the route's number of attempts, the deadline and the service's retry budget.
 //  3. The verdict, if it failed (verdict.go). NotRun must hold for the idempotency key, not only for this request: for a request
-//     with a key it is said only once the registry has voided the key's attempts and fenced the key.
+//     with a key it is given only once the registry has voided the key's attempts and fenced the key.
 //
 // If the caller disconnects, the attempt in flight is cancelled (cancellation.go).
 //
 // State: the requests in flight, by service, and the state of the load balancer and of the Retry-After jitter. All of it is
-// lost with the process. What must survive, the claims of idempotency keys, is kept by the registry; the forwarder reaches it
-// through Config.CallPrimary.
+// lost with the process. What must survive, the claims of idempotency keys, is in the registry's log; the forwarder calls
+// the registry's leader through Config.CallLeader.
 //
-// Callers: the ingress calls Forward, the proxy's shutdown calls StopAccepting, Drain and Abort in this order, and a timer calls
-// ProbeSilentPeers each ProbeInterval.
+// Callers: the ingress calls Forward, and a timer calls ProbeSilentPeers each ProbeInterval. The proxy's shutdown calls
+// StopAccepting, then Drain, Abort for the requests that are still in flight, and Drain again until these have been answered.
 package forward
--- a/internal/proxy/forward/exchange.go
+++ b/internal/proxy/forward/exchange.go
@@ -39,8 +39,6 @@
 	Attempts int
 	// MayHaveRun is set once some attempt may have run. From then on no fault may have the verdict NotRun.
 	MayHaveRun bool
-	// VerdictConfirmed is set once the registry was asked to confirm the verdict.
-	VerdictConfirmed bool
 
 	task         *shutdown.Task
 	retries      retry.State
@@ -55,7 +53,7 @@
 	return int(e.Service.Retry.GetMostTries())
 }
 
-// remainingLatencyTarget is what is left of the route's latency target in microseconds, at least 1; 0 if it has none.
+// remainingLatencyTarget is the rest of the route's latency target in microseconds, at least 1; 0 if the route has none.
 func (e *Exchange) remainingLatencyTarget(now monotonic.Micros) int64 {
 	if e.Route.LatencyTarget == 0 {
 		return 0
@@ -63,7 +61,7 @@
 	return int64(max(1, e.Route.LatencyTarget-(now-e.StartedAt)))
 }
 
-// mayRepeat reports whether a request that may have run may be sent again all the same.
+// mayRepeat reports whether a request that may have run may still be sent again: it may run more than once.
 func (e *Exchange) mayRepeat() bool { return !e.RunOnce && !e.AtMostOnce }
 
 // idempotencyScope names what may run once: a key at a resource, in whatever way that is spelled. The service isn't part of
@@ -79,11 +77,11 @@
 	return resourcepath.TrimTrailingSlash(exchange.Target.Path) + "\n" + exchange.Request.IdempotencyKey
 }
 
-// safeMethods are the methods that change nothing (RFC 9110, section 9.2.1), as far as the mesh lets them through.
+// safeMethods are those of the safe methods (RFC 9110, section 9.2.1), which change nothing, that the mesh forwards.
 var safeMethods = map[string]bool{http.MethodGet: true, http.MethodHead: true}
 
 // runsOnce reports whether a request may run only once: on a route of that class, and on any route if it has a key and its
-// method may change something. The latter keeps a key that ran under one configuration from running again under another one
+// method may change something. The latter prevents a key that ran under one configuration from running again under another one
 // in which the route isn't of that class.
 func runsOnce(route config.Route, exchange *Exchange) bool {
 	return route.Once || exchange.Request.IdempotencyKey != "" && !safeMethods[exchange.Method]
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -21,9 +21,6 @@
 	"snowflow/internal/transport/wire"
 )
 
-// drainPollInterval is the longest wait of Drain between two looks at the requests in flight.
-const drainPollInterval = 100 * monotonic.Millisecond
-
 // ConfigClient gives the configuration to serve by.
 type ConfigClient interface {
 	// Current returns the adopted snapshot, nil if there is none yet, and whether its lease is still valid.
@@ -32,7 +29,7 @@
 	WaitForVersion(version uint64, timeout monotonic.Micros) bool
 }
 
-// Session gives what the registry knows of the mesh.
+// Session gives access to the registry's information on the mesh.
 type Session interface {
 	Directory() *session.Directory
 	// ObserveLeaderClock records a time of the registry leader's clock that has certainly passed.
@@ -70,8 +67,8 @@
 	SilenceTimeout monotonic.Micros
 	// CallLeader calls the registry's leader.
 	CallLeader func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
-	// StoreResponse is given the response of each request with an idempotency key, for repetitions of the request after the
-	// backend's proxy has gone. It may be nil.
+	// StoreResponse is given the response of each RunOnce request, so that a repetition of the request can be answered after
+	// the backend's proxy has stopped. It may be nil.
 	StoreResponse func(scope string, digest []byte, response *request.Response)
 	// OnFinished is given the outcome of each request, for counting. It must not block, and may be nil.
 	OnFinished func(exchange *Exchange, response *request.Response, fault *apierror.Fault)
@@ -82,8 +79,7 @@
 	config           Config
 	policies         []policy
 	draining         atomic.Bool
-	inFlight         atomic.Int64
-	idle             host.Signal // fired when the last request in flight ends
+	inFlight         *shutdown.InFlight
 	shutdown         *shutdown.Group
 	retryAfterJitter *retry.Jitter
 	services         serviceCounters
@@ -94,7 +90,7 @@
 func New(config Config) *Forwarder {
 	f := &Forwarder{
 		config:           config,
-		idle:             config.Host.NewSignal(),
+		inFlight:         shutdown.NewInFlight(config.Host),
 		shutdown:         shutdown.New(config.Host),
 		retryAfterJitter: retry.NewJitter(config.Host),
 		services:         serviceCounters{counts: map[string]int64{}},
@@ -117,35 +113,25 @@
 // ProbeInterval is how often ProbeSilentPeers is to be called, in microseconds.
 func (f *Forwarder) ProbeInterval() monotonic.Micros { return f.balancer.ProbeInterval() }
 
-// DisableRetryAfterJitter leaves Retry-After hints unchanged, to measure what the jitter is worth. No program calls it.
+// DisableRetryAfterJitter leaves Retry-After hints unchanged, so that the effect of the jitter can be measured. No program calls it.
 func (f *Forwarder) DisableRetryAfterJitter(disabled bool) { f.retryAfterJitter.SetDisabled(disabled) }
 
 // InFlight is the number of requests in flight.
-func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
+func (f *Forwarder) InFlight() int64 { return f.inFlight.Count() }
 
 // StopAccepting makes the forwarder reject new requests with the cause Draining.
 func (f *Forwarder) StopAccepting() { f.draining.Store(true) }
 
 // Drain waits until no request is in flight, at most for the timeout in microseconds, and reports whether none is.
-func (f *Forwarder) Drain(timeout monotonic.Micros) bool {
-	deadline := f.config.Host.Now() + timeout
-	for f.inFlight.Load() > 0 {
-		remaining := deadline - f.config.Host.Now()
-		if remaining <= 0 {
-			return false
-		}
-		f.idle.Wait(min(remaining, drainPollInterval))
-	}
-	return true
-}
+func (f *Forwarder) Drain(timeout monotonic.Micros) bool { return f.inFlight.Drain(timeout) }
 
 // Abort gives every request in flight its final outcome now.
 func (f *Forwarder) Abort() { f.shutdown.Abort() }
 
-// Forward gives a request its one outcome: the backend's complete response, or a fault. It waits until then.
+// Forward forwards a request and waits for its outcome: the backend's complete response, or a fault.
 func (f *Forwarder) Forward(req *request.Request) (*request.Response, *apierror.Fault) {
-	f.inFlight.Inc()
-	defer f.endRequest()
+	f.inFlight.Begin()
+	defer f.inFlight.End()
 	response, fault := f.forwardUntilAborted(req)
 	if fault != nil {
 		f.retryAfterJitter.Apply(fault)
@@ -154,12 +140,6 @@
 	return response, fault
 }
 
-func (f *Forwarder) endRequest() {
-	if f.inFlight.Dec() == 0 {
-		f.idle.Fire()
-	}
-}
-
 func (f *Forwarder) reportRejection(req *request.Request, fault *apierror.Fault) {
 	f.config.Host.Report(eventlog.RequestRejected, eventlog.Attributes{
 		"request": req.ID,
@@ -178,7 +158,8 @@
 		return response, fault
 	}
 	// The task may still write response and fault: they must not be read.
-	stopped := apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun, "proxy %s is stopping and can't wait any longer", f.config.Proxy)
+	stopped := apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun,
+		"proxy %s is stopping and can't wait any longer", f.config.Proxy)
 	if outcome == shutdown.NotStarted && req.IdempotencyKey == "" {
 		stopped.Verdict = apierror.NotRun
 	}
@@ -214,6 +195,9 @@
 	return response, nil
 }
 
+// newExchange returns the exchange of a request that isn't resolved yet. Its deadline is provisional: a fault before the
+// request is resolved may have to be confirmed by the registry (confirmVerdict), and that may take voidTimeout. The resolve
+// policy sets the request's own deadline.
 func (f *Forwarder) newExchange(req *request.Request, task *shutdown.Task) *Exchange {
 	now := f.config.Host.Now()
 	return &Exchange{
@@ -221,7 +205,7 @@
 		Host:      config.CanonicalHost(req.Host),
 		Method:    strings.ToUpper(req.Method),
 		StartedAt: now,
-		Deadline:  now + voidTimeout, // until the route's own timeout is known
+		Deadline:  now + voidTimeout,
 		task:      task,
 	}
 }
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -63,7 +63,8 @@
 }
 
 func configLeaseExpired(snapshot *config.Snapshot) *apierror.Fault {
-	return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "the lease to serve by configuration version %d has expired", snapshot.Version)
+	return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun,
+		"the lease to serve by configuration version %d has expired", snapshot.Version)
 }
 
 // deadline is the earliest of the service's, the route's and the request's own.
@@ -84,7 +85,8 @@
 		return nil
 	}
 	if exchange.Request.IdempotencyKey == "" || len(exchange.Request.IdempotencyKey) > maxKeyBytes {
-		return apierror.New(apierror.MissingKey, apierror.NotRun, "%s needs a reference key of at most %d bytes in %s", exchange.Target.Path, maxKeyBytes, request.IdempotencyKeyHeader)
+		return apierror.New(apierror.MissingKey, apierror.NotRun,
+			"%s needs a reference key of at most %d bytes in %s", exchange.Target.Path, maxKeyBytes, request.IdempotencyKeyHeader)
 	}
 	sum := sha256.New()
 	sum.Write([]byte(exchange.Method + " " + exchange.Target.Encoded + "\n"))
@@ -95,13 +97,14 @@
 
 func limitBodySize(exchange *Exchange) *apierror.Fault {
 	if limit := exchange.Service.Limits.GetBodyBytes(); uint64(len(exchange.Request.Body)) > limit {
-		return apierror.New(apierror.BodyTooLarge, apierror.NotRun, "%d bytes, %s takes %d", len(exchange.Request.Body), exchange.Service.Name, limit)
+		return apierror.New(apierror.BodyTooLarge, apierror.NotRun,
+			"%d bytes, %s takes %d", len(exchange.Request.Body), exchange.Service.Name, limit)
 	}
 	return nil
 }
 
 // limitInFlight rejects early what couldn't be served in time: more requests in flight than all backends may have at once.
-// Where every backend reports its slots there is no limit here, since their proxies know better.
+// Where every backend reports its slots there is no limit here, since their proxies limit the requests by their slots.
 func (f *Forwarder) limitInFlight(exchange *Exchange) *apierror.Fault {
 	service := exchange.Service
 	candidates := f.config.Session.Directory().Candidates[service.Name]
@@ -111,7 +114,7 @@
 	}
 	limit := int64(max(1, len(candidates))) * int64(service.Limits.GetInFlightPerBackend())
 	if !f.services.tryIncrement(service.Name, limit) {
-		return f.confirmVerdict(exchange, apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are in flight here", limit, service.Name))
+		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are in flight here", limit, service.Name)
 	}
 	return nil
 }
--- a/internal/proxy/forward/retries.go
+++ b/internal/proxy/forward/retries.go
@@ -18,7 +18,7 @@
 func (f *Forwarder) forwardWithRetries(exchange *Exchange) (*request.Response, *apierror.Fault) {
 	tried := map[string]bool{}
 	for {
-		result := f.attempt(exchange, tried)
+		result := f.attemptBackend(exchange, tried)
 		redispatch := exchange.retries.EndAttempt(f.config.RetryBudget, exchange.Service.Name, exchange.Service.Retry,
 			retry.AttemptResult{Fault: result.fault, Retriable: result.retriable, LastBackend: result.lastBackend})
 		if result.fault == nil {
@@ -38,7 +38,7 @@
 func (f *Forwarder) prepareRetry(exchange *Exchange, failed attemptResult) *apierror.Fault {
 	fault := failed.fault
 	if fault.Cause == apierror.Overloaded {
-		// Every backend that could be tried is full. The caller is told at once, with the shortest of their waits.
+		// Every backend that could be tried is full. The request fails at once, with the shortest of their waits.
 		fault.RetryAfter = exchange.retries.MinRetryAfter()
 		return fault
 	}
@@ -51,7 +51,8 @@
 		return fault
 	}
 	if !exchange.retries.Charge(f.config.RetryBudget, exchange.Service.Name, policy) {
-		return apierror.New(apierror.RetryBudgetExhausted, fault.Verdict, "the retry budget is exhausted; the last attempt failed: %s", fault.Detail)
+		return apierror.New(apierror.RetryBudgetExhausted, fault.Verdict,
+			"the retry budget is exhausted; the last attempt failed: %s", fault.Detail)
 	}
 	if fault.Cause == apierror.VersionOlder || fault.Cause == apierror.VersionBehind {
 		f.resolveAgain(exchange)
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -96,15 +96,14 @@
 
 // confirmVerdict ensures that a verdict holds for the idempotency key, not only for one attempt. A request with a key has the
 // verdict NotRun only once the registry has voided the key's claim and fenced the key, so that no request read before can run
-// under it later.
+// under it later. It is called once for a request, when no further attempt can follow.
 func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Fault) *apierror.Fault {
 	if exchange.MayHaveRun && fault.NotRun() {
 		return asMayHaveRun(fault)
 	}
-	if exchange.VerdictConfirmed || exchange.IdempotencyScope == "" || exchange.Request.VerdictPerRequest || !fault.NotRun() {
+	if exchange.IdempotencyScope == "" || exchange.Request.VerdictPerRequest || !fault.NotRun() {
 		return fault
 	}
-	exchange.VerdictConfirmed = true
 	if f.voidAttempt(exchange, "", true) != idempotency.Voided {
 		return asMayHaveRun(fault)
 	}
--- a/internal/proxy/shutdown/shutdown.go
+++ b/internal/proxy/shutdown/shutdown.go
@@ -1,5 +1,6 @@
-// Package shutdown abandons pending work at the end of a drain's grace period: each request that is still running is answered at
-// once, and the answer says truthfully whether the request may have run.
+// Package shutdown ends a proxy's requests during a drain: InFlight waits for the requests in flight, and Group abandons those that
+// are still running at the end of the grace period. Each of these is answered at once, and the answer says whether the request may
+// have run.
 package shutdown
 
 import (
