--- a/internal/proxy/ingress/error.go
+++ b/internal/proxy/ingress/error.go
@@ -15,7 +15,7 @@
 	Cause            uint32 `json:"cause"`
 	Name             string `json:"name"` // of the cause
 	Verdict          string `json:"verdict"`
-	RetryAfterMicros int64  `json:"retry_after_micros"` // 0 if coming back doesn't help
+	RetryAfterMicros int64  `json:"retry_after_micros"` // 0 if a retry doesn't help
 	Detail           string `json:"detail"`             // for people; not stable
 	Request          string `json:"request"`            // the request's ID
 }
@@ -36,7 +36,7 @@
 		headers.Set("Connection", "close")
 	}
 	writer.WriteHeader(fault.Status())
-	_ = json.NewEncoder(writer).Encode(ErrorBody{ // there is nobody to tell if the caller has disconnected
+	_ = json.NewEncoder(writer).Encode(ErrorBody{ // fails only if the caller has disconnected
 		Cause:            uint32(fault.Cause),
 		Name:             fault.Cause.Name(),
 		Verdict:          string(fault.Verdict),
--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -31,7 +31,7 @@
 	idleTimeout       = 60 * time.Second
 )
 
-// forwarder gives a request its one outcome.
+// forwarder forwards a request and returns its response or its fault, see forward.Forwarder.Forward.
 type forwarder interface {
 	Forward(req *request.Request) (*request.Response, *apierror.Fault)
 }
@@ -102,13 +102,9 @@
 
 // read reads the rest of a request.
 func (h *Handler) read(req *request.Request, writer http.ResponseWriter, incoming *http.Request) *apierror.Fault {
-	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
-	if err != nil {
-		cause := apierror.MalformedRequest
-		if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
-			cause = apierror.BodyTooLarge
-		}
-		return apierror.New(cause, apierror.NotRun, "%v", err)
+	body, fault := ReadBody(writer, incoming)
+	if fault != nil {
+		return fault
 	}
 	// From here on the request counts as read: a fence of its key holds for it if it is later than this time.
 	req.Body, req.Headers, req.ReadAt = body, upstream.EndToEndHeaders(withoutMeshHeaders(incoming.Header)), h.leaderClock()
@@ -124,6 +120,20 @@
 	return nil
 }
 
+// ReadBody reads the complete body of a request, of at most 32 MiB. The fault is a longer body's, or that of a body that can't
+// be read to its end.
+func ReadBody(writer http.ResponseWriter, incoming *http.Request) ([]byte, *apierror.Fault) {
+	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
+	if err == nil {
+		return body, nil
+	}
+	cause := apierror.MalformedRequest
+	if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
+		cause = apierror.BodyTooLarge
+	}
+	return nil, apierror.New(cause, apierror.NotRun, "%v", err)
+}
+
 // withoutMeshHeaders is a copy of the headers without those that are for the mesh alone.
 func withoutMeshHeaders(headers http.Header) http.Header {
 	forwarded := headers.Clone()
@@ -145,7 +155,7 @@
 		headers.Set("Content-Length", strconv.Itoa(len(response.Body)))
 	}
 	writer.WriteHeader(int(response.Status))
-	_, _ = writer.Write(response.Body) // there is nobody to tell if the caller has disconnected
+	_, _ = writer.Write(response.Body) // fails only if the caller has disconnected
 }
 
 // hasBody reports whether a response to a method may have a body.
