--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -57,7 +57,7 @@
 			Read: func() float64 { return float64(sidecar.Forwarder.InFlight()) }},
 		{Name: "snowflow_passes_running", Help: "Requests in flight that other proxies forwarded to this one.",
 			Read: func() float64 { return float64(sidecar.Admission.InFlight()) }},
-		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that only probes are let in to, for all callers or for those of a domain.",
+		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that are ejected and admit only probes, for all callers or for those of a domain.",
 			Read: sidecar.LocalBackends.Ejected},
 		{Name: "snowflow_desired_serial", Help: "The version of the adopted configuration.",
 			Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
--- a/internal/proxy/breaker/control.go
+++ b/internal/proxy/breaker/control.go
@@ -15,7 +15,7 @@
 	ControlForceOpen Control = "force_open"
 	// ControlDisable admits every attempt and counts none.
 	ControlDisable Control = "disable"
-	// ControlMetricsOnly admits every attempt, and counts them all the same.
+	// ControlMetricsOnly admits every attempt, and still counts the outcomes.
 	ControlMetricsOnly Control = "metrics_only"
 )
 
--- a/internal/proxy/breaker/degraded.go
+++ b/internal/proxy/breaker/degraded.go
@@ -7,6 +7,9 @@
 	"snowflow/internal/monotonic"
 )
 
+// jitterSteps is the number of values that the random share of the backoff's jitter takes, from 0 to below 1.
+const jitterSteps = 1000
+
 // Degraded reports whether the registry can't be reached, so that local breakers decide.
 func (s *Set) Degraded() bool {
 	s.mu.Lock()
@@ -41,7 +44,7 @@
 	if s.config.RetryBackoffMax > 0 {
 		delay = min(delay, float64(s.config.RetryBackoffMax))
 	}
-	delay += delay * s.config.RetryJitter * float64(s.config.Host.Random()%1000) / 1000
+	delay += delay * s.config.RetryJitter * float64(s.config.Host.Random()%jitterSteps) / jitterSteps
 	return monotonic.Micros(delay)
 }
 
--- a/internal/proxy/breaker/doc.go
+++ b/internal/proxy/breaker/doc.go
@@ -3,7 +3,7 @@
 //
 // Each breaker has two states:
 //
-//   - The shared record (closed, open or half open) is kept by the registry for all callers of the service. A proxy holds a
+//   - The shared record (closed, open or half open) is stored by the registry for all callers of the service. A proxy holds a
 //     copy, which it gets with each poll and with the response to each write. It decides while the registry can be reached.
 //   - The local breaker of this proxy has a sliding window over the last calls. While the shared record is closed, or the
 //     registry can't be reached (degraded), the window decides: once the share of failed or slow calls is over its
--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -18,11 +18,11 @@
 	probeID       string
 	recordVersion uint64
 	localProbe    bool // the attempt is a probe of the local breaker
-	uncounted     bool // the outcome says nothing, since the breaker is disabled
+	uncounted     bool // the outcome isn't counted, since the breaker is disabled
 	startedAt     monotonic.Micros
 }
 
-// Outcome is what an attempt says of its backend.
+// Outcome is how an attempt ended, as evidence on its service.
 type Outcome int
 
 const (
@@ -30,7 +30,7 @@
 	Success Outcome = iota
 	// Failure is an error of the backend's.
 	Failure
-	// Neutral says nothing of the backend: the fault was of this proxy, of another one or of the request.
+	// Neutral isn't counted: the fault was of this proxy, of another one or of the request.
 	Neutral
 )
 
--- a/internal/proxy/breaker/probes.go
+++ b/internal/proxy/breaker/probes.go
@@ -38,8 +38,8 @@
 	return apierror.New(apierror.NoProbeLeft, apierror.NotRun, "the breaker of %s has no probe left", b.service)
 }
 
-// endProbe writes the result of a leased probe. A neutral outcome says nothing of the service, so the probe is returned for
-// another attempt.
+// endProbe writes the result of a leased probe. A neutral outcome is no evidence on the service, so the probe is
+// returned for another attempt.
 func (p *Permit) endProbe(outcome Outcome, slow bool) {
 	verb := breakerstore.VerbProbe
 	if outcome == Neutral {
--- a/internal/proxy/breaker/records.go
+++ b/internal/proxy/breaker/records.go
@@ -40,5 +40,9 @@
 		return
 	}
 	b.resetLocal()
-	s.config.Host.Report(eventlog.BreakerStateChanged, eventlog.Attributes{"service": b.service, "state": record.State, "serial": record.Version})
+	s.config.Host.Report(eventlog.BreakerStateChanged, eventlog.Attributes{
+		"service": b.service,
+		"state":   record.State,
+		"serial":  record.Version,
+	})
 }
--- a/internal/proxy/breaker/window.go
+++ b/internal/proxy/breaker/window.go
@@ -11,7 +11,7 @@
 	slow    int
 }
 
-// callResult is what one call says of the service.
+// callResult is the result of one call.
 type callResult struct{ failed, slow bool }
 
 func newWindow(size int) *window { return &window{results: make([]callResult, size)} }
@@ -31,8 +31,8 @@
 	w.count(result, 1)
 }
 
-// resized returns a window of another size with as many of the last results as it has room for: a change of the size says
-// nothing of the calls.
+// resized returns a window of another size with as many of the last results as it has room for: they still hold after
+// a change of the size.
 func (w *window) resized(size int) *window {
 	resized := newWindow(size)
 	for back := min(w.filled, size); back > 0; back-- {
--- a/internal/proxy/breaker/writes.go
+++ b/internal/proxy/breaker/writes.go
@@ -11,7 +11,7 @@
 	// writeTimeout is how long a write may take, in which no caller waits. It outlasts a batch of the registry's log that a
 	// slow disk syncs.
 	writeTimeout = 1500 * monotonic.Millisecond
-	// drainPollInterval is the longest wait of Close between two looks at the queue.
+	// drainPollInterval is the longest time between two checks of the queue by Close.
 	drainPollInterval = 100 * monotonic.Millisecond
 )
 
@@ -40,7 +40,11 @@
 }
 
 func (s *Set) reportDroppedWrite(request *wire.BreakerWriteRequest, degraded bool) {
-	s.config.Host.Report(eventlog.BreakerWriteDropped, eventlog.Attributes{"service": request.Service, "verb": request.Verb, "degraded": degraded})
+	s.config.Host.Report(eventlog.BreakerWriteDropped, eventlog.Attributes{
+		"service":  request.Service,
+		"verb":     request.Verb,
+		"degraded": degraded,
+	})
 }
 
 // SendWrites sends the queued writes in order. It is run on one task and doesn't return.
@@ -77,7 +81,10 @@
 	switch request.Verb {
 	case breakerstore.VerbTrip:
 		if response.Record.State == breakerstore.Closed {
-			s.config.Host.Report(eventlog.BreakerTripReported, eventlog.Attributes{"service": request.Service, "reports": len(response.Record.Reports)})
+			s.config.Host.Report(eventlog.BreakerTripReported, eventlog.Attributes{
+				"service": request.Service,
+				"reports": len(response.Record.Reports),
+			})
 		}
 	case breakerstore.VerbProbe:
 		if response.RoundComplete {
--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -76,7 +76,12 @@
 	c.mu.Lock()
 	c.stats.Rejected++
 	c.mu.Unlock()
-	c.host.Report(eventlog.DeltaRejected, map[string]any{"serial": response.Version, "have": version, "bytes": len(response.Difference), "error": err.Error()})
+	c.host.Report(eventlog.DeltaRejected, map[string]any{
+		"serial": response.Version,
+		"have":   version,
+		"bytes":  len(response.Difference),
+		"error":  err.Error(),
+	})
 }
 
 // compileFull compiles a version from its full content, nil if that can't be parsed. The parts that don't differ from the adopted
@@ -85,7 +90,11 @@
 func (c *Client) compileFull(response *wire.ConfigPollResponse) *candidate {
 	state, fieldErrors := c.options.Parse(response.Content)
 	if len(fieldErrors) > 0 {
-		c.host.Report(eventlog.ConfigRejected, map[string]any{"serial": response.Version, "error": fieldErrors[0].String(), "faults": len(fieldErrors)})
+		c.host.Report(eventlog.ConfigRejected, map[string]any{
+			"serial": response.Version,
+			"error":  fieldErrors[0].String(),
+			"faults": len(fieldErrors),
+		})
 		return nil
 	}
 	next := &candidate{}
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// unconfirmedTimeout is how long the client looks for a primary before the proxy serves from an unconfirmed version.
+// unconfirmedTimeout is how long the client tries to find a primary before the proxy serves from an unconfirmed version.
 const unconfirmedTimeout = 1500 * monotonic.Millisecond
 
 // Options are the dependencies and settings of a Client.
--- a/internal/proxy/configclient/client_test.go
+++ b/internal/proxy/configclient/client_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	group        = "postmaster"
+	group        = discovery.ConfigStoreGroup
 	storeAddress = "machine:store"
 	lease        = 6 * monotonic.Second
 	longPoll     = 200 * monotonic.Millisecond
--- a/internal/proxy/configclient/doc.go
+++ b/internal/proxy/configclient/doc.go
@@ -1,4 +1,4 @@
-// Package configclient keeps a proxy's configuration up to date and says whether the proxy may serve from it.
+// Package configclient keeps a proxy's configuration up to date and decides whether the proxy may serve from it.
 //
 // The client long-polls the primary of the configuration stores. Each poll reports the version that the proxy has adopted, which
 // applies wait for, and grants a lease, counted from before the poll was sent. A newer version comes as a difference from the
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -20,7 +20,7 @@
 	pingTimeout = 500 * monotonic.Millisecond
 	// transferTimeout is what the response to a poll may take beyond the time the poll stays open: a long content on a slow link.
 	transferTimeout = 1500 * monotonic.Millisecond
-	// minLongPoll is the least time that the client allows a poll to stay open, whatever the primary said last.
+	// minLongPoll is the least time that the client allows a poll to stay open, whatever the primary's last response set.
 	minLongPoll = monotonic.Second
 )
 
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -43,7 +43,7 @@
 	estimates              []float64
 }
 
-// New returns a balancer that knows nothing of any backend yet.
+// New returns a balancer without any observations.
 func New(config Config) *Balancer {
 	if config.SilenceTimeout <= 0 {
 		config.SilenceTimeout = defaultSilenceTimeout
@@ -182,8 +182,8 @@
 }
 
 // ObserveHealth records the health that a backend's proxy reported with a response. It reports whether faults of that
-// backend are its own: it is ejected, and so few backends of the service are that its proxy keeps most requests away from
-// it. Otherwise faults are of the service, and count for its breaker.
+// backend are its own: it is ejected, and so few backends of the service are ejected that its proxy rejects most requests
+// for it. Otherwise faults are of the service, and count for its breaker.
 func (b *Balancer) ObserveHealth(directory *session.Directory, service, instance string, load *wire.Load) (backendOnly bool) {
 	if load == nil || load.LatencyRatio == 0 {
 		return false
@@ -193,8 +193,8 @@
 	return b.peers.observe(directory.Candidates[service], service, instance, load, b.host.Now())
 }
 
-// PeerStatistics returns what the other backends of a service are like, for the proxy of one of them to compare with. The
-// message must not be changed.
+// PeerStatistics returns statistics of the health of a service's other backends, with which the proxy of one backend compares
+// its own. The message must not be changed.
 func (b *Balancer) PeerStatistics(directory *session.Directory, service, instance string) *wire.PeerStatistics {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/loadbalancer/load_reports.go
+++ b/internal/proxy/loadbalancer/load_reports.go
@@ -25,9 +25,9 @@
 	// workWeight is the weight of the work time beside the wait for a slot. At its full weight a quick backend, even one in
 	// another domain, would be filled before any other gets work, and once slots are short requests would queue there.
 	workWeight = 0.25
-	// maxRoutesPerBackend bounds the routes whose work time is kept for one backend.
+	// maxRoutesPerBackend bounds the routes whose work time is stored for one backend.
 	maxRoutesPerBackend = 256
-	// maxReportAge is the age from which a report is dropped: most such backends are gone.
+	// maxReportAge is the age from which a report is dropped: most such backends no longer exist.
 	maxReportAge = monotonic.Minute
 )
 
@@ -68,7 +68,7 @@
 	maps.DeleteFunc(r, func(_ string, report *loadReport) bool { return now-report.receivedAt >= maxReportAge })
 }
 
-// AllReportSlots reports whether each candidate has said how many requests it runs at once.
+// AllReportSlots reports whether each candidate has reported how many requests it runs at once.
 func AllReportSlots(candidates []session.Candidate) bool {
 	for index := range candidates {
 		if candidates[index].Slots == 0 {
@@ -78,12 +78,12 @@
 	return true
 }
 
-// decay is the weight that is left of something after a time.
+// decay is the weight, from 1 down to 0, of an observation of an age. It halves with each half-life.
 func decay(age, halfLife monotonic.Micros) float64 {
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// serviceAverages is what the backends of a service are like on average.
+// serviceAverages are averages over the backends of a service.
 type serviceAverages struct {
 	workMicros      float64
 	routeWorkMicros float64 // of one route's requests
@@ -98,8 +98,8 @@
 	m.weight += weight
 }
 
-// or is the mean, or a default if nothing was added.
-func (m *weightedMean) or(otherwise float64) float64 {
+// valueOr is the mean, or a default if nothing was added.
+func (m *weightedMean) valueOr(otherwise float64) float64 {
 	if m.weight > 0 {
 		return m.sum / m.weight
 	}
@@ -124,24 +124,28 @@
 			routeWork.add(known, weight)
 		}
 	}
-	averages := serviceAverages{workMicros: work.or(defaultWorkMicros)}
-	averages.routeWorkMicros = routeWork.or(averages.workMicros)
+	averages := serviceAverages{workMicros: work.valueOr(defaultWorkMicros)}
+	averages.routeWorkMicros = routeWork.valueOr(averages.workMicros)
 	if slots > 0 {
 		averages.loadPerSlot = load / slots
 	}
 	return averages
 }
 
-// expectedLoad is what a backend is expected to have to do.
+// expectedLoad is the load that a backend is expected to have.
 type expectedLoad struct {
 	others          float64 // requests of other callers
 	workMicros      float64 // work time of a request of any route
 	routeWorkMicros float64 // work time of a request of the route in question
 }
 
-// expect combines a backend's own report, the weight of which fades with its age, with the averages of its service.
+// expect combines a backend's own report, the weight of which decays with its age, with the averages of its service.
 func (r loadReports) expect(candidate *session.Candidate, averages serviceAverages, route string, now monotonic.Micros) expectedLoad {
-	expected := expectedLoad{others: averages.loadPerSlot * float64(candidate.Slots), workMicros: averages.workMicros, routeWorkMicros: averages.routeWorkMicros}
+	expected := expectedLoad{
+		others:          averages.loadPerSlot * float64(candidate.Slots),
+		workMicros:      averages.workMicros,
+		routeWorkMicros: averages.routeWorkMicros,
+	}
 	report := r[candidate.Instance]
 	if report == nil {
 		if candidate.Warming {
@@ -166,8 +170,8 @@
 }
 
 // responseTime is the expected response time in microseconds at a backend with that many slots: its work time, and the wait
-// for a slot behind the requests that run or wait there. With fewer requests than slots no wait is expected, but what is
-// known of other callers' requests is old and rough, so the bend is rounded (softplus).
+// for a slot behind the requests that run or wait there. With fewer requests than slots no wait is expected, but the
+// reports of other callers' requests are old and rough, so the bend is rounded (softplus).
 func (l expectedLoad) responseTime(requests, slots float64) float64 {
 	const linearFrom = 30 // from here on the softplus is its argument, and exp would overflow
 	excess := requests + 1 - slots
--- a/internal/proxy/loadbalancer/locality.go
+++ b/internal/proxy/loadbalancer/locality.go
@@ -10,9 +10,10 @@
 const (
 	// penaltyPerKilobyte is what each kilobyte of a route's usual request and response adds to the cross-domain penalty.
 	penaltyPerKilobyte = 5 * monotonic.Millisecond
+	bytesPerKilobyte   = 1024
 	// minPenaltyShare is the least cross-domain penalty as a share of the route's latency target.
 	minPenaltyShare = 0.1
-	// localOnlyPenalty is the penalty from which a route keeps to its own domain while a backend is available there.
+	// localOnlyPenalty is the penalty from which a route stays in the caller's own domain while a backend is available there.
 	localOnlyPenalty = 100 * monotonic.Millisecond
 	// sizeSmoothing is the number of responses over which a route's size is averaged.
 	sizeSmoothing = 16
@@ -20,7 +21,7 @@
 	bulkBytes = 16 << 10
 )
 
-// locality knows what it costs to send a route's requests to another failure domain. The Balancer's lock guards it.
+// locality estimates the cost of sending a route's requests to another failure domain. The Balancer's lock guards it.
 type locality struct {
 	basePenalty monotonic.Micros
 	bytes       map[string]float64 // mean bytes of a route's requests with their responses
@@ -43,7 +44,7 @@
 // penalty is the time in microseconds that sending a request of a route to another domain counts for.
 func (l locality) penalty(route string, latencyTarget monotonic.Micros) monotonic.Micros {
 	least := max(l.basePenalty, monotonic.Micros(minPenaltyShare*float64(latencyTarget)))
-	return least + monotonic.Micros(l.bytes[route]/1024*float64(penaltyPerKilobyte))
+	return least + monotonic.Micros(l.bytes[route]/bytesPerKilobyte*float64(penaltyPerKilobyte))
 }
 
 // restrictToDomain leaves only available candidates, and of these only those of the own domain if there are any. If none is
--- a/internal/proxy/loadbalancer/peer_health.go
+++ b/internal/proxy/loadbalancer/peer_health.go
@@ -15,7 +15,7 @@
 	statisticsTTL = 200 * monotonic.Millisecond
 	// healthTTL is how long a health report counts in the statistics.
 	healthTTL = 10 * monotonic.Second
-	// normalLatencyRatio is the latency ratio of backends of which nothing is known, in thousandths.
+	// normalLatencyRatio is the latency ratio of backends without a recent report, in thousandths.
 	normalLatencyRatio = 1000
 )
 
@@ -26,14 +26,14 @@
 	receivedAt              monotonic.Micros
 }
 
-// serviceStatistics is what the backends of a service are like. Invariant: the messages aren't changed once made.
+// serviceStatistics are statistics of the health of a service's backends. Invariant: the messages aren't changed once made.
 type serviceStatistics struct {
 	computedAt monotonic.Micros
-	// forHealthy and forEjected are what a backend that isn't ejected, and one that is, are told of the others.
+	// forHealthy is sent to a backend that isn't ejected, and forEjected to one that is. Each describes the other backends.
 	forHealthy, forEjected *wire.PeerStatistics
 }
 
-// peerHealth keeps the health reports of all backends, and statistics of them by service. The Balancer's lock guards it.
+// peerHealth stores the health reports of all backends, and statistics of them by service. The Balancer's lock guards it.
 type peerHealth struct {
 	reports    map[string]*healthReport // by instance
 	statistics map[string]*serviceStatistics
@@ -44,7 +44,9 @@
 }
 
 // observe records a report and reports whether the backend is ejected and may be: not too many others are.
-func (p peerHealth) observe(candidates []session.Candidate, service, instance string, load *wire.Load, now monotonic.Micros) (ejected bool) {
+func (p peerHealth) observe(
+	candidates []session.Candidate, service, instance string, load *wire.Load, now monotonic.Micros,
+) (ejected bool) {
 	report := p.reports[instance]
 	if report == nil {
 		report = &healthReport{}
@@ -66,7 +68,7 @@
 	maps.DeleteFunc(p.reports, func(_ string, report *healthReport) bool { return now-report.receivedAt >= maxReportAge })
 }
 
-// statisticsFor is what one backend of a service is told of the others.
+// statisticsFor returns the statistics of a service's other backends that are sent to one of them.
 func (p peerHealth) statisticsFor(candidates []session.Candidate, service, instance string, now monotonic.Micros) *wire.PeerStatistics {
 	statistics := p.statisticsOf(candidates, service, now)
 	if report := p.reports[instance]; report != nil && report.ejected {
@@ -101,10 +103,12 @@
 	}
 	others := uint32(max(0, len(candidates)-1))
 	faultRate, latencyRatio := median(faultRates, 0), median(latencyRatios, normalLatencyRatio)
+	// An ejected backend isn't one of its ejected peers. ejected is 0 if its own report has expired.
+	ejectedPeers := max(1, ejected) - 1
 	return &serviceStatistics{
 		computedAt: now,
 		forHealthy: &wire.PeerStatistics{Known: others, Ejected: min(ejected, others), FaultRate: faultRate, LatencyRatio: latencyRatio},
-		forEjected: &wire.PeerStatistics{Known: others, Ejected: max(1, ejected) - 1, FaultRate: faultRate, LatencyRatio: latencyRatio},
+		forEjected: &wire.PeerStatistics{Known: others, Ejected: ejectedPeers, FaultRate: faultRate, LatencyRatio: latencyRatio},
 	}
 }
 
--- a/internal/proxy/loadbalancer/silence.go
+++ b/internal/proxy/loadbalancer/silence.go
@@ -12,7 +12,7 @@
 const (
 	// defaultSilenceTimeout is the silence timeout where none is configured.
 	defaultSilenceTimeout = 700 * monotonic.Millisecond
-	// maxProbeInterval is the longest interval between two looks for silent proxies.
+	// maxProbeInterval is the longest interval between two checks for silent proxies.
 	maxProbeInterval = 200 * monotonic.Millisecond
 	// minProbeTimeout is the least time that a silent proxy has to respond to a health check.
 	minProbeTimeout = 150 * monotonic.Millisecond
@@ -59,7 +59,7 @@
 	}
 }
 
-// probeInterval is how often silent proxies are to be looked for.
+// probeInterval is how often to check for silent proxies.
 func (d silenceDetector) probeInterval() monotonic.Micros {
 	return min(maxProbeInterval, d.timeout/2)
 }
--- a/internal/proxy/loadbalancer/two_choices.go
+++ b/internal/proxy/loadbalancer/two_choices.go
@@ -5,7 +5,7 @@
 // randomSteps is the resolution of random fractions.
 const randomSteps = 1000000
 
-// preferLocalDomain keeps to the own domain with the probability that levels the load of all backends: the domain's share of
+// preferLocalDomain stays in the own domain with the probability that levels the load of all backends: the domain's share of
 // the backends over its share of the callers. The rest goes to domains that have backends to spare, of which two candidates
 // are drawn. The caller holds the lock.
 func (b *Balancer) preferLocalDomain(directory *session.Directory, candidates []session.Candidate) []session.Candidate {
@@ -60,7 +60,7 @@
 	return float64(proxies) / float64(max(1, s.directory.Live))
 }
 
-// localProbability is the probability with which a caller keeps to its own domain. It may exceed 1.
+// localProbability is the probability with which a caller stays in its own domain. It may exceed 1.
 func (s domainShares) localProbability(domain string) float64 {
 	return s.backends(domain) / s.callers(max(1, s.directory.ProxiesByDomain[domain]))
 }
--- a/internal/proxy/outlier/call.go
+++ b/internal/proxy/outlier/call.go
@@ -24,7 +24,7 @@
 	c.detector.calls = append(c.detector.calls, c)
 }
 
-// Close records the end of the request. The outcome of one that was never handed over says nothing. Only the first Close of a
+// Close records the end of the request. The outcome of one that was never handed over isn't counted. Only the first Close of a
 // call counts.
 func (c *Call) Close(now monotonic.Micros, outcome Outcome) {
 	if c.closed {
--- a/internal/proxy/outlier/detector.go
+++ b/internal/proxy/outlier/detector.go
@@ -24,7 +24,7 @@
 	minGlobalFailures = 3
 )
 
-// Peers is what the other backends of the service are like, as a caller heard from their proxies.
+// Peers are statistics of the other backends of the service, from what their proxies reported to the caller.
 type Peers struct {
 	Known        int     // how many there are
 	Ejected      int     // how many of them are ejected
@@ -36,18 +36,18 @@
 type RequestInfo struct {
 	Domain string // failure domain of the caller
 	Kind   string // requests of a kind usually take the same time
-	// LatencyTarget is what is left of the time within which the response is wanted, in microseconds; 0 if that isn't known.
+	// LatencyTarget is the rest of the time within which the response is wanted, in microseconds; 0 if that isn't known.
 	LatencyTarget monotonic.Micros
 	Idempotent    bool
 	NoAlternative bool // the request has no other backend to go to
 	Peers         Peers
 }
 
-// Outcome is what the end of a request says of its backend.
+// Outcome is how a request ended, as evidence on its backend.
 type Outcome int
 
 const (
-	// Unknown says nothing: the fault was the request's, or its time was too short.
+	// Unknown isn't counted: the fault was the request's, or its time was too short.
 	Unknown Outcome = iota
 	// Success is a response in time.
 	Success
@@ -65,7 +65,7 @@
 
 // Detector judges one backend. It isn't safe for concurrent use.
 //
-// Invariants: each Call of Admit is closed once. inFlight holds exactly the calls between Start and Close. An ejection's
+// Invariants: each Call of Admit is closed once. calls holds exactly the calls between Start and Close. An ejection's
 // probesInFlight counts the calls that are probes of it and aren't closed. An ejection for all callers holds for each domain.
 type Detector struct {
 	global  ejection
@@ -75,16 +75,17 @@
 	calls   []*Call // in flight
 	changes []Change
 	// recentResponses and recentFailures are the domains of the callers of the last few, so that one domain's fault isn't
-	// taken for everybody's.
+	// taken for a fault for all callers.
 	recentResponses, recentFailures recentDomains
 }
 
-// New returns the detector of a backend of which nothing is known: it isn't ejected.
+// New returns the detector of a backend without any calls: it isn't ejected.
 func New() *Detector {
 	return &Detector{domains: map[string]*ejection{}, latency: newLatencyTracker(), peers: Peers{LatencyRatio: 1}}
 }
 
-// Admit admits a request, or returns a nil call and for how many microseconds the caller shouldn't come back.
+// Admit admits a request, or returns a nil call and the Retry-After in microseconds. It first counts the calls in flight that
+// are overdue as failures, which may eject the backend.
 func (d *Detector) Admit(now monotonic.Micros, request RequestInfo) (call *Call, wait monotonic.Micros) {
 	d.peers = request.Peers
 	d.peers.LatencyRatio = max(1, request.Peers.LatencyRatio)
@@ -147,7 +148,7 @@
 	}
 }
 
-// recordOutcome takes what one call says: it ejects the backend, reinstates it, or puts its next probe off.
+// recordOutcome counts the outcome of one call. It may eject the backend, reinstate it, or put its next probe off.
 func (d *Detector) recordOutcome(now monotonic.Micros, call *Call, outcome Outcome) {
 	probed := call.ejections
 	call.releaseProbes()
@@ -203,7 +204,12 @@
 }
 
 func (d *Detector) recordChange(ejection *ejection) {
-	d.changes = append(d.changes, Change{Ejected: ejection.ejected, Domain: ejection.domain, FaultRate: ejection.faultRate, RecentEjections: ejection.recentEjections})
+	d.changes = append(d.changes, Change{
+		Ejected:         ejection.ejected,
+		Domain:          ejection.domain,
+		FaultRate:       ejection.faultRate,
+		RecentEjections: ejection.recentEjections,
+	})
 }
 
 // TakeChanges returns the ejections and reinstatements since the last call.
--- a/internal/proxy/outlier/latency.go
+++ b/internal/proxy/outlier/latency.go
@@ -18,7 +18,7 @@
 	baselineWindow = 64
 	// minBaselineSamples is the number of requests from which a kind's usual time is used.
 	minBaselineSamples = 8
-	// maxKinds bounds the kinds of which the usual time is kept.
+	// maxKinds bounds the kinds of which the usual time is stored.
 	maxKinds = 256
 	// maxOutlierFactor bounds what one slow request adds to the usual time of its kind.
 	maxOutlierFactor = 2
@@ -57,8 +57,8 @@
 	return baseline
 }
 
-// wait is for how long a request isn't admitted because the backend would serve it too late; 0 if it is. One request is admitted
-// each initialProbeInterval all the same, to measure.
+// wait is for how long a request isn't admitted because the backend would serve it too late; 0 if it is. One such
+// request is still admitted each initialProbeInterval, to measure the backend.
 func (l *latencyTracker) wait(now monotonic.Micros, request RequestInfo, peerRatio float64) monotonic.Micros {
 	if !l.missesTarget(request, peerRatio) {
 		return 0
--- a/internal/proxy/replay/store.go
+++ b/internal/proxy/replay/store.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// defaultTTL is how long a response is kept: as long as the registry keeps a claim by default.
+	// defaultTTL is how long a response is stored: as long as the registry stores a claim by default.
 	defaultTTL = 120 * monotonic.Second
 	// maxBytes bounds the bodies in a store, and maxResponseBytes the body of one response in it.
 	maxBytes         = 16 << 20
 	maxResponseBytes = maxBytes / 16
 )
 
-// Store keeps responses by their idempotency scopes. It is safe for concurrent use.
+// Store holds responses by their idempotency scopes. It is safe for concurrent use.
 //
 // Invariants: totalBytes is the sum of the sizes of the stored bodies and at most maxBytes. order lists the stored scopes,
 // oldest first.
 type Store struct {
-	// TTL is how long responses are kept, in microseconds. It must be set before the first one is put.
+	// TTL is how long responses are stored, in microseconds. It must be set before the first one is put.
 	TTL   monotonic.Micros
 	clock monotonic.Clock
 
@@ -38,7 +38,7 @@
 	storedAt monotonic.Micros
 }
 
-// New returns an empty store that keeps responses for two minutes.
+// New returns an empty store with a TTL of two minutes.
 func New(clock monotonic.Clock) *Store {
 	return &Store{TTL: defaultTTL, clock: clock, entries: map[string]*entry{}}
 }
--- a/internal/proxy/request/request.go
+++ b/internal/proxy/request/request.go
@@ -8,13 +8,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The HTTP headers that the mesh gives meaning to. Their names are stable.
+// The HTTP headers that the mesh interprets or sets. Their names are stable.
 const (
 	// IdempotencyKeyHeader holds the key under which a request runs at most once.
 	IdempotencyKeyHeader = "X-Snowflow-Key"
 	// DeadlineHeader holds the microseconds for which the caller waits.
 	DeadlineHeader = "X-Snowflow-Cutoff-Micros"
-	// NotExecutedHeader says in a response that the request has certainly not run.
+	// NotExecutedHeader is set in a response if the request has certainly not run.
 	NotExecutedHeader = "X-Snowflow-Not-Executed"
 	// RequestIDHeader holds the request's ID, in the request and in its response.
 	RequestIDHeader = "X-Snowflow-Request"
@@ -34,7 +34,7 @@
 	// Deadline is when the caller gives up, on the clock of this process in microseconds; 0 leaves it to the service's
 	// configuration.
 	Deadline monotonic.Micros
-	// ParsedTarget is the target if its spelling must not be changed; nil has Target brought to its canonical spelling.
+	// ParsedTarget is the target if its spelling must not be changed; if nil, Target is converted to its canonical spelling.
 	ParsedTarget *resourcepath.RequestTarget
 	// IdempotencyScope names what may run once; if empty, it is made of the resource and the key.
 	IdempotencyScope string
@@ -43,7 +43,7 @@
 	VerdictPerRequest bool
 	// ReadAt is a time of the registry leader's clock that had certainly passed when the request was read; nil if none is known.
 	ReadAt *wire.LeaderTimestamp
-	// OnCallerLeft has callback called, on a goroutine of its own, when the caller disconnects before it has a response. The
+	// OnCallerLeft registers a callback that is called, on a goroutine of its own, when the caller disconnects before it has a response. The
 	// returned stop prevents that, and reports whether it did. Nil if a disconnect can't be seen.
 	OnCallerLeft func(callback func()) (stop func() bool)
 }
@@ -55,7 +55,7 @@
 	Body          []byte
 	Instance      string // the backend
 	ConfigVersion uint64 // by which the request was forwarded; 0 if that isn't known
-	// NotRun is true if the backend itself says that it has certainly not run the request.
+	// NotRun is true if the backend itself reports that it has certainly not run the request.
 	NotRun bool
 }
 
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -98,7 +98,7 @@
 	return true
 }
 
-// Clear empties every bucket. It is called after the clock has leapt, when it is unknown how much of a period has passed.
+// Clear empties every bucket. It is called after a jump of the clock, when it is unknown how much of a period has passed.
 func (b *Budget) Clear() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/retry/doc.go
+++ b/internal/proxy/retry/doc.go
@@ -9,6 +9,6 @@
 //   - Backoff is the pause before a retry.
 //   - Jitter spreads the Retry-After hints of rejections, so that callers don't all return at once.
 //
-// Whether a retry could make a request run twice isn't decided here: the forwarder says so for each attempt. Nothing is
+// Whether a retry could make a request run twice isn't decided here: the forwarder decides it for each attempt. Nothing is
 // persisted, and all state is of one proxy process.
 package retry
--- a/internal/proxy/retry/jitter.go
+++ b/internal/proxy/retry/jitter.go
@@ -42,11 +42,11 @@
 	return &Jitter{host: host, series: map[apierror.Cause]*rejectionSeries{}}
 }
 
-// SetDisabled leaves Retry-After hints unchanged, to measure what the jitter is worth. No program calls it.
+// SetDisabled leaves Retry-After hints unchanged, so that the effect of the jitter can be measured. No program calls it.
 func (j *Jitter) SetDisabled(disabled bool) { j.disabled = disabled }
 
 // Apply adds the jitter to a rejection's Retry-After. A fault without one is left alone, and so is a measured wait: it comes
-// from a backend's queue, which already lets callers in one by one.
+// from a backend's queue, which already spreads the callers' return.
 func (j *Jitter) Apply(fault *apierror.Fault) {
 	if fault.RetryAfter == 0 || fault.RetryAfterMeasured || j.disabled {
 		return
--- a/internal/proxy/retry/state.go
+++ b/internal/proxy/retry/state.go
@@ -92,7 +92,7 @@
 	return result.Retriable && !result.LastBackend && redispatchCauses[result.Fault.Cause] && !s.RedispatchesExhausted()
 }
 
-// observeRetryAfter keeps the shortest wait that an overloaded backend named.
+// observeRetryAfter records the Retry-After of an overloaded backend if it is the shortest so far.
 func (s *State) observeRetryAfter(fault *apierror.Fault) {
 	if fault.Cause != apierror.Overloaded || fault.RetryAfter <= 0 {
 		return
