--- a/internal/proxy/breaker/local.go
+++ b/internal/proxy/breaker/local.go
@@ -36,7 +36,7 @@
 type localDecision struct {
 	admitted   bool
 	probe      bool             // endProbe must be called when the attempt has ended
-	retryAfter monotonic.Micros // when the caller may return, if it isn't admitted
+	retryAfter monotonic.Micros // when the caller may retry, if it isn't admitted
 }
 
 // admit decides on an attempt. An open breaker becomes half open once it has been open for the configured time.
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -22,7 +22,7 @@
 	// Proxy is the proxy's name, and Incarnation a number that differs for each of its processes.
 	Proxy       string
 	Incarnation uint64
-	// ClockWatch reports whether the clock may have gone back, so that a lease's end can't be judged.
+	// ClockWatch reports whether the clock may have been set back, so that the end of a lease is unknown.
 	ClockWatch *clockwatch.Watcher
 	// Parse reads accepted contents, config.ParseAccepted if nil.
 	Parse config.Parser
@@ -87,7 +87,7 @@
 	return &Client{options: options, host: options.Host, resolver: options.Resolver}
 }
 
-// IgnoreLease lets the proxy serve without a lease. It's a deliberate fault with which tests show that their checkers notice it; no
+// IgnoreLease lets the proxy serve without a lease. It is a deliberate fault with which tests show that their checkers detect it; no
 // program sets it.
 func (c *Client) IgnoreLease(ignore bool) { c.ignoreLease = ignore }
 
--- a/internal/proxy/loadbalancer/availability.go
+++ b/internal/proxy/loadbalancer/availability.go
@@ -3,13 +3,13 @@
 import "snowflow/internal/monotonic"
 
 const (
-	// avoidDuration is how long a backend or proxy that just failed is chosen only if nothing else is left.
+	// avoidDuration is how long a backend or proxy is chosen, after a failure, only if no other candidate is available.
 	avoidDuration = 2 * monotonic.Second
 	// maxConsecutiveFaults is the number of faulty responses in a row after which a backend is avoided.
 	maxConsecutiveFaults = 3
 )
 
-// availability remembers which backends and proxies failed lately. The Balancer's lock guards it.
+// availability records which backends and proxies failed recently. The Balancer's lock guards it.
 type availability struct {
 	avoidedUntil      map[string]monotonic.Micros // by instance or proxy name
 	consecutiveFaults map[string]int              // by instance; never 0
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// isUnavailable reports whether a backend or its proxy failed lately, or its proxy doesn't respond. The caller holds the lock.
+// isUnavailable reports whether a backend or its proxy failed recently, or its proxy doesn't respond. The caller holds the lock.
 func (b *Balancer) isUnavailable(candidate session.Candidate, now monotonic.Micros) bool {
 	return b.availability.isAvoided(candidate.Instance, now) ||
 		b.availability.isAvoided(candidate.Proxy, now) ||
--- a/internal/proxy/loadbalancer/doc.go
+++ b/internal/proxy/loadbalancer/doc.go
@@ -3,8 +3,8 @@
 // There are three sources: the directory of candidates, its own attempts that are in flight, and the load and
 // health that each backend's proxy reports with its responses. A choice is made in these steps:
 //
-//  1. Candidates that failed lately, or whose proxy has been silent for too long, are set aside (availability, silence). They
-//     are used only if nothing else is left.
+//  1. Candidates that failed recently, or whose proxy has been silent for too long, are set aside (availability, silence). They
+//     are used only if no other candidate is available.
 //  2. A route with large messages stays in the caller's own failure domain while a candidate is available there (locality).
 //  3. If every candidate reports its slots, the one with the shortest expected response time is taken (load reports);
 //     candidates within a tolerance of it are equal, and one of them is drawn.
--- a/internal/proxy/loadbalancer/fastest.go
+++ b/internal/proxy/loadbalancer/fastest.go
@@ -7,8 +7,8 @@
 	"snowflow/internal/proxy/session"
 )
 
-// equalTolerance is the part by which two estimates may differ and count as equal. What they are made of is no better known,
-// and callers that all took the least one would all go to the same backend.
+// equalTolerance is the share by which an estimate may exceed the best one and still count as equal. The estimates aren't more
+// exact than that, and if all callers chose the lowest one they would all choose the same backend.
 const equalTolerance = 0.1
 
 // pickFastest draws one of the candidates with the shortest expected response time. The caller holds the lock.
--- a/internal/proxy/loadbalancer/load_reports.go
+++ b/internal/proxy/loadbalancer/load_reports.go
@@ -11,7 +11,7 @@
 
 const (
 	// loadHalfLife is the least time in which the reported load of other callers loses half its weight against the backend's
-	// average load. Where work takes longer, the work time is used: a queue lasts as long as the work in it.
+	// average load. Where work takes longer, the work time is used: a queue takes as long as the work in it.
 	loadHalfLife = 100 * monotonic.Millisecond
 	// averageHalfLife is the time in which a backend's own averages lose half their weight against those of its service, so
 	// that a backend that was slow or full is tried again.
--- a/internal/proxy/loadbalancer/two_choices.go
+++ b/internal/proxy/loadbalancer/two_choices.go
@@ -6,8 +6,8 @@
 const randomSteps = 1000000
 
 // preferLocalDomain stays in the own domain with the probability that levels the load of all backends: the domain's share of
-// the backends over its share of the callers. The rest goes to domains that have backends to spare, of which two candidates
-// are drawn. The caller holds the lock.
+// the backends over its share of the callers. Otherwise two candidates are drawn from the domains whose share of the
+// backends exceeds their share of the callers. The caller holds the lock.
 func (b *Balancer) preferLocalDomain(directory *session.Directory, candidates []session.Candidate) []session.Candidate {
 	domains := newDomainShares(directory, candidates)
 	local := domains.candidates[b.domain]
@@ -70,8 +70,8 @@
 	return s.backends(domain) - s.callers(s.directory.ProxiesByDomain[domain])
 }
 
-// spareCandidates are the candidates of all domains but the own one that have backends to spare, each with its part of what
-// its domain has to spare as its weight.
+// spareCandidates are the candidates of all other domains whose spare is above 0. A domain's spare is divided evenly among its
+// candidates, as their weights.
 func (s domainShares) spareCandidates(own string, candidates []session.Candidate) weightedCandidates {
 	var spare weightedCandidates
 	for _, candidate := range candidates {
--- a/internal/proxy/outlier/doc.go
+++ b/internal/proxy/outlier/doc.go
@@ -9,7 +9,8 @@
 //     callers see ejects the backend for these alone. Requests that take far longer than usual count as failures while they
 //     are still in flight.
 //   - Probes. An ejected backend gets one request after a pause, which doubles with each failed probe and each ejection that
-//     follows another. Each success in a row raises the number of probes that may be in flight by one; enough of them reinstate the backend.
+//     follows another. Each success in a row raises the number of probes that may be in flight by one; enough of them
+//     reinstate the backend.
 //   - Latency. A backend that has become much slower than its peers isn't ejected, but gets only requests that it can still
 //     answer within their latency target, and now and then another one to measure it.
 //
