--- a/internal/proxy/breaker/set_test.go
+++ b/internal/proxy/breaker/set_test.go
@@ -19,7 +19,7 @@
 // admitted is the cause of an attempt that wasn't rejected.
 const admitted apierror.Cause = 0
 
-// breakerTest runs a set alone on a simulated host, with a registry that responds as respond says.
+// breakerTest runs a set alone on a simulated host, with a registry whose responses the function respond gives.
 type breakerTest struct {
 	t        *testing.T
 	breakers *breaker.Set
--- a/internal/proxy/forward/doc.go
+++ b/internal/proxy/forward/doc.go
@@ -1,5 +1,5 @@
-// Package forward is the caller's side of a proxy. It takes a request from the caller's ingress to a backend's proxy and
-// gives it exactly one outcome: the backend's complete response, or a fault that says whether the request may have run.
+// Package forward is the caller's side of a proxy. It forwards a request from the caller's ingress to a backend's proxy and
+// returns exactly one outcome: the backend's complete response, or a fault that says whether the request may have run.
 //
 // A request goes through these steps, all on one task:
 //
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -220,20 +220,20 @@
 		attempts    int // without redispatches
 		voids       int
 	}{
-		"success":                                    {request: read(), replies: []reply{succeed}, attempts: 1},
-		"redispatched from a full backend":           {request: read(), replies: []reply{reject(apierror.Overloaded), succeed}, attempts: 1},
-		"every backend is full":                      {request: read(), replies: []reply{reject(apierror.Overloaded), reject(apierror.Overloaded)}, cause: apierror.Overloaded, verdict: apierror.NotRun, attempts: 1},
-		"a lost read is retried":                     {request: read(), replies: []reply{lose, succeed}, attempts: 2},
-		"a lost read ends as one that may have run":  {request: read(), replies: []reply{lose, lose, lose}, cause: apierror.ForwardLost, verdict: apierror.MayHaveRun, attempts: 3},
-		"a lost at-most-once request isn't retried":  {request: atMostOnce(), replies: []reply{lose}, cause: apierror.ForwardLost, verdict: apierror.MayHaveRun, attempts: 1},
-		"one that certainly didn't run is retried":   {request: atMostOnce(), replies: []reply{reject(apierror.NotExecuted), succeed}, attempts: 2},
-		"an incomplete read is retried":              {request: read(), replies: []reply{incomplete, succeed}, attempts: 2},
-		"a lost submission is voided and retried":    {request: submission(), replies: []reply{lose, succeed}, voidOutcome: idempotency.Voided, attempts: 2, voids: 1},
-		"a lost submission that can't be voided":     {request: submission(), replies: []reply{lose}, cause: apierror.ForwardLost, verdict: apierror.MayHaveRun, attempts: 1, voids: 1},
-		"not run is confirmed for the key":           {request: submission(), replies: []reply{reject(apierror.KeyFenced)}, voidOutcome: idempotency.Voided, cause: apierror.KeyFenced, verdict: apierror.NotRun, attempts: 1, voids: 1},
-		"not run isn't said while it is unconfirmed": {request: submission(), replies: []reply{reject(apierror.KeyFenced)}, cause: apierror.KeyFenced, verdict: apierror.MayHaveRun, attempts: 1, voids: 1},
-		"a submission without a key":                 {request: &request.Request{ID: "r", Method: "POST", Target: "/forms/1"}, cause: apierror.MissingKey, verdict: apierror.NotRun},
-		"an unknown path":                            {request: &request.Request{ID: "r", Method: "GET", Target: "/other"}, cause: apierror.UnknownPath, verdict: apierror.NotRun},
+		"success":                                   {request: read(), replies: []reply{succeed}, attempts: 1},
+		"redispatched from a full backend":          {request: read(), replies: []reply{reject(apierror.Overloaded), succeed}, attempts: 1},
+		"every backend is full":                     {request: read(), replies: []reply{reject(apierror.Overloaded), reject(apierror.Overloaded)}, cause: apierror.Overloaded, verdict: apierror.NotRun, attempts: 1},
+		"a lost read is retried":                    {request: read(), replies: []reply{lose, succeed}, attempts: 2},
+		"a lost read ends as one that may have run": {request: read(), replies: []reply{lose, lose, lose}, cause: apierror.ForwardLost, verdict: apierror.MayHaveRun, attempts: 3},
+		"a lost at-most-once request isn't retried": {request: atMostOnce(), replies: []reply{lose}, cause: apierror.ForwardLost, verdict: apierror.MayHaveRun, attempts: 1},
+		"one that certainly didn't run is retried":  {request: atMostOnce(), replies: []reply{reject(apierror.NotExecuted), succeed}, attempts: 2},
+		"an incomplete read is retried":             {request: read(), replies: []reply{incomplete, succeed}, attempts: 2},
+		"a lost submission is voided and retried":   {request: submission(), replies: []reply{lose, succeed}, voidOutcome: idempotency.Voided, attempts: 2, voids: 1},
+		"a lost submission that can't be voided":    {request: submission(), replies: []reply{lose}, cause: apierror.ForwardLost, verdict: apierror.MayHaveRun, attempts: 1, voids: 1},
+		"not run is confirmed for the key":          {request: submission(), replies: []reply{reject(apierror.KeyFenced)}, voidOutcome: idempotency.Voided, cause: apierror.KeyFenced, verdict: apierror.NotRun, attempts: 1, voids: 1},
+		"not run isn't answered while unconfirmed":  {request: submission(), replies: []reply{reject(apierror.KeyFenced)}, cause: apierror.KeyFenced, verdict: apierror.MayHaveRun, attempts: 1, voids: 1},
+		"a submission without a key":                {request: &request.Request{ID: "r", Method: "POST", Target: "/forms/1"}, cause: apierror.MissingKey, verdict: apierror.NotRun},
+		"an unknown path":                           {request: &request.Request{ID: "r", Method: "GET", Target: "/other"}, cause: apierror.UnknownPath, verdict: apierror.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runForwardTest(t, func(ft *forwardTest) {
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -11,7 +11,7 @@
 const (
 	// voidTimeout is the longest time that voiding an attempt may take; after it the verdict is MayHaveRun.
 	voidTimeout = 1500 * monotonic.Millisecond
-	// minVoidTimeout is what voiding may take even if the request's deadline is nearer.
+	// minVoidTimeout is the time that voiding may take even if the request's deadline is nearer.
 	minVoidTimeout = 300 * monotonic.Millisecond
 )
 
@@ -24,8 +24,8 @@
 	apierror.BackendUnhealthy:        true,
 }
 
-// handleLostResponse ends an attempt without a response. A RunOnce attempt is voided first: if it is void, that proves that it
-// hasn't run and won't.
+// handleLostResponse ends an attempt without a response. A RunOnce attempt is voided first: once it is void, it
+// certainly hasn't run and never will.
 func (f *Forwarder) handleLostResponse(a *attempt, message *wire.ForwardRequest, cause error) attemptResult {
 	proxy, exchange := a.candidate.Proxy, a.exchange
 	f.balancer.MarkUnavailable(proxy)
@@ -78,8 +78,8 @@
 	}
 }
 
-// voidAttempt has the registry ensure that an attempt never runs. With fence it also closes the key to every request that was
-// read before now. It returns the claim's state, or an empty string if the registry can't be reached in time.
+// voidAttempt requests the registry to ensure that an attempt never runs. With fence the registry also rejects the key for every
+// request that was read before now. It returns the claim's state, or an empty string if the registry can't be reached in time.
 func (f *Forwarder) voidAttempt(exchange *Exchange, attempt string, fence bool) string {
 	timeout := min(max(exchange.Deadline-f.config.Host.Now(), minVoidTimeout), voidTimeout)
 	message := &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence}
--- a/internal/proxy/outlier/detector_test.go
+++ b/internal/proxy/outlier/detector_test.go
@@ -60,8 +60,8 @@
 
 func (bt *backendTest) ejected(domain string) bool { return bt.detector.Ejected(domain) }
 
-// TestConsecutiveFailuresEject: a backend that fails several requests in a row gets only probes, whatever its own health check
-// says.
+// TestConsecutiveFailuresEject: a backend that fails several requests in a row gets only probes, whatever the result of its
+// own health check.
 func TestConsecutiveFailuresEject(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a", "b")
@@ -362,7 +362,7 @@
 	}
 }
 
-// TestClosingCalls: closing a call again changes nothing, and the outcome of one that never started says nothing.
+// TestClosingCalls: closing a call again changes nothing, and the outcome of one that never started isn't counted.
 func TestClosingCalls(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
