--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,6 +1,6 @@
 // Package apierror defines the errors of a request on its way through the mesh.
 //
-// There are two kinds. A Fault is returned to a caller: a numbered cause with an HTTP status, and a verdict on whether the request
+// There are two kinds. An Error is returned to a caller: a numbered cause with an HTTP status, and a verdict on whether the request
 // may have run. Unreachable, Lost, Refused and Invalid are the errors of a call between two processes of the mesh, from
 // which such a verdict is derived.
 package apierror
@@ -37,40 +37,40 @@
 	Invalid = namespace.NewType("invalid")
 )
 
-// Fault is the error that is returned to a caller.
+// Error is the error that is returned to a caller.
 //
 // Invariant: Verdict is NotRun only if that is certain.
-type Fault struct {
+type Error struct {
 	Cause      Cause
 	Verdict    Verdict
 	RetryAfter monotonic.Micros // zero if a retry is useless
 	Detail     string
-	// Backend means that the backend is to blame, so that the fault counts against its breaker.
+	// Backend means that the backend is to blame, so that the error counts against its breaker.
 	Backend bool
 	// RetryAfterMeasured means that admission control measured RetryAfter; otherwise it is the catalogue's.
 	RetryAfterMeasured bool
-	// Local means that the fault says nothing about the backend: its cause is the network, or a connection that the backend had
+	// Local means that the error says nothing about the backend: its cause is the network, or a connection that the backend had
 	// closed for being idle.
 	Local bool
 }
 
-// New returns a fault with the catalogue's RetryAfter and Backend. The detail is formatted as by fmt.Sprintf.
-func New(cause Cause, verdict Verdict, format string, arguments ...any) *Fault {
+// New returns an error with the catalogue's RetryAfter and Backend. The detail is formatted as by fmt.Sprintf.
+func New(cause Cause, verdict Verdict, format string, arguments ...any) *Error {
 	entry := catalogue[cause]
-	return &Fault{Cause: cause, Verdict: verdict, RetryAfter: entry.retryAfter, Detail: fmt.Sprintf(format, arguments...),
+	return &Error{Cause: cause, Verdict: verdict, RetryAfter: entry.retryAfter, Detail: fmt.Sprintf(format, arguments...),
 		Backend: entry.backend}
 }
 
 // Error returns the cause, the verdict and the detail in one line.
-func (f *Fault) Error() string {
-	return fmt.Sprintf("cause %d %s (%s): %s", f.Cause, f.Cause.Name(), f.Verdict, f.Detail)
+func (e *Error) Error() string {
+	return fmt.Sprintf("cause %d %s (%s): %s", e.Cause, e.Cause.Name(), e.Verdict, e.Detail)
 }
 
 // NotRun reports whether the request has certainly not run.
-func (f *Fault) NotRun() bool { return f.Verdict == NotRun }
+func (e *Error) NotRun() bool { return e.Verdict == NotRun }
 
 // Status returns the HTTP status of the response to the caller.
-func (f *Fault) Status() int { return catalogue[f.Cause].status }
+func (e *Error) Status() int { return catalogue[e.Cause].status }
 
 // IsUnreachable reports whether an error is of type Unreachable.
 func IsUnreachable(err error) bool { return errorx.IsOfType(err, Unreachable) }
--- a/internal/daemon/request_counters.go
+++ b/internal/daemon/request_counters.go
@@ -33,7 +33,7 @@
 }
 
 // CountRequest counts a request that has ended. The fault is nil if a backend responded.
-func (c *RequestCounters) CountRequest(exchange *forward.Exchange, _ *request.Response, fault *apierror.Fault) {
+func (c *RequestCounters) CountRequest(exchange *forward.Exchange, _ *request.Response, fault *apierror.Error) {
 	service, cause, verdict := "", "0", ""
 	if exchange.Service != nil {
 		service = exchange.Service.Name
--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -30,7 +30,7 @@
 	Deadline        monotonic.Micros // on this process's clock
 	ResponseLimit   uint64           // largest body of a response, in bytes
 	// BeforeSend is called right before the first byte of the request is written. A fault stops the request.
-	BeforeSend func() *apierror.Fault
+	BeforeSend func() *apierror.Error
 	// OnCancel registers a function that is called once when the caller disconnects, immediately if it already has; stop
 	// unregisters it. Nil for a request that must run to its end.
 	OnCancel func(cancel func()) (stop func())
@@ -39,7 +39,7 @@
 // Upstream sends a request to a backend and returns its complete response. The verdict of a fault says whether the request may
 // have run.
 type Upstream interface {
-	RoundTrip(backendRequest BackendRequest) (*request.Response, *apierror.Fault)
+	RoundTrip(backendRequest BackendRequest) (*request.Response, *apierror.Error)
 }
 
 // Options are the parts and settings of a Controller. All parts must be set.
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -21,7 +21,7 @@
 type claimResult struct {
 	startBy  monotonic.Micros  // granted: the time by which the request must start, on this process's clock
 	recorded *request.Response // rejected: the recorded response of an earlier attempt
-	fault    *apierror.Fault   // rejected for another reason
+	fault    *apierror.Error   // rejected for another reason
 	// mayBeGranted is set if a registry server may have granted the claim though its answer did not arrive.
 	mayBeGranted bool
 }
@@ -29,14 +29,14 @@
 func (r *claimResult) granted() bool { return r.recorded == nil && r.fault == nil }
 
 // claimFaults create the fault of a claim by its outcome, except for Granted, and for Pending, which claimRejected handles.
-var claimFaults = map[string]func(req *wire.ForwardRequest) *apierror.Fault{
-	idempotency.BodyMismatch: func(*wire.ForwardRequest) *apierror.Fault {
+var claimFaults = map[string]func(req *wire.ForwardRequest) *apierror.Error{
+	idempotency.BodyMismatch: func(*wire.ForwardRequest) *apierror.Error {
 		return apierror.New(apierror.BodyMismatch, apierror.MayHaveRun, "the key was used with another body")
 	},
-	idempotency.Voided: func(req *wire.ForwardRequest) *apierror.Fault {
+	idempotency.Voided: func(req *wire.ForwardRequest) *apierror.Error {
 		return apierror.New(apierror.KeyFenced, apierror.NotRun, "attempt %s is void", req.Attempt)
 	},
-	idempotency.Fenced: func(*wire.ForwardRequest) *apierror.Fault {
+	idempotency.Fenced: func(*wire.ForwardRequest) *apierror.Error {
 		return apierror.New(apierror.KeyFenced, apierror.NotRun, "the key was fenced after this request was read")
 	},
 }
@@ -87,7 +87,7 @@
 // claimRejected returns the recorded response of the attempt that has the key, or the fault of a claim that was not granted.
 func (c *Controller) claimRejected(
 	req *wire.ForwardRequest, reply *wire.ClaimResponse, deadline monotonic.Micros,
-) (*request.Response, *apierror.Fault) {
+) (*request.Response, *apierror.Error) {
 	if reply.Outcome == idempotency.Pending {
 		response, cause := c.recall(req, reply, deadline)
 		if response != nil {
--- a/internal/proxy/admission/health.go
+++ b/internal/proxy/admission/health.go
@@ -17,7 +17,7 @@
 
 // checkHealth rejects a request if outlier detection has ejected its backend, and otherwise begins an observation of the backend.
 // A request without an alternative backend is always admitted.
-func (c *Controller) checkHealth(req *wire.ForwardRequest) (*localbackends.Observation, *apierror.Fault) {
+func (c *Controller) checkHealth(req *wire.ForwardRequest) (*localbackends.Observation, *apierror.Error) {
 	peers := req.Peers
 	return c.options.LocalBackends.Observe(req.Instance, outlier.RequestInfo{
 		Domain:        req.Domain,
@@ -56,7 +56,7 @@
 
 // backendOutcome returns what the end of a request says about its backend's health. Server errors (status 500 and above) and
 // requests that the backend did not execute count as failures, like lost responses.
-func backendOutcome(response *request.Response, fault *apierror.Fault) outlier.Outcome {
+func backendOutcome(response *request.Response, fault *apierror.Error) outlier.Outcome {
 	switch {
 	case fault != nil && (fault.Local || neutralCauses[fault.Cause]):
 		return outlier.Unknown
@@ -72,7 +72,7 @@
 
 // slotOutcome returns what the end of a request says about its slot. Errors are no samples of the service time: a backend that
 // fails at once would look fast.
-func slotOutcome(response *request.Response, fault *apierror.Fault) slots.Outcome {
+func slotOutcome(response *request.Response, fault *apierror.Error) slots.Outcome {
 	switch {
 	case fault == nil && response.Status < http.StatusInternalServerError:
 		return slots.Completed
--- a/internal/proxy/admission/link.go
+++ b/internal/proxy/admission/link.go
@@ -11,7 +11,7 @@
 
 // reserveUplink reserves this host's link for a response of the usual size on the request's route. It rejects the request, which
 // has not run, if the link can't send such a response in time. The size, in bytes, must be passed to releaseUplink.
-func (c *Controller) reserveUplink(req *wire.ForwardRequest) (size float64, fault *apierror.Fault) {
+func (c *Controller) reserveUplink(req *wire.ForwardRequest) (size float64, fault *apierror.Error) {
 	if req.From == c.options.Proxy {
 		return 0, nil // the response stays on this host
 	}
--- a/internal/proxy/admission/permit.go
+++ b/internal/proxy/admission/permit.go
@@ -34,7 +34,7 @@
 // claim is held.
 func (c *Controller) acquirePermit(
 	req *wire.ForwardRequest, service *config.Service, deadline monotonic.Micros,
-) (*permit, *request.Response, *apierror.Fault) {
+) (*permit, *request.Response, *apierror.Error) {
 	now := c.options.Host.Now()
 	latencyTarget := monotonic.Micros(0) // unknown
 	if req.LatencyTarget > 0 {
@@ -70,7 +70,7 @@
 // that can't start don't take all slots, and requested again once the claim is granted.
 func (c *Controller) claimWithSlot(
 	req *wire.ForwardRequest, slotRequest localbackends.Request, slot *localbackends.Slot,
-) (*permit, *request.Response, *apierror.Fault) {
+) (*permit, *request.Response, *apierror.Error) {
 	deadline := slotRequest.Deadline
 	release := func() { slot.Release(slots.Released) }
 	claim := c.claim(req, min(deadline, c.options.Host.Now()+claimSlotTimeout), deadline, release)
@@ -98,7 +98,7 @@
 // claim may take long, so the slot is taken after it; a request that would not get one now is rejected without a claim.
 func (c *Controller) admitUncounted(
 	req *wire.ForwardRequest, slotRequest localbackends.Request, needsClaim bool, limit uint32,
-) (*permit, *request.Response, *apierror.Fault) {
+) (*permit, *request.Response, *apierror.Error) {
 	if fault := c.options.LocalBackends.CheckCapacity(req.Instance, req.Service, limit, req.RunOnce); fault != nil {
 		return nil, nil, fault
 	}
@@ -124,7 +124,7 @@
 // claim by then, waits for one.
 func (c *Controller) waitForUncountedSlot(
 	slotRequest localbackends.Request, limit uint32, startBy monotonic.Micros,
-) (*localbackends.Slot, *apierror.Fault) {
+) (*localbackends.Slot, *apierror.Error) {
 	h := c.options.Host
 	deadline := min(startBy, h.Now()+uncountedSlotTimeout)
 	for {
--- a/internal/proxy/admission/preconditions.go
+++ b/internal/proxy/admission/preconditions.go
@@ -17,14 +17,14 @@
 )
 
 // preconditions are checked in order before anything is reserved or claimed, so that each rejection is certain.
-var preconditions = []func(c *Controller, req *wire.ForwardRequest) *apierror.Fault{
+var preconditions = []func(c *Controller, req *wire.ForwardRequest) *apierror.Error{
 	(*Controller).checkAccepting,
 	(*Controller).checkIncarnation,
-	func(c *Controller, _ *wire.ForwardRequest) *apierror.Fault { return c.checkLease() },
+	func(c *Controller, _ *wire.ForwardRequest) *apierror.Error { return c.checkLease() },
 	(*Controller).checkVersion,
 }
 
-func (c *Controller) checkPreconditions(req *wire.ForwardRequest) *apierror.Fault {
+func (c *Controller) checkPreconditions(req *wire.ForwardRequest) *apierror.Error {
 	for _, check := range preconditions {
 		if fault := check(c, req); fault != nil {
 			return fault
@@ -33,14 +33,14 @@
 	return nil
 }
 
-func (c *Controller) checkAccepting(*wire.ForwardRequest) *apierror.Fault {
+func (c *Controller) checkAccepting(*wire.ForwardRequest) *apierror.Error {
 	if c.closed.Load() {
 		return apierror.New(apierror.Draining, apierror.NotRun, "proxy %s is stopping", c.options.Proxy)
 	}
 	return nil
 }
 
-func (c *Controller) checkIncarnation(req *wire.ForwardRequest) *apierror.Fault {
+func (c *Controller) checkIncarnation(req *wire.ForwardRequest) *apierror.Error {
 	if req.ToIncarnation != c.options.Incarnation {
 		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "addressed to another incarnation of this proxy")
 	}
@@ -48,7 +48,7 @@
 }
 
 // checkLease rejects requests while this proxy has no lease on its configuration, unless ServeStale allows to serve without one.
-func (c *Controller) checkLease() *apierror.Fault {
+func (c *Controller) checkLease() *apierror.Error {
 	if _, live := c.options.ConfigClient.Current(); !live && !c.options.ServeStale {
 		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "proxy %s has no lease on its configuration", c.options.Proxy)
 	}
@@ -56,7 +56,7 @@
 }
 
 // checkVersion rejects requests that were routed by an outdated configuration, or by one that this proxy does not adopt in time.
-func (c *Controller) checkVersion(req *wire.ForwardRequest) *apierror.Fault {
+func (c *Controller) checkVersion(req *wire.ForwardRequest) *apierror.Error {
 	if c.options.ServeStale {
 		return nil
 	}
@@ -75,7 +75,7 @@
 
 // findService returns the configuration of a request's service in the current version, which may be newer than the one that
 // checkVersion compared with. The request is executed by what it returns.
-func (c *Controller) findService(req *wire.ForwardRequest) (*config.Service, *apierror.Fault) {
+func (c *Controller) findService(req *wire.ForwardRequest) (*config.Service, *apierror.Error) {
 	snapshot, _ := c.options.ConfigClient.Current()
 	if snapshot != nil && snapshot.Services[req.Service] != nil {
 		return snapshot.Services[req.Service], nil
--- a/internal/proxy/admission/reply.go
+++ b/internal/proxy/admission/reply.go
@@ -8,7 +8,7 @@
 )
 
 // rejection returns the reply of a request that has no response.
-func (c *Controller) rejection(req *wire.ForwardRequest, fault *apierror.Fault) *wire.ForwardResponse {
+func (c *Controller) rejection(req *wire.ForwardRequest, fault *apierror.Error) *wire.ForwardResponse {
 	version, _ := c.options.ConfigClient.Version()
 	return &wire.ForwardResponse{
 		Id:            req.Id,
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -102,7 +102,7 @@
 func (e *execution) cancellable() bool { return !e.req.RunOnce && !e.req.AtMostOnce }
 
 // execute sends a request to its backend, records what the outcome says about the backend, and returns the response.
-func (c *Controller) execute(e *execution) (*request.Response, *apierror.Fault) {
+func (c *Controller) execute(e *execution) (*request.Response, *apierror.Error) {
 	e.observation.Start()
 	response, fault := c.options.Upstream.RoundTrip(c.backendRequest(e))
 	if fault != nil && !fault.NotRun() && e.cancellable() && e.cancellation.cancelled() {
@@ -142,7 +142,7 @@
 		FreshConnection: !e.cancellable(),
 		Deadline:        e.deadline,
 		ResponseLimit:   e.req.AnswerLimit,
-		BeforeSend:      func() *apierror.Fault { return c.checkBeforeSend(e) },
+		BeforeSend:      func() *apierror.Error { return c.checkBeforeSend(e) },
 	}
 	if e.cancellable() {
 		backendRequest.OnCancel = e.cancellation.onCancel
@@ -151,7 +151,7 @@
 }
 
 // checkBeforeSend is the last check before the request is sent. It covers what may have changed while the request waited.
-func (c *Controller) checkBeforeSend(e *execution) *apierror.Fault {
+func (c *Controller) checkBeforeSend(e *execution) *apierror.Error {
 	if e.cancellation.cancelled() {
 		return apierror.New(apierror.ClientClosed, apierror.NotRun, "its caller left before it was handed over")
 	}
--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -35,7 +35,7 @@
 )
 
 // admitByState decides by the state of the shared record.
-var admitByState = map[string]func(s *Set, b *serviceBreaker, permit *Permit) *apierror.Fault{
+var admitByState = map[string]func(s *Set, b *serviceBreaker, permit *Permit) *apierror.Error{
 	breakerstore.Closed:   (*Set).admitLocally,
 	breakerstore.Open:     (*Set).rejectOpen,
 	breakerstore.HalfOpen: (*Set).admitProbe,
@@ -43,7 +43,7 @@
 
 // Admit admits one attempt to a service, or returns the fault with which it is rejected. It waits for the registry only while
 // the service's record is half open.
-func (s *Set) Admit(service *config.Service) (*Permit, *apierror.Fault) {
+func (s *Set) Admit(service *config.Service) (*Permit, *apierror.Error) {
 	b := s.forService(service.Name)
 	permit := &Permit{set: s, breaker: b, service: service, startedAt: s.config.Host.Now()}
 	state, control := b.beginAdmission(permit)
@@ -78,14 +78,14 @@
 }
 
 // rejectOpen rejects an attempt because the shared record is open.
-func (s *Set) rejectOpen(b *serviceBreaker, permit *Permit) *apierror.Fault {
+func (s *Set) rejectOpen(b *serviceBreaker, permit *Permit) *apierror.Error {
 	fault := apierror.New(apierror.BreakerOpen, apierror.NotRun, "the breaker of %s is open", b.service)
 	fault.RetryAfter = retryAfter(monotonic.Micros(permit.service.Breaker.GetWaitOpenMicros()))
 	return fault
 }
 
 // admitLocally decides by the local breaker.
-func (s *Set) admitLocally(b *serviceBreaker, permit *Permit) *apierror.Fault {
+func (s *Set) admitLocally(b *serviceBreaker, permit *Permit) *apierror.Error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	decision := b.local.admit(s.config.Host.Now(), permit.service.Breaker)
--- a/internal/proxy/breaker/probes.go
+++ b/internal/proxy/breaker/probes.go
@@ -15,7 +15,7 @@
 
 // admitProbe leases a probe from the registry. If the registry can't be reached, or the record has been closed meanwhile, the
 // local breaker decides.
-func (s *Set) admitProbe(b *serviceBreaker, permit *Permit) *apierror.Fault {
+func (s *Set) admitProbe(b *serviceBreaker, permit *Permit) *apierror.Error {
 	if s.skipProbeLeases {
 		return nil
 	}
--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -26,7 +26,7 @@
 // attemptResult is how an attempt ended: with a response or a fault.
 type attemptResult struct {
 	response *request.Response
-	fault    *apierror.Fault
+	fault    *apierror.Error
 	// retriable is true if another attempt can't make the request run twice.
 	retriable bool
 	// lastBackend is true if no other backend may be tried.
@@ -34,18 +34,18 @@
 }
 
 // fail is the result of an attempt that ended with a fault.
-func (a *attempt) fail(fault *apierror.Fault, retriable bool) attemptResult {
+func (a *attempt) fail(fault *apierror.Error, retriable bool) attemptResult {
 	return attemptResult{fault: fault, retriable: retriable, lastBackend: a.lastBackend}
 }
 
 // failNeutrally ends an attempt that is no evidence for or against its backend, and that isn't to be repeated.
-func (a *attempt) failNeutrally(fault *apierror.Fault) attemptResult {
+func (a *attempt) failNeutrally(fault *apierror.Error) attemptResult {
 	a.permit.Done(breaker.Neutral)
 	return a.fail(fault, false)
 }
 
 // notAttempted is the result if no backend was tried.
-func notAttempted(fault *apierror.Fault) attemptResult {
+func notAttempted(fault *apierror.Error) attemptResult {
 	return attemptResult{fault: fault, lastBackend: true}
 }
 
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -38,7 +38,7 @@
 
 // Breakers admits attempts to a service.
 type Breakers interface {
-	Admit(service *config.Service) (*breaker.Permit, *apierror.Fault)
+	Admit(service *config.Service) (*breaker.Permit, *apierror.Error)
 }
 
 // Admission is the backend's side of this same proxy, for backends beside it.
@@ -71,7 +71,7 @@
 	// the backend's proxy has stopped. It may be nil.
 	StoreResponse func(scope string, digest []byte, response *request.Response)
 	// OnFinished is given the outcome of each request, for counting. It must not block, and may be nil.
-	OnFinished func(exchange *Exchange, response *request.Response, fault *apierror.Fault)
+	OnFinished func(exchange *Exchange, response *request.Response, fault *apierror.Error)
 }
 
 // Forwarder forwards requests to backends. It is safe for concurrent use.
@@ -129,7 +129,7 @@
 func (f *Forwarder) Abort() { f.shutdown.Abort() }
 
 // Forward forwards a request and waits for its outcome: the backend's complete response, or a fault.
-func (f *Forwarder) Forward(req *request.Request) (*request.Response, *apierror.Fault) {
+func (f *Forwarder) Forward(req *request.Request) (*request.Response, *apierror.Error) {
 	f.inFlight.Begin()
 	defer f.inFlight.End()
 	response, fault := f.forwardUntilAborted(req)
@@ -140,7 +140,7 @@
 	return response, fault
 }
 
-func (f *Forwarder) reportRejection(req *request.Request, fault *apierror.Fault) {
+func (f *Forwarder) reportRejection(req *request.Request, fault *apierror.Error) {
 	f.config.Host.Report(eventlog.RequestRejected, eventlog.Attributes{
 		"request": req.ID,
 		"cause":   int(fault.Cause),
@@ -150,9 +150,9 @@
 }
 
 // forwardUntilAborted forwards a request on a task of its own, and stops waiting for it once the forwarder is aborted.
-func (f *Forwarder) forwardUntilAborted(req *request.Request) (*request.Response, *apierror.Fault) {
+func (f *Forwarder) forwardUntilAborted(req *request.Request) (*request.Response, *apierror.Error) {
 	var response *request.Response
-	var fault *apierror.Fault
+	var fault *apierror.Error
 	outcome := f.shutdown.Run(func(task *shutdown.Task) { response, fault = f.forward(req, task) })
 	if outcome == shutdown.Done {
 		return response, fault
@@ -167,7 +167,7 @@
 }
 
 // forward takes a request through the policies, the attempts and the verdict.
-func (f *Forwarder) forward(req *request.Request, task *shutdown.Task) (response *request.Response, fault *apierror.Fault) {
+func (f *Forwarder) forward(req *request.Request, task *shutdown.Task) (response *request.Response, fault *apierror.Error) {
 	exchange := f.newExchange(req, task)
 	defer func() {
 		if f.config.OnFinished != nil {
@@ -211,7 +211,7 @@
 }
 
 // parseTarget takes the request's own spelling of its target if it has one, else the canonical one.
-func (e *Exchange) parseTarget() *apierror.Fault {
+func (e *Exchange) parseTarget() *apierror.Error {
 	if e.Request.ParsedTarget != nil {
 		e.Target = *e.Request.ParsedTarget
 		return nil
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -135,7 +135,7 @@
 		RetryBudget:  retry.NewBudget(callHost, func(allowance uint32) float64 { return float64(allowance) }),
 		Admission:    localAdmission{ft.t},
 		CallLeader:   ft.callPrimary,
-		OnFinished:   func(exchange *Exchange, _ *request.Response, _ *apierror.Fault) { ft.exchange = exchange },
+		OnFinished:   func(exchange *Exchange, _ *request.Response, _ *apierror.Error) { ft.exchange = exchange },
 	})
 }
 
@@ -182,7 +182,7 @@
 }
 
 // expectFault checks a request's outcome; a cause of 0 stands for a response.
-func (ft *forwardTest) expectFault(response *request.Response, fault *apierror.Fault, cause apierror.Cause, verdict apierror.Verdict) {
+func (ft *forwardTest) expectFault(response *request.Response, fault *apierror.Error, cause apierror.Cause, verdict apierror.Verdict) {
 	ft.t.Helper()
 	switch {
 	case cause == 0 && fault != nil:
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -16,7 +16,7 @@
 // policy is one step that a request takes before it is forwarded.
 type policy struct {
 	// enter prepares the exchange, or rejects it with a fault.
-	enter func(exchange *Exchange) *apierror.Fault
+	enter func(exchange *Exchange) *apierror.Error
 	// leave is called once the request has its outcome, for each policy that it entered, last entered first. It may be nil.
 	leave func(exchange *Exchange)
 }
@@ -32,7 +32,7 @@
 	}
 }
 
-func (f *Forwarder) rejectWhileDraining(*Exchange) *apierror.Fault {
+func (f *Forwarder) rejectWhileDraining(*Exchange) *apierror.Error {
 	if f.draining.Load() {
 		return apierror.New(apierror.Draining, apierror.NotRun, "this proxy is stopping")
 	}
@@ -40,7 +40,7 @@
 }
 
 // resolve pins the exchange to one snapshot of the configuration, and to a route, service and deadline in it.
-func (f *Forwarder) resolve(exchange *Exchange) *apierror.Fault {
+func (f *Forwarder) resolve(exchange *Exchange) *apierror.Error {
 	snapshot, live := f.config.ConfigClient.Current()
 	if snapshot == nil {
 		return apierror.New(apierror.NotReady, apierror.NotRun, "no configuration is adopted yet")
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func configLeaseExpired(snapshot *config.Snapshot) *apierror.Fault {
+func configLeaseExpired(snapshot *config.Snapshot) *apierror.Error {
 	return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun,
 		"the lease to serve by configuration version %d has expired", snapshot.Version)
 }
@@ -80,7 +80,7 @@
 }
 
 // requireIdempotencyKey rejects a RunOnce request without a valid key, and sets its digest.
-func requireIdempotencyKey(exchange *Exchange) *apierror.Fault {
+func requireIdempotencyKey(exchange *Exchange) *apierror.Error {
 	if !exchange.RunOnce {
 		return nil
 	}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func limitBodySize(exchange *Exchange) *apierror.Fault {
+func limitBodySize(exchange *Exchange) *apierror.Error {
 	if limit := exchange.Service.Limits.GetBodyBytes(); uint64(len(exchange.Request.Body)) > limit {
 		return apierror.New(apierror.BodyTooLarge, apierror.NotRun,
 			"%d bytes, %s takes %d", len(exchange.Request.Body), exchange.Service.Name, limit)
@@ -105,7 +105,7 @@
 
 // limitInFlight rejects early what couldn't be served in time: more requests in flight than all backends may have at once.
 // Where every backend reports its slots there is no limit here, since their proxies limit the requests by their slots.
-func (f *Forwarder) limitInFlight(exchange *Exchange) *apierror.Fault {
+func (f *Forwarder) limitInFlight(exchange *Exchange) *apierror.Error {
 	service := exchange.Service
 	candidates := f.config.Session.Directory().Candidates[service.Name]
 	if len(candidates) > 0 && loadbalancer.AllReportSlots(candidates) {
--- a/internal/proxy/forward/retries.go
+++ b/internal/proxy/forward/retries.go
@@ -15,7 +15,7 @@
 )
 
 // forwardWithRetries makes the first attempt and, while that is safe, allowed and in time, further ones.
-func (f *Forwarder) forwardWithRetries(exchange *Exchange) (*request.Response, *apierror.Fault) {
+func (f *Forwarder) forwardWithRetries(exchange *Exchange) (*request.Response, *apierror.Error) {
 	tried := map[string]bool{}
 	for {
 		result := f.attemptBackend(exchange, tried)
@@ -35,7 +35,7 @@
 }
 
 // prepareRetry waits for the backoff before a retry, or returns the fault with which the request ends.
-func (f *Forwarder) prepareRetry(exchange *Exchange, failed attemptResult) *apierror.Fault {
+func (f *Forwarder) prepareRetry(exchange *Exchange, failed attemptResult) *apierror.Error {
 	fault := failed.fault
 	if fault.Cause == apierror.Overloaded {
 		// Every backend that could be tried is full. The request fails at once, with the shortest of their waits.
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -65,9 +65,9 @@
 	return a.fail(fault, retriable)
 }
 
-func rejectionFault(response *wire.ForwardResponse) *apierror.Fault {
+func rejectionFault(response *wire.ForwardResponse) *apierror.Error {
 	cause := apierror.Cause(response.Cause)
-	return &apierror.Fault{
+	return &apierror.Error{
 		Cause:      cause,
 		Verdict:    apierror.Verdict(response.Verdict),
 		RetryAfter: monotonic.Micros(response.RetryAfter),
@@ -97,7 +97,7 @@
 // confirmVerdict ensures that a verdict holds for the idempotency key, not only for one attempt. A request with a key has the
 // verdict NotRun only once the registry has voided the key's claim and fenced the key, so that no request read before can run
 // under it later. It is called once for a request, when no further attempt can follow.
-func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Fault) *apierror.Fault {
+func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Error) *apierror.Error {
 	if exchange.MayHaveRun && fault.NotRun() {
 		return asMayHaveRun(fault)
 	}
@@ -111,7 +111,7 @@
 }
 
 // asMayHaveRun is a copy of a fault with the verdict MayHaveRun.
-func asMayHaveRun(fault *apierror.Fault) *apierror.Fault {
+func asMayHaveRun(fault *apierror.Error) *apierror.Error {
 	weaker := *fault
 	weaker.Verdict = apierror.MayHaveRun
 	return &weaker
--- a/internal/proxy/ingress/error.go
+++ b/internal/proxy/ingress/error.go
@@ -21,7 +21,7 @@
 }
 
 // WriteError writes a fault as the mesh's own response to the request with an ID.
-func WriteError(writer http.ResponseWriter, id string, fault *apierror.Fault) {
+func WriteError(writer http.ResponseWriter, id string, fault *apierror.Error) {
 	headers := writer.Header()
 	headers.Set("Content-Type", "application/json")
 	headers.Set(request.RequestIDHeader, id)
--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -33,7 +33,7 @@
 
 // forwarder forwards a request and returns its response or its fault, see forward.Forwarder.Forward.
 type forwarder interface {
-	Forward(req *request.Request) (*request.Response, *apierror.Fault)
+	Forward(req *request.Request) (*request.Response, *apierror.Error)
 }
 
 // Handler takes callers' requests.
@@ -101,7 +101,7 @@
 }
 
 // read reads the rest of a request.
-func (h *Handler) read(req *request.Request, writer http.ResponseWriter, incoming *http.Request) *apierror.Fault {
+func (h *Handler) read(req *request.Request, writer http.ResponseWriter, incoming *http.Request) *apierror.Error {
 	body, fault := ReadBody(writer, incoming)
 	if fault != nil {
 		return fault
@@ -122,7 +122,7 @@
 
 // ReadBody reads the complete body of a request, of at most 32 MiB. The fault is a longer body's, or that of a body that can't
 // be read to its end.
-func ReadBody(writer http.ResponseWriter, incoming *http.Request) ([]byte, *apierror.Fault) {
+func ReadBody(writer http.ResponseWriter, incoming *http.Request) ([]byte, *apierror.Error) {
 	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
 	if err == nil {
 		return body, nil
--- a/internal/proxy/ingress/handler_test.go
+++ b/internal/proxy/ingress/handler_test.go
@@ -21,10 +21,10 @@
 type fakeForwarder struct {
 	forwarded *request.Request
 	response  *request.Response
-	fault     *apierror.Fault
+	fault     *apierror.Error
 }
 
-func (f *fakeForwarder) Forward(req *request.Request) (*request.Response, *apierror.Fault) {
+func (f *fakeForwarder) Forward(req *request.Request) (*request.Response, *apierror.Error) {
 	f.forwarded = req
 	return f.response, f.fault
 }
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -82,7 +82,7 @@
 
 // Pick chooses a backend of a service and counts an attempt at it as in flight until its Release is called. It fails only if
 // the directory has no backend of the service.
-func (b *Balancer) Pick(directory *session.Directory, criteria Criteria) (Pick, *apierror.Fault) {
+func (b *Balancer) Pick(directory *session.Directory, criteria Criteria) (Pick, *apierror.Error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	candidates := directory.Candidates[criteria.Service]
--- a/internal/proxy/localbackends/localbackends_test.go
+++ b/internal/proxy/localbackends/localbackends_test.go
@@ -19,7 +19,7 @@
 				t.Error(err)
 			}
 		}
-		admit := func() (*localbackends.Slot, *apierror.Fault) {
+		admit := func() (*localbackends.Slot, *apierror.Error) {
 			return backends.AdmitUncounted(localbackends.Request{Instance: "first", Service: "forms"}, 4)
 		}
 		register()
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -18,7 +18,7 @@
 
 // Observe admits a request by the outlier detection of its backend, or rejects it because the backend is ejected. A rejected request
 // has not run.
-func (s *Set) Observe(instance string, request outlier.RequestInfo) (*Observation, *apierror.Fault) {
+func (s *Set) Observe(instance string, request outlier.RequestInfo) (*Observation, *apierror.Error) {
 	s.mu.Lock()
 	state := s.entries[instance]
 	if state == nil {
--- a/internal/proxy/localbackends/set.go
+++ b/internal/proxy/localbackends/set.go
@@ -121,7 +121,7 @@
 }
 
 // CheckAvailable returns the fault because of which an instance of a service takes no requests, or nil.
-func (s *Set) CheckAvailable(instance, service string) *apierror.Fault {
+func (s *Set) CheckAvailable(instance, service string) *apierror.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.checkAvailable(s.entries[instance], instance, service)
@@ -136,7 +136,7 @@
 }
 
 // checkAvailable does the work of CheckAvailable. state is nil for an unknown instance. mu is held.
-func (s *Set) checkAvailable(state *backendState, instance, service string) *apierror.Fault {
+func (s *Set) checkAvailable(state *backendState, instance, service string) *apierror.Error {
 	if state == nil || state.Service != service {
 		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s of %s here", instance, service)
 	}
--- a/internal/proxy/localbackends/slots.go
+++ b/internal/proxy/localbackends/slots.go
@@ -58,14 +58,14 @@
 }
 
 // CheckCapacity returns the fault with which AdmitUncounted would reject a request now, or nil. It takes no slot.
-func (s *Set) CheckCapacity(instance, service string, limit uint32, runOnce bool) *apierror.Fault {
+func (s *Set) CheckCapacity(instance, service string, limit uint32, runOnce bool) *apierror.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.checkCapacity(s.entries[instance], instance, service, limit, runOnce)
 }
 
 // checkCapacity does the work of CheckCapacity. mu is held.
-func (s *Set) checkCapacity(state *backendState, instance, service string, limit uint32, runOnce bool) *apierror.Fault {
+func (s *Set) checkCapacity(state *backendState, instance, service string, limit uint32, runOnce bool) *apierror.Error {
 	if fault := s.checkAvailable(state, instance, service); fault != nil {
 		return fault
 	}
@@ -77,7 +77,7 @@
 }
 
 // AdmitUncounted admits a request to a backend that does not report its number of slots, while fewer than limit are in flight there.
-func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Fault) {
+func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.entries[request.Instance]
@@ -89,7 +89,7 @@
 
 // Admit takes a slot for a request at a backend that reports its number of slots, after a wait if necessary, or rejects the request,
 // which then has not run.
-func (s *Set) Admit(request Request) (*Slot, *apierror.Fault) {
+func (s *Set) Admit(request Request) (*Slot, *apierror.Error) {
 	waiting, fault := s.enqueue(request)
 	if fault != nil {
 		return nil, fault
@@ -112,7 +112,7 @@
 }
 
 // enqueue enters a request into its backend's pool.
-func (s *Set) enqueue(request Request) (*waitingRequest, *apierror.Fault) {
+func (s *Set) enqueue(request Request) (*waitingRequest, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.entries[request.Instance]
@@ -138,7 +138,7 @@
 }
 
 // finishAdmission returns the slot of a request whose ticket does not wait any more, or the fault.
-func (s *Set) finishAdmission(waiting *waitingRequest, request Request) (*Slot, *apierror.Fault) {
+func (s *Set) finishAdmission(waiting *waitingRequest, request Request) (*Slot, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pool := waiting.backend.slots
@@ -161,7 +161,7 @@
 }
 
 // checkOpen rejects requests to an unavailable backend, and all requests after Close. mu is held.
-func (s *Set) checkOpen(state *backendState, request Request) *apierror.Fault {
+func (s *Set) checkOpen(state *backendState, request Request) *apierror.Error {
 	if s.closed {
 		return apierror.New(apierror.Draining, apierror.NotRun, "this proxy is stopping")
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -46,7 +46,7 @@
 	// The store must have the same setting.
 	ServeStale bool
 	// OnFinished is called with the outcome of each request of a caller: either response or fault is nil. Nil for no calls.
-	OnFinished func(exchange *forward.Exchange, response *request.Response, fault *apierror.Fault)
+	OnFinished func(exchange *forward.Exchange, response *request.Response, fault *apierror.Error)
 	// IdempotencyTTL is how long the responses to idempotency keys are recorded. It must be as long as the registry keeps the
 	// keys. Zero means two minutes.
 	IdempotencyTTL monotonic.Micros
--- a/internal/proxy/retry/jitter.go
+++ b/internal/proxy/retry/jitter.go
@@ -47,7 +47,7 @@
 
 // Apply adds the jitter to a rejection's Retry-After. A fault without one is left alone, and so is a measured wait: it comes
 // from a backend's queue, which already spreads the callers' return.
-func (j *Jitter) Apply(fault *apierror.Fault) {
+func (j *Jitter) Apply(fault *apierror.Error) {
 	if fault.RetryAfter == 0 || fault.RetryAfterMeasured || j.disabled {
 		return
 	}
--- a/internal/proxy/retry/state.go
+++ b/internal/proxy/retry/state.go
@@ -37,7 +37,7 @@
 
 // AttemptResult is how one attempt ended.
 type AttemptResult struct {
-	Fault       *apierror.Fault // nil if the backend responded
+	Fault       *apierror.Error // nil if the backend responded
 	Retriable   bool            // another attempt can't make the request run twice
 	LastBackend bool            // no other backend was left to try
 }
@@ -93,7 +93,7 @@
 }
 
 // observeRetryAfter records the Retry-After of an overloaded backend if it is the shortest so far.
-func (s *State) observeRetryAfter(fault *apierror.Fault) {
+func (s *State) observeRetryAfter(fault *apierror.Error) {
 	if fault.Cause != apierror.Overloaded || fault.RetryAfter <= 0 {
 		return
 	}
--- a/internal/proxy/retry/state_test.go
+++ b/internal/proxy/retry/state_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-func overloaded(retryAfter monotonic.Micros) *apierror.Fault {
+func overloaded(retryAfter monotonic.Micros) *apierror.Error {
 	fault := apierror.New(apierror.Overloaded, apierror.NotRun, "full")
 	fault.RetryAfter = retryAfter
 	return fault
@@ -23,7 +23,7 @@
 	unreached, lost := apierror.New(apierror.ForwardUnreachable, apierror.NotRun, ""), apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "")
 	declined, older := apierror.New(apierror.NotExecuted, apierror.NotRun, ""), apierror.New(apierror.VersionOlder, apierror.NotRun, "")
 	type attempt struct {
-		fault        *apierror.Fault
+		fault        *apierror.Error
 		lastBackend  bool
 		redispatched bool
 	}
--- a/internal/proxy/upstream/helpers_test.go
+++ b/internal/proxy/upstream/helpers_test.go
@@ -47,6 +47,6 @@
 		Body:          body,
 		Deadline:      b.clock.Now() + monotonic.Minute,
 		ResponseLimit: 1 << 20,
-		BeforeSend:    func() *apierror.Fault { return nil },
+		BeforeSend:    func() *apierror.Error { return nil },
 	}
 }
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -16,7 +16,7 @@
 const maxInterim = 4
 
 // readResponse reads the response to a request, and reports whether the connection may be used again.
-func (c *backendConn) readResponse(req admission.BackendRequest, dialect Dialect) (*request.Response, bool, *apierror.Fault) {
+func (c *backendConn) readResponse(req admission.BackendRequest, dialect Dialect) (*request.Response, bool, *apierror.Error) {
 	head, fault := c.readHead(req)
 	if fault != nil {
 		return nil, false, fault
@@ -43,7 +43,7 @@
 }
 
 // readHead reads the status and the headers of a response, past any interim ones.
-func (c *backendConn) readHead(req admission.BackendRequest) (*http.Response, *apierror.Fault) {
+func (c *backendConn) readHead(req admission.BackendRequest) (*http.Response, *apierror.Error) {
 	c.readLimit = int64(req.ResponseLimit) + maxHeaderBytes
 	c.limited.N = c.readLimit
 	httpRequest := &http.Request{Method: req.Method}
@@ -64,7 +64,7 @@
 	}
 }
 
-func readBody(req admission.BackendRequest, head *http.Response) ([]byte, *apierror.Fault) {
+func readBody(req admission.BackendRequest, head *http.Response) ([]byte, *apierror.Error) {
 	limit := int64(req.ResponseLimit)
 	if head.ContentLength > limit {
 		return nil, apierror.New(apierror.ResponseTooLarge, apierror.MayHaveRun,
@@ -85,7 +85,7 @@
 }
 
 // malformed returns the fault of a response that is incomplete, not HTTP, or followed by more bytes than it announced.
-func malformed(req admission.BackendRequest, format string, arguments ...any) *apierror.Fault {
+func malformed(req admission.BackendRequest, format string, arguments ...any) *apierror.Error {
 	return apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", req.Backend.Instance, fmt.Sprintf(format, arguments...))
 }
 
--- a/internal/proxy/upstream/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -127,7 +127,7 @@
 		FreshConnection: e.once,
 		Deadline:        clock.Now() + requestTimeout,
 		ResponseLimit:   responseLimit,
-		BeforeSend: func() *apierror.Fault {
+		BeforeSend: func() *apierror.Error {
 			if e.leaving {
 				return apierror.New(apierror.BackendLeaving, apierror.NotRun, "leaving")
 			}
@@ -136,7 +136,7 @@
 	}
 }
 
-func formatOutcome(response *request.Response, fault *apierror.Fault) string {
+func formatOutcome(response *request.Response, fault *apierror.Error) string {
 	if fault != nil {
 		return fmt.Sprintf("%d %s %s, the backend's: %v\n", fault.Status(), fault.Cause.Name(), fault.Verdict, fault.Backend)
 	}
--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -49,7 +49,7 @@
 }
 
 // RoundTrip sends one request to its backend and returns the complete response.
-func (t *Transport) RoundTrip(req admission.BackendRequest) (*request.Response, *apierror.Fault) {
+func (t *Transport) RoundTrip(req admission.BackendRequest) (*request.Response, *apierror.Error) {
 	deadline := time.Now().Add((req.Deadline - t.clock.Now()).Duration())
 	conn, fault := t.connect(req, deadline)
 	if fault != nil {
@@ -68,7 +68,7 @@
 // exchange sends a request on a connection and reads the response. It reports whether the connection may be used again.
 func (t *Transport) exchange(
 	conn *backendConn, req admission.BackendRequest, deadline time.Time,
-) (response *request.Response, reusable bool, fault *apierror.Fault) {
+) (response *request.Response, reusable bool, fault *apierror.Error) {
 	if req.OnCancel != nil {
 		stop := req.OnCancel(func() { _ = conn.net.Close() }) // most backends drop a request whose connection has closed
 		defer stop()
@@ -85,7 +85,7 @@
 }
 
 // send writes a request to a connection.
-func (t *Transport) send(conn *backendConn, req admission.BackendRequest) *apierror.Fault {
+func (t *Transport) send(conn *backendConn, req admission.BackendRequest) *apierror.Error {
 	written, err := conn.net.Write(t.encode(conn, req))
 	if err == nil {
 		return nil
@@ -110,7 +110,7 @@
 }
 
 // connect returns an idle connection to a request's backend, or a new one.
-func (t *Transport) connect(req admission.BackendRequest, deadline time.Time) (*backendConn, *apierror.Fault) {
+func (t *Transport) connect(req admission.BackendRequest, deadline time.Time) (*backendConn, *apierror.Error) {
 	if conn := t.reuse(req); conn != nil {
 		return conn, nil
 	}
--- a/internal/simulation/scenario/caller_cancelled_test.go
+++ b/internal/simulation/scenario/caller_cancelled_test.go
@@ -70,7 +70,7 @@
 			if ran != 1 || running() != 0 {
 				t.Errorf("%s, seed %d: %d runs, %d at work", test.name, seed, ran, running())
 			}
-			rejected := new(apierror.Fault)
+			rejected := new(apierror.Error)
 			if !test.goesOn && (!errors.As(fault, &rejected) || rejected.Cause != apierror.ClientClosed || rejected.NotRun()) {
 				t.Errorf("%s, seed %d: %v", test.name, seed, fault)
 			}
@@ -88,7 +88,7 @@
 		for _, req := range []request.Request{{ID: "r-1", Method: "GET", Target: "/forms/1"}, {ID: "s-1", Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}} {
 			began := mesh.World.Now()
 			_, fault := mesh.forward(mesh.proxyNames[0], &req)
-			rejected := new(apierror.Fault)
+			rejected := new(apierror.Error)
 			if took := mesh.World.Now() - began; took < cutoff-monotonic.Second || took > cutoff+500*monotonic.Millisecond || errors.As(fault, &rejected) && rejected.NotRun() {
 				t.Errorf("seed %d: %s ended after %d microseconds: %v", seed, req.ID, took, fault)
 			}
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -111,7 +111,7 @@
 	RetryAfter monotonic.Micros
 }
 
-func newCallerReply(response *request.Response, fault *apierror.Fault) callerReply {
+func newCallerReply(response *request.Response, fault *apierror.Error) callerReply {
 	if fault != nil {
 		return callerReply{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), RetryAfter: fault.RetryAfter}
 	}
@@ -137,7 +137,7 @@
 // send sends one attempt through its proxy and completes it. It returns the Retry-After of the response, zero if it has none.
 func (m *Mesh) send(attempt *invariants.Attempt) (retryAfter monotonic.Micros) {
 	read := false
-	reply, err := m.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Fault, error) {
+	reply, err := m.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
 		if m.refusingCallers[attempt.Caller] {
 			return nil, nil, apierror.Refused.New("the listener is closed")
 		}
@@ -165,7 +165,7 @@
 
 // transactReply runs a request in the process of the attempt's proxy and completes the attempt with its result. The error is that
 // of the transport.
-func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Fault, error)) (reply callerReply, err error) {
+func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error)) (reply callerReply, err error) {
 	content, err := m.External.Transact(m.World.Node(attempt.Caller).Address, callerTimeout, func(*world.Node) ([]byte, error) {
 		response, fault, err := forward(m.proxies[attempt.Caller])
 		if err != nil {
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -56,7 +56,7 @@
 				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
 				singles[attempt.ID] = attempt
 				mesh.History.RecordAttempt(attempt)
-				_, _ = mesh.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Fault, error) {
+				_, _ = mesh.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
 					began := instance.Now()
 					response, fault := instance.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: instance.LeaderClock()})
 					if instance.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -33,7 +33,7 @@
 }
 
 // RoundTrip passes a request on to its backend and returns the response.
-func (u *simulatedUpstream) RoundTrip(order admission.BackendRequest) (*request.Response, *apierror.Fault) {
+func (u *simulatedUpstream) RoundTrip(order admission.BackendRequest) (*request.Response, *apierror.Error) {
 	u.delay()
 	backend, fault := u.dial(order)
 	if fault != nil {
@@ -73,7 +73,7 @@
 	u.host.Sleep(monotonic.Micros(100 + u.mesh.World.Rand().Uint64N(1500)))
 }
 
-func (u *simulatedUpstream) delayUntilDeadline(order admission.BackendRequest) *apierror.Fault {
+func (u *simulatedUpstream) delayUntilDeadline(order admission.BackendRequest) *apierror.Error {
 	u.delay()
 	if u.host.Now() >= order.Deadline {
 		return apierror.New(apierror.ResponseTimeout, apierror.MayHaveRun, "deadline exceeded")
@@ -82,7 +82,7 @@
 }
 
 // dial returns the backend that listens at the request's address, once it has identified itself.
-func (u *simulatedUpstream) dial(order admission.BackendRequest) (*simulatedBackend, *apierror.Fault) {
+func (u *simulatedUpstream) dial(order admission.BackendRequest) (*simulatedBackend, *apierror.Error) {
 	var target *simulatedBackend
 	for _, backend := range u.mesh.backends {
 		if backend.up && backend.address == order.Backend.Address {
@@ -100,7 +100,7 @@
 }
 
 // work passes the time that the backend works, which ends early if the request is cancelled.
-func (u *simulatedUpstream) work(order admission.BackendRequest, present behavior) *apierror.Fault {
+func (u *simulatedUpstream) work(order admission.BackendRequest, present behavior) *apierror.Error {
 	duration := u.mesh.workDuration
 	if present == slow {
 		duration += slowWork
@@ -159,7 +159,7 @@
 }
 
 // respond returns the response of a backend that has worked on a request.
-func (m *Mesh) respond(backend *simulatedBackend, present behavior, attempt string, body []byte) (*request.Response, *apierror.Fault) {
+func (m *Mesh) respond(backend *simulatedBackend, present behavior, attempt string, body []byte) (*request.Response, *apierror.Error) {
 	response := &request.Response{
 		Status:  http.StatusOK,
 		Body:    body,
