--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -28,7 +28,7 @@
 	name, voters := program.Settings["name"], program.Settings.List("voters")
 	// The archive is best effort: the replicated log is authoritative, and a lost or outdated archive is rewritten from it.
 	objects := archive.Open(filepath.Join(program.Settings["data"], archiveFolder), func(err error) {
-		program.Host.Report(eventlog.ObjectStoreFailed, map[string]any{"error": err.Error()})
+		program.Host.Report(eventlog.ObjectStoreFailed, eventlog.Attributes{"error": err.Error()})
 	})
 	store, err := configstore.Open(configstore.Options{
 		Host:       program.Host,
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -53,7 +53,7 @@
 	// An apply under a number below the newest is acknowledged but changes nothing, so it isn't reported.
 	superseded := request.Version > 0 && response.Version != request.Version
 	if !superseded {
-		s.options.Host.Report(eventlog.ConfigAccepted, map[string]any{"serial": response.Version, "digest": response.Digest})
+		s.options.Host.Report(eventlog.ConfigAccepted, eventlog.Attributes{"serial": response.Version, "digest": response.Digest})
 	}
 	return s.acknowledge(response)
 }
@@ -64,7 +64,7 @@
 	for _, fieldError := range fieldErrors {
 		response.Errors = append(response.Errors, fieldError.String())
 	}
-	s.options.Host.Report(eventlog.ConfigRejected, map[string]any{"faults": response.Errors})
+	s.options.Host.Report(eventlog.ConfigRejected, eventlog.Attributes{"faults": response.Errors})
 	return response
 }
 
@@ -116,7 +116,7 @@
 		adopted, recheck := s.checkAdoption(version)
 		if adopted {
 			s.adoptions.unsubscribe(signal)
-			host.Report(eventlog.ConfigPropagated, map[string]any{"serial": version, "micros": int64(host.Now() - started)})
+			host.Report(eventlog.ConfigPropagated, eventlog.Attributes{"serial": version, "micros": int64(host.Now() - started)})
 			return true
 		}
 		remaining := deadline - host.Now()
--- a/internal/eventlog/attributes.go
+++ b/internal/eventlog/attributes.go
@@ -2,7 +2,7 @@
 
 // Attributes are an event's attributes by key, each of a type that encoding/json encodes. They are written beside the event's
 // text; the keys event, program and name are the log's own.
-type Attributes = map[string]any
+type Attributes map[string]any
 
 // Incarnation returns the attributes of an event about one incarnation of a proxy.
 func Incarnation(proxy string, incarnation uint64) Attributes {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowflow/internal/apierror"
+	"snowflow/internal/eventlog"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/transport/wire"
 	"snowflow/internal/wal"
@@ -32,7 +33,7 @@
 	// Disk returns the process's data folder, or nil if it has none.
 	Disk() wal.Disk
 	// Report publishes an event of eventlog.Catalogue.
-	Report(number int, attributes map[string]any)
+	Report(number int, attributes eventlog.Attributes)
 	// Stop ends the process at once, for example after a failed sync. It may return before the process has ended.
 	Stop(reason string)
 }
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -46,7 +46,7 @@
 func (m *Machine) Disk() wal.Disk { return m.disk }
 
 // Report publishes an event.
-func (m *Machine) Report(number int, attributes map[string]any) {
+func (m *Machine) Report(number int, attributes eventlog.Attributes) {
 	m.events.Publish(number, attributes)
 }
 
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -120,7 +120,7 @@
 			c.releaseClaim(e.req)
 		}
 		if number := reportedFaults[fault.Cause]; number > 0 {
-			c.options.Host.Report(number, map[string]any{"instance": backend.Instance, "detail": fault.Detail})
+			c.options.Host.Report(number, eventlog.Attributes{"instance": backend.Instance, "detail": fault.Detail})
 		}
 		return nil, fault
 	}
--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -76,7 +76,7 @@
 	c.mu.Lock()
 	c.stats.Rejected++
 	c.mu.Unlock()
-	c.host.Report(eventlog.DeltaRejected, map[string]any{
+	c.host.Report(eventlog.DeltaRejected, eventlog.Attributes{
 		"serial": response.Version,
 		"have":   version,
 		"bytes":  len(response.Difference),
@@ -90,7 +90,7 @@
 func (c *Client) compileFull(response *wire.ConfigPollResponse) *candidate {
 	state, fieldErrors := c.options.Parse(response.Content)
 	if len(fieldErrors) > 0 {
-		c.host.Report(eventlog.ConfigRejected, map[string]any{
+		c.host.Report(eventlog.ConfigRejected, eventlog.Attributes{
 			"serial": response.Version,
 			"error":  fieldErrors[0].String(),
 			"faults": len(fieldErrors),
@@ -135,7 +135,7 @@
 	for _, waiter := range waiters {
 		waiter.Fire()
 	}
-	c.host.Report(eventlog.ConfigAdopted, map[string]any{
+	c.host.Report(eventlog.ConfigAdopted, eventlog.Attributes{
 		"serial":     next.snapshot.Version,
 		"difference": isDifference,
 		"bytes":      max(len(response.Difference), len(response.Content)),
@@ -180,6 +180,6 @@
 	c.lapseReported = c.lapseReported || lapsed
 	c.mu.Unlock()
 	if lapsed {
-		c.host.Report(eventlog.ConfigLeaseExpired, map[string]any{})
+		c.host.Report(eventlog.ConfigLeaseExpired, eventlog.Attributes{})
 	}
 }
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -58,7 +58,7 @@
 	}
 	c.resolver.ObservePrimaries(response.Primaries)
 	if err := decompress(response); err != nil {
-		c.host.Report(eventlog.ConfigRejected, map[string]any{"serial": response.Version, "error": err.Error()})
+		c.host.Report(eventlog.ConfigRejected, eventlog.Attributes{"serial": response.Version, "error": err.Error()})
 		return false
 	}
 	if !response.Primary {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -40,7 +40,7 @@
 	h := p.options.Host
 	deadline := h.Now() + grace
 	replyDeadline := deadline - min(grace/finalReplyDivisor, finalReplyTime)
-	h.Report(eventlog.ProcessDraining, map[string]any{"running": p.Forwarder.InFlight() + p.Admission.InFlight()})
+	h.Report(eventlog.ProcessDraining, eventlog.Attributes{"running": p.Forwarder.InFlight() + p.Admission.InFlight()})
 	propagation := p.linger(replyDeadline)
 	p.leaving.Store(true)
 	p.Session.PollNow()
@@ -58,7 +58,7 @@
 	answered = p.Admission.Drain(deadline-h.Now()) && answered
 	p.ConfigClient.Release(min(max(deadline-h.Now(), minLeaseReleaseTime), maxLeaseReleaseTime))
 	p.Breakers.Close(min(max(deadline-h.Now(), 0), maxBreakerCloseTime))
-	h.Report(eventlog.ProcessDrained, map[string]any{"answered": answered, "whole": complete})
+	h.Report(eventlog.ProcessDrained, eventlog.Attributes{"answered": answered, "whole": complete})
 	return answered
 }
 
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -75,7 +75,7 @@
 		if change.Ejected {
 			number = eventlog.BackendEjected
 		}
-		s.host.Report(number, map[string]any{
+		s.host.Report(number, eventlog.Attributes{
 			"service":  backend.Service,
 			"instance": backend.Instance,
 			"callers":  change.Domain,
--- a/internal/proxy/localbackends/registration.go
+++ b/internal/proxy/localbackends/registration.go
@@ -123,7 +123,7 @@
 func (s *Set) Sweep() {
 	overdue := s.sweep()
 	for _, instance := range overdue {
-		s.host.Report(eventlog.BackendHeartbeatOverdue, map[string]any{"instance": instance})
+		s.host.Report(eventlog.BackendHeartbeatOverdue, eventlog.Attributes{"instance": instance})
 	}
 	if len(overdue) > 0 {
 		s.onChange()
@@ -186,7 +186,7 @@
 }
 
 func (s *Set) reportRegistered(backend Backend) {
-	s.host.Report(eventlog.BackendRegistered, map[string]any{
+	s.host.Report(eventlog.BackendRegistered, eventlog.Attributes{
 		"service":  backend.Service,
 		"instance": backend.Instance,
 		"address":  backend.Address,
@@ -194,5 +194,5 @@
 }
 
 func (s *Set) reportLeft(instance, condition string) {
-	s.host.Report(eventlog.BackendLeft, map[string]any{"instance": instance, "condition": condition})
+	s.host.Report(eventlog.BackendLeft, eventlog.Attributes{"instance": instance, "condition": condition})
 }
--- a/internal/proxy/session/poll.go
+++ b/internal/proxy/session/poll.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		c.updates.Rejected++
 		c.snapshot.invalidate()
-		c.host.Report(eventlog.DirectoryUpdateRejected, map[string]any{
+		c.host.Report(eventlog.DirectoryUpdateRejected, eventlog.Attributes{
 			"serial": response.DirectoryVersion,
 			"have":   c.snapshot.version,
 			"error":  err.Error(),
--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -37,8 +37,8 @@
 // TestAdoptionsAreRecorded checks that only events of adopted configurations set the time of a version's adoption.
 func TestAdoptionsAreRecorded(t *testing.T) {
 	incarnationHost := newIncarnation()
-	incarnationHost.Report(eventlog.ConfigAdopted, map[string]any{"serial": uint64(3)})
-	incarnationHost.Report(eventlog.ClockSteppedBack, map[string]any{"serial": uint64(4)})
+	incarnationHost.Report(eventlog.ConfigAdopted, eventlog.Attributes{"serial": uint64(3)})
+	incarnationHost.Report(eventlog.ClockSteppedBack, eventlog.Attributes{"serial": uint64(4)})
 	if _, known := incarnationHost.adoptedAt(3); !known {
 		t.Error("the adoption was not recorded")
 	}
--- a/internal/rehearse/hollow/incarnation.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -71,7 +71,7 @@
 }
 
 // Report records the time at which a configuration was adopted. Other events are dropped, as thousands of proxies would share one log.
-func (i *incarnation) Report(number int, fields map[string]any) {
+func (i *incarnation) Report(number int, fields eventlog.Attributes) {
 	if number != eventlog.ConfigAdopted {
 		return
 	}
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -100,7 +100,7 @@
 	m.mu.Unlock()
 	if serving {
 		names := consensus.MemberNames(backups)
-		m.host.Report(eventlog.PrimaryReady, map[string]any{"group": m.config.Group, "epoch": epoch, "backup": names[0], "backups": names})
+		m.host.Report(eventlog.PrimaryReady, eventlog.Attributes{"group": m.config.Group, "epoch": epoch, "backup": names[0], "backups": names})
 	}
 	return serving
 }
@@ -108,7 +108,7 @@
 // dropBackups makes this primary stop serving until other backups are in sync.
 func (m *Member) dropBackups(backups []*wire.MemberID, reason string) {
 	for _, backup := range backups {
-		m.host.Report(eventlog.BackupLost, map[string]any{"group": m.config.Group, "backup": backup.Name, "error": reason})
+		m.host.Report(eventlog.BackupLost, eventlog.Attributes{"group": m.config.Group, "backup": backup.Name, "error": reason})
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -178,7 +178,7 @@
 	if value.Epoch == 1 {
 		event = eventlog.GroupBootstrapped
 	}
-	m.host.Report(event, map[string]any{"group": m.config.Group, "epoch": value.Epoch})
+	m.host.Report(event, eventlog.Attributes{"group": m.config.Group, "epoch": value.Epoch})
 	m.renewLease()
 	m.wakeCommits() // to establish backups
 }
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -25,7 +25,7 @@
 	m.releaseLease(state)
 	if len(state.backups) > 0 {
 		successor := state.backups[0].Name
-		m.host.Report(eventlog.LeadershipTransferred, map[string]any{"group": m.config.Group, "to": successor, "why": reason})
+		m.host.Report(eventlog.LeadershipTransferred, eventlog.Attributes{"group": m.config.Group, "to": successor, "why": reason})
 		request := &wire.HandoverRequest{
 			To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys,
 		}
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -79,7 +79,7 @@
 		if err := m.saveRecord(m.voter.Join(found.promised, found.accepted, found.value)); err != nil {
 			return // joinAsVoter is tried again
 		}
-		m.host.Report(eventlog.VoterJoined, map[string]any{"group": m.config.Group, "genesis": found.bootstrap, "promised": found.promised})
+		m.host.Report(eventlog.VoterJoined, eventlog.Attributes{"group": m.config.Group, "genesis": found.bootstrap, "promised": found.promised})
 	})
 }
 
@@ -107,7 +107,7 @@
 		if err := m.saveRecord(m.voter.Join(response.Proposal, response.Proposal, response.Value)); err != nil {
 			return
 		}
-		m.host.Report(eventlog.VoterEnrolled, map[string]any{"group": m.config.Group, "primary": primary, "voters": response.Value.Voters})
+		m.host.Report(eventlog.VoterEnrolled, eventlog.Attributes{"group": m.config.Group, "primary": primary, "voters": response.Value.Voters})
 	})
 }
 
--- a/internal/replication/leaderclock.go
+++ b/internal/replication/leaderclock.go
@@ -85,7 +85,7 @@
 	}
 	if agreed < proposed {
 		m.replicaExecutor.Run(func() { agreed = max(m.replica.leaderClock, agreed) })
-		m.host.Report(eventlog.LeaderClockBounded, map[string]any{"group": m.config.Group, "micros": int64(proposed - agreed)})
+		m.host.Report(eventlog.LeaderClockBounded, eventlog.Attributes{"group": m.config.Group, "micros": int64(proposed - agreed)})
 	}
 	state.clock = primaryClock{base: agreed, baseAt: m.host.Now(), confirmedAt: m.host.Now()}
 	m.mu.Lock()
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -85,7 +85,7 @@
 	}
 	m.mu.Unlock()
 	if leading {
-		m.host.Report(eventlog.SteppedDown, map[string]any{"group": m.config.Group, "epoch": epoch, "why": reason})
+		m.host.Report(eventlog.SteppedDown, eventlog.Attributes{"group": m.config.Group, "epoch": epoch, "why": reason})
 	}
 }
 
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -27,12 +27,12 @@
 	m.transferLeadership(reason, m.config.Name)
 	for m.host.Now() < deadline && !m.config.LeaveAtOnce {
 		if m.requestLeave(deadline - m.host.Now()) {
-			m.host.Report(eventlog.MemberReleased, map[string]any{"group": m.config.Group})
+			m.host.Report(eventlog.MemberReleased, eventlog.Attributes{"group": m.config.Group})
 			return
 		}
 		m.host.Sleep(min(leavePollInterval, max(0, deadline-m.host.Now())))
 	}
-	m.host.Report(eventlog.MemberNotReleased, map[string]any{"group": m.config.Group})
+	m.host.Report(eventlog.MemberNotReleased, eventlog.Attributes{"group": m.config.Group})
 }
 
 // requestLeave asks the primary whether this member may go.
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -144,7 +144,7 @@
 		m.change.proposedVoters = map[string]bool{} // this value supersedes earlier proposals
 		m.mu.Unlock()
 	}
-	m.host.Report(eventlog.MembershipChanged, map[string]any{"group": m.config.Group, "voters": value.Voters, "joint": value.JointVoters})
+	m.host.Report(eventlog.MembershipChanged, eventlog.Attributes{"group": m.config.Group, "voters": value.Voters, "joint": value.JointVoters})
 	m.renewLease()
 	m.wakeup.Fire() // the next step may be due
 }
--- a/internal/replication/replica_handlers.go
+++ b/internal/replication/replica_handlers.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	m.followPrimary(epoch)
-	m.host.Report(eventlog.SnapshotInstalled, map[string]any{"group": m.config.Group, "epoch": epoch, "bytes": len(snapshot.Content)})
+	m.host.Report(eventlog.SnapshotInstalled, eventlog.Attributes{"group": m.config.Group, "epoch": epoch, "bytes": len(snapshot.Content)})
 	return nil
 }
 
@@ -107,6 +107,6 @@
 		return "", err
 	}
 	m.followPrimary(request.Epoch)
-	m.host.Report(eventlog.ReplicaCaughtUp, map[string]any{"group": m.config.Group, "epoch": request.Epoch, "entries": len(request.Entries)})
+	m.host.Report(eventlog.ReplicaCaughtUp, eventlog.Attributes{"group": m.config.Group, "epoch": request.Epoch, "entries": len(request.Entries)})
 	return "", nil
 }
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -88,7 +88,7 @@
 		return
 	}
 	if relief == transferToBackup {
-		m.host.Report(eventlog.DiskSlow, map[string]any{"group": m.config.Group})
+		m.host.Report(eventlog.DiskSlow, eventlog.Attributes{"group": m.config.Group})
 		m.transferLeadership(reasonOwnDiskSlow, "")
 		return
 	}
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -29,7 +29,7 @@
 	file := s.fileName(name)
 	log, err := wal.Open(s.host.Disk(), file, replay)
 	if isCorrupt(err) {
-		s.host.Report(eventlog.DiskCorrupted, map[string]any{"file": file, "error": err.Error()})
+		s.host.Report(eventlog.DiskCorrupted, eventlog.Attributes{"file": file, "error": err.Error()})
 		if log, err = wal.Recreate(s.host.Disk(), file); err == nil {
 			err = reset()
 		}
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	if log.TruncatedBytes > 0 {
-		s.host.Report(eventlog.DiskTornTail, map[string]any{"file": file, "bytes": log.TruncatedBytes})
+		s.host.Report(eventlog.DiskTornTail, eventlog.Attributes{"file": file, "bytes": log.TruncatedBytes})
 	}
 	return log, nil
 }
@@ -48,7 +48,7 @@
 
 // releaseReserve frees the reserved space after the disk has become full, and reports whether it did.
 func (s *storage) releaseReserve() bool {
-	s.host.Report(eventlog.DiskFull, map[string]any{"group": s.group})
+	s.host.Report(eventlog.DiskFull, eventlog.Attributes{"group": s.group})
 	return wal.ReleaseReservedSpace(s.host.Disk()) == nil
 }
 
@@ -68,7 +68,7 @@
 	s.stopped = true
 	s.mu.Unlock()
 	if !already {
-		s.host.Report(eventlog.DiskSyncFailed, map[string]any{"group": s.group, "error": reason})
+		s.host.Report(eventlog.DiskSyncFailed, eventlog.Attributes{"group": s.group, "error": reason})
 		s.host.Stop(reason)
 	}
 }
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -197,6 +197,6 @@
 	m.reportedMismatch = reason
 	m.mu.Unlock()
 	if reported != reason {
-		m.host.Report(eventlog.VotersDiffer, map[string]any{"group": m.config.Group, "why": reason})
+		m.host.Report(eventlog.VotersDiffer, eventlog.Attributes{"group": m.config.Group, "why": reason})
 	}
 }
--- a/internal/simulation/world/host.go
+++ b/internal/simulation/world/host.go
@@ -1,6 +1,7 @@
 package world
 
 import (
+	"snowflow/internal/eventlog"
 	"snowflow/internal/host"
 	"snowflow/internal/monotonic"
 	"snowflow/internal/wal"
@@ -39,7 +40,7 @@
 func (h *Host) Disk() wal.Disk { return h.node.Disk }
 
 // Report passes an event on to the world's Trace.
-func (h *Host) Report(number int, fields map[string]any) {
+func (h *Host) Report(number int, fields eventlog.Attributes) {
 	w := h.node.world
 	if w.Trace != nil {
 		w.Trace(w.now, h.node.Name, number, fields)
