--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -1,4 +1,3 @@
-// Package docscheck keeps the documents in step with the code they describe.
 package docscheck
 
 import (
