--- a/internal/proxy/forward/cancellation.go
+++ b/internal/proxy/forward/cancellation.go
@@ -12,11 +12,11 @@
 // watchCaller cancels the attempt in flight when the caller disconnects, until stop is called.
 func (f *Forwarder) watchCaller(exchange *Exchange) (stop func() bool) {
 	exchange.cancellation = cancellation.NewTracker(!exchange.RunOnce)
-	if exchange.Request.OnCallerLeft == nil {
+	if exchange.Request.OnCallerDisconnect == nil {
 		return func() bool { return true }
 	}
 	tracker := exchange.cancellation
-	return exchange.Request.OnCallerLeft(func() {
+	return exchange.Request.OnCallerDisconnect(func() {
 		if attempt := tracker.CallerLeft(); attempt != nil {
 			f.cancel(attempt)
 		}
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -322,7 +322,7 @@
 					ft.node.Sleep(100 * ms)
 					return succeed(message, response)
 				}}
-				test.request.OnCallerLeft = func(callback func()) func() bool {
+				test.request.OnCallerDisconnect = func(callback func()) func() bool {
 					ft.node.Go(func() {
 						ft.node.Sleep(50 * ms)
 						callback()
--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -101,7 +101,7 @@
 		Target:         incoming.URL.RequestURI(),
 		IdempotencyKey: incoming.Header.Get(request.IdempotencyKeyHeader),
 		TenantKeys:     incoming.Header.Values(request.TenantKeyHeader),
-		OnCallerLeft: func(callback func()) (stop func() bool) {
+		OnCallerDisconnect: func(callback func()) (stop func() bool) {
 			return context.AfterFunc(incoming.Context(), callback)
 		},
 	}
--- a/internal/proxy/request/request.go
+++ b/internal/proxy/request/request.go
@@ -49,9 +49,9 @@
 	VerdictPerRequest bool
 	// ReadAt is a time of the registry leader's clock that had certainly passed when the request was read; nil if none is known.
 	ReadAt *wire.LeaderTimestamp
-	// OnCallerLeft registers a callback that is called, on a goroutine of its own, when the caller disconnects before it has a response. The
+	// OnCallerDisconnect registers a callback that is called, on a goroutine of its own, when the caller disconnects before it has a response. The
 	// returned stop prevents that, and reports whether it did. Nil if a disconnect can't be seen.
-	OnCallerLeft func(callback func()) (stop func() bool)
+	OnCallerDisconnect func(callback func()) (stop func() bool)
 }
 
 // Response is a backend's complete response.
--- a/internal/simulation/scenario/caller_cancelled_test.go
+++ b/internal/simulation/scenario/caller_cancelled_test.go
@@ -26,7 +26,7 @@
 			mesh.workDuration = 3 * monotonic.Second
 			req, caller := test.request, mesh.proxyNames[0]
 			var leave func()
-			req.OnCallerLeft = func(action func()) (stop func() bool) {
+			req.OnCallerDisconnect = func(action func()) (stop func() bool) {
 				leave = action
 				return func() bool { leave = nil; return true }
 			}
