--- a/internal/proxy/cancellation/cancellation.go
+++ b/internal/proxy/cancellation/cancellation.go
@@ -50,8 +50,8 @@
 	return t.callerLeft
 }
 
-// CallerLeft records that the caller has disconnected. It returns the attempt that is to be cancelled, nil if there is none.
-func (t *Tracker) CallerLeft() *Attempt {
+// CallerDisconnected records that the caller has disconnected. It returns the attempt that is to be cancelled, nil if there is none.
+func (t *Tracker) CallerDisconnected() *Attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ignoreCaller {
--- a/internal/proxy/cancellation/cancellation_test.go
+++ b/internal/proxy/cancellation/cancellation_test.go
@@ -13,7 +13,7 @@
 	if !tracker.Begin(attempt) {
 		t.Fatal("the first attempt was not allowed")
 	}
-	if cancelled := tracker.CallerLeft(); cancelled == nil || *cancelled != attempt {
+	if cancelled := tracker.CallerDisconnected(); cancelled == nil || *cancelled != attempt {
 		t.Errorf("to be cancelled: %v", cancelled)
 	}
 	if !tracker.End() {
@@ -30,7 +30,7 @@
 	if tracker.End() {
 		t.Error("the attempt ended as if the caller had left")
 	}
-	if cancelled := tracker.CallerLeft(); cancelled != nil {
+	if cancelled := tracker.CallerDisconnected(); cancelled != nil {
 		t.Errorf("to be cancelled: %v", cancelled)
 	}
 	if tracker.Begin(attempt) {
@@ -41,7 +41,7 @@
 func TestRequestWithKeyIsNotCancelled(t *testing.T) {
 	tracker := cancellation.NewTracker(false)
 	tracker.Begin(attempt)
-	if cancelled := tracker.CallerLeft(); cancelled != nil {
+	if cancelled := tracker.CallerDisconnected(); cancelled != nil {
 		t.Errorf("to be cancelled: %v", cancelled)
 	}
 	if tracker.End() {
--- a/internal/proxy/forward/cancellation.go
+++ b/internal/proxy/forward/cancellation.go
@@ -17,7 +17,7 @@
 	}
 	tracker := exchange.cancellation
 	return exchange.Request.OnCallerDisconnect(func() {
-		if attempt := tracker.CallerLeft(); attempt != nil {
+		if attempt := tracker.CallerDisconnected(); attempt != nil {
 			f.cancel(attempt)
 		}
 	})
