--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -23,7 +23,7 @@
 	lastBackend bool // no other backend may be tried after this one
 }
 
-// attemptResult is how an attempt ended: with a response or a fault.
+// attemptResult is the outcome of an attempt: a response or a fault.
 type attemptResult struct {
 	response *request.Response
 	fault    *apierror.Error
@@ -33,26 +33,26 @@
 	lastBackend bool
 }
 
-// fail is the result of an attempt that ended with a fault.
+// fail returns the result of an attempt that ended with a fault.
 func (a *attempt) fail(fault *apierror.Error, retriable bool) attemptResult {
 	return attemptResult{fault: fault, retriable: retriable, lastBackend: a.lastBackend}
 }
 
-// failNeutrally ends an attempt that is no evidence for or against its backend, and that isn't to be repeated.
-func (a *attempt) failNeutrally(fault *apierror.Error) attemptResult {
+// failWithoutEvidence ends an attempt that must not be retried, and whose outcome counts neither for nor against its backend.
+func (a *attempt) failWithoutEvidence(fault *apierror.Error) attemptResult {
 	a.permit.Done(breaker.Neutral)
 	return a.fail(fault, false)
 }
 
-// notAttempted is the result if no backend was tried.
+// notAttempted returns the result if no backend was tried.
 func notAttempted(fault *apierror.Error) attemptResult {
 	return attemptResult{fault: fault, lastBackend: true}
 }
 
-// attemptBackend makes one attempt, at a backend that hasn't been tried if there is one left, and adds that backend to tried.
+// attemptBackend makes one attempt and adds its backend to tried. It prefers a backend that hasn't been tried.
 func (f *Forwarder) attemptBackend(exchange *Exchange, tried map[string]bool) attemptResult {
-	snapshot, live := f.config.ConfigClient.Current()
-	if !live {
+	snapshot, leaseValid := f.config.ConfigClient.Current()
+	if !leaseValid {
 		return notAttempted(configLeaseExpired(snapshot))
 	}
 	if snapshot.Version != exchange.Snapshot.Version {
@@ -88,19 +88,19 @@
 func (f *Forwarder) run(a *attempt) attemptResult {
 	remaining := a.exchange.Deadline - f.config.Host.Now()
 	if remaining <= 0 {
-		return a.failNeutrally(apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the deadline passed before the request was forwarded"))
+		return a.failWithoutEvidence(apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the deadline passed before the request was forwarded"))
 	}
 	message := f.newForwardRequest(a, remaining)
 	if !a.exchange.task.Start() {
-		return a.failNeutrally(apierror.New(apierror.StoppedInFlight, apierror.NotRun, "abandoned before the request was forwarded"))
+		return a.failWithoutEvidence(apierror.New(apierror.StoppedInFlight, apierror.NotRun, "the proxy stopped before the request was forwarded"))
 	}
 	if !a.exchange.cancellation.Begin(a.cancellable(message.Id)) {
-		return a.failNeutrally(apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected"))
+		return a.failWithoutEvidence(apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected"))
 	}
 	response, err := f.send(a.candidate, message, remaining)
 	if a.exchange.cancellation.End() {
-		// How a cancelled attempt ended is no evidence on the backend, and its response is no longer wanted.
-		return a.failNeutrally(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
+		// The outcome of a cancelled attempt says nothing about the backend, and nobody waits for its response.
+		return a.failWithoutEvidence(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
 	}
 	if err != nil {
 		return f.handleLostResponse(a, message, err)
@@ -112,7 +112,7 @@
 	return cancellation.Attempt{ID: id, Proxy: a.candidate.Proxy, Incarnation: a.candidate.Incarnation, Address: a.candidate.Address}
 }
 
-// newForwardRequest makes the message of an attempt that may take the remaining time, in microseconds.
+// newForwardRequest returns the message for an attempt. The attempt may take the remaining time, in microseconds.
 func (f *Forwarder) newForwardRequest(a *attempt, remaining monotonic.Micros) *wire.ForwardRequest {
 	exchange := a.exchange
 	message := &wire.ForwardRequest{
@@ -133,7 +133,7 @@
 		From:            f.config.Proxy,
 		ToIncarnation:   a.candidate.Incarnation,
 		AnswerLimit:     exchange.Service.Limits.GetAnswerBytes(),
-		Priority:        exchange.rank(),
+		Priority:        exchange.admissionPriority(),
 		Tenant:          tenantName(exchange.Tenant),
 		KeyLease:        int64(f.keyLease(exchange)),
 		FormerScope:     exchange.FormerScope,
@@ -151,7 +151,7 @@
 	return message
 }
 
-// send sends a message to a backend's proxy. It calls the admission directly if that is this proxy.
+// send sends a message to a candidate's proxy. If that is this proxy, it calls the admission directly.
 func (f *Forwarder) send(
 	candidate session.Candidate, message *wire.ForwardRequest, timeout monotonic.Micros,
 ) (*wire.ForwardResponse, error) {
@@ -171,7 +171,7 @@
 	return proxy == f.config.Proxy && incarnation == f.config.Incarnation
 }
 
-// handleResponse records the load, health and outcome that a response shows of its backend, and returns the attempt's result.
+// handleResponse records the backend's load, health and outcome from a response, and returns the attempt's result.
 func (f *Forwarder) handleResponse(a *attempt, message *wire.ForwardRequest, response *wire.ForwardResponse) attemptResult {
 	exchange, instance := a.exchange, a.candidate.Instance
 	f.balancer.ObserveLoad(instance, exchange.Route.Name, response.Load)
@@ -179,7 +179,7 @@
 	if response.Id != message.Id || !response.Rejected && !admission.Complete(response) {
 		a.permit.Done(breaker.Neutral)
 		fault := apierror.New(apierror.ResponseMismatch, apierror.MayHaveRun,
-			"the response to attempt %s is incomplete or not its own", message.Id)
+			"the response to attempt %s is incomplete or belongs to another attempt", message.Id)
 		return a.fail(fault, exchange.mayRepeat())
 	}
 	if response.Rejected {
--- a/internal/proxy/forward/authentication.go
+++ b/internal/proxy/forward/authentication.go
@@ -7,23 +7,23 @@
 	"snowflow/internal/proxy/tenantstats"
 )
 
-// tenantScopePrefix begins the idempotency scope of a tenant's request. Scopes are sent and stored.
+// tenantScopePrefix begins the idempotency scope of a tenant's request. It must not change: scopes are sent and stored.
 const tenantScopePrefix = "tenant\n"
 
-// tenantRankWidth is the number of bits that the priority of a route takes in a rank.
-const tenantRankWidth = 16
+// routePriorityBits is the number of low bits of an admission priority that hold the priority of the route.
+const routePriorityBits = 16
 
-// maxTenantPriority and maxRoutePriority bound the priorities that a rank tells apart; larger ones count as these.
+// maxRoutePriority and maxTenantPriority are the largest values that fit into an admission priority. Larger ones are reduced to these.
 const (
-	maxRoutePriority  = 1<<tenantRankWidth - 1
-	maxTenantPriority = 1<<(32-tenantRankWidth) - 1
+	maxRoutePriority  = 1<<routePriorityBits - 1
+	maxTenantPriority = 1<<(32-routePriorityBits) - 1
 )
 
-// authenticate finds the tenant whose key the request bears, and makes its idempotency key one of that tenant alone.
+// authenticate finds the tenant by the key that the request carries, and makes the idempotency scope specific to that tenant.
 func (f *Forwarder) authenticate(exchange *Exchange) *apierror.Error {
 	tenant, fault := f.findTenant(exchange.Snapshot, &exchange.Route, exchange.Request.TenantKeys)
 	if fault != nil {
-		exchange.IdempotencyScope = "" // its key is of nobody, so that the verdict is one on this request alone
+		exchange.IdempotencyScope = "" // without a tenant the verdict applies to this request only
 		return fault
 	}
 	exchange.Tenant, exchange.authenticatedBy = tenant, exchange.Snapshot
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// authenticateAgain judges a request's key by the newest version, right before an attempt.
+// authenticateAgain checks the request's tenant key against the newest configuration right before an attempt, since the key may have
+// been revoked.
 func (f *Forwarder) authenticateAgain(exchange *Exchange, newest *config.Snapshot) *apierror.Error {
 	if newest == exchange.authenticatedBy && exchange.Route.Anonymous == (exchange.Tenant == nil) {
 		return f.checkKeyLease(exchange)
@@ -50,14 +51,14 @@
 	return nil
 }
 
-// findTenant returns the tenant whose key a request for a route bears, nil if the request needs none.
+// findTenant returns the tenant to which a request's key belongs, nil if the route needs none.
 func (f *Forwarder) findTenant(snapshot *config.Snapshot, route *config.Route, keys []string) (*config.Tenant, *apierror.Error) {
 	if !snapshot.HasTenants() || route.Anonymous {
 		return nil, nil
 	}
 	if len(keys) != 1 {
-		f.tenants.CountRefusal(reasonOf(len(keys)))
-		return nil, apierror.New(apierror.Unauthenticated, apierror.NotRun, "it bears %d keys in place of one", len(keys))
+		f.tenants.CountRefusal(refusalReason(len(keys)))
+		return nil, apierror.New(apierror.Unauthenticated, apierror.NotRun, "the request has %d tenant keys instead of one", len(keys))
 	}
 	if remaining, limited := f.config.ConfigClient.KeyLease(); limited && remaining <= 0 {
 		return nil, f.keyLeaseExpired()
@@ -67,21 +68,21 @@
 		return tenant, nil
 	}
 	if !f.config.ConfigClient.InContact() {
-		return nil, f.keyLeaseExpired() // a newer version may have the key
+		return nil, f.keyLeaseExpired() // a newer configuration may have the key
 	}
 	f.tenants.CountRefusal(tenantstats.UnknownKey)
-	return nil, apierror.New(apierror.Unauthenticated, apierror.NotRun, "its key is of no tenant")
+	return nil, apierror.New(apierror.Unauthenticated, apierror.NotRun, "the tenant key belongs to no tenant")
 }
 
-// reasonOf returns why a request that bears another number of keys than one is refused.
-func reasonOf(keys int) tenantstats.Reason {
+// refusalReason returns why a request is refused whose number of tenant keys isn't one.
+func refusalReason(keys int) tenantstats.Reason {
 	if keys == 0 {
 		return tenantstats.NoKey
 	}
 	return tenantstats.SeveralKeys
 }
 
-// checkKeyLease rejects a tenant's request once the lease on the keys has ended.
+// checkKeyLease rejects a tenant's request if the lease on the tenant keys has expired.
 func (f *Forwarder) checkKeyLease(exchange *Exchange) *apierror.Error {
 	if remaining, limited := f.config.ConfigClient.KeyLease(); exchange.Tenant != nil && limited && remaining <= 0 {
 		return f.keyLeaseExpired()
@@ -91,7 +92,7 @@
 
 func (f *Forwarder) keyLeaseExpired() *apierror.Error {
 	f.tenants.CountRefusal(tenantstats.LeaseExpired)
-	return apierror.New(apierror.KeyLeaseExpired, apierror.NotRun, "this proxy is out of contact and can't tell which keys are in force")
+	return apierror.New(apierror.KeyLeaseExpired, apierror.NotRun, "this proxy is out of contact and can't tell which tenant keys are valid")
 }
 
 // tenantName returns the name of a tenant, empty for nil.
@@ -102,17 +103,17 @@
 	return tenant.Name
 }
 
-// rank orders requests for admission under load, the lowest first: by the priority of the tenant, then by that of the route. A request
-// without a tenant goes before those of tenants: it is mostly part of one that already runs.
-func (e *Exchange) rank() uint32 {
-	rank := min(e.Route.Priority, maxRoutePriority)
+// admissionPriority returns the priority by which requests are admitted under load, the lowest first. It orders them by the priority
+// of the tenant, then by that of the route. Requests without a tenant go first, since most are part of a request that already runs.
+func (e *Exchange) admissionPriority() uint32 {
+	priority := min(e.Route.Priority, maxRoutePriority)
 	if e.Tenant != nil {
-		rank |= min(e.Tenant.Priority, maxTenantPriority) << tenantRankWidth
+		priority |= min(e.Tenant.Priority, maxTenantPriority) << routePriorityBits
 	}
-	return rank
+	return priority
 }
 
-// keyLease returns how long an attempt of the request may still be handed to its backend, 0 if the request needs no lease.
+// keyLease returns for how much longer an attempt of the request may be handed to a backend; 0 if the request needs no lease.
 func (f *Forwarder) keyLease(exchange *Exchange) monotonic.Micros {
 	if exchange.Tenant == nil {
 		return 0
--- a/internal/proxy/forward/cancellation.go
+++ b/internal/proxy/forward/cancellation.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// cancel requests the backend's proxy to cancel an attempt whose response is no longer wanted. That is best effort: an error is
-// ignored, and the attempt then ends at its deadline.
+// cancel asks the backend's proxy to cancel an attempt whose caller has disconnected. This is best effort: an error is ignored, and
+// the attempt then ends at its deadline.
 func (f *Forwarder) cancel(attempt *cancellation.Attempt) {
 	if f.isSelf(attempt.Proxy, attempt.Incarnation) {
 		f.config.Admission.Cancel(f.config.Proxy, attempt.ID)
--- a/internal/proxy/forward/doc.go
+++ b/internal/proxy/forward/doc.go
@@ -1,23 +1,23 @@
-// Package forward is the caller's side of a proxy. It forwards a request from the caller's ingress to a backend's proxy and
+// Package forward implements the caller's side of a proxy. It forwards each request from the ingress to the proxy of a backend and
 // returns exactly one outcome: the backend's complete response, or a fault that says whether the request may have run.
 //
-// A request goes through these steps, all on one task:
+// A request goes through these steps, all in one task:
 //
-//  1. Policies, in order: not draining, resolve the route in the current configuration, idempotency key, body size, limit of
-//     requests in flight (policies.go).
-//  2. Attempts, one after the other (retries.go). Each is admitted by the service's breaker, has a backend chosen by the load
-//     balancer, and is sent to that backend's proxy (attempt.go). A rejection before any backend saw the request is
-//     redispatched to another backend at once. Other failures are retried after a backoff, if that can't make the request run
-//     twice, within the route's number of attempts, the deadline and the service's retry budget.
-//  3. The verdict, if it failed (verdict.go). NotRun must hold for the idempotency key, not only for this request: for a request
-//     with a key it is given only once the registry has voided the key's attempts and fenced the key.
+//  1. Policies, in order (policies.go): reject it while draining, resolve its route in the current configuration, authenticate its
+//     tenant, require an idempotency key, limit the body size, limit the requests in flight.
+//  2. Attempts, one after another (retries.go). Each is admitted by the service's breaker, gets a backend from the load
+//     balancer, and is sent to that backend's proxy (attempt.go). A request that is rejected before any backend saw it is
+//     redispatched to another backend at once. After other failures it is retried with a backoff, provided that a retry can't
+//     make it run twice, and that the route's number of attempts, the deadline and the service's retry budget allow it.
+//  3. The verdict, if the request failed (verdict.go). NotRun must hold for the idempotency key, not only for this request. A
+//     request with a key gets this verdict only after the registry has voided the key's attempts and fenced the key.
 //
 // If the caller disconnects, the attempt in flight is cancelled (cancellation.go).
 //
-// State: the requests in flight, by service, and the state of the load balancer and of the Retry-After jitter. All of it is
-// lost with the process. What must survive, the claims of idempotency keys, is in the registry's log; the forwarder calls
-// the registry's leader through Config.CallLeader.
+// The forwarder holds in memory the number of requests in flight for each service, and the state of the load balancer and of the
+// Retry-After jitter. All of it is lost when the process ends. The claims of idempotency keys must survive that; they are in the
+// registry's log, and the forwarder calls the registry's leader through Config.CallLeader.
 //
-// Callers: the ingress calls Forward, and a timer calls ProbeSilentPeers each ProbeInterval. The proxy's shutdown calls
-// StopAccepting, then Drain, Abort for the requests that are still in flight, and Drain again until these have been answered.
+// The ingress calls Forward, and a timer calls ProbeSilentPeers each ProbeInterval. The proxy's shutdown calls StopAccepting,
+// then Drain, then Abort for the requests that are still in flight, and Drain again until these have been answered.
 package forward
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -22,22 +22,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ConfigClient gives the configuration to serve by.
+// ConfigClient provides the configuration by which requests are forwarded.
 type ConfigClient interface {
 	// Current returns the adopted snapshot, nil if there is none yet, and whether its lease is still valid.
-	Current() (snapshot *config.Snapshot, live bool)
-	// WaitForVersion waits for a version to be adopted and reports whether it was.
+	Current() (snapshot *config.Snapshot, leaseValid bool)
+	// WaitForVersion waits until a version is adopted, at most for the timeout, and reports whether it was.
 	WaitForVersion(version uint64, timeout monotonic.Micros) bool
-	// KeyLease returns how much longer the newest version's keys of tenants may be relied on, and whether they need a lease at all.
+	// KeyLease returns how much longer the tenant keys of the newest version may be relied on, and whether they need a lease at all.
 	KeyLease() (remaining monotonic.Micros, limited bool)
-	// InContact reports whether the newest version was lately confirmed as such.
+	// InContact reports whether the adopted version was recently confirmed to be the newest.
 	InContact() bool
 }
 
-// Session gives access to the registry's information on the mesh.
+// Session provides the registry's directory of backends, and follows the clock of the registry's leader.
 type Session interface {
 	Directory() *session.Directory
-	// ObserveLeaderClock records a time of the registry leader's clock that has certainly passed.
+	// ObserveLeaderClock records a lower bound on the registry leader's clock.
 	ObserveLeaderClock(observed *wire.LeaderTimestamp)
 }
 
@@ -46,7 +46,7 @@
 	Admit(service *config.Service) (*breaker.Permit, *apierror.Error)
 }
 
-// Admission is the backend's side of this same proxy, for backends beside it.
+// Admission is the backend's side of this same proxy. It serves requests to the backends on the same host.
 type Admission interface {
 	Serve(request *wire.ForwardRequest) (*wire.ForwardResponse, error)
 	Cancel(from, id string) bool
@@ -67,15 +67,15 @@
 	Breakers           Breakers
 	RetryBudget        *retry.Budget
 	Admission          Admission
-	// SilenceTimeout is how long a proxy with requests in flight may give no response before it is sent a health check; 0
-	// stands for 700 ms.
+	// SilenceTimeout is how long a proxy with requests in flight may send no response before it is sent a health check. If 0,
+	// 700 ms are used.
 	SilenceTimeout monotonic.Micros
 	// CallLeader calls the registry's leader.
 	CallLeader func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
-	// StoreResponse is given the response of each RunOnce request, so that a repetition of the request can be answered after
-	// the backend's proxy has stopped. It may be nil.
+	// StoreResponse is called with the response of each RunOnce request, so that a repeated request can be answered after the
+	// backend's proxy has stopped. It may be nil.
 	StoreResponse func(scope string, digest []byte, response *request.Response)
-	// OnFinished is given the outcome of each request, for counting. It must not block, and may be nil.
+	// OnFinished is called with the outcome of each request, for metrics. It must not block, and may be nil.
 	OnFinished func(exchange *Exchange, response *request.Response, fault *apierror.Error)
 }
 
@@ -92,7 +92,7 @@
 	tenants          *tenantstats.Counters
 }
 
-// New returns a forwarder. It starts no tasks.
+// New returns a forwarder. It starts no background tasks.
 func New(config Config) *Forwarder {
 	f := &Forwarder{
 		config:           config,
@@ -117,13 +117,13 @@
 // SilenceTimeout. A failed check closes its connection, so that those requests can be retried before their deadlines.
 func (f *Forwarder) ProbeSilentPeers() { f.balancer.ProbeSilentProxies() }
 
-// ProbeInterval is how often ProbeSilentPeers is to be called, in microseconds.
+// ProbeInterval returns the interval at which ProbeSilentPeers must be called, in microseconds.
 func (f *Forwarder) ProbeInterval() monotonic.Micros { return f.balancer.ProbeInterval() }
 
 // DisableRetryAfterJitter leaves Retry-After hints unchanged, so that the effect of the jitter can be measured. No program calls it.
 func (f *Forwarder) DisableRetryAfterJitter(disabled bool) { f.retryAfterJitter.SetDisabled(disabled) }
 
-// InFlight is the number of requests in flight.
+// InFlight returns the number of requests in flight.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Count() }
 
 // Tenants returns the counts of requests by tenant.
@@ -132,10 +132,10 @@
 // StopAccepting makes the forwarder reject new requests with the cause Draining.
 func (f *Forwarder) StopAccepting() { f.draining.Store(true) }
 
-// Drain waits until no request is in flight, at most for the timeout in microseconds, and reports whether none is.
+// Drain waits until no request is in flight, at most for the timeout in microseconds, and reports whether none is left.
 func (f *Forwarder) Drain(timeout monotonic.Micros) bool { return f.inFlight.Drain(timeout) }
 
-// Abort gives every request in flight its final outcome now.
+// Abort stops waiting for the requests in flight and ends each with a fault.
 func (f *Forwarder) Abort() { f.shutdown.Abort() }
 
 // Forward forwards a request and waits for its outcome: the backend's complete response, or a fault.
@@ -159,7 +159,7 @@
 	})
 }
 
-// forwardUntilAborted forwards a request on a task of its own, and stops waiting for it once the forwarder is aborted.
+// forwardUntilAborted forwards a request in its own task, and stops waiting for that task once the forwarder is aborted.
 func (f *Forwarder) forwardUntilAborted(req *request.Request) (*request.Response, *apierror.Error) {
 	var response *request.Response
 	var fault *apierror.Error
@@ -167,7 +167,7 @@
 	if outcome == shutdown.Done {
 		return response, fault
 	}
-	// The task may still write response and fault: they must not be read.
+	// The task may still write response and fault, so they must not be read.
 	stopped := apierror.New(apierror.StoppedInFlight, apierror.MayHaveRun,
 		"proxy %s is stopping and can't wait any longer", f.config.Proxy)
 	if outcome == shutdown.NotStarted && req.IdempotencyKey == "" {
@@ -176,7 +176,7 @@
 	return nil, stopped
 }
 
-// forward takes a request through the policies, the attempts and the verdict.
+// forward applies the policies to a request, makes the attempts, and confirms the verdict if it fails.
 func (f *Forwarder) forward(req *request.Request, task *shutdown.Task) (response *request.Response, fault *apierror.Error) {
 	exchange := f.newExchange(req, task)
 	defer func() {
@@ -208,9 +208,9 @@
 	return response, nil
 }
 
-// newExchange returns the exchange of a request that isn't resolved yet. Its deadline is provisional: a fault before the
-// request is resolved may have to be confirmed by the registry (confirmVerdict), and that may take voidTimeout. The resolve
-// policy sets the request's own deadline.
+// newExchange returns the exchange of a request whose route isn't resolved yet. Its deadline is provisional, until the resolve
+// policy sets the request's own: if the request fails before, the registry may have to confirm the verdict (confirmVerdict),
+// which may take up to voidTimeout.
 func (f *Forwarder) newExchange(req *request.Request, task *shutdown.Task) *Exchange {
 	now := f.config.Host.Now()
 	return &Exchange{
@@ -223,7 +223,7 @@
 	}
 }
 
-// parseTarget takes the request's own spelling of its target if it has one, else the canonical one.
+// parseTarget sets Target to the request's ParsedTarget or, if that is nil, to the canonical form of its Target.
 func (e *Exchange) parseTarget() *apierror.Error {
 	if e.Request.ParsedTarget != nil {
 		e.Target = *e.Request.ParsedTarget
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -21,25 +21,25 @@
 
 const ms = monotonic.Millisecond
 
-// callHost is a simulated host whose calls are answered by a function.
+// callHost is a simulated host that passes its calls to a function.
 type callHost struct {
 	*world.Host
 	call func(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error
 }
 
-// Call answers a call by the function.
+// Call passes a call to the function.
 func (h callHost) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	return h.call(address, kind, request, reply, timeout)
 }
 
-// staticConfig is a configuration that stays as it is.
+// staticConfig is a configuration that changes only when a test sets its fields.
 type staticConfig struct {
 	snapshot *config.Snapshot
-	expired  bool
-	// keyLease is what is left of the lease on tenants' keys; limited is set if they need one.
+	expired  bool // its lease has expired
+	// keyLease is the remaining lease on the tenant keys; limited is set if they need one.
 	keyLease monotonic.Micros
 	limited  bool
-	// stale is set while the proxy serves without contact.
+	// stale is set while the proxy serves without contact to the configuration store.
 	stale bool
 }
 
@@ -48,7 +48,7 @@
 func (c *staticConfig) InContact() bool                              { return !c.expired && !c.stale }
 func (c *staticConfig) WaitForVersion(uint64, monotonic.Micros) bool { return false }
 
-// staticSession is a directory that stays as it is, and the leader's clock as it was last observed.
+// staticSession has a fixed directory and records the last observation of the leader's clock.
 type staticSession struct {
 	directory *session.Directory
 	observed  *wire.LeaderTimestamp
@@ -57,17 +57,17 @@
 func (s *staticSession) Directory() *session.Directory                     { return s.directory }
 func (s *staticSession) ObserveLeaderClock(observed *wire.LeaderTimestamp) { s.observed = observed }
 
-// localAdmission is the backends' side of the same proxy; no test has a backend there.
+// localAdmission is the admission of the proxy itself. It must not be called, since no test has a local backend.
 type localAdmission struct{ t *testing.T }
 
 func (a localAdmission) Serve(*wire.ForwardRequest) (*wire.ForwardResponse, error) {
 	a.t.Error("a request was forwarded to the proxy itself")
-	return nil, apierror.Lost.New("none")
+	return nil, apierror.Lost.New("no local backend")
 }
 
 func (a localAdmission) Cancel(string, string) bool { return false }
 
-// reply is what the proxy of a backend does with an attempt.
+// reply is how the proxy of a backend responds to an attempt.
 type reply func(message *wire.ForwardRequest, response *wire.ForwardResponse) error
 
 func succeed(_ *wire.ForwardRequest, response *wire.ForwardResponse) error {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// reject rejects an attempt that has certainly not run.
+// reject returns a reply that rejects an attempt with the verdict NotRun.
 func reject(cause apierror.Cause) reply {
 	return func(_ *wire.ForwardRequest, response *wire.ForwardResponse) error {
 		response.Rejected, response.Cause, response.Verdict = true, uint32(cause), string(apierror.NotRun)
@@ -87,7 +87,7 @@
 	return apierror.Lost.New("connection reset")
 }
 
-// forwardTest is a forwarder with two backends at two other proxies, which answer each attempt with the next reply.
+// forwardTest is a forwarder with two backends behind two other proxies. These respond to each attempt with the next of the replies.
 type forwardTest struct {
 	t         *testing.T
 	node      *world.Host
@@ -98,7 +98,7 @@
 	attempts  []*wire.ForwardRequest
 	voids     []*wire.VoidClaimRequest
 	cancelled []string
-	// voidOutcome is the registry's answer to a void; empty if it can't be reached.
+	// voidOutcome is the registry's response to a request to void a claim; empty if the registry can't be reached.
 	voidOutcome string
 	exchange    *Exchange // of the last request
 }
@@ -138,10 +138,10 @@
 		Incarnation:  1,
 		ConfigClient: ft.config,
 		Session:      ft.session,
-		Breakers:     breaker.NewSet(breaker.Config{Host: callHost, Proxy: "proxy-0", Call: ft.callPrimary}),
+		Breakers:     breaker.NewSet(breaker.Config{Host: callHost, Proxy: "proxy-0", Call: ft.callLeader}),
 		RetryBudget:  retry.NewBudget(callHost, func(allowance uint32) float64 { return float64(allowance) }),
 		Admission:    localAdmission{ft.t},
-		CallLeader:   ft.callPrimary,
+		CallLeader:   ft.callLeader,
 		OnFinished:   func(exchange *Exchange, _ *request.Response, _ *apierror.Error) { ft.exchange = exchange },
 	})
 }
@@ -152,12 +152,12 @@
 	case *wire.ForwardRequest:
 		ft.attempts = append(ft.attempts, message)
 		if len(ft.attempts) > len(ft.replies) {
-			ft.t.Errorf("attempt %d, and no more than %d are expected", len(ft.attempts), len(ft.replies))
+			ft.t.Errorf("attempt %d, but at most %d are expected", len(ft.attempts), len(ft.replies))
 			return apierror.Unreachable.New("no reply is left")
 		}
 		forwarded, is := response.(*wire.ForwardResponse)
 		if !is {
-			ft.t.Errorf("a response of type %T", response)
+			ft.t.Errorf("a call to forward expects a response of type %T", response)
 			return nil
 		}
 		forwarded.Id = message.Id
@@ -166,15 +166,15 @@
 		ft.cancelled = append(ft.cancelled, message.Id)
 		return nil
 	}
-	ft.t.Errorf("a call of kind %v", kind)
+	ft.t.Errorf("unexpected call of kind %v", kind)
 	return nil
 }
 
-func (ft *forwardTest) callPrimary(kind wire.Kind, message, response proto.Message, _ monotonic.Micros) error {
+func (ft *forwardTest) callLeader(kind wire.Kind, message, response proto.Message, _ monotonic.Micros) error {
 	void, isVoid := message.(*wire.VoidClaimRequest)
 	voided, isVoided := response.(*wire.VoidClaimResponse)
 	if !isVoid || !isVoided {
-		ft.t.Errorf("a call of the registry of kind %v", kind)
+		ft.t.Errorf("unexpected call of kind %v to the registry", kind)
 		return nil
 	}
 	ft.voids = append(ft.voids, void)
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// expectFault checks a request's outcome; a cause of 0 stands for a response.
+// expectFault checks a request's outcome. A cause of 0 stands for a response.
 func (ft *forwardTest) expectFault(response *request.Response, fault *apierror.Error, cause apierror.Cause, verdict apierror.Verdict) {
 	ft.t.Helper()
 	switch {
@@ -197,12 +197,13 @@
 	case cause == 0 && (response == nil || string(response.Body) != "done" || response.ConfigVersion != 7):
 		ft.t.Errorf("responded %+v", response)
 	case cause != 0 && (fault == nil || response != nil || fault.Cause != cause || fault.Verdict != verdict):
-		ft.t.Errorf("%+v and %v, not cause %d and %s", response, fault, cause, verdict)
+		ft.t.Errorf("response %+v and fault %v, expected cause %d and verdict %s", response, fault, cause, verdict)
 	}
 }
 
 func read() *request.Request { return &request.Request{ID: "r", Method: "GET", Target: "/forms/1"} }
 
+// submission returns a request that runs once per idempotency key.
 func submission() *request.Request {
 	return &request.Request{ID: "r", Method: "POST", Target: "/forms/1", IdempotencyKey: "key"}
 }
@@ -211,7 +212,7 @@
 	return &request.Request{ID: "r", Method: "PUT", Target: "/forms/1"}
 }
 
-// TestForwardOutcomes: which failures are redispatched or retried, and with what verdict a request ends.
+// TestForwardOutcomes checks after which failures a request is redispatched or retried, and with what verdict it ends.
 func TestForwardOutcomes(t *testing.T) {
 	incomplete := func(message *wire.ForwardRequest, response *wire.ForwardResponse) error {
 		err := succeed(message, response)
@@ -248,7 +249,7 @@
 				response, fault := ft.forwarder.Forward(test.request)
 				ft.expectFault(response, fault, test.cause, test.verdict)
 				if len(ft.attempts) != len(test.replies) || ft.exchange.Attempts != test.attempts || len(ft.voids) != test.voids {
-					t.Errorf("%d messages, %d attempts and %d voids", len(ft.attempts), ft.exchange.Attempts, len(ft.voids))
+					t.Errorf("%d messages, %d attempts and %d requests to void a claim", len(ft.attempts), ft.exchange.Attempts, len(ft.voids))
 				}
 				if ft.forwarder.InFlight() != 0 {
 					t.Errorf("%d requests in flight", ft.forwarder.InFlight())
@@ -258,7 +259,7 @@
 	}
 }
 
-// TestBackendErrorIsResponse: an error status of the backend is the request's outcome, and isn't retried.
+// TestBackendErrorIsResponse checks that a response with an error status is the request's outcome and isn't retried.
 func TestBackendErrorIsResponse(t *testing.T) {
 	runForwardTest(t, func(ft *forwardTest) {
 		ft.replies = []reply{func(message *wire.ForwardRequest, response *wire.ForwardResponse) error {
@@ -272,7 +273,7 @@
 	})
 }
 
-// TestForwardRequestMessage: what an attempt tells the backend's proxy.
+// TestForwardRequestMessage checks the messages of two attempts of one request.
 func TestForwardRequestMessage(t *testing.T) {
 	runForwardTest(t, func(ft *forwardTest) {
 		ft.replies = []reply{reject(apierror.NotExecuted), succeed}
@@ -295,7 +296,7 @@
 	})
 }
 
-// TestFenceMovesLeaderClock: a request that is repeated at once after a fence counts as read after it.
+// TestFenceMovesLeaderClock checks that a request which is repeated immediately after a fence counts as read after the fence.
 func TestFenceMovesLeaderClock(t *testing.T) {
 	runForwardTest(t, func(ft *forwardTest) {
 		ft.replies, ft.voidOutcome = []reply{reject(apierror.KeyFenced)}, idempotency.Voided
@@ -306,7 +307,7 @@
 	})
 }
 
-// TestCallerLeaves: the attempt in flight is cancelled when the caller disconnects, unless the request has a key.
+// TestCallerLeaves checks that the attempt in flight is cancelled when the caller disconnects, unless the request has a key.
 func TestCallerLeaves(t *testing.T) {
 	for name, test := range map[string]struct {
 		request   *request.Request
@@ -339,7 +340,7 @@
 	}
 }
 
-// TestExpiredConfigLease: no request is forwarded by a configuration whose lease has expired.
+// TestExpiredConfigLease checks that no request is forwarded by a configuration whose lease has expired.
 func TestExpiredConfigLease(t *testing.T) {
 	runForwardTest(t, func(ft *forwardTest) {
 		ft.config.expired = true
@@ -348,7 +349,7 @@
 	})
 }
 
-// TestShutdown: new requests are rejected while draining, Drain waits for those in flight, and Abort ends them.
+// TestShutdown checks that new requests are rejected while draining, that Drain waits for those in flight, and that Abort ends them.
 func TestShutdown(t *testing.T) {
 	runForwardTest(t, func(ft *forwardTest) {
 		hang := func(*wire.ForwardRequest, *wire.ForwardResponse) error {
@@ -376,7 +377,7 @@
 	})
 }
 
-// TestLimitInFlight: where backends don't report their slots, no more requests are in flight than all of them may have.
+// TestLimitInFlight checks that, if the backends don't report slots, no more requests are in flight than all backends may have at once.
 func TestLimitInFlight(t *testing.T) {
 	runForwardTest(t, func(ft *forwardTest) {
 		for index := range ft.session.directory.Candidates["forms"] {
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -10,18 +10,18 @@
 	"snowflow/internal/proxy/request"
 )
 
-// maxKeyBytes is the longest idempotency key.
-const maxKeyBytes = 200
+// maxIdempotencyKeyBytes is the maximum length of an idempotency key.
+const maxIdempotencyKeyBytes = 200
 
-// policy is one step that a request takes before it is forwarded.
+// policy is a step that each request passes before it is forwarded.
 type policy struct {
 	// enter prepares the exchange, or rejects it with a fault.
 	enter func(exchange *Exchange) *apierror.Error
-	// leave is called once the request has its outcome, for each policy that it entered, last entered first. It may be nil.
+	// leave is called once the request has its outcome, for each policy that it has entered, in reverse order. It may be nil.
 	leave func(exchange *Exchange)
 }
 
-// orderedPolicies lists the policies in the order in which requests take them.
+// orderedPolicies returns the policies in the order in which requests pass them.
 func (f *Forwarder) orderedPolicies() []policy {
 	return []policy{
 		{enter: f.rejectWhileDraining},
@@ -40,13 +40,13 @@
 	return nil
 }
 
-// resolve pins the exchange to one snapshot of the configuration, and to a route, service and deadline in it.
+// resolve sets the exchange's configuration snapshot, and its route, service and deadline by that snapshot.
 func (f *Forwarder) resolve(exchange *Exchange) *apierror.Error {
-	snapshot, live := f.config.ConfigClient.Current()
+	snapshot, leaseValid := f.config.ConfigClient.Current()
 	if snapshot == nil {
 		return apierror.New(apierror.NotReady, apierror.NotRun, "no configuration is adopted yet")
 	}
-	if !live {
+	if !leaseValid {
 		return configLeaseExpired(snapshot)
 	}
 	route, found := snapshot.Resolve(exchange.Host, exchange.Method, exchange.Target.Path)
@@ -65,10 +65,10 @@
 
 func configLeaseExpired(snapshot *config.Snapshot) *apierror.Error {
 	return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun,
-		"the lease to serve by configuration version %d has expired", snapshot.Version)
+		"the lease on configuration version %d has expired", snapshot.Version)
 }
 
-// deadline is the earliest of the service's, the route's and the request's own.
+// deadline returns the earliest of the deadlines of the service, the route and the request.
 func (e *Exchange) deadline() monotonic.Micros {
 	deadline := e.StartedAt + monotonic.Micros(e.Service.Limits.GetCutoffMicros())
 	if e.Route.Timeout > 0 {
@@ -85,9 +85,9 @@
 	if !exchange.RunOnce {
 		return nil
 	}
-	if exchange.Request.IdempotencyKey == "" || len(exchange.Request.IdempotencyKey) > maxKeyBytes {
+	if exchange.Request.IdempotencyKey == "" || len(exchange.Request.IdempotencyKey) > maxIdempotencyKeyBytes {
 		return apierror.New(apierror.MissingKey, apierror.NotRun,
-			"%s needs a reference key of at most %d bytes in %s", exchange.Target.Path, maxKeyBytes, request.IdempotencyKeyHeader)
+			"%s needs a reference key of at most %d bytes in %s", exchange.Target.Path, maxIdempotencyKeyBytes, request.IdempotencyKeyHeader)
 	}
 	sum := sha256.New()
 	sum.Write([]byte(exchange.Method + " " + exchange.Target.Encoded + "\n"))
@@ -99,13 +99,13 @@
 func limitBodySize(exchange *Exchange) *apierror.Error {
 	if limit := exchange.Service.Limits.GetBodyBytes(); uint64(len(exchange.Request.Body)) > limit {
 		return apierror.New(apierror.BodyTooLarge, apierror.NotRun,
-			"%d bytes, %s takes %d", len(exchange.Request.Body), exchange.Service.Name, limit)
+			"the body has %d bytes, and %s accepts at most %d", len(exchange.Request.Body), exchange.Service.Name, limit)
 	}
 	return nil
 }
 
-// limitInFlight rejects early what couldn't be served in time: more requests in flight than all backends may have at once.
-// Where every backend reports its slots there is no limit here, since their proxies limit the requests by their slots.
+// limitInFlight rejects a request if as many are in flight as all backends may have at once: it couldn't be served in time. It sets
+// no limit if every backend reports its slots, since the backends' proxies then limit the requests by these.
 func (f *Forwarder) limitInFlight(exchange *Exchange) *apierror.Error {
 	service := exchange.Service
 	candidates := f.config.Session.Directory().Candidates[service.Name]
@@ -115,7 +115,7 @@
 	}
 	limit := int64(max(1, len(candidates))) * int64(service.Limits.GetInFlightPerBackend())
 	if !f.services.tryIncrement(service.Name, limit) {
-		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are in flight here", limit, service.Name)
+		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests for %s are already in flight at this proxy", limit, service.Name)
 	}
 	return nil
 }
--- a/internal/proxy/forward/retries.go
+++ b/internal/proxy/forward/retries.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// minRetryTime is the least time that must be left before the deadline after the backoff of a retry.
+	// minRetryTime is the time that must be left before the deadline after the backoff; with less there is no retry.
 	minRetryTime = 50 * monotonic.Millisecond
-	// newerConfigTimeout is how long to wait for a newer configuration after a rejection for the version.
+	// newerConfigTimeout is how long to wait for a newer configuration after a rejection because of its version.
 	newerConfigTimeout = 300 * monotonic.Millisecond
 )
 
-// forwardWithRetries makes the first attempt and, while that is safe, allowed and in time, further ones.
+// forwardWithRetries makes the first attempt and, if it fails, further ones while they are safe, allowed and in time.
 func (f *Forwarder) forwardWithRetries(exchange *Exchange) (*request.Response, *apierror.Error) {
 	tried := map[string]bool{}
 	for {
@@ -34,11 +34,11 @@
 	}
 }
 
-// prepareRetry waits for the backoff before a retry, or returns the fault with which the request ends.
+// prepareRetry waits for the backoff before a retry. If there must be none, it returns the fault with which the request ends.
 func (f *Forwarder) prepareRetry(exchange *Exchange, failed attemptResult) *apierror.Error {
 	fault := failed.fault
 	if fault.Cause == apierror.Overloaded {
-		// Every backend that could be tried is full. The request fails at once, with the shortest of their waits.
+		// Every backend that could be tried is full. The request fails at once, with the shortest Retry-After among them.
 		fault.RetryAfter = exchange.retries.MinRetryAfter()
 		return fault
 	}
@@ -61,12 +61,12 @@
 	return nil
 }
 
-// resolveAgain resolves an exchange by the newest configuration, after a rejection for its version or when a newer version
-// has been adopted. It changes nothing if the request would then be of another route, or of another class.
+// resolveAgain resolves an exchange in the newest configuration, after a rejection because of its version or after a newer
+// version was adopted. It changes nothing if the request would then have another route or another class.
 func (f *Forwarder) resolveAgain(exchange *Exchange) {
 	f.config.ConfigClient.WaitForVersion(exchange.Snapshot.Version+1, newerConfigTimeout)
-	snapshot, live := f.config.ConfigClient.Current()
-	if !live {
+	snapshot, leaseValid := f.config.ConfigClient.Current()
+	if !leaseValid {
 		return
 	}
 	route, found := snapshot.Resolve(exchange.Host, exchange.Method, exchange.Target.Path)
--- a/internal/proxy/forward/service_counters.go
+++ b/internal/proxy/forward/service_counters.go
@@ -8,14 +8,14 @@
 	counts map[string]int64
 }
 
-// increment counts one more request.
+// increment adds a request.
 func (c *serviceCounters) increment(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[service]++
 }
 
-// tryIncrement counts one more request unless there are as many as the limit allows, and reports whether it did.
+// tryIncrement adds a request if the count is below the limit, and reports whether it did.
 func (c *serviceCounters) tryIncrement(service string, limit int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,7 @@
 	return true
 }
 
-// decrement counts one request less.
+// decrement removes a request.
 func (c *serviceCounters) decrement(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// voidTimeout is the longest time that voiding an attempt may take; after it the verdict is MayHaveRun.
+	// voidTimeout is the longest that voiding an attempt may take. After it the verdict is MayHaveRun.
 	voidTimeout = 1500 * monotonic.Millisecond
-	// minVoidTimeout is the time that voiding may take even if the request's deadline is nearer.
+	// minVoidTimeout is the time that voiding is allowed even if the request's deadline is earlier.
 	minVoidTimeout = 300 * monotonic.Millisecond
 )
 
-// unavailableCauses are the causes of rejection that set a backend aside for a while.
+// unavailableCauses are the causes of rejection after which the load balancer avoids a backend for a while.
 var unavailableCauses = map[apierror.Cause]bool{
 	apierror.BackendDialFailed:       true,
 	apierror.BackendIdentityMismatch: true,
@@ -24,7 +24,7 @@
 	apierror.BackendUnhealthy:        true,
 }
 
-// handleLostResponse ends an attempt without a response. A RunOnce attempt is voided first: once it is void, it
+// handleLostResponse ends an attempt that got no response. A RunOnce attempt is voided at the registry first: a void attempt
 // certainly hasn't run and never will.
 func (f *Forwarder) handleLostResponse(a *attempt, message *wire.ForwardRequest, cause error) attemptResult {
 	proxy, exchange := a.candidate.Proxy, a.exchange
@@ -41,12 +41,12 @@
 		return a.fail(fault, !exchange.AtMostOnce)
 	}
 	if f.voidAttempt(exchange, message.Attempt, false) == idempotency.Voided {
-		return a.fail(apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the attempt is void", proxy, cause), true)
+		return a.fail(apierror.New(apierror.ForwardLost, apierror.NotRun, "%s: %v; the attempt was voided", proxy, cause), true)
 	}
 	return a.fail(apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", proxy, cause), false)
 }
 
-// handleRejection ends an attempt that the backend's proxy rejected, or whose backend failed.
+// handleRejection ends an attempt that the backend's proxy rejected or that the backend failed.
 func (f *Forwarder) handleRejection(a *attempt, response *wire.ForwardResponse, backendOnly bool) attemptResult {
 	fault := rejectionFault(response)
 	outcome := breaker.Neutral
@@ -73,13 +73,13 @@
 		RetryAfter: monotonic.Micros(response.RetryAfter),
 		Detail:     response.Detail,
 		Backend:    response.BackendFault,
-		// With slots the wait comes from the backend's queue.
+		// The proxy of a backend with slots derives RetryAfter from the backend's queue.
 		RetryAfterMeasured: cause == apierror.Overloaded && response.Load.GetSlots() > 0,
 	}
 }
 
-// voidAttempt requests the registry to ensure that an attempt never runs. With fence the registry also rejects the key for every
-// request that was read before now. It returns the claim's state, or an empty string if the registry can't be reached in time.
+// voidAttempt asks the registry to ensure that an attempt never runs. With fence the registry also rejects the key from now on for
+// every request that was read earlier. It returns the claim's state, or an empty string if the registry can't be reached in time.
 func (f *Forwarder) voidAttempt(exchange *Exchange, attempt string, fence bool) string {
 	timeout := min(max(exchange.Deadline-f.config.Host.Now(), minVoidTimeout), voidTimeout)
 	message := &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence, FormerScope: exchange.FormerScope}
@@ -88,15 +88,15 @@
 		return ""
 	}
 	if response.Fence != nil {
-		// The caller may repeat the request at once, to this proxy: then it is read after the fence.
+		// The caller may repeat the request at this proxy at once. That request must count as read after the fence.
 		f.config.Session.ObserveLeaderClock(&wire.LeaderTimestamp{Epoch: response.Fence.Epoch, Time: response.Fence.Time + 1})
 	}
 	return response.Outcome
 }
 
-// confirmVerdict ensures that a verdict holds for the idempotency key, not only for one attempt. A request with a key has the
-// verdict NotRun only once the registry has voided the key's claim and fenced the key, so that no request read before can run
-// under it later. It is called once for a request, when no further attempt can follow.
+// confirmVerdict ensures that a verdict holds for the idempotency key, not only for one attempt. A request with a key gets the
+// verdict NotRun only after the registry has voided the key's claim and fenced the key, so that no request that was read earlier
+// can still run under it. It is called once per failed request, when no further attempt can follow.
 func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Error) *apierror.Error {
 	if exchange.MayHaveRun && fault.NotRun() {
 		return asMayHaveRun(fault)
@@ -105,7 +105,7 @@
 		return fault
 	}
 	if len(exchange.Request.TenantKeys) > 0 && exchange.Snapshot == nil {
-		return asMayHaveRun(fault) // whose idempotency key it is wasn't found out
+		return asMayHaveRun(fault) // the tenant, and so the scope of the idempotency key, is unknown
 	}
 	if f.voidAttempt(exchange, "", true) != idempotency.Voided {
 		return asMayHaveRun(fault)
@@ -113,9 +113,9 @@
 	return fault
 }
 
-// asMayHaveRun is a copy of a fault with the verdict MayHaveRun.
+// asMayHaveRun returns a copy of a fault with the verdict MayHaveRun.
 func asMayHaveRun(fault *apierror.Error) *apierror.Error {
-	weaker := *fault
-	weaker.Verdict = apierror.MayHaveRun
-	return &weaker
+	copied := *fault
+	copied.Verdict = apierror.MayHaveRun
+	return &copied
 }
