--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -12,11 +12,11 @@
 // Budget bounds the retries to each service by a token bucket. It is safe for concurrent use.
 //
 // Invariant, for each service and each period of budgetWindow: retries <= ratio x first attempts in that period + capacity.
-// Counting over the last budgetWindow alone would not ensure that: first attempts about to leave the period would pay for a
-// burst of retries that remains in it.
+// A sliding count over the last budgetWindow would not ensure that: first attempts that are about to leave the window would
+// still pay for a burst of retries, which remains in the next window without them.
 type Budget struct {
 	clock monotonic.Clock
-	// allowanceShare returns this proxy's share of an allowance that holds for the whole mesh; 0 while it is unknown.
+	// allowanceShare returns this proxy's share of a mesh-wide allowance, 0 while the share is unknown.
 	allowanceShare func(allowance uint32) float64
 	// unlimited lifts the bound. Only tests of the simulator's invariants set it.
 	unlimited bool
@@ -50,8 +50,8 @@
 	return bucket
 }
 
-// capacity is the number of tokens a bucket may hold. A share below 1 would never allow a single retry, so it is rounded up
-// to 1: where there are more proxies than the allowance, their number is the bound.
+// capacity returns the number of tokens a bucket may hold. A share below 1 would never allow a retry, so it is raised to 1. If there
+// are more proxies than the allowance, the mesh-wide bound is therefore the number of proxies.
 func (b *Budget) capacity(allowance uint32) float64 {
 	share := b.allowanceShare(allowance)
 	if share > 0 {
@@ -60,7 +60,7 @@
 	return share
 }
 
-// Deposit records a first attempt that reached the service, which adds ratio tokens.
+// Deposit records a first attempt that reached the service. It adds ratio tokens.
 func (b *Budget) Deposit(service string, ratio float64, allowance uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,13 +74,13 @@
 	b.add(service, 1, allowance)
 }
 
-// add puts tokens into a bucket up to its capacity. The caller holds the lock.
+// add adds tokens to a bucket, up to its capacity. The caller holds the lock.
 func (b *Budget) add(service string, tokens float64, allowance uint32) {
 	bucket := b.bucket(service)
 	bucket.tokens = min(bucket.tokens+tokens, b.capacity(allowance))
 }
 
-// TryWithdraw takes the token for one retry and reports whether there was one.
+// TryWithdraw withdraws the token for one retry and reports whether there was one.
 func (b *Budget) TryWithdraw(service string, allowance uint32) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,7 +98,7 @@
 	return true
 }
 
-// Clear empties every bucket. It is called after a jump of the clock, when it is unknown how much of a period has passed.
+// Clear empties every bucket. It is called after the clock has jumped, when it is unknown how much of a period has passed.
 func (b *Budget) Clear() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// Balance returns the number of tokens a service has now.
+// Balance returns the current number of tokens of a service.
 func (b *Budget) Balance(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/retry/budget_test.go
+++ b/internal/proxy/retry/budget_test.go
@@ -12,14 +12,14 @@
 
 func (c *clock) Now() monotonic.Micros { return c.now }
 
-// sentAttempt is an attempt that the budget let through.
+// sentAttempt is an attempt that was sent: a first attempt, or a retry that the budget allowed.
 type sentAttempt struct {
 	at    monotonic.Micros
 	retry bool
 }
 
-// TestBudgetBoundsRetriesInEveryWindow sends bursts that stop, for which a count over the last ten seconds pays twice, and
-// checks every ten seconds that there were.
+// TestBudgetBoundsRetriesInEveryWindow checks the bound on retries in every period of ten seconds. It sends bursts with pauses
+// between them, for which a sliding count over the last ten seconds would pay for retries twice.
 func TestBudgetBoundsRetriesInEveryWindow(t *testing.T) {
 	const ratio, allowance, share = 0.2, 8, 4.0
 	for seed := range uint64(200) {
@@ -48,7 +48,7 @@
 				}
 				// A first attempt just outside the window may have paid for a retry just inside it.
 				if float64(retries) > ratio*float64(firstAttempts+1)+share+1e-6 {
-					t.Fatalf("seed %d: %d retries and %d first attempts from %d", seed, retries, firstAttempts, attempts[start].at)
+					t.Fatalf("seed %d: %d retries for %d first attempts in the period from %d", seed, retries, firstAttempts, attempts[start].at)
 				}
 			}
 		}
--- a/internal/proxy/retry/doc.go
+++ b/internal/proxy/retry/doc.go
@@ -2,13 +2,13 @@
 //
 // It has four parts, each usable alone:
 //
-//   - Budget is a token bucket for each service. First attempts deposit a fraction of a token, each retry withdraws a whole
-//     one. It bounds how much retries can add to the load of a service that is failing.
-//   - State follows the attempts of one request and settles them with the Budget. It also decides on redispatches: a request
-//     that another proxy rejected before any backend saw it goes to another backend at once, without a withdrawal.
-//   - Backoff is the pause before a retry.
+//   - Budget is a token bucket for each service. Each first attempt deposits a fraction of a token, and each retry withdraws a
+//     whole one. This bounds how much retries can add to the load of a failing service.
+//   - State tracks the attempts of one request and charges its retries to the Budget. It also decides on redispatches: a
+//     request that another proxy rejected before any backend saw it goes to another backend at once, without a withdrawal.
+//   - Backoff returns the pause before a retry.
 //   - Jitter spreads the Retry-After hints of rejections, so that callers don't all return at once.
 //
-// Whether a retry could make a request run twice isn't decided here: the forwarder decides it for each attempt. Nothing is
-// persisted, and all state is of one proxy process.
+// The forwarder decides for each attempt whether a retry could make the request run twice; this package doesn't. Nothing is
+// persisted, and nothing is shared between proxies.
 package retry
--- a/internal/proxy/retry/jitter.go
+++ b/internal/proxy/retry/jitter.go
@@ -10,21 +10,21 @@
 const (
 	// maxRetryAfterJitter is the most that is added to a rejection's Retry-After.
 	maxRetryAfterJitter = 10 * monotonic.Second
-	// rejectionSeriesGap without a rejection ends a series.
+	// rejectionSeriesGap is the time without a rejection that ends a series.
 	rejectionSeriesGap = 15 * monotonic.Second
 )
 
-// RandomClock is what Jitter needs of its host.
+// RandomClock provides the clock and the random numbers that Jitter needs.
 type RandomClock interface {
 	monotonic.Clock
 	Random() uint64
 }
 
 // Jitter spreads the Retry-After hints of rejections, and so the return of callers that are rejected for the same cause. The
-// spread grows with the time that such rejections have lasted: callers that waited through an outage must not all return at
-// the moment it ends. It is safe for concurrent use.
+// spread grows with the time for which such rejections have lasted, so that callers that waited during an outage don't all return
+// at the moment it ends. It is safe for concurrent use.
 //
-// Invariant: a series is the rejections for one cause with no gap of rejectionSeriesGap between two of them.
+// A series consists of the rejections for one cause without a gap of rejectionSeriesGap between two of them.
 type Jitter struct {
 	host RandomClock
 	// disabled leaves Retry-After as it is. Only measurements of the jitter's effect set it.
@@ -34,10 +34,10 @@
 	series map[apierror.Cause]*rejectionSeries
 }
 
-// rejectionSeries is when the first and the last rejection of a series were made.
+// rejectionSeries holds the times of the first and the last rejection of a series.
 type rejectionSeries struct{ since, last monotonic.Micros }
 
-// NewJitter returns a jitter for which no rejection has been made yet.
+// NewJitter returns a jitter that has seen no rejection yet.
 func NewJitter(host RandomClock) *Jitter {
 	return &Jitter{host: host, series: map[apierror.Cause]*rejectionSeries{}}
 }
@@ -45,8 +45,8 @@
 // SetDisabled leaves Retry-After hints unchanged, so that the effect of the jitter can be measured. No program calls it.
 func (j *Jitter) SetDisabled(disabled bool) { j.disabled = disabled }
 
-// Apply adds the jitter to a rejection's Retry-After. A fault without one is left alone, and so is a measured wait: it comes
-// from a backend's queue, which already spreads the callers' return.
+// Apply adds the jitter to a rejection's Retry-After. It doesn't change a fault without a Retry-After, nor one whose Retry-After was
+// measured: that comes from a backend's queue, which already spreads the return of the callers.
 func (j *Jitter) Apply(fault *apierror.Error) {
 	if fault.RetryAfter == 0 || fault.RetryAfterMeasured || j.disabled {
 		return
--- a/internal/proxy/retry/jitter_test.go
+++ b/internal/proxy/retry/jitter_test.go
@@ -11,8 +11,8 @@
 
 const ms = monotonic.Millisecond
 
-// TestMeasuredRetryAfterIsUnchanged: a wait that a backend's queue measured reaches the caller unchanged, however long
-// rejections have lasted.
+// TestMeasuredRetryAfterIsUnchanged checks that a Retry-After that was measured from a backend's queue gets no jitter, however
+// long rejections have lasted.
 func TestMeasuredRetryAfterIsUnchanged(t *testing.T) {
 	simulated := world.New(1)
 	defer simulated.Close()
--- a/internal/proxy/retry/state.go
+++ b/internal/proxy/retry/state.go
@@ -6,12 +6,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// MaxRedispatches is how many further backends one request may be sent to, over all its attempts, because a proxy rejected
-// it. Each redispatch costs processor time on two hosts, most of all while every backend is full and most are in vain.
+// MaxRedispatches is the number of times that one request may be redispatched to another backend, over all its attempts. Each
+// redispatch costs processor time on two hosts, which is mostly wasted while every backend is full.
 const MaxRedispatches = 2
 
 // redispatchCauses are the causes of rejection after which another backend is tried at once: no backend has seen the request,
-// and another one may well accept it.
+// and another backend is likely to accept it.
 var redispatchCauses = map[apierror.Cause]bool{
 	apierror.Overloaded:         true,
 	apierror.BackendLeaving:     true,
@@ -21,8 +21,8 @@
 	apierror.BackendUnhealthy:   true,
 }
 
-// State follows the attempts of one request. The first attempt is free, a retry is charged to the Budget, and a redispatch
-// belongs to the attempt that was rejected: a charge for that attempt stands, and nothing is added.
+// State tracks the attempts of one request. The first attempt is free, and a retry is charged to the Budget. A redispatch belongs to
+// the attempt that was rejected: a charge for that attempt remains, and there is no further one.
 //
 // Invariant: between two attempts that may each have reached a backend, a token was withdrawn. A token withdrawn for an
 // attempt that certainly reached none, and that isn't redispatched, is refunded.
@@ -35,7 +35,7 @@
 	minRetryAfter monotonic.Micros
 }
 
-// AttemptResult is how one attempt ended.
+// AttemptResult is the outcome of one attempt.
 type AttemptResult struct {
 	Fault       *apierror.Error // nil if the backend responded
 	Retriable   bool            // another attempt can't make the request run twice
@@ -53,7 +53,7 @@
 // RedispatchesExhausted reports whether the request may not be redispatched again.
 func (s *State) RedispatchesExhausted() bool { return s.redispatches == MaxRedispatches }
 
-// MinRetryAfter is the shortest Retry-After, in microseconds, of the overloaded backends so far; 0 if there was none.
+// MinRetryAfter returns the shortest Retry-After, in microseconds, of the overloaded backends so far; 0 if there was none.
 func (s *State) MinRetryAfter() monotonic.Micros { return s.minRetryAfter }
 
 // Charge withdraws the token for a retry from the budget and reports whether there was one.
@@ -65,7 +65,7 @@
 	return true
 }
 
-// EndAttempt settles an attempt with the budget and reports whether the request is to be redispatched to another backend.
+// EndAttempt updates the budget at the end of an attempt and reports whether the request is to be redispatched to another backend.
 func (s *State) EndAttempt(budget *Budget, service string, policy *wire.Retry, result AttemptResult) (redispatch bool) {
 	s.redispatching = false
 	if result.reachedBackend() {
--- a/internal/proxy/retry/state_test.go
+++ b/internal/proxy/retry/state_test.go
@@ -17,11 +17,12 @@
 	return fault
 }
 
-// TestRedispatches: a request that no backend has seen is redispatched without cost, up to the limit and only while another
-// backend is left. One that may have reached a backend never is. The charge for a retry stands unless no backend was reached.
+// TestRedispatches checks that a request that no backend has seen is redispatched without charge, up to the limit and only while
+// another backend is left, and that a request that may have reached a backend never is. It also checks that the charge for a retry is
+// refunded only if no backend was reached.
 func TestRedispatches(t *testing.T) {
-	unreached, lost := apierror.New(apierror.ForwardUnreachable, apierror.NotRun, ""), apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "")
-	declined, older := apierror.New(apierror.NotExecuted, apierror.NotRun, ""), apierror.New(apierror.VersionOlder, apierror.NotRun, "")
+	unreachable, lost := apierror.New(apierror.ForwardUnreachable, apierror.NotRun, ""), apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "")
+	notExecuted, older := apierror.New(apierror.NotExecuted, apierror.NotRun, ""), apierror.New(apierror.VersionOlder, apierror.NotRun, "")
 	type attempt struct {
 		fault        *apierror.Error
 		lastBackend  bool
@@ -35,10 +36,10 @@
 		retryAfter monotonic.Micros
 	}{
 		{"first attempt: full, full, accepted", false, []attempt{{overloaded(30), false, true}, {overloaded(20), false, true}, {nil, false, false}}, 3, 20},
-		{"two redispatches at most", false, []attempt{{overloaded(40), false, true}, {unreached, false, true}, {overloaded(30), false, false}}, 2, 30},
+		{"two redispatches at most", false, []attempt{{overloaded(40), false, true}, {unreachable, false, true}, {overloaded(30), false, false}}, 2, 30},
 		{"no other backend left", false, []attempt{{overloaded(40), true, false}}, 2, 40},
 		{"response lost", false, []attempt{{lost, false, false}}, 3, 0},
-		{"not executed by the backend", false, []attempt{{declined, false, false}}, 3, 0},
+		{"not executed by the backend", false, []attempt{{notExecuted, false, false}}, 3, 0},
 		{"configuration version too old: no other backend helps", false, []attempt{{older, false, false}}, 2, 0},
 		{"charge of a redispatched retry stands", true, []attempt{{overloaded(10), false, true}, {nil, false, false}}, 1, 10},
 		{"charge of a retry that reached no backend is refunded", true, []attempt{{overloaded(10), false, true}, {overloaded(20), true, false}}, 2, 10},
@@ -48,7 +49,7 @@
 			budget := retry.NewBudget(&clock{now: monotonic.Minute}, func(uint32) float64 { return 4 })
 			policy := &wire.Retry{BudgetRatio: proto.Float64(1), Allowance: proto.Uint32(4)}
 			var state retry.State
-			for range 2 { // leaves two of the four tokens it starts with
+			for range 2 { // leaves two of the four initial tokens
 				if !budget.TryWithdraw("forms", 4) {
 					t.Fatal("the budget is empty at the start")
 				}
