--- a/internal/proxy/backendapi/backendapi.go
+++ b/internal/proxy/backendapi/backendapi.go
@@ -1,4 +1,4 @@
-// Package backendapi is the HTTP API of a proxy for the backends on its host, for the platform and for operators: registration and
+// Package backendapi implements the HTTP API of a proxy for the backends on its host, the platform and operators: registration and
 // heartbeats of backends, leases on singleton roles, readiness, status, metrics, and the manual control of circuit breakers.
 package backendapi
 
@@ -21,10 +21,11 @@
 	stop  func()
 }
 
-// New returns the API's handler. metrics serves the metrics page; stop begins to drain the proxy and must return at once.
+// New returns the handler of the API. The metrics handler serves /metrics. The stop function starts to drain the proxy and must return at
+// once.
 //
-// Some paths have former names, which are part of the API: a beat is a heartbeat, a duty is a singleton role, and a guard is a
-// service's circuit breaker.
+// Some paths keep former names, since they are part of the API: a beat is a heartbeat, a duty is a singleton role, and a guard is
+// the circuit breaker of a service.
 func New(h host.Host, p *proxy.Proxy, metrics http.Handler, stop func()) http.Handler {
 	a := &api{host: h, proxy: p, stop: stop}
 	router := chi.NewRouter()
@@ -69,11 +70,11 @@
 			return
 		}
 	}
-	writeNoted(writer, a.proxy.Heartbeat(chi.URLParam(incoming, "instance"), body.Condition))
+	writeAcknowledgement(writer, a.proxy.Heartbeat(chi.URLParam(incoming, "instance"), body.Condition))
 }
 
 func (a *api) leave(writer http.ResponseWriter, incoming *http.Request) {
-	writeNoted(writer, a.proxy.Heartbeat(chi.URLParam(incoming, "instance"), localbackends.Leaving))
+	writeAcknowledgement(writer, a.proxy.Heartbeat(chi.URLParam(incoming, "instance"), localbackends.Leaving))
 }
 
 func (a *api) acquireRole(writer http.ResponseWriter, incoming *http.Request) {
@@ -96,7 +97,7 @@
 		WriteError(writer, err)
 		return
 	}
-	writeNoted(writer, a.proxy.Singleton.Release(chi.URLParam(incoming, "duty"), body.Instance))
+	writeAcknowledgement(writer, a.proxy.Singleton.Release(chi.URLParam(incoming, "duty"), body.Instance))
 }
 
 func (a *api) ready(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/proxy/cancellation/cancellation.go
+++ b/internal/proxy/cancellation/cancellation.go
@@ -1,4 +1,4 @@
-// Package cancellation follows the attempts of one request, so that the one in flight can be cancelled when the caller
+// Package cancellation tracks the attempts of one request, so that the attempt in flight can be cancelled when the caller
 // disconnects before it has a response.
 //
 // A request with an idempotency key isn't cancelled: the caller may send the key again and must then get the response.
@@ -6,57 +6,57 @@
 
 import "sync"
 
-// Attempt is an attempt that waits for a response.
+// Attempt is an attempt whose response is pending.
 type Attempt struct {
-	ID string // as it was sent with the request
-	// Proxy, Incarnation and Address are those of the proxy that the attempt was sent to.
+	ID string // as sent with the attempt
+	// Proxy, Incarnation and Address identify the proxy to which the attempt was sent.
 	Proxy       string
 	Incarnation uint64
 	Address     string
 }
 
-// Tracker follows the attempts of one request. It is safe for concurrent use: the caller may disconnect at any time.
+// Tracker tracks the attempts of one request. It is safe for concurrent use, since the caller may disconnect at any time.
 type Tracker struct {
-	// ignoreCaller makes a disconnect change nothing.
-	ignoreCaller bool
+	// ignoreDisconnect is set if the request isn't cancellable.
+	ignoreDisconnect bool
 
-	mu         sync.Mutex // guards what follows
-	callerLeft bool
-	current    *Attempt // nil between two attempts
+	mu                 sync.Mutex // guards the fields below
+	callerDisconnected bool
+	current            *Attempt // nil between two attempts
 }
 
-// NewTracker returns the tracker of a request. With cancellable false a disconnect changes nothing.
+// NewTracker returns the tracker of a request. If cancellable is false, a disconnect of the caller has no effect.
 func NewTracker(cancellable bool) *Tracker {
-	return &Tracker{ignoreCaller: !cancellable}
+	return &Tracker{ignoreDisconnect: !cancellable}
 }
 
-// Begin records that an attempt is about to be sent. It returns false if the caller has disconnected: then the attempt must
-// not be sent.
+// Begin records that an attempt is about to be sent. It returns false if the caller has disconnected; the attempt must then not
+// be sent.
 func (t *Tracker) Begin(attempt Attempt) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.callerLeft {
+	if t.callerDisconnected {
 		return false
 	}
 	t.current = &attempt
 	return true
 }
 
-// End records that the attempt has ended and reports whether the caller disconnected meanwhile.
+// End records that the attempt has ended and reports whether the caller has disconnected.
 func (t *Tracker) End() (callerLeft bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.current = nil
-	return t.callerLeft
+	return t.callerDisconnected
 }
 
-// CallerDisconnected records that the caller has disconnected. It returns the attempt that is to be cancelled, nil if there is none.
+// CallerDisconnected records that the caller has disconnected. It returns the attempt to cancel, nil if there is none.
 func (t *Tracker) CallerDisconnected() *Attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ignoreCaller {
+	if t.ignoreDisconnect {
 		return nil
 	}
-	t.callerLeft = true
+	t.callerDisconnected = true
 	return t.current
 }
--- a/internal/proxy/cancellation/cancellation_test.go
+++ b/internal/proxy/cancellation/cancellation_test.go
@@ -8,7 +8,7 @@
 
 var attempt = cancellation.Attempt{ID: "request.1", Proxy: "proxy-1"}
 
-func TestCallerLeavesDuringAttempt(t *testing.T) {
+func TestCallerDisconnectsDuringAttempt(t *testing.T) {
 	tracker := cancellation.NewTracker(true)
 	if !tracker.Begin(attempt) {
 		t.Fatal("the first attempt was not allowed")
@@ -17,18 +17,18 @@
 		t.Errorf("to be cancelled: %v", cancelled)
 	}
 	if !tracker.End() {
-		t.Error("the attempt ended as if the caller were there")
+		t.Error("the end of the attempt doesn't report that the caller disconnected")
 	}
 	if tracker.Begin(attempt) {
 		t.Error("another attempt was allowed")
 	}
 }
 
-func TestCallerLeavesBetweenAttempts(t *testing.T) {
+func TestCallerDisconnectsBetweenAttempts(t *testing.T) {
 	tracker := cancellation.NewTracker(true)
 	tracker.Begin(attempt)
 	if tracker.End() {
-		t.Error("the attempt ended as if the caller had left")
+		t.Error("the end of the attempt reports that the caller disconnected")
 	}
 	if cancelled := tracker.CallerDisconnected(); cancelled != nil {
 		t.Errorf("to be cancelled: %v", cancelled)
@@ -45,7 +45,7 @@
 		t.Errorf("to be cancelled: %v", cancelled)
 	}
 	if tracker.End() {
-		t.Error("the attempt ended as if it had been cancelled")
+		t.Error("the end of the attempt reports that the caller disconnected")
 	}
 	if !tracker.Begin(attempt) {
 		t.Error("another attempt was not allowed")
--- a/internal/proxy/forward/authentication_test.go
+++ b/internal/proxy/forward/authentication_test.go
@@ -91,7 +91,7 @@
 					t.Errorf("forwarded as %q with priority %d, scope %q, former scope %q", sent.Tenant, sent.Priority, sent.Scope, sent.FormerScope)
 				}
 				if sent.KeyLease != int64(test.lease) {
-					t.Errorf("forwarded with a key lease of %d us, not %d us", sent.KeyLease, int64(test.lease))
+					t.Errorf("forwarded with a key lease of %d us", sent.KeyLease)
 				}
 			})
 		})
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -307,8 +307,8 @@
 	})
 }
 
-// TestCallerLeaves checks that the attempt in flight is cancelled when the caller disconnects, unless the request has a key.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects checks that the attempt in flight is cancelled when the caller disconnects, unless the request has a key.
+func TestCallerDisconnects(t *testing.T) {
 	for name, test := range map[string]struct {
 		request   *request.Request
 		cancelled int
--- a/internal/proxy/ingress/error.go
+++ b/internal/proxy/ingress/error.go
@@ -10,17 +10,17 @@
 	"snowflow/internal/proxy/request"
 )
 
-// ErrorBody is the body of a response that is the mesh's own.
+// ErrorBody is the body of an error response that the mesh generates.
 type ErrorBody struct {
 	Cause            uint32 `json:"cause"`
-	Name             string `json:"name"` // of the cause
+	Name             string `json:"name"` // the name of the cause
 	Verdict          string `json:"verdict"`
-	RetryAfterMicros int64  `json:"retry_after_micros"` // 0 if a retry doesn't help
-	Detail           string `json:"detail"`             // for people; not stable
+	RetryAfterMicros int64  `json:"retry_after_micros"` // 0 if a retry is useless
+	Detail           string `json:"detail"`             // human-readable; the text isn't stable
 	Request          string `json:"request"`            // the request's ID
 }
 
-// WriteError writes a fault as the mesh's own response to the request with an ID.
+// WriteError writes a fault as the response to the request with the given ID.
 func WriteError(writer http.ResponseWriter, id string, fault *apierror.Error) {
 	headers := writer.Header()
 	headers.Set("Content-Type", "application/json")
--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// maxBodyBytes bounds what is read into memory for one request. Services may take less.
+	// maxBodyBytes is the largest request body that is read into memory. The limit of a service may be lower.
 	maxBodyBytes = 32 << 20
-	// maxRequestIDBytes is the longest request ID that is taken over from a caller.
+	// maxRequestIDBytes is the maximum length of a request ID that is accepted from a caller. A longer one is replaced.
 	maxRequestIDBytes = 100
-	// maxHeaderBytes bounds the headers of a request.
+	// maxHeaderBytes is the maximum size of a request's headers.
 	maxHeaderBytes = 64 << 10
 
 	readHeaderTimeout = 10 * time.Second
@@ -32,21 +32,21 @@
 	idleTimeout       = 60 * time.Second
 )
 
-// forwarder forwards a request and returns its response or its fault, see forward.Forwarder.Forward.
+// forwarder forwards requests; see forward.Forwarder.
 type forwarder interface {
 	Forward(req *request.Request) (*request.Response, *apierror.Error)
 }
 
-// Handler takes callers' requests.
+// Handler serves the requests of callers.
 type Handler struct {
 	forwarder forwarder
-	// leaderClock returns a time of the registry leader's clock that has certainly passed.
+	// leaderClock returns a lower bound on the registry leader's clock.
 	leaderClock func() *wire.LeaderTimestamp
 	clock       monotonic.Clock
 	inFlight    *shutdown.InFlight
 }
 
-// New returns the handler of a proxy's callers. The clock is that of the proxy's deadlines.
+// New returns the handler for the callers of a proxy. The clock must be the one that the proxy uses for deadlines.
 func New(sidecar *proxy.Proxy, clock monotonic.Clock) http.Handler {
 	return newHandler(&Handler{forwarder: sidecar.Forwarder, leaderClock: sidecar.LeaderClock, clock: clock, inFlight: sidecar.Callers})
 }
@@ -54,11 +54,11 @@
 func newHandler(h *Handler) http.Handler {
 	router := chi.NewRouter()
 	router.HandleFunc("/*", h.serve)
-	router.MethodNotAllowed(h.serve) // the configuration decides which methods there are
+	router.MethodNotAllowed(h.serve) // the configuration decides which methods are allowed
 	return router
 }
 
-// NewServer returns the HTTP server of a handler.
+// NewServer returns an HTTP server for a handler, with timeouts and a limit of the headers' size.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -88,7 +88,7 @@
 	writeResponse(writer, req, response)
 }
 
-// newRequest takes over what is known of a request before its body is read.
+// newRequest returns the part of a request that is known before its body is read.
 func newRequest(incoming *http.Request) *request.Request {
 	id := incoming.Header.Get(request.RequestIDHeader)
 	if id == "" || len(id) > maxRequestIDBytes {
@@ -107,13 +107,13 @@
 	}
 }
 
-// read reads the rest of a request.
+// read reads the body and sets the fields that newRequest leaves out.
 func (h *Handler) read(req *request.Request, writer http.ResponseWriter, incoming *http.Request) *apierror.Error {
 	body, fault := ReadBody(writer, incoming)
 	if fault != nil {
 		return fault
 	}
-	// From here on the request counts as read: a fence of its key holds for it if it is later than this time.
+	// From here on the request counts as read: a fence of its key rejects it if the fence is later than ReadAt.
 	req.Body, req.Headers, req.ReadAt = body, upstream.EndToEndHeaders(withoutMeshHeaders(incoming.Header)), h.leaderClock()
 	limit := incoming.Header.Get(request.DeadlineHeader)
 	if limit == "" {
@@ -121,14 +121,13 @@
 	}
 	timeoutMicros, err := strconv.ParseInt(limit, 10, 64)
 	if err != nil || timeoutMicros <= 0 {
-		return apierror.New(apierror.MalformedRequest, apierror.NotRun, "%s is not a number of microseconds above 0", request.DeadlineHeader)
+		return apierror.New(apierror.MalformedRequest, apierror.NotRun, "%s must be a positive number of microseconds", request.DeadlineHeader)
 	}
 	req.Deadline = h.clock.Now() + monotonic.Micros(timeoutMicros)
 	return nil
 }
 
-// ReadBody reads the complete body of a request, of at most 32 MiB. The fault is a longer body's, or that of a body that can't
-// be read to its end.
+// ReadBody reads the complete body of a request. It returns a fault if the body is longer than 32 MiB or can't be read to its end.
 func ReadBody(writer http.ResponseWriter, incoming *http.Request) ([]byte, *apierror.Error) {
 	body, err := upstream.ReadAll(http.MaxBytesReader(writer, incoming.Body, maxBodyBytes), incoming.ContentLength)
 	if err == nil {
@@ -141,7 +140,7 @@
 	return nil, apierror.New(cause, apierror.NotRun, "%v", err)
 }
 
-// withoutMeshHeaders is a copy of the headers without those that are for the mesh alone.
+// withoutMeshHeaders returns a copy of the headers without those that a backend must not get from a caller.
 func withoutMeshHeaders(headers http.Header) http.Header {
 	forwarded := headers.Clone()
 	for _, name := range []string{request.RequestIDHeader, request.TenantKeyHeader, request.TenantHeader} {
@@ -167,10 +166,10 @@
 	_, _ = writer.Write(response.Body) // fails only if the caller has disconnected
 }
 
-// Flush writes what the server still buffers of a response, so that the response is written when the handler's request ends.
+// Flush writes what the server still buffers of a response, so that a request counts as in flight until its response is written.
 func Flush(writer http.ResponseWriter) { _ = http.NewResponseController(writer).Flush() } // fails only if the caller has disconnected
 
-// hasBody reports whether a response to a method may have a body.
+// hasBody reports whether the response to a request with this method may have a body.
 func hasBody(method string, status uint32) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/internal/proxy/ingress/handler_test.go
+++ b/internal/proxy/ingress/handler_test.go
@@ -20,7 +20,7 @@
 
 func (fakeClock) Now() monotonic.Micros { return monotonic.Minute }
 
-// fakeForwarder records the request that it is given, and answers with the response or fault.
+// fakeForwarder records the request that it is given, and returns the response or fault.
 type fakeForwarder struct {
 	forwarded *request.Request
 	response  *request.Response
@@ -61,8 +61,8 @@
 
 func (w *countingWriter) Flush() { w.counts = append(w.counts, w.inFlight.Count()) }
 
-// TestInFlightUntilWritten guards against the fault by which a planned stop cut responses that were still being written to callers: a
-// request was counted until its response was there, not until it was written.
+// TestInFlightUntilWritten guards against a planned stop that cuts off responses while they are written to callers. That happened when a
+// request counted as in flight only until its response was available, not until it was written.
 func TestInFlightUntilWritten(t *testing.T) {
 	for name, test := range map[string]struct {
 		forwarder *fakeForwarder
@@ -107,7 +107,7 @@
 		t.Errorf("deadline %d, read at %v", got.Deadline, got.ReadAt)
 	}
 	if request.HeaderValue(got.Headers, request.RequestIDHeader) != "" || request.HeaderValue(got.Headers, request.DeadlineHeader) != "" {
-		t.Errorf("headers of the mesh are forwarded: %v", got.Headers)
+		t.Errorf("mesh headers were forwarded: %v", got.Headers)
 	}
 	if recorder.Code != 201 || recorder.Body.String() != "done" || recorder.Header().Get("X-Own") != "1" || recorder.Header().Get("Content-Length") != "4" {
 		t.Errorf("responded %d %v %q", recorder.Code, recorder.Header(), recorder.Body)
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestTenantKeysStayHere guards against keys of tenants, and names of tenants that callers made up, among the headers for backends.
-func TestTenantKeysStayHere(t *testing.T) {
+// TestTenantHeadersAreNotForwarded guards against forwarding tenant keys, or tenant names that a caller forged, to backends.
+func TestTenantHeadersAreNotForwarded(t *testing.T) {
 	forwarder := &fakeForwarder{response: &request.Response{Status: 200}}
 	incoming := httptest.NewRequest(http.MethodGet, "/forms/1", nil)
 	incoming.Header.Add(request.TenantKeyHeader, "key-1")
--- a/internal/proxy/request/request.go
+++ b/internal/proxy/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds a caller's request and a backend's response as they go through a proxy. Both are complete: headers
-// and body are in memory.
+// Package request defines a caller's request and a backend's response as a proxy holds them: complete, with headers and body in
+// memory.
 package request
 
 import (
@@ -8,17 +8,17 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The HTTP headers that the mesh interprets or sets. Their names are stable.
+// The HTTP headers that the mesh interprets or sets. Their names are part of the API.
 const (
-	// IdempotencyKeyHeader holds the key under which a request runs at most once.
+	// IdempotencyKeyHeader holds the idempotency key, under which a request runs at most once.
 	IdempotencyKeyHeader = "X-Snowflow-Key"
-	// DeadlineHeader holds the microseconds for which the caller waits.
+	// DeadlineHeader holds the time for which the caller waits, in microseconds.
 	DeadlineHeader = "X-Snowflow-Cutoff-Micros"
-	// NotExecutedHeader is set in a response if the request has certainly not run.
+	// NotExecutedHeader is set in a response if the request certainly hasn't run.
 	NotExecutedHeader = "X-Snowflow-Not-Executed"
-	// TenantKeyHeader holds the key of the tenant that a request is of. Backends aren't shown it.
+	// TenantKeyHeader holds the key of the tenant that sends the request. It isn't forwarded to backends.
 	TenantKeyHeader = "X-Snowflow-Caller-Key"
-	// TenantHeader holds, in a request to a backend, the name of the tenant whose key the request bears.
+	// TenantHeader holds, in a request to a backend, the name of the tenant that sent the request.
 	TenantHeader = "X-Snowflow-Caller-Tenant"
 	// RequestIDHeader holds the request's ID, in the request and in its response.
 	RequestIDHeader = "X-Snowflow-Request"
@@ -26,7 +26,7 @@
 	ConfigVersionHeader = "X-Snowflow-Serial"
 )
 
-// Request is one caller's request. Invariant: it isn't changed once read.
+// Request is a caller's request. Invariant: it isn't changed once it has been read.
 type Request struct {
 	ID             string
 	Method         string
@@ -35,22 +35,23 @@
 	Headers        []*wire.Header
 	Body           []byte
 	IdempotencyKey string // empty if it has none
-	// TenantKeys are the tenants' keys that the request bears. Headers has none of them.
+	// TenantKeys are all tenant keys that the request carries. Headers contains none of them.
 	TenantKeys []string
-	// Deadline is when the caller gives up, on the clock of this process in microseconds; 0 leaves it to the service's
-	// configuration.
+	// Deadline is when the caller gives up, on the clock of this process in microseconds. If 0, the service's configuration
+	// determines the deadline.
 	Deadline monotonic.Micros
-	// ParsedTarget is the target if its spelling must not be changed; if nil, Target is converted to its canonical spelling.
+	// ParsedTarget is the target if its spelling must not be changed. If nil, Target is used in its canonical form.
 	ParsedTarget *resourcepath.RequestTarget
-	// IdempotencyScope names what may run once; if empty, it is made of the resource and the key.
+	// IdempotencyScope identifies what may run only once. If empty, it is derived from the resource and the idempotency key.
 	IdempotencyScope string
-	// VerdictPerRequest makes the verdict of a fault one on this request only, not on its key: a later request with the key
-	// may still run.
+	// VerdictPerRequest limits the verdict of a fault to this request: another request with the same idempotency key may still run.
+	// If it is false, NotRun also means that no request with the key that was read earlier can run.
 	VerdictPerRequest bool
-	// ReadAt is a time of the registry leader's clock that had certainly passed when the request was read; nil if none is known.
+	// ReadAt is a lower bound on the registry leader's clock at the time the request was read; nil if none is known.
 	ReadAt *wire.LeaderTimestamp
-	// OnCallerDisconnect registers a callback that is called, on a goroutine of its own, when the caller disconnects before it has a response. The
-	// returned stop prevents that, and reports whether it did. Nil if a disconnect can't be seen.
+	// OnCallerDisconnect registers a callback that is called, in its own goroutine, when the caller disconnects before it has a
+	// response. The returned stop prevents the call and reports whether it did. OnCallerDisconnect is nil if a disconnect can't
+	// be detected.
 	OnCallerDisconnect func(callback func()) (stop func() bool)
 }
 
@@ -59,14 +60,14 @@
 	Status        uint32 // HTTP status
 	Headers       []*wire.Header
 	Body          []byte
-	Instance      string // the backend
-	ConfigVersion uint64 // by which the request was forwarded; 0 if that isn't known
-	// NotRun is true if the backend itself reports that it has certainly not run the request.
+	Instance      string // the backend's instance
+	ConfigVersion uint64 // the configuration version by which the request was forwarded; 0 if unknown
+	// NotRun is true if the backend itself reports that it certainly hasn't run the request.
 	NotRun bool
 }
 
-// HeaderValue returns the value of the first header with a name, empty if there is none. Names are compared exactly: the
-// process stores them in canonical form.
+// HeaderValue returns the value of the first header with the given name, empty if there is none. Names are compared exactly, since
+// they are stored in canonical form.
 func HeaderValue(headers []*wire.Header, name string) string {
 	for _, header := range headers {
 		if header.Name == name {
