--- a/internal/proxy/forward/authentication.go
+++ b/internal/proxy/forward/authentication.go
@@ -74,7 +74,7 @@
 	return nil, apierror.New(apierror.Unauthenticated, apierror.NotRun, "the tenant key belongs to no tenant")
 }
 
-// refusalReason returns why a request is refused whose number of tenant keys isn't one.
+// refusalReason returns the reason for refusing a request that doesn't carry exactly one tenant key.
 func refusalReason(keys int) tenantstats.Reason {
 	if keys == 0 {
 		return tenantstats.NoKey
--- a/internal/proxy/forward/policies.go
+++ b/internal/proxy/forward/policies.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// resolve sets the exchange's configuration snapshot, and its route, service and deadline by that snapshot.
+// resolve pins the exchange to the current configuration snapshot, and sets its route, service and deadline from it.
 func (f *Forwarder) resolve(exchange *Exchange) *apierror.Error {
 	snapshot, leaseValid := f.config.ConfigClient.Current()
 	if snapshot == nil {
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -11,7 +11,7 @@
 const (
 	// voidTimeout is the longest that voiding an attempt may take. After it the verdict is MayHaveRun.
 	voidTimeout = 1500 * monotonic.Millisecond
-	// minVoidTimeout is the time that voiding is allowed even if the request's deadline is earlier.
+	// minVoidTimeout is how long voiding may take even if the request's deadline is earlier.
 	minVoidTimeout = 300 * monotonic.Millisecond
 )
 
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -13,7 +13,7 @@
 //
 // Invariant, for each service and each period of budgetWindow: retries <= ratio x first attempts in that period + capacity.
 // A sliding count over the last budgetWindow would not ensure that: first attempts that are about to leave the window would
-// still pay for a burst of retries, which remains in the next window without them.
+// still pay for a burst of retries, and that burst would also fall into a later period without those first attempts.
 type Budget struct {
 	clock monotonic.Clock
 	// allowanceShare returns this proxy's share of a mesh-wide allowance, 0 while the share is unknown.
