--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// adoptionRecheck is the time between two checks of an apply that waits while this process doesn't serve as primary.
+	// adoptionRecheck is the interval at which a waiting apply checks again while this process doesn't serve as primary.
 	adoptionRecheck = 100 * monotonic.Millisecond
-	// maxAdoptionRecheck bounds the time between two checks of the leases while this process serves as primary.
+	// maxAdoptionRecheck is the longest interval between two checks of the leases while this process serves as primary.
 	maxAdoptionRecheck = 250 * monotonic.Millisecond
 )
 
@@ -22,9 +22,9 @@
 // is harmless and gives the outcome.
 var ErrUnacknowledged = errors.New("postmaster: outcome unknown, ask again with the same request id")
 
-// Apply validates a configuration, replicates it, and waits until the proxies have adopted it; see the package's comment for
-// what an accepted outcome promises. A configuration that is rejected is a response with another outcome than versions.Accepted.
-// Errors are ErrUnacknowledged, and those of package apierror if this process isn't the primary.
+// Apply validates a configuration, replicates it, and waits until the proxies have adopted it. The package documentation describes
+// what the outcome versions.Accepted guarantees. A rejected configuration has another outcome and no error. Errors are
+// ErrUnacknowledged and, if this process isn't the primary, those of package apierror.
 func (s *Server) Apply(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	request, known, err := s.expandRequest(request)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 	s.recordVersion(response.Version)
 	s.notifyAccepted()
-	// An apply under a number below the newest is acknowledged but changes nothing, so it isn't reported.
+	// An apply that names a version below the newest is acknowledged but changes nothing, so no event is reported.
 	superseded := request.Version > 0 && response.Version != request.Version
 	if !superseded {
 		s.options.Host.Report(eventlog.ConfigAccepted, eventlog.Attributes{"serial": response.Version, "digest": response.Digest})
@@ -58,7 +58,7 @@
 	return s.acknowledge(response)
 }
 
-// reject reports an invalid configuration and returns the response to it.
+// reject reports an event for an invalid configuration and returns the response to it.
 func (s *Server) reject(fieldErrors []config.FieldError) *wire.ConfigApplyResponse {
 	response := &wire.ConfigApplyResponse{Outcome: versions.Invalid}
 	for _, fieldError := range fieldErrors {
@@ -68,8 +68,8 @@
 	return response
 }
 
-// acknowledge completes the response to an accepted configuration once the proxies have adopted it or, with ServeStale, at the
-// latest when the wait for them has timed out.
+// acknowledge completes the response to an accepted configuration once the proxies have adopted it. If the wait for them times out,
+// the response says so with ServeStale; otherwise the error is ErrUnacknowledged.
 func (s *Server) acknowledge(response *wire.ConfigApplyResponse) (*wire.ConfigApplyResponse, error) {
 	response.AdoptedEverywhere = s.waitForAdoption(response.Version)
 	if !response.AdoptedEverywhere && !s.options.Timeouts.ServeStale {
@@ -78,7 +78,7 @@
 	return response, nil
 }
 
-// recordVersion notes when this process learned of a version that was accepted.
+// recordVersion records the time at which this process learned of an accepted version, if it's newer than those known.
 func (s *Server) recordVersion(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,9 +87,9 @@
 	}
 }
 
-// beginWait records the commit of a version that no apply has waited for yet, and returns the time from which an apply of the
-// version counts its wait. With ServeStale that is the commit of the newest version, as far as this process knows, so that
-// applying it again doesn't wait again; otherwise it is now.
+// beginWait records the commit time of a version that no apply has waited for yet, and returns the time from which the timeout of an
+// apply of the version is counted. With ServeStale this is the time at which the newest version was committed, as far as this process
+// knows, so that a repeated apply doesn't wait again; otherwise it's the current time.
 func (s *Server) beginWait(version uint64) monotonic.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +103,8 @@
 	return now
 }
 
-// waitForAdoption waits until allAdopted reports true for a version, and reports whether it did before the timeout. While this
-// process doesn't serve as primary the wait goes on, because another primary may grant leases that it doesn't know of. When it
+// waitForAdoption waits until allAdopted holds for a version, and reports whether it did before the timeout. While this process
+// doesn't serve as primary the wait continues, because another primary may grant leases that this process doesn't know of. When it
 // serves again, onPrimary has set acknowledgeFrom, which covers those leases.
 func (s *Server) waitForAdoption(version uint64) bool {
 	host := s.options.Host
@@ -130,7 +130,7 @@
 	}
 }
 
-// checkAdoption reports whether this process serves as primary and allAdopted holds; if not, recheck is the time until the next
+// checkAdoption reports whether this process serves as primary and allAdopted holds. If not, recheck is the time until the next
 // check.
 func (s *Server) checkAdoption(version uint64) (adopted bool, recheck monotonic.Micros) {
 	if !s.Member.Serving() {
--- a/internal/configstore/broadcaster.go
+++ b/internal/configstore/broadcaster.go
@@ -18,8 +18,8 @@
 
 func newBroadcaster(host host.Host) *broadcaster { return &broadcaster{host: host} }
 
-// subscribe returns a signal that fires at the next notifyAll. A task subscribes before it checks whether it has to wait at
-// all, so that no event is lost between the check and the wait. It must unsubscribe when it has stopped waiting.
+// subscribe returns a signal that fires at the next notifyAll. A task subscribes before it checks whether it has to wait, so that no
+// event is lost between the check and the wait. It must unsubscribe when it stops waiting.
 func (b *broadcaster) subscribe() host.Signal {
 	signal := b.host.NewSignal()
 	b.mu.Lock()
@@ -28,7 +28,7 @@
 	return signal
 }
 
-// unsubscribe forgets a signal. It does nothing if the signal has fired already.
+// unsubscribe removes a signal. It does nothing if the signal has fired.
 func (b *broadcaster) unsubscribe(signal host.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,11 +36,11 @@
 	if index < 0 {
 		return
 	}
-	// The capacity is cut, so that a list that notifyAll has taken isn't written to.
+	// The limited capacity makes append copy the list, because notifyAll may be iterating over it.
 	b.waiters = append(b.waiters[:index:index], b.waiters[index+1:]...)
 }
 
-// notifyAll fires the signals of all tasks that are subscribed now.
+// notifyAll fires and removes all subscribed signals.
 func (b *broadcaster) notifyAll() {
 	b.mu.Lock()
 	waiters := b.waiters
--- a/internal/configstore/compression.go
+++ b/internal/configstore/compression.go
@@ -9,18 +9,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// compressionCache holds the newest content in compressed form, so that it's compressed once for all proxies. Configurations
-// repeat themselves a lot: on a slow link thousands of routes would take seconds without compression.
+// compressionCache holds the content that was compressed last, so that it's compressed once for all proxies. Configurations are
+// highly repetitive: without compression, thousands of routes would take seconds on a slow link.
 type compressionCache struct {
-	// mu guards the fields below. content is the deflated content of the version with that number and digest.
+	// mu guards the fields below. content is the compressed content of the version with that number and digest.
 	mu      sync.Mutex
 	version uint64
 	digest  string
 	content []byte
 }
 
-// fillContent puts the content of a stored version into a poll's response: compressed if the proxy accepts that and the content
-// isn't short, plain otherwise.
+// fillContent adds the content of a stored version to a poll's response: compressed if the proxy accepts that and the content isn't
+// short, else uncompressed.
 func (c *compressionCache) fillContent(response *wire.ConfigPollResponse, stored *wire.StoredConfig, acceptsCompressed bool) {
 	if !acceptsCompressed || len(stored.Content) < delta.MinContentSize {
 		response.Content = stored.Content
@@ -34,7 +34,7 @@
 	response.Compressed = compressed
 }
 
-// compress returns the compressed content of a stored version, from the cache if it was compressed last.
+// compress returns the compressed content of a stored version, from the cache if it's the version that was compressed last.
 func (c *compressionCache) compress(stored *wire.StoredConfig) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,6 +49,7 @@
 	return compressed, nil
 }
 
+// deflate compresses a content with DEFLATE.
 func deflate(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
--- a/internal/configstore/deltas.go
+++ b/internal/configstore/deltas.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// allVotersAcceptDeltas reports whether every voter is known to accept contents as deltas. Voters of an early build don't.
+// allVotersAcceptDeltas reports whether every voter is known to accept contents as deltas. Early builds don't support them.
 func (s *Server) allVotersAcceptDeltas() bool {
 	if s.Member == nil {
 		return false // the log is still being replayed
@@ -19,8 +19,8 @@
 	return s.options.Resolver.AllSupportDeltas(append(voters, s.options.Name)...)
 }
 
-// expandRequest returns an apply with its full content, where it came as a delta. Known is false if the delta's base isn't
-// stored here; the client then has to send the full content.
+// expandRequest returns an apply request with its full content, decoded if it was sent as a delta. The result known is false if the
+// delta's base isn't stored here; the client then has to send the full content.
 func (s *Server) expandRequest(request *wire.ConfigApplyRequest) (full *wire.ConfigApplyRequest, known bool, err error) {
 	if len(request.Delta) == 0 {
 		return request, true, nil
@@ -46,26 +46,26 @@
 	return full, true, nil
 }
 
-// replicate commits an apply, as a delta from the newest version if all voters accept deltas.
+// replicate commits an apply request, as a delta from the newest version if all voters accept deltas.
 func (s *Server) replicate(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	if compact := s.deltaRequest(request); compact != nil {
 		response, err := s.submit(compact)
 		if err != nil || response.Outcome != versions.BaseUnknown {
 			return response, err
 		}
-		// So many versions were accepted meanwhile that the base is no longer stored.
+		// The base has been removed, because enough other versions were accepted in the meantime.
 	}
 	return s.submit(request)
 }
 
-// submit commits an apply and returns the state machine's response. Its errors are those of Member.Submit.
+// submit commits an apply request and returns the state machine's response. Its errors are those of Member.Submit.
 func (s *Server) submit(request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	response := &wire.ConfigApplyResponse{}
 	return response, s.Member.Submit(&wire.ConfigCommand{Apply: request}, response)
 }
 
-// deltaRequest returns an apply with its content as a delta from the newest version, nil if that can't be done or isn't worth
-// it.
+// deltaRequest returns an apply request with its content as a delta from the newest version. It returns nil if the content is short,
+// a voter doesn't accept deltas, or the delta can't be encoded.
 func (s *Server) deltaRequest(request *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
 	if len(request.Content) < delta.MinContentSize || !s.allVotersAcceptDeltas() {
 		return nil
@@ -81,8 +81,8 @@
 	return compact
 }
 
-// encodeForRead returns a stored version as it's sent to a reader: with its content as a delta from a base that the reader has, or
-// compressed if base is nil. Short contents stay plain.
+// encodeForRead returns a stored version in the form in which it's sent to a reader: with its content as a delta from a base that the
+// reader has, or compressed if base is nil. Short contents are sent in full.
 func encodeForRead(stored, base *wire.StoredConfig) *wire.StoredConfig {
 	if len(stored.Content) < delta.MinContentSize {
 		return stored
--- a/internal/configstore/handover.go
+++ b/internal/configstore/handover.go
@@ -10,17 +10,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// handoverEpochs is by how many epochs a handover raises the epoch: one when the successor takes over, in which it doesn't serve,
-// and one when its backups are in sync and it begins to serve. If the epoch has risen by exactly that, no other process has been
-// primary in between, and the leases that were handed over are complete.
+// handoverEpochs is the number by which a handover increases the epoch: by one when the successor takes over, still without serving,
+// and by one when its backups are in sync and it begins to serve. If the epoch has increased by exactly that number, no other process
+// has been primary in between, and the leases that were handed over are complete.
 const handoverEpochs = 2
 
-// notifyDelay is how long after onPrimary the stored versions are passed to OnAccepted: the member doesn't serve reads at once.
+// notifyDelay is the time from onPrimary until the stored versions are passed to OnAccepted. The member doesn't serve reads
+// immediately.
 const notifyDelay = monotonic.Second
 
-// onPrimary is called when this process becomes primary, before it serves. Unless the leases were handed over, or this process
-// was primary in the epoch before, others may have granted leases that it doesn't know of; acknowledgements then wait for their
-// end.
+// onPrimary is called when this process becomes primary, before it serves. Unless the leases were handed over, or this process was
+// primary in the preceding epoch, other processes may have granted leases that it doesn't know of; acknowledgements then wait until
+// these have expired, except for the lease slack.
 func (s *Server) onPrimary(epoch uint64, _ monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,16 +38,16 @@
 	})
 }
 
-// deferAcknowledgements is called when the clock may have jumped: leases that this process granted may still be active though they
-// have expired on its own clock.
+// deferAcknowledgements is called when the clock may have jumped: leases that have expired by this process's clock may still be
+// active at the proxies.
 func (s *Server) deferAcknowledgements() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.acknowledgeFrom = max(s.acknowledgeFrom, s.options.Host.Now()+s.options.Timeouts.unknownLeasePeriod())
 }
 
-// exportLeases encodes the active leases for the next primary. It's called after this process has granted its last one. Nil means
-// that the list would be incomplete: this process doesn't know all leases, or its clock may have jumped.
+// exportLeases encodes the active leases for the next primary. It's called after this process has granted its last lease. It returns
+// nil if the list would be incomplete, because this process doesn't know all leases or its clock may have jumped.
 func (s *Server) exportLeases() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +73,8 @@
 	return content
 }
 
-// importLeases takes the leases that the primary of an epoch hands over. They are used by onPrimary, if this process is the
-// next primary. Anything but a complete list is ignored.
+// importLeases stores the leases that the primary of the given epoch hands over, for onPrimary to use if this process becomes the
+// next primary. Incomplete or undecodable lists are ignored.
 func (s *Server) importLeases(epoch uint64, content []byte) {
 	handover := &wire.LeaseHolders{}
 	if proto.Unmarshal(content, handover) != nil || !handover.Complete {
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -7,25 +7,25 @@
 	"snowflow/internal/transport/wire"
 )
 
-// unsteadyRecheck is the time until leases are checked again while the clock may have jumped.
+// unsteadyRecheck is the interval at which leases are checked again while the clock may have jumped.
 const unsteadyRecheck = 100 * monotonic.Millisecond
 
 // proxyLease is the lease of one incarnation of a proxy.
 type proxyLease struct {
 	proxy string
-	// adoptedVersion is the newest version that the proxy has reported as adopted, and adoptedAt when this process first
-	// learned of that.
+	// adoptedVersion is the newest version that the proxy has reported as adopted, and adoptedAt when this process first received
+	// that report.
 	adoptedVersion uint64
 	adoptedAt      monotonic.Micros
-	// adoptionTime is the time from the commit of adoptedVersion until adoptedAt, zero if this process doesn't know it.
+	// adoptionTime is the time from the commit of adoptedVersion until adoptedAt, zero if unknown.
 	adoptionTime monotonic.Micros
 	// expiresAt is no earlier than the end of the lease on the proxy's own clock, which counts from before it sent the poll.
 	expiresAt monotonic.Micros
-	// released is never reset: an incarnation that has released its lease doesn't serve again.
+	// released is never reset, because an incarnation that has released its lease doesn't serve again.
 	released bool
 }
 
-// isActiveAt reports whether the lease still lets the proxy serve at a time.
+// isActiveAt reports whether the proxy may serve under the lease at the given time.
 func (l *proxyLease) isActiveAt(now monotonic.Micros) bool { return l.expiresAt > now && !l.released }
 
 // leaseKey identifies one incarnation of a proxy. It's also sent in handovers.
@@ -33,7 +33,7 @@
 	return request.Proxy + "/" + strconv.FormatUint(request.Incarnation, 16)
 }
 
-// recordAdoption notes the version that a proxy has adopted, and wakes the applies that may wait for it.
+// recordAdoption records the version that a proxy has adopted, and wakes the applies that wait for proxies.
 func (s *Server) recordAdoption(request *wire.ConfigPollRequest) {
 	adoptionTime, measured := s.updateAdoption(request)
 	if measured && s.options.OnAdopted != nil {
@@ -42,8 +42,8 @@
 	s.adoptions.notifyAll()
 }
 
-// updateAdoption raises the adopted version of a known proxy. The time since the commit is measured only for the newest
-// version.
+// updateAdoption sets the adopted version of a proxy that has a lease, if it's newer. The time since the commit is measured only for
+// the newest version.
 func (s *Server) updateAdoption(request *wire.ConfigPollRequest) (adoptionTime monotonic.Micros, measured bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	return lease.adoptionTime, true
 }
 
-// adopt raises the adopted version, and reports whether the given one is newer.
+// adopt sets the adopted version if the given one is newer, and reports whether it is.
 func (l *proxyLease) adopt(version uint64, now monotonic.Micros) bool {
 	if l.adoptedVersion >= version {
 		return false
@@ -65,15 +65,15 @@
 	return true
 }
 
-// grantLease starts or extends the lease of the proxy that polls. A released lease stays released: the poll was sent by the
-// same incarnation before the release, and was open until now.
+// grantLease starts or extends the lease of the polling proxy. A released lease stays released: the same incarnation sent the poll
+// before it released the lease, and the poll has been waiting since.
 func (s *Server) grantLease(request *wire.ConfigPollRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := leaseKey(request)
 	if s.leases[key] == nil {
 		s.leases[key] = &proxyLease{proxy: request.Proxy}
-		s.forgetEarlierIncarnations(request.Proxy, key)
+		s.removeOtherIncarnations(request.Proxy, key)
 	}
 	lease := s.leases[key]
 	if lease.released {
@@ -84,10 +84,10 @@
 	lease.expiresAt = now + s.options.Timeouts.Lease
 }
 
-// forgetEarlierIncarnations drops the leases of a proxy's other incarnations, because a proxy runs as one process at a time. If a
-// delayed poll of an earlier incarnation arrives, the current one is recorded again by its next poll. Without ServeStale nothing
-// is dropped: an earlier incarnation that still runs may serve until its lease ends. The caller holds mu.
-func (s *Server) forgetEarlierIncarnations(proxy, currentKey string) {
+// removeOtherIncarnations removes the leases of a proxy's other incarnations, because a proxy runs as one process at a time. If a
+// delayed poll of an earlier incarnation removes the lease of the current one, the next poll of the current one restores it. Without
+// ServeStale nothing is removed: an earlier incarnation that is still running may serve until its lease ends. The caller must hold mu.
+func (s *Server) removeOtherIncarnations(proxy, currentKey string) {
 	if !s.options.Timeouts.ServeStale {
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// releaseLease ends the lease of a proxy that has stopped serving, so that no apply waits for it.
+// releaseLease ends the lease of a proxy that has stopped serving. Applies no longer wait for it.
 func (s *Server) releaseLease(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
 	s.mu.Lock()
 	if lease := s.leases[leaseKey(request)]; lease != nil {
@@ -109,9 +109,9 @@
 	return &wire.ConfigPollResponse{}
 }
 
-// allAdopted reports whether no proxy may serve a version older than the given one for longer than the lease slack. With
-// ServeStale that is so once all proxies that polled within the last Timeouts.Lease have adopted the version. If it isn't so, wait
-// is the time until the last of the leases that prevent it has no more than the slack left. Leases that have expired are removed.
+// allAdopted reports whether no proxy may serve a version older than the given one for longer than the lease slack. With ServeStale
+// it reports whether all proxies that polled within the last Timeouts.Lease have adopted the version. If not, wait is the time until
+// the last of the leases that prevent it has no more than the slack left. Expired leases are removed.
 func (s *Server) allAdopted(version uint64) (adopted bool, wait monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configstore/poll.go
+++ b/internal/configstore/poll.go
@@ -5,9 +5,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Poll renews a proxy's lease and returns the newest version if the proxy doesn't have it; otherwise it waits for a newer one, at
+// Poll renews a proxy's lease and returns the newest version if the proxy doesn't have it. Otherwise it waits for a newer version, at
 // most for Timeouts.LongPoll. A request with Release set ends the lease instead. If this process isn't the primary, the response
-// names the primaries that it knows and grants no lease. The error is always nil.
+// lists the primaries that it knows and grants no lease. The error is always nil.
 func (s *Server) Poll(request *wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) {
 	if request.Release {
 		return s.releaseLease(request), nil
@@ -42,8 +42,8 @@
 	base *wire.StoredConfig
 }
 
-// readUpdate prepares the response to a poll and, if this process is primary, grants the lease. Both are one read of the replicated
-// state.
+// readUpdate prepares the response to a poll and, if this process is primary, grants the lease, both within one read of the
+// replicated state.
 func (s *Server) readUpdate(request *wire.ConfigPollRequest) pollUpdate {
 	response := &wire.ConfigPollResponse{
 		Primaries: s.options.Resolver.Primaries(),
@@ -57,14 +57,14 @@
 		if latest := s.store.Latest(); latest != nil && latest.Version != request.CurrentVersion {
 			update.latest, update.base = latest, s.store.Find(request.CurrentVersion)
 		}
-		// The lease is granted in the read that fetched the version, so that an apply that commits later waits for it.
+		// The lease is granted within the read of the version, so that an apply that commits later waits for the lease.
 		s.grantLease(request)
 	})
 	return update
 }
 
-// replicaResponse is the response of a process that isn't the primary. With ServeStale, a proxy that has no configuration yet gets
-// the newest version of this replica: it may be outdated, but lets the proxy start while there is no primary.
+// replicaResponse returns the response of a process that isn't the primary. With ServeStale, a proxy that has no configuration yet
+// gets the newest version of this replica: it may be outdated, but lets the proxy start while there is no primary.
 func (s *Server) replicaResponse(request *wire.ConfigPollRequest, primaries []*wire.Primary) *wire.ConfigPollResponse {
 	response := &wire.ConfigPollResponse{Primaries: primaries}
 	if request.CurrentVersion > 0 || !s.options.Timeouts.ServeStale {
@@ -79,8 +79,8 @@
 	return response
 }
 
-// fillUpdate puts the newest version into a response: its difference from the proxy's version where that is known and wanted,
-// the full content otherwise. Stored versions don't change, so no lock is needed.
+// fillUpdate adds the newest version to a response: as a difference from the proxy's version if one is available and the proxy didn't
+// request the full content, else in full. Stored versions don't change, so no lock is needed.
 func (s *Server) fillUpdate(request *wire.ConfigPollRequest, update pollUpdate) {
 	if update.latest == nil {
 		return
--- a/internal/configstore/read.go
+++ b/internal/configstore/read.go
@@ -6,8 +6,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ReadVersions returns one stored version, the newest for version zero, or the list of all without their contents. Only the
-// primary answers; the error of other processes is an apierror.Refused.
+// ReadVersions returns one stored version, the newest for version zero, or a list of all versions without their contents. Only the
+// primary answers; other processes return an apierror.Refused.
 func (s *Server) ReadVersions(request *wire.ConfigReadRequest) (*wire.ConfigReadResponse, error) {
 	if request.List {
 		return s.listVersions()
@@ -47,5 +47,5 @@
 	return response, nil
 }
 
-// errNotPrimary is the error of a request that was rejected without any effect, so that the client may try another process.
+// errNotPrimary returns the error for a request that was rejected without any effect, so that the client may try another process.
 func errNotPrimary() error { return apierror.Refused.New("not the primary") }
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -16,13 +16,13 @@
 // Server is one configuration store process.
 type Server struct {
 	options Options
-	// Member is this process's part in replication.
+	// Member is this process's member of the replication group.
 	Member *replication.Member
-	// store is the replicated state. It may be read inside Member.Read and Member.ReadStale alone.
+	// store is the replicated state. It may only be read inside Member.Read and Member.ReadStale.
 	store *versions.Store
-	// differences caches parsed versions, and how the newest differs from others.
+	// differences caches parsed versions and the differences from them to the newest version.
 	differences *differences.Cache
-	// compressed caches the newest content in compressed form.
+	// compressed caches the compressed content of the newest version.
 	compressed compressionCache
 	// updates wakes polls that wait for a new version.
 	updates *broadcaster
@@ -31,26 +31,27 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// leases are the leases granted by this primary, or inherited from the one before, by leaseKey.
+	// leases are the leases that this primary granted or that its predecessor handed over, by leaseKey.
 	leases map[string]*proxyLease
-	// acknowledgeFrom is the time from which no lease that an earlier primary granted has more than LeaseSlack left.
+	// acknowledgeFrom is the time from which no lease that this process doesn't know of has more than LeaseSlack left. Nothing is
+	// acknowledged before it.
 	acknowledgeFrom monotonic.Micros
-	// epoch is the epoch in which this process last became primary, zero before.
+	// epoch is the epoch in which this process last became primary, zero if it never has.
 	epoch uint64
-	// committedVersion is the highest version that an apply has waited for, and committedAt when the first such wait began.
+	// committedVersion is the highest version whose adoption an apply has waited for, and committedAt when the first such wait began.
 	committedVersion uint64
 	committedAt      monotonic.Micros
 	// latestVersion is the highest version that this process knows to be accepted, and latestAt when it learned of it.
 	latestVersion uint64
 	latestAt      monotonic.Micros
-	// inheritedLeases are the leases that the primary of inheritedEpoch handed over after it had granted its last one. Nil if
-	// there was no handover or it has been used.
+	// inheritedLeases are the leases that the primary of inheritedEpoch handed over after it had granted its last one. It's nil if
+	// there was no handover or once onPrimary has used it.
 	inheritedLeases map[string]*proxyLease
 	inheritedEpoch  uint64
 }
 
-// Open reads the stored state from disk. It doesn't serve before Register and Start. An error means that the timeouts don't fit
-// together or that the disk can't be read.
+// Open reads the stored state from disk. The server handles no requests before Register and Start. An error means that the timeouts
+// are inconsistent or that the state can't be read from disk.
 func Open(options Options) (*Server, error) {
 	if options.Parse == nil {
 		options.Parse = config.Parse
@@ -102,7 +103,7 @@
 // Start joins the replication group. It must be called once, after Register.
 func (s *Server) Start() { s.Member.Start() }
 
-// Register adds the server's request handlers and those of its replication member to a table.
+// Register adds the request handlers of the server and of its replication member to a handler table.
 func (s *Server) Register(table host.Handlers) {
 	s.Member.Register(table)
 	host.Handle(table, wire.Kind_config_poll, s.Poll)
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -11,13 +11,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// cluster is a simulated group of configuration stores, and what a test does with it from outside.
+// cluster is a simulated group of configuration stores, with helpers that send it requests from outside the group.
 type cluster struct {
 	*storetest.Cluster
 	t *testing.T
 }
 
-// newCluster starts a group.
+// newCluster starts a group, which is closed at the end of the test.
 func newCluster(t *testing.T, timeouts configstore.Timeouts) *cluster {
 	t.Helper()
 	c := &cluster{Cluster: storetest.Start(configstore.Options{Timeouts: timeouts}), t: t}
@@ -25,17 +25,17 @@
 	return c
 }
 
-// application is an apply that may still run.
-type application struct {
+// pendingApply is an apply request that may not have been answered yet. The other fields are valid once done is set.
+type pendingApply struct {
 	response *wire.ConfigApplyResponse
 	err      error
 	done     bool
 	took     monotonic.Micros
 }
 
-// apply starts to apply the next version.
-func (c *cluster) apply() *application {
-	a := &application{response: &wire.ConfigApplyResponse{}}
+// apply starts an apply of a new configuration as the next version.
+func (c *cluster) apply() *pendingApply {
+	a := &pendingApply{response: &wire.ConfigApplyResponse{}}
 	c.Outside.Go(func() {
 		started := c.Outside.Now()
 		request := &wire.ConfigApplyRequest{AnyVersion: true, Content: fmt.Appendf(nil, `{"groups":[{"name":"g","services":[{"name":"a","paths":[{"method":"GET","prefix":"/%d","class":"read"}]}]}]}`, started)}
@@ -45,7 +45,7 @@
 	return a
 }
 
-// poll sends a proxy's poll, and waits for the answer unless it's held open.
+// poll sends a proxy's poll and runs the simulation for 100 ms. A poll that waits for a newer version fills the response later.
 func (c *cluster) poll(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
 	response := &wire.ConfigPollResponse{}
 	c.Outside.Go(func() {
@@ -57,15 +57,15 @@
 	return response
 }
 
-// accepted fails the test unless an apply was accepted within the given times.
-func (a *application) accepted(t *testing.T, least, most monotonic.Micros) {
+// requireAccepted fails the test unless the apply was accepted after a time between least and most.
+func (a *pendingApply) requireAccepted(t *testing.T, least, most monotonic.Micros) {
 	t.Helper()
 	if !a.done || a.err != nil || a.response.Outcome != versions.Accepted || a.took < least || a.took > most {
 		t.Fatalf("done %v after %d µs with %v, error %v; wanted acceptance after %d to %d µs", a.done, a.took, a.response, a.err, least, most)
 	}
 }
 
-// TestAcknowledgement checks how long an apply waits for a proxy that has polled, depending on what the proxy does meanwhile.
+// TestAcknowledgement checks how long an apply waits for a proxy that has polled, depending on what the proxy sends in the meantime.
 func TestAcknowledgement(t *testing.T) {
 	first := &wire.ConfigPollRequest{Proxy: "p", Incarnation: 1, First: true}
 	leased, stale := configstore.Timeouts{}, configstore.Timeouts{ServeStale: true}
@@ -74,7 +74,7 @@
 	for _, test := range []struct {
 		name     string
 		timeouts configstore.Timeouts
-		// meanwhile is what the proxy sends during the apply, nil for nothing.
+		// meanwhile is the request that the proxy sends during the apply, nil for none.
 		meanwhile   *wire.ConfigPollRequest
 		least, most monotonic.Micros
 		everywhere  bool
@@ -93,25 +93,25 @@
 			if response := c.poll(first); !response.Primary || response.Lease != int64(defaults.Lease) {
 				t.Fatalf("no lease: %v", response)
 			}
-			application := c.apply()
+			pending := c.apply()
 			c.Run(200 * monotonic.Millisecond)
-			if application.done {
+			if pending.done {
 				t.Fatal("acknowledged at once")
 			}
 			if test.meanwhile != nil {
 				c.poll(test.meanwhile)
 			}
 			c.Run(10 * monotonic.Second)
-			application.accepted(t, test.least, test.most)
-			if application.response.AdoptedEverywhere != test.everywhere {
-				t.Errorf("adopted everywhere: %v", application.response.AdoptedEverywhere)
+			pending.requireAccepted(t, test.least, test.most)
+			if pending.response.AdoptedEverywhere != test.everywhere {
+				t.Errorf("adopted everywhere: %v", pending.response.AdoptedEverywhere)
 			}
 		})
 	}
 }
 
 // TestAcknowledgementAfterTakeover checks that a primary that takes over acknowledges nothing while leases that it doesn't know of may
-// stand.
+// be active.
 func TestAcknowledgementAfterTakeover(t *testing.T) {
 	c := newCluster(t, configstore.Timeouts{})
 	before := c.Leader()
@@ -122,13 +122,13 @@
 			break
 		}
 	}
-	application := c.apply()
+	pending := c.apply()
 	c.Run(20 * monotonic.Second)
 	period := configstore.DefaultTimeouts.Lease - configstore.DefaultTimeouts.LeaseSlack
-	application.accepted(t, period-monotonic.Second, period+monotonic.Second)
+	pending.requireAccepted(t, period-monotonic.Second, period+monotonic.Second)
 }
 
-// TestLongPoll checks that a poll is answered when a version is accepted, or at the end of the long poll.
+// TestLongPoll checks that a poll is answered when a version is accepted, or else when the long poll times out.
 func TestLongPoll(t *testing.T) {
 	c := newCluster(t, configstore.Timeouts{ServeStale: true})
 	request := &wire.ConfigPollRequest{Proxy: "p", Incarnation: 1}
--- a/internal/configstore/status.go
+++ b/internal/configstore/status.go
@@ -8,14 +8,14 @@
 	"snowflow/internal/replication"
 )
 
-// Status is the status page of a configuration store process. The JSON keys keep their former names, which operators' tools read.
+// Status is the status of a configuration store process. Operators' tools read the JSON keys, which therefore must not change.
 type Status struct {
 	Core replication.Status `json:"core"`
-	// Version is the newest version, zero if this process isn't the primary or there is none.
+	// Version is the newest version, zero if there is none or this process isn't the primary.
 	Version uint64 `json:"serial"`
 	// Leases are the active leases that this process knows of, sorted by the proxies' names.
 	Leases []LeaseStatus `json:"tenure_holders,omitempty"`
-	// DifferencesComputed counts the differences between versions that this process has computed.
+	// DifferencesComputed is the number of differences between versions that this process has computed.
 	DifferencesComputed uint64 `json:"differences_computed"`
 }
 
@@ -23,9 +23,9 @@
 type LeaseStatus struct {
 	Proxy          string `json:"carrier"`
 	AdoptedVersion uint64 `json:"adopted"`
-	// AdoptedForMicros is the time since this process received the first report of the adoption.
+	// AdoptedForMicros is the time since the proxy first reported to this process that it had adopted the version.
 	AdoptedForMicros int64 `json:"adopted_for_micros"`
-	// AdoptionMicros is the time from the commit to the proxy's report, zero if this process hasn't seen both.
+	// AdoptionMicros is the time from the commit to that report, zero if this process hasn't observed both.
 	AdoptionMicros  int64 `json:"took_micros,omitempty"`
 	RemainingMicros int64 `json:"left_micros"`
 }
@@ -48,9 +48,9 @@
 			})
 		}
 	}
-	slices.SortFunc(status.Leases, func(one, other LeaseStatus) int { return cmp.Compare(one.Proxy, other.Proxy) })
+	slices.SortFunc(status.Leases, func(a, b LeaseStatus) int { return cmp.Compare(a.Proxy, b.Proxy) })
 	return status
 }
 
-// DifferencesComputed counts the differences between versions that this process has computed.
+// DifferencesComputed returns the number of differences between versions that this process has computed.
 func (s *Server) DifferencesComputed() uint64 { return s.differences.Computed() }
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -9,16 +9,16 @@
 const (
 	// DefaultLease is how long a proxy may serve after a poll, counted from before it sent the poll.
 	DefaultLease = 6 * monotonic.Second
-	// DefaultLeaseSlack is how much of the lease of a proxy out of contact may be left when an apply is acknowledged. It's less
-	// than the 2 s that are documented, so that there is some margin.
+	// DefaultLeaseSlack is how much of the lease of an unreachable proxy may be left when an apply is acknowledged. It leaves some
+	// margin below the 2 s that are documented.
 	DefaultLeaseSlack = 1500 * monotonic.Millisecond
 )
 
 const (
-	// leaseMargin is the least by which a lease must outlast a long poll: time for the response and the next request.
+	// leaseMargin is the minimum by which a lease must exceed a long poll, to leave time for the response and the next request.
 	leaseMargin = monotonic.Second
-	// acknowledgeMargin is how much longer than a lease an apply waits for proxies, so that the wait can outlast a failover and
-	// the unknownLeasePeriod after it.
+	// acknowledgeMargin is how much longer than a lease an apply waits for proxies, so that the wait covers a failover and the
+	// unknownLeasePeriod after it.
 	acknowledgeMargin = 9 * monotonic.Second
 )
 
@@ -27,20 +27,20 @@
 	errShortLease   = errors.New("configstore: the lease must exceed the long poll by at least one second")
 )
 
-// Timeouts are the durations that a Server uses. Zero fields take their values from DefaultTimeouts.
+// Timeouts are the durations that a Server uses. Zero fields default to those of DefaultTimeouts.
 type Timeouts struct {
 	// Lease is how long a proxy may serve after a poll, counted from before it sent the poll.
 	Lease monotonic.Micros
-	// LeaseSlack is how much of the lease of a proxy out of contact may be left when an apply is acknowledged. With ServeStale it
-	// counts only for the leases that an earlier primary granted.
+	// LeaseSlack is how much of the lease of an unreachable proxy may be left when an apply is acknowledged. With ServeStale it
+	// applies only to leases that an earlier primary granted.
 	LeaseSlack monotonic.Micros
-	// LongPoll is how long a poll stays open while there is no newer version.
+	// LongPoll is how long a poll waits for a newer version before it's answered without one.
 	LongPoll monotonic.Micros
-	// AdoptionTimeout is, with ServeStale, the longest time from the commit of a version until its apply is acknowledged. Until
+	// AdoptionTimeout is, with ServeStale, the maximum time from the commit of a version until its apply is acknowledged. Until
 	// then the apply waits for the proxies that polled within the last Lease.
 	AdoptionTimeout monotonic.Micros
-	// ServeStale lets proxies serve without a lease while they are out of contact, so that applies needn't wait for leases to
-	// end. The proxies must be configured alike (configclient.Options.ServeStale).
+	// ServeStale lets proxies serve without a lease while they can't reach a primary, so that applies needn't wait for leases to
+	// expire. The proxies must have the same setting (configclient.Options.ServeStale).
 	ServeStale bool
 }
 
@@ -70,8 +70,8 @@
 	return t
 }
 
-// validate returns an error if the durations don't fit together. A lease must outlast a long poll and the request after it,
-// or proxies that are in contact would lose it.
+// validate returns an error if the durations are inconsistent. A lease must exceed a long poll and the request after it, or proxies
+// that poll continuously would lose it.
 func (t Timeouts) validate() error {
 	if t.LeaseSlack < 0 || t.LongPoll < 0 || t.AdoptionTimeout < 0 || t.LeaseSlack >= t.Lease {
 		return errTimeoutRange
@@ -90,10 +90,10 @@
 	return t.Lease + acknowledgeMargin
 }
 
-// unknownLeasePeriod is how long a new primary must assume that leases it doesn't know of have more than LeaseSlack left.
+// unknownLeasePeriod is how long a new primary must assume that leases that it doesn't know of have more than LeaseSlack left.
 func (t Timeouts) unknownLeasePeriod() monotonic.Micros { return t.Lease - t.LeaseSlack }
 
-// effectiveSlack is how much may be left of the lease of a proxy that an apply doesn't wait for.
+// effectiveSlack is the remaining lease time up to which an apply doesn't wait for a proxy.
 func (t Timeouts) effectiveSlack() monotonic.Micros {
 	if t.ServeStale {
 		return 0
