--- a/internal/configstore/api/apply.go
+++ b/internal/configstore/api/apply.go
@@ -16,28 +16,28 @@
 
 // Query parameters of an apply.
 const (
-	// ExpectedQuery names the version that the configuration follows, or anyVersion. It's required.
+	// ExpectedQuery is the version that must be the newest for the apply to succeed, or anyVersion. It's required.
 	ExpectedQuery = "expected"
-	// RequestQuery names the request ID. Without it each request gets an ID of its own.
+	// RequestQuery is the request ID. Without it a random ID is generated.
 	RequestQuery = "request"
 
-	// anyVersion lets a configuration follow whatever version is the newest.
+	// anyVersion applies a configuration whatever version is the newest.
 	anyVersion = "any"
 )
 
-// Outcomes of an apply besides those of package versions.
+// Outcomes of an apply or a check in addition to those of package versions.
 const (
-	// OutcomeUnreached is the outcome of an apply that wasn't forwarded, because this process finds no primary.
+	// OutcomeUnreached means that the apply had no effect, because this process didn't reach a primary.
 	OutcomeUnreached = "unreached"
 
 	outcomeUnknown = "unknown"
 	outcomeValid   = "valid"
 )
 
-// applyTimeout is how long an apply may take: reaching the primary, and adoption by all proxies.
+// applyTimeout is how long an apply may take, including reaching the primary and the adoption by all proxies.
 const applyTimeout = 24 * monotonic.Second
 
-// statusCodes are the HTTP statuses of the outcomes that Store.Apply returns.
+// statusCodes are the HTTP status codes for the outcomes that Store.Apply returns.
 var statusCodes = map[string]int{
 	versions.Accepted: http.StatusOK,
 	versions.Conflict: http.StatusPreconditionFailed,
@@ -46,12 +46,12 @@
 
 // ApplyResult is the response to an apply or a check.
 type ApplyResult struct {
-	// Outcome is one of package versions, OutcomeUnreached, "valid" or "unknown".
+	// Outcome is an outcome of package versions, OutcomeUnreached, "valid" or "unknown".
 	Outcome string `json:"outcome"`
-	// Version is the accepted version, or the newest where there is a conflict; zero if unknown.
+	// Version is the accepted version, or the newest version if there is a conflict; zero if unknown.
 	Version uint64 `json:"serial"`
 	Digest  string `json:"digest,omitempty"`
-	// RequestID may be used to repeat the request.
+	// RequestID identifies the request. It can be sent again to repeat the request safely.
 	RequestID string   `json:"request,omitempty"`
 	Errors    []string `json:"faults,omitempty"`
 }
@@ -88,10 +88,10 @@
 	})
 }
 
-// errNoExpectedVersion reports that an apply doesn't name the version it follows.
+// errNoExpectedVersion means that an apply lacks the parameter ExpectedQuery.
 var errNoExpectedVersion = errors.New("expected: the serial that this state follows must be named, or any")
 
-// applyRequest reads the parameters of an apply.
+// applyRequest builds an apply request from the query parameters and the content.
 func applyRequest(r *http.Request, content []byte) (*wire.ConfigApplyRequest, error) {
 	query := r.URL.Query()
 	request := &wire.ConfigApplyRequest{Content: content, Request: query.Get(RequestQuery)}
@@ -132,12 +132,12 @@
 	return content, true
 }
 
-// readBody reads a request's body. It fails if the body is longer than a configuration may be.
+// readBody reads a request's body. It fails if the body exceeds config.MaxContentSize.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxContentSize))
 }
 
-// rejectInvalid writes the response to a content that has errors, and reports whether it has.
+// rejectInvalid validates a content. If it has errors, rejectInvalid writes the response and returns true.
 func rejectInvalid(w http.ResponseWriter, content []byte, requestID string) bool {
 	_, fieldErrors := config.Parse(content)
 	if len(fieldErrors) == 0 {
@@ -147,7 +147,7 @@
 	return true
 }
 
-// errorTexts returns the errors in the form that operators are shown.
+// errorTexts formats errors for operators.
 func errorTexts(fieldErrors []config.FieldError) []string {
 	all := make([]string, len(fieldErrors))
 	for index, fieldError := range fieldErrors {
--- a/internal/configstore/api/comparison.go
+++ b/internal/configstore/api/comparison.go
@@ -14,28 +14,28 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Query parameters of a comparison. Both name versions, the newest if left out.
+// Query parameters of a comparison. Both are version numbers and default to the newest version.
 const (
 	FromQuery = "from"
 	ToQuery   = "to"
 )
 
-// Comparison is how a version differs from another, and what it costs to send.
+// Comparison describes how one version differs from another, and how many bytes are sent to how many proxies.
 type Comparison struct {
 	From uint64 `json:"from"`
-	// To is zero for a configuration that isn't applied.
+	// To is zero for a configuration that hasn't been applied.
 	To      uint64          `json:"to,omitempty"`
 	Summary changes.Summary `json:"changes"`
 	// DifferenceBytes and FullBytes are the encoded lengths of the difference and of the full content.
 	DifferenceBytes int `json:"difference_bytes"`
 	FullBytes       int `json:"whole_bytes"`
-	// Proxies is the number of proxies that hold a lease now.
+	// Proxies is the number of proxies that currently hold a lease.
 	Proxies int `json:"nodes"`
 }
 
 var errVersionNotFound = errors.New("no such serial")
 
-// ParseSet parses a configuration that must have no errors, and returns its set of resources.
+// ParseSet parses a configuration into its set of resources. It returns an error if the configuration is invalid.
 func ParseSet(parse config.Parser, content []byte) (*changes.Set, error) {
 	state, fieldErrors := parse(content)
 	if len(fieldErrors) > 0 {
@@ -44,7 +44,7 @@
 	return changes.NewSet(state)
 }
 
-// compareVersions compares two stored versions.
+// compareVersions serves GET /changes: it compares two stored versions.
 func (h *handler) compareVersions(w http.ResponseWriter, r *http.Request) {
 	from, err := versionQuery(r, FromQuery)
 	if err != nil {
@@ -69,7 +69,7 @@
 	writeJSON(w, http.StatusOK, h.compare(base, next, Comparison{From: from, To: stored.Version, FullBytes: len(stored.Content)}))
 }
 
-// compareDraft compares a configuration that isn't applied with the newest version.
+// compareDraft serves POST /changes: it compares a configuration that hasn't been applied with the newest version.
 func (h *handler) compareDraft(w http.ResponseWriter, r *http.Request) {
 	content, err := readBody(w, r)
 	if err != nil {
@@ -92,7 +92,7 @@
 	writeJSON(w, http.StatusOK, h.compare(base, next, Comparison{From: stored.Version, FullBytes: len(content)}))
 }
 
-// versionQuery reads a query parameter that names a version, zero if it's left out.
+// versionQuery reads a query parameter that is a version number. It returns zero if the parameter is missing.
 func versionQuery(r *http.Request, parameter string) (uint64, error) {
 	text := r.URL.Query().Get(parameter)
 	if text == "" {
@@ -105,10 +105,10 @@
 	return version, nil
 }
 
-// readSet reads a stored version, the newest for version zero, and its set of resources. Errors that this build finds in the
-// content are ignored if it can be parsed: the build that accepted it may have checked less.
+// readSet reads a stored version, the newest for version zero, and its set of resources. Validation errors are ignored as long as the
+// content can be parsed, because the build that accepted it may have checked less.
 func (h *handler) readSet(version uint64) (*wire.StoredConfig, *changes.Set, error) {
-	response, err := h.store.readPrimary(&wire.ConfigReadRequest{Version: version}, readTimeLimit)
+	response, err := h.store.readPrimary(&wire.ConfigReadRequest{Version: version}, primaryReadTimeout)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -124,7 +124,7 @@
 	return stored, set, err
 }
 
-// writeReadError writes the response to a comparison whose versions couldn't be read.
+// writeReadError writes the response for an error of readSet.
 func writeReadError(w http.ResponseWriter, err error) {
 	status := http.StatusServiceUnavailable
 	switch {
@@ -136,11 +136,11 @@
 	writeError(w, status, err.Error())
 }
 
-// compare completes a comparison: the summary, the length of the encoded difference, and the number of proxies with a lease.
+// compare fills in the summary, the length of the encoded difference, and the number of proxies with a lease.
 func (h *handler) compare(base, next *changes.Set, comparison Comparison) Comparison {
 	difference := changes.Diff(base, next)
 	comparison.Summary = changes.Summarize(base, difference)
-	// Only the length counts, so that any digest will do.
+	// Only the length is used, so any digest will do.
 	if content, err := changes.Encode(difference, comparison.To, config.Digest(nil)); err == nil {
 		comparison.DifferenceBytes = len(content)
 	}
--- a/internal/configstore/api/deltas.go
+++ b/internal/configstore/api/deltas.go
@@ -9,9 +9,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-// recentContent is a content with its digest. It's safe for concurrent use.
+// recentContent holds the most recent content and its digest. It's safe for concurrent use.
 type recentContent struct {
-	// mu guards the fields below. Digest is that of content.
+	// mu guards the fields below. The digest is that of content.
 	mu      sync.Mutex
 	digest  string
 	content []byte
@@ -29,9 +29,9 @@
 	return r.digest, r.content
 }
 
-// encodeContent returns an apply as it's sent to a primary: its content as a delta from the recent one, or from nothing with
-// sendFull, for a primary that doesn't know the recent one. A short content, or one for a primary of an early build, is sent
-// plain.
+// encodeContent returns an apply request in the form in which it's sent to a primary: with its content as a delta from the recent
+// content or, with sendFull, only compressed, for a primary that doesn't have the recent content. Short contents, and all contents for a
+// primary of an early build, which doesn't support deltas, are sent uncompressed.
 func (s *forwardingStore) encodeContent(leader string, request *wire.ConfigApplyRequest, sendFull bool) *wire.ConfigApplyRequest {
 	if len(request.Content) < delta.MinContentSize || !s.resolver.AllSupportDeltas(leader) {
 		return request
@@ -49,8 +49,8 @@
 	return compact
 }
 
-// decodeContent returns a version with its full content, nil if that can't be decoded or doesn't match its digest. The content
-// becomes the recent one.
+// decodeContent returns a version with its full content, and stores it as the recent content. It returns nil if the content can't be
+// decoded or doesn't match its digest.
 func (s *forwardingStore) decodeContent(stored *wire.StoredConfig, baseDigest string, base []byte) *wire.StoredConfig {
 	content := stored.Content
 	if len(stored.Delta) > 0 {
--- a/internal/configstore/api/doc.go
+++ b/internal/configstore/api/doc.go
@@ -1,7 +1,8 @@
-// Package api is the configuration store's HTTP interface for operators, and the Store by which any process applies and reads
-// configurations, wherever the primary is.
+// Package api is the configuration store's HTTP interface for operators, and the Store with which any process applies and reads
+// configurations without having to know the primary.
 //
-// Every configuration store process serves it. What needs the primary is forwarded to it, so that operators may use any of them:
+// Every configuration store process serves the interface. Requests that need the primary are forwarded to it, so operators may use any
+// of the processes:
 //
 //	PUT  /desired-state?expected=VERSION|any[&request=ID]  apply a configuration
 //	POST /desired-state/check                              validate a configuration
@@ -9,8 +10,9 @@
 //	GET  /history                                          list the stored versions
 //	GET  /changes[?from=VERSION][&to=VERSION]              compare two versions
 //	POST /changes                                          compare a configuration with the newest version
-//	GET  /status                                           all control-plane processes, as they describe themselves
-//	GET  /local, /live, /ready, /metrics                   this process
+//	GET  /tenants                                          list the tenants of the newest version
+//	GET  /status                                           show the status of all control-plane processes
+//	GET  /local, /live, /ready, /metrics                   show the status, health and metrics of this process
 //
-// The paths, parameters, JSON fields and error texts are the documented interface and stay as they are.
+// The paths, parameters, JSON fields and error texts are the documented interface and must not change.
 package api
--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// retryDelay is the time between two attempts to reach a primary.
+	// retryDelay is the delay between two attempts to reach a primary.
 	retryDelay = 100 * monotonic.Millisecond
-	// reachTimeout is how long an apply looks for a primary before it's rejected. It's longer than a failover.
-	reachTimeout = 4 * monotonic.Second
-	// maxReachCall and minReachCall bound one attempt to reach the primary.
-	maxReachCall = 500 * monotonic.Millisecond
-	minReachCall = monotonic.Millisecond
-	// minApplyCall is the least timeout of one apply at a primary, unless the deadline is sooner.
-	minApplyCall = monotonic.Second
+	// findPrimaryTimeout is how long an apply tries to reach a primary before it fails. It's longer than a failover.
+	findPrimaryTimeout = 4 * monotonic.Second
+	// maxProbeTimeout and minProbeTimeout limit the timeout of one probe of the primary.
+	maxProbeTimeout = 500 * monotonic.Millisecond
+	minProbeTimeout = monotonic.Millisecond
+	// minApplyTimeout is the minimum timeout of one apply request to a primary, unless the deadline is sooner.
+	minApplyTimeout = monotonic.Second
 )
 
-// forwardingStore forwards everything to the primary. It's safe for concurrent use.
+// forwardingStore is a Store that forwards all requests to the primary. It's safe for concurrent use.
 type forwardingStore struct {
 	host     host.Host
 	resolver *discovery.Resolver
-	// recent is the content that was last accepted or read. It's only a base for deltas: responses always come from the
+	// recent is the content that was last accepted or read. It's only used as the base of deltas: responses always come from the
 	// primary.
 	recent recentContent
 }
 
-// waitBeforeRetry sleeps for retryDelay, at most until the deadline. Meanwhile the resolver looks for the primary in a task of its
-// own, so that a process that doesn't respond isn't waited for.
+// waitBeforeRetry sleeps for retryDelay, at most until the deadline. Meanwhile the resolver looks for the primary in a separate task,
+// so that a process that doesn't respond doesn't delay the retry.
 func (s *forwardingStore) waitBeforeRetry(deadline monotonic.Micros) {
 	s.host.Go(s.resolver.Refresh)
 	s.host.Sleep(max(0, min(retryDelay, deadline-s.host.Now())))
 }
 
-// readPrimary reads from the primary, and retries during a failover: reads may be repeated.
+// readPrimary reads from the primary, and retries until the timeout, for example during a failover. Reads are idempotent.
 func (s *forwardingStore) readPrimary(request *wire.ConfigReadRequest, timeout monotonic.Micros) (*wire.ConfigReadResponse, error) {
 	deadline := s.host.Now() + timeout
 	var err error = apierror.Unreachable.New("no primary postmaster is known")
@@ -60,14 +60,14 @@
 	return nil, err
 }
 
-// reachesPrimary reports whether a process responds as primary within a timeout. It reads a version that doesn't exist, because the
-// primary alone responds to a read without an error.
-func (s *forwardingStore) reachesPrimary(timeout monotonic.Micros) bool {
+// canReachPrimary reports whether a process responds as primary within a timeout. It probes with a read of a version that doesn't
+// exist, because only the primary responds to a read without an error.
+func (s *forwardingStore) canReachPrimary(timeout monotonic.Micros) bool {
 	deadline := s.host.Now() + timeout
 	probe := &wire.ConfigReadRequest{Version: math.MaxUint64}
 	for {
 		leader := s.resolver.Leader(configstore.Group)
-		limit := max(minReachCall, min(maxReachCall, deadline-s.host.Now()))
+		limit := max(minProbeTimeout, min(maxProbeTimeout, deadline-s.host.Now()))
 		if leader != "" && s.resolver.Call(leader, wire.Kind_config_read, probe, &wire.ConfigReadResponse{}, limit) == nil {
 			return true
 		}
@@ -78,17 +78,17 @@
 	}
 }
 
-// Apply implements Store. Nothing is sent before a primary has been reached, so that until then it's certain that the content
-// isn't accepted.
+// Apply implements Store. The content is sent only after a primary has responded, so that before then it certainly hasn't been
+// accepted.
 func (s *forwardingStore) Apply(timeout monotonic.Micros, request *wire.ConfigApplyRequest) (*wire.ConfigApplyResponse, error) {
 	deadline := s.host.Now() + timeout
 	request = s.withRequestID(request)
-	if !s.reachesPrimary(min(reachTimeout, timeout)) {
+	if !s.canReachPrimary(min(findPrimaryTimeout, timeout)) {
 		return nil, ErrNotAccepted
 	}
-	// sent is set once a primary may have received the apply. sendFull is set once a primary didn't have the base of its delta.
+	// sent means that a primary may have received the apply. sendFull means that a primary didn't have the base of the delta.
 	sent, sendFull := false, false
-	var lastErr error = apierror.Unreachable.New("no time was left")
+	var lastErr error = apierror.Unreachable.New("the deadline passed before the request could be sent")
 	for s.host.Now() < deadline {
 		leader := s.resolver.Leader(configstore.Group)
 		if leader == "" {
@@ -117,7 +117,7 @@
 	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, lastErr)
 }
 
-// withRequestID gives an apply that can't be repeated safely a request ID.
+// withRequestID returns the request with a random request ID if it has neither a version nor an ID and so couldn't be repeated safely.
 func (s *forwardingStore) withRequestID(request *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
 	if request.Version > 0 || request.Request != "" {
 		return request
@@ -127,17 +127,17 @@
 	return request
 }
 
-// applyAt sends an apply to a primary. It waits for half of the remaining time at most, so that another primary may take over and get
-// the apply if this one doesn't respond.
+// applyAt sends an apply request to a primary. It waits for half of the remaining time, but at least for minApplyTimeout, so that there
+// is time to send it to the next primary if this one doesn't respond.
 func (s *forwardingStore) applyAt(leader string, request *wire.ConfigApplyRequest, sendFull bool, deadline monotonic.Micros) (*wire.ConfigApplyResponse, error) {
 	response, encoded := &wire.ConfigApplyResponse{}, s.encodeContent(leader, request, sendFull)
 	remaining := deadline - s.host.Now()
-	timeout := max(remaining/2, min(remaining, minApplyCall))
+	timeout := max(remaining/2, min(remaining, minApplyTimeout))
 	return response, s.resolver.Call(leader, wire.Kind_config_apply, encoded, response, timeout)
 }
 
-// Latest implements Store. The content is fetched as a delta from the recent one where possible; if the result doesn't match its
-// digest it's fetched once more in full.
+// Latest implements Store. The content is read as a delta from the recent content if possible. If it can't be decoded or doesn't match
+// its digest, it's read once more in full.
 func (s *forwardingStore) Latest(timeout monotonic.Micros) (*wire.StoredConfig, error) {
 	deadline := s.host.Now() + timeout
 	baseDigest, base := s.recent.get()
--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -17,7 +17,7 @@
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
 	idleTimeout       = 60 * time.Second
-	// retryAfterSeconds is the Retry-After header of each 503.
+	// retryAfterSeconds is the value of the Retry-After header of responses with status 503.
 	retryAfterSeconds = "2"
 )
 
@@ -26,19 +26,19 @@
 	store    *forwardingStore
 	host     host.Host
 	resolver *discovery.Resolver
-	// parse reads contents in the dialect in which they are stored, and reports all their errors.
+	// parse parses contents in the dialect in which they are stored, and reports all their errors.
 	parse config.Parser
 }
 
-// New returns the handler of the HTTP interface. Metrics serves /metrics, and status returns what /local shows as JSON. Parse
-// reads contents in the dialect in which they are stored, and reports all their errors.
+// New returns the handler of the HTTP interface. The handler metrics serves /metrics, and status returns the value that /local shows
+// as JSON. The function parse parses contents in the dialect in which they are stored, and reports all their errors.
 func New(host host.Host, resolver *discovery.Resolver, metrics http.Handler, status func() any, parse config.Parser) http.Handler {
 	h := &handler{store: &forwardingStore{host: host, resolver: resolver}, host: host, resolver: resolver, parse: parse}
 	router := chi.NewRouter()
 	router.Put("/desired-state", h.apply)
 	router.Post("/desired-state/check", h.check)
 	router.Get("/desired-state", h.readLatest)
-	router.Get("/desired-state/{"+versionParameter+"}", h.readNumbered)
+	router.Get("/desired-state/{"+versionParameter+"}", h.readVersion)
 	router.Get("/history", h.listHistory)
 	router.Get("/changes", h.compareVersions)
 	router.Post("/changes", h.compareDraft)
@@ -51,26 +51,28 @@
 	return router
 }
 
-// NewServer returns an HTTP server for a handler, with time limits against clients that stall.
+// NewServer returns an HTTP server for a handler, with timeouts against clients that stall.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
 }
 
-// errorBody is the body of a response that reports an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
+// liveness is the body of the response to GET /live.
 type liveness struct {
 	Live bool `json:"live"`
 }
 
+// readiness is the body of the response to GET /ready.
 type readiness struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"why,omitempty"`
 }
 
-// ready reports whether this process knows a primary, without asking it.
+// ready serves GET /ready: it reports whether this process knows a primary, without contacting it.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
 	if h.resolver.Leader(configstore.Group) == "" {
 		writeJSON(w, http.StatusServiceUnavailable, readiness{Reason: "no primary is known"})
@@ -79,14 +81,14 @@
 	writeJSON(w, http.StatusOK, readiness{Ready: true})
 }
 
-// writeJSON writes a response. A 503 also has a Retry-After header.
+// writeJSON writes a response with a JSON body. Responses with status 503 also have a Retry-After header.
 func writeJSON(w http.ResponseWriter, status int, content any) {
 	w.Header().Set("Content-Type", "application/json")
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(content) // an error means that the client has disconnected
+	_ = json.NewEncoder(w).Encode(content) // fails only if the client has disconnected
 }
 
 func writeError(w http.ResponseWriter, status int, message string) {
--- a/internal/configstore/api/overview.go
+++ b/internal/configstore/api/overview.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// statusTimeout is how long one process may take to respond.
+	// statusTimeout is the timeout of the status request to one process.
 	statusTimeout = 1500 * monotonic.Millisecond
-	// gatherTimeout is how long all processes of a group together may take to respond.
+	// gatherTimeout is the timeout for the responses of all processes of a group.
 	gatherTimeout = 2 * monotonic.Second
 )
 
-// Overview is the control plane as one configuration store process sees it.
+// Overview is the status of the control plane as seen by one configuration store process.
 type Overview struct {
-	// ConfigStores and Registries are the processes' own descriptions, by name.
+	// ConfigStores and Registries are the status documents of the processes, by process name.
 	ConfigStores map[string]json.RawMessage `json:"postmasters"`
 	Registries   map[string]json.RawMessage `json:"sorters"`
-	// Missing are the processes that haven't answered, by group and name, with the reason.
+	// Missing holds, for each process that didn't respond, the reason, by group and process name.
 	Missing   map[string]string   `json:"missing"`
 	Addresses []*wire.PeerAddress `json:"addresses"`
 }
@@ -40,8 +40,8 @@
 	return overview
 }
 
-// gatherStatus requests the status of all members of a group in parallel. It adds each response to statuses; members without a
-// response are added to missing.
+// gatherStatus requests the status of all members of a group in parallel. It adds the responses to statuses and the members that
+// didn't respond to missing.
 func (h *handler) gatherStatus(group string, kind wire.Kind, statuses map[string]json.RawMessage, missing map[string]string) {
 	members := h.resolver.Members(group)
 	call := func(name string) (*wire.StatusResponse, error) {
--- a/internal/configstore/api/read.go
+++ b/internal/configstore/api/read.go
@@ -12,37 +12,37 @@
 	"snowflow/internal/transport/wire"
 )
 
-// readTimeLimit is how long a read may take, with a failover in between.
-const readTimeLimit = 5 * monotonic.Second
+// primaryReadTimeout is how long a read from the primary may take, including a failover.
+const primaryReadTimeout = 5 * monotonic.Second
 
-// versionParameter is the path parameter that names a version.
+// versionParameter is the name of the path parameter for the version number.
 const versionParameter = "serial"
 
-// StoredState is one accepted version.
+// StoredState is a stored version of the configuration.
 type StoredState struct {
 	Version   uint64 `json:"serial"`
 	Digest    string `json:"digest"`
 	RequestID string `json:"request,omitempty"`
-	// Content is left out of lists.
+	// Content is omitted in lists.
 	Content json.RawMessage `json:"content,omitempty"`
 }
 
 // readLatest serves GET /desired-state.
-func (h *handler) readLatest(w http.ResponseWriter, _ *http.Request) { h.readState(w, 0) }
+func (h *handler) readLatest(w http.ResponseWriter, _ *http.Request) { h.writeVersion(w, 0) }
 
-// readNumbered serves GET /desired-state/VERSION.
-func (h *handler) readNumbered(w http.ResponseWriter, r *http.Request) {
+// readVersion serves GET /desired-state/VERSION.
+func (h *handler) readVersion(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(chi.URLParam(r, versionParameter), 10, 64)
 	if err != nil || version == 0 {
 		writeError(w, http.StatusBadRequest, "the serial must be a number from 1")
 		return
 	}
-	h.readState(w, version)
+	h.writeVersion(w, version)
 }
 
-// readState writes a stored version, the newest for version zero.
-func (h *handler) readState(w http.ResponseWriter, version uint64) {
-	response, err := h.store.readPrimary(&wire.ConfigReadRequest{Version: version}, readTimeLimit)
+// writeVersion writes the response with a stored version, the newest for version zero.
+func (h *handler) writeVersion(w http.ResponseWriter, version uint64) {
+	response, err := h.store.readPrimary(&wire.ConfigReadRequest{Version: version}, primaryReadTimeout)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, err.Error())
 		return
@@ -57,7 +57,7 @@
 
 // listHistory serves GET /history.
 func (h *handler) listHistory(w http.ResponseWriter, _ *http.Request) {
-	response, err := h.store.readPrimary(&wire.ConfigReadRequest{List: true}, readTimeLimit)
+	response, err := h.store.readPrimary(&wire.ConfigReadRequest{List: true}, primaryReadTimeout)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, err.Error())
 		return
@@ -69,5 +69,5 @@
 	writeJSON(w, http.StatusOK, history)
 }
 
-// parameterError reports a query parameter that can't be read.
+// parameterError returns the error for a query parameter that can't be parsed.
 func parameterError(parameter string, err error) error { return fmt.Errorf("%s: %w", parameter, err) }
--- a/internal/configstore/api/tenants.go
+++ b/internal/configstore/api/tenants.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TenantState is a tenant of the newest version as operators are shown it.
+// TenantState is a tenant of the newest version as it's shown to operators.
 type TenantState struct {
 	Name     string `json:"name"`
 	Priority uint32 `json:"priority"`
@@ -16,7 +16,7 @@
 	Keys []string `json:"keys"`
 }
 
-// TenantList is the body of a response that lists tenants. The version is zero before the first.
+// TenantList is the body of a response that lists tenants. Version is zero if there is no version.
 type TenantList struct {
 	Version uint64        `json:"serial"`
 	Tenants []TenantState `json:"tenants"`
@@ -35,8 +35,8 @@
 		return
 	}
 	list.Version = stored.Version
-	for _, one := range set.All() {
-		if tenant, isTenant := one.Message.(*wire.TenantInForce); isTenant {
+	for _, resource := range set.All() {
+		if tenant, isTenant := resource.Message.(*wire.TenantInForce); isTenant {
 			list.Tenants = append(list.Tenants, describeTenant(tenant))
 		}
 	}
