--- a/internal/configstore/versions/apply.go
+++ b/internal/configstore/versions/apply.go
@@ -7,27 +7,28 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The outcomes of an apply. They are sent to clients and shown to operators.
+// Outcomes of an apply. They are sent to clients and shown to operators.
 const (
-	// Accepted: the configuration is stored, or was before.
+	// Accepted means that the configuration is stored or superseded by a newer version.
 	Accepted = "accepted"
-	// Conflict: the expected version isn't the newest, or the request ID or the version number stands for another content.
-	// Nothing changed.
+	// Conflict means that the expected version isn't the newest, that the request ID or the version number stands for another
+	// content, or that there is no higher version number. Nothing was changed.
 	Conflict = "conflict"
-	// Invalid: the configuration has errors. Nothing changed.
+	// Invalid means that the configuration has errors. Nothing was changed.
 	Invalid = "invalid"
-	// BaseUnknown: the content came as a delta from one that isn't stored here. Nothing changed; the full content is to be sent.
+	// BaseUnknown means that the content is a delta from one that isn't stored here. Nothing was changed; the client must send the
+	// full content.
 	BaseUnknown = "base_unknown"
 )
 
-// Reasons for a Conflict, as they are shown to operators.
+// Reasons for the outcome Conflict, as shown to operators.
 const (
-	reasonRequestReused  = "request id was used with another content"
-	reasonVersionClaimed = "the version stands for another content"
-	reasonVersionsRunOut = "no serial is left"
+	reasonRequestReused     = "request id was used with another content"
+	reasonVersionClaimed    = "the version stands for another content"
+	reasonVersionsExhausted = "no serial is left"
 )
 
-// WithoutContent returns an apply like request without its content, for a delta or the full content to be set.
+// WithoutContent returns a copy of an apply request without its content, so that the caller can set a delta or the full content.
 func WithoutContent(request *wire.ConfigApplyRequest) *wire.ConfigApplyRequest {
 	return &wire.ConfigApplyRequest{
 		ExpectedVersion: request.ExpectedVersion,
@@ -37,7 +38,7 @@
 	}
 }
 
-// applyRequest executes an apply, whose content may be a delta.
+// applyRequest executes an apply request, whose content may be a delta.
 func (s *Store) applyRequest(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	content, known := s.ExpandContent(request)
 	if !known {
@@ -51,8 +52,8 @@
 	return s.acceptNext(full)
 }
 
-// acceptNext stores a content under the number that follows the newest, if that is the one the client expects. A request ID
-// that is stored with the same content gets the same response again.
+// acceptNext stores a content under the number after the newest, if the newest is the one that the client expects. A request whose ID is
+// stored with the same content gets the same response again.
 func (s *Store) acceptNext(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
 	if earlier := s.requests[request.Request]; request.Request != "" && earlier != nil {
@@ -66,17 +67,17 @@
 		return s.conflict()
 	}
 	if latest == math.MaxUint64 {
-		return s.conflict(reasonVersionsRunOut)
+		return s.conflict(reasonVersionsExhausted)
 	}
 	stored := &wire.StoredConfig{Version: latest + 1, Content: request.Content, Digest: digest, Request: request.Request}
 	s.append(stored)
 	return accepted(stored)
 }
 
-// acceptVersion stores a content under the number that the client names, if that is above the newest. The same content under a
-// claimed number, and any content under a lower number that was never claimed, is acknowledged and changes nothing, so that
-// applies may be repeated and arrive in any order. Another content under a claimed number is rejected: two operators never both
-// have their content confirmed under one number. The request ID is ignored.
+// acceptVersion stores a content under the number that the client chose, if that is above the newest. The same content under a claimed
+// number, and any content under a lower number that isn't claimed, is acknowledged without changing the newest version, so that applies
+// may be repeated and arrive in any order. Another content under a claimed number is rejected, so that the contents of two operators are
+// never both acknowledged under one number. A request ID isn't checked.
 func (s *Store) acceptVersion(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
 	if !s.claimed.claim(request.Version, digest) && !s.AllowVersionReuse {
@@ -93,7 +94,7 @@
 	return &wire.ConfigApplyResponse{Outcome: Accepted, Version: stored.Version, Digest: stored.Digest}
 }
 
-// conflict returns the response to an apply that is rejected, with the newest version and the reasons, which may be none.
+// conflict returns the response to an apply that is rejected, with the newest version and any reasons.
 func (s *Store) conflict(reasons ...string) *wire.ConfigApplyResponse {
 	return &wire.ConfigApplyResponse{Outcome: Conflict, Version: s.LatestVersion(), Errors: reasons}
 }
--- a/internal/configstore/versions/claimed.go
+++ b/internal/configstore/versions/claimed.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxClaimedVersions is how many numbers are remembered: several weeks of changes at an ordinary rate, a day at the highest.
+	// maxClaimedVersions is the number of claims that are kept: several weeks of changes at an ordinary rate, a day at the highest.
 	maxClaimedVersions = 4096
-	// digestPrefixLength is how much of a content's digest is remembered, in bytes.
+	// digestPrefixLength is the length of the part of a content's digest that is kept, in bytes.
 	digestPrefixLength = 16
 )
 
 // digestPrefix is the beginning of a content's SHA-256 digest.
 type digestPrefix [digestPrefixLength]byte
 
-// claimedVersions remembers which content each version number stands for, for much longer than contents are stored.
-// Invariant: order holds each number of digests once, in the order of the claims, and at most maxClaimedVersions of them.
+// claimedVersions records which content each version number was claimed for. Claims are kept for much longer than contents.
+// Invariant: order holds each key of digests once, in the order of the claims, and at most maxClaimedVersions of them.
 type claimedVersions struct {
 	digests map[uint64]digestPrefix
 	order   []uint64
@@ -25,25 +25,25 @@
 
 func newClaimedVersions() claimedVersions { return claimedVersions{digests: map[uint64]digestPrefix{}} }
 
-// prefixOf returns the beginning of a digest in hexadecimal.
+// prefixOf returns the beginning of a digest, which is given in hexadecimal.
 func prefixOf(digest string) (prefix digestPrefix) {
-	sum, _ := hex.DecodeString(digest) // made by config.Digest, so always hexadecimal
+	sum, _ := hex.DecodeString(digest) // no error: digests are hexadecimal, as config.Digest returns them
 	copy(prefix[:], sum)
 	return prefix
 }
 
-// claim assigns a number to a content unless it is assigned already, and reports whether it is assigned to this content.
+// claim assigns a number to a content unless the number is already assigned, and reports whether it's assigned to this content.
 func (c *claimedVersions) claim(version uint64, digest string) bool {
 	prefix := prefixOf(digest)
 	if claimed, exists := c.digests[version]; exists {
 		return claimed == prefix
 	}
-	c.remember(version, prefix)
+	c.insert(version, prefix)
 	return true
 }
 
-// remember adds a number that isn't claimed, and forgets the oldest beyond the limit.
-func (c *claimedVersions) remember(version uint64, prefix digestPrefix) {
+// insert adds a claim on a number that isn't claimed, and removes the oldest claim if there are too many.
+func (c *claimedVersions) insert(version uint64, prefix digestPrefix) {
 	c.digests[version] = prefix
 	c.order = append(c.order, version)
 	if len(c.order) > maxClaimedVersions {
@@ -52,16 +52,16 @@
 	}
 }
 
-// restore adds a claim of a snapshot. Of two claims on one number the first wins.
+// restore adds a claim from a snapshot. If there are two claims on one number, the first is kept.
 func (c *claimedVersions) restore(taken *wire.TakenVersion) {
 	var prefix digestPrefix
 	copy(prefix[:], taken.Fingerprint)
 	if _, exists := c.digests[taken.Version]; !exists {
-		c.remember(taken.Version, prefix)
+		c.insert(taken.Version, prefix)
 	}
 }
 
-// list returns all claims in their order.
+// list returns all claims, oldest first.
 func (c *claimedVersions) list() (all []*wire.TakenVersion) {
 	for _, version := range c.order {
 		prefix := c.digests[version]
--- a/internal/configstore/versions/deltas.go
+++ b/internal/configstore/versions/deltas.go
@@ -10,12 +10,12 @@
 )
 
 var (
-	errDeltaBase = errors.New("the base isn't the version before")
+	errDeltaBase = errors.New("the base isn't the preceding version")
 	errDigest    = errors.New("the content doesn't match its digest")
 )
 
-// encodeDeltas returns the versions each as a delta from the one before, the first from nothing. A version whose delta can't be
-// made is left with its full content.
+// encodeDeltas returns each version with its content as a delta from the preceding version; the first is only compressed. A version
+// whose delta can't be encoded keeps its full content.
 func encodeDeltas(configs []*wire.StoredConfig) []*wire.StoredConfig {
 	all := make([]*wire.StoredConfig, 0, len(configs))
 	var previous *wire.StoredConfig
@@ -26,8 +26,8 @@
 	return all
 }
 
-// EncodeDelta returns a version with its content as a delta from a base, compressed if base is nil. If the delta can't be made the
-// result has the full content. The given messages aren't changed.
+// EncodeDelta returns a version with its content as a delta from a base, or compressed if base is nil. If the delta can't be encoded, the
+// result has the full content. The arguments aren't changed.
 func EncodeDelta(stored, base *wire.StoredConfig) *wire.StoredConfig {
 	compact := &wire.StoredConfig{Version: stored.Version, Digest: stored.Digest, Request: stored.Request}
 	encoded, err := delta.Encode(base.GetContent(), stored.Content)
@@ -39,8 +39,8 @@
 	return compact
 }
 
-// decodeDeltas reverses encodeDeltas and accepts full contents too. The error names the version whose content can't be restored
-// or doesn't match its digest.
+// decodeDeltas reverses encodeDeltas. It also accepts versions with full contents. The error names the version whose content can't be
+// decoded or doesn't match its digest.
 func decodeDeltas(configs []*wire.StoredConfig) ([]*wire.StoredConfig, error) {
 	all := make([]*wire.StoredConfig, 0, len(configs))
 	var previous *wire.StoredConfig
@@ -55,7 +55,8 @@
 	return all, nil
 }
 
-// decodeDelta returns a version with its full content, decoded from the version before it if it has a delta, and checks its digest.
+// decodeDelta returns a version with its full content, decoded with the preceding version as the base if it has a delta, and checks its
+// digest.
 func decodeDelta(stored, previous *wire.StoredConfig) (*wire.StoredConfig, error) {
 	full := stored
 	if len(stored.Delta) > 0 {
--- a/internal/configstore/versions/doc.go
+++ b/internal/configstore/versions/doc.go
@@ -1,8 +1,8 @@
 // Package versions is the replicated state machine of the configuration stores: the accepted configurations by version, with
-// the request IDs and version numbers that make repeated applies harmless.
+// the request IDs and version numbers that make applies idempotent.
 //
-// An apply is made idempotent in one of two ways. One that names its version is accepted once per number: the same content under
-// a number that was claimed is acknowledged again, another content is rejected, however long ago that was (up to
-// maxClaimedVersions numbers). One that leaves the version to the store may carry a request ID, and the same ID with the same
-// content gets the same response again for as long as that version is stored.
+// An apply is idempotent in one of two ways. If the client chooses the version number, the first apply claims the number for its
+// content. Later applies of the same content under that number are acknowledged and of another content rejected, for as long as the
+// claim is among the last maxClaimedVersions. If the store assigns the number, the apply may have a request ID: a repetition with the
+// same ID and content gets the same response for as long as that version is stored.
 package versions
--- a/internal/configstore/versions/store.go
+++ b/internal/configstore/versions/store.go
@@ -13,19 +13,21 @@
 )
 
 // Store is the state machine of the configuration stores' replication group. It isn't safe for concurrent use; the replication
-// member serializes calls. Results and snapshots depend on the commands alone, so that all replicas agree.
+// member serializes calls. Results and snapshots depend only on the commands, so that all replicas agree.
 //
-// Invariants: versions rise along configs, with gaps where a version was named by the client; a stored version never changes; the
-// newest one stays, and older ones are removed oldest first, once there are more than history; requests holds exactly the
-// request IDs of configs; a version number stands for one content for as long as claimed remembers it, whether that content was
-// ever the newest or not.
+// Invariants:
+//   - configs is in ascending order of versions, with gaps where clients chose the version numbers
+//   - a stored version never changes
+//   - the newest version is kept; if there are more than history versions, the oldest are removed
+//   - requests holds exactly the request IDs of configs
+//   - a version number stands for one content for as long as claimed holds it, whether or not that content was ever the newest
 type Store struct {
-	// UseDeltas reports whether snapshots may hold versions as deltas, which replicas of an early build can't read. Nil means
-	// true. It doesn't affect the state.
+	// UseDeltas reports whether snapshots may hold versions as deltas, which replicas of an early build can't read. If it's nil,
+	// they may. It doesn't affect the state.
 	UseDeltas func() bool
 
-	// AllowVersionReuse accepts any content under a claimed number. It's a deliberate fault with which tests show that their
-	// checkers notice it; no program sets it.
+	// AllowVersionReuse accepts any content under a claimed number. Tests inject this fault to show that their checkers detect it;
+	// no program sets it.
 	AllowVersionReuse bool
 
 	history  int
@@ -34,8 +36,8 @@
 	claimed  claimedVersions
 }
 
-// New returns an empty store that holds at most history versions, without a limit for zero. It must be the same at every
-// replica, because it also decides which request IDs are remembered.
+// New returns an empty store that holds at most history versions; zero means no limit. The limit must be the same at every replica,
+// because it also determines which request IDs are recognized.
 func New(history int) *Store {
 	return &Store{history: history, requests: map[string]*wire.StoredConfig{}, claimed: newClaimedVersions()}
 }
@@ -55,8 +57,8 @@
 	return encoded
 }
 
-// ExpandContent returns the content of an apply, decoded if it came as a delta. Known is false if the delta's base isn't stored
-// here or the delta is corrupt.
+// ExpandContent returns the content of an apply request, decoded if it's a delta. The result known is false if the delta's base isn't
+// stored here or the delta is corrupt.
 func (s *Store) ExpandContent(request *wire.ConfigApplyRequest) (content []byte, known bool) {
 	if len(request.Delta) == 0 {
 		return request.Content, true
@@ -73,7 +75,7 @@
 	return content, err == nil
 }
 
-// append stores a new newest version and removes the oldest beyond the limit.
+// append stores a version as the newest and removes the oldest if there are too many.
 func (s *Store) append(stored *wire.StoredConfig) {
 	s.claimed.claim(stored.Version, stored.Digest)
 	s.configs = append(s.configs, stored)
@@ -86,11 +88,11 @@
 	if oldest := s.configs[0]; s.requests[oldest.Request] == oldest {
 		delete(s.requests, oldest.Request)
 	}
-	// The list is copied, because All has given it out, and so that the oldest content can be freed.
+	// The list is copied, because All may have returned it, and so that the oldest content can be freed.
 	s.configs = slices.Clone(s.configs[1:])
 }
 
-// LatestVersion is the newest version number, zero before the first.
+// LatestVersion returns the newest version number, zero if there is no version.
 func (s *Store) LatestVersion() uint64 {
 	if len(s.configs) == 0 {
 		return 0
@@ -98,10 +100,10 @@
 	return s.configs[len(s.configs)-1].Version
 }
 
-// Latest returns the newest version, nil before the first. It must not be changed.
+// Latest returns the newest version, nil if there is none. The result must not be changed.
 func (s *Store) Latest() *wire.StoredConfig { return s.Find(s.LatestVersion()) }
 
-// Find returns the version with a number, nil if it isn't stored. It must not be changed.
+// Find returns the version with a number, nil if it isn't stored. The result must not be changed.
 func (s *Store) Find(version uint64) *wire.StoredConfig {
 	index := sort.Search(len(s.configs), func(index int) bool { return s.configs[index].Version >= version })
 	if index == len(s.configs) || s.configs[index].Version != version {
@@ -110,7 +112,7 @@
 	return s.configs[index]
 }
 
-// FindDigest returns the newest version whose content has a digest, nil if there is none. It must not be changed.
+// FindDigest returns the newest version whose content has the given digest, nil if there is none. The result must not be changed.
 func (s *Store) FindDigest(digest string) *wire.StoredConfig {
 	for _, stored := range slices.Backward(s.configs) {
 		if stored.Digest == digest {
@@ -120,13 +122,13 @@
 	return nil
 }
 
-// All returns all stored versions, oldest first. The caller may keep the list, but must not change it: later versions are only
-// appended behind its end.
+// All returns all stored versions, oldest first. The caller may retain the list but must not change it; the store only appends beyond
+// its end.
 func (s *Store) All() []*wire.StoredConfig {
 	return s.configs[:len(s.configs):len(s.configs)]
 }
 
-// Snapshot encodes the complete state as a snapshot.
+// Snapshot returns the encoded state.
 func (s *Store) Snapshot() []byte {
 	snapshot := &wire.ConfigSnapshot{Versions: s.configs, TakenVersions: s.claimed.list()}
 	if s.UseDeltas == nil || s.UseDeltas() {
@@ -139,8 +141,7 @@
 	return content
 }
 
-// Restore replaces the state by a snapshot's. On an error, which means that the snapshot is corrupt, the state is left as it
-// was.
+// Restore replaces the state with that of a snapshot. An error means that the snapshot is corrupt; the state is then unchanged.
 func (s *Store) Restore(content []byte) error {
 	snapshot := &wire.ConfigSnapshot{}
 	if err := proto.Unmarshal(content, snapshot); err != nil {
@@ -160,5 +161,5 @@
 	return nil
 }
 
-// HasTimers reports whether the state machine has timers to wait for; configurations have none.
+// HasTimers reports whether the state machine has pending timers. This one never has any.
 func (s *Store) HasTimers() bool { return false }
--- a/internal/configstore/versions/store_test.go
+++ b/internal/configstore/versions/store_test.go
@@ -12,19 +12,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestTranscripts approves transcripts of applies. Each command goes to two replicas: one that has executed all before, and one that
-// is restored from its snapshot. Their results and snapshots must be the same. Commands are
+// TestTranscripts compares the results of applies with golden transcripts. Each command is executed by two replicas: one that has
+// executed all earlier commands, and one that is restored from a snapshot of the first. Their results and snapshots must be the same.
+// The commands are
 //
 //	version NUMBER CONTENT [REQUEST] | expected VERSION CONTENT [REQUEST] | any CONTENT [REQUEST] | find VERSION
 func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, file string) {
-		var one *versions.Store
+		var store *versions.Store
 		history := 0
 		datadriven.RunTest(t, file, func(t *testing.T, data *datadriven.TestData) string {
 			if data.Cmd == "new" {
 				history = 0
 				data.MaybeScanArgs(t, "history", &history)
-				one = versions.New(history)
+				store = versions.New(history)
 			}
 			var text strings.Builder
 			for _, line := range strings.Split(data.Input, "\n") {
@@ -32,20 +33,20 @@
 				if len(words) == 0 {
 					continue
 				}
-				other := versions.New(history)
-				if err := other.Restore(one.Snapshot()); err != nil {
+				restored := versions.New(history)
+				if err := restored.Restore(store.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				if answer, again := execute(t, one, words), execute(t, other, words); answer != again {
-					t.Errorf("%s: %q, and %q of the restored replica", line, answer, again)
+				if result, restoredResult := execute(t, store, words), execute(t, restored, words); result != restoredResult {
+					t.Errorf("%s: %q, but the restored replica returned %q", line, result, restoredResult)
 				} else {
-					fmt.Fprintln(&text, answer)
+					fmt.Fprintln(&text, result)
 				}
-				if string(one.Snapshot()) != string(other.Snapshot()) {
+				if string(store.Snapshot()) != string(restored.Snapshot()) {
 					t.Errorf("%s: the replicas differ", line)
 				}
 			}
-			for _, stored := range one.All() {
+			for _, stored := range store.All() {
 				fmt.Fprintf(&text, " %d=%s", stored.Version, stored.Content)
 			}
 			return text.String() + "\n"
@@ -53,15 +54,15 @@
 	})
 }
 
-// execute applies one command of a transcript and returns the result as text.
-func execute(t *testing.T, one *versions.Store, words []string) string {
+// execute executes one command of a transcript and returns the result as text.
+func execute(t *testing.T, store *versions.Store, words []string) string {
 	t.Helper()
 	request, rest := &wire.ConfigApplyRequest{}, words[2:]
 	number := uint64(0)
 	_, _ = fmt.Sscan(words[1], &number)
 	switch words[0] {
 	case "find":
-		if stored := one.Find(number); stored != nil {
+		if stored := store.Find(number); stored != nil {
 			return fmt.Sprintf("%s is %s", words[1], stored.Content)
 		}
 		return words[1] + " isn't there"
@@ -83,88 +84,89 @@
 		t.Fatal(err)
 	}
 	response := &wire.ConfigApplyResponse{}
-	if err := proto.Unmarshal(one.Apply(1, 0, content), response); err != nil {
+	if err := proto.Unmarshal(store.Apply(1, 0, content), response); err != nil {
 		t.Fatal(err)
 	}
-	checkConsistent(t, one, response)
+	checkConsistent(t, store, response)
 	return strings.TrimSpace(fmt.Sprintf("%s %d %s", response.Outcome, response.Version, strings.Join(response.Errors, "; ")))
 }
 
-// checkConsistent checks that the newest version agrees with its number, and that a response names a stored content.
-func checkConsistent(t *testing.T, one *versions.Store, response *wire.ConfigApplyResponse) {
+// checkConsistent checks that Latest and LatestVersion agree, and that the response to an accepted apply has the digest of the stored
+// version.
+func checkConsistent(t *testing.T, store *versions.Store, response *wire.ConfigApplyResponse) {
 	t.Helper()
-	latest := one.Latest()
-	if latest == nil || latest.Version != one.LatestVersion() {
-		t.Errorf("the newest is %v, its version %d", latest, one.LatestVersion())
+	latest := store.Latest()
+	if latest == nil || latest.Version != store.LatestVersion() {
+		t.Errorf("the newest is %v, its version %d", latest, store.LatestVersion())
 	}
-	if found := one.Find(response.Version); response.Outcome == versions.Accepted && found != nil && found.Digest != response.Digest {
+	if found := store.Find(response.Version); response.Outcome == versions.Accepted && found != nil && found.Digest != response.Digest {
 		t.Errorf("response %v, stored %v", response, found)
 	}
 }
 
-// TestOneNumberOneContent tries all sequences of applies by two operators: three numbers, two contents, repetitions, and a restored
-// snapshot in between. No number is ever confirmed with two contents, what was confirmed is confirmed again, and the newest
-// version never falls.
+// TestOneNumberOneContent executes all sequences of up to five applies by two operators, with three numbers, two contents, repetitions
+// and a restored snapshot in between. No number may be acknowledged with two contents, an acknowledged apply must be acknowledged again
+// when it's repeated, and the newest version must never decrease.
 func TestOneNumberOneContent(t *testing.T) {
 	const depth = 5
-	orders := []string{"version 1 a", "version 1 b", "version 2 a", "version 2 b", "version 3 a", "version 3 b"}
+	commands := []string{"version 1 a", "version 1 b", "version 2 a", "version 2 b", "version 3 a", "version 3 b"}
 	var search func(path []string)
 	search = func(path []string) {
-		one := versions.New(1)
-		one.UseDeltas = func() bool { return false }
-		confirmed, newest := map[string]string{}, uint64(0)
-		for step, order := range path {
+		store := versions.New(1)
+		store.UseDeltas = func() bool { return false }
+		acknowledged, newest := map[string]string{}, uint64(0)
+		for step, command := range path {
 			if step == len(path)/2 {
-				fresh := versions.New(1)
-				if err := fresh.Restore(one.Snapshot()); err != nil {
+				restored := versions.New(1)
+				if err := restored.Restore(store.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				one = fresh
+				store = restored
 			}
-			words := strings.Fields(order)
-			accepted := strings.HasPrefix(execute(t, one, words), versions.Accepted)
-			previous, was := confirmed[words[1]]
+			words := strings.Fields(command)
+			accepted := strings.HasPrefix(execute(t, store, words), versions.Accepted)
+			previous, wasAcknowledged := acknowledged[words[1]]
 			switch {
-			case accepted && was && previous != words[2]:
-				t.Fatalf("%v: %s is confirmed with %s and %s", path, words[1], previous, words[2])
+			case accepted && wasAcknowledged && previous != words[2]:
+				t.Fatalf("%v: %s is acknowledged with %s and %s", path, words[1], previous, words[2])
 			case !accepted && previous == words[2]:
-				t.Fatalf("%v: %s is refused when it is repeated", path, order)
+				t.Fatalf("%v: %s is rejected when it is repeated", path, command)
 			case accepted:
-				confirmed[words[1]] = words[2]
+				acknowledged[words[1]] = words[2]
 			}
-			if one.LatestVersion() < newest || confirmed[fmt.Sprint(one.LatestVersion())] != string(one.Latest().Content) {
-				t.Fatalf("%v: the newest is %d with %s", path, one.LatestVersion(), one.Latest().Content)
+			if store.LatestVersion() < newest || acknowledged[fmt.Sprint(store.LatestVersion())] != string(store.Latest().Content) {
+				t.Fatalf("%v: the newest is %d with %s", path, store.LatestVersion(), store.Latest().Content)
 			}
-			newest = one.LatestVersion()
+			newest = store.LatestVersion()
 		}
 		if len(path) == depth {
 			return
 		}
-		for _, order := range orders {
-			search(append(path[:len(path):len(path)], order))
+		for _, command := range commands {
+			search(append(path[:len(path):len(path)], command))
 		}
 	}
 	search(nil)
 }
 
-// TestSnapshots checks that a snapshot without deltas, as earlier builds make and read it, gives the same state, and that one without
-// its first version is refused.
+// TestSnapshots checks that a snapshot without deltas, as earlier builds write and read it, restores the same state, and that a snapshot
+// without its first version is rejected.
 func TestSnapshots(t *testing.T) {
-	one := versions.New(3)
-	for _, order := range []string{"version 3 aaaa", "version 4 aaab", "any aaac", "version 9 aaad"} {
-		execute(t, one, strings.Fields(order))
+	store := versions.New(3)
+	for _, command := range []string{"version 3 aaaa", "version 4 aaab", "any aaac", "version 9 aaad"} {
+		execute(t, store, strings.Fields(command))
 	}
-	one.UseDeltas = func() bool { return false }
-	full, other := one.Snapshot(), versions.New(3)
-	if err := other.Restore(full); err != nil {
+	store.UseDeltas = func() bool { return false }
+	full, restored := store.Snapshot(), versions.New(3)
+	if err := restored.Restore(full); err != nil {
 		t.Fatal(err)
 	}
-	one.UseDeltas = nil
-	if string(other.Snapshot()) != string(one.Snapshot()) {
+	store.UseDeltas = nil
+	if string(restored.Snapshot()) != string(store.Snapshot()) {
 		t.Error("the states differ")
 	}
 	snapshot := &wire.ConfigSnapshot{}
-	if err := proto.Unmarshal(one.Snapshot(), snapshot); err != nil {
+	if err := proto.Unmarshal(store.Snapshot(), snapshot); err != nil {
 		t.Fatal(err)
 	}
 	snapshot.Versions = snapshot.Versions[1:]
@@ -177,41 +179,41 @@
 	}
 }
 
-// TestCorruptSnapshots checks that a snapshot with any byte changed, or truncated anywhere, is refused or gives contents that it was
-// made of, and that a refused one leaves the state as it was.
+// TestCorruptSnapshots checks that a snapshot in which any one byte is changed, or which is truncated anywhere, is rejected or restores
+// only contents of the original, and that a rejected snapshot leaves the state unchanged.
 func TestCorruptSnapshots(t *testing.T) {
-	one := versions.New(3)
-	for _, order := range []string{"version 3 aaaaaaaaaaaaaaaaaaaa", "version 4 aaaaaaaaaaaaaaaaaaab", "version 9 aaaaaaaaaaaaaaaaaaac"} {
-		execute(t, one, strings.Fields(order))
+	store := versions.New(3)
+	for _, command := range []string{"version 3 aaaaaaaaaaaaaaaaaaaa", "version 4 aaaaaaaaaaaaaaaaaaab", "version 9 aaaaaaaaaaaaaaaaaaac"} {
+		execute(t, store, strings.Fields(command))
 	}
-	shown := func(s *versions.Store) (text string) {
+	contents := func(s *versions.Store) (text string) {
 		for _, stored := range s.All() {
 			text += fmt.Sprintf(" %s", stored.Content)
 		}
 		return text
 	}
-	full, refused := one.Snapshot(), 0
+	full, rejected := store.Snapshot(), 0
 	for index := range full {
 		corrupt := append([]byte(nil), full...)
 		corrupt[index] ^= 0x41
 		for _, content := range [][]byte{corrupt, full[:index]} {
-			other := versions.New(3)
-			execute(t, other, strings.Fields("version 1 before"))
-			if err := other.Restore(content); err != nil {
-				refused++
-				if shown(other) != " before" {
-					t.Fatalf("byte %d: a refused snapshot left %q", index, shown(other))
+			restored := versions.New(3)
+			execute(t, restored, strings.Fields("version 1 before"))
+			if err := restored.Restore(content); err != nil {
+				rejected++
+				if contents(restored) != " before" {
+					t.Fatalf("byte %d: a rejected snapshot left %q", index, contents(restored))
 				}
 				continue
 			}
-			for _, stored := range other.All() {
-				if !strings.Contains(shown(one), string(stored.Content)) {
+			for _, stored := range restored.All() {
+				if !strings.Contains(contents(store), string(stored.Content)) {
 					t.Fatalf("byte %d: %q was accepted", index, stored.Content)
 				}
 			}
 		}
 	}
-	if refused < len(full)/2 {
-		t.Errorf("only %d of %d were refused", refused, 2*len(full))
+	if rejected < len(full)/2 {
+		t.Errorf("only %d of %d were rejected", rejected, 2*len(full))
 	}
 }
