--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -1,11 +1,11 @@
-// Package archive writes the accepted configuration versions to a bare Git repository, one commit a version, for people who want
-// to read them with the tools they know.
+// Package archive writes the accepted configuration versions to a bare Git repository, one commit per version, so that operators can
+// inspect them with Git tools.
 //
-// Keys of tenants are archived as the beginnings of their digests.
+// Tenants' keys are redacted: only the beginnings of their digests are archived.
 //
-// The archive is a copy: what is stored and acknowledged never depends on it. If it's lost, corrupt or of another mesh, it's
-// removed and written again from the stored versions. The commits of the main branch are stored versions in their order, from
-// the oldest that was stored when the repository was begun, none left out in between.
+// The archive is a copy: storing and acknowledging versions never depends on it. If it's lost, corrupt or from another mesh, it's removed
+// and written again from the stored versions. The commits of the main branch are versions in ascending order without omissions, starting
+// from the oldest that was stored when the repository was created.
 package archive
 
 import (
@@ -22,20 +22,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// queueLength is how many calls of Enqueue may wait for the writer.
+// queueLength is the number of calls of Enqueue that may wait for the writer.
 const queueLength = 16
 
-// Archive writes versions in a goroutine of its own.
+// Archive writes versions in a separate goroutine.
 type Archive struct {
 	folder  string
 	queue   chan []*wire.StoredConfig
 	onError func(error)
-	// writes holds a token if a write has ended since it was last read. Tests wait for it.
+	// writes receives a token when a write has ended, unless it holds one already. Tests wait for it.
 	writes chan struct{}
 }
 
-// Open returns an archive in a folder, which needn't exist. It starts the goroutine that writes, which runs until the process
-// ends. onError is called by it with what could not be written; the next Enqueue tries again.
+// Open returns an archive in a folder, which needn't exist. It starts the writer goroutine, which runs until the process ends. The writer
+// calls onError if a write fails; the write is retried after the next Enqueue.
 func Open(folder string, onError func(error)) *Archive {
 	a := &Archive{
 		folder:  folder,
@@ -47,8 +47,8 @@
 	return a
 }
 
-// Enqueue passes on all stored versions, oldest first. It never blocks: if the queue is full the call is dropped, and the next
-// one brings what is missing. The versions must not be changed afterwards.
+// Enqueue passes all stored versions, oldest first, to the writer. It never blocks: if the queue is full, the call is dropped, and a
+// later call supplies the missing versions. The versions must not be changed afterwards.
 func (a *Archive) Enqueue(versions []*wire.StoredConfig) {
 	select {
 	case a.queue <- versions:
@@ -56,6 +56,7 @@
 	}
 }
 
+// run writes the enqueued versions.
 func (a *Archive) run() {
 	for versions := range a.queue {
 		if err := Write(a.folder, versions); err != nil {
@@ -68,8 +69,8 @@
 	}
 }
 
-// Write commits the versions, oldest first, that the repository in a folder doesn't have, and returns when that is done. A
-// repository that can't be read or continued is removed and written from the first version.
+// Write commits those of the given versions, oldest first, that the repository in a folder doesn't have yet, and returns when they are
+// written. A repository that can't be read, or whose newest commit doesn't match the versions, is removed and written anew.
 func Write(folder string, versions []*wire.StoredConfig) error {
 	repository, committed, err := openRepository(folder, versions)
 	if err != nil {
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// openRepository returns the repository and how many of the versions it holds already. An error means that it can't be read, or that its
-// newest commit isn't one of the versions.
+// openRepository opens or creates the repository, and returns how many of the versions, from the oldest, need not be written. An error
+// means that the repository can't be read or that its newest commit isn't one of the versions.
 func openRepository(folder string, versions []*wire.StoredConfig) (repository *git.Repository, committed int, err error) {
 	repository, err = git.PlainOpen(folder)
 	if errors.Is(err, git.ErrRepositoryNotExists) {
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -12,14 +12,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-func states(count int) (all []*wire.StoredConfig) {
+// testVersions returns the versions from 1 to count, with distinct contents.
+func testVersions(count int) (all []*wire.StoredConfig) {
 	for version := range count {
 		all = append(all, &wire.StoredConfig{Version: uint64(version + 1), Content: []byte(fmt.Sprintf(`{"note":"%d"}`, version+1)), Digest: "d", Request: "r"})
 	}
 	return all
 }
 
-func history(t *testing.T, folder string) (messages []string) {
+// committedContents returns the archived contents, newest first.
+func committedContents(t *testing.T, folder string) (contents []string) {
 	t.Helper()
 	repository, err := git.PlainOpen(folder)
 	if err != nil {
@@ -32,18 +34,18 @@
 	for {
 		entry, err := log.Next()
 		if err != nil {
-			return messages
+			return contents
 		}
-		content, err := entry.File(contentFile)
+		file, err := entry.File(contentFile)
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, _ := content.Contents()
-		messages = append(messages, text)
+		content, _ := file.Contents()
+		contents = append(contents, content)
 	}
 }
 
-// TestLostAndCorruptArchivesAreRebuilt removes, damages and replaces the repository between writes.
+// TestLostAndCorruptArchivesAreRebuilt checks that the next write restores a repository that was removed, damaged or replaced.
 func TestLostAndCorruptArchivesAreRebuilt(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
 	a := Open(folder, func(err error) { t.Error(err) })
@@ -54,7 +56,7 @@
 		"a file":  func() { _ = os.RemoveAll(folder); _ = os.WriteFile(folder, nil, 0o600) },
 		"another's": func() {
 			_ = os.RemoveAll(folder)
-			other := states(9)
+			other := testVersions(9)
 			other[8].Content = []byte("{}")
 			if err := Write(folder, other); err != nil {
 				t.Fatal(err)
@@ -62,20 +64,20 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a.Enqueue(states(3))
+			a.Enqueue(testVersions(3))
 			<-a.writes
 			corrupt()
-			a.Enqueue(states(5))
+			a.Enqueue(testVersions(5))
 			<-a.writes
-			if contents := history(t, folder); len(contents) != 5 || contents[0] != `{"note":"5"}` || contents[4] != `{"note":"1"}` {
+			if contents := committedContents(t, folder); len(contents) != 5 || contents[0] != `{"note":"5"}` || contents[4] != `{"note":"1"}` {
 				t.Errorf("%q", contents)
 			}
 		})
 	}
 }
 
-// TestGapsAndBoundedHistories checks that versions may have gaps and that the oldest may be removed, and that an archive whose newest
-// version isn't stored any more is written again.
+// TestGapsAndBoundedHistories checks that version numbers may have gaps, that archived versions remain when the store removes the oldest
+// ones, and that an archive whose newest version is no longer stored is written anew.
 func TestGapsAndBoundedHistories(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
 	a := Open(folder, func(err error) { t.Error(err) })
@@ -96,17 +98,17 @@
 	} {
 		a.Enqueue(step.stored)
 		<-a.writes
-		if contents := fmt.Sprint(history(t, folder)); contents != step.wanted {
+		if contents := fmt.Sprint(committedContents(t, folder)); contents != step.wanted {
 			t.Errorf("%s, wanted %s", contents, step.wanted)
 		}
 	}
 }
 
-// TestArchivedKeysAreRedacted guards against keys of tenants in the repository that people read, and against a repository that is written
-// anew each time because it differs from what is stored.
+// TestArchivedKeysAreRedacted checks that tenants' keys don't get into the repository, and that the repository isn't written anew each
+// time because its redacted contents differ from the stored ones.
 func TestArchivedKeysAreRedacted(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
-	all := states(3)
+	all := testVersions(3)
 	for _, stored := range all {
 		stored.Content = fmt.Appendf(nil, `{"note":"%d","tenants":[{"name":"north","keys":["secret"]}]}`, stored.Version)
 	}
@@ -117,9 +119,9 @@
 	}
 	repository, committed, err := openRepository(folder, all)
 	if err != nil || repository == nil || committed != len(all) {
-		t.Errorf("%d versions are found again: %v", committed, err)
+		t.Errorf("the repository holds %d versions, error %v", committed, err)
 	}
-	for _, content := range history(t, folder) {
+	for _, content := range committedContents(t, folder) {
 		if strings.Contains(content, "secret") || !strings.Contains(content, `"keys":["sha256:`) {
 			t.Error(content)
 		}
--- a/internal/configstore/archive/commit.go
+++ b/internal/configstore/archive/commit.go
@@ -14,7 +14,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The names below are read by people and by earlier and later builds; they must not change.
+// The names below are part of the archive's format, which people and other builds read; they must not change.
 const (
 	mainBranch  = plumbing.ReferenceName("refs/heads/main")
 	contentFile = "desired-state.json"
@@ -24,13 +24,13 @@
 	subjectFormat = "serial %d"
 )
 
-// committedVersion is what a commit holds.
+// committedVersion is the version in a commit.
 type committedVersion struct {
 	version uint64
 	content string
 }
 
-// readCommit returns the version in a commit. It fails if appendCommit didn't make the commit.
+// readCommit returns the version in a commit. It fails if the commit wasn't created by appendCommit.
 func readCommit(repository *git.Repository, hash plumbing.Hash) (committedVersion, error) {
 	commit, err := repository.CommitObject(hash)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return committedVersion{version: version, content: content}, err
 }
 
-// appendCommit adds a version to the main branch. The commit's time is derived from the version number, because no wall-clock time is
-// stored with it: the same versions give the same commits.
+// appendCommit adds a version to the main branch. The commit time is derived from the version number, because no wall-clock time is
+// stored with a version, so the same versions always give the same commits.
 func appendCommit(repository *git.Repository, stored *wire.StoredConfig) error {
 	blob, err := storeObject(repository, plumbing.BlobObject, func(encoded plumbing.EncodedObject) error {
 		return writeContent(encoded, config.Redact(stored.Content))
@@ -81,6 +81,7 @@
 		repository.Storer.SetReference(plumbing.NewSymbolicReference(plumbing.HEAD, mainBranch)))
 }
 
+// writeContent writes the content of a Git object.
 func writeContent(encoded plumbing.EncodedObject, content []byte) error {
 	writer, err := encoded.Writer()
 	if err != nil {
@@ -90,7 +91,7 @@
 	return errors.Join(err, writer.Close())
 }
 
-// storeObject adds an object to the repository and returns its hash. The encode function writes the object's content.
+// storeObject adds an object to the repository and returns its hash. The function encode writes the object's content.
 func storeObject(repository *git.Repository, kind plumbing.ObjectType, encode func(plumbing.EncodedObject) error) (plumbing.Hash, error) {
 	encoded := repository.Storer.NewEncodedObject()
 	encoded.SetType(kind)
--- a/internal/configstore/delta/delta.go
+++ b/internal/configstore/delta/delta.go
@@ -1,9 +1,9 @@
-// Package delta encodes a content as its difference from another, so that a small change of a large content costs few bytes
-// wherever it's sent or stored. A delta from nothing is the content, compressed.
+// Package delta encodes a content as its byte-level difference from another content, the base, so that a small change of a large
+// content takes few bytes wherever it's sent or stored. A delta from an empty base is the compressed content.
 //
-// The encoding is Zstandard with the base content as dictionary. A delta decodes only with the very base that it was made from.
-// The encoding doesn't name that base: code that stores or sends a delta must name its base by digest, and check the digest of the
-// decoded content.
+// The encoding is Zstandard with the base as the dictionary. A delta can be decoded only with the exact base that it was encoded from.
+// The encoding doesn't identify the base: code that stores or sends a delta must include the digest of its base, and must check the
+// digest of the decoded content.
 package delta
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// ErrCorrupt means that bytes can't be decoded with the given base, or give a content longer than allowed.
+// ErrCorrupt means that a delta can't be decoded with the given base, or that the content would be longer than allowed.
 var ErrCorrupt = errors.New("delta: corrupt, too long or from another base")
 
-// MinContentSize is the length from which a content is sent as a delta or in compressed form, in bytes.
+// MinContentSize is the minimum length of a content, in bytes, for it to be sent as a delta or compressed.
 const MinContentSize = 2 << 10
 
 const (
-	// dictionaryID is the number by which frames name their dictionary. There is only one dictionary, so that any number will do.
+	// dictionaryID identifies the dictionary in a frame. There is only one dictionary, so any number will do.
 	dictionaryID = 1
-	// minWindow is the smallest window of the encoding, in bytes.
+	// minWindow is the smallest window that the encoding allows, in bytes.
 	minWindow = zstd.MinWindowSize
 )
 
-// windowSize is the least power of two that covers base and content, because nothing further back can be referred to.
+// windowSize returns the smallest power of two that covers base and content. A larger window would have no effect, because nothing
+// further back can be referred to.
 func windowSize(baseLength, contentLength int) int {
 	return max(minWindow, 1<<bits.Len(uint(baseLength+contentLength)))
 }
 
-// Encode returns the delta that leads from a base, which may be empty, to a content.
+// Encode returns the delta from a base, which may be empty, to a content.
 func Encode(base, content []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
@@ -52,8 +53,8 @@
 	return encoded, encoder.Close()
 }
 
-// Decode returns the content that a delta leads to from its base. A content of more than maxSize bytes is an error. Errors are
-// ErrCorrupt, except for a base that can't be a dictionary at all.
+// Decode returns the content that a delta was encoded from, given its base. It fails if the content is longer than maxSize bytes.
+// Errors are ErrCorrupt, except if the base can't be used as a dictionary.
 func Decode(base, encoded []byte, maxSize int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
--- a/internal/configstore/delta/delta_test.go
+++ b/internal/configstore/delta/delta_test.go
@@ -11,7 +11,7 @@
 
 const maxSize = 4 << 20
 
-// routes returns a content of count routes, of which the one at index changed has another weight.
+// routes returns a content with count routes, of which the one at index changed has a different weight.
 func routes(count, changed int) []byte {
 	var text bytes.Buffer
 	for index := range count {
@@ -25,12 +25,12 @@
 	return text.Bytes()
 }
 
-// TestEncodeDecode checks that the content is restored whatever the base, and that a small change of a long content is short.
+// TestEncodeDecode checks that the content is restored whatever the base, and that the delta of a small change is short.
 func TestEncodeDecode(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		base, content []byte
-		minRatio      int // the content is at least so many times as long as the delta
+		minRatio      int // the content is at least minRatio times as long as the delta
 	}{
 		{"from nothing", nil, routes(900, -1), 3},
 		{"nothing", nil, nil, 0},
@@ -49,7 +49,7 @@
 			t.Logf("%d bytes for %d", len(encoded), len(test.content))
 			decoded, err := delta.Decode(test.base, encoded, maxSize)
 			if err != nil || !bytes.Equal(decoded, test.content) {
-				t.Fatalf("%d bytes came back, %v", len(decoded), err)
+				t.Fatalf("decoded %d bytes, error %v", len(decoded), err)
 			}
 			if test.minRatio > 0 && len(encoded)*test.minRatio > len(test.content) {
 				t.Errorf("%d bytes for %d", len(encoded), len(test.content))
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestCorruption checks that any changed byte and any truncation is an error or leaves the content as it is.
+// TestCorruption checks that decoding a delta with a changed byte, a truncated delta or a delta from another base fails or gives the
+// right content (a truncated one may give an empty content), and that the size limit is enforced.
 func TestCorruption(t *testing.T) {
 	base, content := routes(20, 3), routes(20, 4)
 	encoded, err := delta.Encode(base, content)
--- a/internal/configstore/differences/export_test.go
+++ b/internal/configstore/differences/export_test.go
@@ -1,6 +1,6 @@
 package differences
 
-// Size returns the number of cached versions, and the bytes that count against the limit.
+// Size returns the number of cached versions and the number of bytes that count towards Limits.Bytes.
 func (c *Cache) Size() (count, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/configstore/storetest/storetest.go
+++ b/internal/configstore/storetest/storetest.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// Stores is the number of configuration stores of a cluster, all of them voters.
+	// Stores is the number of configuration stores in a cluster, all of which are voters.
 	Stores = 3
 
-	// startTime is how long the group is given to elect a primary, and the primary to know that no proxy may hold a lease of an
-	// earlier one.
-	startTime = 20 * monotonic.Second
-	// resolverInterval is how often the outside process looks for the primary.
+	// startupTime is enough for the group to elect a primary, and for the primary to acknowledge applies: until then a proxy might
+	// hold a lease of an earlier primary.
+	startupTime = 20 * monotonic.Second
+	// resolverInterval is the interval at which the outside process looks for the primary.
 	resolverInterval = 300 * monotonic.Millisecond
 )
 
-// Cluster is a simulated group of configuration stores, and a process outside it.
+// Cluster is a simulated group of configuration stores and a process outside the group.
 type Cluster struct {
 	World *world.World
 	// Outside is the host of the process outside the group, and Resolver finds the primary for it.
@@ -31,8 +31,8 @@
 	Resolver *discovery.Resolver
 }
 
-// Start starts a cluster and runs it until the primary answers at once. Host, Resolver, Name, Voters and Bootstrap of the options
-// are set for each store. The caller closes World.
+// Start starts a cluster and runs it until the primary acknowledges applies without delay. It sets the options Host, Resolver, Name,
+// Voters and Bootstrap for each store. The caller must close World.
 func Start(options configstore.Options) *Cluster {
 	c := &Cluster{World: world.New(1)}
 	for index := range Stores {
@@ -53,13 +53,14 @@
 		h.Go(func() { c.Resolver.Run(resolverInterval) })
 		return host.Handlers{}, nil
 	}))
-	c.Run(startTime)
+	c.Run(startupTime)
 	return c
 }
 
-// Name returns the name of a store by its number, from zero.
+// Name returns the name of the store with an index, which counts from zero.
 func Name(index int) string { return fmt.Sprintf("store-%d", index+1) }
 
+// startStore opens and starts one store of the cluster.
 func startStore(h *world.Host, name string, options configstore.Options, addresses []string) (host.Handlers, error) {
 	resolver := discovery.New(h, &wire.PeerAddress{Name: name, Address: h.Node().Address, Group: configstore.Group}, addresses)
 	handlers := host.Handlers{}
@@ -75,8 +76,8 @@
 	return handlers, nil
 }
 
-// Run lets simulated time pass.
+// Run runs the simulation for the given simulated time.
 func (c *Cluster) Run(duration monotonic.Micros) { c.World.Run(c.World.Now() + duration) }
 
-// Leader returns the name of the primary, as the outside process knows it.
+// Leader returns the name of the primary that the outside process knows, or an empty string.
 func (c *Cluster) Leader() string { return c.Resolver.Leader(configstore.Group) }
