--- a/internal/configstore/api/apply.go
+++ b/internal/configstore/api/apply.go
@@ -21,7 +21,7 @@
 	// RequestQuery is the request ID. Without it a random ID is generated.
 	RequestQuery = "request"
 
-	// anyVersion applies a configuration whatever version is the newest.
+	// anyVersion applies a configuration regardless of which version is the newest.
 	anyVersion = "any"
 )
 
@@ -137,7 +137,7 @@
 	return io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxContentSize))
 }
 
-// rejectInvalid validates a content. If it has errors, rejectInvalid writes the response and returns true.
+// rejectInvalid validates a configuration. If it has errors, rejectInvalid writes the response and returns true.
 func rejectInvalid(w http.ResponseWriter, content []byte, requestID string) bool {
 	_, fieldErrors := config.Parse(content)
 	if len(fieldErrors) == 0 {
--- a/internal/configstore/api/comparison.go
+++ b/internal/configstore/api/comparison.go
@@ -20,7 +20,7 @@
 	ToQuery   = "to"
 )
 
-// Comparison describes how one version differs from another, and how many bytes are sent to how many proxies.
+// Comparison describes how one version differs from another, and how many bytes an update would send to how many proxies.
 type Comparison struct {
 	From uint64 `json:"from"`
 	// To is zero for a configuration that hasn't been applied.
--- a/internal/configstore/compression.go
+++ b/internal/configstore/compression.go
@@ -49,7 +49,7 @@
 	return compressed, nil
 }
 
-// deflate compresses a content with DEFLATE.
+// deflate compresses content with DEFLATE.
 func deflate(content []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.DefaultCompression)
--- a/internal/configstore/compression_test.go
+++ b/internal/configstore/compression_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// contentWithRoutes returns a content with a thousand routes, whose names begin with prefix.
+// contentWithRoutes returns configuration content with a thousand routes, whose names begin with prefix.
 func contentWithRoutes(prefix string) []byte {
 	var content bytes.Buffer
 	for number := range 1000 {
@@ -19,8 +19,8 @@
 	return content.Bytes()
 }
 
-// TestCompression checks that a long content is compressed once for all proxies that accept compression and sent uncompressed to the
-// others, that a short one isn't compressed, and that the sent content is that of the requested version.
+// TestCompression checks that long content is compressed once for all proxies that accept compression and sent uncompressed to the
+// others, that short content isn't compressed, and that the sent content is that of the requested version.
 func TestCompression(t *testing.T) {
 	cache := &compressionCache{}
 	for version, content := range map[uint64][]byte{3: contentWithRoutes("old"), 4: contentWithRoutes("new")} {
--- a/internal/configstore/delta/delta.go
+++ b/internal/configstore/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta encodes a content as its byte-level difference from another content, the base, so that a small change of a large
-// content takes few bytes wherever it's sent or stored. A delta from an empty base is the compressed content.
+// Package delta encodes content as its byte-level difference from other content, the base, so that a small change of large content
+// takes few bytes wherever it's sent or stored. A delta from an empty base is the compressed content.
 //
 // The encoding is Zstandard with the base as the dictionary. A delta can be decoded only with the exact base that it was encoded from.
 // The encoding doesn't identify the base: code that stores or sends a delta must include the digest of its base, and must check the
@@ -17,7 +17,7 @@
 // ErrCorrupt means that a delta can't be decoded with the given base, or that the content would be longer than allowed.
 var ErrCorrupt = errors.New("delta: corrupt, too long or from another base")
 
-// MinContentSize is the minimum length of a content, in bytes, for it to be sent as a delta or compressed.
+// MinContentSize is the minimum length of content, in bytes, for it to be sent as a delta or compressed.
 const MinContentSize = 2 << 10
 
 const (
@@ -33,7 +33,7 @@
 	return max(minWindow, 1<<bits.Len(uint(baseLength+contentLength)))
 }
 
-// Encode returns the delta from a base, which may be empty, to a content.
+// Encode returns the delta from base, which may be empty, to content.
 func Encode(base, content []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
--- a/internal/configstore/delta/delta_test.go
+++ b/internal/configstore/delta/delta_test.go
@@ -11,7 +11,7 @@
 
 const maxSize = 4 << 20
 
-// routes returns a content with count routes, of which the one at index changed has a different weight.
+// routes returns content with count routes, of which the one at index changed has a different weight.
 func routes(count, changed int) []byte {
 	var text bytes.Buffer
 	for index := range count {
--- a/internal/configstore/versions/apply.go
+++ b/internal/configstore/versions/apply.go
@@ -52,7 +52,7 @@
 	return s.acceptNext(full)
 }
 
-// acceptNext stores a content under the number after the newest, if the newest is the one that the client expects. A request whose ID is
+// acceptNext stores content under the number after the newest, if the newest is the one that the client expects. A request whose ID is
 // stored with the same content gets the same response again.
 func (s *Store) acceptNext(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
@@ -74,10 +74,10 @@
 	return accepted(stored)
 }
 
-// acceptVersion stores a content under the number that the client chose, if that is above the newest. The same content under a claimed
+// acceptVersion stores content under the number that the client chose, if that is above the newest. The same content under a claimed
 // number, and any content under a lower number that isn't claimed, is acknowledged without changing the newest version, so that applies
 // may be repeated and arrive in any order. Another content under a claimed number is rejected, so that the contents of two operators are
-// never both acknowledged under one number. A request ID isn't checked.
+// never both acknowledged under one number. A request ID is stored but not checked.
 func (s *Store) acceptVersion(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
 	if !s.claimed.claim(request.Version, digest) && !s.AllowVersionReuse {
--- a/internal/configstore/versions/claimed.go
+++ b/internal/configstore/versions/claimed.go
@@ -9,14 +9,14 @@
 const (
 	// maxClaimedVersions is the number of claims that are kept: several weeks of changes at an ordinary rate, a day at the highest.
 	maxClaimedVersions = 4096
-	// digestPrefixLength is the length of the part of a content's digest that is kept, in bytes.
+	// digestPrefixLength is the number of bytes of a digest that are kept.
 	digestPrefixLength = 16
 )
 
 // digestPrefix is the beginning of a content's SHA-256 digest.
 type digestPrefix [digestPrefixLength]byte
 
-// claimedVersions records which content each version number was claimed for. Claims are kept for much longer than contents.
+// claimedVersions records which content each version number was claimed for. Claims are kept for much longer than the versions.
 // Invariant: order holds each key of digests once, in the order of the claims, and at most maxClaimedVersions of them.
 type claimedVersions struct {
 	digests map[uint64]digestPrefix
@@ -32,7 +32,8 @@
 	return prefix
 }
 
-// claim assigns a number to a content unless the number is already assigned, and reports whether it's assigned to this content.
+// claim assigns a number to the content with a digest unless the number is already assigned, and reports whether it's then assigned to
+// this content.
 func (c *claimedVersions) claim(version uint64, digest string) bool {
 	prefix := prefixOf(digest)
 	if claimed, exists := c.digests[version]; exists {
