--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -32,7 +32,7 @@
 		Source:    request.DirectorySource,
 		Version:   request.DirectoryVersion,
 		Checksum:  request.DirectoryChecksum,
-		SkipYoung: request.DirectoryComplete,
+		Complete: request.DirectoryComplete,
 	})
 	response := &wire.RegistryPollResponse{
 		DirectoryAge:       int64(r.Age()),
--- a/internal/registry/directory/publish.go
+++ b/internal/registry/directory/publish.go
@@ -67,9 +67,9 @@
 	Source, Version uint64
 	// Checksum is that of its content; zero if it wants no incremental updates.
 	Checksum uint64
-	// SkipYoung means that its content was complete, so that it ignores a directory younger than SessionTimeout, which may not
+	// Complete means that its content was complete, so that it ignores a directory younger than SessionTimeout, which may not
 	// know every proxy yet.
-	SkipYoung bool
+	Complete bool
 }
 
 // Update is the answer to a poll. Exactly one of three cases holds:
@@ -114,7 +114,7 @@
 // unchanged reports whether a proxy with this base is sent nothing: it has the newest version, or SkipYoung applies.
 func (d *Directory) unchanged(base Base) bool {
 	if base.Source != d.source {
-		return base.SkipYoung && d.clock.Now()-d.createdAt < SessionTimeout
+		return base.Complete && d.clock.Now()-d.createdAt < SessionTimeout
 	}
 	return base.Version == d.history.newest() && (base.Checksum == 0 || base.Checksum == d.history.checksum())
 }
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -39,7 +39,7 @@
 func (r *Registry) addDirectory(response *wire.RegistryPollResponse, request *wire.RegistryPollRequest) {
 	update := r.directory.UpdateSince(directory.Base{
 		Source: request.DirectorySource, Version: request.DirectoryVersion, Checksum: request.DirectoryChecksum,
-		SkipYoung: request.DirectoryComplete,
+		Complete: request.DirectoryComplete,
 	})
 	response.DirectorySource = update.Source
 	response.DirectoryVersion = update.Version
