--- a/internal/proxy/breaker/writes.go
+++ b/internal/proxy/breaker/writes.go
@@ -100,7 +100,7 @@
 		Service:         last.Service,
 		Verb:            breakerstore.VerbDecide,
 		ExpectedVersion: record.Version,
-		Decision:        breakerstore.JudgeRound(record),
+		Decision:        breakerstore.EvaluateRound(record),
 		Proxy:           s.config.Proxy,
 		Incarnation:     s.config.Incarnation,
 		Settings:        last.Settings,
--- a/internal/registry/breakerstore/record.go
+++ b/internal/registry/breakerstore/record.go
@@ -69,10 +69,10 @@
 	return set
 }
 
-// JudgeRound returns the state that follows a completed round: Open or Closed. It opens if the rate of failed probes reaches
+// EvaluateRound returns the state that follows a completed round: Open or Closed. It opens if the rate of failed probes reaches
 // the threshold and at least two proxies saw failures, or one if only one took part: as with trip reports, one proxy alone
 // must not open the breaker for others whose probes succeeded. Proxies and Sweep both use it.
-func JudgeRound(record *wire.BreakerRecord) string {
+func EvaluateRound(record *wire.BreakerRecord) string {
 	if len(record.ProbeResults) == 0 {
 		return Open
 	}
--- a/internal/registry/breakerstore/sweep.go
+++ b/internal/registry/breakerstore/sweep.go
@@ -72,7 +72,7 @@
 	}
 	record.ProbeLeases = remaining
 	if record.RoundCompletedAt != 0 && int64(now)-record.RoundCompletedAt >= int64(decisionTimeout) {
-		setState(record, JudgeRound(record), now)
+		setState(record, EvaluateRound(record), now)
 		extendExpiry(record, now)
 	}
 }
