--- a/internal/registry/breakerstore/injected_faults.go
+++ b/internal/registry/breakerstore/injected_faults.go
@@ -10,14 +10,14 @@
 	FaultLosesReturnedProbes = "leaky"     // probes that return to the budget are lost
 	FaultOpensOnAnyTrip      = "any_trip"  // the report of one proxy opens the record
 	FaultNoProbeShares       = "greedy"    // one proxy may lease a whole round, and reopen the record alone
-	FaultSkipsTrial          = "hasty"     // an open record closes without a half-open round
+	FaultSkipsHalfOpen          = "hasty"     // an open record closes without a half-open round
 	FaultShortWait           = "impatient" // an open record waits a quarter of its time
 	FaultKeepsProbes         = "clinging"  // leased probes never return to the budget
 )
 
 // faultySweeps replace defaultSweeps under some of the faults.
 var faultySweeps = map[string]sweepsByState{
-	FaultSkipsTrial:  {Closed: sweepNothing, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
+	FaultSkipsHalfOpen:  {Closed: sweepNothing, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
 	FaultShortWait:   {Closed: sweepNothing, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
 	FaultKeepsProbes: {Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepNothing},
 }
--- a/internal/simulation/scenario/defects_test.go
+++ b/internal/simulation/scenario/defects_test.go
@@ -31,7 +31,7 @@
 		{"a configuration acknowledged by a stepped clock", 6, "clocks", Defects{TrustClock: true}, 2},
 		{"a key executed again after a clock step", 1, "clocks", Defects{TrustClock: true}, 11},
 		{"one proxy may take all probes and reopen alone", 11, "trials", Defects{Breakers: breakerstore.FaultNoProbeShares}, 2},
-		{"closed without a probe", 10, "guards", Defects{Breakers: breakerstore.FaultSkipsTrial}, 1},
+		{"closed without a probe", 10, "guards", Defects{Breakers: breakerstore.FaultSkipsHalfOpen}, 1},
 		{"a wait cut short", 10, "guards", Defects{Breakers: breakerstore.FaultShortWait}, 1},
 		{"probe leases that are never returned", 10, "guards", Defects{Breakers: breakerstore.FaultKeepsProbes}, 1},
 		{"calls while half open without a probe lease", 10, "trials", Defects{NoProbeLease: true}, 1},
