--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -49,7 +49,7 @@
 	deadline := s.host.Now() + timeout
 	var err error = apierror.Unreachable.New("no primary postmaster is known")
 	for s.host.Now() < deadline {
-		if leader := s.resolver.Leader(configstore.Group); leader != "" {
+		if leader := s.resolver.PrimaryName(configstore.Group); leader != "" {
 			response := &wire.ConfigReadResponse{}
 			if err = s.resolver.Call(leader, wire.Kind_config_read, request, response, deadline-s.host.Now()); err == nil {
 				return response, nil
@@ -66,7 +66,7 @@
 	deadline := s.host.Now() + timeout
 	probe := &wire.ConfigReadRequest{Version: math.MaxUint64}
 	for {
-		leader := s.resolver.Leader(configstore.Group)
+		leader := s.resolver.PrimaryName(configstore.Group)
 		limit := max(minReachCall, min(maxReachCall, deadline-s.host.Now()))
 		if leader != "" && s.resolver.Call(leader, wire.Kind_config_read, probe, &wire.ConfigReadResponse{}, limit) == nil {
 			return true
@@ -90,7 +90,7 @@
 	sent, sendFull := false, false
 	var lastErr error = apierror.Unreachable.New("no time was left")
 	for s.host.Now() < deadline {
-		leader := s.resolver.Leader(configstore.Group)
+		leader := s.resolver.PrimaryName(configstore.Group)
 		if leader == "" {
 			s.waitBeforeRetry(deadline)
 			continue
--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -72,7 +72,7 @@
 
 // ready reports whether this process knows a primary, without asking it.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
-	if h.resolver.Leader(configstore.Group) == "" {
+	if h.resolver.PrimaryName(configstore.Group) == "" {
 		writeJSON(w, http.StatusServiceUnavailable, readiness{Reason: "no primary is known"})
 		return
 	}
--- a/internal/configstore/storetest/storetest.go
+++ b/internal/configstore/storetest/storetest.go
@@ -79,4 +79,4 @@
 func (c *Cluster) Run(duration monotonic.Micros) { c.World.Run(c.World.Now() + duration) }
 
 // Leader returns the name of the primary, as the outside process knows it.
-func (c *Cluster) Leader() string { return c.Resolver.Leader(configstore.Group) }
+func (c *Cluster) Leader() string { return c.Resolver.PrimaryName(configstore.Group) }
--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -185,8 +185,8 @@
 	return primaries
 }
 
-// Leader returns the name of a group's primary, or an empty string if none is known.
-func (r *Resolver) Leader(group string) string { return r.Primary(group).GetName() }
+// PrimaryName returns the name of a group's primary, or an empty string if none is known.
+func (r *Resolver) PrimaryName(group string) string { return r.Primary(group).GetName() }
 
 // Primary returns a group's primary with its epoch, or nil if none is known. It is shared and must not be changed.
 func (r *Resolver) Primary(group string) *wire.Primary {
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -91,11 +91,11 @@
 		want  string
 	}{{"first", 2, "first"}, {"older", 1, "first"}, {"same", 2, "first"}, {"newer", 3, "newer"}} {
 		resolver.ObservePrimaries([]*wire.Primary{{Group: "group", Epoch: step.epoch, Name: step.name}})
-		if leader := resolver.Leader("group"); leader != step.want {
+		if leader := resolver.PrimaryName("group"); leader != step.want {
 			t.Errorf("after %s the leader is %q, want %q", step.name, leader, step.want)
 		}
 	}
-	if leader := resolver.Leader("other"); leader != "" {
+	if leader := resolver.PrimaryName("other"); leader != "" {
 		t.Errorf("the leader of an unknown group is %q", leader)
 	}
 }
--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -167,7 +167,7 @@
 	c.mu.Lock()
 	c.released, c.leaseExpiry = true, 0
 	c.mu.Unlock()
-	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
+	leader := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
 	if leader == "" {
 		return
 	}
--- a/internal/proxy/configclient/pending.go
+++ b/internal/proxy/configclient/pending.go
@@ -50,7 +50,7 @@
 // AbandonSuperseded ends a poll that waits for another process than the primary known by now: one that was cut off answers only after
 // the poll's timeout, which allows for the transfer of a long content. It must be called regularly, and doesn't block.
 func (c *Client) AbandonSuperseded() {
-	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
+	leader := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
 	c.mu.Lock()
 	pending := c.pending
 	c.mu.Unlock()
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -114,7 +114,7 @@
 // pollTarget returns the configuration store to poll, empty if none is known. That is the primary. While the proxy has no version
 // of a primary and may serve stale, every second poll goes to the next of all configuration stores instead.
 func (c *Client) pollTarget(current uint64) string {
-	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
+	leader := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
 	if current > 0 || !c.options.ServeStale {
 		return leader
 	}
--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -207,7 +207,7 @@
 
 // batchSize returns the number of requests that a message to the current leader may have. mu is held.
 func (b *batcher) batchSize() int {
-	name := b.client.resolver.Leader(registryGroup)
+	name := b.client.resolver.PrimaryName(registryGroup)
 	single := name == b.singleTarget && b.client.host.Now() < b.singleUntil
 	if single || !b.client.resolver.SupportsBatches(name) {
 		return 1
--- a/internal/proxy/session/batch_sender.go
+++ b/internal/proxy/session/batch_sender.go
@@ -21,7 +21,7 @@
 func (b *batcher) runSender() {
 	h, resolver := b.client.host, b.client.resolver
 	for {
-		name := resolver.Leader(registryGroup)
+		name := resolver.PrimaryName(registryGroup)
 		if name == "" {
 			h.Go(resolver.Refresh) // in the background: the server that it calls may be down too
 			h.Sleep(leaderCheckInterval)
@@ -37,7 +37,7 @@
 		sentAt := h.Now()
 		err := b.send(name, calls)
 		firstFailure := b.requeue(calls, err, h.Now()-sentAt)
-		if err == nil || name != resolver.Leader(registryGroup) {
+		if err == nil || name != resolver.PrimaryName(registryGroup) {
 			continue
 		}
 		h.Go(resolver.Refresh)
@@ -72,7 +72,7 @@
 	response, sentAt := &wire.RegistryBatchResponse{}, b.client.host.Now()
 	if err := b.client.callWhileLeading(name, wire.Kind_registry_batch, request, response, messageTimeout); err != nil {
 		now := b.client.host.Now()
-		if name == b.client.resolver.Leader(registryGroup) && now-sentAt < slowResponse && !apierror.IsUnreachable(err) {
+		if name == b.client.resolver.PrimaryName(registryGroup) && now-sentAt < slowResponse && !apierror.IsUnreachable(err) {
 			b.mu.Lock()
 			b.singleTarget, b.singleUntil = name, now+singlePeriod
 			b.mu.Unlock()
--- a/internal/proxy/session/leader_call.go
+++ b/internal/proxy/session/leader_call.go
@@ -38,13 +38,13 @@
 		if remaining <= 0 {
 			return callTimedOut(lastErr, mayBeExecuted)
 		}
-		if name := c.resolver.Leader(registryGroup); name != "" {
+		if name := c.resolver.PrimaryName(registryGroup); name != "" {
 			lastErr = c.callWhileLeading(name, kind, request, response, min(remaining, messageTimeout))
 			if lastErr == nil {
 				return nil
 			}
 			mayBeExecuted = mayBeExecuted || apierror.IsLost(lastErr)
-			if name != c.resolver.Leader(registryGroup) {
+			if name != c.resolver.PrimaryName(registryGroup) {
 				continue
 			}
 		}
@@ -56,7 +56,7 @@
 // CallLeaderOnce sends one message to the registry's leader and fills response with its answer, without a retry. An error that
 // satisfies apierror.IsUnreachable means that no leader is known or reachable.
 func (c *Client) CallLeaderOnce(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
-	name := c.resolver.Leader(registryGroup)
+	name := c.resolver.PrimaryName(registryGroup)
 	if name == "" {
 		return apierror.Unreachable.New("no registry leader is known")
 	}
@@ -89,7 +89,7 @@
 			return nil
 		case answered:
 			return err
-		case name != c.resolver.Leader(registryGroup):
+		case name != c.resolver.PrimaryName(registryGroup):
 			return apierror.Lost.New("%s doesn't lead any more", name)
 		}
 		c.host.Go(c.resolver.Refresh)
--- a/internal/proxy/session/poll.go
+++ b/internal/proxy/session/poll.go
@@ -56,7 +56,7 @@
 // pollFirstReachable polls the servers, the leader first, until one answers, and returns its answer or nil. If that answer
 // names another leader, the leader is polled too and its answer returned instead.
 func (c *Client) pollFirstReachable() *wire.RegistryPollResponse {
-	leader := c.resolver.Leader(registryGroup)
+	leader := c.resolver.PrimaryName(registryGroup)
 	names := c.resolver.Members(registryGroup)
 	if at := slices.Index(names, leader); at > 0 {
 		copy(names[1:at+1], names[:at])
@@ -67,7 +67,7 @@
 		if response == nil {
 			continue
 		}
-		next := c.resolver.Leader(registryGroup)
+		next := c.resolver.PrimaryName(registryGroup)
 		if response.Primary || next == name || next == leader {
 			return response
 		}
--- a/internal/rehearse/sweep/operator.go
+++ b/internal/rehearse/sweep/operator.go
@@ -41,7 +41,7 @@
 func (m *measurement) callPrimary(group string, timeout time.Duration, request func(name string, left monotonic.Micros) error) error {
 	deadline, err := time.Now().Add(timeout), errors.New("no primary is known")
 	for time.Now().Before(deadline) {
-		if name := m.resolver.Leader(group); name != "" {
+		if name := m.resolver.PrimaryName(group); name != "" {
 			if err = request(name, monotonic.FromDuration(time.Until(deadline))); err == nil {
 				return nil
 			}
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -33,7 +33,7 @@
 	defer func() { end(m.World.Now()) }()
 	deadline := m.World.Now() + timeout
 	for m.World.Now() < deadline {
-		leader := m.resolver.Leader(configstore.Group)
+		leader := m.resolver.PrimaryName(configstore.Group)
 		response := &wire.ConfigApplyResponse{}
 		if leader != "" && m.resolver.Call(leader, wire.Kind_config_apply, request, response, applyAttemptTimeout) == nil {
 			m.History.RecordApply(invariants.AppliedConfig{
@@ -86,7 +86,7 @@
 func (m *Mesh) readBackVersions() {
 	for range readBackAttempts {
 		response := &wire.ConfigReadResponse{}
-		leader := m.resolver.Leader(configstore.Group)
+		leader := m.resolver.PrimaryName(configstore.Group)
 		if leader != "" && m.resolver.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, response, readBackTimeout) == nil {
 			for _, stored := range response.Versions {
 				m.History.ReadBack = append(m.History.ReadBack, invariants.ReadBack{Version: stored.Version, Digest: stored.Digest})
