--- a/internal/discovery/refresh.go
+++ b/internal/discovery/refresh.go
@@ -45,13 +45,13 @@
 		return
 	}
 	targets := r.targets()
-	responsive, silent := r.takeTarget(targets, false), r.takeTarget(targets, true)
+	responsive, unresponsive := r.takeTarget(targets, false), r.takeTarget(targets, true)
 	if responsive == "" {
-		r.query(silent)
+		r.query(unresponsive)
 		return
 	}
-	if silent != "" {
-		r.host.Go(func() { r.query(silent) })
+	if unresponsive != "" {
+		r.host.Go(func() { r.query(unresponsive) })
 	}
 	r.query(responsive)
 }
--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -44,7 +44,7 @@
 	primaries map[string]*wire.Primary // by group
 	seeds     []string
 	lastQuery monotonic.Micros // when Refresh last sent a request; zero if it never did
-	turns     targetTurns      // whom Refresh asks next
+	rotation  targetRotation   // whom Refresh asks next
 
 	store store // used by Persist and then by Run alone
 }
@@ -59,7 +59,7 @@
 // New returns a resolver that knows the seeds and, unless nil, the process itself.
 func New(h host.Host, self *wire.PeerAddress, seeds []string) *Resolver {
 	resolver := &Resolver{
-		host: h, self: self, seeds: seeds, peers: map[string]*peer{}, primaries: map[string]*wire.Primary{}, turns: newTargetTurns(),
+		host: h, self: self, seeds: seeds, peers: map[string]*peer{}, primaries: map[string]*wire.Primary{}, rotation: newTargetRotation(),
 	}
 	resolver.addSelf()
 	return resolver
@@ -97,8 +97,8 @@
 func (r *Resolver) SupportsBatches(name string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	present := r.peers[name]
-	return present != nil && present.batches
+	entry := r.peers[name]
+	return entry != nil && entry.batches
 }
 
 // AllSupportDeltas reports whether all names are known to accept configurations as deltas.
@@ -106,8 +106,8 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return !slices.ContainsFunc(names, func(name string) bool {
-		present := r.peers[name]
-		return present == nil || !present.deltas
+		entry := r.peers[name]
+		return entry == nil || !entry.deltas
 	})
 }
 
@@ -115,8 +115,8 @@
 func (r *Resolver) Domain(name string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if present := r.peers[name]; present != nil {
-		return present.domain
+	if entry := r.peers[name]; entry != nil {
+		return entry.domain
 	}
 	return ""
 }
@@ -137,18 +137,18 @@
 		if added.Name == "" || added.Address == "" {
 			continue
 		}
-		present := r.peers[added.Name]
-		if present == nil {
-			present = &peer{}
-			r.peers[added.Name] = present
+		entry := r.peers[added.Name]
+		if entry == nil {
+			entry = &peer{}
+			r.peers[added.Name] = entry
 		}
-		present.group = added.Group
-		present.batches = present.batches || added.Batches
-		present.deltas = present.deltas || added.Deltas
+		entry.group = added.Group
+		entry.batches = entry.batches || added.Batches
+		entry.deltas = entry.deltas || added.Deltas
 		if added.Domain != "" {
-			present.domain = added.Domain
+			entry.domain = added.Domain
 		}
-		present.addAddress(added.Address)
+		entry.addAddress(added.Address)
 	}
 }
 
@@ -167,7 +167,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for _, primary := range primaries {
-		if present := r.primaries[primary.Group]; present == nil || present.Epoch < primary.Epoch {
+		if current := r.primaries[primary.Group]; current == nil || current.Epoch < primary.Epoch {
 			r.primaries[primary.Group] = &wire.Primary{Group: primary.Group, Epoch: primary.Epoch, Name: primary.Name}
 		}
 	}
@@ -200,10 +200,10 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var addresses []*wire.PeerAddress
-	for name, present := range r.peers {
-		for _, address := range present.addresses {
-			addresses = append(addresses, &wire.PeerAddress{Name: name, Address: address, Group: present.group,
-				Batches: present.batches, Deltas: present.deltas, Domain: present.domain})
+	for name, entry := range r.peers {
+		for _, address := range entry.addresses {
+			addresses = append(addresses, &wire.PeerAddress{Name: name, Address: address, Group: entry.group,
+				Batches: entry.batches, Deltas: entry.deltas, Domain: entry.domain})
 		}
 	}
 	sort.SliceStable(addresses, func(i, j int) bool { return addresses[i].Name < addresses[j].Name })
@@ -215,8 +215,8 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	var names []string
-	for name, present := range r.peers {
-		if present.group == group {
+	for name, entry := range r.peers {
+		if entry.group == group {
 			names = append(names, name)
 		}
 	}
@@ -228,8 +228,8 @@
 func (r *Resolver) Address(name string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if present := r.peers[name]; present != nil {
-		return present.addresses[0]
+	if entry := r.peers[name]; entry != nil {
+		return entry.addresses[0]
 	}
 	return ""
 }
@@ -252,8 +252,8 @@
 func (r *Resolver) demote(name, address string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if present := r.peers[name]; present != nil && len(present.addresses) > 1 && present.addresses[0] == address {
-		present.addresses = append(slices.Clone(present.addresses[1:]), address)
+	if entry := r.peers[name]; entry != nil && len(entry.addresses) > 1 && entry.addresses[0] == address {
+		entry.addresses = append(slices.Clone(entry.addresses[1:]), address)
 	}
 }
 
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -124,11 +124,11 @@
 	resolver.releaseTarget("b", true)
 	resolver.releaseTarget("c", false)
 	for _, step := range []struct {
-		silent bool
-		want   string
+		unresponsive bool
+		want         string
 	}{{false, "b"}, {false, ""}, {true, "a"}, {true, "c"}, {true, ""}} {
-		if target := resolver.takeTarget(targets, step.silent); target != step.want {
-			t.Errorf("after a and c were silent: target %q, want %q (silent: %v)", target, step.want, step.silent)
+		if target := resolver.takeTarget(targets, step.unresponsive); target != step.want {
+			t.Errorf("after a and c were unresponsive: target %q, want %q (unresponsive: %v)", target, step.want, step.unresponsive)
 		}
 	}
 }
--- a/internal/discovery/targets.go
+++ b/internal/discovery/targets.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// targetTurns chooses the targets of discover requests: in turn, those that answered their last request, or that were never asked, apart
+// targetRotation chooses the targets of discover requests: in turn, those that answered their last request, or that were never asked, apart
 // from those that did not answer. Its owner holds a lock.
-type targetTurns struct {
-	pending map[string]bool // targets that have not answered yet
-	silent  map[string]bool // targets that did not answer their last request
-	// nextResponsive and nextSilent count the targets that were passed in each turn.
-	nextResponsive, nextSilent int
+type targetRotation struct {
+	pending      map[string]bool // targets that have not answered yet
+	unresponsive map[string]bool // targets that did not answer their last request
+	// nextResponsive and nextUnresponsive count the targets that were passed in each turn.
+	nextResponsive, nextUnresponsive int
 }
 
-func newTargetTurns() targetTurns {
-	return targetTurns{pending: map[string]bool{}, silent: map[string]bool{}}
+func newTargetRotation() targetRotation {
+	return targetRotation{pending: map[string]bool{}, unresponsive: map[string]bool{}}
 }
 
 // take chooses the next of the silent targets, or of the others, and marks it pending. It skips those that are pending, since others may
 // answer, and returns an empty string if there is no other.
-func (t *targetTurns) take(targets []string, silent bool) string {
+func (t *targetRotation) take(targets []string, unresponsive bool) string {
 	next := &t.nextResponsive
-	if silent {
-		next = &t.nextSilent
+	if unresponsive {
+		next = &t.nextUnresponsive
 	}
 	for range targets {
 		target := targets[*next%len(targets)]
 		*next++
-		if t.silent[target] == silent && !t.pending[target] {
+		if t.unresponsive[target] == unresponsive && !t.pending[target] {
 			t.pending[target] = true
 			return target
 		}
@@ -34,13 +34,13 @@
 }
 
 // release marks a target as not pending, so that it may be chosen again, and records whether it answered.
-func (t *targetTurns) release(target string, answered bool) {
+func (t *targetRotation) release(target string, answered bool) {
 	delete(t.pending, target)
 	if answered {
-		delete(t.silent, target)
+		delete(t.unresponsive, target)
 		return
 	}
-	t.silent[target] = true
+	t.unresponsive[target] = true
 }
 
 // targets returns the addresses to send discover requests to: the seeds, then the other known addresses.
@@ -57,14 +57,14 @@
 	return targets
 }
 
-func (r *Resolver) takeTarget(targets []string, silent bool) string {
+func (r *Resolver) takeTarget(targets []string, unresponsive bool) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.turns.take(targets, silent)
+	return r.rotation.take(targets, unresponsive)
 }
 
 func (r *Resolver) releaseTarget(target string, answered bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.turns.release(target, answered)
+	r.rotation.release(target, answered)
 }
--- a/internal/registry/breakerstore/change_tracker.go
+++ b/internal/registry/breakerstore/change_tracker.go
@@ -52,7 +52,7 @@
 	c.services = c.services[:0]
 	for _, record := range records {
 		c.services = append(c.services, record.Service)
-		if present, found := c.records[record.Service]; !found || !proto.Equal(present.record, record) {
+		if existing, found := c.records[record.Service]; !found || !proto.Equal(existing.record, record) {
 			c.records[record.Service] = versionedRecord{record, next}
 			changed = true
 		}
@@ -69,11 +69,11 @@
 
 // removeMissing removes the records whose service is not in services. The lock is held.
 func (c *ChangeTracker) removeMissing() {
-	present := make(map[string]versionedRecord, len(c.services))
+	remaining := make(map[string]versionedRecord, len(c.services))
 	for _, service := range c.services {
-		present[service] = c.records[service]
+		remaining[service] = c.records[service]
 	}
-	c.records = present
+	c.records = remaining
 }
 
 // Change has the records that a proxy does not have yet. The records are shared and must not be changed.
@@ -94,8 +94,8 @@
 	change := Change{Source: c.source, Version: c.version}
 	change.Incremental = source == c.source && version > 0 && version >= c.lastRemoval && version <= c.version
 	for _, service := range c.services {
-		if present := c.records[service]; !change.Incremental || present.version > version {
-			change.Records = append(change.Records, present.record)
+		if entry := c.records[service]; !change.Incremental || entry.version > version {
+			change.Records = append(change.Records, entry.record)
 		}
 	}
 	return change
--- a/internal/registry/breakerstore/change_tracker_test.go
+++ b/internal/registry/breakerstore/change_tracker_test.go
@@ -44,7 +44,7 @@
 // TestIncrementalUpdatesMatchFullUpdates checks that a proxy which is sent only changes holds the same records as the table, under
 // random trips, probes, waits and ended sessions, lost responses, changes of the leader, and replicas restored from a snapshot.
 func TestIncrementalUpdatesMatchFullUpdates(t *testing.T) {
-	terms := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
+	settings := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		tables := []*breakerstore.Table{breakerstore.New(), breakerstore.New()}
@@ -61,7 +61,7 @@
 				if record := byService(table)[service]; record != nil {
 					version = record.Version
 				}
-				table.Write(&wire.BreakerWriteRequest{Service: service, Verb: breakerstore.VerbTrip, Proxy: proxy, ExpectedVersion: version, Active: []string{proxy}, Settings: terms}, now)
+				table.Write(&wire.BreakerWriteRequest{Service: service, Verb: breakerstore.VerbTrip, Proxy: proxy, ExpectedVersion: version, Active: []string{proxy}, Settings: settings}, now)
 			case 2:
 				table.LeaseProbe(&wire.ProbeLeaseRequest{Service: service, Proxy: proxy, Id: fmt.Sprint(step), Active: []string{proxy}}, now)
 			case 3:
@@ -108,9 +108,9 @@
 // TestOnlyChangedRecordsAreSent checks that of many records only the one that changed is sent.
 func TestOnlyChangedRecordsAreSent(t *testing.T) {
 	table, tracker, client := breakerstore.New(), breakerstore.NewChangeTracker(7), &proxyClient{}
-	terms := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
+	settings := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	reportTrip := func(service, proxy string) {
-		table.Write(&wire.BreakerWriteRequest{Service: service, Verb: breakerstore.VerbTrip, Proxy: proxy, ExpectedVersion: 1, Active: []string{proxy, "other"}, Settings: terms}, 1)
+		table.Write(&wire.BreakerWriteRequest{Service: service, Verb: breakerstore.VerbTrip, Proxy: proxy, ExpectedVersion: 1, Active: []string{proxy, "other"}, Settings: settings}, 1)
 	}
 	for index := range 580 {
 		reportTrip(fmt.Sprintf("service-%d", index), "first")
@@ -126,7 +126,7 @@
 		}
 		client.apply(change)
 	}
-	if stranger := tracker.Since(8, client.version); stranger.Incremental || len(stranger.Records) != 580 {
-		t.Errorf("a version of another incarnation gets %d records", len(stranger.Records))
+	if unknown := tracker.Since(8, client.version); unknown.Incremental || len(unknown.Records) != 580 {
+		t.Errorf("a version of another incarnation gets %d records", len(unknown.Records))
 	}
 }
--- a/internal/registry/breakerstore/injected_faults.go
+++ b/internal/registry/breakerstore/injected_faults.go
@@ -10,20 +10,20 @@
 	FaultLosesReturnedProbes = "leaky"     // probes that return to the budget are lost
 	FaultOpensOnAnyTrip      = "any_trip"  // the report of one proxy opens the record
 	FaultNoProbeShares       = "greedy"    // one proxy may lease a whole round, and reopen the record alone
-	FaultSkipsHalfOpen          = "hasty"     // an open record closes without a half-open round
+	FaultSkipsHalfOpen       = "hasty"     // an open record closes without a half-open round
 	FaultShortWait           = "impatient" // an open record waits a quarter of its time
 	FaultKeepsProbes         = "clinging"  // leased probes never return to the budget
 )
 
 // faultySweeps replace defaultSweeps under some of the faults.
 var faultySweeps = map[string]sweepsByState{
-	FaultSkipsHalfOpen:  {Closed: sweepNothing, Open: closeWithoutTrial, HalfOpen: sweepHalfOpen},
-	FaultShortWait:   {Closed: sweepNothing, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
-	FaultKeepsProbes: {Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepNothing},
+	FaultSkipsHalfOpen: {Closed: sweepNoop, Open: closeWithoutProbes, HalfOpen: sweepHalfOpen},
+	FaultShortWait:     {Closed: sweepNoop, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
+	FaultKeepsProbes:   {Closed: sweepNoop, Open: sweepOpen, HalfOpen: sweepNoop},
 }
 
-// closeWithoutTrial is the sweep of an open record under FaultSkipsTrial.
-func closeWithoutTrial(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
+// closeWithoutProbes is the sweep of an open record under FaultSkipsTrial.
+func closeWithoutProbes(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
 	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 		setState(record, Closed, now)
 	}
--- a/internal/registry/breakerstore/probe_lease.go
+++ b/internal/registry/breakerstore/probe_lease.go
@@ -23,7 +23,7 @@
 	granted := hasProbeLease(record, request.Id)
 	if !granted && (canLeaseProbe(record, request, now) || t.grantsBeyondShare(record)) {
 		record.Budget--
-		shareOf(record, request.Proxy).Granted++
+		getOrCreateShare(record, request.Proxy).Granted++
 		record.ProbeLeases = append(record.ProbeLeases, &wire.ProbeLease{
 			Id: request.Id, Proxy: request.Proxy, Incarnation: request.Incarnation, Until: int64(now) + record.Settings.ProbeLease,
 		})
@@ -87,8 +87,8 @@
 	return 0, 0
 }
 
-// shareOf returns a proxy's share of the present round and creates it if there is none.
-func shareOf(record *wire.BreakerRecord, proxy string) *wire.ProbeShare {
+// getOrCreateShare returns a proxy's share of the present round and creates it if there is none.
+func getOrCreateShare(record *wire.BreakerRecord, proxy string) *wire.ProbeShare {
 	for _, share := range record.Shares {
 		if share.Proxy == proxy {
 			return share
@@ -102,5 +102,5 @@
 // refundProbe puts a proxy's probe back into the budget.
 func refundProbe(record *wire.BreakerRecord, proxy string) {
 	record.Budget++
-	shareOf(record, proxy).Returned++
+	getOrCreateShare(record, proxy).Returned++
 }
--- a/internal/registry/breakerstore/sweep.go
+++ b/internal/registry/breakerstore/sweep.go
@@ -17,7 +17,7 @@
 // sweepsByState are the sweeps of each state.
 type sweepsByState map[string]sweepFunc
 
-var defaultSweeps = sweepsByState{Closed: sweepNothing, Open: sweepOpen, HalfOpen: sweepHalfOpen}
+var defaultSweeps = sweepsByState{Closed: sweepNoop, Open: sweepOpen, HalfOpen: sweepHalfOpen}
 
 // Sweep applies the passing of time to all records: open records become half open, probes whose lease ended or whose proxy's
 // session ended return to the budget, completed rounds without a decision are decided, and unused records expire.
@@ -48,8 +48,8 @@
 	sweeps[record.State](record, ended, now)
 }
 
-// sweepNothing is the sweep of a closed record, which time alone doesn't change.
-func sweepNothing(*wire.BreakerRecord, endedSessions, monotonic.Micros) {}
+// sweepNoop is the sweep of a closed record, which time alone doesn't change.
+func sweepNoop(*wire.BreakerRecord, endedSessions, monotonic.Micros) {}
 
 // sweepOpen starts a half-open round once the record has been open for WaitOpen.
 func sweepOpen(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
--- a/internal/registry/directory/departures_test.go
+++ b/internal/registry/directory/departures_test.go
@@ -8,15 +8,15 @@
 	"snowflow/internal/transport/wire"
 )
 
-// departureFleet is two registries, of which the second only gets sessions from the first.
-type departureFleet struct {
+// departureFixture is two registries, of which the second only gets sessions from the first.
+type departureFixture struct {
 	time          *clock
 	first, second *directory.Directory
 	heartbeat     uint64
 }
 
 // announce has a proxy announce one backend to the first registry.
-func (f *departureFleet) announce(incarnation uint64, instance, condition string) {
+func (f *departureFixture) announce(incarnation uint64, instance, condition string) {
 	f.heartbeat++
 	f.time.now += monotonic.Second
 	f.first.Observe(&wire.Session{
@@ -25,8 +25,8 @@
 	}, true)
 }
 
-// published returns the condition of the proxy's backend as a registry publishes it.
-func published(t *testing.T, registry *directory.Directory) string {
+// publishedCondition returns the condition of the proxy's backend as a registry publishes it.
+func publishedCondition(t *testing.T, registry *directory.Directory) string {
 	t.Helper()
 	sessions := registry.UpdateSince(directory.Base{}).Sessions
 	if len(sessions) != 1 || len(sessions[0].Backends) != 1 {
@@ -55,17 +55,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			time := &clock{now: test.start}
-			fleet := &departureFleet{time: time, first: directory.New(time, 1), second: directory.New(time, 2)}
-			fleet.announce(1, "first", "working")
-			fleet.announce(1, "first", wire.BackendLeaving)
+			fixture := &departureFixture{time: time, first: directory.New(time, 1), second: directory.New(time, 2)}
+			fixture.announce(1, "first", "working")
+			fixture.announce(1, "first", wire.BackendLeaving)
 			time.now += test.wait
-			fleet.first.ExpireSessions()
-			fleet.announce(next, test.instance, "working")
-			for _, session := range fleet.first.DirectSessions() {
-				fleet.second.Observe(session, false)
+			fixture.first.ExpireSessions()
+			fixture.announce(next, test.instance, "working")
+			for _, session := range fixture.first.DirectSessions() {
+				fixture.second.Observe(session, false)
 			}
-			for name, registry := range map[string]*directory.Directory{"first": fleet.first, "second": fleet.second} {
-				if condition := published(t, registry); condition != test.expected {
+			for name, registry := range map[string]*directory.Directory{"first": fixture.first, "second": fixture.second} {
+				if condition := publishedCondition(t, registry); condition != test.expected {
 					t.Errorf("the %s registry publishes %s, not %s", name, condition, test.expected)
 				}
 			}
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -64,11 +64,11 @@
 	defer d.lock.Unlock()
 	now := d.clock.Now()
 	receivedAt := now - monotonic.Micros(session.Age)
-	present := d.sessions[session.Proxy]
-	if present != nil && !supersedes(session, receivedAt, present) {
+	current := d.sessions[session.Proxy]
+	if current != nil && !supersedes(session, receivedAt, current) {
 		return false
 	}
-	isNew := present == nil || present.ended || present.session.Incarnation != session.Incarnation
+	isNew := current == nil || current.ended || current.session.Incarnation != session.Incarnation
 	stored := proto.CloneOf(session)
 	stored.Age = 0
 	updated := &sessionEntry{session: stored, receivedAt: receivedAt, direct: direct, ended: now-receivedAt >= SessionTimeout}
@@ -79,11 +79,11 @@
 }
 
 // supersedes reports whether a session is newer than the present one of its proxy.
-func supersedes(session *wire.Session, receivedAt monotonic.Micros, present *sessionEntry) bool {
-	if session.Incarnation != present.session.Incarnation || session.Heartbeat == present.session.Heartbeat {
-		return receivedAt > present.receivedAt
+func supersedes(session *wire.Session, receivedAt monotonic.Micros, current *sessionEntry) bool {
+	if session.Incarnation != current.session.Incarnation || session.Heartbeat == current.session.Heartbeat {
+		return receivedAt > current.receivedAt
 	}
-	return session.Heartbeat > present.session.Heartbeat
+	return session.Heartbeat > current.session.Heartbeat
 }
 
 // ExtendSessions postpones the end of every session by a duration in which this process could not receive polls, or which only
@@ -92,9 +92,9 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
-	for _, present := range d.sessions {
-		if !present.ended {
-			present.receivedAt = min(now, present.receivedAt+duration)
+	for _, entry := range d.sessions {
+		if !entry.ended {
+			entry.receivedAt = min(now, entry.receivedAt+duration)
 		}
 	}
 }
@@ -106,13 +106,13 @@
 	now := d.clock.Now()
 	d.departures.expire(now)
 	for _, name := range d.names() {
-		present := d.sessions[name]
-		if !present.ended && now-present.receivedAt >= SessionTimeout {
-			present.ended = true
+		entry := d.sessions[name]
+		if !entry.ended && now-entry.receivedAt >= SessionTimeout {
+			entry.ended = true
 			d.publish(name)
-			ended = append(ended, &wire.MemberID{Name: name, Incarnation: present.session.Incarnation})
+			ended = append(ended, &wire.MemberID{Name: name, Incarnation: entry.session.Incarnation})
 		}
-		if now-present.receivedAt >= endedSessionRetention {
+		if now-entry.receivedAt >= endedSessionRetention {
 			delete(d.sessions, name)
 		}
 	}
@@ -125,7 +125,7 @@
 // DirectSessions returns copies of the sessions that proxies sent to this registry themselves, to be sent to the other
 // registries. Age is set.
 func (d *Directory) DirectSessions() []*wire.Session {
-	return d.copySessions(func(present *sessionEntry) bool { return present.direct })
+	return d.copySessions(func(entry *sessionEntry) bool { return entry.direct })
 }
 
 // Sessions returns copies of all sessions that have not ended, sorted by proxy. Age is set.
@@ -139,12 +139,12 @@
 	defer d.lock.Unlock()
 	now := d.clock.Now()
 	for _, name := range d.names() {
-		present := d.sessions[name]
-		if present.ended || !include(present) {
+		entry := d.sessions[name]
+		if entry.ended || !include(entry) {
 			continue
 		}
-		copied := proto.CloneOf(present.session)
-		copied.Age = int64(now - present.receivedAt)
+		copied := proto.CloneOf(entry.session)
+		copied.Age = int64(now - entry.receivedAt)
 		for _, backend := range copied.Backends {
 			backend.Condition = d.departures.condition(backend, now)
 		}
@@ -163,8 +163,8 @@
 func (d *Directory) LiveCount() (count int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	for _, present := range d.sessions {
-		if present.live() {
+	for _, entry := range d.sessions {
+		if entry.live() {
 			count++
 		}
 	}
--- a/internal/registry/directory/history.go
+++ b/internal/registry/directory/history.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// findNumber returns the index of a version by its number, if it has the checksum.
-func (h *history) findNumber(number, checksum uint64) (index int, found bool) {
+// findByNumber returns the index of a version by its number, if it has the checksum.
+func (h *history) findByNumber(number, checksum uint64) (index int, found bool) {
 	if number <= h.dropped || number > h.newest() {
 		return 0, false
 	}
@@ -42,8 +42,8 @@
 	return index, h.versions[index].checksum == checksum
 }
 
-// findChecksum returns the index of the newest version with a checksum.
-func (h *history) findChecksum(checksum uint64) (index int, found bool) {
+// findByChecksum returns the index of the newest version with a checksum.
+func (h *history) findByChecksum(checksum uint64) (index int, found bool) {
 	for index = len(h.versions) - 1; index >= 0; index-- {
 		if h.versions[index].checksum == checksum {
 			return index, true
--- a/internal/registry/directory/publish.go
+++ b/internal/registry/directory/publish.go
@@ -13,16 +13,16 @@
 
 // publish updates the published part of a proxy's session and starts a version if that part changed. The lock is held.
 func (d *Directory) publish(proxy string) {
-	previous, present := d.published.Get(proxy), d.sessions[proxy]
+	previous, current := d.published.Get(proxy), d.sessions[proxy]
 	var next *resource.Set
 	var err error
-	switch listed := present != nil && !present.ended; {
+	switch listed := current != nil && !current.ended; {
 	case !listed && previous == nil:
 		return
 	case !listed:
 		next, err = d.published.With(nil, []string{proxy}, d.published.Len()-1)
 	default:
-		visible := d.publicSession(present.session)
+		visible := d.publicSession(current.session)
 		if previous != nil && proto.Equal(previous.Message, visible) {
 			return
 		}
@@ -105,8 +105,8 @@
 			return update
 		}
 	}
-	for _, present := range d.published.All() {
-		update.Sessions = append(update.Sessions, sessionOf(present))
+	for _, entry := range d.published.All() {
+		update.Sessions = append(update.Sessions, sessionOf(entry))
 	}
 	return update
 }
@@ -122,8 +122,8 @@
 // publishedOf returns the published sessions of proxies, and those of the proxies that have none.
 func (d *Directory) publishedOf(proxies []string) (sessions []*wire.Session, removed []string) {
 	for _, proxy := range proxies {
-		if present := d.published.Get(proxy); present != nil {
-			sessions = append(sessions, sessionOf(present))
+		if entry := d.published.Get(proxy); entry != nil {
+			sessions = append(sessions, sessionOf(entry))
 		} else {
 			removed = append(removed, proxy)
 		}
@@ -147,8 +147,8 @@
 	case base.Checksum == 0:
 		return 0, false
 	case base.Source != d.source:
-		return d.history.findChecksum(base.Checksum)
+		return d.history.findByChecksum(base.Checksum)
 	default:
-		return d.history.findNumber(base.Version, base.Checksum)
+		return d.history.findByNumber(base.Version, base.Checksum)
 	}
 }
--- a/internal/registry/idempotency/store.go
+++ b/internal/registry/idempotency/store.go
@@ -141,14 +141,14 @@
 		panic(err) // every record was decoded or built in this package
 	}
 	expires := monotonic.Micros(record.Expires)
-	present := s.byScope[record.Scope]
-	if present != nil && present.expires == expires {
-		s.size += len(content) - len(present.content)
-		present.content = content
+	existing := s.byScope[record.Scope]
+	if existing != nil && existing.expires == expires {
+		s.size += len(content) - len(existing.content)
+		existing.content = content
 		return
 	}
-	if present != nil {
-		s.remove(present)
+	if existing != nil {
+		s.remove(existing)
 	}
 	s.insert(&encodedRecord{scope: record.Scope, content: content, expires: expires})
 }
--- a/internal/registry/idempotency/table.go
+++ b/internal/registry/idempotency/table.go
@@ -92,13 +92,13 @@
 
 // Claim grants an attempt the right to run, or says why not.
 func (t *Table) Claim(request *wire.ClaimRequest, now monotonic.Micros) *wire.ClaimResponse {
-	if present := t.find(request.Scope); present != nil {
+	if existing := t.find(request.Scope); existing != nil {
 		switch {
-		case isVoided(present, request.Attempt):
+		case isVoided(existing, request.Attempt):
 			return &wire.ClaimResponse{Outcome: Voided}
-		case present.State == statePending:
-			return t.claimPending(present, request)
-		case readBeforeFence(present.Fence, request.ReadAt):
+		case existing.State == statePending:
+			return t.claimPending(existing, request)
+		case readBeforeFence(existing.Fence, request.ReadAt):
 			return &wire.ClaimResponse{Outcome: Fenced}
 		}
 	}
@@ -134,9 +134,9 @@
 // the attempt is voided unless it is the pending one. If the key is free and request.Fence is set, no request that was read up to
 // now will be granted the key either: the epoch and now are stored as the fence.
 func (t *Table) Void(request *wire.VoidClaimRequest, epoch uint64, now monotonic.Micros) *wire.VoidClaimResponse {
-	if present := t.find(request.Scope); present != nil && present.State == statePending {
-		if present.Attempt != request.Attempt && addVoided(present, request.Attempt) {
-			t.records.put(present)
+	if existing := t.find(request.Scope); existing != nil && existing.State == statePending {
+		if existing.Attempt != request.Attempt && addVoided(existing, request.Attempt) {
+			t.records.put(existing)
 		}
 		return &wire.VoidClaimResponse{Outcome: Claimed}
 	}
@@ -157,8 +157,8 @@
 // Complete frees a pending key if request.Ran is false: the proxy that owns the attempt is certain that nothing ran. The attempt is
 // voided, so that it is never granted again. If request.Ran is true the record stays pending until its lifetime ends.
 func (t *Table) Complete(request *wire.CompleteClaimRequest, now monotonic.Micros) *wire.CompleteClaimResponse {
-	present := t.find(request.Scope)
-	if present == nil || present.State != statePending || present.Attempt != request.Attempt || request.Ran {
+	existing := t.find(request.Scope)
+	if existing == nil || existing.State != statePending || existing.Attempt != request.Attempt || request.Ran {
 		return &wire.CompleteClaimResponse{}
 	}
 	record := t.recordFor(request.Scope, now)
@@ -189,8 +189,8 @@
 
 // find decodes the record of a scope. It returns nil if there is none.
 func (t *Table) find(scope string) *wire.ClaimRecord {
-	if present := t.records.byScope[scope]; present != nil {
-		return present.decode()
+	if existing := t.records.byScope[scope]; existing != nil {
+		return existing.decode()
 	}
 	return nil
 }
--- a/internal/registry/idempotency/table_test.go
+++ b/internal/registry/idempotency/table_test.go
@@ -86,16 +86,16 @@
 		for step := range 400 {
 			now += monotonic.Micros(random.IntN(4))
 			scope, attempt := fmt.Sprintf("key-%d", random.IntN(30)), fmt.Sprintf("try-%d", random.IntN(4))
-			present := reference.records[scope]
-			pending := present != nil && present.State == "held"
-			voided := present != nil && slices.Contains(present.Voided, attempt)
+			existing := reference.records[scope]
+			pending := existing != nil && existing.State == "held"
+			voided := existing != nil && slices.Contains(existing.Voided, attempt)
 			switch random.IntN(5) {
 			case 0, 1:
 				outcome := idempotency.Granted
 				switch {
 				case voided:
 					outcome = idempotency.Voided
-				case pending && present.Attempt != attempt:
+				case pending && existing.Attempt != attempt:
 					outcome = idempotency.Pending
 				case !pending:
 					record := reference.record(scope, now)
@@ -108,8 +108,8 @@
 				outcome := idempotency.Voided
 				if pending {
 					outcome = idempotency.Claimed
-					if present.Attempt != attempt && !voided {
-						present.Voided = append(present.Voided, attempt)
+					if existing.Attempt != attempt && !voided {
+						existing.Voided = append(existing.Voided, attempt)
 					}
 				} else if record := reference.record(scope, now); !voided {
 					record.Voided = append(record.Voided, attempt)
@@ -118,7 +118,7 @@
 					t.Fatalf("seed %d, step %d: void %s, want %s", seed, step, got, outcome)
 				}
 			case 3:
-				done := pending && present.Attempt == attempt
+				done := pending && existing.Attempt == attempt
 				if done {
 					record := reference.record(scope, now)
 					record.State, record.Attempt, record.Proxy, record.Incarnation, record.Digest = "free", "", "", 0, nil
@@ -136,16 +136,16 @@
 				}
 			}
 			stored := decodeContents(t, table.AppendSnapshot(nil, 2))
-			size, ends := 0, int64(0)
+			size, lastExpiry := 0, int64(0)
 			for _, content := range stored {
 				record := &wire.ClaimRecord{}
 				if err := proto.Unmarshal(content, record); err != nil {
 					t.Fatal(err)
 				}
-				if !proto.Equal(record, reference.records[record.Scope]) || record.Expires < ends {
-					t.Fatalf("seed %d, step %d: stored %v after %d, want %v", seed, step, record, ends, reference.records[record.Scope])
+				if !proto.Equal(record, reference.records[record.Scope]) || record.Expires < lastExpiry {
+					t.Fatalf("seed %d, step %d: stored %v after %d, want %v", seed, step, record, lastExpiry, reference.records[record.Scope])
 				}
-				size, ends = size+len(content), record.Expires
+				size, lastExpiry = size+len(content), record.Expires
 			}
 			if len(stored) != len(reference.records) || table.Len() != len(stored) || table.EncodedSize() != size {
 				t.Fatalf("seed %d, step %d: %d records of %d bytes, reported as %d of %d, want %d records", seed, step, len(stored), size, table.Len(), table.EncodedSize(), len(reference.records))
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -51,9 +51,9 @@
 // Acquire grants, renews or releases a lease. The response names the present owner if that is another instance. The granted
 // duration is the requested one within the bounds of a lease.
 func (t *Table) Acquire(request *wire.SingletonLeaseRequest, now monotonic.Micros) *wire.SingletonLeaseResponse {
-	present := t.records[request.Role]
-	if present != nil && int64(now) < present.Until && present.Instance != request.Instance {
-		return &wire.SingletonLeaseResponse{Owner: present.Proxy, Instance: present.Instance}
+	current := t.records[request.Role]
+	if current != nil && int64(now) < current.Until && current.Instance != request.Instance {
+		return &wire.SingletonLeaseResponse{Owner: current.Proxy, Instance: current.Instance}
 	}
 	if request.Release {
 		delete(t.records, request.Role)
@@ -61,8 +61,8 @@
 	}
 	duration := min(max(monotonic.Micros(request.Duration), minDuration), maxDuration)
 	until := int64(now + duration)
-	if present != nil && present.Instance == request.Instance {
-		until = max(until, present.Until) // a delayed older request must not shorten the lease
+	if current != nil && current.Instance == request.Instance {
+		until = max(until, current.Until) // a delayed older request must not shorten the lease
 	}
 	t.records[request.Role] = &wire.SingletonLeaseRecord{Role: request.Role, Proxy: request.Proxy, Instance: request.Instance, Until: until}
 	return &wire.SingletonLeaseResponse{Granted: true, Owner: request.Proxy, Instance: request.Instance, Duration: int64(duration)}
--- a/internal/transport/wire/status_json.go
+++ b/internal/transport/wire/status_json.go
@@ -30,123 +30,127 @@
 )
 
 // MarshalJSON writes the session with the keys of the status pages.
-func (x *Session) MarshalJSON() ([]byte, error) { return marshalAs(sessionKeys, (*plainSession)(x)) }
+func (x *Session) MarshalJSON() ([]byte, error) {
+	return marshalWithKeys(sessionKeys, (*plainSession)(x))
+}
 
 // UnmarshalJSON reads a session with the keys of the status pages.
 func (x *Session) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(sessionKeys, content, (*plainSession)(x))
+	return unmarshalWithKeys(sessionKeys, content, (*plainSession)(x))
 }
 
 // MarshalJSON writes the backend with the keys of the status pages.
-func (x *Backend) MarshalJSON() ([]byte, error) { return marshalAs(backendKeys, (*plainBackend)(x)) }
+func (x *Backend) MarshalJSON() ([]byte, error) {
+	return marshalWithKeys(backendKeys, (*plainBackend)(x))
+}
 
 // UnmarshalJSON reads a backend with the keys of the status pages.
 func (x *Backend) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(backendKeys, content, (*plainBackend)(x))
+	return unmarshalWithKeys(backendKeys, content, (*plainBackend)(x))
 }
 
 // MarshalJSON writes the share with the keys of the status pages.
 func (x *ProbeShare) MarshalJSON() ([]byte, error) {
-	return marshalAs(proxyKeys, (*plainProbeShare)(x))
+	return marshalWithKeys(proxyKeys, (*plainProbeShare)(x))
 }
 
 // UnmarshalJSON reads a share with the keys of the status pages.
 func (x *ProbeShare) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(proxyKeys, content, (*plainProbeShare)(x))
+	return unmarshalWithKeys(proxyKeys, content, (*plainProbeShare)(x))
 }
 
 // MarshalJSON writes the lease with the keys of the status pages.
 func (x *ProbeLease) MarshalJSON() ([]byte, error) {
-	return marshalAs(proxyKeys, (*plainProbeLease)(x))
+	return marshalWithKeys(proxyKeys, (*plainProbeLease)(x))
 }
 
 // UnmarshalJSON reads a lease with the keys of the status pages.
 func (x *ProbeLease) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(proxyKeys, content, (*plainProbeLease)(x))
+	return unmarshalWithKeys(proxyKeys, content, (*plainProbeLease)(x))
 }
 
 // MarshalJSON writes the result with the keys of the status pages.
 func (x *ProbeResult) MarshalJSON() ([]byte, error) {
-	return marshalAs(proxyKeys, (*plainProbeResult)(x))
+	return marshalWithKeys(proxyKeys, (*plainProbeResult)(x))
 }
 
 // UnmarshalJSON reads a result with the keys of the status pages.
 func (x *ProbeResult) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(proxyKeys, content, (*plainProbeResult)(x))
+	return unmarshalWithKeys(proxyKeys, content, (*plainProbeResult)(x))
 }
 
 // MarshalJSON writes the report with the keys of the status pages.
 func (x *TripReport) MarshalJSON() ([]byte, error) {
-	return marshalAs(proxyKeys, (*plainTripReport)(x))
+	return marshalWithKeys(proxyKeys, (*plainTripReport)(x))
 }
 
 // UnmarshalJSON reads a report with the keys of the status pages.
 func (x *TripReport) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(proxyKeys, content, (*plainTripReport)(x))
+	return unmarshalWithKeys(proxyKeys, content, (*plainTripReport)(x))
 }
 
 // MarshalJSON writes the settings with the keys of the status pages.
 func (x *BreakerSettings) MarshalJSON() ([]byte, error) {
-	return marshalAs(breakerSettingsKeys, (*plainBreakerSettings)(x))
+	return marshalWithKeys(breakerSettingsKeys, (*plainBreakerSettings)(x))
 }
 
 // UnmarshalJSON reads settings with the keys of the status pages.
 func (x *BreakerSettings) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(breakerSettingsKeys, content, (*plainBreakerSettings)(x))
+	return unmarshalWithKeys(breakerSettingsKeys, content, (*plainBreakerSettings)(x))
 }
 
 // MarshalJSON writes the record with the keys of the status pages.
 func (x *BreakerRecord) MarshalJSON() ([]byte, error) {
-	return marshalAs(breakerRecordKeys, (*plainBreakerRecord)(x))
+	return marshalWithKeys(breakerRecordKeys, (*plainBreakerRecord)(x))
 }
 
 // UnmarshalJSON reads a record with the keys of the status pages.
 func (x *BreakerRecord) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(breakerRecordKeys, content, (*plainBreakerRecord)(x))
+	return unmarshalWithKeys(breakerRecordKeys, content, (*plainBreakerRecord)(x))
 }
 
 // MarshalJSON writes the record with the keys of the status pages.
 func (x *SingletonLeaseRecord) MarshalJSON() ([]byte, error) {
-	return marshalAs(singletonLeaseKeys, (*plainSingletonLeaseRecord)(x))
+	return marshalWithKeys(singletonLeaseKeys, (*plainSingletonLeaseRecord)(x))
 }
 
 // UnmarshalJSON reads a record with the keys of the status pages.
 func (x *SingletonLeaseRecord) UnmarshalJSON(content []byte) error {
-	return unmarshalAs(singletonLeaseKeys, content, (*plainSingletonLeaseRecord)(x))
+	return unmarshalWithKeys(singletonLeaseKeys, content, (*plainSingletonLeaseRecord)(x))
 }
 
-// marshalAs encodes a message and gives its top keys the names that the table has for them.
-func marshalAs(keys map[string]string, message any) ([]byte, error) {
+// marshalWithKeys encodes a message and gives its top keys the names that the table has for them.
+func marshalWithKeys(keys map[string]string, message any) ([]byte, error) {
 	content, err := json.Marshal(message)
 	if err != nil {
 		return nil, err
 	}
-	return withKeys(content, keys)
+	return renameKeys(content, keys)
 }
 
-// unmarshalAs decodes what marshalAs encoded.
-func unmarshalAs(keys map[string]string, content []byte, into any) error {
+// unmarshalWithKeys decodes what marshalWithKeys encoded.
+func unmarshalWithKeys(keys map[string]string, content []byte, into any) error {
 	names := make(map[string]string, len(keys))
 	for name, key := range keys {
 		names[key] = name
 	}
-	content, err := withKeys(content, names)
+	content, err := renameKeys(content, names)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(content, into)
 }
 
-// withKeys renames the top keys of a JSON object.
-func withKeys(content []byte, renamed map[string]string) ([]byte, error) {
+// renameKeys renames the top keys of a JSON object.
+func renameKeys(content []byte, renamed map[string]string) ([]byte, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(content, &object); err != nil {
 		return nil, err
 	}
 	result := make(map[string]json.RawMessage, len(object))
 	for key, value := range object {
-		if to, is := renamed[key]; is {
-			key = to
+		if newKey, found := renamed[key]; found {
+			key = newKey
 		}
 		result[key] = value
 	}
