--- a/internal/registry/batch.go
+++ b/internal/registry/batch.go
@@ -9,21 +9,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ErrNotBatchable is the error of a command that must not come in a batch.
+// ErrNotBatchable reports a command that is not allowed in a batch.
 var ErrNotBatchable = errors.New("command is not allowed in a batch")
 
-// isBatchable reports whether a command may come in a batch: those that proxies send for each request with an idempotency key.
+// isBatchable reports whether a command is allowed in a batch. Only the commands that proxies send for each request with an idempotency
+// key are.
 func isBatchable(command *wire.RegistryCommand) bool {
 	hasClaim := command.Claim != nil || command.Void != nil || command.Complete != nil
 	hasOther := command.ProbeLease != nil || command.Breaker != nil || command.Singleton != nil || command.Tick != nil
 	return hasClaim && !hasOther
 }
 
-// handleBatch executes the commands of one message as if each had come alone. Proxies batch because a message costs a registry
-// many times what a command does. The outcomes are in the order of the commands.
+// handleBatch executes the commands of one message as if each had been sent on its own, and returns their outcomes in the same order.
+// Proxies send batches because a message costs a registry many times as much as a command.
 func (r *Registry) handleBatch(request *wire.RegistryBatchRequest) (*wire.RegistryBatchResponse, error) {
 	outcomes := make([]*wire.RegistryOutcome, len(request.Commands))
-	var positions []int // of the proposals among the commands
+	var positions []int // the index of each proposal's command
 	var proposals [][]byte
 	for index, command := range request.Commands {
 		outcome, proposal := r.prepareBatched(command)
@@ -39,7 +40,7 @@
 	return &wire.RegistryBatchResponse{Outcomes: outcomes}, nil
 }
 
-// prepareBatched returns the outcome of a command that needs no write, or else the encoded command to propose.
+// prepareBatched returns the outcome of a command that needs no write, or otherwise the encoded command to propose.
 func (r *Registry) prepareBatched(command *wire.RegistryCommand) (*wire.RegistryOutcome, []byte) {
 	if !isBatchable(command) {
 		return rejected(ErrNotBatchable), nil
@@ -56,12 +57,12 @@
 	return nil, proposal
 }
 
-// rejected is the outcome of a command that was not and will not be executed.
+// rejected returns the outcome of a command that was not executed and never will be.
 func rejected(err error) *wire.RegistryOutcome {
 	return &wire.RegistryOutcome{Error: err.Error(), Rejected: true}
 }
 
-// batchOutcome encodes the outcome of a proposal. Any error other than ErrNotPrimary leaves open whether the command was
+// batchOutcome converts the outcome of a proposal. After any error other than ErrNotPrimary, it is unknown whether the command was
 // executed.
 func batchOutcome(outcome replication.Outcome) *wire.RegistryOutcome {
 	result := &wire.RegistryResult{}
--- a/internal/registry/breakers.go
+++ b/internal/registry/breakers.go
@@ -6,12 +6,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// directoryFillTime is the time within which every proxy polls a new primary, so that its directory knows them all: one and a half
-// poll intervals of a proxy.
+// directoryFillTime is the time within which every proxy has polled a new primary, so that its directory is complete: one and a half poll
+// intervals of a proxy.
 const directoryFillTime = 1500 * monotonic.Millisecond
 
-// handleProbeLease leases a probe of a half-open round to a proxy. It fills in the contending proxies, by which the state machine
-// divides the round.
+// handleProbeLease leases a probe of a half-open round to a proxy. It fills in the proxies that contend for probes, among which the
+// state machine divides the round.
 func (r *Registry) handleProbeLease(request *wire.ProbeLeaseRequest) (*wire.ProbeLeaseResponse, error) {
 	request.Active = r.probeContenders(request.Service)
 	if response := r.deniedProbe(request); response != nil {
@@ -21,8 +21,8 @@
 	return result.GetProbeLease(), err
 }
 
-// probeContenders returns the proxies that share a half-open round's probes. A registry that has only just become primary
-// counts every member, since the proxies that call the service may not have polled it yet.
+// probeContenders returns the proxies among which the probes of a half-open round are divided. For directoryFillTime after it became
+// primary, a registry includes every member, since proxies that call the service may not have polled it yet.
 func (r *Registry) probeContenders(service string) []string {
 	proxies := r.directory.ProxiesWithDemand(service)
 	if r.config.Host.Now()-monotonic.Micros(r.primarySince.Load()) < directoryFillTime {
@@ -31,7 +31,8 @@
 	return proxies
 }
 
-// deniedProbe denies a probe without a write if the present record does not allow it, and returns nil otherwise.
+// deniedProbe returns the response that denies a probe, without a write, if the current record does not allow the probe. Otherwise it
+// returns nil.
 func (r *Registry) deniedProbe(request *wire.ProbeLeaseRequest) (response *wire.ProbeLeaseResponse) {
 	if !r.Member.Read(func(_ uint64, now monotonic.Micros) { response = r.machine.Breakers.DeniedProbe(request, now) }) {
 		return nil
@@ -39,8 +40,8 @@
 	return response
 }
 
-// handleBreakerWrite replicates a write to a breaker record. It fills in the active proxies, of which enough must report a trip
-// before the record opens.
+// handleBreakerWrite replicates a write to a breaker record. It fills in the active proxies, since the record opens only once enough of
+// them have reported a trip.
 func (r *Registry) handleBreakerWrite(request *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
 	request.Active = r.directory.ActiveProxies(request.Service)
 	if request.Verb == breakerstore.VerbTrip && len(request.Active) < 2 && r.directory.LiveCount() > 1 {
@@ -50,9 +51,9 @@
 	return result.GetBreaker(), err
 }
 
-// deferTripReport delays the report of a proxy that is the only one known to call the service. Others may call it and not have
-// polled since, so the report is proposed once they have; otherwise a single proxy would open the breaker. The response has the
-// present record, and its Applied is false. If this process stops meanwhile, the report is lost; the proxy reports its next trip.
+// deferTripReport delays the trip report of the only proxy that is known to call the service. Other proxies may have called it but not
+// polled since. The report is proposed after they had time to poll; proposed at once, it would let a single proxy open the breaker. The
+// response has the current record and Applied unset. The report is lost if this process stops before; the proxy reports its next trip.
 func (r *Registry) deferTripReport(request *wire.BreakerWriteRequest) *wire.BreakerWriteResponse {
 	r.config.Host.Go(func() {
 		r.config.Host.Sleep(directoryFillTime)
--- a/internal/registry/breakerstore/change_tracker.go
+++ b/internal/registry/breakerstore/change_tracker.go
@@ -8,14 +8,14 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ChangeTracker numbers the changes of the records that Observe sees, so that a polling proxy is sent only what changed since
-// its last poll. It is local to one process: another process, or a later incarnation of this one, has another source, and a
-// proxy that names a different source gets all records. It is safe for concurrent use.
+// ChangeTracker assigns version numbers to the changes that Observe finds, so that a polling proxy is sent only what changed since its
+// last poll. Versions are local to one incarnation of one process, which is identified by the source; a proxy that names a different
+// source gets all records. It is safe for concurrent use.
 //
 // Invariants:
-//   - version rises whenever Observe finds a record that differs, is new or was removed;
-//   - versionedRecord.version is the version at which the record became what it is;
-//   - a proxy that has a version of at least lastRemoval holds no record that has been removed since.
+//   - version rises whenever Observe finds a record that is changed, new or removed;
+//   - versionedRecord.version is the version at which the record got its current content;
+//   - a proxy whose version is at least lastRemoval holds no record that has since been removed.
 type ChangeTracker struct {
 	source uint64 // set once
 
@@ -39,7 +39,7 @@
 	return &ChangeTracker{source: source, records: map[string]versionedRecord{}}
 }
 
-// Observe compares the table's records with those seen before. The caller must keep the table from changing meanwhile.
+// Observe compares the table's records with those of the previous call. The table must not change during the call.
 func (c *ChangeTracker) Observe(table *Table) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -76,18 +76,18 @@
 	c.records = remaining
 }
 
-// Change has the records that a proxy does not have yet. The records are shared and must not be changed.
+// Change holds the records that a proxy does not have yet. The records are shared and must not be changed.
 type Change struct {
 	Records []*wire.BreakerRecord
-	// Incremental means that Records holds only those that changed, and that the proxy's other records are unchanged.
-	// Otherwise Records holds all there are.
+	// Incremental means that Records holds only the changed records, and that the proxy keeps its others. Otherwise Records holds
+	// all records.
 	Incremental bool
-	// Source and Version are what the proxy names in its next poll.
+	// Source and Version identify the result. The proxy sends them with its next poll.
 	Source, Version uint64
 }
 
-// Since returns the change from the version of a source that a proxy has: the records that changed since, or all if the source is
-// another, if records were removed since, or if the version is zero or unknown.
+// Since returns the change from the version that a proxy has: the records that changed since. It returns all records if the source is
+// a different one, if records were removed since, or if the version is zero or unknown.
 func (c *ChangeTracker) Since(source, version uint64) Change {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/registry/breakerstore/change_tracker_test.go
+++ b/internal/registry/breakerstore/change_tracker_test.go
@@ -13,7 +13,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// proxyClient holds the breaker records as a polling proxy does.
+// proxyClient maintains its breaker records from updates, as a polling proxy does.
 type proxyClient struct {
 	source, version uint64
 	records         map[string]*wire.BreakerRecord
@@ -41,8 +41,8 @@
 	return records
 }
 
-// TestIncrementalUpdatesMatchFullUpdates checks that a proxy which is sent only changes holds the same records as the table, under
-// random trips, probes, waits and ended sessions, lost responses, changes of the leader, and replicas restored from a snapshot.
+// TestIncrementalUpdatesMatchFullUpdates checks that a proxy that gets incremental updates holds the same records as the table, under
+// random trips, probes, waits, ended sessions, lost responses, leader changes and replicas restored from a snapshot.
 func TestIncrementalUpdatesMatchFullUpdates(t *testing.T) {
 	settings := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
 	for seed := range uint64(60) {
@@ -70,7 +70,7 @@
 				if random.IntN(20) > 0 {
 					break
 				}
-				// The other replica becomes the leader, with this one's records or with half of them, as after a loss.
+				// The other replica becomes the leader. It has this one's records, or half of them, as after data loss.
 				leader = 1 - leader
 				records := table.Records()
 				if random.IntN(4) == 0 {
@@ -105,7 +105,7 @@
 	}
 }
 
-// TestOnlyChangedRecordsAreSent checks that of many records only the one that changed is sent.
+// TestOnlyChangedRecordsAreSent checks that only the changed one of many records is sent.
 func TestOnlyChangedRecordsAreSent(t *testing.T) {
 	table, tracker, client := breakerstore.New(), breakerstore.NewChangeTracker(7), &proxyClient{}
 	settings := &wire.BreakerSettings{WaitOpen: 50, Permitted: 2, FailureRate: 0.5, ProbeLease: 30, StateTtl: 400}
@@ -127,6 +127,6 @@
 		client.apply(change)
 	}
 	if unknown := tracker.Since(8, client.version); unknown.Incremental || len(unknown.Records) != 580 {
-		t.Errorf("a version of another incarnation gets %d records", len(unknown.Records))
+		t.Errorf("for a version of another incarnation, %d records are sent", len(unknown.Records))
 	}
 }
--- a/internal/registry/breakerstore/injected_faults.go
+++ b/internal/registry/breakerstore/injected_faults.go
@@ -5,24 +5,24 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The values of Table.InjectedFault. Each breaks one rule of the table; a simulation that runs with it must be found faulty.
+// The values of Table.InjectedFault. Each breaks one rule of the table; the checkers must report a simulation that runs with it.
 const (
 	FaultLosesReturnedProbes = "leaky"     // probes that return to the budget are lost
-	FaultOpensOnAnyTrip      = "any_trip"  // the report of one proxy opens the record
-	FaultNoProbeShares       = "greedy"    // one proxy may lease a whole round, and reopen the record alone
+	FaultOpensOnAnyTrip      = "any_trip"  // the report of a single proxy opens the record
+	FaultNoProbeShares       = "greedy"    // a single proxy may lease a whole round and reopen the record
 	FaultSkipsHalfOpen       = "hasty"     // an open record closes without a half-open round
-	FaultShortWait           = "impatient" // an open record waits a quarter of its time
+	FaultShortWait           = "impatient" // an open record becomes half open after a quarter of WaitOpen
 	FaultKeepsProbes         = "clinging"  // leased probes never return to the budget
 )
 
-// faultySweeps replace defaultSweeps under some of the faults.
+// faultySweeps holds the sweeps that replace defaultSweeps, for the faults that need it.
 var faultySweeps = map[string]sweepsByState{
 	FaultSkipsHalfOpen: {Closed: sweepNoop, Open: closeWithoutProbes, HalfOpen: sweepHalfOpen},
 	FaultShortWait:     {Closed: sweepNoop, Open: sweepOpenEarly, HalfOpen: sweepHalfOpen},
 	FaultKeepsProbes:   {Closed: sweepNoop, Open: sweepOpen, HalfOpen: sweepNoop},
 }
 
-// closeWithoutProbes is the sweep of an open record under FaultSkipsTrial.
+// closeWithoutProbes is the sweep of an open record under FaultSkipsHalfOpen.
 func closeWithoutProbes(record *wire.BreakerRecord, _ endedSessions, now monotonic.Micros) {
 	if int64(now)-record.EnteredAt >= record.Settings.WaitOpen {
 		setState(record, Closed, now)
@@ -34,7 +34,7 @@
 	sweepOpen(record, ended, now+monotonic.Micros(record.Settings.WaitOpen*3/4))
 }
 
-// sweeps returns the sweeps to use, by the injected fault if there is one.
+// sweeps returns the sweeps of the injected fault, or defaultSweeps.
 func (t *Table) sweeps() sweepsByState {
 	if faulty := faultySweeps[t.InjectedFault]; faulty != nil {
 		return faulty
@@ -42,14 +42,14 @@
 	return defaultSweeps
 }
 
-// injectSweepFault applies FaultLosesReturnedProbes to a record that was just swept.
+// injectSweepFault applies FaultLosesReturnedProbes to a record after its sweep.
 func (t *Table) injectSweepFault(record *wire.BreakerRecord) {
 	if t.InjectedFault == FaultLosesReturnedProbes && record.State == HalfOpen && len(record.ProbeResults) > 0 && record.Budget > 0 {
 		record.Budget--
 	}
 }
 
-// injectWriteFault returns the function to apply in place of apply, and changes the request as the injected fault demands.
+// injectWriteFault changes a request according to the injected fault, and returns the function to call instead of apply.
 func (t *Table) injectWriteFault(apply writeFunc, record *wire.BreakerRecord, request *wire.BreakerWriteRequest) writeFunc {
 	switch {
 	case t.InjectedFault == FaultOpensOnAnyTrip:
--- a/internal/registry/breakerstore/probe_lease.go
+++ b/internal/registry/breakerstore/probe_lease.go
@@ -9,11 +9,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// unusedShareDelay is how old a round must be before a proxy may lease probes that others left of their share.
+// unusedShareDelay is the age of a round after which a proxy may lease probes that other proxies left unused in their shares.
 const unusedShareDelay = monotonic.Second
 
-// LeaseProbe leases one probe out of a half-open record's budget. It is idempotent: a repeated id is granted again and takes
-// nothing more. The response has no record if the service has none.
+// LeaseProbe leases one probe from the budget of a half-open record. It is idempotent: a repeated id is granted again and does not
+// reduce the budget. The response has no record if the service has none.
 func (t *Table) LeaseProbe(request *wire.ProbeLeaseRequest, now monotonic.Micros) *wire.ProbeLeaseResponse {
 	t.revision++
 	record := t.records[request.Service]
@@ -52,10 +52,10 @@
 
 // canLeaseProbe reports whether a proxy may lease another probe. If several proxies contend for the round, each has an equal
 // share of it, with these exceptions:
-//   - After unusedShareDelay, a proxy that returned no probe may take what others left of their shares.
-//   - After two lease durations any proxy may, so that the round ends even if the others went away.
-//   - A suspect, whose probes failed the previous round, waits one lease duration if a proxy that is not suspected contends:
-//     if the service is faulty, that one's probes fail as well.
+//   - After unusedShareDelay, a proxy that returned no probe may lease probes that others left unused in their shares.
+//   - After two lease durations any proxy may lease, so that the round ends even if the other proxies are gone.
+//   - A suspect, which is a proxy whose probes failed in the previous round, waits one lease duration if a proxy that is not a suspect
+//     contends. If the service is really faulty, that proxy's probes fail as well.
 func canLeaseProbe(record *wire.BreakerRecord, request *wire.ProbeLeaseRequest, now monotonic.Micros) bool {
 	if record.State != HalfOpen || record.Budget == 0 {
 		return false
@@ -77,7 +77,7 @@
 	return granted < quota || returned == 0 && age >= int64(unusedShareDelay)
 }
 
-// usedShare returns how many probes of the present round a proxy was granted and has returned.
+// usedShare returns how many probes of the current round a proxy was granted and how many it has returned.
 func usedShare(record *wire.BreakerRecord, proxy string) (granted, returned uint32) {
 	for _, share := range record.Shares {
 		if share.Proxy == proxy {
@@ -87,7 +87,7 @@
 	return 0, 0
 }
 
-// getOrCreateShare returns a proxy's share of the present round and creates it if there is none.
+// getOrCreateShare returns a proxy's share of the current round, and creates it if there is none.
 func getOrCreateShare(record *wire.BreakerRecord, proxy string) *wire.ProbeShare {
 	for _, share := range record.Shares {
 		if share.Proxy == proxy {
@@ -99,7 +99,7 @@
 	return created
 }
 
-// refundProbe puts a proxy's probe back into the budget.
+// refundProbe returns a proxy's probe to the budget.
 func refundProbe(record *wire.BreakerRecord, proxy string) {
 	record.Budget++
 	getOrCreateShare(record, proxy).Returned++
--- a/internal/registry/breakerstore/record.go
+++ b/internal/registry/breakerstore/record.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// setState moves a record to a state and starts its next version. Proxies whose probes failed the round that reopens the
-// record become its suspects until the next round has ended.
+// setState changes a record's state and starts its next version. Proxies with failed probes in the round that reopened the record are
+// its suspects until the next round has ended.
 func setState(record *wire.BreakerRecord, state string, now monotonic.Micros) {
 	if record.State != Open {
 		record.Suspects = nil
@@ -31,14 +31,14 @@
 	}
 }
 
-// extendExpiry postpones the instant at which an unused record returns to closed. Every applied write does so.
+// extendExpiry postpones the time at which an unused record returns to closed. Every applied write calls it.
 func extendExpiry(record *wire.BreakerRecord, now monotonic.Micros) {
 	if record.Settings != nil {
 		record.ExpiresAt = int64(now) + record.Settings.StateTtl
 	}
 }
 
-// permittedProbes is the number of probes of a round.
+// permittedProbes returns the number of probes in a round.
 func permittedProbes(record *wire.BreakerRecord) uint32 { return max(1, record.Settings.Permitted) }
 
 // failedProbes returns the results of the round's failed probes.
@@ -51,7 +51,7 @@
 	return failed
 }
 
-// proxiesOf returns the distinct proxies that sent the results, sorted.
+// proxiesOf returns the proxies that sent the results, sorted and without duplicates.
 func proxiesOf(results []*wire.ProbeResult) []string {
 	names := map[string]bool{}
 	for _, result := range results {
@@ -60,7 +60,7 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// proxySet returns a proxy and the active ones as a set.
+// proxySet returns the set of a proxy and the active proxies.
 func proxySet(proxy string, active []string) map[string]bool {
 	set := map[string]bool{proxy: true}
 	for _, name := range active {
@@ -69,9 +69,9 @@
 	return set
 }
 
-// EvaluateRound returns the state that follows a completed round: Open or Closed. It opens if the rate of failed probes reaches
-// the threshold and at least two proxies saw failures, or one if only one took part: as with trip reports, one proxy alone
-// must not open the breaker for others whose probes succeeded. Proxies and Sweep both use it.
+// EvaluateRound returns the state that follows a completed round, Open or Closed. It is Open if the share of failed probes reaches the
+// threshold and at least two proxies saw failures, or one if only one took part. As with trip reports, a single proxy must not open
+// the breaker for others whose probes succeeded. Proxies and Sweep both use it.
 func EvaluateRound(record *wire.BreakerRecord) string {
 	if len(record.ProbeResults) == 0 {
 		return Open
@@ -83,7 +83,7 @@
 	return Closed
 }
 
-// exceedsFailureRate reports whether the share of failed probes reaches the threshold, whichever proxies saw them.
+// exceedsFailureRate reports whether the share of failed probes reaches the threshold, regardless of which proxies sent them.
 func exceedsFailureRate(record *wire.BreakerRecord) bool {
 	return float64(len(failedProbes(record))) >= record.Settings.FailureRate*float64(len(record.ProbeResults))
 }
--- a/internal/registry/breakerstore/sweep.go
+++ b/internal/registry/breakerstore/sweep.go
@@ -5,21 +5,21 @@
 	"snowflow/internal/transport/wire"
 )
 
-// decisionTimeout is how long a completed round waits for the decision of its last prober before Sweep decides.
+// decisionTimeout is how long a completed round waits for the decision of the proxy that sent its last result, before Sweep decides.
 const decisionTimeout = 2 * monotonic.Second
 
-// endedSessions maps the proxies whose sessions ended to the incarnation that ended.
+// endedSessions maps each proxy whose session ended to the incarnation of that session.
 type endedSessions map[string]uint64
 
-// sweepFunc applies the passing of time to a record in one state.
+// sweepFunc applies the transitions that are due at a time to a record in one state.
 type sweepFunc func(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros)
 
-// sweepsByState are the sweeps of each state.
+// sweepsByState maps each state to its sweep.
 type sweepsByState map[string]sweepFunc
 
 var defaultSweeps = sweepsByState{Closed: sweepNoop, Open: sweepOpen, HalfOpen: sweepHalfOpen}
 
-// Sweep applies the passing of time to all records: open records become half open, probes whose lease ended or whose proxy's
+// Sweep applies the transitions that are due to all records: open records become half open, probes whose lease or whose proxy's
 // session ended return to the budget, completed rounds without a decision are decided, and unused records expire.
 func (t *Table) Sweep(ended []*wire.MemberID, now monotonic.Micros) {
 	t.revision++
@@ -48,7 +48,7 @@
 	sweeps[record.State](record, ended, now)
 }
 
-// sweepNoop is the sweep of a closed record, which time alone doesn't change.
+// sweepNoop is the sweep of a closed record, which does not change by time alone.
 func sweepNoop(*wire.BreakerRecord, endedSessions, monotonic.Micros) {}
 
 // sweepOpen starts a half-open round once the record has been open for WaitOpen.
@@ -59,7 +59,7 @@
 	}
 }
 
-// sweepHalfOpen returns the probes whose lease or session ended to the budget, and decides a completed round after decisionTimeout.
+// sweepHalfOpen returns probes to the budget whose lease or session ended, and decides a completed round after decisionTimeout.
 func sweepHalfOpen(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros) {
 	remaining := []*wire.ProbeLease{}
 	for _, probe := range record.ProbeLeases {
--- a/internal/registry/breakerstore/write.go
+++ b/internal/registry/breakerstore/write.go
@@ -11,14 +11,14 @@
 const (
 	VerbTrip   = "trip"   // reports that a proxy's local window tripped
 	VerbProbe  = "probe"  // gives the result of a leased probe
-	VerbReturn = "return" // gives back a leased probe that showed nothing about the service
-	VerbDecide = "decide" // ends a completed round with the state in Decision
+	VerbReturn = "return" // returns a leased probe without a result
+	VerbDecide = "decide" // ends a completed round and sets the state in Decision
 )
 
-// reportLifetime is how long a reported local trip counts towards opening the shared record.
+// reportLifetime is how long a trip report counts towards opening the record.
 const reportLifetime = 10 * monotonic.Second
 
-// writeFunc applies a write to a record whose version matched, and reports whether it changed the record.
+// writeFunc applies a write whose expected version matched, and reports whether it changed the record.
 type writeFunc func(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool
 
 var writeFuncs = map[string]writeFunc{
@@ -28,7 +28,7 @@
 	VerbDecide: decideRound,
 }
 
-// Write applies a write if ExpectedVersion is the record's version. The response has the present record in either case.
+// Write applies a write if ExpectedVersion is the record's version. The response has the current record in either case.
 func (t *Table) Write(request *wire.BreakerWriteRequest, now monotonic.Micros) *wire.BreakerWriteResponse {
 	t.revision++
 	record := t.recordFor(request.Service, request.Settings, now)
@@ -45,8 +45,8 @@
 	return response
 }
 
-// reportTrip stores a proxy's report and opens the record once enough of the active proxies have reported: half of them, and
-// at least two if there are two.
+// reportTrip stores a proxy's report and opens the record once enough of the active proxies have reported: half of them, but at least
+// two if two are active.
 func reportTrip(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool {
 	if record.State != Closed || record.Settings == nil {
 		return false
@@ -72,7 +72,7 @@
 	return true
 }
 
-// recentReports returns the reports that still count.
+// recentReports returns the reports that are younger than reportLifetime.
 func recentReports(record *wire.BreakerRecord, now monotonic.Micros) []*wire.TripReport {
 	recent := []*wire.TripReport{}
 	for _, report := range record.Reports {
@@ -83,7 +83,7 @@
 	return recent
 }
 
-// recordProbe turns a leased probe into a result, once.
+// recordProbe replaces a probe's lease by its result. A repeated result has no effect.
 func recordProbe(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool {
 	if !endProbeLease(record, request) {
 		return false
@@ -96,7 +96,7 @@
 	return true
 }
 
-// returnProbe puts a leased probe back into the budget.
+// returnProbe returns a leased probe to the budget.
 func returnProbe(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, _ monotonic.Micros) bool {
 	if !endProbeLease(record, request) {
 		return false
@@ -105,7 +105,7 @@
 	return true
 }
 
-// endProbeLease removes a probe's lease. It reports false if the requesting incarnation of the proxy has no such lease.
+// endProbeLease removes a probe's lease. It returns false if the requesting incarnation of the proxy has no such lease.
 func endProbeLease(record *wire.BreakerRecord, request *wire.BreakerWriteRequest) bool {
 	if record.State != HalfOpen {
 		return false
@@ -119,7 +119,7 @@
 	return false
 }
 
-// decideRound ends a completed round with the state that its last prober computed.
+// decideRound ends a completed round and sets the state that the proxy with the last result computed.
 func decideRound(record *wire.BreakerRecord, request *wire.BreakerWriteRequest, now monotonic.Micros) bool {
 	if record.State != HalfOpen || record.RoundCompletedAt == 0 {
 		return false
--- a/internal/registry/claims.go
+++ b/internal/registry/claims.go
@@ -33,7 +33,7 @@
 	return result.GetSingleton(), err
 }
 
-// answerClaim answers a claim that needs no write, and returns nil for any other.
+// answerClaim returns the response to a claim that needs no write, and nil for any other claim.
 func (r *Registry) answerClaim(request *wire.ClaimRequest) *wire.ClaimResponse {
 	if response := r.repeatedGrant(request); response != nil {
 		return response
@@ -41,8 +41,8 @@
 	return r.rejectByBreaker(request)
 }
 
-// rejectByBreaker rejects the claim of an attempt that its proxy admitted by its own breaker, if the shared one doesn't admit it: the
-// attempt would reach its backend among the probes. It returns nil for any other claim.
+// rejectByBreaker rejects the claim of an attempt that the proxy's local breaker admitted while the shared breaker is not closed.
+// Such an attempt would reach the backend in addition to the leased probes. It returns nil for any other claim.
 func (r *Registry) rejectByBreaker(request *wire.ClaimRequest) *wire.ClaimResponse {
 	if request.LocallyAdmittedService == "" {
 		return nil
@@ -55,8 +55,8 @@
 	return &wire.ClaimResponse{Outcome: idempotency.NotAdmitted}
 }
 
-// repeatedGrant answers a claim that was granted before without a write, and returns nil for any other. On a slow disk the
-// first request may take longer than the requester's timeout; its retry must not wait for another sync.
+// repeatedGrant returns the response to a claim that was already granted, and nil for any other claim. It needs no write: on a slow disk
+// the first request may take longer than the requester's timeout, and its retry must not wait for another sync.
 func (r *Registry) repeatedGrant(request *wire.ClaimRequest) (response *wire.ClaimResponse) {
 	if !r.Member.Read(func(uint64, monotonic.Micros) { response = r.machine.Claims.RepeatedGrant(request) }) {
 		return nil
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -24,33 +24,33 @@
 	Name string
 	// Voters are the names of the group's initial voters.
 	Voters []string
-	// Bootstrap allows this process to take part in the first start of the group.
+	// Bootstrap allows this process to take part in the initial bootstrap of the group.
 	Bootstrap bool
-	// ClaimLifetime is how long claims of idempotency keys last, idempotency.DefaultLifetime if zero. It must be the same at
+	// ClaimLifetime is how long claims of idempotency keys last; zero means idempotency.DefaultLifetime. It must be the same in
 	// every process of the group.
 	ClaimLifetime monotonic.Micros
-	// ConfigureReplication, unless nil, may change the configuration of the replication member.
+	// ConfigureReplication, if set, may change the configuration of the replication member.
 	ConfigureReplication func(*replication.Config)
-	// ConfigureState, unless nil, may change the replicated state before it is used. Simulations inject faults with it.
+	// ConfigureState, if set, may change the replicated state before it is used. Simulations inject faults with it.
 	ConfigureState func(*statemachine.Machine)
 }
 
 // Registry is one registry process. It is safe for concurrent use.
 type Registry struct {
-	// Member is this process's member of the replication group. It serializes the access to machine.
+	// Member is this process's member of the replication group. It serializes access to machine.
 	Member *replication.Member
 
 	config         Config
 	machine        *statemachine.Machine
 	directory      *directory.Directory
 	breakerChanges *breakerstore.ChangeTracker
-	primarySince   atomic.Int64 // the host clock, in microseconds, when this process last began to serve as primary; zero if never
+	primarySince   atomic.Int64 // host time, in microseconds, at which this process last became the serving primary; zero if never
 }
 
-// Open reads the stored state and returns a registry that Start starts. It fails if the state cannot be read.
+// Open reads the stored state and returns a registry that is not started yet. It fails if the state cannot be read.
 func Open(config Config) (*Registry, error) {
 	source := config.Host.Random()
-	// The tracker's source must not be zero, which is what a proxy without breaker records sends.
+	// The tracker's source must not be zero: a proxy that has no breaker records sends zero.
 	breakerSource := source | 1
 	registry := &Registry{
 		config: config, machine: statemachine.New(), directory: directory.New(config.Host, source),
@@ -83,14 +83,14 @@
 	return config
 }
 
-// Start starts the replication member and the tasks that update the directory. They run as long as the process.
+// Start starts the replication member and the tasks that update the directory. They run until the process ends.
 func (r *Registry) Start() {
 	r.Member.Start()
 	r.config.Host.Go(r.exchangeSessions)
 	r.config.Host.Go(r.expireSessions)
 }
 
-// Register adds the handlers of this registry's requests. It is called once, before the process serves.
+// Register adds the handlers for this registry's requests. It must be called once, before the process serves requests.
 func (r *Registry) Register(handlers host.Handlers) {
 	r.Member.Register(handlers)
 	r.config.Resolver.AdvertiseBatches()
@@ -106,9 +106,9 @@
 	host.Handle(handlers, wire.Kind_registry_status, r.handleStatus)
 }
 
-// propose replicates a command and returns its result. An apierror.Refused means that this registry isn't the primary and the command
-// has no effect; after any other error it may still take effect. To the requester each of them is an apierror.Refused; only a batch's
-// outcomes distinguish them (wire.RegistryOutcome).
+// propose replicates a command and returns its result. An apierror.Refused means that this registry isn't the primary and that the
+// command has no effect; after any other error the command may still take effect. The requester sees an apierror.Refused in both cases;
+// only the outcomes of a batch distinguish them (wire.RegistryOutcome).
 func (r *Registry) propose(command *wire.RegistryCommand) (*wire.RegistryResult, error) {
 	result := &wire.RegistryResult{}
 	return result, r.Member.Submit(command, result)
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -11,14 +11,14 @@
 const (
 	// exchangeInterval is how often this registry exchanges sessions with the others.
 	exchangeInterval = 500 * monotonic.Millisecond
-	// exchangeTimeout bounds one exchange.
+	// exchangeTimeout is the timeout of one exchange.
 	exchangeTimeout = 500 * monotonic.Millisecond
-	// expiryInterval is how often sessions are checked for their end.
+	// expiryInterval is how often sessions are checked for expiry.
 	expiryInterval = 250 * monotonic.Millisecond
 )
 
-// handlePoll updates a proxy's session and returns the changes that the proxy does not have: those of the directory and, if this
-// registry is the serving primary, those of the breaker records.
+// handlePoll updates a proxy's session and returns the directory changes that the proxy does not have yet. The serving primary also
+// returns the changes of the breaker records.
 func (r *Registry) handlePoll(request *wire.RegistryPollRequest) (*wire.RegistryPollResponse, error) {
 	session := request.Session
 	if session == nil || session.Proxy == "" {
@@ -35,7 +35,7 @@
 	return response, nil
 }
 
-// addDirectory adds the changes of the directory that the proxy does not have.
+// addDirectory adds the directory changes that the proxy does not have yet to the response.
 func (r *Registry) addDirectory(response *wire.RegistryPollResponse, request *wire.RegistryPollRequest) {
 	update := r.directory.UpdateSince(directory.Base{
 		Source: request.DirectorySource, Version: request.DirectoryVersion, Checksum: request.DirectoryChecksum,
@@ -54,8 +54,8 @@
 	response.DirectoryAge = int64(r.directory.Age())
 }
 
-// addBreakers adds the leader clock and the changed breaker records that the proxy does not have, if this registry is the serving
-// primary.
+// addBreakers adds the leader clock and the breaker records that changed since the proxy's last poll to the response, if this registry
+// is the serving primary.
 func (r *Registry) addBreakers(response *wire.RegistryPollResponse, request *wire.RegistryPollRequest) {
 	response.Primary = r.Member.Read(func(epoch uint64, now monotonic.Micros) {
 		response.Epoch, response.LeaderClock = epoch, int64(now)
@@ -70,12 +70,12 @@
 	response.BreakersSource, response.BreakersVersion = change.Source, change.Version
 }
 
-// DirectorySnapshot returns the full directory, as a proxy gets it that has none yet.
+// DirectorySnapshot returns the full directory, as sent to a proxy that has none yet.
 func (r *Registry) DirectorySnapshot() directory.Update {
 	return r.directory.UpdateSince(directory.Base{})
 }
 
-// handleSessions adds the sessions of another registry and returns this one's.
+// handleSessions stores the sessions that another registry received from proxies, and returns those that this one received.
 func (r *Registry) handleSessions(request *wire.SessionsRequest) (*wire.SessionsResponse, error) {
 	for _, session := range request.Sessions {
 		r.directory.Observe(session, false)
@@ -95,7 +95,7 @@
 	}
 }
 
-// exchangeSessionsWith exchanges sessions with one registry. A failed exchange is not retried: the next one sends the same.
+// exchangeSessionsWith exchanges sessions with one registry. A failed exchange is not retried, since the next one sends all sessions again.
 func (r *Registry) exchangeSessionsWith(name string) {
 	response := &wire.SessionsResponse{}
 	request := &wire.SessionsRequest{From: r.config.Name, Sessions: r.directory.DirectSessions()}
@@ -107,12 +107,12 @@
 	}
 }
 
-// expireSessions ends the sessions of silent proxies. It never returns.
+// expireSessions ends the sessions of proxies that stopped polling. It never returns.
 func (r *Registry) expireSessions() {
 	for {
 		r.config.Host.Sleep(expiryInterval)
 		if !r.Member.ClockWatch.Steady() {
-			continue // the clock jumped, so a proxy may seem silent that is not
+			continue // after a clock jump, a session may look expired although its proxy still polls
 		}
 		ended := r.directory.ExpireSessions()
 		for _, member := range ended {
@@ -120,7 +120,7 @@
 		}
 		if len(ended) > 0 && r.Member.Serving() {
 			r.config.Host.Go(func() {
-				// Returns the leased probes of the ended sessions. If it fails, they return when their leases end.
+				// This returns the leased probes of the ended sessions. If it fails, they return when their leases end.
 				_, _ = r.propose(&wire.RegistryCommand{Tick: &wire.Tick{EndedSessions: ended}})
 			})
 		}
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -8,18 +8,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Status is a registry's status page. The JSON keys are read by operators' tools and keep their earlier names.
+// Status is a registry's status page. Operators' tools read the JSON keys, so these keep names that the code no longer uses.
 type Status struct {
 	Replication replication.Status `json:"core"`
 	Proxies     []*wire.Session    `json:"carriers"`
-	// The following are set at the serving primary only.
+	// The following fields are set only on the serving primary.
 	Breakers   []*wire.BreakerRecord        `json:"guards,omitempty"`
 	Claims     int                          `json:"claims"`
 	Leases     []*wire.SingletonLeaseRecord `json:"duties,omitempty"`
-	LeaderTime int64                        `json:"holder_time"` // of the leader clock, in microseconds
+	LeaderTime int64                        `json:"holder_time"` // the leader clock, in microseconds
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (r *Registry) Status() Status {
 	status := Status{Replication: r.Member.Status(), Proxies: r.directory.Sessions()}
 	r.Member.Read(func(_ uint64, now monotonic.Micros) {
@@ -31,7 +31,7 @@
 	return status
 }
 
-// handleStatus returns the status page, for the overview of a configuration store.
+// handleStatus returns the status page. The configuration store requests it for its overview.
 func (r *Registry) handleStatus(*wire.StatusRequest) (*wire.StatusResponse, error) {
 	content, err := json.Marshal(r.Status())
 	return &wire.StatusResponse{Json: content}, err
