--- a/internal/registry/breakerstore/write.go
+++ b/internal/registry/breakerstore/write.go
@@ -11,7 +11,7 @@
 const (
 	VerbTrip   = "trip"   // reports that a proxy's local window tripped
 	VerbProbe  = "probe"  // gives the result of a leased probe
-	VerbReturn = "return" // returns a leased probe without a result
+	VerbReturn = "return" // returns a leased probe whose outcome says nothing about the service
 	VerbDecide = "decide" // ends a completed round and sets the state in Decision
 )
 
--- a/internal/registry/directory/activity.go
+++ b/internal/registry/directory/activity.go
@@ -10,10 +10,10 @@
 // activityWindow is how long a proxy counts as active on a service after a call.
 const activityWindow = 10 * monotonic.Second
 
-// activityTable holds, by service and proxy, when the proxy was last active.
+// activityTable maps each service and proxy to the time at which the proxy was last active on the service.
 type activityTable map[string]map[string]monotonic.Micros
 
-// record notes that a proxy is active on a service now.
+// record records that a proxy is active on a service now.
 func (a activityTable) record(service, proxy string, now monotonic.Micros) {
 	if a[service] == nil {
 		a[service] = map[string]monotonic.Micros{}
@@ -21,7 +21,7 @@
 	a[service][proxy] = now
 }
 
-// proxies returns the proxies that were active on a service within activityWindow, sorted, and forgets the others.
+// proxies returns the proxies that were active on a service within activityWindow, sorted, and removes the others.
 func (a activityTable) proxies(service string, now monotonic.Micros) (proxies []string) {
 	for proxy, lastActive := range a[service] {
 		if now-lastActive >= activityWindow {
@@ -34,7 +34,7 @@
 	return proxies
 }
 
-// RecordActivity notes that a proxy called services, or wanted to.
+// RecordActivity records which services a proxy called or tried to call.
 func (d *Directory) RecordActivity(proxy string, services []*wire.Activity) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -54,7 +54,7 @@
 	return d.activity.proxies(service, d.clock.Now())
 }
 
-// ProxiesWithDemand returns the proxies that wanted to call a service within the last ten seconds, admitted or not, sorted.
+// ProxiesWithDemand returns the proxies that tried to call a service within the last ten seconds, admitted or not, sorted.
 func (d *Directory) ProxiesWithDemand(service string) []string {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/internal/registry/directory/departures.go
+++ b/internal/registry/directory/departures.go
@@ -7,13 +7,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// departureRetention is how long a departure is remembered after it was last announced. Heartbeats arrive some seconds late, and a
-// backend serves on for some more after its departure. An entry that a proxy makes from a late heartbeat is overdue by then.
+// departureRetention is how long a departure is kept after it was last announced. Heartbeats of backends arrive some seconds late, and a
+// backend continues to serve for a few more after its departure. An entry that a proxy created from a late heartbeat has expired by then.
 const departureRetention = monotonic.Minute
 
-// departures are the instances of backends that were announced as leaving, each with the time until which that is remembered. A departure
-// is final, but the proxy beside the backend may forget it: if it ends, its next incarnation takes a heartbeat from before the departure
-// for that of a backend in service. The memory is bounded by the departures within departureRetention. The directory's lock guards it.
+// departures maps each backend instance that was announced as leaving to the time until which its departure is kept. A departure is
+// final, but a restart of the proxy on the backend's machine loses it: the next incarnation takes a heartbeat from before the departure for
+// that of a backend in service. The number of departures within departureRetention bounds its size. The directory's lock guards it.
 type departures map[string]monotonic.Micros
 
 // observe records the departures that a session announces.
@@ -25,7 +25,7 @@
 	}
 }
 
-// condition returns the condition of a backend: leaving if its instance has departed, whatever its proxy says.
+// condition returns the condition of a backend. It is leaving if the instance has departed, even if its proxy reports another one.
 func (d departures) condition(backend *wire.Backend, now monotonic.Micros) string {
 	if until, departed := d[backend.Instance]; departed && now < until {
 		return wire.BackendLeaving
@@ -33,7 +33,7 @@
 	return backend.Condition
 }
 
-// expire forgets departures that are no longer remembered.
+// expire removes the departures whose retention has ended.
 func (d departures) expire(now monotonic.Micros) {
 	maps.DeleteFunc(d, func(_ string, until monotonic.Micros) bool { return now >= until })
 }
--- a/internal/registry/directory/departures_test.go
+++ b/internal/registry/directory/departures_test.go
@@ -8,14 +8,14 @@
 	"snowflow/internal/transport/wire"
 )
 
-// departureFixture is two registries, of which the second only gets sessions from the first.
+// departureFixture has two registries. The second gets sessions only from the first.
 type departureFixture struct {
 	time          *clock
 	first, second *directory.Directory
 	heartbeat     uint64
 }
 
-// announce has a proxy announce one backend to the first registry.
+// announce sends the first registry a session of a proxy with one backend.
 func (f *departureFixture) announce(incarnation uint64, instance, condition string) {
 	f.heartbeat++
 	f.time.now += monotonic.Second
@@ -25,7 +25,7 @@
 	}, true)
 }
 
-// publishedCondition returns the condition of the proxy's backend as a registry publishes it.
+// publishedCondition returns the condition that a registry publishes for the proxy's backend.
 func publishedCondition(t *testing.T, registry *directory.Directory) string {
 	t.Helper()
 	sessions := registry.UpdateSince(directory.Base{}).Sessions
@@ -35,8 +35,8 @@
 	return sessions[0].Backends[0].Condition
 }
 
-// TestDeparturesOutliveIncarnations: an instance that has departed is published as leaving although its proxy's next incarnation says
-// otherwise, also by a registry that only knows that incarnation, and for a minute. Other instances aren't affected.
+// TestDeparturesOutliveIncarnations checks that a departed instance is published as leaving for a minute, even if the next incarnation of
+// its proxy reports another condition, and also by a registry that knows only that incarnation. Other instances are not affected.
 func TestDeparturesOutliveIncarnations(t *testing.T) {
 	const next = 2 // incarnation
 	for _, test := range []struct {
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -15,25 +15,25 @@
 // SessionTimeout is how long a proxy remains a member after its last poll of any registry.
 const SessionTimeout = 3 * monotonic.Second
 
-// endedSessionRetention is how long an ended session is remembered.
+// endedSessionRetention is how long a session is kept after it was last received, so that an outdated copy does not restore it.
 const endedSessionRetention = 30 * monotonic.Second
 
 // Directory is the table of sessions of one registry process. It is safe for concurrent use.
 //
 // Invariants:
-//   - Of two reports of one incarnation the one with the higher heartbeat wins; of two incarnations the one received last.
-//   - published has the public part of each session that has not ended, and the newest version in history is its content.
+//   - Of two sessions of one incarnation, the one with the higher heartbeat wins. Of two incarnations, the one received last wins.
+//   - published has the public part of each session that has not ended. The newest version in history describes its content.
 type Directory struct {
 	clock     monotonic.Clock
-	source    uint64 // distinguishes the versions of this incarnation from those of any other
+	source    uint64 // distinguishes the versions of this incarnation from those of all others
 	createdAt monotonic.Micros
 
 	lock      sync.Mutex // guards the fields below
 	sessions  map[string]*sessionEntry
-	activity  activityTable // calls that ended
-	demand    activityTable // attempts that wanted admission, granted or not
-	published *resource.Set // of public sessions, by proxy
-	// departures are those of all sessions, also of ended ones. A departed instance is published as leaving whatever its proxy says.
+	activity  activityTable // completed calls
+	demand    activityTable // attempts that requested admission by the breaker, admitted or not
+	published *resource.Set // the public sessions by proxy
+	// departures are those of all sessions, including ended ones. A departed instance is published as leaving, whatever its proxy reports.
 	departures departures
 	history    history
 }
@@ -41,7 +41,7 @@
 type sessionEntry struct {
 	session    *wire.Session
 	receivedAt monotonic.Micros
-	direct     bool // whether the proxy sent it to this registry itself
+	direct     bool // whether the proxy sent it to this registry, and not to another one
 	ended      bool
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// Observe stores a session that a registry received from its proxy session.Age microseconds ago; direct means that it was this
-// registry. It reports whether the proxy has become a member by it. A session older than the present one is ignored.
+// Observe stores a session that a registry received from its proxy session.Age microseconds ago; direct means that this registry did.
+// It reports whether the session made the proxy a member. A session older than the current one is ignored.
 func (d *Directory) Observe(session *wire.Session, direct bool) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -78,7 +78,7 @@
 	return isNew && !updated.ended
 }
 
-// supersedes reports whether a session is newer than the present one of its proxy.
+// supersedes reports whether a session is newer than the current one of its proxy.
 func supersedes(session *wire.Session, receivedAt monotonic.Micros, current *sessionEntry) bool {
 	if session.Incarnation != current.session.Incarnation || session.Heartbeat == current.session.Heartbeat {
 		return receivedAt > current.receivedAt
@@ -86,8 +86,8 @@
 	return session.Heartbeat > current.session.Heartbeat
 }
 
-// ExtendSessions postpones the end of every session by a duration in which this process could not receive polls, or which only
-// seemed to pass because the clock jumped.
+// ExtendSessions postpones the end of every session by a duration. During this time the process could not receive polls, or the time did
+// not really pass because the clock jumped.
 func (d *Directory) ExtendSessions(duration monotonic.Micros) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -122,8 +122,8 @@
 // names returns the proxies of all sessions, sorted. The lock is held.
 func (d *Directory) names() []string { return slices.Sorted(maps.Keys(d.sessions)) }
 
-// DirectSessions returns copies of the sessions that proxies sent to this registry themselves, to be sent to the other
-// registries. Age is set.
+// DirectSessions returns copies of the sessions that proxies sent directly to this registry, for exchange with the other registries. Age
+// is set.
 func (d *Directory) DirectSessions() []*wire.Session {
 	return d.copySessions(func(entry *sessionEntry) bool { return entry.direct })
 }
@@ -133,7 +133,7 @@
 	return d.copySessions(func(*sessionEntry) bool { return true })
 }
 
-// copySessions returns copies of the sessions that have not ended and are to be included, sorted by proxy, with their Age.
+// copySessions returns copies of the sessions that have not ended and for which include returns true, sorted by proxy. Age is set.
 func (d *Directory) copySessions(include func(*sessionEntry) bool) (sessions []*wire.Session) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -153,8 +153,8 @@
 	return sessions
 }
 
-// Age returns the time since this directory was created, in microseconds. It is above zero, because zero in a response to a poll
-// means that the field is absent.
+// Age returns the time since this directory was created, in microseconds. It is never zero, because zero in a poll response means that
+// the field is absent.
 func (d *Directory) Age() monotonic.Micros {
 	return max(1, d.clock.Now()-d.createdAt)
 }
--- a/internal/registry/directory/directory_test.go
+++ b/internal/registry/directory/directory_test.go
@@ -12,8 +12,8 @@
 
 func (c *clock) Now() monotonic.Micros { return c.now }
 
-// TestPublishedSlots checks that a backend's slots and whether it is in slow start are published, but not the progress of its
-// slow start.
+// TestPublishedSlots checks that the directory publishes a backend's slots and whether it is in slow start, but not the remaining time
+// of its slow start.
 func TestPublishedSlots(t *testing.T) {
 	time := &clock{now: monotonic.Minute}
 	sessions := directory.New(time, 1)
--- a/internal/registry/directory/history.go
+++ b/internal/registry/directory/history.go
@@ -1,6 +1,6 @@
 package directory
 
-// maxVersions bounds the versions for which changes are known.
+// maxVersions limits the versions whose changes are kept. The history may exceed it by a quarter until old versions are dropped.
 const maxVersions = 4096
 
 // version is one change of the published sessions.
@@ -11,11 +11,11 @@
 
 // history holds the latest versions. Versions are numbered from 1 without gaps.
 type history struct {
-	versions []version // the newest last; there is always one
-	dropped  uint64    // the number of versions before them
+	versions []version // the newest last; never empty
+	dropped  uint64    // the number of older versions that were dropped
 }
 
-// newHistory returns a history whose version 1 is the empty directory.
+// newHistory returns a history whose version 1 is the empty directory with the given checksum.
 func newHistory(checksum uint64) history { return history{versions: []version{{checksum: checksum}}} }
 
 // newest returns the number of the newest version.
@@ -24,7 +24,7 @@
 // checksum returns the checksum of the newest version.
 func (h *history) checksum() uint64 { return h.versions[len(h.versions)-1].checksum }
 
-// add appends a version. It drops old ones a quarter of maxVersions at a time, since dropping copies the others.
+// add appends a version. It drops old versions a quarter of maxVersions at a time, since each removal copies the others.
 func (h *history) add(next version) {
 	h.versions = append(h.versions, next)
 	if excess := len(h.versions) - maxVersions; excess >= maxVersions/4 {
@@ -33,7 +33,7 @@
 	}
 }
 
-// findByNumber returns the index of a version by its number, if it has the checksum.
+// findByNumber returns the index of the version with a number, if the version has the given checksum.
 func (h *history) findByNumber(number, checksum uint64) (index int, found bool) {
 	if number <= h.dropped || number > h.newest() {
 		return 0, false
@@ -42,7 +42,7 @@
 	return index, h.versions[index].checksum == checksum
 }
 
-// findByChecksum returns the index of the newest version with a checksum.
+// findByChecksum returns the index of the newest version with the given checksum.
 func (h *history) findByChecksum(checksum uint64) (index int, found bool) {
 	for index = len(h.versions) - 1; index >= 0; index-- {
 		if h.versions[index].checksum == checksum {
@@ -52,7 +52,7 @@
 	return 0, false
 }
 
-// changedSince returns the proxies that changed after the version at an index.
+// changedSince returns the proxies whose sessions changed after the version at an index.
 func (h *history) changedSince(index int) map[string]bool {
 	changed := map[string]bool{}
 	for _, change := range h.versions[index+1:] {
--- a/internal/registry/directory/publish.go
+++ b/internal/registry/directory/publish.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// publish updates the published part of a proxy's session and starts a version if that part changed. The lock is held.
+// publish updates the published part of a proxy's session, and adds a version if that part changed. The lock is held.
 func (d *Directory) publish(proxy string) {
 	previous, current := d.published.Get(proxy), d.sessions[proxy]
 	var next *resource.Set
@@ -29,7 +29,7 @@
 		next, err = d.withSession(proxy, visible, previous == nil)
 	}
 	if err != nil {
-		return // cannot happen: the session can be encoded, and the size that With expects is right
+		return // cannot happen: the session can be encoded, and the size passed to With is correct
 	}
 	d.published = next
 	d.history.add(version{proxy: proxy, checksum: next.Sum().Short()})
@@ -48,8 +48,8 @@
 	return d.published.With([]*resource.Resource{updated}, nil, size)
 }
 
-// publicSession returns the part of a session that other proxies are sent. It leaves out what changes with every heartbeat; of
-// a slow start it only has whether one is in progress. The lock is held.
+// publicSession returns the part of a session that is sent to other proxies. It omits what changes with every heartbeat, and reduces the
+// remaining slow start to whether there is one. The lock is held.
 func (d *Directory) publicSession(session *wire.Session) *wire.Session {
 	now := d.clock.Now()
 	public := &wire.Session{Proxy: session.Proxy, Incarnation: session.Incarnation, Address: session.Address,
@@ -61,23 +61,23 @@
 	return public
 }
 
-// Base names the published sessions that a polling proxy has.
+// Base identifies the published sessions that a polling proxy has.
 type Base struct {
-	// Source and Version are those of the Update that it last applied; both zero if there was none.
+	// Source and Version are those of the Update that the proxy last applied; both zero if there was none.
 	Source, Version uint64
-	// Checksum is that of its content; zero if it wants no incremental updates.
+	// Checksum is the checksum of the proxy's sessions; zero if it accepts no incremental updates.
 	Checksum uint64
-	// Complete means that its content was complete, so that it ignores a directory younger than SessionTimeout, which may not
-	// know every proxy yet.
+	// Complete means that the proxy's sessions are complete. The proxy then ignores a directory younger than SessionTimeout, which may
+	// not know every proxy yet.
 	Complete bool
 }
 
-// Update is the answer to a poll. Exactly one of three cases holds:
-//   - Unchanged: the proxy has the newest version, or Base.SkipYoung applies.
-//   - Incremental: the proxy removes Removed from the base's sessions and adds or replaces Sessions.
-//   - neither: Sessions are all there are.
+// Update is the directory's part of a poll response. Exactly one of three cases applies:
+//   - Unchanged: the proxy has the newest version, or it has complete sessions and this directory is too young (Base.Complete).
+//   - Incremental: the proxy removes Removed from the base's sessions, and adds or replaces Sessions.
+//   - Otherwise: Sessions has all published sessions.
 //
-// In the latter two, Digest is that of all published sessions, so that the proxy can check the result.
+// In the last two cases Digest is the digest of all published sessions, so that the proxy can check the result.
 type Update struct {
 	Source, Version uint64
 	Unchanged       bool
@@ -87,8 +87,8 @@
 	Digest          []byte
 }
 
-// UpdateSince returns the changes since a base. It returns all sessions if the base's version is not known here any
-// more, if its checksum is not that version's, or if more than half of the sessions changed since.
+// UpdateSince returns the changes since a base. It returns all sessions if the history has no version that matches the base's number and
+// checksum, or if more than half of the sessions changed since.
 func (d *Directory) UpdateSince(base Base) Update {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -111,7 +111,8 @@
 	return update
 }
 
-// unchanged reports whether a proxy with this base is sent nothing: it has the newest version, or SkipYoung applies.
+// unchanged reports whether a proxy with this base is sent nothing, because it has the newest version or would ignore this directory
+// (Base.Complete).
 func (d *Directory) unchanged(base Base) bool {
 	if base.Source != d.source {
 		return base.Complete && d.clock.Now()-d.createdAt < SessionTimeout
@@ -119,7 +120,7 @@
 	return base.Version == d.history.newest() && (base.Checksum == 0 || base.Checksum == d.history.checksum())
 }
 
-// publishedOf returns the published sessions of proxies, and those of the proxies that have none.
+// publishedOf returns the published sessions of the given proxies, and the proxies that have no published session.
 func (d *Directory) publishedOf(proxies []string) (sessions []*wire.Session, removed []string) {
 	for _, proxy := range proxies {
 		if entry := d.published.Get(proxy); entry != nil {
@@ -131,7 +132,7 @@
 	return sessions, removed
 }
 
-// sessionOf returns the session in a published resource; publish puts in nothing else.
+// sessionOf returns the session in a published resource. Published resources contain nothing else.
 func sessionOf(published *resource.Resource) *wire.Session {
 	session, ok := published.Message.(*wire.Session)
 	if !ok {
@@ -140,8 +141,9 @@
 	return session
 }
 
-// findVersion returns the index of the version that a base names: by its number if this incarnation numbered it, and by its
-// checksum otherwise, since another registry, or an earlier incarnation of this one, may have published the same sessions.
+// findVersion returns the index of the version that matches a base. It compares number and checksum if this incarnation assigned the
+// number. Otherwise it compares only the checksum, since another registry, or an earlier incarnation of this one, may have published the
+// same sessions.
 func (d *Directory) findVersion(base Base) (index int, found bool) {
 	switch {
 	case base.Checksum == 0:
--- a/internal/registry/idempotency/store.go
+++ b/internal/registry/idempotency/store.go
@@ -21,15 +21,15 @@
 	ErrInvalidText = errors.New("claim record field is not valid UTF-8")
 )
 
-// encodedRecord is one claim record in its stored form, an element of recordStore's list.
+// encodedRecord is one claim record in its stored form. It is an element of recordStore's linked list.
 type encodedRecord struct {
 	scope          string
-	content        []byte // an encoded wire.ClaimRecord; replaced by another slice, never modified in place
+	content        []byte // an encoded wire.ClaimRecord; replaced as a whole, never modified in place
 	expires        monotonic.Micros
 	previous, next *encodedRecord
 }
 
-// decode returns the record. The content was encoded by put or checked by parse, so an error is a bug.
+// decode returns the decoded record. The content was encoded by put or validated by parse, so it panics on an error.
 func (r *encodedRecord) decode() *wire.ClaimRecord {
 	record := &wire.ClaimRecord{}
 	if err := proto.Unmarshal(r.content, record); err != nil {
@@ -42,9 +42,9 @@
 //
 // Invariants:
 //   - The list from first to last has each record of byScope once.
-//   - expires never falls along the list. Records of equal expiry are in the order of their writing, which makes the lists of
-//     two replicas equal.
-//   - size is the sum of the lengths of the contents.
+//   - expires never decreases along the list. Records with equal expiry are in the order in which they were written, so that all replicas
+//     have the same list.
+//   - size is the total length of the contents.
 type recordStore struct {
 	byScope     map[string]*encodedRecord
 	first, last *encodedRecord
@@ -53,7 +53,7 @@
 
 func newRecordStore() recordStore { return recordStore{byScope: map[string]*encodedRecord{}} }
 
-// loadRecordStore returns a store of encoded records. It doesn't copy them.
+// loadRecordStore returns a store with the given encoded records. It does not copy them.
 func loadRecordStore(contents [][]byte) (recordStore, error) {
 	store := recordStore{byScope: make(map[string]*encodedRecord, len(contents))}
 	records, sorted := make([]encodedRecord, len(contents)), true
@@ -88,11 +88,11 @@
 	recordFieldLimit                  = fenceField + 1
 )
 
-// utf8Fields are the fields that proto.Unmarshal requires to be UTF-8.
+// utf8Fields marks the string fields, which proto.Unmarshal requires to be valid UTF-8.
 var utf8Fields = [recordFieldLimit]bool{scopeField: true, stateField: true, attemptField: true, proxyField: true, voidedField: true}
 
-// parse takes over an encoded record and reads its scope and expiry. It fails where decode would. It reads the fields one by
-// one instead of decoding the message, because a replica that installs a snapshot parses all records at once.
+// parse sets the content to an encoded record, and reads the scope and the expiry from it. It fails if decode would. It scans the fields
+// instead of decoding the message, because a replica that installs a snapshot parses all records at once.
 func (r *encodedRecord) parse(content []byte) error {
 	r.content = content
 	for remaining := content; len(remaining) > 0; {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// parseBytes reads or checks one length-delimited field, whose length is already known to be valid.
+// parseBytes reads or validates one length-delimited field. The caller has validated its length.
 func (r *encodedRecord) parseBytes(number protowire.Number, value []byte) error {
 	content, _ := protowire.ConsumeBytes(value)
 	if int(number) < len(utf8Fields) && utf8Fields[number] && !utf8.Valid(content) {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// put encodes a record and writes it in place of any earlier one of its scope.
+// put encodes a record and stores it. It replaces an earlier record of the same scope.
 func (s *recordStore) put(record *wire.ClaimRecord) {
 	content, err := proto.Marshal(record)
 	if err != nil {
@@ -153,7 +153,7 @@
 	s.insert(&encodedRecord{scope: record.Scope, content: content, expires: expires})
 }
 
-// insert adds a record behind all that expire no later. The leader clock only rises, so that is nearly always the end.
+// insert adds a record after all records that expire no later. The leader clock only rises, so this is nearly always the end of the list.
 func (s *recordStore) insert(added *encodedRecord) {
 	previous := s.last
 	for previous != nil && previous.expires > added.expires {
@@ -174,7 +174,7 @@
 	s.size += len(added.content)
 }
 
-// remove removes a record of the store.
+// remove removes a record from the store.
 func (s *recordStore) remove(removed *encodedRecord) {
 	if removed.previous != nil {
 		removed.previous.next = removed.next
--- a/internal/registry/idempotency/table.go
+++ b/internal/registry/idempotency/table.go
@@ -10,8 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// DefaultLifetime is how long a record lasts after its last write unless Table.Lifetime says otherwise: twice the minute that
-// callers are promised.
+// DefaultLifetime is the default of Table.Lifetime: twice the minute that callers are promised.
 const DefaultLifetime = 120 * monotonic.Second
 
 // The outcomes of requests. They are stored and sent.
@@ -20,7 +19,7 @@
 	Pending      = "held"         // of a claim: another attempt was granted the key
 	BodyMismatch = "other_body"   // of a claim: the key was granted to a request with a different body
 	Fenced       = "fenced"       // of a claim: the request may have been read before the key's fence
-	NotAdmitted  = "not_admitted" // of a claim: the service's breaker doesn't admit the attempt
+	NotAdmitted  = "not_admitted" // of a claim: the service's shared breaker does not admit the attempt
 	Voided       = "voided"       // of a claim: the attempt was voided; of a void: the attempt will never run
 	Claimed      = "claimed"      // of a void: an attempt was granted the key and may have run
 )
@@ -35,12 +34,12 @@
 // calls.
 //
 // Invariants of each record:
-//   - At most one attempt is pending, and never a voided one.
-//   - A claim is granted past a fence only if its request was read after the fence.
-//   - A pending record becomes free only when Complete names its attempt and states that nothing ran. It is removed only when its
-//     lifetime ends.
+//   - At most one attempt is pending, and it is not voided.
+//   - If the record has a fence, a claim is granted only to a request that was read after the fence.
+//   - A pending record becomes free only when Complete reports for its attempt that nothing ran. It is removed only when its lifetime
+//     ends.
 type Table struct {
-	// Lifetime is how long a record lasts after its last write. It is set before the first call and must be the same at every
+	// Lifetime is how long a record is kept after its last write. It must be set before the first call, and be the same on every
 	// replica.
 	Lifetime monotonic.Micros
 	records  recordStore
@@ -49,8 +48,8 @@
 // New returns an empty table with DefaultLifetime.
 func New() *Table { return &Table{Lifetime: DefaultLifetime, records: newRecordStore()} }
 
-// Restore replaces all records by encoded ones, as AppendSnapshot wrote them. The table uses the slices without copying. On
-// an error the table stays as it was.
+// Restore replaces all records by encoded records that AppendSnapshot wrote. The table uses the slices without copying them. On an error
+// it is unchanged.
 func (t *Table) Restore(contents [][]byte) error {
 	next, err := loadRecordStore(contents)
 	if err != nil {
@@ -61,7 +60,7 @@
 }
 
 // AppendSnapshot appends all records to a buffer as a repeated field of a message, in the order of their expiry. It only copies
-// bytes, because claims wait while a snapshot is made.
+// bytes, since claims wait while a snapshot is taken.
 func (t *Table) AppendSnapshot(buffer []byte, field protowire.Number) []byte {
 	for record := t.records.first; record != nil; record = record.next {
 		buffer = protowire.AppendTag(buffer, field, protowire.BytesType)
@@ -73,11 +72,11 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records.byScope) }
 
-// EncodedSize returns the length of all encoded records in bytes, without tags and length prefixes.
+// EncodedSize returns the total length of the encoded records in bytes, without tags and length prefixes.
 func (t *Table) EncodedSize() int { return t.records.size }
 
-// RepeatedGrant returns the response to a claim that was granted before, to the same attempt of the same proxy incarnation,
-// and whose response was lost or late. It returns nil for any other claim.
+// RepeatedGrant returns the response to a claim that was already granted to the same attempt of the same proxy incarnation, whose first
+// response was lost or late. It returns nil for any other claim.
 func (t *Table) RepeatedGrant(request *wire.ClaimRequest) *wire.ClaimResponse {
 	record := t.find(request.Scope)
 	if record == nil || record.State != statePending || isVoided(record, request.Attempt) {
@@ -90,7 +89,7 @@
 	return grant(request)
 }
 
-// Claim grants an attempt the right to run, or says why not.
+// Claim grants a key to an attempt, which may then run. Otherwise the outcome tells why the claim is denied.
 func (t *Table) Claim(request *wire.ClaimRequest, now monotonic.Micros) *wire.ClaimResponse {
 	if existing := t.find(request.Scope); existing != nil {
 		switch {
@@ -130,9 +129,9 @@
 	return &wire.ClaimResponse{Outcome: Granted, Owner: request.Proxy, OwnerIncarnation: request.Incarnation, Attempt: request.Attempt}
 }
 
-// Void makes sure that an attempt will never be granted the key, and responds Voided. If the key is pending it responds Claimed, and
-// the attempt is voided unless it is the pending one. If the key is free and request.Fence is set, no request that was read up to
-// now will be granted the key either: the epoch and now are stored as the fence.
+// Void ensures that an attempt will never be granted the key, and responds Voided. If the key is pending it responds Claimed, and voids the
+// attempt unless it is the pending one. If the key is free and request.Fence is set, it also stores the epoch and now as the fence, so
+// that no request that was read until now is granted the key.
 func (t *Table) Void(request *wire.VoidClaimRequest, epoch uint64, now monotonic.Micros) *wire.VoidClaimResponse {
 	if existing := t.find(request.Scope); existing != nil && existing.State == statePending {
 		if existing.Attempt != request.Attempt && addVoided(existing, request.Attempt) {
@@ -154,8 +153,8 @@
 	return response
 }
 
-// Complete frees a pending key if request.Ran is false: the proxy that owns the attempt is certain that nothing ran. The attempt is
-// voided, so that it is never granted again. If request.Ran is true the record stays pending until its lifetime ends.
+// Complete frees a pending key if request.Ran is false, which means that the owner of the attempt is certain that nothing ran. It voids the
+// attempt, so that it is never granted again. If request.Ran is true, the record stays pending until its lifetime ends.
 func (t *Table) Complete(request *wire.CompleteClaimRequest, now monotonic.Micros) *wire.CompleteClaimResponse {
 	existing := t.find(request.Scope)
 	if existing == nil || existing.State != statePending || existing.Attempt != request.Attempt || request.Ran {
@@ -176,7 +175,7 @@
 	}
 }
 
-// findFormer returns the pending record of a claim that a build without tenants made under a scope, nil if there is none.
+// findFormer returns the pending record of a claim that a release without tenants made under a scope, or nil if there is none.
 func (t *Table) findFormer(scope string) *wire.ClaimRecord {
 	if scope == "" {
 		return nil
@@ -195,7 +194,7 @@
 	return nil
 }
 
-// recordFor decodes the record of a scope, or makes a free one, and starts its lifetime anew.
+// recordFor decodes the record of a scope, or creates a free one, and restarts its lifetime.
 func (t *Table) recordFor(scope string, now monotonic.Micros) *wire.ClaimRecord {
 	record := t.find(scope)
 	if record == nil {
@@ -209,7 +208,7 @@
 	return slices.Contains(record.Voided, attempt)
 }
 
-// addVoided adds an attempt to the voided ones. It reports false if the attempt is empty or was voided before.
+// addVoided adds an attempt to a record's voided attempts. It returns false if the attempt is empty or was already voided.
 func addVoided(record *wire.ClaimRecord, attempt string) bool {
 	if attempt == "" || isVoided(record, attempt) {
 		return false
@@ -218,8 +217,8 @@
 	return true
 }
 
-// readBeforeFence reports whether a request with the leader timestamp readAt may have been read before the fence. Timestamps of one
-// epoch compare by time; one of an older epoch is before the fence. A request without a timestamp counts as read before it.
+// readBeforeFence reports whether a request with the leader timestamp readAt may have been read before the fence. Timestamps of the same
+// epoch are compared by time; a timestamp of an older epoch is before the fence. So is a request without a timestamp.
 func readBeforeFence(fence, readAt *wire.LeaderTimestamp) bool {
 	if fence == nil {
 		return false
--- a/internal/registry/idempotency/table_test.go
+++ b/internal/registry/idempotency/table_test.go
@@ -15,7 +15,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestConfiguredLifetime checks that a claim stays pending for the table's lifetime, also across a restore.
+// TestConfiguredLifetime checks that a claim stays pending for the configured lifetime, even if the table is restored meanwhile.
 func TestConfiguredLifetime(t *testing.T) {
 	for _, lifetime := range []monotonic.Micros{idempotency.DefaultLifetime, 270 * monotonic.Second} {
 		table := idempotency.New()
@@ -47,7 +47,7 @@
 	}
 }
 
-// decodeContents returns the encoded records of a snapshot, in its order.
+// decodeContents returns the encoded records of a snapshot, in the snapshot's order.
 func decodeContents(t *testing.T, snapshot []byte) (contents [][]byte) {
 	t.Helper()
 	for len(snapshot) > 0 {
@@ -61,7 +61,7 @@
 	return contents
 }
 
-// model is the simplest form of the table: a map by scope, swept record by record.
+// model is a simple reference implementation of the table: a map by scope, swept record by record.
 type model struct {
 	lifetime monotonic.Micros
 	records  map[string]*wire.ClaimRecord
@@ -75,8 +75,8 @@
 	return m.records[scope]
 }
 
-// TestTableMatchesModel applies random commands to a table and to a model of it, and restores the table from snapshots in
-// between, also from snapshots in another order, as earlier releases wrote them.
+// TestTableMatchesModel applies random commands to a table and to a model of it. In between it restores the table from snapshots, including
+// snapshots in another order, as earlier releases wrote them.
 func TestTableMatchesModel(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestRestoreRejectsInvalidRecords checks that records which could not be decoded later, or which have the same scope, are
-// rejected, and that the table then stays as it was.
+// TestRestoreRejectsInvalidRecords checks that Restore rejects records that could not be decoded later, or that have the same scope, and
+// that the table is then unchanged.
 func TestRestoreRejectsInvalidRecords(t *testing.T) {
 	encoded := func(record *wire.ClaimRecord) []byte {
 		content, err := proto.Marshal(record)
@@ -182,7 +182,7 @@
 	for _, test := range []struct {
 		name     string
 		contents [][]byte
-		want     error // unless nil
+		want     error // nil accepts any error
 	}{
 		{"cut short", [][]byte{valid[:len(valid)-1]}, nil},
 		{"a scope twice", [][]byte{valid, valid}, idempotency.ErrDuplicateScope},
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestFormerScope guards against a key that runs twice when tenants are introduced: a claim of a build without tenants holds for the
-// tenants' requests with that key until its lifetime ends, and no new one is made under its scope.
+// TestFormerScope guards against a request that runs twice when tenants are introduced. A claim of a release without tenants also applies
+// to the tenants' requests with the same key until its lifetime ends, and no new claim is made under its scope.
 func TestFormerScope(t *testing.T) {
 	table, start := idempotency.New(), 10*monotonic.Second
 	claim := func(scope, former, attempt, digest string, now monotonic.Micros) *wire.ClaimResponse {
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -1,5 +1,5 @@
-// Package leases implements the registry's table of singleton leases: roles that one process at a time may perform, such as
-// the reconciliation of a service. It is a deterministic state machine: the current time is an argument, the leader clock, in
+// Package leases implements the registry's table of singleton leases. A singleton lease gives one process at a time a role, such as
+// the reconciliation of a service. The table is a deterministic state machine: the current time is an argument, the leader clock in
 // microseconds, and every replica applies the same calls in the same order.
 package leases
 
@@ -10,8 +10,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The bounds of a lease's duration. It is long enough to outlast a failover of the registry, and short enough that a lost
-// process does not block its role for long.
+// The limits of a lease's duration. The minimum outlasts a failover of the registry, and the maximum prevents that a lost process
+// blocks its role for long.
 const (
 	minDuration = 3 * monotonic.Second
 	maxDuration = 30 * monotonic.Second
@@ -27,7 +27,7 @@
 // New returns an empty table.
 func New() *Table { return &Table{records: map[string]*wire.SingletonLeaseRecord{}} }
 
-// Restore replaces all leases. The table holds on to the given messages; the caller must not change them afterwards.
+// Restore replaces all leases. The table keeps the given messages; the caller must not change them afterwards.
 func (t *Table) Restore(records []*wire.SingletonLeaseRecord) {
 	t.records = map[string]*wire.SingletonLeaseRecord{}
 	for _, record := range records {
@@ -48,8 +48,8 @@
 // Len returns the number of leases.
 func (t *Table) Len() int { return len(t.records) }
 
-// Acquire grants, renews or releases a lease. The response names the present owner if that is another instance. The granted
-// duration is the requested one within the bounds of a lease.
+// Acquire grants, renews or releases a lease. The response names the current owner if that is another instance. The granted duration is
+// the requested one, limited to minDuration and maxDuration.
 func (t *Table) Acquire(request *wire.SingletonLeaseRequest, now monotonic.Micros) *wire.SingletonLeaseResponse {
 	current := t.records[request.Role]
 	if current != nil && int64(now) < current.Until && current.Instance != request.Instance {
--- a/internal/registry/statemachine/bench_test.go
+++ b/internal/registry/statemachine/bench_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// machineWithClaims returns a machine with count claims, made at the rate of peak traffic.
+// machineWithClaims returns a machine with count claims that were made at peak rate, one every 1500 microseconds.
 func machineWithClaims(count int) *Machine {
 	machine := New()
 	for index := range count {
@@ -26,8 +26,8 @@
 		Proxy: fmt.Sprintf("sidecar-fsd-a-%d", index%30), Incarnation: uint64(index%30+1) << 60, ReadAt: &wire.LeaderTimestamp{Epoch: 3, Time: int64(index) * 1500}}
 }
 
-// TestRestoreLeavesClaimsEncoded checks that a replica which installs a snapshot does not decode each claim: with a sixth of a
-// processor that alone took longer than the primary waits for a silent backup.
+// TestRestoreLeavesClaimsEncoded checks that a replica that installs a snapshot does not decode each claim. With a sixth of a processor,
+// decoding alone took longer than the primary waits for an unresponsive backup.
 func TestRestoreLeavesClaimsEncoded(t *testing.T) {
 	const claimCount = 2000
 	snapshot := machineWithClaims(claimCount).Snapshot()
@@ -36,7 +36,7 @@
 		t.Errorf("%v allocations for %d claims", allocations, claimCount)
 	}
 	if restored := machine.Snapshot(); !bytes.Equal(restored, snapshot) {
-		t.Errorf("a snapshot of %d bytes was restored to another of %d", len(snapshot), len(restored))
+		t.Errorf("a snapshot of %d bytes was restored as a different one of %d", len(snapshot), len(restored))
 	}
 }
 
--- a/internal/registry/statemachine/snapshot.go
+++ b/internal/registry/statemachine/snapshot.go
@@ -8,11 +8,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// claimsField is the number of the claims in wire.RegistrySnapshot. They are most of the state, and are stored encoded, so
+// claimsField is the field number of the claims in wire.RegistrySnapshot. Claims are most of the state and are stored encoded, so
 // Snapshot and Restore copy their bytes instead of encoding and decoding them.
 const claimsField protowire.Number = 2
 
-// maxLengthPrefix bounds the bytes of a claim record's length prefix, for records of up to a mebibyte.
+// maxLengthPrefix is the maximum size of a claim record's length prefix in bytes, for records of up to a mebibyte.
 var maxLengthPrefix = protowire.SizeVarint(1 << 20)
 
 // Snapshot returns the complete state as an encoded wire.RegistrySnapshot.
@@ -27,8 +27,8 @@
 	return m.Claims.AppendSnapshot(content, claimsField)
 }
 
-// Restore replaces the state by a snapshot; an empty one gives the empty state. The machine uses the content without copying
-// it. On an error the state stays as it was.
+// Restore replaces the state by a snapshot; an empty snapshot gives the empty state. The machine uses the content without copying it. On an
+// error the state is unchanged.
 func (m *Machine) Restore(content []byte) error {
 	claims, others, err := splitSnapshot(content)
 	if err != nil {
--- a/internal/registry/statemachine/statemachine.go
+++ b/internal/registry/statemachine/statemachine.go
@@ -1,8 +1,8 @@
-// Package statemachine is the registry's replicated state: the breaker records, the claims of idempotency keys and the
-// singleton leases, behind the interface that package replication expects of a state machine.
+// Package statemachine implements the registry's replicated state: the breaker records, the claims of idempotency keys and the
+// singleton leases. Machine is the state machine that package replication runs.
 //
-// Commands and results are wire.RegistryCommand and wire.RegistryResult, the snapshot is a wire.RegistrySnapshot. Both are
-// stored in the replicated log, so their encoding must stay readable by later releases.
+// A command is a wire.RegistryCommand, its result a wire.RegistryResult, and a snapshot a wire.RegistrySnapshot. Commands and snapshots
+// are stored in the replicated log, so later releases must be able to read their encoding.
 package statemachine
 
 import (
@@ -15,13 +15,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// sweepInterval is how far the leader clock moves between two sweeps. Sweeps are part of Apply, so that every replica makes the
-// same ones.
+// sweepInterval is the minimum time on the leader clock between two sweeps. Sweeps are part of Apply, so that all replicas sweep at the
+// same commands.
 const sweepInterval = 250 * monotonic.Millisecond
 
 // Machine is the replicated state. It is not safe for concurrent use; the replication member serializes the calls.
 //
-// Invariant: it changes only in Apply and Restore, and depends on nothing but their arguments.
+// Invariant: the state changes only in Apply and Restore, and depends only on their arguments.
 type Machine struct {
 	Breakers  *breakerstore.Table
 	Claims    *idempotency.Table
@@ -34,7 +34,7 @@
 	return &Machine{Breakers: breakerstore.New(), Claims: idempotency.New(), Leases: leases.New()}
 }
 
-// Apply applies an encoded command and returns its encoded result. An empty command is a tick, which only advances the time. It
+// Apply applies an encoded command and returns its encoded result. An empty command is a tick, which only advances the time. Apply
 // returns nil if the command cannot be decoded.
 func (m *Machine) Apply(epoch uint64, now monotonic.Micros, content []byte) []byte {
 	command := &wire.RegistryCommand{}
@@ -49,7 +49,7 @@
 	return encoded
 }
 
-// sweep sweeps all tables, if sweepInterval has passed since the last sweep or if sessions ended.
+// sweep sweeps all tables if sweepInterval has passed since the last sweep, or if sessions ended.
 func (m *Machine) sweep(ended []*wire.MemberID, now monotonic.Micros) {
 	if now-m.lastSweep < sweepInterval && len(ended) == 0 {
 		return
@@ -60,7 +60,7 @@
 	m.Leases.Sweep(now)
 }
 
-// execute applies the parts of a command that are present.
+// execute applies the parts of a command that are set.
 func (m *Machine) execute(command *wire.RegistryCommand, epoch uint64, now monotonic.Micros) *wire.RegistryResult {
 	result := &wire.RegistryResult{}
 	if command.Claim != nil {
@@ -84,7 +84,7 @@
 	return result
 }
 
-// HasTimers reports whether something changes by the passing of time alone, so that the primary must keep writing ticks.
+// HasTimers reports whether the state changes by the passing of time alone. The primary then has to keep writing ticks.
 func (m *Machine) HasTimers() bool {
 	return m.Breakers.HasTimers() || m.Claims.Len() > 0 || m.Leases.Len() > 0
 }
--- a/internal/registry/statemachine/statemachine_test.go
+++ b/internal/registry/statemachine/statemachine_test.go
@@ -14,8 +14,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestTranscripts compares the registry's replicated state with recorded transcripts. Each line is one command at a second of
-// the leader clock. After each command the state is restored from its own snapshot, as after a failover.
+// TestTranscripts compares the registry's replicated state with recorded transcripts. Each line is one command at a time of the leader
+// clock, in seconds. After each command the state is restored from its own snapshot, as after a failover.
 func TestTranscripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		state := statemachine.New()
@@ -38,10 +38,10 @@
 	WaitOpen: int64(5 * monotonic.Second), Permitted: 2, FailureRate: 0.5, ProbeLease: int64(3 * monotonic.Second), StateTtl: int64(300 * monotonic.Second),
 }
 
-// line is one line of a transcript, "SECOND COMMAND ARGUMENTS...", split into words.
+// line is one line of a transcript, "SECONDS COMMAND ARGUMENTS...", split into words.
 type line []string
 
-// number returns a word as a number.
+// number parses the word at an index as an integer.
 func (l line) number(t *testing.T, index int) (value uint64) {
 	t.Helper()
 	if _, err := fmt.Sscan(l[index], &value); err != nil {
@@ -50,7 +50,7 @@
 	return value
 }
 
-// micros returns a word, a number of seconds, in microseconds.
+// micros parses the word at an index as seconds and returns microseconds.
 func (l line) micros(t *testing.T, index int) monotonic.Micros {
 	t.Helper()
 	var seconds float64
@@ -60,7 +60,7 @@
 	return monotonic.Micros(seconds * 1e6)
 }
 
-// applyLine applies one line and returns it with its result and the breaker records after it.
+// applyLine applies one line. It returns the line with its result and the breaker records that follow.
 func applyLine(t *testing.T, state *statemachine.Machine, words line) string {
 	t.Helper()
 	command := parseCommand(t, words)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// describeResult returns the parts of a result that are present.
+// describeResult returns a description of the parts of a result that are set.
 func describeResult(result *wire.RegistryResult) string {
 	var text strings.Builder
 	if result.Claim != nil {
@@ -144,7 +144,7 @@
 	return text.String()
 }
 
-// describeBreakers returns what matters of each breaker record.
+// describeBreakers returns a summary of each breaker record.
 func describeBreakers(state *statemachine.Machine) string {
 	var text strings.Builder
 	for _, record := range state.Breakers.Records() {
