--- a/internal/discovery/refresh.go
+++ b/internal/discovery/refresh.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// refreshInterval is the least time between two discover requests of a process, however many of its tasks call Refresh.
+	// refreshInterval is the minimum time between two refreshes of a process, no matter how many of its tasks call Refresh.
 	refreshInterval = 100 * monotonic.Millisecond
-	// refreshTimeout bounds one discover request.
+	// refreshTimeout is the timeout of one discover request.
 	refreshTimeout = 500 * monotonic.Millisecond
 )
 
-// Register adds the handler of discover requests.
+// Register adds the handler for discover requests.
 func (r *Resolver) Register(handlers host.Handlers) {
 	host.Handle(handlers, wire.Kind_discover, r.handleDiscover)
 }
 
-// handleDiscover adds what the requester knows and returns what is known here. A health check gets an empty response: it is
-// sent for every long request, often between zones.
+// handleDiscover stores the addresses that the requester knows and returns those that this process knows. The response to a health check
+// is empty, since health checks are sent for every long request, often between zones.
 func (r *Resolver) handleDiscover(request *wire.DiscoverRequest) (*wire.DiscoverResponse, error) {
 	r.AddPeers(request.Known)
 	if request.HealthCheck {
@@ -28,7 +28,7 @@
 	return &wire.DiscoverResponse{Known: r.Peers(), Primaries: r.Primaries()}, nil
 }
 
-// Run refreshes and stores the addresses at an interval, lengthened by up to a quarter at random. It never returns.
+// Run refreshes and stores the addresses periodically. Each pause is the interval plus a random part of up to a quarter. It never returns.
 func (r *Resolver) Run(interval monotonic.Micros) {
 	for {
 		r.Refresh()
@@ -37,9 +37,9 @@
 	}
 }
 
-// Refresh requests the addresses and primaries that the next seed or known process knows. It returns at once if the last request
-// was sent within refreshInterval, or if every target has a request in flight. Targets that did not answer their last request are
-// asked too, in a turn of their own and in the background: however many they are, they delay nobody.
+// Refresh requests the addresses and primaries that the next target knows; targets are the seeds and the known processes. It returns at
+// once if the last request was sent within refreshInterval, or if every target has a request in flight. Targets that did not answer
+// their last request are queried in a separate rotation and in the background, so that they delay no caller, no matter how many they are.
 func (r *Resolver) Refresh() {
 	if !r.beginQuery() {
 		return
@@ -56,7 +56,7 @@
 	r.query(responsive)
 }
 
-// query requests what a target knows, and releases the target. It does nothing for an empty target.
+// query requests the addresses and primaries that a target knows, and releases the target. It does nothing for an empty target.
 func (r *Resolver) query(target string) {
 	if target == "" {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-// beginQuery reports whether refreshInterval has passed since the last query, and counts the present one.
+// beginQuery reports whether refreshInterval has passed since the last query. If so, it records the current one.
 func (r *Resolver) beginQuery() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/discovery/resolver.go
+++ b/internal/discovery/resolver.go
@@ -1,9 +1,9 @@
-// Package discovery holds what a process knows of the control plane: the addresses of its processes by name, and which of them
-// is the primary of each group.
+// Package discovery finds the processes of the control plane: it keeps the known addresses of each process by name, and the primary of
+// each group.
 //
-// A process is identified by its name. An address is only where that name answered last, so the configured seeds may be stale:
-// any process that answers at one of them returns the others' addresses. Processes exchange what they know by discover requests,
-// and may store it on disk to find the others again after all seeds have changed.
+// A process is identified by its name, and its address may change. The configured seeds may therefore be stale: it is enough if one
+// process answers at any of them and returns the addresses of the others. Processes exchange their addresses by discover requests, and
+// may store them on disk to find the others again after all seeds have changed.
 package discovery
 
 import (
@@ -20,43 +20,43 @@
 	"snowflow/internal/wal"
 )
 
-// The names of the replication groups. They are sent between processes, stored with their addresses and in the register, and keep
-// former terms.
+// The names of the replication groups. They keep former terms, because they are sent between processes and stored with addresses and in
+// the register.
 const (
 	RegistryGroup    = "sorter"
 	ConfigStoreGroup = "postmaster"
 )
 
-// maxAddresses bounds the addresses that are stored of one name.
+// maxAddresses is the maximum number of addresses kept for one name.
 const maxAddresses = 4
 
-// Resolver is one process's knowledge of the control plane. It is safe for concurrent use, except where a method says otherwise.
+// Resolver holds the addresses and primaries that one process knows. It is safe for concurrent use, except where a method says otherwise.
 //
 // Invariants:
-//   - Each name has at most maxAddresses addresses. The first is the one to call; a failed call moves it to the end.
+//   - Each name has at most maxAddresses addresses. Calls use the first one; a failed call moves it to the end.
 //   - The primary of a group is replaced only by one of a higher epoch.
 type Resolver struct {
 	host host.Host
-	self *wire.PeerAddress // nil for a process outside the control plane
+	self *wire.PeerAddress // this process's address; nil for a process outside the control plane
 
 	lock      sync.Mutex // guards the fields below
 	peers     map[string]*peer
 	primaries map[string]*wire.Primary // by group
 	seeds     []string
 	lastQuery monotonic.Micros // when Refresh last sent a request; zero if it never did
-	rotation  targetRotation   // whom Refresh asks next
+	rotation  targetRotation   // chooses the next targets of Refresh
 
-	store store // used by Persist and then by Run alone
+	store store // used by Persist, and afterwards only by Run
 }
 
-// peer is what is known of one name.
+// peer holds what is known about the process of one name.
 type peer struct {
 	group, domain   string
 	addresses       []string // never empty
-	batches, deltas bool     // whether it has advertised that it accepts them
+	batches, deltas bool     // whether the process has advertised that it accepts batches and configuration deltas
 }
 
-// New returns a resolver that knows the seeds and, unless nil, the process itself.
+// New returns a resolver with the seeds and, if self is not nil, the process's own address.
 func New(h host.Host, self *wire.PeerAddress, seeds []string) *Resolver {
 	resolver := &Resolver{
 		host: h, self: self, seeds: seeds, peers: map[string]*peer{}, primaries: map[string]*wire.Primary{}, rotation: newTargetRotation(),
@@ -68,7 +68,7 @@
 // Self returns the process's own address, nil for a process outside the control plane. It is shared and must not be changed.
 func (r *Resolver) Self() *wire.PeerAddress { return r.self }
 
-// addSelf adds the process itself to the known ones, with what it advertises.
+// addSelf adds the process's own address to the known addresses, with the features that it advertises.
 func (r *Resolver) addSelf() {
 	if r.self != nil {
 		r.AddPeers([]*wire.PeerAddress{r.self})
@@ -76,7 +76,7 @@
 }
 
 // AdvertiseBatches makes this process advertise that it accepts several commands in one message. It must be called before the
-// process serves.
+// process serves requests.
 func (r *Resolver) AdvertiseBatches() {
 	if r.self != nil {
 		r.self.Batches = true
@@ -85,7 +85,7 @@
 }
 
 // AdvertiseDeltas makes this process advertise that it accepts configurations as deltas. It must be called before the process
-// serves.
+// serves requests.
 func (r *Resolver) AdvertiseDeltas() {
 	if r.self != nil {
 		r.self.Deltas = true
@@ -93,7 +93,7 @@
 	}
 }
 
-// SupportsBatches reports whether a name is known to accept several commands in one message.
+// SupportsBatches reports whether the process of a name is known to accept several commands in one message.
 func (r *Resolver) SupportsBatches(name string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -101,7 +101,7 @@
 	return entry != nil && entry.batches
 }
 
-// AllSupportDeltas reports whether all names are known to accept configurations as deltas.
+// AllSupportDeltas reports whether the processes of all names are known to accept configurations as deltas.
 func (r *Resolver) AllSupportDeltas(names ...string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -111,7 +111,7 @@
 	})
 }
 
-// Domain returns the failure domain that a name advertised, or an empty string.
+// Domain returns the failure domain that the process of a name advertised, or an empty string.
 func (r *Resolver) Domain(name string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -121,15 +121,15 @@
 	return ""
 }
 
-// SetSeeds replaces the seeds. A platform may name others while the process runs.
+// SetSeeds replaces the seeds. The platform may change them while the process runs.
 func (r *Resolver) SetSeeds(seeds []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.seeds = seeds
 }
 
-// AddPeers adds addresses that another process knows. An address that is known already keeps its position; a new one becomes
-// the second, tried once the first has failed. Entries without a name or an address are ignored.
+// AddPeers adds addresses that another process knows. A known address keeps its position; a new one becomes the second, which is used
+// after the first has failed. Entries without a name or an address are ignored.
 func (r *Resolver) AddPeers(addresses []*wire.PeerAddress) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -152,7 +152,7 @@
 	}
 }
 
-// addAddress adds an address as the second, in place of the last one if there are maxAddresses.
+// addAddress inserts a new address at the second position. It drops the last one if there are already maxAddresses.
 func (p *peer) addAddress(address string) {
 	if slices.Contains(p.addresses, address) {
 		return
@@ -162,7 +162,7 @@
 	p.addresses = slices.Concat(others[:position], []string{address}, others[position:])
 }
 
-// ObservePrimaries adds the primaries that another process knows. For each group the one of the highest epoch is remembered.
+// ObservePrimaries adds the primaries that another process knows. For each group, the one of the highest epoch is kept.
 func (r *Resolver) ObservePrimaries(primaries []*wire.Primary) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// Primaries returns the primaries known, sorted by group. They are shared and must not be changed.
+// Primaries returns the known primaries, sorted by group. They are shared and must not be changed.
 func (r *Resolver) Primaries() []*wire.Primary {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -195,7 +195,7 @@
 	return r.primaries[group]
 }
 
-// Peers returns every known address, sorted by name, and within a name in the order in which they are tried.
+// Peers returns all known addresses, sorted by name, and within a name in the order in which calls use them.
 func (r *Resolver) Peers() []*wire.PeerAddress {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -210,7 +210,7 @@
 	return addresses
 }
 
-// Members returns the names of a group, sorted.
+// Members returns the names of a group's known processes, sorted.
 func (r *Resolver) Members(group string) []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -224,7 +224,7 @@
 	return names
 }
 
-// Address returns the address at which a name is called next, or an empty string if none is known.
+// Address returns the address that the next call to a name uses, or an empty string if none is known.
 func (r *Resolver) Address(name string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -234,8 +234,8 @@
 	return ""
 }
 
-// Call sends a request to a name and waits for its response. Its errors are those of host.Host; it is Unreachable if no address
-// is known. After a failed call the next address of the name is tried by the next call.
+// Call sends a request to the process of a name and waits for its response. It returns the errors of host.Host.Call, and Unreachable if no
+// address is known. After a failed call, the next call uses the name's next address.
 func (r *Resolver) Call(name string, kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	address := r.Address(name)
 	if address == "" {
@@ -248,7 +248,7 @@
 	return err
 }
 
-// demote moves an address to the end of its name's, if it is still the first.
+// demote moves an address to the end of the name's addresses, if it is still the first.
 func (r *Resolver) demote(name, address string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -257,6 +257,6 @@
 	}
 }
 
-// Persist reads the addresses stored on a disk and makes Run store those learned later. It must be called before Run. The stored
-// addresses are a help, not needed: if the disk fails, the resolver goes on without them.
+// Persist adds the addresses stored on a disk, and makes Run store the known addresses there. It must be called before Run. Stored
+// addresses are optional: if the disk fails, the resolver continues without them.
 func (r *Resolver) Persist(disk wal.Disk) { r.AddPeers(r.store.open(disk)) }
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -12,8 +12,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestHealthCheckOmitsPeers checks that the response to a health check is empty, since it is sent for every long request and
-// often between zones, and that any other discover request gets the known processes.
+// TestHealthCheckOmitsPeers checks that the response to a health check is empty, since health checks are sent for every long request and
+// often between zones, and that the response to any other discover request has the known processes.
 func TestHealthCheckOmitsPeers(t *testing.T) {
 	simulated := world.New(1)
 	defer simulated.Close()
@@ -52,7 +52,7 @@
 	}
 }
 
-// addressesOf returns the known addresses of a name, in the order of their rank.
+// addressesOf returns the known addresses of a name, in the order in which calls use them.
 func addressesOf(resolver *Resolver, name string) (addresses []string) {
 	for _, known := range resolver.Peers() {
 		if known.Name == name {
@@ -63,7 +63,7 @@
 }
 
 // TestAddressRanks checks that a new address is ranked second, that a known one keeps its rank, that the last one is dropped beyond
-// maxAddresses, and that the first goes to the end after a failed call.
+// maxAddresses, and that the first one moves to the end after a failed call.
 func TestAddressRanks(t *testing.T) {
 	resolver := New(nil, nil, nil)
 	for _, address := range []string{"a", "b", "c", "a", "d", "e", ""} {
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestTargetsInTurn checks that Refresh sends requests to its targets in turn and skips those that have not responded yet. Those that
-// did not answer have a turn of their own.
+// TestTargetsInTurn checks that Refresh sends requests to its targets in turn, and skips those that have a request in flight. Targets that
+// did not answer are in a separate rotation.
 func TestTargetsInTurn(t *testing.T) {
 	resolver := New(nil, nil, []string{"a", "b"})
 	resolver.AddPeers([]*wire.PeerAddress{{Name: "one", Address: "c"}, {Name: "two", Address: "a"}})
--- a/internal/discovery/silent_targets_test.go
+++ b/internal/discovery/silent_targets_test.go
@@ -12,27 +12,27 @@
 
 const (
 	liveTargets = 3
-	goneTargets = 24 // the processes of as many core machines as are replaced in weeks
+	goneTargets = 24 // the processes of the core machines that are replaced within weeks
 	targetSeeds = 30
 )
 
-// TestGoneTargetsDelayNobody guards against the fault by which a process took the longer to find the primary the more machines had ever
-// been replaced: it asked their addresses in turn with those that respond, and waited for each.
+// TestGoneTargetsDelayNobody guards against refreshes that take longer to find the primary the more machines have been replaced. It comes
+// about if the addresses of replaced machines are queried in the same rotation as live ones, and each waits for its timeout.
 func TestGoneTargetsDelayNobody(t *testing.T) {
 	for seed := range uint64(targetSeeds) {
 		answered := answersPerRefresh(t, seed)
-		// Once each target has been asked, every refresh asks one that responds.
+		// After each target was queried once, every refresh queries one that responds.
 		for number, count := range answered[liveTargets+goneTargets:] {
 			if count != 1 {
-				t.Errorf("seed %d: refresh %d got %d answers, not one", seed, liveTargets+goneTargets+number, count)
+				t.Errorf("seed %d: refresh %d got %d responses, want 1", seed, liveTargets+goneTargets+number, count)
 				break
 			}
 		}
 	}
 }
 
-// answersPerRefresh returns how many live processes answered during each of a series of refreshes of a process that also knows the
-// addresses of processes that are gone.
+// answersPerRefresh performs a series of refreshes in a process that also knows the addresses of processes that no longer exist. It returns
+// how many live processes answered during each refresh.
 func answersPerRefresh(t *testing.T, seed uint64) (answered []int) {
 	t.Helper()
 	simulated := world.New(seed)
--- a/internal/discovery/store.go
+++ b/internal/discovery/store.go
@@ -10,17 +10,17 @@
 	"snowflow/internal/wal"
 )
 
-// addressFile is the name of the file that holds the addresses, as one wire.RegisterRecord.
+// addressFile is the name of the file that stores the addresses, in one wire.RegisterRecord.
 const addressFile = "addresses"
 
-// store holds the addresses on disk. Its zero value stores nothing.
+// store saves the addresses to disk. Its zero value stores nothing.
 type store struct {
-	log         *wal.Log // nil where there is no disk, or where it failed
+	log         *wal.Log // nil if there is no disk or it failed
 	written     bool     // whether lastWritten is the file's content
 	lastWritten []byte
 }
 
-// open opens the file and returns the addresses in it. A file that cannot be read is replaced by an empty one.
+// open opens the file and returns the stored addresses. A file that cannot be read is replaced by an empty one.
 func (s *store) open(disk wal.Disk) (addresses []*wire.PeerAddress) {
 	log, err := wal.Open(disk, addressFile, func(content []byte) error {
 		record := &wire.RegisterRecord{}
@@ -39,7 +39,7 @@
 	return addresses
 }
 
-// save writes the addresses if they differ from those last written. After a failed sync it writes no more.
+// save writes the addresses if they differ from those last written. After a failed sync, the store stops writing.
 func (s *store) save(addresses []*wire.PeerAddress) {
 	if s.log == nil {
 		return
--- a/internal/discovery/targets.go
+++ b/internal/discovery/targets.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// targetRotation chooses the targets of discover requests: in turn, those that answered their last request, or that were never asked, apart
-// from those that did not answer. Its owner holds a lock.
+// targetRotation chooses the targets of discover requests in two round-robin rotations: one of the targets that answered their last
+// request or were never queried, and one of the unresponsive targets. The Resolver's lock guards it.
 type targetRotation struct {
-	pending      map[string]bool // targets that have not answered yet
+	pending      map[string]bool // targets with a request in flight
 	unresponsive map[string]bool // targets that did not answer their last request
-	// nextResponsive and nextUnresponsive count the targets that were passed in each turn.
+	// nextResponsive and nextUnresponsive count the targets that each rotation has visited.
 	nextResponsive, nextUnresponsive int
 }
 
@@ -15,8 +15,8 @@
 	return targetRotation{pending: map[string]bool{}, unresponsive: map[string]bool{}}
 }
 
-// take chooses the next of the silent targets, or of the others, and marks it pending. It skips those that are pending, since others may
-// answer, and returns an empty string if there is no other.
+// take chooses the next target of the unresponsive rotation or of the other one, and marks it pending. It skips targets that are already
+// pending, since others may answer, and returns an empty string if none is left.
 func (t *targetRotation) take(targets []string, unresponsive bool) string {
 	next := &t.nextResponsive
 	if unresponsive {
@@ -33,7 +33,7 @@
 	return ""
 }
 
-// release marks a target as not pending, so that it may be chosen again, and records whether it answered.
+// release marks a target as no longer pending, so that it may be chosen again, and records whether it answered.
 func (t *targetRotation) release(target string, answered bool) {
 	delete(t.pending, target)
 	if answered {
@@ -43,7 +43,7 @@
 	t.unresponsive[target] = true
 }
 
-// targets returns the addresses to send discover requests to: the seeds, then the other known addresses.
+// targets returns the addresses that receive discover requests: the seeds, then the other known addresses.
 func (r *Resolver) targets() []string {
 	r.lock.Lock()
 	targets := slices.Clone(r.seeds)
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -1,15 +1,15 @@
-// Package frame encodes messages between processes on a byte stream. A frame is a header of 28 bytes and the content, which is an
-// encoded protobuf message. All numbers of the header are big-endian:
+// Package frame encodes messages between processes for a byte stream. A frame is a header of 28 bytes and the content, which is an
+// encoded protobuf message. All numbers in the header are big-endian:
 //
 //	offset  bytes  field
 //	0       4      magic number
 //	4       2      wire version
 //	6       2      flags
-//	8       2      kind of message
+//	8       2      message kind
 //	10      2      unused, zero
-//	12      8      request id, unique among the requests of a connection; a reply has its request's
+//	12      8      request id, unique among the requests of a connection; a reply has the id of its request
 //	20      4      length of the content
-//	24      4      CRC-32C of the header before it and the content
+//	24      4      CRC-32C of the preceding header fields and the content
 package frame
 
 import (
@@ -27,7 +27,7 @@
 // Version is this release's wire version. A process accepts its own version and the adjacent ones.
 const Version uint16 = 1
 
-// magic begins each frame: "snow".
+// magic is the start of each frame: "snow".
 const magic uint32 = 0x736e6f77
 
 // HeaderLength is the length of a frame's header in bytes.
@@ -42,10 +42,10 @@
 	Fault                    // the content is the text of an error, not a message
 )
 
-// ErrMalformed is the error of Read for bytes that are no valid frame. The rest of the stream cannot be read.
+// ErrMalformed is returned by Read for bytes that are not a valid frame. The rest of the stream cannot be read.
 var ErrMalformed = errors.New("malformed frame")
 
-// Frame is one frame.
+// Frame is one message on the stream, without the header fields that encoding adds.
 type Frame struct {
 	Kind      wire.Kind
 	Flags     uint16
@@ -55,7 +55,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum returns the CRC-32C of content, as frames and forwarded responses have it.
+// Checksum returns the CRC-32C of content. Frames and forwarded responses contain it.
 func Checksum(content []byte) uint32 { return crc32.Checksum(content, castagnoli) }
 
 // Append appends an encoded frame to a buffer.
@@ -77,8 +77,8 @@
 	binary.BigEndian.PutUint32(header[checksumOffset:], crc32.Update(Checksum(header[:checksumOffset]), castagnoli, frame.Content))
 }
 
-// AppendMessage appends an encoded frame whose content is a message to a buffer. It ignores frame.Content, and encodes the message
-// directly into the buffer.
+// AppendMessage appends an encoded frame to a buffer. The frame's content is the message, which is encoded directly into the buffer;
+// frame.Content is ignored.
 func AppendMessage(buffer []byte, frame Frame, message proto.Message) ([]byte, error) {
 	start := len(buffer)
 	buffer, err := proto.MarshalOptions{}.MarshalAppend(append(buffer, make([]byte, HeaderLength)...), message)
@@ -90,30 +90,29 @@
 	return buffer, nil
 }
 
-// Read reads one frame. It fails with ErrMalformed if the bytes are no frame, are damaged, are of a wire version that is not
-// adjacent, or if the content is longer than limit; with io.EOF if the stream ends before the frame; and with the stream's error
-// otherwise.
+// Read reads one frame. It returns ErrMalformed if the bytes are not a frame, are corrupted or have a wire version that is not adjacent,
+// or if the content is longer than limit. It returns io.EOF if the stream ends before the frame, and otherwise the stream's error.
 func Read(stream io.Reader, limit int) (Frame, error) {
 	var header [HeaderLength]byte
 	if _, err := io.ReadFull(stream, header[:]); err != nil {
 		return Frame{}, err
 	}
 	if binary.BigEndian.Uint32(header[:]) != magic {
-		return Frame{}, fmt.Errorf("%w: no magic number", ErrMalformed)
+		return Frame{}, fmt.Errorf("%w: wrong magic number", ErrMalformed)
 	}
 	if version := binary.BigEndian.Uint16(header[4:]); version+1 < Version || version > Version+1 {
-		return Frame{}, fmt.Errorf("%w: wire version %d, this process accepts %d and the adjacent ones", ErrMalformed, version, Version)
+		return Frame{}, fmt.Errorf("%w: wire version %d, this process accepts %d and adjacent versions", ErrMalformed, version, Version)
 	}
 	length := int(binary.BigEndian.Uint32(header[20:]))
 	if length > limit {
-		return Frame{}, fmt.Errorf("%w: %d bytes, limit %d", ErrMalformed, length, limit)
+		return Frame{}, fmt.Errorf("%w: content of %d bytes exceeds the limit of %d", ErrMalformed, length, limit)
 	}
 	content := make([]byte, length)
 	if _, err := io.ReadFull(stream, content); err != nil {
 		return Frame{}, err
 	}
 	if crc32.Update(Checksum(header[:checksumOffset]), castagnoli, content) != binary.BigEndian.Uint32(header[checksumOffset:]) {
-		return Frame{}, fmt.Errorf("%w: checksum", ErrMalformed)
+		return Frame{}, fmt.Errorf("%w: checksum mismatch", ErrMalformed)
 	}
 	return Frame{
 		Kind: wire.Kind(binary.BigEndian.Uint16(header[8:])), Flags: binary.BigEndian.Uint16(header[6:]),
--- a/internal/transport/frame/frame_test.go
+++ b/internal/transport/frame/frame_test.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestRoundTrip checks that a stream of frames is read as it was appended, whichever way each was encoded.
+// TestRoundTrip checks that frames are read as they were appended, by Append as well as by AppendMessage.
 func TestRoundTrip(t *testing.T) {
 	first := Frame{Kind: wire.Kind_forward, Flags: Reply, RequestID: 1 << 40, Content: []byte("content")}
 	stream := Append(nil, first)
@@ -32,14 +32,15 @@
 	}
 }
 
-// TestMalformedFrames checks that a frame with a changed byte anywhere, of a distant version or beyond the limit is rejected.
+// TestMalformedFrames checks that Read rejects a frame if any byte is changed (so also a version that is not adjacent), if its content is
+// longer than the limit, or if the stream ends within it.
 func TestMalformedFrames(t *testing.T) {
 	content := []byte("content")
 	valid := Append(nil, Frame{Kind: wire.Kind_forward, RequestID: 7, Content: content})
 	const lengthOffset, lengthEnd = 20, 24
 	for offset := range valid {
 		if offset >= lengthOffset && offset < lengthEnd {
-			continue // a changed length is a frame beyond the limit or a stream that ends early
+			continue // a changed length gives a frame beyond the limit or a stream that ends early
 		}
 		damaged := bytes.Clone(valid)
 		damaged[offset] ^= 0x10
--- a/internal/transport/wire/conditions.go
+++ b/internal/transport/wire/conditions.go
@@ -1,4 +1,4 @@
 package wire
 
-// BackendLeaving is the condition of a Backend that takes no new requests any more. It is final for an instance.
+// BackendLeaving is the condition of a Backend that no longer accepts new requests. It is final for an instance.
 const BackendLeaving = "leaving"
--- a/internal/transport/wire/generated_test.go
+++ b/internal/transport/wire/generated_test.go
@@ -13,15 +13,15 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-var update = flag.Bool("update", false, "write the generated code anew from the .proto files; refused where CI is set")
+var update = flag.Bool("update", false, "regenerate the code from the .proto files; refused if CI is set")
 
-// generatorPackage is run at the version that go.mod names, so that generator and runtime library are of one version.
+// generatorPackage is run at the version in go.mod, so that the generator and the runtime library have the same version.
 const generatorPackage = "google.golang.org/protobuf/cmd/protoc-gen-go"
 
-// compilerVersion is the protoc whose files the committed code was first generated from; it stands in the code's heading.
+// compilerVersion is the version of protoc that the committed code was first generated with. The header of the code names it.
 var compilerVersion = &pluginpb.Version{Major: proto.Int32(3), Minor: proto.Int32(21), Patch: proto.Int32(12)}
 
-// TestGeneratedCode holds the committed *.pb.go files to what the .proto files beside them give. It needs no protoc.
+// TestGeneratedCode checks that the committed *.pb.go files are what the .proto files beside them generate. It needs no protoc.
 func TestGeneratedCode(t *testing.T) {
 	sources := []string{"wire.proto", "desired.proto"}
 	compiler := protocompile.Compiler{Resolver: &protocompile.SourceResolver{}, SourceInfoMode: protocompile.SourceInfoStandard}
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if string(committed) != generated.GetContent() {
-			t.Errorf("%s is not what its source gives; go test ./internal/transport/wire -run TestGeneratedCode -update", generated.GetName())
+			t.Errorf("%s is outdated; run go test ./internal/transport/wire -run TestGeneratedCode -update", generated.GetName())
 		}
 	}
 }
--- a/internal/transport/wire/status_json.go
+++ b/internal/transport/wire/status_json.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// The status pages of the programs show sessions and records as JSON. The keys on those pages are a public interface that is older
-// than the names of the fields, so they differ from some of them: each table maps the name of a field to its key.
+// The programs' status pages show sessions and records as JSON. The keys on these pages are a public interface that keeps the former
+// names of some fields. Each table maps the name of a field to its key.
 var (
 	sessionKeys         = map[string]string{"proxy": "carrier", "heartbeat": "beat", "config_version": "desired_serial"}
 	backendKeys         = map[string]string{"slow_start": "warm"}
@@ -16,7 +16,7 @@
 	}
 )
 
-// The plain types have the fields of their messages and none of the methods, so that encoding/json doesn't call itself.
+// The plain types have the fields of their messages but not the methods, so that MarshalJSON and UnmarshalJSON do not recurse.
 type (
 	plainSession              Session
 	plainBackend              Backend
@@ -119,7 +119,7 @@
 	return unmarshalWithKeys(singletonLeaseKeys, content, (*plainSingletonLeaseRecord)(x))
 }
 
-// marshalWithKeys encodes a message and gives its top keys the names that the table has for them.
+// marshalWithKeys encodes a message as JSON, and renames its top-level keys according to a table.
 func marshalWithKeys(keys map[string]string, message any) ([]byte, error) {
 	content, err := json.Marshal(message)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return renameKeys(content, keys)
 }
 
-// unmarshalWithKeys decodes what marshalWithKeys encoded.
+// unmarshalWithKeys decodes the JSON that marshalWithKeys encoded with the same table.
 func unmarshalWithKeys(keys map[string]string, content []byte, into any) error {
 	names := make(map[string]string, len(keys))
 	for name, key := range keys {
@@ -141,7 +141,7 @@
 	return json.Unmarshal(content, into)
 }
 
-// renameKeys renames the top keys of a JSON object.
+// renameKeys renames the top-level keys of a JSON object.
 func renameKeys(content []byte, renamed map[string]string) ([]byte, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(content, &object); err != nil {
--- a/internal/transport/wire/status_json_test.go
+++ b/internal/transport/wire/status_json_test.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestStatusKeys holds the keys of the status pages to what they were before fields of the messages were renamed, both ways.
+// TestStatusKeys checks that encoding and decoding use the keys that the status pages had before message fields were renamed.
 func TestStatusKeys(t *testing.T) {
 	for _, one := range []struct {
 		name    string
