--- a/internal/discovery/silent_targets_test.go
+++ b/internal/discovery/silent_targets_test.go
@@ -16,8 +16,8 @@
 	targetSeeds = 30
 )
 
-// TestGoneTargetsDelayNobody guards against refreshes that take longer to find the primary the more machines have been replaced. It comes
-// about if the addresses of replaced machines are queried in the same rotation as live ones, and each waits for its timeout.
+// TestGoneTargetsDelayNobody guards against finding the primary more slowly with every machine that was ever replaced. This happened when
+// the addresses of replaced machines were queried in the same rotation as those of live processes, and each query waited for its timeout.
 func TestGoneTargetsDelayNobody(t *testing.T) {
 	for seed := range uint64(targetSeeds) {
 		answered := answersPerRefresh(t, seed)
--- a/internal/registry/breakerstore/sweep.go
+++ b/internal/registry/breakerstore/sweep.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// sweepHalfOpen returns probes to the budget whose lease or session ended, and decides a completed round after decisionTimeout.
+// sweepHalfOpen refunds the probes whose lease or session ended, and decides a completed round after decisionTimeout.
 func sweepHalfOpen(record *wire.BreakerRecord, ended endedSessions, now monotonic.Micros) {
 	remaining := []*wire.ProbeLease{}
 	for _, probe := range record.ProbeLeases {
--- a/internal/registry/directory/departures.go
+++ b/internal/registry/directory/departures.go
@@ -12,8 +12,9 @@
 const departureRetention = monotonic.Minute
 
 // departures maps each backend instance that was announced as leaving to the time until which its departure is kept. A departure is
-// final, but a restart of the proxy on the backend's machine loses it: the next incarnation takes a heartbeat from before the departure for
-// that of a backend in service. The number of departures within departureRetention bounds its size. The directory's lock guards it.
+// final, but the proxy on the backend's machine may lose it when it restarts: to its next incarnation, a late heartbeat from before the
+// departure looks like that of a backend in service. The size is bounded by the departures within departureRetention. The directory's lock
+// guards it.
 type departures map[string]monotonic.Micros
 
 // observe records the departures that a session announces.
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -10,8 +10,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The limits of a lease's duration. The minimum outlasts a failover of the registry, and the maximum prevents that a lost process
-// blocks its role for long.
+// The limits of a lease's duration. A lease must outlast a failover of the registry, but a lost process must not block its role for
+// long.
 const (
 	minDuration = 3 * monotonic.Second
 	maxDuration = 30 * monotonic.Second
