--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -74,7 +74,7 @@
 
 // ready serves GET /ready: it reports whether this process knows a primary, without contacting it.
 func (h *handler) ready(w http.ResponseWriter, _ *http.Request) {
-	if h.resolver.Leader(configstore.Group) == "" {
+	if h.resolver.PrimaryName(configstore.Group) == "" {
 		writeJSON(w, http.StatusServiceUnavailable, readiness{Reason: "no primary is known"})
 		return
 	}
--- a/internal/discovery/resolver_test.go
+++ b/internal/discovery/resolver_test.go
@@ -12,8 +12,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestHealthCheckOmitsPeers checks that the response to a health check is empty, since it is sent for every long request and
-// often between zones, and that any other discover request gets the known processes.
+// TestHealthCheckOmitsPeers checks that the response to a health check is empty, since health checks are sent for every long request and
+// often between zones, and that the response to any other discover request has the known processes.
 func TestHealthCheckOmitsPeers(t *testing.T) {
 	simulated := world.New(1)
 	defer simulated.Close()
@@ -52,7 +52,7 @@
 	}
 }
 
-// addressesOf returns the known addresses of a name, in the order of their rank.
+// addressesOf returns the known addresses of a name, in the order in which calls use them.
 func addressesOf(resolver *Resolver, name string) (addresses []string) {
 	for _, known := range resolver.Peers() {
 		if known.Name == name {
@@ -63,7 +63,7 @@
 }
 
 // TestAddressRanks checks that a new address is ranked second, that a known one keeps its rank, that the last one is dropped beyond
-// maxAddresses, and that the first goes to the end after a failed call.
+// maxAddresses, and that the first one moves to the end after a failed call.
 func TestAddressRanks(t *testing.T) {
 	resolver := New(nil, nil, nil)
 	for _, address := range []string{"a", "b", "c", "a", "d", "e", ""} {
@@ -91,17 +91,17 @@
 		want  string
 	}{{"first", 2, "first"}, {"older", 1, "first"}, {"same", 2, "first"}, {"newer", 3, "newer"}} {
 		resolver.ObservePrimaries([]*wire.Primary{{Group: "group", Epoch: step.epoch, Name: step.name}})
-		if leader := resolver.Leader("group"); leader != step.want {
+		if leader := resolver.PrimaryName("group"); leader != step.want {
 			t.Errorf("after %s the leader is %q, want %q", step.name, leader, step.want)
 		}
 	}
-	if leader := resolver.Leader("other"); leader != "" {
+	if leader := resolver.PrimaryName("other"); leader != "" {
 		t.Errorf("the leader of an unknown group is %q", leader)
 	}
 }
 
-// TestTargetsInTurn checks that Refresh sends requests to its targets in turn and skips those that have not responded yet. Those that
-// did not answer have a turn of their own.
+// TestTargetsInTurn checks that Refresh sends requests to its targets in turn, and skips those that have a request in flight. Targets that
+// did not answer are in a separate rotation.
 func TestTargetsInTurn(t *testing.T) {
 	resolver := New(nil, nil, []string{"a", "b"})
 	resolver.AddPeers([]*wire.PeerAddress{{Name: "one", Address: "c"}, {Name: "two", Address: "a"}})
@@ -124,11 +124,11 @@
 	resolver.releaseTarget("b", true)
 	resolver.releaseTarget("c", false)
 	for _, step := range []struct {
-		silent bool
-		want   string
+		unresponsive bool
+		want         string
 	}{{false, "b"}, {false, ""}, {true, "a"}, {true, "c"}, {true, ""}} {
-		if target := resolver.takeTarget(targets, step.silent); target != step.want {
-			t.Errorf("after a and c were silent: target %q, want %q (silent: %v)", target, step.want, step.silent)
+		if target := resolver.takeTarget(targets, step.unresponsive); target != step.want {
+			t.Errorf("after a and c were unresponsive: target %q, want %q (unresponsive: %v)", target, step.want, step.unresponsive)
 		}
 	}
 }
--- a/internal/discovery/targets.go
+++ b/internal/discovery/targets.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// targetTurns chooses the targets of discover requests: in turn, those that answered their last request, or that were never asked, apart
-// from those that did not answer. Its owner holds a lock.
-type targetTurns struct {
-	pending map[string]bool // targets that have not answered yet
-	silent  map[string]bool // targets that did not answer their last request
-	// nextResponsive and nextSilent count the targets that were passed in each turn.
-	nextResponsive, nextSilent int
+// targetRotation chooses the targets of discover requests in two round-robin rotations: one of the targets that answered their last
+// request or were never queried, and one of the unresponsive targets. The Resolver's lock guards it.
+type targetRotation struct {
+	pending      map[string]bool // targets with a request in flight
+	unresponsive map[string]bool // targets that did not answer their last request
+	// nextResponsive and nextUnresponsive count the targets that each rotation has visited.
+	nextResponsive, nextUnresponsive int
 }
 
-func newTargetTurns() targetTurns {
-	return targetTurns{pending: map[string]bool{}, silent: map[string]bool{}}
+func newTargetRotation() targetRotation {
+	return targetRotation{pending: map[string]bool{}, unresponsive: map[string]bool{}}
 }
 
-// take chooses the next of the silent targets, or of the others, and marks it pending. It skips those that are pending, since others may
-// answer, and returns an empty string if there is no other.
-func (t *targetTurns) take(targets []string, silent bool) string {
+// take chooses the next target of the unresponsive rotation or of the other one, and marks it pending. It skips targets that are already
+// pending, since others may answer, and returns an empty string if none is left.
+func (t *targetRotation) take(targets []string, unresponsive bool) string {
 	next := &t.nextResponsive
-	if silent {
-		next = &t.nextSilent
+	if unresponsive {
+		next = &t.nextUnresponsive
 	}
 	for range targets {
 		target := targets[*next%len(targets)]
 		*next++
-		if t.silent[target] == silent && !t.pending[target] {
+		if t.unresponsive[target] == unresponsive && !t.pending[target] {
 			t.pending[target] = true
 			return target
 		}
@@ -33,17 +33,17 @@
 	return ""
 }
 
-// release marks a target as not pending, so that it may be chosen again, and records whether it answered.
-func (t *targetTurns) release(target string, answered bool) {
+// release marks a target as no longer pending, so that it may be chosen again, and records whether it answered.
+func (t *targetRotation) release(target string, answered bool) {
 	delete(t.pending, target)
 	if answered {
-		delete(t.silent, target)
+		delete(t.unresponsive, target)
 		return
 	}
-	t.silent[target] = true
+	t.unresponsive[target] = true
 }
 
-// targets returns the addresses to send discover requests to: the seeds, then the other known addresses.
+// targets returns the addresses that receive discover requests: the seeds, then the other known addresses.
 func (r *Resolver) targets() []string {
 	r.lock.Lock()
 	targets := slices.Clone(r.seeds)
@@ -57,14 +57,14 @@
 	return targets
 }
 
-func (r *Resolver) takeTarget(targets []string, silent bool) string {
+func (r *Resolver) takeTarget(targets []string, unresponsive bool) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.turns.take(targets, silent)
+	return r.rotation.take(targets, unresponsive)
 }
 
 func (r *Resolver) releaseTarget(target string, answered bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.turns.release(target, answered)
+	r.rotation.release(target, answered)
 }
--- a/internal/registry/directory/directory.go
+++ b/internal/registry/directory/directory.go
@@ -15,25 +15,25 @@
 // SessionTimeout is how long a proxy remains a member after its last poll of any registry.
 const SessionTimeout = 3 * monotonic.Second
 
-// endedSessionRetention is how long an ended session is remembered.
+// endedSessionRetention is how long a session is kept after it was last received, so that an outdated copy does not restore it.
 const endedSessionRetention = 30 * monotonic.Second
 
 // Directory is the table of sessions of one registry process. It is safe for concurrent use.
 //
 // Invariants:
-//   - Of two reports of one incarnation the one with the higher heartbeat wins; of two incarnations the one received last.
-//   - published has the public part of each session that has not ended, and the newest version in history is its content.
+//   - Of two sessions of one incarnation, the one with the higher heartbeat wins. Of two incarnations, the one received last wins.
+//   - published has the public part of each session that has not ended. The newest version in history describes its content.
 type Directory struct {
 	clock     monotonic.Clock
-	source    uint64 // distinguishes the versions of this incarnation from those of any other
+	source    uint64 // distinguishes the versions of this incarnation from those of all others
 	createdAt monotonic.Micros
 
 	lock      sync.Mutex // guards the fields below
 	sessions  map[string]*sessionEntry
-	activity  activityTable // calls that ended
-	demand    activityTable // attempts that wanted admission, granted or not
-	published *resource.Set // of public sessions, by proxy
-	// departures are those of all sessions, also of ended ones. A departed instance is published as leaving whatever its proxy says.
+	activity  activityTable // completed calls
+	demand    activityTable // attempts that requested admission by the breaker, admitted or not
+	published *resource.Set // the public sessions by proxy
+	// departures are those of all sessions, including ended ones. A departed instance is published as leaving, whatever its proxy reports.
 	departures departures
 	history    history
 }
@@ -41,7 +41,7 @@
 type sessionEntry struct {
 	session    *wire.Session
 	receivedAt monotonic.Micros
-	direct     bool // whether the proxy sent it to this registry itself
+	direct     bool // whether the proxy sent it to this registry, and not to another one
 	ended      bool
 }
 
@@ -57,18 +57,18 @@
 	}
 }
 
-// Observe stores a session that a registry received from its proxy session.Age microseconds ago; direct means that it was this
-// registry. It reports whether the proxy has become a member by it. A session older than the present one is ignored.
+// Observe stores a session that a registry received from its proxy session.Age microseconds ago; direct means that this registry did.
+// It reports whether the session made the proxy a member. A session older than the current one is ignored.
 func (d *Directory) Observe(session *wire.Session, direct bool) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
 	receivedAt := now - monotonic.Micros(session.Age)
-	present := d.sessions[session.Proxy]
-	if present != nil && !supersedes(session, receivedAt, present) {
+	current := d.sessions[session.Proxy]
+	if current != nil && !supersedes(session, receivedAt, current) {
 		return false
 	}
-	isNew := present == nil || present.ended || present.session.Incarnation != session.Incarnation
+	isNew := current == nil || current.ended || current.session.Incarnation != session.Incarnation
 	stored := proto.CloneOf(session)
 	stored.Age = 0
 	updated := &sessionEntry{session: stored, receivedAt: receivedAt, direct: direct, ended: now-receivedAt >= SessionTimeout}
@@ -78,23 +78,23 @@
 	return isNew && !updated.ended
 }
 
-// supersedes reports whether a session is newer than the present one of its proxy.
-func supersedes(session *wire.Session, receivedAt monotonic.Micros, present *sessionEntry) bool {
-	if session.Incarnation != present.session.Incarnation || session.Heartbeat == present.session.Heartbeat {
-		return receivedAt > present.receivedAt
+// supersedes reports whether a session is newer than the current one of its proxy.
+func supersedes(session *wire.Session, receivedAt monotonic.Micros, current *sessionEntry) bool {
+	if session.Incarnation != current.session.Incarnation || session.Heartbeat == current.session.Heartbeat {
+		return receivedAt > current.receivedAt
 	}
-	return session.Heartbeat > present.session.Heartbeat
+	return session.Heartbeat > current.session.Heartbeat
 }
 
-// ExtendSessions postpones the end of every session by a duration in which this process could not receive polls, or which only
-// seemed to pass because the clock jumped.
+// ExtendSessions postpones the end of every session by a duration. During this time the process could not receive polls, or the time did
+// not really pass because the clock jumped.
 func (d *Directory) ExtendSessions(duration monotonic.Micros) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
-	for _, present := range d.sessions {
-		if !present.ended {
-			present.receivedAt = min(now, present.receivedAt+duration)
+	for _, entry := range d.sessions {
+		if !entry.ended {
+			entry.receivedAt = min(now, entry.receivedAt+duration)
 		}
 	}
 }
@@ -106,13 +106,13 @@
 	now := d.clock.Now()
 	d.departures.expire(now)
 	for _, name := range d.names() {
-		present := d.sessions[name]
-		if !present.ended && now-present.receivedAt >= SessionTimeout {
-			present.ended = true
+		entry := d.sessions[name]
+		if !entry.ended && now-entry.receivedAt >= SessionTimeout {
+			entry.ended = true
 			d.publish(name)
-			ended = append(ended, &wire.MemberID{Name: name, Incarnation: present.session.Incarnation})
+			ended = append(ended, &wire.MemberID{Name: name, Incarnation: entry.session.Incarnation})
 		}
-		if now-present.receivedAt >= endedSessionRetention {
+		if now-entry.receivedAt >= endedSessionRetention {
 			delete(d.sessions, name)
 		}
 	}
@@ -122,10 +122,10 @@
 // names returns the proxies of all sessions, sorted. The lock is held.
 func (d *Directory) names() []string { return slices.Sorted(maps.Keys(d.sessions)) }
 
-// DirectSessions returns copies of the sessions that proxies sent to this registry themselves, to be sent to the other
-// registries. Age is set.
+// DirectSessions returns copies of the sessions that proxies sent directly to this registry, for exchange with the other registries. Age
+// is set.
 func (d *Directory) DirectSessions() []*wire.Session {
-	return d.copySessions(func(present *sessionEntry) bool { return present.direct })
+	return d.copySessions(func(entry *sessionEntry) bool { return entry.direct })
 }
 
 // Sessions returns copies of all sessions that have not ended, sorted by proxy. Age is set.
@@ -133,18 +133,18 @@
 	return d.copySessions(func(*sessionEntry) bool { return true })
 }
 
-// copySessions returns copies of the sessions that have not ended and are to be included, sorted by proxy, with their Age.
+// copySessions returns copies of the sessions that have not ended and for which include returns true, sorted by proxy. Age is set.
 func (d *Directory) copySessions(include func(*sessionEntry) bool) (sessions []*wire.Session) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	now := d.clock.Now()
 	for _, name := range d.names() {
-		present := d.sessions[name]
-		if present.ended || !include(present) {
+		entry := d.sessions[name]
+		if entry.ended || !include(entry) {
 			continue
 		}
-		copied := proto.CloneOf(present.session)
-		copied.Age = int64(now - present.receivedAt)
+		copied := proto.CloneOf(entry.session)
+		copied.Age = int64(now - entry.receivedAt)
 		for _, backend := range copied.Backends {
 			backend.Condition = d.departures.condition(backend, now)
 		}
@@ -153,8 +153,8 @@
 	return sessions
 }
 
-// Age returns the time since this directory was created, in microseconds. It is above zero, because zero in a response to a poll
-// means that the field is absent.
+// Age returns the time since this directory was created, in microseconds. It is never zero, because zero in a poll response means that
+// the field is absent.
 func (d *Directory) Age() monotonic.Micros {
 	return max(1, d.clock.Now()-d.createdAt)
 }
@@ -163,8 +163,8 @@
 func (d *Directory) LiveCount() (count int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	for _, present := range d.sessions {
-		if present.live() {
+	for _, entry := range d.sessions {
+		if entry.live() {
 			count++
 		}
 	}
