--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -66,7 +66,7 @@
 	deadline := s.host.Now() + timeout
 	probe := &wire.ConfigReadRequest{Version: math.MaxUint64}
 	for {
-		leader := s.resolver.Leader(configstore.Group)
+		leader := s.resolver.PrimaryName(configstore.Group)
 		limit := max(minProbeTimeout, min(maxProbeTimeout, deadline-s.host.Now()))
 		if leader != "" && s.resolver.Call(leader, wire.Kind_config_read, probe, &wire.ConfigReadResponse{}, limit) == nil {
 			return true
--- a/internal/configstore/storetest/storetest.go
+++ b/internal/configstore/storetest/storetest.go
@@ -80,4 +80,4 @@
 func (c *Cluster) Run(duration monotonic.Micros) { c.World.Run(c.World.Now() + duration) }
 
 // Leader returns the name of the primary that the outside process knows, or an empty string.
-func (c *Cluster) Leader() string { return c.Resolver.Leader(configstore.Group) }
+func (c *Cluster) Leader() string { return c.Resolver.PrimaryName(configstore.Group) }
