--- a/internal/replication/addresses.go
+++ b/internal/replication/addresses.go
@@ -8,16 +8,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-// This file keeps the voters' addresses in the register. Whoever learns that a process votes learns in the same message where it is
-// called: a voter that others can't call is no help to them, however many they count.
+// This file keeps the voters' addresses in the register. A message that names a voter also carries its address, because a voter
+// that others can't reach doesn't help them to form a quorum.
 
-// learnAddresses passes the voters' addresses in a register value on to the resolver. A nil value has none.
+// learnAddresses adds the voters' addresses in a register value to the resolver. A nil value has none.
 func (m *Member) learnAddresses(value *wire.RegisterValue) {
 	m.resolver.AddPeers(value.GetVoterAddresses())
 }
 
-// withVoterAddresses returns a function that does what alter does and adds the addresses of the voters to the value. It leaves out
-// voters whose address is neither known here nor in the value that is replaced.
+// withVoterAddresses wraps alter to add the voters' addresses to the value it returns. A voter is left out if its address is neither
+// known to the resolver nor in the value that is replaced.
 func (m *Member) withVoterAddresses(alter alterFunc) alterFunc {
 	return func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		altered, err := alter(value)
@@ -31,7 +31,7 @@
 	}
 }
 
-// addressesOf returns the known addresses of some processes, sorted by name.
+// addressesOf returns the known addresses of the named processes, sorted by name.
 func (m *Member) addressesOf(names []string) []*wire.PeerAddress {
 	return slices.DeleteFunc(m.resolver.Peers(), func(known *wire.PeerAddress) bool { return !slices.Contains(names, known.Name) })
 }
--- a/internal/replication/backups.go
+++ b/internal/replication/backups.go
@@ -10,12 +10,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// recruitInterval is how often a primary with fewer backups than wanted looks for more.
-const recruitInterval = 2 * monotonic.Second
+// addBackupsInterval is how often a primary with fewer backups than wanted looks for more.
+const addBackupsInterval = 2 * monotonic.Second
 
-// establishBackups brings backups into step and proposes an epoch that names them; only then does this primary serve. There may
-// be fewer than wanted if no further voter can be brought into step, but there is at least one. failed are backups that have just failed,
-// which are taken last. It reports whether this member serves.
+// establishBackups brings backups up to date and proposes an epoch that names them; only then does this primary serve. There may
+// be fewer backups than wanted if no other voter can be brought up to date, but there is at least one. The backups in failed have
+// just failed and are tried last. It reports whether this member serves.
 func (m *Member) establishBackups(failed []*wire.MemberID) bool {
 	m.mu.Lock()
 	state, known := m.leadership, m.register.value
@@ -24,8 +24,8 @@
 		return false
 	}
 	began := m.host.Now()
-	// A new backup's bound on the leader clock begins at this time. It must have been reached, and must not be before any time
-	// that was served.
+	// A new backup's bound on the leader clock starts at this time, which must have been reached and must not be before any time
+	// that was already served.
 	var clock monotonic.Micros
 	m.replicaExecutor.Run(func() { clock = m.replica.advanceClock(state.clock.confirmed(began)) })
 	backups, lastResort := m.installBackups(state.epoch, m.backupCandidates(known, failed), failed)
@@ -36,7 +36,7 @@
 	if !proposed {
 		return false
 	}
-	m.replicaExecutor.Run(func() { m.replica.moveToEpoch(state.epoch) }) // as the backups did on installing
+	m.replicaExecutor.Run(func() { m.replica.moveToEpoch(state.epoch) }) // as the backups did when they installed the state
 	next := leadership{
 		epoch: value.Epoch, proposal: proposal, register: value, backups: backups, lastResort: lastResort,
 		clock: primaryClock{base: clock, baseAt: began, confirmedAt: began},
@@ -51,7 +51,7 @@
 	return m.startServing(value.Epoch, backups)
 }
 
-// proposeBackups proposes the epoch after a given one, in which some backups are in sync. If that fails, this member steps down:
+// proposeBackups proposes the epoch after the given one, with the given backups in sync. If that fails, this member steps down:
 // whether the proposal took effect may be unknown, so the register has to be read again.
 func (m *Member) proposeBackups(epoch uint64, backups []*wire.MemberID) (value *wire.RegisterValue, proposal uint64, ok bool) {
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
@@ -77,8 +77,8 @@
 	return value, proposal, true
 }
 
-// continueLeadership goes on from one epoch to the next, unless this member has stepped down meanwhile. The lease and the time
-// at which the leadership began stay.
+// continueLeadership moves from one epoch to the next, unless this member has stepped down meanwhile. It keeps the lease and the
+// time at which the leadership began.
 func (m *Member) continueLeadership(epoch uint64, next leadership) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,7 +92,7 @@
 	return true
 }
 
-// startServing lets this member serve an epoch if it has a lease.
+// startServing makes this member serve an epoch if it holds a valid lease, and reports whether it does.
 func (m *Member) startServing(epoch uint64, backups []*wire.MemberID) bool {
 	m.mu.Lock()
 	serving := m.leadership.epoch == epoch && m.host.Now() < m.leadership.leaseUntil
@@ -105,7 +105,7 @@
 	return serving
 }
 
-// dropBackups makes this primary stop serving until other backups are in sync.
+// dropBackups stops this primary from serving until it has established backups again. It reports the given ones as lost.
 func (m *Member) dropBackups(backups []*wire.MemberID, reason string) {
 	for _, backup := range backups {
 		m.host.Report(eventlog.BackupLost, eventlog.Attributes{"group": m.config.Group, "backup": backup.Name, "error": reason})
@@ -115,21 +115,22 @@
 	m.leadership.serving, m.leadership.backups = false, nil
 }
 
-// recruitBackups looks for more backups, if there are fewer than wanted.
-func (m *Member) recruitBackups() {
+// addBackups looks for more backups if there are fewer than wanted.
+func (m *Member) addBackups() {
 	now := m.host.Now()
 	state := m.currentLeadership()
-	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.commitTimes.recruitment < recruitInterval {
+	if !state.serving || len(state.backups) >= m.config.Replicas-1 || now-m.commitTimes.addBackups < addBackupsInterval {
 		return
 	}
-	m.commitTimes.recruitment = now
+	m.commitTimes.addBackups = now
 	if m.hasSpareVoter(state.backups) {
 		m.dropBackups(nil, "")
 		m.establishBackups(nil)
 	}
 }
 
-// hasSpareVoter reports whether a voter that is in contact, isn't a backup and isn't leaving could become a backup now.
+// hasSpareVoter reports whether there is a reachable voter that has responded within a lease's duration, isn't a backup and isn't
+// leaving, so that it could become a backup now.
 func (m *Member) hasSpareVoter(backups []*wire.MemberID) bool {
 	now := m.host.Now()
 	backupNames := consensus.MemberNames(backups)
@@ -143,15 +144,15 @@
 	})
 }
 
-// isReachable probes a voter by a small request.
+// isReachable probes a voter with a small request.
 func (m *Member) isReachable(name string) bool {
 	_, err := m.readRegister(name)
 	return err == nil
 }
 
-// backupCandidates returns the other voters in the order in which they are tried as backups: the tie-breaker, so that its half
-// of an even split has a replica; the present backups; other voters; those that haven't responded for a lease's duration; and
-// last those that have just failed or are leaving. A voter that the change in flight removes is left out.
+// backupCandidates returns the other voters in the order in which they are tried as backups: the tie-breaker, so that its side
+// of an even split has a replica; the current backups; other voters; those that haven't responded for a lease's duration; and
+// last those that have just failed or are leaving. A voter that a membership change in progress removes is left out.
 func (m *Member) backupCandidates(known *wire.RegisterValue, failed []*wire.MemberID) []string {
 	current, _ := m.knownConfig()
 	tieBreaker := current.Voters.TieBreaker()
--- a/internal/replication/calls.go
+++ b/internal/replication/calls.go
@@ -9,18 +9,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// call sends a request that is answered without waiting for a disk.
+// call sends a request whose handler doesn't wait for a disk.
 func (m *Member) call(name string, kind wire.Kind, request, response proto.Message) error {
 	return m.resolver.Call(name, kind, request, response, m.config.CallTimeout)
 }
 
-// callVoter sends a request that a voter answers after a sync, and records that it responded. The timeout leaves time for a
-// slow disk: without the voter it belongs to there may be no quorum.
+// callVoter sends a request that a voter answers after a sync, and records that the voter responded. The timeout allows for a
+// slow disk, because there may be no quorum without that voter.
 func (m *Member) callVoter(name string, kind wire.Kind, request, response proto.Message) error {
-	return m.callVoterWithin(name, kind, request, response, m.config.LeaseDuration)
+	return m.callVoterWithTimeout(name, kind, request, response, m.config.LeaseDuration)
 }
 
-func (m *Member) callVoterWithin(name string, kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
+func (m *Member) callVoterWithTimeout(name string, kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	err := m.resolver.Call(name, kind, request, response, timeout)
 	if err == nil {
 		m.recordResponse(name)
@@ -28,8 +28,8 @@
 	return err
 }
 
-// gather calls some processes at once and returns the responses that came before enough reported true, or the timeout. A nil
-// enough waits for all.
+// gather calls the named processes concurrently and returns the responses received until enough returns true or the timeout
+// passes. If enough is nil, it waits for all of them.
 func gather[Response any](m *Member, names []string, timeout monotonic.Micros, call func(name string) (Response, error),
 	enough func(responses map[string]Response) bool) map[string]Response {
 	return host.Gather(m.host, names, timeout, call, func(responses map[string]Response, _ int) bool {
@@ -37,11 +37,11 @@
 	})
 }
 
-// granting is a response that grants a request or doesn't.
-type granting interface{ GetGranted() bool }
+// grantResponse is a response that grants or rejects a request.
+type grantResponse interface{ GetGranted() bool }
 
-// grantedBy returns the names of those whose response grants a request.
-func grantedBy[Response granting](responses map[string]Response) (names []string) {
+// grantedBy returns the names of the processes whose responses grant the request.
+func grantedBy[Response grantResponse](responses map[string]Response) (names []string) {
 	for name, response := range responses {
 		if response.GetGranted() {
 			names = append(names, name)
@@ -50,5 +50,5 @@
 	return names
 }
 
-// HasQuorum reports whether some names include a quorum of a group's voters.
+// HasQuorum reports whether names includes a quorum of a group's voters.
 func HasQuorum(voters, names []string) bool { return quorum.Voters(voters).HasQuorum(names) }
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -11,18 +11,19 @@
 // installTimeout is how long a snapshot may take to reach a new backup and be synced there.
 const installTimeout = 5 * monotonic.Second
 
-// installBackups brings as many candidates into step as backups are wanted. lastResort is set if one of them had just failed.
+// installBackups brings candidates up to date until there are as many backups as wanted. lastResort is set if one of these backups
+// is among the failed ones.
 func (m *Member) installBackups(epoch uint64, candidates []string, failed []*wire.MemberID) (backups []*wire.MemberID, lastResort bool) {
 	failedNames := consensus.MemberNames(failed)
 	for len(candidates) > 0 && len(backups) < m.config.Replicas-1 {
 		name := m.preferOtherZone(candidates, backups)
 		candidates = slices.DeleteFunc(candidates, func(candidate string) bool { return candidate == name })
-		// A voter that doesn't respond to a small request isn't sent a large one.
+		// Don't send a large request to a voter that doesn't respond to a small one.
 		register, err := m.readRegister(name)
 		if err != nil {
 			continue
 		}
-		backup, stored := m.bringIntoStep(name, epoch, register)
+		backup, stored := m.catchUpBackup(name, epoch, register)
 		if !stored {
 			continue
 		}
@@ -32,7 +33,7 @@
 	return backups, lastResort
 }
 
-// preferOtherZone returns the first candidate in a zone without a replica, or else the first. There must be one.
+// preferOtherZone returns the first candidate in a zone without a replica, or else the first candidate. There must be at least one.
 func (m *Member) preferOtherZone(candidates []string, backups []*wire.MemberID) string {
 	if m.config.Zone == nil {
 		return candidates[0]
@@ -49,9 +50,9 @@
 	return candidates[0]
 }
 
-// bringIntoStep sends a replica the entries that it lacks, or a snapshot if those aren't known or it doesn't take them. It
-// returns the replica's ID, and whether it has stored them.
-func (m *Member) bringIntoStep(name string, epoch uint64, register *wire.RegisterReadResponse) (backup *wire.MemberID, stored bool) {
+// catchUpBackup sends a replica the entries that it lacks, or a snapshot if they are no longer in memory or the replica rejects
+// them. It returns the replica's ID, and whether the replica has stored what was sent.
+func (m *Member) catchUpBackup(name string, epoch uint64, register *wire.RegisterReadResponse) (backup *wire.MemberID, stored bool) {
 	install := func(request *wire.InstallSnapshotRequest) bool {
 		request.To, request.From, request.Epoch = name, m.self(), epoch
 		response := &wire.InstallSnapshotResponse{}
@@ -66,7 +67,7 @@
 	return backup, stored
 }
 
-// missingEntries returns a request with the entries that a replica lacks, nil if they aren't known any more.
+// missingEntries returns a request with the entries that a replica lacks, or nil if they are no longer in memory.
 func (m *Member) missingEntries(register *wire.RegisterReadResponse) (request *wire.InstallSnapshotRequest) {
 	if !register.HasReplica || register.ReplicaSequence == 0 {
 		return nil
@@ -83,7 +84,7 @@
 	return request
 }
 
-// takeSnapshot returns the whole state as applied here.
+// takeSnapshot returns the whole state as applied to the local replica.
 func (m *Member) takeSnapshot() (snapshot *wire.Snapshot) {
 	m.replicaExecutor.Run(func() { snapshot = m.replica.snapshot() })
 	return snapshot
--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// tickInterval is how often a command without content is committed while the state machine has timers.
+	// tickInterval is how often an empty command (a tick) is committed while the state machine has timers.
 	tickInterval = monotonic.Second
-	// maxFailures is how many consecutive heartbeats a backup may fail before it is replaced.
+	// maxFailures is the number of consecutive failed heartbeats after which a backup is replaced.
 	maxFailures = 3
 )
 
-// wakeCommits wakes the task that commits, without a command.
+// wakeCommits wakes the commit loop without a command.
 func (m *Member) wakeCommits() { m.writes.Put(nil) }
 
-// commitTimes is when the commit loop last did each thing that it does by time. Only the task of that loop uses it.
+// commitTimes holds when the commit loop last did each of its periodic tasks. Only that loop uses it.
 type commitTimes struct {
-	// tick is when a command without content was committed last, batch when any batch was sent to the backups.
+	// tick is when an empty command was last committed, and batch when any batch was last sent to the backups.
 	tick, batch monotonic.Micros
-	// relief is when something was done about a slow disk, recruitment when more backups were looked for.
-	relief, recruitment monotonic.Micros
+	// slowDiskAction is when this primary last acted on a slow disk, and addBackups when it last looked for more backups.
+	slowDiskAction, addBackups monotonic.Micros
 }
 
-// runCommits runs until the process ends. At a primary it establishes backups, commits batches of commands, sends the backups
-// heartbeats and replaces those that are lost. At other members it rejects commands.
+// runCommits is the commit loop, which runs until the process ends. At a primary it establishes backups, commits batches of
+// commands, sends the backups heartbeats and replaces those that are lost. At other members it rejects commands.
 func (m *Member) runCommits() {
 	wait := m.config.HeartbeatInterval
 	for {
@@ -35,7 +35,7 @@
 	}
 }
 
-// commitStep does what is due, and returns after how long something else is due at the latest.
+// commitStep does what is due, and returns the time until the next step is due at the latest.
 func (m *Member) commitStep(batch []*writeRequest) (due monotonic.Micros) {
 	now := m.host.Now()
 	state := m.currentLeadership()
@@ -48,19 +48,19 @@
 		m.establishBackups(nil)
 		return m.config.HeartbeatInterval
 	}
-	// Three renewals may take a little less than the tick interval.
+	// Half a renewal interval of tolerance, because three renewals may take slightly less than the tick interval.
 	if len(batch) == 0 && now-m.commitTimes.tick >= tickInterval-m.config.renewInterval()/2 && m.hasTimers() {
 		m.commitTimes.tick = now
 		batch = []*writeRequest{{done: m.host.NewSignal()}}
 	}
 	if since := now - m.commitTimes.batch; len(batch) == 0 && since >= 0 && since < m.config.renewInterval() {
 		m.replaceLeavingBackups()
-		return m.config.renewInterval() - since // the backups have received a batch since
+		return m.config.renewInterval() - since // the backups need no heartbeat: they have received a batch within the interval
 	}
 	m.commitTimes.batch = now
 	m.commit(state, batch)
 	m.replaceLeavingBackups()
-	m.recruitBackups()
+	m.addBackups()
 	return m.config.renewInterval()
 }
 
@@ -71,17 +71,17 @@
 }
 
 // commit replicates a batch of commands to every replica and applies it. An empty batch is a heartbeat. state is the
-// leadership as it was when the batch was taken: one that ends meanwhile must not change what is written.
+// leadership at the time the batch was taken, so that a change of leadership meanwhile doesn't affect what is written.
 func (m *Member) commit(state leadership, batch []*writeRequest) {
 	state = m.confirmClock(state)
 	request := m.newReplicateRequest(state, batch)
 	replication := m.replicate(state, request)
-	localErr := m.appendOwn(state.epoch, request)
+	localErr := m.appendLocal(state.epoch, request)
 	replication.wait()
 	if localErr != nil {
 		// A backup may have entries that this replica lacks, so this member can't lead this epoch any longer.
 		completeWrites(batch, ErrUnknown)
-		m.transferLeadership(reasonOwnDiskFailed+localErr.Error(), "")
+		m.transferLeadership(reasonLocalDiskFailed+localErr.Error(), "")
 		return
 	}
 	if failed, err := replication.failures(); err != nil {
@@ -96,11 +96,11 @@
 	m.mu.Unlock()
 	m.completeBatch(batch, m.applyPending(), state.epoch)
 	if len(batch) > 0 {
-		m.relieveSlowDisks(state.backups, replication.slowerThan(m.config.SlowSyncThreshold))
+		m.handleSlowDisks(state.backups, replication.slowerThan(m.config.SlowSyncThreshold))
 	}
 }
 
-// newReplicateRequest makes a batch's entries, which follow this replica's position.
+// newReplicateRequest returns a request with a batch's entries, which follow the position of the local replica.
 func (m *Member) newReplicateRequest(state leadership, batch []*writeRequest) *wire.ReplicateRequest {
 	now := state.clock.at(m.host.Now())
 	request := &wire.ReplicateRequest{From: m.self(), Epoch: state.epoch, LeaderClock: int64(now)}
@@ -116,8 +116,8 @@
 	return request
 }
 
-// appendOwn appends a request's entries to this member's own journal. They are applied once the backups have them too.
-func (m *Member) appendOwn(epoch uint64, request *wire.ReplicateRequest) (err error) {
+// appendLocal appends a request's entries to the local journal. They are applied once the backups have stored them too.
+func (m *Member) appendLocal(epoch uint64, request *wire.ReplicateRequest) (err error) {
 	if len(request.Entries) == 0 {
 		return nil
 	}
@@ -131,8 +131,8 @@
 	return err
 }
 
-// handleFailedBackups replaces backups that failed a batch. The batch is part of what the next backups get, so it is
-// acknowledged once they are in sync. Fewer than maxFailures failed heartbeats in a row are ignored.
+// handleFailedBackups replaces backups that failed a batch. The state that the new backups receive includes the batch, so it is
+// acknowledged once they are in sync. Fewer than maxFailures consecutive failed heartbeats are ignored.
 func (m *Member) handleFailedBackups(state leadership, batch []*writeRequest, failed []*wire.MemberID, cause error) {
 	m.mu.Lock()
 	m.leadership.failures++
@@ -150,13 +150,13 @@
 	}
 }
 
-// applyPending applies the entries that are synced here and not applied yet, and returns their results.
+// applyPending applies the entries that are synced locally but not applied yet, and returns their results.
 func (m *Member) applyPending() (results [][]byte) {
 	m.replicaExecutor.Run(func() { results = m.replica.applyPending() })
 	return results
 }
 
-// completeBatch returns the results of a batch, unless the lease has ended meanwhile.
+// completeBatch passes the results of a batch to its callers, or ErrUnknown if this member has stopped serving meanwhile.
 func (m *Member) completeBatch(batch []*writeRequest, results [][]byte, epoch uint64) {
 	if !m.Serving() || m.Epoch() < epoch || len(results) != len(batch) {
 		completeWrites(batch, ErrUnknown)
--- a/internal/replication/config.go
+++ b/internal/replication/config.go
@@ -8,63 +8,63 @@
 
 // StateMachine is the state that a group replicates. Its methods are called one at a time and must not block.
 type StateMachine interface {
-	// Apply executes a command at a time of the leader clock and returns its result. An empty command is a tick. It must be
+	// Apply executes a command at the leader clock's time now and returns its result. An empty command is a tick. Apply must be
 	// deterministic: every replica applies the same commands in the same order.
 	Apply(epoch uint64, now monotonic.Micros, command []byte) []byte
 	// Snapshot returns the whole state. Restore replaces it; nil content is the empty state.
 	Snapshot() []byte
 	Restore(content []byte) error
-	// HasTimers reports whether the state depends on the passing of time, so that ticks must be committed.
+	// HasTimers reports whether the state changes as time passes, so that ticks must be committed.
 	HasTimers() bool
 }
 
-// Config is a member's settings. Durations that are zero get the defaults of SetDefaults.
+// Config holds a member's settings. SetDefaults replaces zero durations by defaults.
 type Config struct {
 	Host     host.Host
 	Resolver *discovery.Resolver
 	// Group is the group's name, which begins the names of its files. Name is this process's name, unique in the group.
 	Group, Name string
-	// InitialVoters are the voters of the group's first start, alike in the settings of all members. Later ones are in the
-	// register.
+	// InitialVoters are the voters at the group's first start; the settings of all members must name the same ones. Later voters
+	// are in the register.
 	InitialVoters []string
 	// Bootstrap permits this process to take part in the group's first start. Without it, a process that has no register
 	// waits to be added by the primary.
 	Bootstrap    bool
 	StateMachine StateMachine
-	// Replicas is how many replicas, the primary's among them, sync a write before it is acknowledged: one more than the
-	// machines that may be lost at once. The least is two.
+	// Replicas is how many replicas, the primary's included, sync a write before it is acknowledged: one more than the
+	// number of machines that may be lost at once. The minimum is two.
 	Replicas int
 	// VoterCount is the number of voters wanted. The default is 2*Replicas-1, so that a quorum survives the loss of as many
 	// machines, or the number of initial voters if that is higher.
 	VoterCount int
-	// VoterTimeout is how long a voter may be silent before a standby replaces it.
+	// VoterTimeout is how long a voter may be unresponsive before a standby replaces it.
 	VoterTimeout monotonic.Micros
-	// Zone returns the failure domain of a process, empty if it isn't known; replicas and voters are spread over zones. It
-	// may be nil.
+	// Zone returns the failure domain of a process, or an empty string if it is unknown. Replicas and voters are spread over
+	// zones. Zone may be nil.
 	Zone func(name string) string
-	// LeaseDuration is how long a lease granted to a primary is valid. It is alike at all members.
+	// LeaseDuration is how long a lease granted to a primary is valid. It must be the same at all members.
 	LeaseDuration monotonic.Micros
-	// HeartbeatInterval is the basic interval of the election timeouts; CallTimeout is the timeout of a call that doesn't wait
+	// HeartbeatInterval is the base interval of the election timeouts. CallTimeout is the timeout of a call that doesn't wait
 	// for a disk.
 	HeartbeatInterval, CallTimeout monotonic.Micros
-	// SlowSyncThreshold is how long a sync may take before a disk counts as slow. After three slow batches in a row the
-	// primary transfers its leadership or takes another backup.
+	// SlowSyncThreshold is how long a sync may take before a disk counts as slow. After three consecutive slow batches the
+	// primary transfers its leadership or replaces the backup.
 	SlowSyncThreshold monotonic.Micros
 	// CompactionThreshold is the size in bytes from which the journal may be compacted.
 	CompactionThreshold int64
-	// OnServing, unless nil, is called whenever this member is about to serve as primary.
+	// OnServing, if not nil, is called whenever this member is about to serve as primary.
 	OnServing func(epoch uint64, now monotonic.Micros)
-	// HandoverState, unless nil, returns what a primary that transfers its leadership passes on besides the state.
-	// OnHandover, unless nil, takes that content at the successor, with the epoch of the previous primary.
+	// HandoverState, if not nil, returns what a primary that transfers its leadership passes on in addition to the replicated
+	// state. OnHandover, if not nil, receives that content at the successor, with the epoch of the previous primary.
 	HandoverState func() []byte
 	OnHandover    func(epoch uint64, content []byte)
 
-	// Defects, which only tests of the checkers set.
+	// The fields below inject defects. Only tests set them, to verify that the checkers detect the defects.
 
-	// UnverifiedClock lets the leader clock follow the primary's clock without a bound by its backups.
+	// UnverifiedClock lets the leader clock follow the primary's clock without the bound set by the backups.
 	UnverifiedClock bool
-	// IgnoreLease lets a primary serve without a lease, AnyVoterMayLead any voter campaign without regard to its replica, and
-	// LeaveAtOnce a graceful shutdown leave its replica and vote behind.
+	// IgnoreLease lets a primary serve without a lease. AnyVoterMayLead lets any voter campaign, whatever the state of its replica.
+	// LeaveAtOnce lets a graceful shutdown end without handing over the replica and the vote.
 	IgnoreLease, AnyVoterMayLead, LeaveAtOnce bool
 }
 
@@ -79,7 +79,7 @@
 	minReplicas                = 2
 )
 
-// SetDefaults replaces zero values by the defaults.
+// SetDefaults replaces zero values by the defaults and raises Replicas to its minimum.
 func (c *Config) SetDefaults() {
 	setDefault(&c.LeaseDuration, defaultLeaseDuration)
 	setDefault(&c.HeartbeatInterval, defaultHeartbeatInterval)
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// quorumNotFree is the value of quorumFreeSince while no quorum is free, as far as this member knows.
-	quorumNotFree = monotonic.Micros(-1)
+	// quorumUnavailable is the value of quorumFreeSince while no quorum is free, as far as this member knows.
+	quorumUnavailable = monotonic.Micros(-1)
 	// maxPollInterval bounds how long the election loop waits without being woken.
 	maxPollInterval = monotonic.Minute
 )
 
 // electionTimer is what the election loop remembers between its steps.
 type electionTimer struct {
-	// quorumFreeSince is since when a quorum of voters has been free to promise this member a proposal, or quorumNotFree.
-	quorumFreeSince monotonic.Micros
+	// quorumAvailableSince is since when a quorum of voters has been free to promise this member a proposal, or quorumNotFree.
+	quorumAvailableSince monotonic.Micros
 }
 
 // runElections runs until the process ends. A member without a register joins; a primary renews its lease and changes the
 // membership; any other member campaigns if the primary is silent.
 func (m *Member) runElections() {
-	timer := electionTimer{quorumFreeSince: quorumNotFree}
+	timer := electionTimer{quorumAvailableSince: quorumUnavailable}
 	wait := m.config.pollInterval()
 	for {
 		m.wakeup.Wait(wait)
@@ -58,7 +58,7 @@
 		}
 		m.host.Sleep(m.config.standbyInterval())
 	case silence <= m.config.LeaseDuration && !coldStart || m.otherLeaseRemaining() > 0:
-		timer.quorumFreeSince = quorumNotFree
+		timer.quorumAvailableSince = quorumUnavailable
 	default:
 		return m.considerCampaign(timer, silence)
 	}
@@ -74,11 +74,11 @@
 	backup := consensus.ContainsMember(consensus.BackupsOf(value), m.self())
 	free, wait := m.quorumAvailable()
 	if now := m.host.Now(); !free {
-		timer.quorumFreeSince = quorumNotFree
-	} else if timer.quorumFreeSince == quorumNotFree {
-		timer.quorumFreeSince = now
+		timer.quorumAvailableSince = quorumUnavailable
+	} else if timer.quorumAvailableSince == quorumUnavailable {
+		timer.quorumAvailableSince = now
 	}
-	freeForLong := m.host.Now()-timer.quorumFreeSince >= m.config.HeartbeatInterval
+	freeForLong := m.host.Now()-timer.quorumAvailableSince >= m.config.HeartbeatInterval
 	mayCampaignEarly := value != nil && free && (backup || m.mayReclaim(value) || freeForLong)
 	if mayCampaignEarly || silence > m.electionTimeout(value, backup)+m.jitter(m.config.HeartbeatInterval) {
 		m.campaign(value)
@@ -92,7 +92,7 @@
 func (m *Member) electionTimeout(value *wire.RegisterValue, backup bool) monotonic.Micros {
 	switch {
 	case value == nil:
-		return m.config.firstElectionTimeout(m.initialRank())
+		return m.config.bootstrapElectionTimeout(m.initialRank())
 	case backup:
 		return m.config.backupElectionTimeout()
 	}
@@ -161,7 +161,7 @@
 	m.endColdStart()
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		if value == nil {
-			return m.firstValue(known)
+			return m.bootstrapValue(known)
 		}
 		return m.nextEpochValue(value)
 	})
@@ -185,8 +185,8 @@
 	m.wakeCommits() // to establish backups
 }
 
-// firstValue returns the register value of a group's first start. It fails if a value is known that no voter reported.
-func (m *Member) firstValue(known *wire.RegisterValue) (*wire.RegisterValue, error) {
+// bootstrapValue returns the register value of a group's first start. It fails if a value is known that no voter reported.
+func (m *Member) bootstrapValue(known *wire.RegisterValue) (*wire.RegisterValue, error) {
 	if known != nil {
 		return nil, errRegisterChanged
 	}
--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -19,21 +19,21 @@
 	errNoQuorum = errors.New("replication: no quorum")
 	// errRegisterChanged: the register holds another value than the one that was to be changed.
 	errRegisterChanged = errors.New("replication: the register holds another value")
-	// errBackupSilent: a backup responded neither to a batch nor to a probe.
-	errBackupSilent = errors.New("no response to a batch and a probe")
+	// errBackupUnresponsive: a backup responded neither to a batch nor to a probe.
+	errBackupUnresponsive = errors.New("no response to a batch and a probe")
 	// errReplicaOverwritten: another primary has written to this member's replica.
 	errReplicaOverwritten = errors.New("another primary wrote to this replica")
-	// errOutOfOrder: a journal has a record that doesn't follow the one before it.
-	errOutOfOrder = errors.New("record out of order")
+	// errRecordOutOfOrder: a journal has a record that doesn't follow the one before it.
+	errRecordOutOfOrder = errors.New("record out of order")
 )
 
 // Reasons for which a replica rejects entries or a snapshot. They are sent as the Reason of a response, and reasonClockAhead
 // is compared by the primary, so the texts stay as they are.
 const (
-	reasonOtherReplica = "another copy"
-	reasonOlderEpoch   = "an older epoch"
-	reasonNotInStep    = "not in step"
-	reasonClockAhead   = "holder time is ahead of what passed here"
+	reasonOtherReplica     = "another copy"
+	reasonOlderEpoch       = "an older epoch"
+	reasonPositionMismatch = "not in step"
+	reasonClockAhead       = "holder time is ahead of what passed here"
 )
 
 // Reasons for which a member stops leading or drops a backup, for the event log.
@@ -41,8 +41,8 @@
 	reasonNewerEpoch        = "a newer epoch began"
 	reasonNoQuorumForBackup = "no quorum for a new backup"
 	reasonNewerPrimary      = "a newer primary wrote to this replica"
-	reasonOwnDiskSlow       = "own disk is slow"
-	reasonOwnDiskFailed     = "own disk: " // the error follows
+	reasonLocalDiskSlow     = "own disk is slow"
+	reasonLocalDiskFailed   = "own disk: " // the error follows
 	reasonBackupDiskSlow    = "its disk is slow"
 	reasonPreferredBackup   = "another backup is preferred"
 	reasonBackupLeaving     = "it is shutting down"
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -95,7 +95,7 @@
 		}
 		m.observeRegister(response.Proposal, response.Value)
 		if response.Accepted {
-			m.enrol(hasRegister, primary, response)
+			m.adoptPrimaryRegister(hasRegister, primary, response)
 			return true
 		}
 	}
@@ -119,8 +119,8 @@
 	return slices.DeleteFunc(slices.Compact(names), func(name string) bool { return name == "" })
 }
 
-// enrol begins with the register of the primary that has accepted this process as a standby, unless it has a register or votes already.
-func (m *Member) enrol(hasRegister bool, primary string, response *wire.JoinResponse) {
+// adoptPrimaryRegister begins with the register of the primary that has accepted this process as a standby, unless it has a register or votes already.
+func (m *Member) adoptPrimaryRegister(hasRegister bool, primary string, response *wire.JoinResponse) {
 	if hasRegister || response.Value == nil || m.configOf(response.Value).Contains(m.config.Name) {
 		return
 	}
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// yieldToEpoch ends a leadership that a later epoch of another primary has superseded.
-func (m *Member) yieldToEpoch(epoch uint64) {
+// stepDownIfSuperseded ends a leadership that a later epoch of another primary has superseded.
+func (m *Member) stepDownIfSuperseded(epoch uint64) {
 	if own := m.Epoch(); own != 0 && own < epoch {
 		m.stepDown(own, reasonNewerPrimary)
 	}
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -101,7 +101,7 @@
 			return m.handleLease(request)
 		}
 		response := &wire.LeaseResponse{}
-		return response, m.callVoterWithin(name, wire.Kind_lease, request, response, timeout)
+		return response, m.callVoterWithTimeout(name, wire.Kind_lease, request, response, timeout)
 	}, func(responses map[string]*wire.LeaseResponse) bool {
 		return config.HasQuorum(grantedBy(responses))
 	})
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -67,16 +67,16 @@
 		m.wakeCommits() // to replace the backup
 		return &wire.JoinResponse{Released: !m.hasSpareVoter(state.backups)}
 	}
-	released := state.serving && m.voteMayGo(name, now-state.since)
+	released := state.serving && m.canReleaseVote(name, now-state.since)
 	if !released {
 		m.wakeup.Fire()
 	}
 	return &wire.JoinResponse{Released: released}
 }
 
-// voteMayGo reports whether a leaving process has no vote that a standby could take. A primary that has led for less than
+// canReleaseVote reports whether a leaving process has no vote that a standby could take. A primary that has led for less than
 // standbyReportInterval may not know of all standbys yet.
-func (m *Member) voteMayGo(name string, ledFor monotonic.Micros) bool {
+func (m *Member) canReleaseVote(name string, ledFor monotonic.Micros) bool {
 	observed := m.observeMembership()
 	if observed.config.IsJoint() {
 		return false
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -29,10 +29,10 @@
 func (m *Member) quorumAvailable() (free bool, wait monotonic.Micros) {
 	current, _ := m.knownConfig()
 	now := m.host.Now()
-	freeAt := m.voterFreeAt(now)
+	freeAt := m.localVoterAvailableAt(now)
 	m.mu.Lock()
 	for _, name := range m.peers.intactPeers(now, m.config.CallTimeout) {
-		freeAt[name] = m.peers.freeAt(name, m.config.Name, now)
+		freeAt[name] = m.peers.availableAt(name, m.config.Name, now)
 	}
 	m.mu.Unlock()
 	for _, at := range slices.Sorted(maps.Values(freeAt)) {
@@ -49,8 +49,8 @@
 	return false, m.config.HeartbeatInterval
 }
 
-// voterFreeAt returns when this member's own voter may promise it a proposal, by its name; nothing if it has no register.
-func (m *Member) voterFreeAt(now monotonic.Micros) map[string]monotonic.Micros {
+// localVoterAvailableAt returns when this member's own voter may promise it a proposal, by its name; nothing if it has no register.
+func (m *Member) localVoterAvailableAt(now monotonic.Micros) map[string]monotonic.Micros {
 	freeAt := map[string]monotonic.Micros{}
 	m.voterExecutor.Run(func() {
 		if !m.voter.Joined() {
--- a/internal/replication/peertable.go
+++ b/internal/replication/peertable.go
@@ -78,8 +78,8 @@
 	return names
 }
 
-// freeAt returns when an intact peer may promise a proposal of a candidate: now, unless it granted another member a lease.
-func (t peerTable) freeAt(name, candidate string, now monotonic.Micros) monotonic.Micros {
+// availableAt returns when an intact peer may promise a proposal of a candidate: now, unless it granted another member a lease.
+func (t peerTable) availableAt(name, candidate string, now monotonic.Micros) monotonic.Micros {
 	peer := t.states[name]
 	if peer.leasedTo == candidate {
 		return now
--- a/internal/replication/proposer.go
+++ b/internal/replication/proposer.go
@@ -179,8 +179,8 @@
 	// proposerBits is the number of low bits of a proposal number that stand for the proposer.
 	proposerBits = 8
 	// firstDerivedID is the lowest proposer ID derived from a name; below are the ranks of the initial voters.
-	firstDerivedID  = 64
-	derivedIDsCount = 1<<proposerBits - firstDerivedID
+	firstDerivedID = 64
+	derivedIDCount = 1<<proposerBits - firstDerivedID
 )
 
 // nextProposalNumber returns a number higher than any seen. Its low byte is this proposer's ID. Two proposers that come to
@@ -196,7 +196,7 @@
 	if rank := m.initialRank(); rank > 0 {
 		return uint64(rank)
 	}
-	return uint64(firstDerivedID + crc32.ChecksumIEEE([]byte(m.config.Name))%derivedIDsCount)
+	return uint64(firstDerivedID + crc32.ChecksumIEEE([]byte(m.config.Name))%derivedIDCount)
 }
 
 // observeProposal takes a proposal number seen.
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// hintLeader tells the resolver who leads an epoch. It is called only with what the winner of that epoch sent: a value that
+// reportLeaderToResolver tells the resolver who leads an epoch. It is called only with what the winner of that epoch sent: a value that
 // a voter accepted proves nothing, since another value may have been chosen under the same epoch.
-func (m *Member) hintLeader(epoch uint64, name string) {
+func (m *Member) reportLeaderToResolver(epoch uint64, name string) {
 	m.resolver.ObservePrimaries([]*wire.Primary{{Group: m.config.Group, Epoch: epoch, Name: name}})
 }
 
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -83,7 +83,7 @@
 	case record.Watermark != nil:
 		return r.applyWatermark(record.Watermark)
 	case record.Entry == nil || record.Entry.Sequence != r.sequence+1:
-		return fmt.Errorf("entry: %w", errOutOfOrder)
+		return fmt.Errorf("entry: %w", errRecordOutOfOrder)
 	}
 	r.apply(record.Entry)
 	return nil
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if watermark.Sequence != r.sequence || watermark.Epoch < r.epoch {
-		return fmt.Errorf("watermark: %w", errOutOfOrder)
+		return fmt.Errorf("watermark: %w", errRecordOutOfOrder)
 	}
 	r.epoch = watermark.Epoch
 	r.leaderClock = max(r.leaderClock, monotonic.Micros(watermark.LeaderClock))
--- a/internal/replication/replica_handlers.go
+++ b/internal/replication/replica_handlers.go
@@ -46,7 +46,7 @@
 	case request.Epoch < r.fenced || request.Epoch < m.knownEpoch():
 		return reasonOlderEpoch
 	case request.PreviousEpoch != r.epoch || request.PreviousSequence != r.sequence || len(r.pending) > 0:
-		return reasonNotInStep
+		return reasonPositionMismatch
 	}
 	return ""
 }
@@ -54,7 +54,7 @@
 // followPrimary takes note of the primary of an epoch, whose entries or snapshot are stored here.
 func (m *Member) followPrimary(epoch uint64) {
 	m.replica.fence(epoch)
-	m.yieldToEpoch(epoch)
+	m.stepDownIfSuperseded(epoch)
 	m.recordLeaderContact()
 }
 
@@ -98,7 +98,7 @@
 func (m *Member) installEntries(request *wire.InstallSnapshotRequest) (rejection string, err error) {
 	since := logPosition{request.SinceEpoch, request.SinceSequence}
 	if m.replica.position() != since || len(m.replica.pending) > 0 {
-		return reasonNotInStep, nil
+		return reasonPositionMismatch, nil
 	}
 	watermark := &wire.Watermark{
 		Epoch: request.Epoch, Sequence: since.sequence + uint64(len(request.Entries)), LeaderClock: request.LeaderClock,
--- a/internal/replication/replica_search_test.go
+++ b/internal/replication/replica_search_test.go
@@ -113,9 +113,9 @@
 	s.tails[index].aliases[replica.epoch] = replica.length + 1
 }
 
-// bringIntoStep returns the state after a primary, perhaps a former one, has brought a replica into step that reported some
+// catchUp returns the state after a primary, perhaps a former one, has brought a replica into step that reported some
 // position. It returns false if the replica rejects it.
-func (s replicaState) bringIntoStep(from, to int, reported logPosition, defects replicaDefects) (replicaState, bool) {
+func (s replicaState) catchUp(from, to int, reported logPosition, defects replicaDefects) (replicaState, bool) {
 	epoch := s.leaderships[from].epoch
 	if epoch < s.fenced[to] || epoch < s.replicas[to].epoch {
 		return s, false
@@ -207,7 +207,7 @@
 		reports = append(reports, logPosition{uint64(s.tails[other].baseEpoch), uint64(s.tails[other].base)})
 	}
 	for _, reported := range reports {
-		next, stored := s.bringIntoStep(index, other, reported, defects)
+		next, stored := s.catchUp(index, other, reported, defects)
 		if !stored {
 			continue
 		}
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -94,8 +94,8 @@
 	m := r.member
 	mayGiveUp := r.timeout <= m.config.CallTimeout // not a last-resort backup, whose timeout is longer
 	for _, call := range r.calls {
-		if mayGiveUp && !call.done.Wait(probeAfter) && m.isSilent(call) {
-			call.finish(errBackupSilent, m.host.Now()-r.started)
+		if mayGiveUp && !call.done.Wait(probeAfter) && m.isUnresponsive(call) {
+			call.finish(errBackupUnresponsive, m.host.Now()-r.started)
 		}
 		for !call.isFinished() {
 			call.done.Wait(monotonic.Minute) // any length: finish fires the signal
@@ -103,9 +103,9 @@
 	}
 }
 
-// isSilent reports whether a backup doesn't respond to a probe either, while another voter that could take its place responded
+// isUnresponsive reports whether a backup doesn't respond to a probe either, while another voter that could take its place responded
 // lately.
-func (m *Member) isSilent(call *replicateCall) bool {
+func (m *Member) isUnresponsive(call *replicateCall) bool {
 	name := call.backup.Name
 	replaceable := slices.ContainsFunc(m.otherVoters(), func(other string) bool {
 		return other != name && m.host.Now()-m.lastResponseAt(other) < m.config.LeaseDuration
--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// reliefInterval is how often something is done about a slow disk: each change of the replicas delays writes.
-	reliefInterval = 10 * monotonic.Second
+	// slowDiskActionInterval is how often something is done about a slow disk: each change of the replicas delays writes.
+	slowDiskActionInterval = 10 * monotonic.Second
 	// slowBatches is how many slow batches in a row make a disk a slow one.
 	slowBatches = 3
 )
 
-// diskRelief is what a primary may do about the speed of its replicas' disks.
-type diskRelief int
+// slowDiskAction is what a primary may do about the speed of its replicas' disks.
+type slowDiskAction int
 
 const (
-	noRelief diskRelief = iota
+	noAction slowDiskAction = iota
 	// transferToBackup: the own disk alone is slow.
 	transferToBackup
 	// replaceSlowBackups: the disk of a backup is slow.
@@ -32,35 +32,35 @@
 // slowDiskDetector tells disks that stay slow from single slow syncs. Its zero value has seen no batch; each epoch of a
 // primary begins with a new one.
 type slowDiskDetector struct {
-	// ownSlow counts the batches in a row for which the own disk alone was slow, backupSlow those for which a backup's was.
-	ownSlow, backupSlow int
+	// localSlow counts the batches in a row for which the own disk alone was slow, backupSlow those for which a backup's was.
+	localSlow, backupSlow int
 }
 
 // observeBatch takes whether the own disk and some backup's were slow to sync a batch, and returns what is to be done.
-func (d *slowDiskDetector) observeBatch(ownSlow, backupSlow bool) diskRelief {
-	d.ownSlow = countInARow(d.ownSlow, ownSlow && !backupSlow)
-	d.backupSlow = countInARow(d.backupSlow, backupSlow)
+func (d *slowDiskDetector) observeBatch(ownSlow, backupSlow bool) slowDiskAction {
+	d.localSlow = countConsecutive(d.localSlow, ownSlow && !backupSlow)
+	d.backupSlow = countConsecutive(d.backupSlow, backupSlow)
 	switch {
-	case d.ownSlow >= slowBatches:
+	case d.localSlow >= slowBatches:
 		return transferToBackup
 	case d.backupSlow >= slowBatches:
 		return replaceSlowBackups
 	}
-	return noRelief
+	return noAction
 }
 
-// countInARow returns a count of events in a row after one more chance: one more if it happened, else zero.
-func countInARow(count int, happened bool) int {
+// countConsecutive returns a count of events in a row after one more chance: one more if it happened, else zero.
+func countConsecutive(count int, happened bool) int {
 	if !happened {
 		return 0
 	}
 	return count + 1
 }
 
-// relieveSlowDisks is called after each batch that was committed, with its backups and those that were slow to store it. It acts
+// handleSlowDisks is called after each batch that was committed, with its backups and those that were slow to store it. It acts
 // if a disk stays slow, or if no disk is slow and the tie-breaker could be a backup again. Slow disks are only
 // avoided if there is a third voter: with two, both disks are needed for every write, no matter which member leads.
-func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
+func (m *Member) handleSlowDisks(backups, slow []*wire.MemberID) {
 	ownSlow := false
 	m.replicaExecutor.Run(func() { ownSlow = m.replica.journal.lastSyncTime > m.config.SlowSyncThreshold })
 	current, _ := m.knownConfig()
@@ -68,15 +68,15 @@
 
 	m.mu.Lock()
 	relief := m.leadership.slowDisks.observeBatch(ownSlow, len(slow) > 0)
-	if relief == noRelief && !ownSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
+	if relief == noAction && !ownSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
 		relief = preferTieBreaker
 	}
-	known, due := m.register.value, m.host.Now()-m.commitTimes.relief >= reliefInterval
+	known, due := m.register.value, m.host.Now()-m.commitTimes.slowDiskAction >= slowDiskActionInterval
 	m.mu.Unlock()
-	if !due || relief == noRelief {
+	if !due || relief == noAction {
 		return
 	}
-	m.commitTimes.relief = m.host.Now()
+	m.commitTimes.slowDiskAction = m.host.Now()
 	if relief == preferTieBreaker {
 		if m.isReachable(tieBreaker) {
 			m.dropBackups(backups, reasonPreferredBackup)
@@ -89,7 +89,7 @@
 	}
 	if relief == transferToBackup {
 		m.host.Report(eventlog.DiskSlow, eventlog.Attributes{"group": m.config.Group})
-		m.transferLeadership(reasonOwnDiskSlow, "")
+		m.transferLeadership(reasonLocalDiskSlow, "")
 		return
 	}
 	m.dropBackups(slow, reasonBackupDiskSlow)
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -37,9 +37,9 @@
 	return c.LeaseDuration + 3*c.HeartbeatInterval
 }
 
-// firstElectionTimeout is the election timeout of an initial voter at the group's first start. rank is its position among them,
+// bootstrapElectionTimeout is the election timeout of an initial voter at the group's first start. rank is its position among them,
 // from one, so that they don't campaign at once.
-func (c *Config) firstElectionTimeout(rank int) monotonic.Micros {
+func (c *Config) bootstrapElectionTimeout(rank int) monotonic.Micros {
 	return monotonic.Micros(rank) * c.LeaseDuration
 }
 
--- a/internal/replication/voter.go
+++ b/internal/replication/voter.go
@@ -97,7 +97,7 @@
 				return
 			}
 		}
-		response = m.describe(record)
+		response = m.newRegisterReadResponse(record)
 	})
 	if err != nil {
 		return nil, apierror.Invalid.New("%s", err)
@@ -105,8 +105,8 @@
 	return response, nil
 }
 
-// describe returns what this process reports of itself. It runs on the voter executor.
-func (m *Member) describe(record *wire.RegisterRecord) *wire.RegisterReadResponse {
+// newRegisterReadResponse returns what this process reports of itself. It runs on the voter executor.
+func (m *Member) newRegisterReadResponse(record *wire.RegisterRecord) *wire.RegisterReadResponse {
 	status := m.voter.LeaseStatus(m.host.Now())
 	response := &wire.RegisterReadResponse{
 		Intact:         record.Joined,
@@ -178,7 +178,7 @@
 		if request.Leader.Name != m.config.Name {
 			m.endColdStart()
 		}
-		m.hintLeader(request.Epoch, request.Leader.Name)
+		m.reportLeaderToResolver(request.Epoch, request.Leader.Name)
 		m.catchUpRegister(request.Leader.Name, request.KnownProposal)
 	})
 	return response, err
