--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// quorumUnavailable is the value of quorumFreeSince while no quorum is free, as far as this member knows.
+	// quorumUnavailable is the value of quorumAvailableSince while, as far as this member knows, no quorum would promise a proposal.
 	quorumUnavailable = monotonic.Micros(-1)
 	// maxPollInterval bounds how long the election loop waits without being woken.
 	maxPollInterval = monotonic.Minute
 )
 
-// electionTimer is what the election loop remembers between its steps.
+// electionTimer is the state that the election loop keeps between its steps.
 type electionTimer struct {
-	// quorumAvailableSince is since when a quorum of voters has been free to promise this member a proposal, or quorumNotFree.
+	// quorumAvailableSince is the time since which a quorum of voters could promise this member a proposal, or quorumUnavailable.
 	quorumAvailableSince monotonic.Micros
 }
 
-// runElections runs until the process ends. A member without a register joins; a primary renews its lease and changes the
-// membership; any other member campaigns if the primary is silent.
+// runElections is the election loop, which runs until the process ends. A member without a register joins the group; a primary
+// renews its lease and changes the membership; any other member campaigns if the primary is silent.
 func (m *Member) runElections() {
 	timer := electionTimer{quorumAvailableSince: quorumUnavailable}
 	wait := m.config.pollInterval()
@@ -35,7 +35,7 @@
 	}
 }
 
-// electionStep does what is due, and returns after how long something else is due at the latest.
+// electionStep does what is due, and returns the time until the next step is due at the latest.
 func (m *Member) electionStep(timer *electionTimer) (due monotonic.Micros) {
 	if !m.hasRegister() {
 		m.joinAsVoter()
@@ -65,30 +65,30 @@
 	return maxPollInterval
 }
 
-// considerCampaign campaigns if a quorum is free and this member is next in line, or if the primary has been silent for the
-// election timeout. The backups are first in line; a primary that restarted waits a little longer, and at the group's first
-// start each voter longer than the one before it.
+// considerCampaign campaigns if a quorum is available and it is this member's turn, or if the primary has been silent for the
+// election timeout. Backups campaign first; a restarted primary waits slightly longer, and at the group's first start each voter
+// waits longer than the one before it.
 func (m *Member) considerCampaign(timer *electionTimer, silence monotonic.Micros) (due monotonic.Micros) {
 	m.refreshRegister()
 	value := m.knownRegister()
 	backup := consensus.ContainsMember(consensus.BackupsOf(value), m.self())
-	free, wait := m.quorumAvailable()
-	if now := m.host.Now(); !free {
+	available, wait := m.quorumAvailable()
+	if now := m.host.Now(); !available {
 		timer.quorumAvailableSince = quorumUnavailable
 	} else if timer.quorumAvailableSince == quorumUnavailable {
 		timer.quorumAvailableSince = now
 	}
-	freeForLong := m.host.Now()-timer.quorumAvailableSince >= m.config.HeartbeatInterval
-	mayCampaignEarly := value != nil && free && (backup || m.mayReclaim(value) || freeForLong)
+	availableForLong := m.host.Now()-timer.quorumAvailableSince >= m.config.HeartbeatInterval
+	mayCampaignEarly := value != nil && available && (backup || m.mayReclaim(value) || availableForLong)
 	if mayCampaignEarly || silence > m.electionTimeout(value, backup)+m.jitter(m.config.HeartbeatInterval) {
 		m.campaign(value)
-	} else if value != nil && !free {
+	} else if value != nil && !available {
 		return max(wait, monotonic.Millisecond)
 	}
 	return maxPollInterval
 }
 
-// electionTimeout returns how long the primary must be silent before this member campaigns though no quorum seems free.
+// electionTimeout returns how long the primary must be silent before this member campaigns even if no quorum seems available.
 func (m *Member) electionTimeout(value *wire.RegisterValue, backup bool) monotonic.Micros {
 	switch {
 	case value == nil:
@@ -104,14 +104,14 @@
 	return monotonic.Micros(m.host.Random() % uint64(limit))
 }
 
-// otherLeaseRemaining returns how long a lease that this voter granted to another member remains, zero if there is none.
+// otherLeaseRemaining returns the remaining time of the lease that this voter granted to another member, or zero if there is none.
 func (m *Member) otherLeaseRemaining() (remaining monotonic.Micros) {
 	self := m.self()
 	m.voterExecutor.Run(func() { remaining = m.voter.OtherLeaseRemaining(m.host.Now(), self) })
 	return remaining
 }
 
-// idleTime returns for how long the election loop has nothing to do. A handover and a request to leave end it early.
+// idleTime returns how long the election loop has nothing to do. A handover or a request to leave wakes the loop earlier.
 func (m *Member) idleTime() monotonic.Micros {
 	lease := m.config.LeaseDuration
 	m.mu.Lock()
@@ -134,15 +134,15 @@
 	case coldStart && silence < m.config.coldStartTimeout():
 		return m.config.pollInterval()
 	case silence < lease:
-		return min(lease-silence, lease) + monotonic.Millisecond // silence is negative after a handover
+		return min(lease-silence, lease) + monotonic.Millisecond // after a handover silence is negative
 	case silence > m.config.longSilence():
 		return m.config.HeartbeatInterval
 	}
 	return m.config.silentPollInterval()
 }
 
-// mayCampaign reports whether this member isn't shutting down, and its replica has every acknowledged write as far as can be told from a
-// value that it knows. A nil value stands for a group that hasn't started yet.
+// mayCampaign reports whether this member isn't shutting down and its replica, according to the known register value, has every
+// acknowledged write. A nil value means that the group hasn't started yet.
 func (m *Member) mayCampaign(known *wire.RegisterValue) bool {
 	m.mu.Lock()
 	stopping := m.stopping
@@ -153,7 +153,7 @@
 	return known == nil || m.config.AnyVoterMayLead || consensus.NamesReplica(known, m.self())
 }
 
-// campaign proposes the next epoch with this member as primary. Nothing is served in that epoch before a backup is in sync.
+// campaign proposes the next epoch with this member as primary. This member doesn't serve before a backup is in sync.
 func (m *Member) campaign(known *wire.RegisterValue) {
 	if !m.mayCampaign(known) {
 		return
@@ -185,7 +185,8 @@
 	m.wakeCommits() // to establish backups
 }
 
-// bootstrapValue returns the register value of a group's first start. It fails if a value is known that no voter reported.
+// bootstrapValue returns the register value of a group's first start. It fails if this member already knows a value, even though
+// no voter reported one.
 func (m *Member) bootstrapValue(known *wire.RegisterValue) (*wire.RegisterValue, error) {
 	if known != nil {
 		return nil, errRegisterChanged
@@ -194,8 +195,8 @@
 	return &wire.RegisterValue{Epoch: 1, Primary: self, Members: []*wire.MemberID{self}, Voters: m.config.InitialVoters}, nil
 }
 
-// nextEpochValue returns a value's successor with this member as primary and the other replicas as backups. It fails if the
-// value doesn't name this member's replica. From then on this replica rejects primaries of earlier epochs.
+// nextEpochValue returns the value of the next epoch, with this member as primary and the other replicas as backups. It fails if
+// the given value doesn't name this member's replica. From then on this replica rejects primaries of earlier epochs.
 func (m *Member) nextEpochValue(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 	self, others := m.self(), consensus.BackupsOf(value)
 	if !consensus.SameMember(value.Primary, self) {
@@ -209,7 +210,7 @@
 	return consensus.NextValue(value, value.Epoch+1, self, others), nil
 }
 
-// beginLeadership applies what is pending in the replica and begins an epoch that this member has won.
+// beginLeadership applies the replica's pending entries and begins an epoch that this member has won.
 func (m *Member) beginLeadership(value *wire.RegisterValue, proposal uint64) {
 	m.replicaExecutor.Run(func() {
 		m.replica.applyPending()
--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -15,20 +15,20 @@
 )
 
 var (
-	// errNoQuorum: the register could not be read or changed now. Whether the change took effect may be unknown.
+	// errNoQuorum means that the register could not be read or changed. Whether the change took effect may be unknown.
 	errNoQuorum = errors.New("replication: no quorum")
-	// errRegisterChanged: the register holds another value than the one that was to be changed.
+	// errRegisterChanged means that the register no longer holds the value that was to be changed.
 	errRegisterChanged = errors.New("replication: the register holds another value")
-	// errBackupUnresponsive: a backup responded neither to a batch nor to a probe.
-	errBackupUnresponsive = errors.New("no response to a batch and a probe")
-	// errReplicaOverwritten: another primary has written to this member's replica.
+	// errBackupUnresponsive means that a backup responded neither to a batch nor to a probe.
+	errBackupUnresponsive = errors.New("no response to a batch or to a probe")
+	// errReplicaOverwritten means that another primary has written to this member's replica.
 	errReplicaOverwritten = errors.New("another primary wrote to this replica")
-	// errRecordOutOfOrder: a journal has a record that doesn't follow the one before it.
+	// errRecordOutOfOrder means that a journal has a record that doesn't follow the one before it.
 	errRecordOutOfOrder = errors.New("record out of order")
 )
 
-// Reasons for which a replica rejects entries or a snapshot. They are sent as the Reason of a response, and reasonClockAhead
-// is compared by the primary, so the texts stay as they are.
+// Reasons for which a replica rejects entries or a snapshot. They are sent in the Reason field of a response, and a primary compares
+// reasonClockAhead, possibly with the text of another release, so the texts must not change.
 const (
 	reasonOtherReplica     = "another copy"
 	reasonOlderEpoch       = "an older epoch"
@@ -36,13 +36,13 @@
 	reasonClockAhead       = "holder time is ahead of what passed here"
 )
 
-// Reasons for which a member stops leading or drops a backup, for the event log.
+// Reasons for which a member stops leading or drops a backup, as reported in events.
 const (
 	reasonNewerEpoch        = "a newer epoch began"
 	reasonNoQuorumForBackup = "no quorum for a new backup"
 	reasonNewerPrimary      = "a newer primary wrote to this replica"
-	reasonLocalDiskSlow     = "own disk is slow"
-	reasonLocalDiskFailed   = "own disk: " // the error follows
+	reasonLocalDiskSlow     = "local disk is slow"
+	reasonLocalDiskFailed   = "local disk failed: " // the error follows
 	reasonBackupDiskSlow    = "its disk is slow"
 	reasonPreferredBackup   = "another backup is preferred"
 	reasonBackupLeaving     = "it is shutting down"
--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Register adds the handlers of the group's messages.
+// Register adds the handlers of the group's messages to handlers.
 func (m *Member) Register(handlers host.Handlers) {
 	handle(m, handlers, wire.Kind_register_read, m.handleRegisterRead)
 	handle(m, handlers, wire.Kind_prepare, m.handlePrepare)
@@ -20,8 +20,8 @@
 	handle(m, handlers, wire.Kind_handover, m.handleHandover)
 }
 
-// handle adds the handler of one kind of message, which rejects messages that are addressed to another process: addresses may be
-// used by one process after another.
+// handle adds the handler of one kind of message. It rejects messages that are addressed to another process, because an address
+// may be reused by a different process.
 func handle[Request any, RequestPointer interface {
 	*Request
 	proto.Message
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -5,12 +5,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TransferLeadership passes the leadership on to the first backup if this member has it. The lease is released first, so the
-// backup needn't wait until it ends.
+// TransferLeadership passes the leadership to the first backup if this member leads. It releases the lease first, so that the
+// backup needn't wait until the lease ends.
 func (m *Member) TransferLeadership(reason string) { m.transferLeadership(reason, "") }
 
-// transferLeadership passes the leadership on. leavingMember is this member's name if it is shutting down, so that its
-// successor gives it no replica; else it is empty.
+// transferLeadership does what TransferLeadership does. If this member is shutting down, leavingMember is its name, so that the
+// successor doesn't make it a backup; otherwise leavingMember is empty.
 func (m *Member) transferLeadership(reason, leavingMember string) {
 	state := m.currentLeadership()
 	if state.epoch == 0 {
@@ -20,7 +20,7 @@
 	m.stepDown(state.epoch, reason)
 	var content []byte
 	if m.config.HandoverState != nil {
-		content = m.config.HandoverState() // nothing is served any more, so this content is final
+		content = m.config.HandoverState() // this member no longer serves, so the content is final
 	}
 	m.releaseLease(state)
 	if len(state.backups) > 0 {
@@ -29,15 +29,15 @@
 		request := &wire.HandoverRequest{
 			To: successor, Epoch: state.epoch, Content: content, LeavingMember: leavingMember, WaitingMembers: standbys,
 		}
-		// A successor that this request doesn't reach takes over after its election timeout.
+		// If this request is lost, the successor takes over after its election timeout.
 		_ = m.call(successor, wire.Kind_handover, request, &wire.HandoverResponse{})
 	}
 	m.mu.Lock()
-	m.contact.last = m.host.Now() + m.config.successorGrace() // the successor goes first
+	m.contact.last = m.host.Now() + m.config.successorGrace() // the successor campaigns first
 	m.mu.Unlock()
 }
 
-// handleHandover makes this member campaign at once.
+// handleHandover takes over what the previous primary passes on, and makes this member campaign at once.
 func (m *Member) handleHandover(request *wire.HandoverRequest) (*wire.HandoverResponse, error) {
 	if m.config.OnHandover != nil {
 		m.config.OnHandover(request.Epoch, request.Content)
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -7,13 +7,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// joinAsVoter gets a process without a register its first one:
-//   - at the group's first start, if every initial voter is blank, in contact and permitted to bootstrap;
-//   - if the configuration names this process, from so many other registers that one of every quorum is among them;
-//   - otherwise from the primary, as a standby.
+// joinAsVoter obtains the first register of a process that has none:
+//   - at the group's first start it begins empty, if every initial voter responds, has accepted no value and may bootstrap;
+//   - if the configuration names this process, it is read from so many other voters that every quorum includes one of them;
+//   - otherwise it comes from the primary, which records this process as a standby.
 func (m *Member) joinAsVoter() {
-	// An earlier process of this name may have accepted a proposal that others haven't accepted yet. After a lease's duration
-	// they have, or never will; what is read earlier is incomplete.
+	// An earlier process of this name may have accepted a proposal that others have not accepted yet. After a lease's duration
+	// they have accepted it or never will; what is read before then may be incomplete.
 	waited := false
 	m.voterExecutor.Run(func() { waited = m.voter.WaitOver(m.host.Now()) })
 	others := m.knownPeers()
@@ -32,18 +32,18 @@
 	}
 }
 
-// registerSurvey is what a process without a register learns from those of others.
+// registerSurvey is what a process without a register learns from the registers of others.
 type registerSurvey struct {
 	// bootstrap is set if the group has never started and may start now.
 	bootstrap bool
-	// intact are the processes that have a register.
+	// intact names the processes that have a register.
 	intact []string
-	// promised is the highest promise, and value the newest value, accepted under the proposal accepted.
+	// promised is the highest proposal promised. value is the newest value, and accepted the proposal under which it was accepted.
 	promised, accepted uint64
 	value              *wire.RegisterValue
 }
 
-// surveyRegisters combines the responses of other processes; those of others that didn't respond are missing.
+// surveyRegisters combines the responses of other processes. A process that didn't respond is missing in responses.
 func (m *Member) surveyRegisters(others []string, responses map[string]*wire.RegisterReadResponse) registerSurvey {
 	isInitial := func(name string) bool { return slices.Contains(m.config.InitialVoters, name) }
 	found := registerSurvey{bootstrap: m.config.Bootstrap && isInitial(m.config.Name)}
@@ -53,7 +53,8 @@
 			found.bootstrap = found.bootstrap && !isInitial(name)
 			continue
 		}
-		// A promise without a value doesn't count: the first proposal may have failed because this voter hadn't joined yet.
+		// A promise without an accepted value doesn't prevent bootstrapping: the first proposal may have failed only because this
+		// voter hadn't joined yet.
 		found.bootstrap = found.bootstrap && response.Accepted == 0 && (response.CanBootstrap || !isInitial(name))
 		found.promised = max(found.promised, response.Promised)
 		if !response.Intact {
@@ -67,8 +68,8 @@
 	return found
 }
 
-// startVoting saves the register that a survey found. Unless the group starts for the first time, this process doesn't vote
-// before a lease that it may have forgotten has ended.
+// startVoting saves the register that a survey found. Except at the group's first start, this process votes only once any lease
+// that an earlier process of its name granted must have ended.
 func (m *Member) startVoting(found registerSurvey) {
 	m.voterExecutor.Run(func() {
 		if found.bootstrap {
@@ -77,15 +78,15 @@
 			m.voter.DeferVotes(m.host.Now() + m.config.LeaseDuration)
 		}
 		if err := m.saveRecord(m.voter.Join(found.promised, found.accepted, found.value)); err != nil {
-			return // joinAsVoter is tried again
+			return // the election loop calls joinAsVoter again
 		}
 		m.host.Report(eventlog.VoterJoined, eventlog.Attributes{"group": m.config.Group, "genesis": found.bootstrap, "promised": found.promised})
 	})
 }
 
-// requestJoin asks the primary to add this process to the voters. A process without a register begins with the primary's: no
-// configuration that may decide names it, so nothing that an earlier process of its name has forgotten counts. It reports whether a
-// primary has recorded this process.
+// requestJoin asks the primary to add this process to the voters. A process without a register begins with the primary's. That is
+// safe because no configuration that can decide includes this process, so votes that an earlier process of its name has lost don't
+// count. It reports whether a primary has recorded this process.
 func (m *Member) requestJoin(hasRegister bool) (recorded bool) {
 	for _, primary := range m.primaryCandidates() {
 		response := &wire.JoinResponse{}
@@ -102,15 +103,15 @@
 	return false
 }
 
-// primaryCandidates returns who may be the primary, the likeliest first.
+// primaryCandidates returns the other processes that may be the primary, the likeliest first.
 func (m *Member) primaryCandidates() []string {
 	candidates := newestPrimaryFirst(m.resolver.Primary(m.config.Group), m.knownRegister())
 	return slices.DeleteFunc(candidates, func(name string) bool { return name == m.config.Name })
 }
 
-// newestPrimaryFirst returns the primary that the resolver knows and the one that the newest register seen names, that of the later
-// epoch first. The resolver's is certain but may be long out of date, since it spreads from process to process; the register's may
-// never have been chosen. Either may be nil.
+// newestPrimaryFirst returns the primary known to the resolver and the one named by the newest register value seen, the one of the
+// later epoch first. The resolver's primary did win its epoch, but may be long out of date because that information spreads from
+// process to process; the register value may never have been chosen. Either argument may be nil.
 func newestPrimaryFirst(known *wire.Primary, value *wire.RegisterValue) (names []string) {
 	names = []string{known.GetName(), value.GetPrimary().GetName()}
 	if value.GetEpoch() > known.GetEpoch() {
@@ -119,7 +120,8 @@
 	return slices.DeleteFunc(slices.Compact(names), func(name string) bool { return name == "" })
 }
 
-// adoptPrimaryRegister begins with the register of the primary that has accepted this process as a standby, unless it has a register or votes already.
+// adoptPrimaryRegister starts this process with the register of the primary that recorded it as a standby. It does nothing if the
+// process already has a register or the configuration already names it.
 func (m *Member) adoptPrimaryRegister(hasRegister bool, primary string, response *wire.JoinResponse) {
 	if hasRegister || response.Value == nil || m.configOf(response.Value).Contains(m.config.Name) {
 		return
@@ -133,8 +135,8 @@
 	})
 }
 
-// handleJoin records a process that wants to vote as a standby, and returns a register for it to begin with. It also takes
-// requests to leave.
+// handleJoin records a process that wants to become a voter as a standby, and returns a register for it to begin with. It also
+// handles requests to leave.
 func (m *Member) handleJoin(request *wire.JoinRequest) (*wire.JoinResponse, error) {
 	if request.Leaving {
 		return m.handleLeave(request.Name), nil
--- a/internal/replication/join_test.go
+++ b/internal/replication/join_test.go
@@ -7,8 +7,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestNewestPrimaryFirst guards against the fault by which a new machine asked a primary that was gone to let it vote, again and again,
-// though it had read a register with a later one: the group lost its quorum with the next machine.
+// TestNewestPrimaryFirst: a new machine must ask the newest primary that it knows to become a voter. When it kept asking a primary
+// that was gone, although it had read a register with a later one, the loss of the next machine cost the group its quorum.
 func TestNewestPrimaryFirst(t *testing.T) {
 	primary := func(epoch uint64, name string) *wire.Primary { return &wire.Primary{Epoch: epoch, Name: name} }
 	register := func(epoch uint64, name string) *wire.RegisterValue {
--- a/internal/replication/journal.go
+++ b/internal/replication/journal.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// journalFile is the file of the replica's journal, after the group's name.
+	// journalFile is the name of the journal's file without the group's name before it.
 	journalFile = "journal"
-	// compactionFactor is how many times the size of a compacted journal the journal may reach. It keeps a large state from
+	// compactionFactor is how many times its size after the last compaction the journal may reach. It keeps a large state from
 	// being rewritten with every batch.
 	compactionFactor = 3
-	// minFullCompaction is the size in bytes from which compaction is tried when the disk is full.
+	// minFullCompaction is the size in bytes above which compaction is tried when the disk is full.
 	minFullCompaction = 64 << 10
 )
 
-// journal is the file of a replica. It knows when the file should be compacted, and what is done about a full disk; the records
-// are the replica's. It isn't safe for concurrent use. A sync that fails ends the process.
+// journal is a replica's file. It decides when the file is compacted and handles a full disk; the replica encodes and decodes the
+// records. It isn't safe for concurrent use. A failed sync ends the process.
 type journal struct {
 	host    host.Host
 	storage *storage
@@ -28,7 +28,7 @@
 	log *wal.Log
 	// compactedSize is the journal's size in bytes after its last compaction.
 	compactedSize int64
-	// lastSyncTime is how long the last append took, with its sync.
+	// lastSyncTime is how long the last append took, including its sync.
 	lastSyncTime monotonic.Micros
 }
 
@@ -45,24 +45,25 @@
 // size returns the size of the file in bytes.
 func (j *journal) size() int64 { return j.log.Size() }
 
-// rewrite replaces all records by one. If the disk is full it uses the reserved space.
+// rewrite replaces all records with one. If the disk is full, it uses the reserved space.
 func (j *journal) rewrite(record []byte) error {
 	err := j.log.Rewrite(record)
 	if isDiskFull(err) && j.storage.releaseReserve() {
 		if err = j.log.Rewrite(record); err == nil {
-			_ = j.storage.reserve() // best effort: the doctor command reports a disk without room
+			_ = j.storage.reserve() // best effort: the doctor command reports a full disk
 		}
 	}
 	j.compactedSize = j.log.Size()
 	return j.storage.stopOnSyncFailure(journalFile, err)
 }
 
-// needsCompaction reports whether the journal is above its least size and several times what compaction would leave.
+// needsCompaction reports whether the journal is larger than both compactionThreshold and compactionFactor times its size after the
+// last compaction.
 func (j *journal) needsCompaction() bool {
 	return j.log.Size() > max(j.compactionThreshold, compactionFactor*j.compactedSize)
 }
 
-// appendSynced appends records and syncs them. If the disk is full, it calls compact first, unless that is nil.
+// appendSynced appends records and syncs them. If the disk is full and compact isn't nil, it calls compact and appends again.
 func (j *journal) appendSynced(records [][]byte, compact func() error) error {
 	started := j.host.Now()
 	err := j.log.Append(records...)
--- a/internal/replication/leaderclock.go
+++ b/internal/replication/leaderclock.go
@@ -10,64 +10,65 @@
 )
 
 const (
-	// clockSyncInterval is how long a primary may go without its backups having confirmed the leader clock. It is less than
-	// maxClockLead, which a backup accepts unconfirmed.
+	// clockSyncInterval is how long a primary may run without a confirmation of the leader clock by its backups. It is less than
+	// maxClockLead, the lead that a backup accepts without objection.
 	clockSyncInterval = 700 * monotonic.Millisecond
-	// maxClockLead is how far the leader clock may be ahead of a backup's estimate: clocks differ in rate, and messages take
-	// time.
+	// maxClockLead is how far the leader clock may be ahead of a backup's estimate, because clocks differ in rate and messages
+	// take time.
 	maxClockLead = monotonic.Second
 	// clockDriftDivisor allows a backup's clock to be slow by one hundredth.
 	clockDriftDivisor = 100
 )
 
-// primaryClock is the leader clock as its primary counts it. The zero value reads as the own clock.
+// primaryClock is the leader clock at the primary. The zero value reads the same as the local clock.
 type primaryClock struct {
-	// base is the leader clock when the own clock read baseAt.
+	// base is the leader clock when the local clock read baseAt.
 	base, baseAt monotonic.Micros
-	// confirmedAt is when every backup had last accepted the leader clock, by the own clock.
+	// confirmedAt is the local time at which every backup had last accepted the leader clock.
 	confirmedAt monotonic.Micros
 }
 
-// at returns the leader clock at a reading of the own clock.
+// at returns the leader clock at a local time.
 func (c primaryClock) at(now monotonic.Micros) monotonic.Micros {
 	return c.base + now - c.baseAt
 }
 
-// confirmed returns a time that the leader clock has certainly reached: no more than clockSyncInterval after the last time
-// that every backup confirmed.
+// confirmed returns a time that the leader clock has certainly reached: at most clockSyncInterval after the leader clock that
+// every backup last confirmed.
 func (c primaryClock) confirmed(now monotonic.Micros) monotonic.Micros {
 	return min(c.at(now), c.at(c.confirmedAt)+clockSyncInterval)
 }
 
 // clockBound is a backup's bound on the leader clock.
 //
-// Invariant: estimate is never above the leader clock accepted last, and rises by the own clock, with an allowance for drift.
+// Invariant: when it is set, estimate is not above the leader clock just accepted. From then on the backup adds the time elapsed on
+// its own clock, with an allowance for drift.
 type clockBound struct {
-	// at is the reading of the own clock at which estimate was set.
+	// at is the local time at which estimate was set.
 	at, estimate monotonic.Micros
 }
 
-// now returns the backup's estimate of the leader clock at a reading of its own clock.
+// now returns the backup's estimate of the leader clock at a local time.
 func (c clockBound) now(now monotonic.Micros) monotonic.Micros {
 	elapsed := max(now-c.at, 0)
 	return c.estimate + elapsed + elapsed/clockDriftDivisor
 }
 
-// limit returns the highest leader clock that the backup accepts. A primary installs a snapshot before it sends entries, so
-// there is an estimate.
+// limit returns the highest leader clock that the backup accepts. An estimate exists, because a primary installs its state at the
+// backup before it sends entries.
 func (c clockBound) limit(now monotonic.Micros) monotonic.Micros {
 	return c.now(now) + maxClockLead
 }
 
-// accept takes a leader clock that was accepted.
+// accept updates the estimate with a leader clock that the backup has accepted.
 func (c *clockBound) accept(now, clock monotonic.Micros) {
 	c.at, c.estimate = now, min(clock, c.now(now))
 }
 
-// confirmClock has the backups confirm the leader clock if that is due, or if the own clock went back: it may have jumped,
-// and no timer of the state machine may end by it alone. It returns the state with the clock they agree on. If a
-// backup doesn't answer or has another objection, the state is returned as it is: the batch that follows will show what is
-// wrong, and a backup rejects a clock that it can't confirm.
+// confirmClock asks the backups to confirm the leader clock if that is due or if the local clock went backwards: the local clock
+// may have jumped, and its reading alone must not let a timer of the state machine expire. It returns the state with the clock that
+// the backups agree on. If a backup doesn't answer or rejects the request for another reason, the state is returned unchanged: the
+// next batch will reveal the problem, and a backup rejects a clock that it can't confirm.
 func (m *Member) confirmClock(state leadership) leadership {
 	since := m.host.Now() - state.clock.confirmedAt
 	if since >= 0 && since < clockSyncInterval || m.config.UnverifiedClock {
@@ -96,9 +97,9 @@
 	return state
 }
 
-// requestClock sends a request without entries to every backup. It returns the lowest of the request's leader clock and
-// the limits of backups that reject it as too far ahead, and false if a backup doesn't answer or rejects the request for
-// another reason.
+// requestClock sends a request without entries to every backup. It returns the minimum of the request's leader clock and
+// the limits of the backups that reject it as too far ahead. confirmed is false if a backup doesn't answer or rejects the request
+// for another reason.
 func (m *Member) requestClock(backups []*wire.MemberID, request *wire.ReplicateRequest) (agreed monotonic.Micros, confirmed bool) {
 	responses := gather(m, consensus.MemberNames(backups), m.config.CallTimeout, func(name string) (*wire.ReplicateResponse, error) {
 		backup := backups[slices.IndexFunc(backups, func(backup *wire.MemberID) bool { return backup.Name == name })]
