--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// renewLease requests a lease from every voter. The lease counts from before the request. It ends the leadership if the lease has
-// ended and a later epoch is known, and clears a rival's proposal out of the way by one of its own.
+// renewLease requests a lease from every voter; the lease is counted from before the request. If the lease has ended and a later
+// epoch is known, it ends the leadership. If another member's proposal keeps voters from granting the lease, it proposes again.
 func (m *Member) renewLease() {
 	state := m.currentLeadership()
 	epoch := state.epoch
@@ -35,7 +35,7 @@
 	}
 }
 
-// observeLeaseResponses takes what voters report, and reports whether one of them has accepted a later epoch.
+// observeLeaseResponses records what the voters' responses report. It returns whether a voter has accepted a later epoch.
 func (m *Member) observeLeaseResponses(state leadership, responses map[string]*wire.LeaseResponse) (superseded bool) {
 	for _, response := range responses {
 		m.observeProposal(response.Promised)
@@ -55,8 +55,8 @@
 	return superseded
 }
 
-// proposeAgain proposes this primary's register value under a higher number. Voters that promised a
-// rival's proposal, which was never chosen, reject the lease until then.
+// proposeAgain proposes this primary's register value under a higher number. Until then, voters that have promised another
+// member's proposal, which was never chosen, reject the lease.
 func (m *Member) proposeAgain(epoch uint64) {
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		if !m.leadsEpoch(value, epoch) {
@@ -72,21 +72,22 @@
 	}
 }
 
-// requestLease requests a lease of all voters until a quorum has granted it. It returns their responses, and by which
-// configuration it went.
+// requestLease requests a lease from all voters and waits until a quorum has granted it. It returns the configuration used and the
+// responses.
 func (m *Member) requestLease(state leadership) (quorum.Config, map[string]*wire.LeaseResponse) {
 	return m.callVotersForLease(&wire.LeaseRequest{Epoch: state.epoch, Proposal: state.proposal}, m.config.LeaseDuration)
 }
 
-// releaseLease has all voters that can be reached forget the lease, so that a successor needn't wait until it ends. It returns
-// once all have responded, or after the timeout of a call.
+// releaseLease makes all reachable voters forget the lease, so that a successor needn't wait until it ends. It returns once all
+// have responded, or after the timeout of a call.
 func (m *Member) releaseLease(state leadership) {
 	request := &wire.LeaseRequest{Epoch: state.epoch, Proposal: state.proposal, Release: true}
 	m.callVotersForLease(request, m.config.CallTimeout)
 }
 
-// callVotersForLease completes a request by what is alike for all requests about a lease, and sends it to every voter, this
-// member's own included. It returns once a quorum has granted the request, all have responded, or the timeout has passed.
+// callVotersForLease fills in the fields that are common to all lease requests and sends the request to every voter, including
+// this member's own. It returns once a quorum has granted the request (a release is never granted), all have responded, or the
+// timeout has passed.
 func (m *Member) callVotersForLease(
 	template *wire.LeaseRequest, timeout monotonic.Micros,
 ) (quorum.Config, map[string]*wire.LeaseResponse) {
--- a/internal/replication/leave.go
+++ b/internal/replication/leave.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// LeaveLimit is how long a graceful shutdown waits at most for its replica and its vote to be taken over.
+	// LeaveLimit is how long a graceful shutdown waits at most for other members to take over its replica and its vote.
 	LeaveLimit = 2500 * monotonic.Millisecond
-	// leavePollInterval is how often a member that is shutting down asks whether it may go.
+	// leavePollInterval is how often a member that is shutting down asks whether it may leave.
 	leavePollInterval = 50 * monotonic.Millisecond
 )
 
-// Leave is for a graceful shutdown. It transfers the leadership, and returns once no acknowledged write depends on this
-// member's replica and a standby, if there is one, has taken its vote; or after the limit, since the process then ends in any
-// case.
+// Leave prepares a graceful shutdown. It transfers the leadership, and returns once no acknowledged write depends on this member's
+// replica and a standby, if there is one, has replaced it as a voter. It returns after the limit in any case, because the process
+// then ends regardless.
 func (m *Member) Leave(reason string, limit monotonic.Micros) {
 	deadline := m.host.Now() + limit
 	m.mu.Lock()
@@ -35,7 +35,7 @@
 	m.host.Report(eventlog.MemberNotReleased, eventlog.Attributes{"group": m.config.Group})
 }
 
-// requestLeave asks the primary whether this member may go.
+// requestLeave asks the primary whether this member may leave.
 func (m *Member) requestLeave(timeout monotonic.Micros) bool {
 	candidates := m.primaryCandidates()
 	if len(candidates) == 0 {
@@ -51,8 +51,8 @@
 	return false
 }
 
-// handleLeave records that a process is shutting down, and returns whether it may go: its replica isn't a backup, and no
-// standby could take its vote.
+// handleLeave records that a process is shutting down. The response says whether it may leave: it may once no other process has to
+// take over its replica or its vote, or none can.
 func (m *Member) handleLeave(name string) *wire.JoinResponse {
 	if !m.Serving() {
 		return &wire.JoinResponse{}
@@ -74,8 +74,8 @@
 	return &wire.JoinResponse{Released: released}
 }
 
-// canReleaseVote reports whether a leaving process has no vote that a standby could take. A primary that has led for less than
-// standbyReportInterval may not know of all standbys yet.
+// canReleaseVote reports whether a leaving process isn't a voter that a standby could replace. A primary that has led for less than
+// standbyReportInterval may not know all standbys yet.
 func (m *Member) canReleaseVote(name string, ledFor monotonic.Micros) bool {
 	observed := m.observeMembership()
 	if observed.config.IsJoint() {
--- a/internal/replication/logtail.go
+++ b/internal/replication/logtail.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// maxTailBytes and maxTailEntries limit how many entries a replica keeps in memory.
+	// maxTailBytes and maxTailEntries limit the entries that a replica keeps in memory.
 	maxTailBytes   = 2 << 20
 	maxTailEntries = 1 << 14
 )
 
-// logPosition is how far a replica is. It names one state: a primary numbers within an epoch that its process won, and brings
-// other replicas into step within one.
+// logPosition is the position of a replica in the sequence of entries. It identifies one state, because each primary numbers
+// entries, and brings other replicas up to date, only within an epoch that its own process won.
 type logPosition struct{ epoch, sequence uint64 }
 
-// logTail holds the entries that a replica applied last, so that another replica that is a little behind needn't be sent the
-// whole state.
+// logTail holds the entries that a replica applied last, so that another replica that is slightly behind can catch up without a
+// snapshot of the whole state.
 //
-// Invariants, explored by TestReplicaSearch: entries follow one another without gaps, the first right after base; each alias is
+// Invariants, checked by TestReplicaSearch: entries follow one another without gaps, the first directly after base; each alias is
 // the position of a state that this replica had; a replica at a position for which entriesAfter returns entries has the state
 // that this one had there.
 type logTail struct {
 	base    logPosition
 	entries []*wire.Entry
-	// bytes is the size of the entries' commands.
+	// bytes is the total size of the entries' commands.
 	bytes int
-	// aliases are positions that a state was given besides that of its last entry.
+	// aliases are further positions of states: a state whose replica moved to a later epoch has a position there too, in addition
+	// to that of its last entry.
 	aliases []logPosition
 }
 
-// reset forgets all entries. base is the position of the present state.
+// reset forgets all entries. base is the position of the current state.
 func (t *logTail) reset(base logPosition) {
 	*t = logTail{base: base}
 }
 
-// add takes an entry that was applied, and forgets the oldest ones beyond the limits.
+// add appends an applied entry, and forgets the oldest ones beyond the limits.
 func (t *logTail) add(entry *wire.Entry) {
 	t.entries = append(t.entries, entry)
 	t.bytes += len(entry.Command)
@@ -49,15 +50,15 @@
 	t.aliases = slices.DeleteFunc(t.aliases, func(alias logPosition) bool { return alias.sequence < t.base.sequence })
 }
 
-// addAlias gives the present state another position.
+// addAlias adds a position of the current state.
 func (t *logTail) addAlias(position logPosition) {
 	if !slices.Contains(t.aliases, position) {
 		t.aliases = append(t.aliases, position)
 	}
 }
 
-// entriesAfter returns the entries after a position. known is false if this replica never was there, or has forgotten some of
-// those entries.
+// entriesAfter returns the entries after a position. known is false if this replica was never at that position, or has forgotten
+// some of those entries.
 func (t *logTail) entriesAfter(position logPosition) (entries []*wire.Entry, known bool) {
 	index := slices.IndexFunc(t.entries, func(entry *wire.Entry) bool { return entry.Sequence == position.sequence })
 	known = position == t.base || slices.Contains(t.aliases, position) ||
@@ -65,5 +66,5 @@
 	if !known {
 		return nil, false
 	}
-	return slices.Clone(t.entries[index+1:]), true // index is -1 for the base
+	return slices.Clone(t.entries[index+1:]), true // index is -1 at base, whose following entries are all of them
 }
--- a/internal/replication/member.go
+++ b/internal/replication/member.go
@@ -17,15 +17,15 @@
 // Member is one process's part in a group: its vote, its replica, and its leadership if it is the primary. Its exported methods may
 // be called by any task, except for Register and Start, which are called once after Open.
 //
-// What a member knows is in types of their own; its methods are in the files of the operations that use them (see the package
-// documentation). Each field is owned by one executor, one task or mu.
+// Parts of its state have types of their own. Its methods are in the files of the operations that use them (see the package
+// documentation). Each field is owned by one executor or one task, or guarded by mu.
 type Member struct {
 	config   Config
 	host     host.Host
 	resolver *discovery.Resolver
-	// processID is a random number that no other process of this name has.
+	// processID is a random number that distinguishes this process from earlier and later ones of the same name.
 	processID uint64
-	// ClockWatch checks this process's clock. Its Run is started by Start.
+	// ClockWatch detects jumps of this process's clock. Start starts its Run.
 	ClockWatch *clockwatch.Watcher
 
 	voterExecutor    *host.Executor // owns voter and registerLog
@@ -35,12 +35,12 @@
 	voter            *consensus.Voter
 	registerLog      *wal.Log
 	replica          *replica
-	// writes are the commands to be committed; a nil one only wakes the task that commits.
+	// writes holds the commands to be committed; a nil one only wakes the commit loop.
 	writes *host.Queue[*writeRequest]
-	// wakeup wakes the task that renews the lease, campaigns and joins.
+	// wakeup wakes the election loop, which renews the lease, campaigns and joins.
 	wakeup host.Signal
 
-	commitTimes commitTimes // owned by the task of runCommits
+	commitTimes commitTimes // owned by the commit loop
 
 	// mu guards the fields below. It is never held while waiting.
 	mu sync.Mutex
@@ -50,13 +50,14 @@
 	contact    leaderContact
 	// peers is what is known of the other processes.
 	peers peerTable
-	// reportedMismatch is the last difference of initial voters that was reported.
+	// reportedMismatch describes the difference of initial voters that was reported last.
 	reportedMismatch string
-	// standbys are the processes that asked this member to join, leaving those that said that they are shutting down.
+	// standbys are the processes that asked this member to add them as voters; leaving are those that reported that they are
+	// shutting down.
 	standbys standbyTable
 	leaving  leavingTable
 	change   membershipChange
-	// stopping is set once this process shuts down gracefully and campaigns no more.
+	// stopping is set once this process shuts down gracefully, and keeps it from campaigning.
 	stopping bool
 }
 
@@ -102,7 +103,7 @@
 		change:     membershipChange{proposedVoters: map[string]bool{}},
 	}
 	m.ClockWatch.OnJump(func(monotonic.Micros) {
-		// A lease granted here may seem to have ended though it hasn't.
+		// A lease that this voter granted may seem to have ended although it hasn't.
 		m.voterExecutor.Run(func() { m.voter.DeferVotes(h.Now() + config.LeaseDuration) })
 	})
 	m.voterExecutor = host.NewExecutor(h)
@@ -125,7 +126,7 @@
 	return &wire.MemberID{Name: m.config.Name, Incarnation: m.replica.incarnation.Load()}
 }
 
-// initialRank returns this member's position among the initial voters, from one, or zero if it isn't among them.
+// initialRank returns this member's position among the initial voters, starting at one, or zero if it isn't one of them.
 func (m *Member) initialRank() int {
 	return slices.Index(m.config.InitialVoters, m.config.Name) + 1
 }
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -16,7 +16,7 @@
 type observedMembership struct {
 	epoch  uint64
 	config quorum.Config
-	// leased is set if the lease was granted by quorums of that very configuration.
+	// leased is set if quorums of exactly this configuration granted the lease.
 	leased bool
 	state  membership.State
 }
@@ -66,7 +66,7 @@
 }
 
 // nextConfig returns the configuration of the next step of a membership change, and false if none is due. A change begins
-// with a joint configuration. It ends with the new voters alone, once a lease stands by quorums of both.
+// with a joint configuration. Once quorums of both the old and the new voters have granted a lease, it ends with the new ones alone.
 func (o observedMembership) nextConfig() (next quorum.Config, due bool) {
 	if o.config.IsJoint() {
 		return quorum.Config{Voters: o.config.Joint}, o.leased
@@ -75,16 +75,16 @@
 	return quorum.Config{Voters: o.config.Voters, Joint: voters}, voters != nil
 }
 
-// membershipChange is what a member remembers of the steps that it proposed. It isn't safe for concurrent use.
+// membershipChange tracks the membership changes that a member has proposed. It isn't safe for concurrent use.
 type membershipChange struct {
 	// inFlight is set while a step is being proposed.
 	inFlight bool
-	// proposedVoters are the names that proposals of this process would have made voters. None of them may begin with this
-	// primary's register, as a process that never voted: the proposal may count on its vote.
+	// proposedVoters names the processes that proposals of this process, chosen or not, would make voters. None of them may start
+	// with this primary's register as if it had never voted, because such a proposal may count on its vote.
 	proposedVoters map[string]bool
 }
 
-// begin marks a step as in flight. It returns false if one already is.
+// begin marks a step as in flight and records its new voters. It returns false if another step is in flight.
 func (c *membershipChange) begin(next quorum.Config) bool {
 	if c.inFlight {
 		return false
@@ -112,7 +112,7 @@
 	})
 }
 
-// beginChange marks a step as in flight. It returns false if one already is.
+// beginChange marks a step as in flight. It returns false if another step is in flight.
 func (m *Member) beginChange(next quorum.Config) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,8 +125,8 @@
 	m.mu.Unlock()
 }
 
-// proposeConfig proposes one step of a membership change. If the outcome is unknown, the next observation shows it, if only
-// by a lease that is rejected.
+// proposeConfig proposes one step of a membership change. If the outcome is unknown, later messages reveal it, at the latest the
+// rejection of a lease.
 func (m *Member) proposeConfig(observed observedMembership, next quorum.Config) {
 	value, proposal, err := m.changeRegister(func(value *wire.RegisterValue) (*wire.RegisterValue, error) {
 		if !m.leadsEpoch(value, observed.epoch) || !m.configOf(value).Equal(observed.config) {
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -9,8 +9,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// recordPeer takes what a process reported. The register was read by this process, so the voter may conclude which of its
-// grantees have ended.
+// recordPeer records what a process reported. Because this process itself read the register, its voter may conclude from the
+// process IDs which of the processes that it granted a lease have ended.
 func (m *Member) recordPeer(name string, response *wire.RegisterReadResponse) {
 	m.observeRegister(response.Accepted, response.Value)
 	m.observeProposal(response.Promised)
@@ -23,22 +23,22 @@
 	m.voterExecutor.Run(func() { m.voter.ObserveProcesses(m.host.Now(), processIDs) })
 }
 
-// quorumAvailable reports whether a quorum of the voters whose registers were read lately would promise this member a
-// proposal now, and otherwise after how long it may. It is a hint, like a pre-vote: it avoids proposals that would only
+// quorumAvailable reports whether a quorum of the voters whose registers were read recently would promise this member a
+// proposal now, and if not, after what wait it might. It is a hint, like a pre-vote: it avoids proposals that would only
 // preempt a live primary.
-func (m *Member) quorumAvailable() (free bool, wait monotonic.Micros) {
+func (m *Member) quorumAvailable() (available bool, wait monotonic.Micros) {
 	current, _ := m.knownConfig()
 	now := m.host.Now()
-	freeAt := m.localVoterAvailableAt(now)
+	availableAt := m.localVoterAvailableAt(now)
 	m.mu.Lock()
 	for _, name := range m.peers.intactPeers(now, m.config.CallTimeout) {
-		freeAt[name] = m.peers.availableAt(name, m.config.Name, now)
+		availableAt[name] = m.peers.availableAt(name, m.config.Name, now)
 	}
 	m.mu.Unlock()
-	for _, at := range slices.Sorted(maps.Values(freeAt)) {
+	for _, at := range slices.Sorted(maps.Values(availableAt)) {
 		var names []string
-		for name, free := range freeAt {
-			if free <= at {
+		for name, voterAt := range availableAt {
+			if voterAt <= at {
 				names = append(names, name)
 			}
 		}
@@ -49,23 +49,24 @@
 	return false, m.config.HeartbeatInterval
 }
 
-// localVoterAvailableAt returns when this member's own voter may promise it a proposal, by its name; nothing if it has no register.
+// localVoterAvailableAt returns when this member's own voter may promise it a proposal, as a map with this member's name as its only
+// key. The map is empty if this member has no register.
 func (m *Member) localVoterAvailableAt(now monotonic.Micros) map[string]monotonic.Micros {
-	freeAt := map[string]monotonic.Micros{}
+	availableAt := map[string]monotonic.Micros{}
 	m.voterExecutor.Run(func() {
 		if !m.voter.Joined() {
 			return
 		}
-		freeAt[m.config.Name] = now
+		availableAt[m.config.Name] = now
 		if status := m.voter.LeaseStatus(m.host.Now()); status.Leader != m.config.Name {
-			freeAt[m.config.Name] = now + status.Remaining
+			availableAt[m.config.Name] = now + status.Remaining
 		}
 	})
-	return freeAt
+	return availableAt
 }
 
-// quorumSeen reports whether this voter and those whose registers were read within some time are a quorum. What was chosen
-// before is then known here.
+// quorumSeen reports whether this member and the processes whose registers were read within the given time include a quorum. This
+// member then knows every value chosen before that time.
 func (m *Member) quorumSeen(within monotonic.Micros) bool {
 	current, _ := m.knownConfig()
 	seen, now := []string{m.config.Name}, m.host.Now()
@@ -75,8 +76,8 @@
 	return current.HasQuorum(seen)
 }
 
-// mayReclaim reports whether this member, the primary that a value names, needn't leave the leadership to one of its
-// backups: none of them is back, or a lease that this member's earlier process has would keep a backup from being elected.
+// mayReclaim reports whether this member, the primary named by the register value, may campaign without leaving the backups time to
+// go first: none of them is back, or a lease still held by this member's earlier process would keep a backup from being elected.
 func (m *Member) mayReclaim(value *wire.RegisterValue) bool {
 	now := m.host.Now()
 	m.mu.Lock()
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -11,10 +11,10 @@
 	"snowflow/internal/replication/consensus"
 )
 
-// staleReadWindow is within which time a quorum must have been read for a read at a member that doesn't lead.
+// staleReadWindow is how recently a member that doesn't lead must have read the registers of a quorum to serve a read.
 const staleReadWindow = monotonic.Second
 
-// writeRequest is a command that waits to be committed. result and err are set before done is fired.
+// writeRequest is a command that waits to be committed. result and err are set before done fires.
 type writeRequest struct {
 	command []byte
 	result  []byte
@@ -22,20 +22,20 @@
 	done    host.Signal
 }
 
-// Outcome is the result of one of several commands that were proposed together.
+// Outcome is the result of one of the commands passed to ProposeAll.
 type Outcome struct {
 	Result []byte
 	Err    error
 }
 
-// Propose has a command committed, if this member is the primary, and returns its result once every replica has synced it. It
+// Propose commits a command if this member is the primary, and returns its result once every replica has synced it. It
 // returns ErrNotPrimary if the command won't be applied, and ErrUnknown if it may be.
 func (m *Member) Propose(command []byte) ([]byte, error) {
 	outcome := m.ProposeAll([][]byte{command})[0]
 	return outcome.Result, outcome.Err
 }
 
-// ProposeAll proposes commands, each as Propose does, and waits for all of them. There is one outcome for each command, in their
+// ProposeAll proposes each command as Propose does, and waits for all of them. It returns one outcome per command, in the same
 // order.
 func (m *Member) ProposeAll(commands [][]byte) []Outcome {
 	outcomes := make([]Outcome, len(commands))
@@ -75,8 +75,8 @@
 	return proto.Unmarshal(answer, result)
 }
 
-// Read calls a function that reads the state machine, with the epoch and the leader clock. It reports whether this member was
-// serving from before the call until after it; otherwise what was read must not be used.
+// Read calls a function that reads the state machine, with the epoch and the leader clock. It reports whether this member served
+// throughout the call; if not, the result of the read must not be used.
 func (m *Member) Read(read func(epoch uint64, now monotonic.Micros)) bool {
 	if !m.Serving() {
 		return false
@@ -88,9 +88,9 @@
 	return m.Serving() && m.Epoch() == epoch
 }
 
-// ReadStale calls a function that reads this member's replica, whoever leads. It does so only if a quorum was read lately, and the
-// newest register value names this replica: it then has whatever was acknowledged before, and may have what never was. It
-// reports whether it called the function.
+// ReadStale calls a function that reads this member's replica, whichever member leads. It does so only if the registers of a quorum
+// were read within staleReadWindow and the newest value names this replica. The replica then has every write acknowledged before,
+// and possibly writes that never were. ReadStale reports whether it called the function.
 func (m *Member) ReadStale(read func()) bool {
 	if !m.quorumSeen(staleReadWindow) {
 		return false
@@ -104,7 +104,7 @@
 	return true
 }
 
-// mustMarshal encodes a message that this program built itself; one that can't be encoded is a defect of the program.
+// mustMarshal encodes a message that this program built itself. It panics if that fails, which would be a programming error.
 func mustMarshal(message proto.Message) []byte {
 	content, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/replication/proposer.go
+++ b/internal/replication/proposer.go
@@ -9,13 +9,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// alterFunc returns the register value to propose in place of the present one, which is nil if none was accepted. It must
-// neither change nor keep its argument. It may be called more than once in a proposal.
+// alterFunc returns the register value to propose in place of the current one, which is nil if none was accepted. It must
+// neither modify nor retain its argument. It may be called more than once per proposal.
 type alterFunc func(value *wire.RegisterValue) (*wire.RegisterValue, error)
 
-// changeRegister runs one proposal: it reads the register from a quorum, and has the same voters accept what alter makes of
-// it. It returns the chosen value with its proposal number. If alter fails, it returns alter's error and what was read, which
-// is no more than a hint. With errNoQuorum the value may have been chosen or may yet be.
+// changeRegister runs one proposal: it reads the register from a quorum, and proposes the value that alter returns to the same
+// voters. It returns the chosen value and its proposal number. If alter fails, it returns alter's error and the value that was read,
+// which is only a hint. If it returns errNoQuorum, the value may have been chosen or may still be.
 func (m *Member) changeRegister(alter alterFunc) (value *wire.RegisterValue, proposal uint64, err error) {
 	m.proposalExecutor.Run(func() { value, proposal, err = m.runProposal(m.withVoterAddresses(alter)) })
 	return value, proposal, err
@@ -28,7 +28,7 @@
 	if err != nil {
 		return prepared.read, prepared.readProposal, err
 	}
-	// Promises are only good for a lease's duration.
+	// Promises are valid for a lease's duration only.
 	if m.host.Now()-started >= m.config.LeaseDuration {
 		return nil, 0, errNoQuorum
 	}
@@ -38,7 +38,7 @@
 	return prepared.written, r.number, nil
 }
 
-// proposalRound is one proposal: whom this member contacted, and their promises.
+// proposalRound is one proposal: the processes contacted and their promises.
 type proposalRound struct {
 	member    *Member
 	number    uint64
@@ -54,8 +54,8 @@
 	readProposal  uint64
 }
 
-// prepare requests promises until the voters of the value read and those of the value to be written have been contacted:
-// who must promise follows from the value that they report.
+// prepare requests promises until the voters of the value read and those of the value to be written have been contacted. It takes
+// several rounds if a response reports a value with other voters, since that value determines who must promise.
 func (r *proposalRound) prepare(alter alterFunc) (preparedChange, error) {
 	m := r.member
 	config, known := m.knownConfig()
@@ -97,8 +97,8 @@
 	return value, accepted
 }
 
-// requestPromises sends prepare requests to this member's own voter and to the voters of a configuration that haven't been
-// contacted yet. It returns once a quorum has promised, or this member's own voter has refused.
+// requestPromises sends prepare requests to those of this member's own voter and a configuration's voters that haven't been
+// contacted yet. It returns once a quorum, including this member's own voter, has promised, or once that voter has refused.
 func (r *proposalRound) requestPromises(config quorum.Config, known uint64) {
 	m := r.member
 	var targets []string
@@ -122,7 +122,7 @@
 	for name, response := range responses {
 		r.promises[name] = response
 		m.observeProposal(response.Promised)
-		m.learnAddresses(response.Value) // of voters that have to be contacted too
+		m.learnAddresses(response.Value) // its voters may have to be contacted too
 		if !response.Granted {
 			m.observeRegister(response.Accepted, response.Value)
 		}
@@ -142,9 +142,9 @@
 	return response, m.callVoter(name, wire.Kind_prepare, request, response)
 }
 
-// accept has the value accepted by a quorum of the configuration read and of the one written, and by this member's own voter.
-// Everybody who was contacted is asked: a voter whose promise came too late to count is then up to date too, and one that
-// hasn't promised rejects the request.
+// accept succeeds once the value is accepted by quorums of the configuration read and of the one written, and by this member's own
+// voter. It sends the request to every process contacted: a voter whose promise came too late to count gets up to date too, and
+// one that hasn't promised rejects the request.
 func (r *proposalRound) accept(change preparedChange) error {
 	m := r.member
 	read, written := m.configOf(change.read), m.configOf(change.written)
@@ -176,22 +176,22 @@
 }
 
 const (
-	// proposerBits is the number of low bits of a proposal number that stand for the proposer.
+	// proposerBits is the number of low bits of a proposal number that identify the proposer.
 	proposerBits = 8
-	// firstDerivedID is the lowest proposer ID derived from a name; below are the ranks of the initial voters.
+	// firstDerivedID is the lowest proposer ID derived from a name. Lower IDs are the ranks of the initial voters.
 	firstDerivedID = 64
 	derivedIDCount = 1<<proposerBits - firstDerivedID
 )
 
-// nextProposalNumber returns a number higher than any seen. Its low byte is this proposer's ID. Two proposers that come to
-// use the same number do no harm: a voter promises it to one of them and accepts it from no other.
+// nextProposalNumber returns a proposal number higher than any seen, with this proposer's ID as its low byte. It is harmless if two
+// proposers use the same number: a voter promises it to only one of them and accepts it from no other.
 func (m *Member) nextProposalNumber() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.register.nextProposal(m.proposerID())
 }
 
-// proposerID returns this member's rank among the initial voters, or else an ID derived from its name.
+// proposerID returns this member's rank among the initial voters or, if it isn't one of them, an ID derived from its name.
 func (m *Member) proposerID() uint64 {
 	if rank := m.initialRank(); rank > 0 {
 		return uint64(rank)
@@ -199,14 +199,14 @@
 	return uint64(firstDerivedID + crc32.ChecksumIEEE([]byte(m.config.Name))%derivedIDCount)
 }
 
-// observeProposal takes a proposal number seen.
+// observeProposal records a proposal number that this member has seen.
 func (m *Member) observeProposal(proposal uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.register.observeProposal(proposal)
 }
 
-// leadsEpoch reports whether a register value has this member as the primary of an epoch.
+// leadsEpoch reports whether a register value names this member as the primary of an epoch.
 func (m *Member) leadsEpoch(value *wire.RegisterValue, epoch uint64) bool {
 	return value != nil && value.Epoch == epoch && consensus.SameMember(value.Primary, m.self())
 }
