--- a/internal/replication/errors.go
+++ b/internal/replication/errors.go
@@ -28,7 +28,7 @@
 )
 
 // Reasons for which a replica rejects entries or a snapshot. They are sent in the Reason field of a response, and a primary compares
-// reasonClockAhead, possibly with the text of another release, so the texts must not change.
+// that field with reasonClockAhead, so the texts must not change.
 const (
 	reasonOtherReplica     = "another copy"
 	reasonOlderEpoch       = "an older epoch"
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -85,8 +85,8 @@
 }
 
 // requestJoin asks the primary to add this process to the voters. A process without a register begins with the primary's. That is
-// safe because no configuration that can decide includes this process, so votes that an earlier process of its name has lost don't
-// count. It reports whether a primary has recorded this process.
+// safe because no configuration that can decide includes this process, so what an earlier process of its name promised and forgot
+// doesn't count. It reports whether a primary has recorded this process.
 func (m *Member) requestJoin(hasRegister bool) (recorded bool) {
 	for _, primary := range m.primaryCandidates() {
 		response := &wire.JoinResponse{}
--- a/internal/replication/join_test.go
+++ b/internal/replication/join_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if names := newestPrimaryFirst(test.known, test.value); !slices.Equal(names, test.expected) {
-				t.Errorf("%v, not %v", names, test.expected)
+				t.Errorf("got %v, want %v", names, test.expected)
 			}
 		})
 	}
--- a/internal/replication/logtail.go
+++ b/internal/replication/logtail.go
@@ -27,8 +27,7 @@
 	entries []*wire.Entry
 	// bytes is the total size of the entries' commands.
 	bytes int
-	// aliases are further positions of states: a state whose replica moved to a later epoch has a position there too, in addition
-	// to that of its last entry.
+	// aliases are additional positions of states. A state gets one when its replica moves to a later epoch.
 	aliases []logPosition
 }
 
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/replication/consensus"
 )
 
-// staleReadWindow is how recently a member that doesn't lead must have read the registers of a quorum to serve a read.
+// staleReadWindow is how long ago a member that doesn't lead may have read the registers of a quorum to serve a stale read.
 const staleReadWindow = monotonic.Second
 
 // writeRequest is a command that waits to be committed. result and err are set before done fires.
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -29,12 +29,12 @@
 	// Joint are the new voters during a membership change. Members are the group's processes that the resolver knows.
 	Joint   []string `json:"joint_voters,omitempty"`
 	Members []string `json:"members,omitempty"`
-	// SyncTime is how long the last append to the journal took, including its sync.
+	// SyncTime is how long the last append to the journal took, including its sync, in microseconds.
 	SyncTime  int64  `json:"sync_micros"`
 	FreeBytes uint64 `json:"free_bytes"`
 	Release   string `json:"release"`
 	Wire      uint16 `json:"wire"`
-	// Wall is this machine's wall clock, for the doctor command only; the protocol doesn't use it.
+	// Wall is this machine's wall clock in microseconds since 1970, for the doctor command only; the protocol doesn't use it.
 	Wall int64 `json:"wall_micros"`
 }
 
