--- a/internal/replication/slowdisk.go
+++ b/internal/replication/slowdisk.go
@@ -10,74 +10,75 @@
 )
 
 const (
-	// reliefInterval is how often something is done about a slow disk: each change of the replicas delays writes.
-	reliefInterval = 10 * monotonic.Second
-	// slowBatches is how many slow batches in a row make a disk a slow one.
+	// slowDiskActionInterval is the minimum time between actions on slow disks, because each change of the replicas delays writes.
+	slowDiskActionInterval = 10 * monotonic.Second
+	// slowBatches is the number of consecutive slow batches after which a disk counts as slow.
 	slowBatches = 3
 )
 
-// diskRelief is what a primary may do about the speed of its replicas' disks.
-type diskRelief int
+// slowDiskAction is what a primary does about the speed of its replicas' disks.
+type slowDiskAction int
 
 const (
-	noRelief diskRelief = iota
-	// transferToBackup: the own disk alone is slow.
+	noAction slowDiskAction = iota
+	// transferToBackup is for a primary whose local disk alone is slow.
 	transferToBackup
-	// replaceSlowBackups: the disk of a backup is slow.
+	// replaceSlowBackups is for backups whose disks are slow.
 	replaceSlowBackups
-	// preferTieBreaker: no disk is slow, and the tie-breaker isn't a backup though it could be.
+	// preferTieBreaker is for when no disk is slow and the tie-breaker isn't a backup although it could be.
 	preferTieBreaker
 )
 
-// slowDiskDetector tells disks that stay slow from single slow syncs. Its zero value has seen no batch; each epoch of a
-// primary begins with a new one.
+// slowDiskDetector distinguishes disks that stay slow from single slow syncs. Its zero value has seen no batch; each epoch of a
+// primary starts with a new one.
 type slowDiskDetector struct {
-	// ownSlow counts the batches in a row for which the own disk alone was slow, backupSlow those for which a backup's was.
-	ownSlow, backupSlow int
+	// localSlow counts the consecutive batches for which the local disk alone was slow, and backupSlow those for which a backup's
+	// disk was slow.
+	localSlow, backupSlow int
 }
 
-// observeBatch takes whether the own disk and some backup's were slow to sync a batch, and returns what is to be done.
-func (d *slowDiskDetector) observeBatch(ownSlow, backupSlow bool) diskRelief {
-	d.ownSlow = countInARow(d.ownSlow, ownSlow && !backupSlow)
-	d.backupSlow = countInARow(d.backupSlow, backupSlow)
+// observeBatch records whether the local disk, and whether a backup's disk, was slow to sync a batch. It returns the action to take.
+func (d *slowDiskDetector) observeBatch(localSlow, backupSlow bool) slowDiskAction {
+	d.localSlow = countConsecutive(d.localSlow, localSlow && !backupSlow)
+	d.backupSlow = countConsecutive(d.backupSlow, backupSlow)
 	switch {
-	case d.ownSlow >= slowBatches:
+	case d.localSlow >= slowBatches:
 		return transferToBackup
 	case d.backupSlow >= slowBatches:
 		return replaceSlowBackups
 	}
-	return noRelief
+	return noAction
 }
 
-// countInARow returns a count of events in a row after one more chance: one more if it happened, else zero.
-func countInARow(count int, happened bool) int {
+// countConsecutive updates a count of consecutive events: it returns one more if the event happened again, and zero if it didn't.
+func countConsecutive(count int, happened bool) int {
 	if !happened {
 		return 0
 	}
 	return count + 1
 }
 
-// relieveSlowDisks is called after each batch that was committed, with its backups and those that were slow to store it. It acts
-// if a disk stays slow, or if no disk is slow and the tie-breaker could be a backup again. Slow disks are only
-// avoided if there is a third voter: with two, both disks are needed for every write, no matter which member leads.
-func (m *Member) relieveSlowDisks(backups, slow []*wire.MemberID) {
-	ownSlow := false
-	m.replicaExecutor.Run(func() { ownSlow = m.replica.journal.lastSyncTime > m.config.SlowSyncThreshold })
+// handleSlowDisks is called after each committed batch, with its backups and those that were slow to store it. It acts if a disk
+// stays slow, or if no disk is slow and the tie-breaker could be a backup again. Slow disks are avoided only if there is a third
+// voter: with two, every write needs both disks, whichever member leads.
+func (m *Member) handleSlowDisks(backups, slow []*wire.MemberID) {
+	localSlow := false
+	m.replicaExecutor.Run(func() { localSlow = m.replica.journal.lastSyncTime > m.config.SlowSyncThreshold })
 	current, _ := m.knownConfig()
 	tieBreaker := current.Voters.TieBreaker()
 
 	m.mu.Lock()
-	relief := m.leadership.slowDisks.observeBatch(ownSlow, len(slow) > 0)
-	if relief == noRelief && !ownSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
-		relief = preferTieBreaker
+	action := m.leadership.slowDisks.observeBatch(localSlow, len(slow) > 0)
+	if action == noAction && !localSlow && len(slow) == 0 && m.lacksTieBreaker(tieBreaker, backups) {
+		action = preferTieBreaker
 	}
-	known, due := m.register.value, m.host.Now()-m.commitTimes.relief >= reliefInterval
+	known, due := m.register.value, m.host.Now()-m.commitTimes.slowDiskAction >= slowDiskActionInterval
 	m.mu.Unlock()
-	if !due || relief == noRelief {
+	if !due || action == noAction {
 		return
 	}
-	m.commitTimes.relief = m.host.Now()
-	if relief == preferTieBreaker {
+	m.commitTimes.slowDiskAction = m.host.Now()
+	if action == preferTieBreaker {
 		if m.isReachable(tieBreaker) {
 			m.dropBackups(backups, reasonPreferredBackup)
 			m.establishBackups(nil)
@@ -87,21 +88,21 @@
 	if !m.hasReachableCandidate(known, backups) {
 		return
 	}
-	if relief == transferToBackup {
+	if action == transferToBackup {
 		m.host.Report(eventlog.DiskSlow, eventlog.Attributes{"group": m.config.Group})
-		m.transferLeadership(reasonOwnDiskSlow, "")
+		m.transferLeadership(reasonLocalDiskSlow, "")
 		return
 	}
 	m.dropBackups(slow, reasonBackupDiskSlow)
 	m.establishBackups(slow)
 }
 
-// lacksTieBreaker reports whether the tie-breaker has no replica in sync.
+// lacksTieBreaker reports whether there is a tie-breaker that is neither this member nor one of the backups.
 func (m *Member) lacksTieBreaker(tieBreaker string, backups []*wire.MemberID) bool {
 	return tieBreaker != "" && tieBreaker != m.config.Name && !slices.Contains(consensus.MemberNames(backups), tieBreaker)
 }
 
-// hasReachableCandidate reports whether a voter that isn't a backup could become one.
+// hasReachableCandidate reports whether a reachable voter that isn't a backup could become one.
 func (m *Member) hasReachableCandidate(known *wire.RegisterValue, backups []*wire.MemberID) bool {
 	backupNames := consensus.MemberNames(backups)
 	return slices.ContainsFunc(m.backupCandidates(known, backups), func(name string) bool {
