--- a/internal/replication/consensus/lease.go
+++ b/internal/replication/consensus/lease.go
@@ -93,8 +93,8 @@
 	v.votesAfter, v.awaitsGrantees = max(v.votesAfter, until), false
 }
 
-// VoteFrom ends the voter's wait: it takes part in the first start of the group, before which nobody held a lease.
-func (v *Voter) VoteFrom(now monotonic.Micros) { v.votesAfter = now }
+// EndWait ends the voter's wait: it takes part in the first start of the group, before which nobody held a lease.
+func (v *Voter) EndWait(now monotonic.Micros) { v.votesAfter = now }
 
 // ObserveProcesses takes the present process ID of each name, as read from it by this process. The wait for leases of an
 // earlier process ends if every grantee is known to have been followed by another process of its name. Only answers to
--- a/internal/replication/consensus/random_test.go
+++ b/internal/replication/consensus/random_test.go
@@ -61,7 +61,7 @@
 	voter := NewVoter(Options{InitialVoters: testVoters, LeaseDuration: testLease})
 	voter.Restore(g.now, proto.CloneOf(g.disks[name]))
 	if g.defects.noWait {
-		voter.VoteFrom(g.now)
+		voter.EndWait(g.now)
 	}
 	g.voters[name] = voter
 }
--- a/internal/replication/join.go
+++ b/internal/replication/join.go
@@ -72,7 +72,7 @@
 func (m *Member) startVoting(found registerSurvey) {
 	m.voterExecutor.Run(func() {
 		if found.bootstrap {
-			m.voter.VoteFrom(m.host.Now())
+			m.voter.EndWait(m.host.Now())
 		} else {
 			m.voter.DeferVotes(m.host.Now() + m.config.LeaseDuration)
 		}
