--- a/internal/replication/addresses.go
+++ b/internal/replication/addresses.go
@@ -26,7 +26,7 @@
 		}
 		m.learnAddresses(value)
 		altered = proto.CloneOf(altered)
-		altered.VoterAddresses = m.addressesOf(m.configOf(altered).Members())
+		altered.VoterAddresses = m.addressesOf(m.configOf(altered).AllVoters())
 		return altered, nil
 	}
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -92,7 +92,7 @@
 ) (quorum.Config, map[string]*wire.LeaseResponse) {
 	self := m.self()
 	config, known := m.knownConfig()
-	return config, gather(m, config.Members(), timeout, func(name string) (*wire.LeaseResponse, error) {
+	return config, gather(m, config.AllVoters(), timeout, func(name string) (*wire.LeaseResponse, error) {
 		request := &wire.LeaseRequest{
 			To: name, Epoch: template.Epoch, Proposal: template.Proposal, Leader: self, Release: template.Release, ProcessId: m.processID,
 			Voters: config.Voters, JointVoters: config.Joint, KnownProposal: known,
--- a/internal/replication/membership.go
+++ b/internal/replication/membership.go
@@ -58,7 +58,7 @@
 	})
 	if m.config.Zone != nil {
 		state.Zones = map[string]string{}
-		for _, name := range slices.Concat(config.Members(), state.Standbys) {
+		for _, name := range slices.Concat(config.AllVoters(), state.Standbys) {
 			state.Zones[name] = m.config.Zone(name)
 		}
 	}
--- a/internal/replication/proposer.go
+++ b/internal/replication/proposer.go
@@ -84,7 +84,7 @@
 
 // hasUncontacted reports whether a voter of a configuration hasn't been contacted yet.
 func (r *proposalRound) hasUncontacted(config quorum.Config) bool {
-	return slices.ContainsFunc(config.Members(), func(name string) bool { return !slices.Contains(r.contacted, name) })
+	return slices.ContainsFunc(config.AllVoters(), func(name string) bool { return !slices.Contains(r.contacted, name) })
 }
 
 // highestAccepted returns the newest value reported with a promise, and the proposal under which it was accepted.
@@ -102,7 +102,7 @@
 func (r *proposalRound) requestPromises(config quorum.Config, known uint64) {
 	m := r.member
 	var targets []string
-	for _, name := range append(config.Members(), m.config.Name) {
+	for _, name := range append(config.AllVoters(), m.config.Name) {
 		if !slices.Contains(r.contacted, name) && !slices.Contains(targets, name) {
 			targets = append(targets, name)
 		}
--- a/internal/replication/quorum/config.go
+++ b/internal/replication/quorum/config.go
@@ -27,8 +27,8 @@
 	return c.Voters.HasReadQuorum(names) && (!c.IsJoint() || c.Joint.HasReadQuorum(names))
 }
 
-// Members returns everybody who votes, each name once, the present voters first. The caller may change the result.
-func (c Config) Members() []string {
+// AllVoters returns everybody who votes, each name once, the present voters first. The caller may change the result.
+func (c Config) AllVoters() []string {
 	names := slices.Clone(c.Voters)
 	for _, name := range c.Joint {
 		if !slices.Contains(names, name) {
--- a/internal/replication/quorum/config_test.go
+++ b/internal/replication/quorum/config_test.go
@@ -48,7 +48,7 @@
 		voters := Voters{"a", "b", "c", "d", "e"}[:size]
 		for _, next := range neighbours(voters, "z") {
 			stable, joint, after := Config{Voters: voters}, Config{voters, next}, Config{Voters: next}
-			subsets := quorumtest.Subsets(joint.Members())
+			subsets := quorumtest.Subsets(joint.AllVoters())
 			for _, pair := range [][2]Config{{stable, stable}, {stable, joint}, {joint, joint}, {joint, after}, {after, after}} {
 				if found := disjointQuorums(subsets, pair[0], pair[1]); found != "" {
 					t.Errorf("%v to %v: decide apart: %s", voters, next, found)
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -43,7 +43,7 @@
 // Voters returns who votes in the group, as far as this member knows.
 func (m *Member) Voters() []string {
 	current, _ := m.knownConfig()
-	return current.Members()
+	return current.AllVoters()
 }
 
 // otherVoters returns who votes besides this member.
