--- a/internal/simulation/world/node.go
+++ b/internal/simulation/world/node.go
@@ -60,7 +60,7 @@
 	}
 	node.clockOffset = monotonic.Micros(w.rng.Uint64N(uint64(maxClockOffset)))
 	node.clockDrift = (w.rng.Float64() - 0.5) / driftDivisor
-	node.Disk.TornLength = func(length int) int { return w.rng.IntN(length + 1) }
+	node.Disk.SurvivingLength = func(length int) int { return w.rng.IntN(length + 1) }
 	node.Disk.Sleep = func(duration monotonic.Micros) {
 		if w.current == nil {
 			return
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -36,8 +36,8 @@
 	Renames int
 	// IgnoreSyncs makes syncs return nil without effect, to show that the checkers detect it.
 	IgnoreSyncs bool
-	// TornLength is called at a power loss with the length of a file's unsynced tail, and returns how much of it survives.
-	TornLength func(length int) int
+	// SurvivingLength is called at a power loss with the length of a file's unsynced tail, and returns how much of it survives.
+	SurvivingLength func(length int) int
 }
 
 // file is one file: what the process sees of it, and what a power loss leaves.
@@ -52,7 +52,7 @@
 		files:        map[string]*file{},
 		durableFiles: map[string]*file{},
 		Sleep:        func(monotonic.Micros) {},
-		TornLength:   func(int) int { return 0 },
+		SurvivingLength:   func(int) int { return 0 },
 	}
 }
 
@@ -64,7 +64,7 @@
 		lost := d.durableFiles[name]
 		content := slices.Clone(lost.durable)
 		if tail := len(lost.content) - len(lost.durable); tail > 0 {
-			content = append(content, lost.content[len(lost.durable):len(lost.durable)+d.TornLength(tail)]...)
+			content = append(content, lost.content[len(lost.durable):len(lost.durable)+d.SurvivingLength(tail)]...)
 		}
 		d.files[name] = &file{content: content, durable: slices.Clone(content)}
 		d.durableFiles[name] = d.files[name]
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -59,7 +59,7 @@
 			if err := log.Append([]byte("unsynced")); err != nil {
 				t.Fatal(err)
 			}
-			disk.TornLength = func(int) int { return stored }
+			disk.SurvivingLength = func(int) int { return stored }
 			disk.PowerLoss()
 			log, records, err := open(t, disk)
 			if err != nil {
