--- a/internal/replication/consensus/errors_test.go
+++ b/internal/replication/consensus/errors_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSentReasons: these texts are sent in responses, so they stay as they are.
+// TestSentReasons checks the texts of rejections: they are sent in responses, so they must not change.
 func TestSentReasons(t *testing.T) {
 	for want, err := range map[string]error{
 		"not voting yet":                           ErrNotVoting,
--- a/internal/replication/consensus/lease.go
+++ b/internal/replication/consensus/lease.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// GrantLease decides whether to grant a primary a lease. If it is granted, ConfirmLease must follow the sync.
+// GrantLease decides whether to grant a lease to a primary. If it is granted, ConfirmLease must be called after the sync.
 func (v *Voter) GrantLease(clock Clock, request *wire.LeaseRequest) Decision[*wire.LeaseResponse] {
 	response := v.leaseResponse()
 	reject := func(err error) Decision[*wire.LeaseResponse] {
@@ -18,8 +18,8 @@
 	if err := v.checkConfig(quorum.Config{Voters: request.Voters, Joint: request.JointVoters}, request.KnownProposal); err != nil {
 		return reject(err)
 	}
-	// A primary's own proposal, in flight or accepted, doesn't preempt its lease: only that primary can have it chosen,
-	// and it serves nothing until it knows the outcome.
+	// A primary's own proposal, in flight or accepted, doesn't preempt its lease: only that primary can get it chosen,
+	// and it doesn't serve until it knows the outcome.
 	preempted := v.record.Promised > request.Proposal && !SameMember(v.promise.proposer, request.Leader)
 	superseded := v.record.Value != nil && v.record.Value.Epoch > request.Epoch && !SameMember(v.record.Value.Primary, request.Leader)
 	if err := v.checkVote(clock, request.Leader, preempted || superseded); err != nil {
@@ -34,13 +34,13 @@
 	return decision
 }
 
-// ConfirmLease starts a granted lease.
+// ConfirmLease starts the duration of a granted lease.
 func (v *Voter) ConfirmLease(now monotonic.Micros, leader *wire.MemberID) {
 	v.grant = leaseGrant{leader: leader, until: now + v.options.LeaseDuration}
 }
 
-// ReleaseLease ends a lease at its leader's request. A delayed request of an ended process is ignored: the lease may
-// since have been granted to the next process of that name.
+// ReleaseLease ends a lease at the request of its leader. A delayed request of a process that has ended is ignored: the
+// lease may have been granted to the next process of that name since then.
 func (v *Voter) ReleaseLease(request *wire.LeaseRequest) *wire.LeaseResponse {
 	onlyGrantee := []*wire.Grantee{{Name: request.Leader.Name, ProcessId: request.ProcessId}}
 	if SameMember(v.grant.leader, request.Leader) && sameGrantees(v.record.Grantees, onlyGrantee) {
@@ -53,67 +53,69 @@
 	return &wire.LeaseResponse{Promised: v.record.Promised, Accepted: v.record.Accepted, Value: v.record.Value}
 }
 
-// OtherLeaseRemaining returns how long a lease granted to another member than this one remains, zero if there is none.
+// OtherLeaseRemaining returns the remaining time of a lease granted to a member other than the given one, or zero if there
+// is none.
 func (v *Voter) OtherLeaseRemaining(now monotonic.Micros, member *wire.MemberID) monotonic.Micros {
-	if !v.leaseStands(now) || SameMember(v.grant.leader, member) {
+	if !v.leaseActive(now) || SameMember(v.grant.leader, member) {
 		return 0
 	}
 	return v.grant.until - now
 }
 
-func (v *Voter) leaseStands(now monotonic.Micros) bool {
+func (v *Voter) leaseActive(now monotonic.Micros) bool {
 	return v.grant.leader != nil && now < v.grant.until
 }
 
-// LeaseStatus says for how long a voter promises and grants nothing, except to the leader that it granted a lease. Until
-// a restarted voter's wait is over, it counts as a lease of an unknown leader.
+// LeaseStatus describes the lease that keeps a voter from promising or granting anything to members other than the
+// leader. The wait of a restarted voter is reported as the lease of an unknown leader.
 type LeaseStatus struct {
-	// Remaining is zero if the voter is free.
+	// Remaining is zero if there is no such lease.
 	Remaining monotonic.Micros
-	// Leader is the name of the leader that is excepted, empty if nobody is.
+	// Leader is the name of the lease's leader, empty if it is unknown or there is no lease.
 	Leader string
 }
 
-// LeaseStatus returns whether a lease keeps this voter from promising and granting, and whose.
+// LeaseStatus returns the active lease, or the wait after a restart.
 func (v *Voter) LeaseStatus(now monotonic.Micros) LeaseStatus {
 	switch {
 	case !v.WaitOver(now):
 		return LeaseStatus{Remaining: v.votesAfter - now}
-	case v.leaseStands(now):
+	case v.leaseActive(now):
 		return LeaseStatus{Remaining: v.grant.until - now, Leader: v.grant.leader.Name}
 	}
 	return LeaseStatus{}
 }
 
-// WaitOver reports whether leases that an earlier process may have granted have ended.
+// WaitOver reports whether the wait is over, so all leases that an earlier process may have granted have ended.
 func (v *Voter) WaitOver(now monotonic.Micros) bool { return now >= v.votesAfter }
 
-// DeferVotes makes the voter wait, even if its grantees are found to have ended.
+// DeferVotes makes the voter wait at least until the given time, even if its grantees are found to have ended.
 func (v *Voter) DeferVotes(until monotonic.Micros) {
-	v.votesAfter, v.awaitsGrantees = max(v.votesAfter, until), false
+	v.votesAfter, v.waitMayEndEarly = max(v.votesAfter, until), false
 }
 
-// EndWait ends the voter's wait: it takes part in the first start of the group, before which nobody held a lease.
+// EndWait ends the voter's wait. It is for the first start of a group, before which no lease was granted.
 func (v *Voter) EndWait(now monotonic.Micros) { v.votesAfter = now }
 
-// ObserveProcesses takes the present process ID of each name, as read from it by this process. The wait for leases of an
-// earlier process ends if every grantee is known to have been followed by another process of its name. Only answers to
-// this process's own reads count: they were given after the grant, while a delayed request may be older.
+// ObserveProcesses takes the current process ID of each member, by name. The wait ends if every grantee is known to have
+// been succeeded by another process of its name. The IDs must come from answers to this process's own reads: these were
+// given after the grant, while a delayed request may be older.
 func (v *Voter) ObserveProcesses(now monotonic.Micros, processIDs map[string]uint64) {
-	mayBeAlive := func(grantee *wire.Grantee) bool {
-		present := processIDs[grantee.Name]
-		return grantee.ProcessId == 0 || present == 0 || present == grantee.ProcessId
+	mayBeRunning := func(grantee *wire.Grantee) bool {
+		current := processIDs[grantee.Name]
+		return grantee.ProcessId == 0 || current == 0 || current == grantee.ProcessId
 	}
-	if v.awaitsGrantees && !slices.ContainsFunc(v.record.Grantees, mayBeAlive) {
-		v.votesAfter, v.awaitsGrantees = min(v.votesAfter, now), false
+	if v.waitMayEndEarly && !slices.ContainsFunc(v.record.Grantees, mayBeRunning) {
+		v.votesAfter, v.waitMayEndEarly = min(v.votesAfter, now), false
 	}
 }
 
-// granteesWith returns who may hold a lease granted here once one more process is promised or granted something. While
-// a lease stands earlier grantees remain: a delayed request of an ended process may be granted after its successor's.
+// granteesWith returns the processes that may hold a lease granted here after a promise or grant to one more process.
+// Earlier grantees remain while a lease is active: the delayed request of a process that has ended may be granted after
+// that of its successor.
 func (v *Voter) granteesWith(now monotonic.Micros, name string, processID uint64) (grantees []*wire.Grantee) {
 	added := &wire.Grantee{Name: name, ProcessId: processID}
-	if v.leaseStands(now) {
+	if v.leaseActive(now) {
 		grantees = slices.Clone(v.record.Grantees)
 	}
 	if !slices.ContainsFunc(grantees, func(grantee *wire.Grantee) bool { return sameGrantee(grantee, added) }) {
--- a/internal/replication/consensus/random_test.go
+++ b/internal/replication/consensus/random_test.go
@@ -12,10 +12,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The random test drives real voters: two members campaign and renew leases, requests are lost and take time, and voters and
-// members restart. Checked after each step: at most one member has a lease, and an epoch is won by one process only.
+// The random test runs real voters. Two members campaign and renew leases, requests are delayed and lost, and voters and members
+// restart. After each step, at most one member may have a lease, and each epoch may have been won by only one process.
 
-// randomMember is a member that campaigns. Its process has a lease until leaseUntil.
+// randomMember is a member that campaigns. Its process has a lease until leaseUntil. The epoch is 0 while it isn't the primary.
 type randomMember struct {
 	id              *wire.MemberID
 	processID       uint64
@@ -31,15 +31,15 @@
 	disks        map[string]*wire.RegisterRecord
 	members      [2]randomMember
 	lastProposal uint64
-	winners      map[uint64]string // by epoch
+	winners      map[uint64]string // the member and process that won, by epoch
 	defects      randomDefects
 }
 
-// randomDefects are rules that may be left out, to show that the test detects it.
+// randomDefects disable rules, to show that the test detects their absence.
 type randomDefects struct {
-	noWait        bool // a restarted voter votes at once
-	countFromLast bool // a lease counts from after the last grant
-	minority      bool // one promise, acceptance or grant is enough
+	noWait             bool // a restarted voter votes without a wait
+	countFromLastGrant bool // a lease counts from half its duration after the last grant
+	minorityDecides    bool // a single promise, acceptance or grant counts as a quorum
 }
 
 func newRandomGroup(seed uint64, defects randomDefects) *randomGroup {
@@ -66,7 +66,7 @@
 	g.voters[name] = voter
 }
 
-// save syncs a voter's record, if there is one.
+// save writes a voter's record to its disk, if there is one.
 func (g *randomGroup) save(name string, record *wire.RegisterRecord) {
 	if record != nil {
 		g.disks[name] = proto.CloneOf(record)
@@ -74,8 +74,8 @@
 	}
 }
 
-// reach returns the voters that a request reaches, and lets some time pass before each.
-func (g *randomGroup) reach(request func(name string, clock Clock)) {
+// sendToVoters calls request for each voter in a random order, after a random delay. One request in five is lost.
+func (g *randomGroup) sendToVoters(request func(name string, clock Clock)) {
 	for _, index := range g.random.Perm(len(testVoters)) {
 		g.now += monotonic.Micros(g.random.Int64N(int64(testLease / 20)))
 		if g.random.IntN(5) > 0 {
@@ -85,17 +85,17 @@
 }
 
 func (g *randomGroup) isQuorum(names []string) bool {
-	return quorum.Voters(testVoters).HasQuorum(names) || g.defects.minority && len(names) > 0
+	return quorum.Voters(testVoters).HasQuorum(names) || g.defects.minorityDecides && len(names) > 0
 }
 
-// campaign proposes the next epoch with a member as primary.
+// campaign proposes the next epoch, with a member as its primary.
 func (g *randomGroup) campaign(member *randomMember) {
 	g.lastProposal++
 	number, started := g.lastProposal, g.now
 	var promised, accepted []string
 	var highest uint64
 	var value *wire.RegisterValue
-	g.reach(func(name string, clock Clock) {
+	g.sendToVoters(func(name string, clock Clock) {
 		decision := g.voters[name].Prepare(clock, &wire.PrepareRequest{Proposal: number, Proposer: member.id, ProcessId: member.processID})
 		if decision.Rejection != nil {
 			return
@@ -111,7 +111,7 @@
 		return
 	}
 	next := NextValue(value, value.GetEpoch()+1, member.id, nil)
-	g.reach(func(name string, clock Clock) {
+	g.sendToVoters(func(name string, clock Clock) {
 		decision := g.voters[name].Accept(clock, &wire.AcceptRequest{Proposal: number, Proposer: member.id, Value: next})
 		if decision.Rejection == nil {
 			g.save(name, decision.Record)
@@ -123,11 +123,11 @@
 	}
 }
 
-// renew requests a lease for the epoch that a member has won.
+// renew requests a lease for the epoch that a member won.
 func (g *randomGroup) renew(member *randomMember) {
 	requestedAt := g.now
 	var granted []string
-	g.reach(func(name string, clock Clock) {
+	g.sendToVoters(func(name string, clock Clock) {
 		request := &wire.LeaseRequest{Epoch: member.epoch, Proposal: member.proposal, Leader: member.id, ProcessId: member.processID}
 		decision := g.voters[name].GrantLease(clock, request)
 		if decision.Rejection != nil {
@@ -137,7 +137,7 @@
 		g.voters[name].ConfirmLease(g.now, member.id)
 		granted = append(granted, name)
 	})
-	if g.defects.countFromLast {
+	if g.defects.countFromLastGrant {
 		requestedAt = g.now + testLease/2
 	}
 	if g.isQuorum(granted) {
@@ -145,16 +145,16 @@
 	}
 }
 
-// release ends a member's leadership, and releases its lease.
+// release ends a member's leadership and releases its lease at the voters.
 func (g *randomGroup) release(member *randomMember) {
 	member.epoch, member.leaseUntil = 0, 0
-	g.reach(func(name string, _ Clock) {
+	g.sendToVoters(func(name string, _ Clock) {
 		g.voters[name].ReleaseLease(&wire.LeaseRequest{Leader: member.id, ProcessId: member.processID, Release: true})
 	})
 }
 
-// readMembers has a voter learn the present process of each member.
-func (g *randomGroup) readMembers(name string) {
+// readProcessIDs tells a voter the current process ID of each member.
+func (g *randomGroup) readProcessIDs(name string) {
 	processIDs := map[string]uint64{}
 	for _, member := range g.members {
 		processIDs[member.id.Name] = member.processID
@@ -162,7 +162,7 @@
 	g.voters[name].ObserveProcesses(g.now, processIDs)
 }
 
-// step does something, and describes it.
+// step takes a random step and returns its description.
 func (g *randomGroup) step() string {
 	member := &g.members[g.random.IntN(len(g.members))]
 	name := testVoters[g.random.IntN(len(testVoters))]
@@ -186,15 +186,15 @@
 		g.startVoter(name)
 		return "restart of voter " + name
 	case choice < 16:
-		g.readMembers(name)
+		g.readProcessIDs(name)
 		return "reads by voter " + name
 	}
 	g.now += monotonic.Micros(g.random.Int64N(int64(testLease)))
-	return "time"
+	return "passage of time"
 }
 
-// violation describes what doesn't hold, empty if everything does.
-func (g *randomGroup) violation() string {
+// findViolation describes a violated property, or returns "" if there is none.
+func (g *randomGroup) findViolation() string {
 	leased := 0
 	for _, member := range g.members {
 		if g.now < member.leaseUntil {
@@ -215,14 +215,14 @@
 	return ""
 }
 
-// runRandom runs some groups, and returns the first violation with its seed, and how many epochs were won.
+// runRandom runs groups with different seeds. It returns the first violation with its seed, and how many epochs were won before.
 func runRandom(defects randomDefects, groups, steps int) (violation string, epochs int) {
 	for seed := range groups {
 		g := newRandomGroup(uint64(seed), defects)
 		for number := range steps {
-			done := g.step()
-			if found := g.violation(); found != "" {
-				return fmt.Sprintf("seed %d, step %d, %s: %s", seed, number, done, found), epochs
+			action := g.step()
+			if found := g.findViolation(); found != "" {
+				return fmt.Sprintf("seed %d, step %d, %s: %s", seed, number, action, found), epochs
 			}
 		}
 		epochs += len(g.winners)
@@ -230,6 +230,7 @@
 	return "", epochs
 }
 
+// TestVotersAtRandom runs random steps. With all rules no property is violated; with one rule disabled the test finds a violation.
 func TestVotersAtRandom(t *testing.T) {
 	violation, epochs := runRandom(randomDefects{}, 200, 300)
 	t.Logf("%d epochs won", epochs)
@@ -238,14 +239,14 @@
 	}
 	for name, defects := range map[string]randomDefects{
 		"a restarted voter votes at once":    {noWait: true},
-		"a lease counts from its last grant": {countFromLast: true},
-		"a minority decides":                 {minority: true},
+		"a lease counts from its last grant": {countFromLastGrant: true},
+		"a minority decides":                 {minorityDecides: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			violation, epochs := runRandom(defects, 2000, 300)
 			t.Logf("after %d epochs: %s", epochs, violation)
 			if violation == "" {
-				t.Errorf("nothing was found in %d epochs", epochs)
+				t.Errorf("no violation was found in %d epochs", epochs)
 			}
 		})
 	}
--- a/internal/replication/consensus/value.go
+++ b/internal/replication/consensus/value.go
@@ -7,8 +7,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ConfigOf returns who decides under a register value. A value without voters, which earlier releases wrote, and a nil
-// value stand for the voters of the settings.
+// ConfigOf returns the configuration whose quorums decide under a register value. It is the initial voters for a nil
+// value and for a value without voters, as earlier releases wrote.
 func ConfigOf(value *wire.RegisterValue, initialVoters []string) quorum.Config {
 	if value == nil || len(value.Voters) == 0 {
 		return quorum.Config{Voters: initialVoters}
@@ -16,7 +16,7 @@
 	return quorum.Config{Voters: value.Voters, Joint: value.JointVoters}
 }
 
-// BackupsOf returns a value's backups, nil for a nil value. Earlier releases had one backup and set only that field.
+// BackupsOf returns the backups of a value, or nil for a nil value. Earlier releases had one backup and set only Backup.
 func BackupsOf(value *wire.RegisterValue) []*wire.MemberID {
 	if value == nil || value.Backup == nil {
 		return nil
@@ -27,14 +27,14 @@
 	return []*wire.MemberID{value.Backup}
 }
 
-// NamesReplica reports whether a value names a member as the primary or as a backup, whose replicas have every
-// acknowledged write. It is false for a nil value.
+// NamesReplica reports whether a value names a member as the primary or as a backup. The replicas of these members have
+// every acknowledged write. It is false for a nil value.
 func NamesReplica(value *wire.RegisterValue, member *wire.MemberID) bool {
 	return value != nil && (SameMember(value.Primary, member) || ContainsMember(BackupsOf(value), member))
 }
 
-// NextValue returns a copy of a value for another epoch, with other replicas that are not in sync yet. The voters stay:
-// they change by proposals of their own.
+// NextValue returns the successor of a value in another epoch, with other replicas, which are not in sync yet. The voters
+// are copied: they change only in proposals of their own.
 func NextValue(value *wire.RegisterValue, epoch uint64, primary *wire.MemberID, backups []*wire.MemberID) *wire.RegisterValue {
 	next := &wire.RegisterValue{
 		Epoch:       epoch,
@@ -50,18 +50,18 @@
 	return next
 }
 
-// SameMember reports whether two IDs name the same replica. A replica that is created again after a loss has another
-// incarnation. A nil ID is the same as no other.
+// SameMember reports whether two IDs refer to the same replica. A replica that is recreated after a loss has another
+// incarnation. A nil ID equals no ID.
 func SameMember(a, b *wire.MemberID) bool {
 	return a != nil && b != nil && a.Name == b.Name && a.Incarnation == b.Incarnation
 }
 
-// ContainsMember reports whether a list has a member.
+// ContainsMember reports whether a list contains a member.
 func ContainsMember(members []*wire.MemberID, wanted *wire.MemberID) bool {
 	return slices.ContainsFunc(members, func(member *wire.MemberID) bool { return SameMember(member, wanted) })
 }
 
-// MemberNames returns the names of some members, in their order.
+// MemberNames returns the names of members, in the order of the list.
 func MemberNames(members []*wire.MemberID) (names []string) {
 	for _, member := range members {
 		names = append(names, member.Name)
@@ -69,7 +69,7 @@
 	return names
 }
 
-// MergeMembers returns the members with some added; of a name that is in both, only the added one.
+// MergeMembers returns members followed by added. An added member replaces a member of the same name.
 func MergeMembers(members []*wire.MemberID, added ...*wire.MemberID) []*wire.MemberID {
 	replaced := map[string]bool{}
 	for _, member := range added {
--- a/internal/replication/consensus/voter_test.go
+++ b/internal/replication/consensus/voter_test.go
@@ -17,21 +17,21 @@
 	memberB    = &wire.MemberID{Name: "b", Incarnation: 2}
 )
 
-// scene is a voter with a clock. Its process has waited for leases of an earlier one.
-type scene struct {
+// voterFixture is a voter with a clock. Its process has waited for leases of an earlier one.
+type voterFixture struct {
 	voter *Voter
 	clock Clock
 }
 
-func newScene(record *wire.RegisterRecord) *scene {
-	s := &scene{voter: NewVoter(Options{InitialVoters: testVoters, LeaseDuration: testLease}), clock: Clock{Steady: true}}
+func newVoterFixture(record *wire.RegisterRecord) *voterFixture {
+	s := &voterFixture{voter: NewVoter(Options{InitialVoters: testVoters, LeaseDuration: testLease}), clock: Clock{Steady: true}}
 	s.voter.Restore(0, record)
 	s.clock.Now = testLease
 	return s
 }
 
-// joined is the record of a voter that accepted a value of epoch 5 under proposal 10.
-func joined() *wire.RegisterRecord {
+// joinedRecord is the record of a voter that accepted a value of epoch 5 under proposal 10.
+func joinedRecord() *wire.RegisterRecord {
 	return &wire.RegisterRecord{
 		Joined: true, Promised: 10, Accepted: 10,
 		Value: &wire.RegisterValue{Epoch: 5, Primary: memberA, Voters: testVoters},
@@ -39,7 +39,7 @@
 }
 
 // prepare requests a promise and confirms it.
-func (s *scene) prepare(proposal uint64, proposer *wire.MemberID) error {
+func (s *voterFixture) prepare(proposal uint64, proposer *wire.MemberID) error {
 	decision := s.voter.Prepare(s.clock, &wire.PrepareRequest{
 		Proposal: proposal, Proposer: proposer, Voters: testVoters, KnownProposal: 10, ProcessId: proposer.Incarnation,
 	})
@@ -50,7 +50,7 @@
 	return decision.Rejection
 }
 
-func (s *scene) accept(proposal uint64, proposer *wire.MemberID) error {
+func (s *voterFixture) accept(proposal uint64, proposer *wire.MemberID) error {
 	decision := s.voter.Accept(s.clock, &wire.AcceptRequest{
 		Proposal: proposal, Proposer: proposer,
 		Value: &wire.RegisterValue{Epoch: 6, Primary: proposer, Voters: testVoters},
@@ -62,7 +62,7 @@
 }
 
 // lease requests a lease for an epoch that proposal 10 won, and confirms it.
-func (s *scene) lease(epoch uint64, leader *wire.MemberID) error {
+func (s *voterFixture) lease(epoch uint64, leader *wire.MemberID) error {
 	const proposal = 10
 	decision := s.voter.GrantLease(s.clock, &wire.LeaseRequest{
 		Epoch: epoch, Proposal: proposal, Leader: leader, Voters: testVoters, KnownProposal: proposal, ProcessId: leader.Incarnation,
@@ -76,7 +76,7 @@
 	return decision.Rejection
 }
 
-func (s *scene) release(leader *wire.MemberID, processID uint64) {
+func (s *voterFixture) release(leader *wire.MemberID, processID uint64) {
 	s.voter.ReleaseLease(&wire.LeaseRequest{Leader: leader, ProcessId: processID, Release: true})
 }
 
@@ -84,46 +84,46 @@
 func TestVoterDecisions(t *testing.T) {
 	for name, test := range map[string]struct {
 		record *wire.RegisterRecord
-		before func(s *scene) error
-		last   func(s *scene) error
+		before func(s *voterFixture) error
+		last   func(s *voterFixture) error
 		want   error
 	}{
-		"a higher proposal is promised":   {joined(), nil, func(s *scene) error { return s.prepare(11, memberB) }, nil},
-		"the promised number is rejected": {joined(), nil, func(s *scene) error { return s.prepare(10, memberB) }, ErrStaleProposal},
-		"a promised proposal is accepted": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
-			func(s *scene) error { return s.accept(11, memberB) }, nil},
-		"a proposal that was not promised is rejected": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
-			func(s *scene) error { return s.accept(12, memberB) }, ErrStaleProposal},
-		"a number promised to another proposer is rejected": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
-			func(s *scene) error { return s.accept(11, memberA) }, ErrStaleProposal},
-		"a promise of an earlier process is rejected": {joined(), nil, func(s *scene) error { return s.accept(10, memberB) }, ErrStaleProposal},
-		"a promise lasts for a lease duration": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
-			func(s *scene) error { s.clock.Now += testLease; return s.accept(11, memberB) }, nil},
-		"and not longer": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
-			func(s *scene) error { s.clock.Now += testLease + 1; return s.accept(11, memberB) }, ErrStaleProposal},
+		"a higher proposal is promised":   {joinedRecord(), nil, func(s *voterFixture) error { return s.prepare(11, memberB) }, nil},
+		"the promised number is rejected": {joinedRecord(), nil, func(s *voterFixture) error { return s.prepare(10, memberB) }, ErrStaleProposal},
+		"a promised proposal is accepted": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberB) },
+			func(s *voterFixture) error { return s.accept(11, memberB) }, nil},
+		"a proposal that was not promised is rejected": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberB) },
+			func(s *voterFixture) error { return s.accept(12, memberB) }, ErrStaleProposal},
+		"a number promised to another proposer is rejected": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberB) },
+			func(s *voterFixture) error { return s.accept(11, memberA) }, ErrStaleProposal},
+		"a promise of an earlier process is rejected": {joinedRecord(), nil, func(s *voterFixture) error { return s.accept(10, memberB) }, ErrStaleProposal},
+		"a promise lasts for a lease duration": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberB) },
+			func(s *voterFixture) error { s.clock.Now += testLease; return s.accept(11, memberB) }, nil},
+		"and not longer": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberB) },
+			func(s *voterFixture) error { s.clock.Now += testLease + 1; return s.accept(11, memberB) }, ErrStaleProposal},
 		"without a register there is no vote": {&wire.RegisterRecord{}, nil,
-			func(s *scene) error { return s.prepare(11, memberB) }, ErrNotVoting},
-		"a restarted voter waits": {joined(), nil,
-			func(s *scene) error { s.clock.Now = testLease - 1; return s.prepare(11, memberB) }, ErrNotVoting},
-		"an unsteady clock": {joined(), nil, func(s *scene) error { s.clock.Steady = false; return s.prepare(11, memberB) }, ErrClockUnsteady},
-		"a lease excludes rivals": {joined(), func(s *scene) error { return s.lease(5, memberA) },
-			func(s *scene) error { return s.prepare(11, memberB) }, ErrLeaseGranted},
-		"but not its leader": {joined(), func(s *scene) error { return s.lease(5, memberA) },
-			func(s *scene) error { return s.prepare(11, memberA) }, nil},
-		"until it ends": {joined(), func(s *scene) error { return s.lease(5, memberA) },
-			func(s *scene) error { s.clock.Now += testLease; return s.prepare(11, memberB) }, nil},
-		"or is released": {joined(), func(s *scene) error { return s.lease(5, memberA) },
-			func(s *scene) error { s.release(memberA, 1); return s.prepare(11, memberB) }, nil},
-		"a release by an earlier process is ignored": {joined(), func(s *scene) error { return s.lease(5, memberA) },
-			func(s *scene) error { s.release(memberA, 7); return s.prepare(11, memberB) }, ErrLeaseGranted},
-		"a higher promise preempts a lease": {joined(), func(s *scene) error { return s.prepare(11, memberB) },
-			func(s *scene) error { return s.lease(5, memberA) }, ErrStaleProposal},
-		"unless it was given to the leader itself": {joined(), func(s *scene) error { return s.prepare(11, memberA) },
-			func(s *scene) error { return s.lease(5, memberA) }, nil},
-		"an accepted later epoch supersedes a lease": {joined(), nil, func(s *scene) error { return s.lease(4, memberB) }, ErrStaleProposal},
+			func(s *voterFixture) error { return s.prepare(11, memberB) }, ErrNotVoting},
+		"a restarted voter waits": {joinedRecord(), nil,
+			func(s *voterFixture) error { s.clock.Now = testLease - 1; return s.prepare(11, memberB) }, ErrNotVoting},
+		"an unsteady clock": {joinedRecord(), nil, func(s *voterFixture) error { s.clock.Steady = false; return s.prepare(11, memberB) }, ErrClockUnsteady},
+		"a lease excludes rivals": {joinedRecord(), func(s *voterFixture) error { return s.lease(5, memberA) },
+			func(s *voterFixture) error { return s.prepare(11, memberB) }, ErrLeaseGranted},
+		"but not its leader": {joinedRecord(), func(s *voterFixture) error { return s.lease(5, memberA) },
+			func(s *voterFixture) error { return s.prepare(11, memberA) }, nil},
+		"until it ends": {joinedRecord(), func(s *voterFixture) error { return s.lease(5, memberA) },
+			func(s *voterFixture) error { s.clock.Now += testLease; return s.prepare(11, memberB) }, nil},
+		"or is released": {joinedRecord(), func(s *voterFixture) error { return s.lease(5, memberA) },
+			func(s *voterFixture) error { s.release(memberA, 1); return s.prepare(11, memberB) }, nil},
+		"a release by an earlier process is ignored": {joinedRecord(), func(s *voterFixture) error { return s.lease(5, memberA) },
+			func(s *voterFixture) error { s.release(memberA, 7); return s.prepare(11, memberB) }, ErrLeaseGranted},
+		"a higher promise preempts a lease": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberB) },
+			func(s *voterFixture) error { return s.lease(5, memberA) }, ErrStaleProposal},
+		"unless it was given to the leader itself": {joinedRecord(), func(s *voterFixture) error { return s.prepare(11, memberA) },
+			func(s *voterFixture) error { return s.lease(5, memberA) }, nil},
+		"an accepted later epoch supersedes a lease": {joinedRecord(), nil, func(s *voterFixture) error { return s.lease(4, memberB) }, ErrStaleProposal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene(test.record)
+			s := newVoterFixture(test.record)
 			if test.before != nil {
 				if err := test.before(s); err != nil {
 					t.Fatalf("before: %v", err)
@@ -140,7 +140,7 @@
 func TestConfigurationMismatch(t *testing.T) {
 	others := []string{"x", "y"}
 	t.Run("other initial voters", func(t *testing.T) {
-		s := newScene(&wire.RegisterRecord{Joined: true})
+		s := newVoterFixture(&wire.RegisterRecord{Joined: true})
 		decision := s.voter.Prepare(s.clock, &wire.PrepareRequest{Proposal: 1, Proposer: memberB, Voters: others})
 		var mismatch *InitialVotersError
 		if !errors.As(decision.Rejection, &mismatch) || !slices.Equal(mismatch.Remote, others) || !slices.Equal(mismatch.Local, testVoters) {
@@ -148,7 +148,7 @@
 		}
 	})
 	t.Run("outdated voters", func(t *testing.T) {
-		s := newScene(joined())
+		s := newVoterFixture(joinedRecord())
 		decision := s.voter.Prepare(s.clock, &wire.PrepareRequest{Proposal: 11, Proposer: memberB, Voters: others, KnownProposal: 9})
 		var outdated *OutdatedConfigError
 		if !errors.As(decision.Rejection, &outdated) || !slices.Equal(outdated.Voters, testVoters) {
@@ -159,7 +159,7 @@
 		}
 	})
 	t.Run("newer voters than this voter's", func(t *testing.T) {
-		s := newScene(joined())
+		s := newVoterFixture(joinedRecord())
 		decision := s.voter.Prepare(s.clock, &wire.PrepareRequest{Proposal: 11, Proposer: memberB, Voters: others, KnownProposal: 11})
 		if decision.Rejection != nil {
 			t.Errorf("got %v", decision.Rejection)
@@ -187,9 +187,9 @@
 		"the clock has jumped":            {[]*wire.Grantee{{Name: "a", ProcessId: 1}}, true, map[string]uint64{"a": 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			record := joined()
+			record := joinedRecord()
 			record.Grantees = test.grantees
-			s := newScene(record)
+			s := newVoterFixture(record)
 			s.clock.Now = 1
 			if test.deferred {
 				s.voter.DeferVotes(testLease)
@@ -203,7 +203,7 @@
 }
 
 func TestLeaseStatus(t *testing.T) {
-	s := newScene(joined())
+	s := newVoterFixture(joinedRecord())
 	if status := s.voter.LeaseStatus(0); status != (LeaseStatus{Remaining: testLease}) {
 		t.Errorf("after a restart: %v", status)
 	}
--- a/internal/replication/quorum/config_test.go
+++ b/internal/replication/quorum/config_test.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/replication/quorum/quorumtest"
 )
 
-// neighbours returns the voters that one change may lead to: one voter added, one removed, one replaced.
-func neighbours(voters Voters, spare string) (all []Voters) {
+// singleChanges returns the voters that one change may lead to: one voter added, one removed, one replaced.
+func singleChanges(voters Voters, spare string) (all []Voters) {
 	if len(voters) < 5 {
 		all = append(all, append(slices.Clone(voters), spare))
 	}
@@ -46,7 +46,7 @@
 	changesThatNeedJoint := 0
 	for size := 1; size <= 5; size++ {
 		voters := Voters{"a", "b", "c", "d", "e"}[:size]
-		for _, next := range neighbours(voters, "z") {
+		for _, next := range singleChanges(voters, "z") {
 			stable, joint, after := Config{Voters: voters}, Config{voters, next}, Config{Voters: next}
 			subsets := quorumtest.Subsets(joint.AllVoters())
 			for _, pair := range [][2]Config{{stable, stable}, {stable, joint}, {joint, joint}, {joint, after}, {after, after}} {
--- a/internal/wal/folder/folder.go
+++ b/internal/wal/folder/folder.go
@@ -66,12 +66,12 @@
 	if err != nil {
 		return nil, wrapDiskFull(err)
 	}
-	restrict(opened)
+	restrictPermissions(opened)
 	return &file{File: opened, syncDelay: f.syncDelay}, nil
 }
 
-// restrict takes a file of an earlier build away from other users, on file systems that can.
-func restrict(opened *os.File) {
+// restrictPermissions takes a file of an earlier build away from other users, on file systems that can.
+func restrictPermissions(opened *os.File) {
 	if info, err := opened.Stat(); err == nil && info.Mode().Perm() != fileMode {
 		_ = opened.Chmod(fileMode)
 	}
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -49,10 +49,10 @@
 // New returns an empty disk without a capacity or delay. A power loss leaves nothing of unsynced tails.
 func New() *Disk {
 	return &Disk{
-		files:        map[string]*file{},
-		durableFiles: map[string]*file{},
-		Sleep:        func(monotonic.Micros) {},
-		SurvivingLength:   func(int) int { return 0 },
+		files:           map[string]*file{},
+		durableFiles:    map[string]*file{},
+		Sleep:           func(monotonic.Micros) {},
+		SurvivingLength: func(int) int { return 0 },
 	}
 }
 
