--- a/internal/replication/membership/membership_test.go
+++ b/internal/replication/membership/membership_test.go
@@ -18,7 +18,7 @@
 	return chosen
 }
 
-// parseZones reads words of two letters each: a name and its zone.
+// parseZones parses two-letter words, each of a name and its zone.
 func parseZones(text string) map[string]string {
 	zones := map[string]string{}
 	for _, pair := range strings.Fields(text) {
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestPolicyKeepsAQuorum tries every state of up to five voters: every choice can be committed by those who respond, changes
-// one place, and keeps the voters that hold a replica.
+// TestPolicyKeepsAQuorum checks the changes chosen in every state of up to five voters: the responsive voters can commit them, they
+// change one voter, and they keep the voters with a replica.
 func TestPolicyKeepsAQuorum(t *testing.T) {
 	changes := 0
 	for size := 1; size <= 5; size++ {
@@ -167,7 +167,7 @@
 		for _, silent := range quorumtest.Subsets(voters) {
 			for _, lost := range quorumtest.Subsets(silent) {
 				for targetSize := range 6 {
-					leaving := voters[(targetSize+len(lost))%size] // each in its turn
+					leaving := voters[(targetSize+len(lost))%size] // a different voter in different cases
 					for _, standbys := range [][]string{nil, {"y"}, {"y", "z"}} {
 						state := State{Voters: voters, TargetSize: targetSize, Replicas: []string{"a"},
 							Silent: set(silent...), Lost: set(lost...), Leaving: set(leaving), Standbys: standbys}
@@ -181,11 +181,11 @@
 		}
 	}
 	if changes < 100 {
-		t.Errorf("only %d changes", changes)
+		t.Errorf("only %d changes were checked", changes)
 	}
 }
 
-// checkChange checks what must hold for every change of voters.
+// checkChange checks the invariants of a change of voters.
 func checkChange(t *testing.T, state State, next quorum.Voters) {
 	t.Helper()
 	responsive := slices.DeleteFunc(slices.Concat(state.Voters, state.Standbys), func(name string) bool { return state.Silent[name] })
@@ -199,6 +199,6 @@
 		}
 	}
 	if !slices.Contains(next, "a") || different > 2 || different == 0 || len(next) > max(5, len(state.Voters)) {
-		t.Fatalf("%+v: %v", state, next)
+		t.Fatalf("%+v: not a single change that keeps replicas: %v", state, next)
 	}
 }
--- a/internal/replication/quorum/config.go
+++ b/internal/replication/quorum/config.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Config is who decides under one value of the register. Joint is empty except while the membership changes; it then
-// holds the voters to come, and decisions need a quorum of both sets.
+// Config is the configuration of voters in one value of the register. Joint is empty except during a membership change.
+// It then has the voters to change to, and decisions need a quorum of both sets (joint consensus).
 //
-// Invariants, explored by the consensus package's TestMembershipChangeSearch: a value with a joint configuration is
-// followed only by one that keeps it or ends the change; the change is ended only by a primary that knows its joint
-// value to be chosen and holds a lease granted by both quorums. Any quorums of two configurations that may both still
-// decide therefore share a voter.
+// Invariants, explored by TestMembershipChangeSearch of package consensus: the value after one with a joint configuration
+// either has the same configuration or ends the change; the change is ended only by a primary that knows that its joint
+// value is chosen and has a lease from both quorums. Therefore any quorums of two configurations that may both still make
+// decisions share a voter.
 type Config struct {
 	Voters Voters
 	Joint  Voters
@@ -17,17 +17,18 @@
 // IsJoint reports whether the membership is changing.
 func (c Config) IsJoint() bool { return len(c.Joint) > 0 }
 
-// HasQuorum reports whether some names include a quorum, of both sets of voters during a change.
+// HasQuorum reports whether names includes a quorum of the voters and, during a change, of the joint voters.
 func (c Config) HasQuorum(names []string) bool {
 	return c.Voters.HasQuorum(names) && (!c.IsJoint() || c.Joint.HasQuorum(names))
 }
 
-// HasReadQuorum reports whether some names include a voter of every quorum, of both sets of voters during a change.
+// HasReadQuorum reports whether names includes a voter of every quorum of the voters and, during a change, of the joint
+// voters.
 func (c Config) HasReadQuorum(names []string) bool {
 	return c.Voters.HasReadQuorum(names) && (!c.IsJoint() || c.Joint.HasReadQuorum(names))
 }
 
-// AllVoters returns everybody who votes, each name once, the present voters first. The caller may change the result.
+// AllVoters returns the voters followed by the joint voters, each name once. The caller may modify the result.
 func (c Config) AllVoters() []string {
 	names := slices.Clone(c.Voters)
 	for _, name := range c.Joint {
@@ -38,7 +39,7 @@
 	return names
 }
 
-// Contains reports whether a name votes.
+// Contains reports whether a name is among the voters or the joint voters.
 func (c Config) Contains(name string) bool {
 	return slices.Contains(c.Voters, name) || slices.Contains(c.Joint, name)
 }
--- a/internal/replication/quorum/config_test.go
+++ b/internal/replication/quorum/config_test.go
@@ -8,7 +8,8 @@
 	"snowflow/internal/replication/quorum/quorumtest"
 )
 
-// singleChanges returns the voters that one change may lead to: one voter added, one removed, one replaced.
+// singleChanges returns the sets of voters after one change: the spare voter added (up to five voters), or one voter removed or
+// replaced by the spare.
 func singleChanges(voters Voters, spare string) (all []Voters) {
 	if len(voters) < 5 {
 		all = append(all, append(slices.Clone(voters), spare))
@@ -24,7 +25,7 @@
 	return all
 }
 
-// disjointQuorums describes a quorum of one configuration and one of another that share no voter, empty if there are none.
+// disjointQuorums describes two quorums, one of each configuration, that share no voter. It returns "" if there are none.
 func disjointQuorums(subsets [][]string, one, another Config) string {
 	for _, quorum := range subsets {
 		if !one.HasQuorum(quorum) {
@@ -39,9 +40,9 @@
 	return ""
 }
 
-// TestConfigurationsOverlap tries every change of up to five voters, and every subset of all who take part: any two
-// quorums of configurations that may both still decide share a voter. Without the joint step some change lets two
-// quorums decide apart.
+// TestConfigurationsOverlap checks, for every single change of up to five voters and every subset of the old and new
+// voters, that any two quorums of configurations that may both still make decisions share a voter. Without the joint
+// step some change leads to disjoint quorums.
 func TestConfigurationsOverlap(t *testing.T) {
 	changesThatNeedJoint := 0
 	for size := 1; size <= 5; size++ {
@@ -51,7 +52,7 @@
 			subsets := quorumtest.Subsets(joint.AllVoters())
 			for _, pair := range [][2]Config{{stable, stable}, {stable, joint}, {joint, joint}, {joint, after}, {after, after}} {
 				if found := disjointQuorums(subsets, pair[0], pair[1]); found != "" {
-					t.Errorf("%v to %v: decide apart: %s", voters, next, found)
+					t.Errorf("%v to %v: disjoint quorums: %s", voters, next, found)
 				}
 			}
 			if disjointQuorums(subsets, stable, after) != "" {
@@ -61,7 +62,7 @@
 		}
 	}
 	if changesThatNeedJoint == 0 {
-		t.Error("no change needs the joint step, so this test shows nothing")
+		t.Error("no change needs the joint step, so this test doesn't cover it")
 	}
 }
 
@@ -71,7 +72,7 @@
 	for _, read := range subsets {
 		for _, decided := range subsets {
 			if joint.HasReadQuorum(read) && joint.HasQuorum(decided) && !quorumtest.Overlap(read, decided) {
-				t.Errorf("%v: %v would not read what %v decided", joint, read, decided)
+				t.Errorf("%v: the read quorum %v shares no voter with the quorum %v", joint, read, decided)
 			}
 		}
 	}
--- a/internal/replication/quorum/quorumtest/quorumtest.go
+++ b/internal/replication/quorum/quorumtest/quorumtest.go
@@ -1,9 +1,9 @@
-// Package quorumtest has what tests of quorums share: all subsets of some names, and whether two sets overlap.
+// Package quorumtest has functions on sets of names for tests of quorums.
 package quorumtest
 
 import "slices"
 
-// Subsets returns every subset of some names, the empty one first.
+// Subsets returns every subset of names, the empty one first.
 func Subsets(names []string) [][]string {
 	all := make([][]string, 0, 1<<len(names))
 	for mask := range 1 << len(names) {
