--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -2,39 +2,39 @@
 
 import "errors"
 
-// Disk is the data directory of one process. Names are plain file names in it.
+// Disk is the data directory of one process. Names are file names without a path.
 type Disk interface {
-	// Open opens a file, and creates it if there is none.
+	// Open opens a file, creating it if it doesn't exist.
 	Open(name string) (File, error)
-	// Rename moves a file, and replaces a file of the new name. The change is durable once SyncDirectory has returned nil.
+	// Rename renames a file, replacing any file with the new name. The change is durable once SyncDirectory has returned nil.
 	Rename(from, to string) error
-	// Remove removes a file. A missing file is no error. The change is durable once SyncDirectory has returned nil.
+	// Remove removes a file. A missing file is not an error. The change is durable once SyncDirectory has returned nil.
 	Remove(name string) error
-	// SyncDirectory makes durable which files were created, renamed and removed before the call.
+	// SyncDirectory makes the creations, renames and removals of files before the call durable.
 	SyncDirectory() error
-	// FreeBytes returns the space left. It is shown to operators.
+	// FreeBytes returns the free space. It is shown to operators.
 	FreeBytes() (uint64, error)
 }
 
-// File is one open file. What was written is durable once Sync has returned nil.
+// File is an open file. Written data is durable once Sync has returned nil.
 type File interface {
 	// ReadAll returns the complete content.
 	ReadAll() ([]byte, error)
-	// WriteAt writes at an offset. It returns an ErrDiskFull error if the content doesn't fit.
+	// WriteAt writes content at an offset. It returns an ErrDiskFull error if there is no space for it.
 	WriteAt(content []byte, offset int64) error
-	// Truncate cuts the file to this many bytes.
+	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
-	// Sync makes what was written before the call durable. After an error, what the disk holds is unknown.
+	// Sync makes the data written before the call durable. After an error the content on disk is unknown.
 	Sync() error
 	Close() error
 }
 
 var (
-	// ErrDiskFull means that the disk, a quota or a file size limit is used up.
+	// ErrDiskFull means that the disk is full, or that a quota or the file size limit is exceeded.
 	ErrDiskFull = errors.New("wal: disk full")
-	// ErrSyncFailed means that a sync of the log failed. What the file holds on disk is unknown, so this process can't use the log any
-	// more.
+	// ErrSyncFailed means that a sync of the log failed. The content of the file on disk is unknown, so this process can't use the log
+	// any more.
 	ErrSyncFailed = errors.New("wal: a sync failed")
-	// ErrCorrupt means that the file is damaged before its synced end. Its content can't be used.
+	// ErrCorrupt means that a synced record is damaged. The content of the file can't be used.
 	ErrCorrupt = errors.New("wal: corrupt record before the synced end")
 )
--- a/internal/wal/folder/folder.go
+++ b/internal/wal/folder/folder.go
@@ -1,5 +1,5 @@
-// Package folder implements wal.Disk on a real machine: one directory, or one owner's files in a directory that several programs
-// share. It is locked against a second process.
+// Package folder implements wal.Disk with files of the operating system, in a directory of one program or in one that several
+// programs (owners) share. A lock file excludes a second process of the same owner.
 package folder
 
 import (
@@ -20,25 +20,25 @@
 	lockFile      = "lock"
 )
 
-// ErrLocked means that another process uses the directory, or the same owner's files in it.
+// ErrLocked means that another process uses the directory, or the files of the same owner in it.
 var ErrLocked = errors.New("folder: in use by another process")
 
-// Folder is a data directory, or one owner's files in it. It is locked by this process until the process ends.
+// Folder is a data directory, or the files of one owner in it. This process has it locked until the process ends.
 //
-// Invariant: the name of each of its files begins with prefix, so that owners with other prefixes share the directory and no
-// file in it.
+// Invariant: the name of each of its files starts with prefix, so owners with different prefixes share the directory but no file.
 type Folder struct {
 	path   string
 	prefix string
-	// lock holds the lock for as long as it is open.
+	// lock is the open lock file. The lock lasts for as long as it is open.
 	lock *os.File
-	// syncDelay is added to each sync, to rehearse a slow disk.
+	// syncDelay is added to the duration of each sync, to simulate a slow disk in a rehearsal.
 	syncDelay time.Duration
 }
 
-// OpenShared creates a directory and locks one owner's files in it, for a machine where several programs share one directory. It
-// creates no directory inside it. An empty owner is a program that has the directory to itself. It returns an ErrLocked error if
-// another process has the owner's files. syncDelay is added to each sync; it is zero except in rehearsals.
+// OpenShared creates a directory if it doesn't exist, and locks the files of one owner in it. Programs on one machine may share
+// the directory under different owners; there are no subdirectories. The owner is empty if a program doesn't share its directory.
+// It returns an ErrLocked error if another process uses the owner's files. syncDelay is added to each sync; it is zero except in
+// rehearsals (cmd/rehearse).
 func OpenShared(path, owner string, syncDelay time.Duration) (*Folder, error) {
 	f := &Folder{path: path, syncDelay: syncDelay}
 	if owner != "" {
@@ -60,7 +60,7 @@
 
 func (f *Folder) filePath(name string) string { return filepath.Join(f.path, f.prefix+name) }
 
-// Open opens a file, and creates it if there is none.
+// Open opens a file, creating it if it doesn't exist.
 func (f *Folder) Open(name string) (wal.File, error) {
 	opened, err := os.OpenFile(f.filePath(name), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -70,19 +70,19 @@
 	return &file{File: opened, syncDelay: f.syncDelay}, nil
 }
 
-// restrictPermissions takes a file of an earlier build away from other users, on file systems that can.
+// restrictPermissions removes the access of other users to files of earlier builds, on file systems that support it.
 func restrictPermissions(opened *os.File) {
 	if info, err := opened.Stat(); err == nil && info.Mode().Perm() != fileMode {
 		_ = opened.Chmod(fileMode)
 	}
 }
 
-// Rename moves a file, and replaces a file of the new name.
+// Rename renames a file, replacing any file with the new name.
 func (f *Folder) Rename(from, to string) error {
 	return os.Rename(f.filePath(from), f.filePath(to))
 }
 
-// Remove removes a file. A missing file is no error.
+// Remove removes a file. A missing file is not an error.
 func (f *Folder) Remove(name string) error {
 	if err := os.Remove(f.filePath(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// SyncDirectory makes durable which files were created, renamed and removed before the call.
+// SyncDirectory makes the creations, renames and removals of files before the call durable.
 func (f *Folder) SyncDirectory() error {
 	time.Sleep(f.syncDelay)
 	directory, err := os.Open(f.path)
@@ -100,7 +100,7 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// FreeBytes returns the space that this process may still use on the file system.
+// FreeBytes returns the free space of the file system that is available to this process.
 func (f *Folder) FreeBytes() (uint64, error) {
 	var status syscall.Statfs_t
 	if err := syscall.Statfs(f.path, &status); err != nil {
@@ -115,7 +115,7 @@
 	syncDelay time.Duration
 }
 
-// ReadAll returns the whole content.
+// ReadAll returns the complete content.
 func (f *file) ReadAll() ([]byte, error) {
 	if _, err := f.Seek(0, io.SeekStart); err != nil {
 		return nil, err
@@ -123,19 +123,19 @@
 	return io.ReadAll(f.File)
 }
 
-// WriteAt writes at an offset. It returns a wal.ErrDiskFull error if the content doesn't fit.
+// WriteAt writes content at an offset. It returns a wal.ErrDiskFull error if there is no space for it.
 func (f *file) WriteAt(content []byte, offset int64) error {
 	_, err := f.File.WriteAt(content, offset)
 	return wrapDiskFull(err)
 }
 
-// Sync makes what was written durable.
+// Sync makes the written data durable.
 func (f *file) Sync() error {
 	time.Sleep(f.syncDelay)
 	return f.File.Sync()
 }
 
-// wrapDiskFull wraps wal.ErrDiskFull around an error that says that a disk, a quota or a file size limit is used up.
+// wrapDiskFull wraps wal.ErrDiskFull around errors for a full disk, an exceeded quota or an exceeded file size limit.
 func wrapDiskFull(err error) error {
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG) {
 		return fmt.Errorf("%w: %w", wal.ErrDiskFull, err)
--- a/internal/wal/folder/folder_test.go
+++ b/internal/wal/folder/folder_test.go
@@ -18,24 +18,24 @@
 	return opened
 }
 
-// write replaces a file's content by way of a rename.
-func write(t *testing.T, part *folder.Folder, content string) {
+// write replaces the content of the file "addresses" with a rename.
+func write(t *testing.T, dir *folder.Folder, content string) {
 	t.Helper()
-	file, err := part.Open("addresses.new")
+	file, err := dir.Open("addresses.new")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := file.WriteAt([]byte(content), 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := part.Rename("addresses.new", "addresses"); err != nil {
+	if err := dir.Rename("addresses.new", "addresses"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func requireContent(t *testing.T, part *folder.Folder, want string) {
+func requireContent(t *testing.T, dir *folder.Folder, want string) {
 	t.Helper()
-	file, err := part.Open("addresses")
+	file, err := dir.Open("addresses")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestOwnersShareADirectory: owners of one directory see none of each other's files, and each owner's files belong to one
-// process.
+// TestOwnersShareADirectory checks that the owners of one directory don't see each other's files, and that a second process can't
+// open an owner's files.
 func TestOwnersShareADirectory(t *testing.T) {
 	path := t.TempDir()
 	one, other := openShared(t, path, "one"), openShared(t, path, "other")
@@ -67,15 +67,16 @@
 	requireContent(t, other, "of the other")
 }
 
-// TestFilesAreForTheirOwner guards against keys of tenants that other users of the machine can read, also in files of earlier builds.
+// TestFilesAreForTheirOwner guards against files that other users of the machine can read, since they have the keys of tenants. Files
+// of earlier builds may be readable until they are opened.
 func TestFilesAreForTheirOwner(t *testing.T) {
 	path := t.TempDir()
-	former := filepath.Join(path, "one-former")
-	if err := os.WriteFile(former, []byte("record"), 0o640); err != nil {
+	earlier := filepath.Join(path, "one-earlier")
+	if err := os.WriteFile(earlier, []byte("record"), 0o640); err != nil {
 		t.Fatal(err)
 	}
 	opened := openShared(t, path, "one")
-	for _, name := range []string{"former", "new"} {
+	for _, name := range []string{"earlier", "new"} {
 		if _, err := opened.Open(name); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/wal/memory/memory.go
+++ b/internal/wal/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory implements wal.Disk in memory, for simulated runs and tests. A power loss drops what was not synced; the disk
-// can fill up, be slow, fail and be damaged.
+// Package memory implements wal.Disk in memory, for simulations and tests. It can simulate a power loss, which drops data that was
+// not synced, a full or slow disk, failed syncs and corruption.
 package memory
 
 import (
@@ -12,41 +12,41 @@
 	"snowflow/internal/wal"
 )
 
-// unlimitedBytes is reported as free by a disk without a capacity.
+// unlimitedBytes is the free space that a disk without a capacity reports.
 const unlimitedBytes = 1 << 40
 
-// errSyncFailed is what a sync returns that was made to fail.
+// errSyncFailed is returned by the syncs that FailSyncs makes fail.
 var errSyncFailed = errors.New("input/output error")
 
-// Disk is one simulated data directory. It isn't safe for concurrent use.
+// Disk is a simulated data directory. It isn't safe for concurrent use.
 //
-// Invariants: durableFiles and the durable content of each file are what a power loss leaves; files and their content are what
-// the process sees. Files created, renamed and removed become durable by SyncDirectory.
+// Invariants: files and their content are what the process sees; durableFiles and the durable content of each file are what
+// remains after a power loss. SyncDirectory makes the creation, renaming and removal of files durable.
 type Disk struct {
 	files        map[string]*file
 	durableFiles map[string]*file
-	// Capacity limits the bytes of all files. Zero is no limit.
+	// Capacity is the maximum total size of all files in bytes. Zero means no limit.
 	Capacity int
-	// SyncDelay is how long a sync takes. Sleep is called with it.
+	// SyncDelay is the duration of a sync, which is passed to Sleep.
 	SyncDelay monotonic.Micros
 	Sleep     func(monotonic.Micros)
-	// FailSyncs is how many of the next syncs fail.
+	// FailSyncs is the number of upcoming syncs that fail.
 	FailSyncs int
 	// Renames counts the calls of Rename.
 	Renames int
-	// IgnoreSyncs makes syncs return nil without effect, to show that the checkers detect it.
+	// IgnoreSyncs makes syncs of files return nil without effect, to show that the checkers detect the loss of data.
 	IgnoreSyncs bool
-	// SurvivingLength is called at a power loss with the length of a file's unsynced tail, and returns how much of it survives.
+	// SurvivingLength is called at a power loss with the length of a file's unsynced tail, and returns how many bytes of it remain.
 	SurvivingLength func(length int) int
 }
 
-// file is one file: what the process sees of it, and what a power loss leaves.
+// file is a file's content as the process sees it, and as it remains after a power loss.
 type file struct {
 	content []byte
 	durable []byte
 }
 
-// New returns an empty disk without a capacity or delay. A power loss leaves nothing of unsynced tails.
+// New returns an empty disk without a capacity limit or delay, on which no unsynced tail survives a power loss.
 func New() *Disk {
 	return &Disk{
 		files:           map[string]*file{},
@@ -56,27 +56,27 @@
 	}
 }
 
-// PowerLoss leaves only what was synced, and perhaps a part of each unsynced tail.
+// PowerLoss drops all data and file names that were not synced, except for the part of each unsynced tail that SurvivingLength keeps.
 func (d *Disk) PowerLoss() {
 	d.files = map[string]*file{}
-	// In the order of names: TornLength draws random numbers, and a replay must draw them in the same order.
+	// In the order of names: SurvivingLength draws random numbers, and a replay must draw them in the same order.
 	for _, name := range slices.Sorted(maps.Keys(d.durableFiles)) {
-		lost := d.durableFiles[name]
-		content := slices.Clone(lost.durable)
-		if tail := len(lost.content) - len(lost.durable); tail > 0 {
-			content = append(content, lost.content[len(lost.durable):len(lost.durable)+d.SurvivingLength(tail)]...)
+		before := d.durableFiles[name]
+		content := slices.Clone(before.durable)
+		if tail := len(before.content) - len(before.durable); tail > 0 {
+			content = append(content, before.content[len(before.durable):len(before.durable)+d.SurvivingLength(tail)]...)
 		}
 		d.files[name] = &file{content: content, durable: slices.Clone(content)}
 		d.durableFiles[name] = d.files[name]
 	}
 }
 
-// Wipe empties the disk.
+// Wipe removes all files, also from what remains after a power loss.
 func (d *Disk) Wipe() {
 	d.files, d.durableFiles = map[string]*file{}, map[string]*file{}
 }
 
-// Corrupt changes a byte of a file. It does nothing if there is no such byte.
+// Corrupt changes a byte of a file, also on disk. It does nothing if there is no such byte.
 func (d *Disk) Corrupt(name string, offset int) {
 	existing := d.files[name]
 	if existing == nil || offset >= len(existing.content) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Size returns the length of a file as the process sees it, zero if there is none.
+// Size returns the length of a file as the process sees it, or zero if it doesn't exist.
 func (d *Disk) Size(name string) int {
 	if existing := d.files[name]; existing != nil {
 		return len(existing.content)
@@ -96,7 +96,7 @@
 	return 0
 }
 
-// Used returns the bytes of all files.
+// Used returns the total size of all files in bytes.
 func (d *Disk) Used() (total int) {
 	for _, existing := range d.files {
 		total += len(existing.content)
@@ -104,7 +104,7 @@
 	return total
 }
 
-// Open opens a file, and creates it if there is none.
+// Open opens a file, creating it if it doesn't exist.
 func (d *Disk) Open(name string) (wal.File, error) {
 	if d.files[name] == nil {
 		d.files[name] = &file{}
@@ -112,10 +112,10 @@
 	return &handle{disk: d, file: d.files[name]}, nil
 }
 
-// Rename moves a file, and replaces a file of the new name.
+// Rename renames a file, replacing any file with the new name.
 func (d *Disk) Rename(from, to string) error {
 	if d.files[from] == nil {
-		return fmt.Errorf("no file %s", from)
+		return fmt.Errorf("file %q does not exist", from)
 	}
 	d.Renames++
 	d.files[to] = d.files[from]
@@ -123,13 +123,13 @@
 	return nil
 }
 
-// Remove removes a file. A missing file is no error.
+// Remove removes a file. A missing file is not an error.
 func (d *Disk) Remove(name string) error {
 	delete(d.files, name)
 	return nil
 }
 
-// SyncDirectory makes files created, renamed and removed before the call durable.
+// SyncDirectory makes the creations, renames and removals of files before the call durable.
 func (d *Disk) SyncDirectory() error {
 	if err := d.sync(); err != nil {
 		return err
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// FreeBytes returns the bytes left.
+// FreeBytes returns the free space in bytes.
 func (d *Disk) FreeBytes() (uint64, error) {
 	if d.Capacity == 0 {
 		return unlimitedBytes, nil
@@ -146,7 +146,7 @@
 	return uint64(max(0, d.Capacity-d.Used())), nil
 }
 
-// sync takes the time of a sync, and fails if one is to fail.
+// sync waits for the duration of a sync, and fails if FailSyncs isn't zero.
 func (d *Disk) sync() error {
 	d.Sleep(d.SyncDelay)
 	if d.FailSyncs > 0 {
@@ -184,7 +184,7 @@
 }
 
 func (h *handle) Sync() error {
-	// What is written while the sync runs is not part of it.
+	// Data written during the sync isn't covered by it.
 	synced := slices.Clone(h.file.content)
 	if err := h.disk.sync(); err != nil {
 		return err
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -5,10 +5,10 @@
 	"hash/crc32"
 )
 
-// recordMagic begins each record.
+// recordMagic is at the start of each record.
 const recordMagic uint32 = 0x534e4f57
 
-// Offsets in a record's header, as in the package documentation.
+// Offsets of fields in a record's header, and its size. The package documentation describes the format.
 const (
 	checksumOffset = 4
 	numberOffset   = 8
@@ -17,12 +17,12 @@
 	headerSize     = 32
 )
 
-// MaxRecordSize is the size in bytes of the longest payload that is read back.
+// MaxRecordSize is the maximum size of a payload in bytes. Open takes a record with a longer one for a bad record.
 const MaxRecordSize = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one decoded record.
+// record is a decoded record. synced is the number of the last record known to be synced when this one was written.
 type record struct {
 	number, synced uint64
 	payload        []byte
@@ -31,7 +31,7 @@
 // size returns the length of the encoded record.
 func (r record) size() int64 { return headerSize + int64(len(r.payload)) }
 
-// appendTo appends the encoded record to some content.
+// appendTo appends the encoded record to content.
 func (r record) appendTo(content []byte) []byte {
 	header := make([]byte, headerSize)
 	binary.LittleEndian.PutUint32(header, recordMagic)
@@ -42,8 +42,8 @@
 	return append(append(content, header...), r.payload...)
 }
 
-// decodeRecord decodes the record that some content begins with. valid is false if there is no complete record or its checksum
-// is wrong.
+// decodeRecord decodes the record at the start of content. valid is false if there is no complete record or its checksum is
+// wrong.
 func decodeRecord(content []byte) (r record, valid bool) {
 	if len(content) < headerSize || binary.LittleEndian.Uint32(content) != recordMagic {
 		return record{}, false
@@ -60,13 +60,13 @@
 	return r, checksum(content[:headerSize], r.payload) == binary.LittleEndian.Uint32(content[checksumOffset:])
 }
 
-// checksum covers the part of the header after the checksum itself, and the payload.
+// checksum returns the CRC-32C of the header after the checksum field, and of the payload.
 func checksum(header, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header[numberOffset:], castagnoli), castagnoli, payload)
 }
 
-// hasSyncedRecordAfter reports whether some content, which begins with a bad record after the one numbered last, has a valid
-// record that was written when the bad one was already synced.
+// hasSyncedRecordAfter reports whether content, which starts with the bad record after record number last, has a valid record
+// that was written after the bad one was synced.
 func hasSyncedRecordAfter(content []byte, last uint64) bool {
 	for offset := 1; offset+headerSize <= len(content); offset++ {
 		if binary.LittleEndian.Uint32(content[offset:]) != recordMagic {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// rewriteSuffix is added to a file's name while it is rewritten.
+	// rewriteSuffix is appended to a log's name to get the name of the file that Rewrite writes.
 	rewriteSuffix = ".new"
-	// reserveFile is the file of ReserveSpace.
+	// reserveFile is the name of the file that ReserveSpace creates.
 	reserveFile = "reserve"
 )
 
 // Log is an append-only file of records. It isn't safe for concurrent use.
 //
-// Invariants: the records on disk are numbered without gaps from 1; syncedNumber <= lastNumber; size is the offset after the last record.
+// Invariants: the records in the file are numbered from 1 without gaps; syncedNumber <= lastNumber; size is the offset after the
+// last record.
 type Log struct {
 	disk Disk
 	name string
 	file File
 	size int64
-	// lastNumber and syncedNumber are the numbers of the last record written, and of the last one known to be synced.
+	// lastNumber is the number of the last record written, syncedNumber that of the last record known to be synced.
 	lastNumber, syncedNumber uint64
-	// syncFailed is set once the log can't be used any more: a sync failed, or what the file holds is unknown for another reason.
+	// syncFailed is set once the log is unusable, because a sync failed or the content of the file is unknown for another reason.
 	syncFailed bool
-	// TruncatedBytes is the length of a torn tail that Open cut off.
+	// TruncatedBytes is the length of the torn tail that Open truncated.
 	TruncatedBytes int64
 }
 
-// Open opens a log, creates it if there is none, and calls visit with the payload of each record, oldest first. It returns an
+// Open opens a log, creating it if it doesn't exist, and calls visit with the payload of each record, oldest first. It returns an
 // ErrCorrupt error if a synced record is damaged or visit fails.
 func Open(disk Disk, name string, visit func(payload []byte) error) (*Log, error) {
-	// An interrupted rewrite leaves a file that nothing depended on.
+	// Nothing depends on the file of an interrupted rewrite.
 	if err := disk.Remove(name + rewriteSuffix); err != nil {
 		return nil, err
 	}
@@ -52,7 +53,7 @@
 			return nil, err
 		}
 	}
-	// What was read may not have been synced before the process ended.
+	// The previous process may have ended before it synced the records just read.
 	if err := errors.Join(file.Sync(), disk.SyncDirectory()); err != nil {
 		return nil, err
 	}
@@ -60,7 +61,7 @@
 	return l, nil
 }
 
-// replay visits the records of a file's content, and sets size, lastNumber and TruncatedBytes.
+// replay calls visit with the payload of each record in content, and sets size, lastNumber and TruncatedBytes.
 func (l *Log) replay(content []byte, visit func(payload []byte) error) error {
 	for l.size < int64(len(content)) {
 		r, valid := decodeRecord(content[l.size:])
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// Append writes records after the last one. They are durable once Sync has returned nil. After an error, ErrDiskFull for one, the
-// log is as it was before; if a part that was written can't be removed, every later use fails with ErrSyncFailed.
+// Append writes records after the last one. They are durable once Sync has returned nil. After an error such as ErrDiskFull the
+// log is unchanged. If a partial write can't be truncated, every later use fails with ErrSyncFailed.
 func (l *Log) Append(payloads ...[]byte) error {
 	if l.syncFailed {
 		return ErrSyncFailed
@@ -91,7 +92,7 @@
 		content = record{number: l.lastNumber + 1 + uint64(index), synced: l.syncedNumber, payload: payload}.appendTo(content)
 	}
 	if err := l.file.WriteAt(content, l.size); err != nil {
-		// A part may have been written. It is truncated, so that the next append follows the last record.
+		// Remove a partial write, so that the next append follows the last record.
 		if truncateErr := l.file.Truncate(l.size); truncateErr != nil {
 			l.syncFailed = true
 		}
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// Sync makes all records that were appended durable. If it fails, it returns an ErrSyncFailed error, and so does every later use.
+// Sync makes all appended records durable. If it fails, it and every later use of the log return an ErrSyncFailed error.
 func (l *Log) Sync() error {
 	if l.syncFailed {
 		return ErrSyncFailed
@@ -119,8 +120,8 @@
 // Size returns the length of the file in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Rewrite replaces the file by one with these records alone. It is atomic: after a crash the file has either the old records or
-// the new ones. After any error but ErrSyncFailed the log can be used as before.
+// Rewrite replaces the file by one with only the given records. It is atomic: after a crash the file has either the old or the
+// new records. After any error except ErrSyncFailed the log is still usable.
 func (l *Log) Rewrite(payloads ...[]byte) error {
 	if l.syncFailed {
 		return ErrSyncFailed
@@ -140,7 +141,7 @@
 	if err := errors.Join(file.WriteAt(content, 0), file.Sync()); err != nil {
 		return errors.Join(err, file.Close(), l.disk.Remove(rewritten))
 	}
-	// After an error from here on it's unknown which of the two files has the name, so the log can't be used any more.
+	// If this fails it is unknown which of the two files has the log's name, so the log is unusable.
 	if err := errors.Join(l.disk.Rename(rewritten, l.name), l.disk.SyncDirectory()); err != nil {
 		l.syncFailed = true
 		return fmt.Errorf("%w: %w", ErrSyncFailed, err)
@@ -151,7 +152,7 @@
 	return previous.Close()
 }
 
-// Close closes the file.
+// Close closes the file without a sync.
 func (l *Log) Close() error { return l.file.Close() }
 
 // Recreate removes a corrupt log and opens an empty one in its place.
@@ -162,8 +163,8 @@
 	return Open(disk, name, func([]byte) error { return nil })
 }
 
-// ReserveSpace keeps a file of this many bytes, which ReleaseReservedSpace removes when the disk is full and a rewrite has to
-// fit.
+// ReserveSpace creates a file of at least size bytes. When the disk is full, ReleaseReservedSpace removes it to make room for a
+// rewrite.
 func ReserveSpace(disk Disk, size int) error {
 	file, err := disk.Open(reserveFile)
 	if err != nil {
@@ -176,7 +177,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// ReleaseReservedSpace returns the reserved space to the disk.
+// ReleaseReservedSpace removes the file that ReserveSpace created.
 func ReleaseReservedSpace(disk Disk) error {
 	return errors.Join(disk.Remove(reserveFile), disk.SyncDirectory())
 }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/wal/memory"
 )
 
-// open opens a log and returns its records.
+// open opens the log on a disk and returns it with its records.
 func open(t *testing.T, disk *memory.Disk) (*wal.Log, []string, error) {
 	t.Helper()
 	var records []string
@@ -21,7 +21,7 @@
 	return log, records, err
 }
 
-// newLog returns a log with some synced records.
+// newLog returns a log with count synced records.
 func newLog(t *testing.T, disk *memory.Disk, count int) *wal.Log {
 	t.Helper()
 	log, _, err := open(t, disk)
@@ -41,7 +41,7 @@
 	}
 }
 
-// requireRecords checks what a log has when it is opened.
+// requireRecords checks which records a log has when it is opened.
 func requireRecords(t *testing.T, disk *memory.Disk, want ...string) {
 	t.Helper()
 	if _, records, err := open(t, disk); err != nil || !slices.Equal(records, want) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestTornTailIsTruncated writes one more record without a sync, and has a power loss leave each possible part of it.
+// TestTornTailIsTruncated appends a record without a sync before a power loss, which leaves every possible prefix of it on disk.
 func TestTornTailIsTruncated(t *testing.T) {
 	const fullLength = 32 + len("unsynced")
 	for stored := 0; stored <= fullLength; stored++ {
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestCorruptionIsNotATornTail flips each byte of synced records. Only damage to the very last record may look like a torn tail.
+// TestCorruptionIsNotATornTail corrupts each byte of synced records. Only damage to the last record may be taken for a torn tail.
 func TestCorruptionIsNotATornTail(t *testing.T) {
 	pristine := memory.New()
 	newLog(t, pristine, 4)
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestFailedSyncIsFinal: a later sync that succeeds must not look as if it repaired the failed one.
+// TestFailedSyncIsFinal guards against a later, successful sync that hides a failed one, whose data may be lost.
 func TestFailedSyncIsFinal(t *testing.T) {
 	disk := memory.New()
 	log := newLog(t, disk, 1)
@@ -120,6 +120,7 @@
 	}
 }
 
+// TestRewriteIsAtomic checks that a power loss after a rewrite leaves only the new records, and after a failed one only the old.
 func TestRewriteIsAtomic(t *testing.T) {
 	disk := memory.New()
 	log := newLog(t, disk, 5)
@@ -134,12 +135,13 @@
 	}
 	disk.FailSyncs = 1
 	if err := log.Rewrite([]byte("newer")); err == nil {
-		t.Fatal("a rewrite whose file was not synced must fail")
+		t.Fatal("a rewrite succeeded although the sync of its file failed")
 	}
 	disk.PowerLoss()
 	requireRecords(t, disk, "all of it")
 }
 
+// TestFullDiskLeavesTheLogAsItWas guards against an append that fails on a full disk and leaves a partial record in the log.
 func TestFullDiskLeavesTheLogAsItWas(t *testing.T) {
 	disk := memory.New()
 	log := newLog(t, disk, 2)
