--- a/internal/replication/consensus/lease_search_test.go
+++ b/internal/replication/consensus/lease_search_test.go
@@ -33,7 +33,7 @@
 
 	// The voter's disk.
 	grantees  processSet
-	anyOnDisk bool
+	anyOnDisk bool // whether a grantee was recorded since the disk was empty
 	// The voter's memory.
 	grant           modelGrantee
 	grantRemaining  uint8               // the remaining time of the grant
@@ -41,7 +41,7 @@
 	waitMayEndEarly bool                // the wait is for grants of an earlier process that are recorded on disk
 	lastRead        [modelMembers]uint8 // the process that answered the last read by this process of the voter
 
-	mayRequestAgain           processSet // processes of which a delayed request may arrive
+	mayRequestAgain           processSet // processes that have sent a request, so delayed ones may arrive
 	ended                     processSet
 	waitEndedEarly            bool // whether a wait ended early, which shows that the search covers that rule
 	voterRestarts, diskLosses uint8
--- a/internal/replication/consensus/membership_search_test.go
+++ b/internal/replication/consensus/membership_search_test.go
@@ -53,7 +53,8 @@
 	changes   uint8 // number of membership changes started
 }
 
-// membershipRules limit the search, and disable rules to show that the search detects their absence.
+// membershipRules limit the search (diskLosses, changes and proposals), and disable rules to show that the search detects their
+// absence (the other fields).
 type membershipRules struct {
 	noJointStep     bool // new voters are proposed without a joint configuration
 	endBeforeChosen bool // a change is ended before its joint value is chosen
@@ -83,7 +84,7 @@
 	return names
 }
 
-// quorumCache caches hasQuorum by voters, joint voters and mask, since the search calls it very often.
+// quorumCache caches the results of hasQuorum by voters, joint voters and mask, to speed up the search.
 var quorumCache = map[[3]uint8]bool{}
 
 func (p modelProposal) hasQuorum(mask uint8) bool {
@@ -297,7 +298,7 @@
 	return promised, accepted, intact
 }
 
-// expirePromises lets a lease duration pass, after which the promises given before a disk was lost are no longer valid.
+// expirePromises lets a lease duration pass, unless rules.noWait is set: promises given before a disk was lost are then no longer valid.
 func (s *membershipState) expirePromises(rules membershipRules) {
 	for other := range s.voters {
 		if voter := &s.voters[other]; voter.promisedBeforeDiskLoss && !rules.noWait {
