--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -43,7 +43,7 @@
 // Voters returns the names of the group's voters as far as this member knows them, during a change the old and the new ones.
 func (m *Member) Voters() []string {
 	current, _ := m.knownConfig()
-	return current.Members()
+	return current.AllVoters()
 }
 
 // otherVoters returns the names of the voters other than this member.
