--- a/internal/proxy/admission/permit.go
+++ b/internal/proxy/admission/permit.go
@@ -50,7 +50,7 @@
 			LatencyTarget: latencyTarget,
 			Deadline:      deadline,
 			StartBy:       min(deadline, now+monotonic.Micros(service.Breaker.GetWaitOpenMicros())/breakerWaitDivisor),
-			Patient:       req.MayQueue,
+			NoAlternative:       req.MayQueue,
 			Kind:          req.Route,
 		},
 	}
@@ -86,7 +86,7 @@
 	if !claim.granted() {
 		return nil, claim.recorded, claim.fault
 	}
-	slotRequest.StartBy, slotRequest.Patient = claim.startBy, true
+	slotRequest.StartBy, slotRequest.NoAlternative = claim.startBy, true
 	slot, fault := c.options.LocalBackends.Admit(slotRequest)
 	if fault != nil {
 		c.releaseClaim(req)
--- a/internal/proxy/admission/slots/fairness_test.go
+++ b/internal/proxy/admission/slots/fairness_test.go
@@ -117,7 +117,7 @@
 	pool.SetCount(now, 2)
 	var tickets []*slots.Ticket
 	for number := range 40 {
-		request := slots.Request{Tenant: string(rune('a' + number%26)), Deadline: now + monotonic.Second, LatencyTarget: now + 200*ms, Patient: true}
+		request := slots.Request{Tenant: string(rune('a' + number%26)), Deadline: now + monotonic.Second, LatencyTarget: now + 200*ms, NoAlternative: true}
 		tickets = append(tickets, pool.Enter(now, request))
 	}
 	if pool.Tenants() == 0 {
--- a/internal/proxy/admission/slots/pool_test.go
+++ b/internal/proxy/admission/slots/pool_test.go
@@ -27,7 +27,7 @@
 
 // enter adds a request with durations in place of times; a latency target of zero is none.
 func (f *fixture) enter(priority uint32, latencyTarget, remaining monotonic.Micros, patient bool) *slots.Ticket {
-	request := slots.Request{Priority: priority, Deadline: f.now + remaining, Patient: patient}
+	request := slots.Request{Priority: priority, Deadline: f.now + remaining, NoAlternative: patient}
 	if latencyTarget > 0 {
 		request.LatencyTarget = f.now + latencyTarget
 	}
@@ -207,7 +207,7 @@
 	}
 	f.fill()
 	enter := func(kind string) *slots.Ticket {
-		return f.Enter(f.now, slots.Request{LatencyTarget: f.now + 320*ms, Deadline: f.now + 5*monotonic.Second, Kind: kind, Patient: true})
+		return f.Enter(f.now, slots.Request{LatencyTarget: f.now + 320*ms, Deadline: f.now + 5*monotonic.Second, Kind: kind, NoAlternative: true})
 	}
 	f.expectState("a lookup ends in time", enter("lookup"), slots.Waiting)
 	if form := enter("form"); form.State() != slots.Waiting || f.Waiting() != 2 {
@@ -262,7 +262,7 @@
 func TestStartBy(t *testing.T) {
 	f := newFixture(t, 2, slots.DefaultLimits()).withSample(100 * ms)
 	f.fill()
-	request := slots.Request{Deadline: f.now + 5*monotonic.Second, StartBy: f.now + 60*ms, Patient: true}
+	request := slots.Request{Deadline: f.now + 5*monotonic.Second, StartBy: f.now + 60*ms, NoAlternative: true}
 	ticket := f.Enter(f.now, request)
 	f.expectState("the first", ticket, slots.Waiting)
 	if f.WakeAt(ticket) != request.StartBy {
--- a/internal/proxy/admission/slots/queue.go
+++ b/internal/proxy/admission/slots/queue.go
@@ -69,7 +69,7 @@
 	request := ticket.request
 	wait = p.expectedWait(now, workAhead(p.queue[:position], func(other *Ticket) bool { return !other.late(now) }))
 	if request.LatencyTarget <= now || wait+ticket.serviceTime <= request.LatencyTarget-now {
-		return wait, wait+ticket.serviceTime <= request.Deadline-now && (request.Patient || wait <= p.maxWait(now, request))
+		return wait, wait+ticket.serviceTime <= request.Deadline-now && (request.NoAlternative || wait <= p.maxWait(now, request))
 	}
 	lateWaiting := 0
 	wait = p.expectedWait(now, workAhead(p.queue, func(other *Ticket) bool {
@@ -81,7 +81,7 @@
 	}))
 	few := float64(lateWaiting) < max(1, float64(p.count)*p.limits.LateQueuePerSlot)
 	ticket.queuedLate = true
-	return wait, request.Patient && few && wait+ticket.serviceTime <= request.Deadline-now
+	return wait, request.NoAlternative && few && wait+ticket.serviceTime <= request.Deadline-now
 }
 
 // maxWait is the longest wait for which an impatient request is queued.
--- a/internal/proxy/loadbalancer/outlier_test.go
+++ b/internal/proxy/loadbalancer/outlier_test.go
@@ -141,7 +141,7 @@
 		return false, false
 	}
 	defer observation.Close(outlier.Unknown)
-	slot, fault := r.backends.Admit(localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{LatencyTarget: r.startedAt + requestLatencyTarget, Deadline: r.startedAt + requestTimeout, Patient: lastBackend}})
+	slot, fault := r.backends.Admit(localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{LatencyTarget: r.startedAt + requestLatencyTarget, Deadline: r.startedAt + requestTimeout, NoAlternative: lastBackend}})
 	if fault != nil {
 		return false, false
 	}
--- a/internal/proxy/loadbalancer/spread_test.go
+++ b/internal/proxy/loadbalancer/spread_test.go
@@ -98,7 +98,7 @@
 			delay = 2 * ms
 		}
 		fleet.node.Sleep(delay)
-		slot, fault := fleet.backends.Admit(localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{LatencyTarget: startedAt + r.latencyTarget, Deadline: startedAt + r.timeout, Patient: lastBackend}})
+		slot, fault := fleet.backends.Admit(localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{LatencyTarget: startedAt + r.latencyTarget, Deadline: startedAt + r.timeout, NoAlternative: lastBackend}})
 		if fault == nil {
 			fleet.node.Sleep(monotonic.Micros(float64(work) / speeds[instance]))
 			slot.Release(slots.Completed)
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -118,7 +118,7 @@
 }
 
 func newRequest(h *world.Host, instance string, remaining monotonic.Micros) localbackends.Request {
-	return localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{Deadline: h.Now() + remaining, Patient: true}}
+	return localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{Deadline: h.Now() + remaining, NoAlternative: true}}
 }
 
 func TestAdmit(t *testing.T) {
