--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -60,7 +60,7 @@
 		{Name: "snowflow_passes_running", Help: "Requests in flight that other proxies forwarded to this one.",
 			Read: func() float64 { return float64(sidecar.Admission.InFlight()) }},
 		{Name: "snowflow_backends_ejected", Help: "Backends on this machine that are ejected and admit only probes, for all callers or for those of a domain.",
-			Read: sidecar.LocalBackends.Ejected},
+			Read: sidecar.LocalBackends.EjectedCount},
 		{Name: "snowflow_desired_serial", Help: "The version of the adopted configuration.",
 			Read: func() float64 { version, _ := sidecar.ConfigClient.Version(); return float64(version) }},
 	}
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -142,8 +142,8 @@
 	return all
 }
 
-// Ejected returns the number of backends that are ejected, for all callers or for some.
-func (s *Set) Ejected() (count float64) {
+// EjectedCount returns the number of backends that are ejected, for all callers or for some.
+func (s *Set) EjectedCount() (count float64) {
 	for _, health := range s.Health() {
 		if health.Ejected || len(health.EjectedFor) > 0 {
 			count++
