--- a/internal/proxy/admission/cancellations.go
+++ b/internal/proxy/admission/cancellations.go
@@ -6,8 +6,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// cancellations holds the requests in flight that are cancelled when their callers disconnect. Run-once requests are not among
-// them: they run to their end, so that a repeated request finds their response.
+// cancellations holds the requests in flight that are cancelled if their callers disconnect. Run-once requests are not among
+// them: they run to completion, so that a repeated request finds their response.
 type cancellations struct {
 	mu     sync.Mutex // guards active
 	active map[cancelKey]*cancellation
@@ -16,11 +16,11 @@
 // cancelKey identifies a request by its sender and the sender's id for it.
 type cancelKey struct{ from, id string }
 
-// cancellation is the state of one request. A nil one is never cancelled.
+// cancellation tells whether one request was cancelled. A nil cancellation never is.
 type cancellation struct {
-	mu       sync.Mutex // guards the fields below; it is not held while callback runs
-	happened bool
-	callback func() // called once at most, and only after happened was set
+	mu        sync.Mutex // guards the fields below; it is not held while callback runs
+	triggered bool
+	callback  func() // called at most once, and only after triggered was set
 }
 
 func newCancellations() *cancellations { return &cancellations{active: map[cancelKey]*cancellation{}} }
@@ -52,9 +52,9 @@
 	return c.active[cancelKey{from, id}]
 }
 
-// Cancel cancels a request whose caller has disconnected, by the name of its sender and the sender's id for it, and reports whether
-// it was in flight here. If the request has not been handed to its backend, it never will be. If it has, and may be repeated, the
-// connection to the backend is closed; otherwise it runs to its end.
+// Cancel cancels the request that a proxy named from sent under an id, because its caller has disconnected. It reports whether the
+// request was found in flight here. A request that has not been sent to its backend yet never will be. If it has been sent and may
+// be repeated, the connection to the backend is closed; otherwise it runs to completion.
 func (c *Controller) Cancel(from, id string) bool {
 	found := c.cancellations.find(from, id)
 	if found == nil {
@@ -67,7 +67,7 @@
 func (c *cancellation) cancel() {
 	c.mu.Lock()
 	callback := c.callback
-	c.happened, c.callback = true, nil
+	c.triggered, c.callback = true, nil
 	c.mu.Unlock()
 	if callback != nil {
 		callback()
@@ -80,14 +80,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.happened
+	return c.triggered
 }
 
-// onCancel registers the function to call when the request is cancelled, and calls it at once if it already is. stop
-// unregisters it.
+// onCancel registers a function that is called when the request is cancelled, or at once if it already is. stop unregisters the
+// function.
 func (c *cancellation) onCancel(callback func()) (stop func()) {
 	c.mu.Lock()
-	cancelled := c.happened
+	cancelled := c.triggered
 	if !cancelled {
 		c.callback = callback
 	}
--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// claimTTL is how long a granted claim permits starting the request, counted from before the claim was sent.
+	// claimTTL is how long a granted claim permits the request to start, counted from before the claim was sent.
 	claimTTL = monotonic.Second
-	// claimCallTimeout bounds one call to the registry for a claim. A claim may be sent again for the same attempt.
+	// claimCallTimeout bounds one call to the registry for a claim. The claim of an attempt can be sent more than once.
 	claimCallTimeout = 700 * monotonic.Millisecond
 	// claimReleaseTimeout bounds the call that releases a claim.
 	claimReleaseTimeout = monotonic.Second
 )
 
-// claimResult is the outcome of a claim for an idempotency key: exactly one of startBy, recorded and fault is set.
+// claimResult is the outcome of claiming an idempotency key: exactly one of startBy, recorded and fault is set.
 type claimResult struct {
 	startBy  monotonic.Micros  // granted: the time by which the request must start, on this process's clock
 	recorded *request.Response // rejected: the recorded response of an earlier attempt
 	fault    *apierror.Error   // rejected for another reason
-	// mayBeGranted is set if a registry server may have granted the claim though its answer did not arrive.
+	// mayBeGranted is set if a registry server may have granted the claim although its reply did not arrive.
 	mayBeGranted bool
 }
 
 func (r *claimResult) granted() bool { return r.recorded == nil && r.fault == nil }
 
-// claimFaults create the fault of a claim by its outcome, except for Granted, and for Pending, which claimRejected handles.
+// claimFaults returns the fault for each outcome of a claim except Granted, which is none, and Pending, which
+// resolveRejectedClaim handles.
 var claimFaults = map[string]func(req *wire.ForwardRequest) *apierror.Error{
 	idempotency.BodyMismatch: func(*wire.ForwardRequest) *apierror.Error {
 		return apierror.New(apierror.BodyMismatch, apierror.MayHaveRun, "the key was used with another body")
@@ -37,16 +38,16 @@
 		return apierror.New(apierror.BreakerOpen, apierror.NotRun, "the breaker of %s is not closed", req.Service)
 	},
 	idempotency.Voided: func(req *wire.ForwardRequest) *apierror.Error {
-		return apierror.New(apierror.KeyFenced, apierror.NotRun, "attempt %s is void", req.Attempt)
+		return apierror.New(apierror.KeyFenced, apierror.NotRun, "attempt %s was voided", req.Attempt)
 	},
 	idempotency.Fenced: func(*wire.ForwardRequest) *apierror.Error {
 		return apierror.New(apierror.KeyFenced, apierror.NotRun, "the key was fenced after this request was read")
 	},
 }
 
-// claim claims a request's idempotency key at the registry's leader, and repeats failed calls until the given time. releaseSlot is
-// called once it is known that the claim is not granted, before the response of an earlier attempt is looked up. deadline is that
-// of the request.
+// claim claims a request's idempotency key at the registry's leader, and repeats failed calls until the given time. deadline is the
+// request's deadline. If the leader does not grant the claim, releaseSlot is called before the response of an earlier attempt is
+// looked up.
 func (c *Controller) claim(req *wire.ForwardRequest, until, deadline monotonic.Micros, releaseSlot func()) claimResult {
 	h := c.options.Host
 	mayBeGranted := false
@@ -54,7 +55,7 @@
 		sentAt := h.Now()
 		remaining := min(until-sentAt, claimCallTimeout)
 		if remaining <= 0 {
-			// The claim may have been granted, but this proxy won't use it and no other can.
+			// Even if the claim was granted, this proxy won't run the request, and no other proxy can use the claim.
 			fault := apierror.New(apierror.ClaimUnreachable, apierror.NotRun, "the registry did not answer in time")
 			return claimResult{fault: fault, mayBeGranted: mayBeGranted}
 		}
@@ -69,7 +70,7 @@
 			return result
 		}
 		releaseSlot()
-		result.recorded, result.fault = c.claimRejected(req, reply, deadline)
+		result.recorded, result.fault = c.resolveRejectedClaim(req, reply, deadline)
 		return result
 	}
 }
@@ -91,12 +92,13 @@
 	return reply, c.options.CallLeader(wire.Kind_claim, claim, reply, timeout)
 }
 
-// claimRejected returns the recorded response of the attempt that has the key, or the fault of a claim that was not granted.
-func (c *Controller) claimRejected(
+// resolveRejectedClaim returns the outcome of a claim that was not granted: the recorded response of the attempt that holds the
+// key, or a fault.
+func (c *Controller) resolveRejectedClaim(
 	req *wire.ForwardRequest, reply *wire.ClaimResponse, deadline monotonic.Micros,
 ) (*request.Response, *apierror.Error) {
 	if reply.Outcome == idempotency.Pending {
-		response, cause := c.recall(req, reply, deadline)
+		response, cause := c.fetchRecordedResponse(req, reply, deadline)
 		if response != nil {
 			return response, nil
 		}
@@ -105,11 +107,11 @@
 	if newFault := claimFaults[reply.Outcome]; newFault != nil {
 		return nil, newFault(req)
 	}
-	return nil, apierror.New(apierror.ClaimUnreachable, apierror.MayHaveRun, "claim outcome %q", reply.Outcome)
+	return nil, apierror.New(apierror.ClaimUnreachable, apierror.MayHaveRun, "unknown claim outcome %q", reply.Outcome)
 }
 
-// claimUntilDeadline claims until the request's deadline. If the claim fails and may have been granted, now or in an earlier
-// call, it is released.
+// claimUntilDeadline repeats the claim until the request's deadline. If the registry still can't be reached by then, and may have
+// granted the claim during this call or, if mayBeGranted is set, before it, the claim is released.
 func (c *Controller) claimUntilDeadline(req *wire.ForwardRequest, deadline monotonic.Micros, mayBeGranted bool) claimResult {
 	result := c.claim(req, deadline, deadline, func() {})
 	unreachable := result.fault != nil && result.fault.Cause == apierror.ClaimUnreachable
@@ -119,8 +121,8 @@
 	return result
 }
 
-// releaseClaim releases a claim of a request that has certainly not run. If the registry can't be reached the key stays claimed
-// until it expires: that is safe, but repeated requests are rejected until then.
+// releaseClaim releases the claim of a request that has certainly not run. If the registry can't be reached, the key stays claimed
+// until the claim expires. That is safe, but repeated requests are rejected until then.
 func (c *Controller) releaseClaim(req *wire.ForwardRequest) {
 	release := &wire.CompleteClaimRequest{Scope: req.Scope, Attempt: req.Attempt}
 	_ = c.options.CallLeader(wire.Kind_complete_claim, release, &wire.CompleteClaimResponse{}, claimReleaseTimeout)
--- a/internal/proxy/admission/claim_test.go
+++ b/internal/proxy/admission/claim_test.go
@@ -112,7 +112,7 @@
 		req := &wire.ForwardRequest{Scope: "key", Digest: []byte("digest"), Attempt: "caller-2"}
 		c.executions.begin(req.Scope)
 		process.Go(func() {
-			process.Sleep(recallTimeout / 2)
+			process.Sleep(replayTimeout / 2)
 			c.options.Replay.Put(req.Scope, req.Digest, &request.Response{Status: 201})
 			c.executions.end(req.Scope)
 		})
--- a/internal/proxy/admission/executions.go
+++ b/internal/proxy/admission/executions.go
@@ -7,12 +7,13 @@
 	"snowflow/internal/monotonic"
 )
 
-// executions holds the idempotency keys whose claimed requests are running on this host's backends, so that a repeated request
-// can wait for the response.
+// executions tracks the idempotency keys whose requests are running on this host's backends, so that a repeated request can wait
+// for the response.
 type executions struct {
 	host host.Host
 	mu   sync.Mutex // guards waiters
-	// waiters has an entry for each key from its claim until its response is recorded: the signals of those that wait for that.
+	// waiters has an entry for each key from its claim until its response is recorded. The entry holds the signals of the callers
+	// that wait for the response.
 	waiters map[string][]host.Signal
 }
 
@@ -36,7 +37,7 @@
 	}
 }
 
-// await waits, at most for the timeout, until a key's request is not running, and reports whether it still is.
+// await waits, at most for the timeout, until no request with a key is running, and reports whether one still is.
 func (e *executions) await(scope string, timeout monotonic.Micros) (running bool) {
 	e.mu.Lock()
 	waiters, running := e.waiters[scope]
--- a/internal/proxy/admission/health.go
+++ b/internal/proxy/admission/health.go
@@ -12,11 +12,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// peerScale is the denominator of the fractions about a backend's peers that a request carries.
-const peerScale = 1000
+// peerRatioScale is the denominator of the peers' fault rate and latency ratio, which a request carries as whole numbers.
+const peerRatioScale = 1000
 
-// checkHealth rejects a request if outlier detection has ejected its backend, and otherwise begins an observation of the backend.
-// A request without an alternative backend is always admitted.
+// checkHealth rejects a request if outlier detection has ejected its backend. Otherwise it returns an observation, to which the
+// outcome of the request must be reported. A request without an alternative backend is always admitted.
 func (c *Controller) checkHealth(req *wire.ForwardRequest) (*localbackends.Observation, *apierror.Error) {
 	peers := req.Peers
 	return c.options.LocalBackends.Observe(req.Instance, outlier.RequestInfo{
@@ -28,21 +28,21 @@
 		Peers: outlier.Peers{
 			Known:        int(peers.GetKnown()),
 			Ejected:      int(peers.GetEjected()),
-			FaultRate:    float64(peers.GetFaultRate()) / peerScale,
-			LatencyRatio: float64(peers.GetLatencyRatio()) / peerScale,
+			FaultRate:    float64(peers.GetFaultRate()) / peerRatioScale,
+			LatencyRatio: float64(peers.GetLatencyRatio()) / peerRatioScale,
 		},
 	})
 }
 
-// load returns the load and health of a request's backend, for the sender's load balancer. It is nil for an unknown instance.
+// load returns the load and health of a request's backend, for the sender's load balancer, or nil for an unknown instance.
 func (c *Controller) load(req *wire.ForwardRequest) *wire.Load {
 	load := c.options.LocalBackends.Load(req.Instance, req.Route)
 	c.options.LocalBackends.AddHealth(load, req.Instance, req.Domain, req.Route)
 	return load
 }
 
-// neutralCauses are the causes of faults that say nothing about the backend's health: it was not called, or the request had too
-// little time. A backend that takes far longer than usual is detected by its latency.
+// neutralCauses are the causes of faults that say nothing about the backend's health: the backend was not called, or the request
+// had too little time left. A backend that takes far longer than usual is detected by its latency.
 var neutralCauses = map[apierror.Cause]bool{
 	apierror.ResponseTimeout:    true,
 	apierror.ResponseTooLarge:   true,
@@ -54,8 +54,8 @@
 	apierror.BackendUnknown:     true,
 }
 
-// backendOutcome returns what the end of a request says about its backend's health. Server errors (status 500 and above) and
-// requests that the backend did not execute count as failures, like lost responses.
+// backendOutcome classifies the end of a request for outlier detection. Server errors (status 500 and above) and requests that
+// the backend did not execute count as failures, as lost responses do.
 func backendOutcome(response *request.Response, fault *apierror.Error) outlier.Outcome {
 	switch {
 	case fault != nil && (fault.Local || neutralCauses[fault.Cause]):
@@ -66,12 +66,12 @@
 	return outlier.Success
 }
 
-// finishedCauses are the causes of faults after which the backend no longer works on the request: it has responded, though not as
-// it should.
+// finishedCauses are the causes of faults after which the backend no longer works on the request: it has sent a response, but one
+// that can't be used.
 var finishedCauses = map[apierror.Cause]bool{apierror.ResponseTooLarge: true, apierror.ResponseMismatch: true}
 
-// slotOutcome returns what the end of a request says about its slot. Errors are no samples of the service time: a backend that
-// fails at once would look fast.
+// slotOutcome classifies the end of a request for its slot. Failed requests are not samples of the service time, since a backend
+// that fails at once would look fast.
 func slotOutcome(response *request.Response, fault *apierror.Error) slots.Outcome {
 	switch {
 	case fault == nil && response.Status < http.StatusInternalServerError:
--- a/internal/proxy/admission/link.go
+++ b/internal/proxy/admission/link.go
@@ -6,11 +6,13 @@
 	"snowflow/internal/transport/wire"
 )
 
-// uplinkTimeShare is the part of the remaining time within which the link must have sent a large response.
+// uplinkTimeShare is the fraction of a request's remaining time, or of its latency target, within which the link must be able to send
+// a large response.
 const uplinkTimeShare = 0.6
 
-// reserveUplink reserves this host's link for a response of the usual size on the request's route. It rejects the request, which
-// has not run, if the link can't send such a response in time. The size, in bytes, must be passed to releaseUplink.
+// reserveUplink reserves capacity of this host's network link for a response of the usual size on the request's route. It rejects
+// the request as not run if the link can't send such a response in time. The returned size, in bytes, must be passed to
+// releaseUplink.
 func (c *Controller) reserveUplink(req *wire.ForwardRequest) (size float64, fault *apierror.Error) {
 	if req.From == c.options.Proxy {
 		return 0, nil // the response stays on this host
@@ -24,12 +26,12 @@
 		return size, nil
 	}
 	fault = apierror.New(
-		apierror.Overloaded, apierror.NotRun, "the link of %s is taken for %d ms", c.options.Proxy, wait/monotonic.Millisecond)
+		apierror.Overloaded, apierror.NotRun, "the network link of %s is busy for %d ms", c.options.Proxy, wait/monotonic.Millisecond)
 	fault.RetryAfter = max(wait, monotonic.Millisecond)
 	return 0, fault
 }
 
-// releaseUplink replaces a reservation by the size of the body that is sent, zero for a request without a response.
+// releaseUplink replaces a reservation with the actual size of the response's body, which is zero if there is no response.
 func (c *Controller) releaseUplink(req *wire.ForwardRequest, size float64, reply *wire.ForwardResponse) {
 	if req.From != c.options.Proxy {
 		c.uplink.Done(c.options.Host.Now(), req.Route, size, len(reply.GetBody()))
--- a/internal/proxy/admission/permit.go
+++ b/internal/proxy/admission/permit.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// breakerWaitDivisor divides the time for which a circuit breaker stays open; the result bounds the wait for a slot. A request
+	// breakerWaitDivisor bounds the wait for a slot: the time for which the circuit breaker stays open is divided by it. A request
 	// that was admitted while the breaker was closed must not reach the backend among the probes that follow the open state.
 	breakerWaitDivisor = 2
-	// claimSlotTimeout is how long a slot is held for a claim that is not answered. It is well above the usual time of a claim.
+	// claimSlotTimeout is how long a request keeps its slot while its claim is not answered. Claims usually take much less time.
 	claimSlotTimeout = 100 * monotonic.Millisecond
-	// uncountedSlotTimeout is how long a request whose claim was granted waits for a slot at a backend that does not report its
-	// number of slots. After an outage of the registry many claims are granted at once, more than there are slots, though each
-	// request needs its slot for some milliseconds only.
+	// uncountedSlotTimeout is how long a request with a granted claim waits for a slot at a backend that does not report its number
+	// of slots. After an outage of the registry more claims are granted at once than there are slots, but each request needs its
+	// slot only for some milliseconds.
 	uncountedSlotTimeout = 300 * monotonic.Millisecond
-	// uncountedSlotRetry is the time between two attempts to get such a slot.
+	// uncountedSlotRetry is the pause between two attempts to get such a slot.
 	uncountedSlotRetry = 5 * monotonic.Millisecond
 )
 
-// permit is the right to send a request to its backend: a slot and, for a run-once request, its claim.
+// permit allows a request to be sent to its backend: it holds a slot and, for a run-once request, stands for a granted claim.
 type permit struct {
 	*localbackends.Slot
 	startBy monotonic.Micros // the time by which the request must start, on this process's clock
 }
 
-// acquirePermit returns the permit for a request, or the recorded response of an earlier attempt. After a fault neither slot nor
-// claim is held.
+// acquirePermit returns a permit for a request, or the recorded response of an earlier attempt. If it returns a fault, neither a
+// slot nor a claim is held.
 func (c *Controller) acquirePermit(
 	req *wire.ForwardRequest, service *config.Service, deadline monotonic.Micros,
 ) (*permit, *request.Response, *apierror.Error) {
@@ -50,7 +50,7 @@
 			LatencyTarget: latencyTarget,
 			Deadline:      deadline,
 			StartBy:       min(deadline, now+monotonic.Micros(service.Breaker.GetWaitOpenMicros())/breakerWaitDivisor),
-			NoAlternative:       req.MayQueue,
+			NoAlternative: req.MayQueue,
 			Kind:          req.Route,
 		},
 	}
@@ -65,10 +65,10 @@
 	return c.claimWithSlot(req, slotRequest, slot)
 }
 
-// claimWithSlot claims the key while the request has a slot: a claim takes one replicated write of some milliseconds. In the
-// opposite order, a key claimed for a request that the queue then rejects would cost a second write to release it, and would block
-// every other attempt meanwhile. During a failover of the registry claims take seconds; then the slot is released, so that requests
-// that can't start don't take all slots, and requested again once the claim is granted.
+// claimWithSlot claims the key while the request holds a slot. A claim is one replicated write, which takes some milliseconds. In
+// the opposite order, a key whose request the queue then rejects would cost a second write to release the claim, and would block
+// all other attempts meanwhile. During a failover of the registry, claims take seconds. The slot is then released, so that requests
+// that can't start don't occupy all slots, and requested again once the claim is granted.
 func (c *Controller) claimWithSlot(
 	req *wire.ForwardRequest, slotRequest localbackends.Request, slot *localbackends.Slot,
 ) (*permit, *request.Response, *apierror.Error) {
@@ -95,8 +95,8 @@
 	return &permit{Slot: slot, startBy: claim.startBy}, nil, nil
 }
 
-// admitUncounted acquires the permit at a backend that does not report its number of slots; limit bounds its requests in flight. A
-// claim may take long, so the slot is taken after it; a request that would not get one now is rejected without a claim.
+// admitUncounted acquires a permit at a backend that does not report its number of slots; limit bounds the requests in flight
+// there. A claim may take long, so the slot is taken after it. A request that would not get a slot now is rejected without a claim.
 func (c *Controller) admitUncounted(
 	req *wire.ForwardRequest, slotRequest localbackends.Request, needsClaim bool, limit uint32,
 ) (*permit, *request.Response, *apierror.Error) {
@@ -121,8 +121,8 @@
 	return &permit{Slot: slot, startBy: startBy}, nil, nil
 }
 
-// waitForUncountedSlot takes a slot at a backend that does not report its number of slots. Only a run-once request, which has a
-// claim by then, waits for one.
+// waitForUncountedSlot takes a slot at a backend that does not report its number of slots. Only a run-once request, which already
+// holds its claim, waits for a slot.
 func (c *Controller) waitForUncountedSlot(
 	slotRequest localbackends.Request, limit uint32, startBy monotonic.Micros,
 ) (*localbackends.Slot, *apierror.Error) {
--- a/internal/proxy/admission/preconditions.go
+++ b/internal/proxy/admission/preconditions.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// previousVersionGrace is the time after the adoption of a configuration for which requests that were routed by the version
-	// before are still accepted. The sender's own lease already ends its use of a version within two seconds after the next one;
-	// this also rejects a request whose sender was suspended between routing and sending it.
+	// previousVersionGrace is how long after this proxy has adopted a version of the configuration it still accepts requests that
+	// were routed by the version before. The sender's own lease makes it stop using a version within two seconds of the next one;
+	// this limit also rejects a request whose sender was suspended between routing and sending it.
 	previousVersionGrace = monotonic.Second
 	// versionCatchUpTimeout is how long a request that was routed by a newer version waits for this proxy to adopt it.
 	versionCatchUpTimeout = 500 * monotonic.Millisecond
 )
 
-// preconditions are checked in order before anything is reserved or claimed, so that each rejection is certain.
+// preconditions are checked in this order before anything is reserved or claimed, so that a rejected request has certainly not run.
 var preconditions = []func(c *Controller, req *wire.ForwardRequest) *apierror.Error{
 	(*Controller).checkAccepting,
 	(*Controller).checkIncarnation,
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// checkLease rejects requests while this proxy has no lease on its configuration, unless ServeStale allows to serve without one.
+// checkLease rejects requests while this proxy has no lease on its configuration, unless ServeStale is set.
 func (c *Controller) checkLease() *apierror.Error {
 	if _, live := c.options.ConfigClient.Current(); !live && !c.options.ServeStale {
 		return apierror.New(apierror.ConfigLeaseExpired, apierror.NotRun, "proxy %s has no lease on its configuration", c.options.Proxy)
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// checkVersion rejects requests that were routed by an outdated configuration, or by one that this proxy does not adopt in time.
+// checkVersion rejects a request that was routed by an outdated version of the configuration, or by a newer one that this proxy
+// does not adopt in time.
 func (c *Controller) checkVersion(req *wire.ForwardRequest) *apierror.Error {
 	if c.options.ServeStale {
 		return nil
@@ -73,15 +74,15 @@
 	return nil
 }
 
-// findService returns the configuration of a request's service in the current version, which may be newer than the one that
-// checkVersion compared with. The request is executed by what it returns.
+// findService returns the configuration under which a request is executed: that of its service in the current version, which may
+// be newer than the version that checkVersion saw.
 func (c *Controller) findService(req *wire.ForwardRequest) (*config.Service, *apierror.Error) {
 	snapshot, _ := c.options.ConfigClient.Current()
 	if snapshot != nil && snapshot.Services[req.Service] != nil {
 		return snapshot.Services[req.Service], nil
 	}
 	if c.options.ServeStale {
-		return config.DefaultService(req.Service), nil // the sender may use another version, which has the service
+		return config.DefaultService(req.Service), nil // the sender's version, which may be another one, has the service
 	}
 	return nil, apierror.New(apierror.VersionOlder, apierror.NotRun,
 		"service %s is not in configuration version %d", req.Service, snapshot.Version)
--- a/internal/proxy/admission/recall.go
+++ b/internal/proxy/admission/recall.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// recallTimeout is how long a repeated request waits for the response of an attempt that is still running.
-	recallTimeout = 500 * monotonic.Millisecond
-	// remoteRecallTimeout is how long a proxy waits on behalf of another one that requests the response. It is shorter than
-	// recallTimeout, so that the reply arrives in time.
-	remoteRecallTimeout = recallTimeout * 4 / 5
+	// replayTimeout is how long a repeated request waits for the response of an attempt that is still running.
+	replayTimeout = 500 * monotonic.Millisecond
+	// remoteReplayTimeout is how long a proxy waits for such a response on behalf of another proxy. It is shorter than
+	// replayTimeout, so that the reply arrives in time.
+	remoteReplayTimeout = replayTimeout * 4 / 5
 )
 
-// NewAttemptID returns the id of an attempt that a proxy sends: its name, and a random number.
+// NewAttemptID returns an id for an attempt that a proxy sends. It consists of the proxy's name and a random number.
 func NewAttemptID(proxy string, random uint64) string { return fmt.Sprintf("%s-%016x", proxy, random) }
 
-// attemptSender returns the name of the proxy that made an attempt's id, or the empty string for a malformed one.
+// attemptSender returns the name of the proxy that sent an attempt, taken from the attempt's id, or the empty string if the id is
+// malformed.
 func attemptSender(attempt string) string {
 	if end := strings.LastIndexByte(attempt, '-'); end > 0 {
 		return attempt[:end]
@@ -31,33 +32,33 @@
 	return ""
 }
 
-// recall returns the response of the attempt that claimed a request's key. Without a response, the cause is KeyPending if the
-// attempt is still running, or ResponseExpired if no proxy has its response any more.
-func (c *Controller) recall(
+// fetchRecordedResponse returns the response of the earlier attempt that claimed a request's key. If there is none, the cause is
+// KeyPending if that attempt is still running, or ResponseExpired if no proxy has its response any more.
+func (c *Controller) fetchRecordedResponse(
 	req *wire.ForwardRequest, existing *wire.ClaimResponse, deadline monotonic.Micros,
 ) (*request.Response, apierror.Cause) {
-	until := min(deadline, c.options.Host.Now()+recallTimeout)
+	until := min(deadline, c.options.Host.Now()+replayTimeout)
 	if existing.Scope != "" {
 		req = proto.CloneOf(req)
 		req.Scope = existing.Scope
 	}
-	response, cause := c.recallFrom(existing.Owner, req, existing.Attempt, until-c.options.Host.Now())
+	response, cause := c.fetchRecordedResponseFrom(existing.Owner, req, existing.Attempt, until-c.options.Host.Now())
 	if response != nil || cause == apierror.KeyPending {
 		return response, cause
 	}
-	// The proxy that forwarded the earlier attempt records its response too.
+	// The proxy that forwarded the earlier attempt records the response too.
 	if sender := attemptSender(existing.Attempt); sender != "" && sender != existing.Owner && c.options.Host.Now() < until {
-		response, _ = c.recallFrom(sender, req, existing.Attempt, until-c.options.Host.Now())
+		response, _ = c.fetchRecordedResponseFrom(sender, req, existing.Attempt, until-c.options.Host.Now())
 	}
 	return response, apierror.ResponseExpired
 }
 
-// recallFrom requests a key's recorded response from one proxy, which may be this one.
-func (c *Controller) recallFrom(
+// fetchRecordedResponseFrom returns the response that one proxy, possibly this one, recorded for a key.
+func (c *Controller) fetchRecordedResponseFrom(
 	proxy string, req *wire.ForwardRequest, attempt string, timeout monotonic.Micros,
 ) (*request.Response, apierror.Cause) {
 	if proxy == c.options.Proxy {
-		response, running := c.recordedResponse(req.Scope, req.Digest, timeout)
+		response, running := c.awaitRecordedResponse(req.Scope, req.Digest, timeout)
 		if running {
 			return response, apierror.KeyPending
 		}
@@ -75,9 +76,9 @@
 	return &request.Response{Status: reply.Status, Headers: reply.Headers, Body: reply.Body, Instance: reply.Instance}, 0
 }
 
-// serveRecall handles another proxy's request for a key's recorded response.
-func (c *Controller) serveRecall(recall *wire.ReplayRequest) (*wire.ForwardResponse, error) {
-	response, running := c.recordedResponse(recall.Scope, recall.Digest, remoteRecallTimeout)
+// serveReplay handles another proxy's request for the response recorded for a key.
+func (c *Controller) serveReplay(replayRequest *wire.ReplayRequest) (*wire.ForwardResponse, error) {
+	response, running := c.awaitRecordedResponse(replayRequest.Scope, replayRequest.Digest, remoteReplayTimeout)
 	if response != nil {
 		return success("", response), nil
 	}
@@ -88,9 +89,9 @@
 	return &wire.ForwardResponse{Rejected: true, Cause: uint32(cause), Verdict: string(apierror.MayHaveRun)}, nil
 }
 
-// recordedResponse returns the response that this proxy recorded for a key, or nil. It first waits, at most for the timeout, while
-// an attempt is running here; running is true if it still is.
-func (c *Controller) recordedResponse(scope string, digest []byte, timeout monotonic.Micros) (response *request.Response, running bool) {
+// awaitRecordedResponse returns the response that this proxy recorded for a key, or nil. While an attempt with the key is running
+// here, it first waits for its end, at most for the timeout; running is true if the attempt is still running after that.
+func (c *Controller) awaitRecordedResponse(scope string, digest []byte, timeout monotonic.Micros) (response *request.Response, running bool) {
 	running = c.executions.await(scope, timeout)
 	return c.options.Replay.Lookup(scope, digest), running
 }
--- a/internal/proxy/admission/reply.go
+++ b/internal/proxy/admission/reply.go
@@ -7,7 +7,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// rejection returns the reply of a request that has no response.
+// rejection returns the reply to a request that ended with a fault.
 func (c *Controller) rejection(req *wire.ForwardRequest, fault *apierror.Error) *wire.ForwardResponse {
 	version, _ := c.options.ConfigClient.Version()
 	return &wire.ForwardResponse{
@@ -35,7 +35,7 @@
 	}
 }
 
-// Complete reports whether the body of a reply has the length and checksum that its sender announced.
+// Complete reports whether a reply's body has the length and checksum that the reply states.
 func Complete(reply *wire.ForwardResponse) bool {
 	return uint64(len(reply.Body)) == reply.Length && frame.Checksum(reply.Body) == reply.Checksum
 }
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -13,7 +13,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// reportedFaults are the events of faults that operators should see beyond the caller's rejection.
+// reportedFaults maps the causes of faults that are reported to operators, and not only to the caller, to their events.
 var reportedFaults = map[apierror.Cause]int{
 	apierror.ResponseBroken:          eventlog.ResponseBroken,
 	apierror.BackendIdentityMismatch: eventlog.IdentityMismatch,
@@ -33,10 +33,10 @@
 	if outcome == shutdown.NotStarted && !req.RunOnce {
 		verdict = apierror.NotRun
 	}
-	return c.rejection(req, apierror.New(apierror.StoppedInFlight, verdict, "proxy %s stops, and can't wait any longer", c.options.Proxy)), nil
+	return c.rejection(req, apierror.New(apierror.StoppedInFlight, verdict, "proxy %s is stopping and can't wait any longer", c.options.Proxy)), nil
 }
 
-// serve admits a request, executes it and returns the reply. Reservations are released in the reverse order.
+// serve admits a request, executes it and returns the reply. What the steps reserve is released in reverse order.
 func (c *Controller) serve(req *wire.ForwardRequest, task *shutdown.Task) (reply *wire.ForwardResponse) {
 	received := c.options.Host.Now()
 	deadline := received + monotonic.Micros(req.Remaining)
@@ -89,7 +89,7 @@
 	return success(req.Id, response)
 }
 
-// execution is an admitted request on its way to its backend.
+// execution is an admitted request that is being executed.
 type execution struct {
 	req          *wire.ForwardRequest
 	deadline     monotonic.Micros
@@ -100,16 +100,16 @@
 	task         *shutdown.Task
 }
 
-// cancellable reports whether the request may be aborted while its backend works on it. Only a request that may be repeated is:
-// neither a run-once request nor one that may run at most once and has no idempotency key.
+// cancellable reports whether the request may be aborted while its backend processes it. This holds for requests that may be
+// repeated, and neither for run-once requests nor for those that may run at most once but have no idempotency key.
 func (e *execution) cancellable() bool { return !e.req.RunOnce && !e.req.AtMostOnce }
 
-// execute sends a request to its backend, records what the outcome says about the backend, and returns the response.
+// execute sends a request to its backend, records the outcome for outlier detection and the slot, and returns the response.
 func (c *Controller) execute(e *execution) (*request.Response, *apierror.Error) {
 	e.observation.Start()
 	response, fault := c.options.Upstream.RoundTrip(c.backendRequest(e))
 	if fault != nil && !fault.NotRun() && e.cancellable() && e.cancellation.cancelled() {
-		fault = apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "its caller left while the backend was at work")
+		fault = apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected while the backend processed the request")
 		fault.Local = true // this proxy closed the connection, which says nothing about the backend
 	}
 	e.observation.Close(backendOutcome(response, fault))
@@ -154,22 +154,24 @@
 	return backendRequest
 }
 
-// checkKeyLease rejects a request if the sender's lease on the tenants' keys has ended since it was received.
+// checkKeyLease rejects a request if the sender's lease on the tenants' keys has expired since the request was received: the key
+// may have been revoked.
 func (c *Controller) checkKeyLease(e *execution) *apierror.Error {
 	lease := monotonic.Micros(e.req.KeyLease)
 	if lease > 0 && c.options.Host.Now()-e.received >= lease {
-		return apierror.New(apierror.KeyLeaseExpired, apierror.NotRun, "whether the tenant's key is still in force isn't known")
+		return apierror.New(apierror.KeyLeaseExpired, apierror.NotRun, "the lease on the tenants' keys has expired, the key may have been revoked")
 	}
 	return nil
 }
 
-// checkBeforeSend is the last check before the request is sent. It covers what may have changed while the request waited.
+// checkBeforeSend is the last check before the request is sent. It covers the conditions that may have changed while the request
+// waited.
 func (c *Controller) checkBeforeSend(e *execution) *apierror.Error {
 	if e.cancellation.cancelled() {
-		return apierror.New(apierror.ClientClosed, apierror.NotRun, "its caller left before it was handed over")
+		return apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected before the request was sent")
 	}
 	if c.options.Host.Now() >= e.permit.startBy {
-		return apierror.New(apierror.ClaimTimeout, apierror.NotRun, "too late to start")
+		return apierror.New(apierror.ClaimTimeout, apierror.NotRun, "the time by which the request had to start has passed")
 	}
 	if fault := c.checkKeyLease(e); fault != nil {
 		return fault
@@ -181,7 +183,7 @@
 		return fault
 	}
 	if !e.task.Start() {
-		return apierror.New(apierror.StoppedInFlight, apierror.NotRun, "given up before the hand-over")
+		return apierror.New(apierror.StoppedInFlight, apierror.NotRun, "abandoned before the request was sent")
 	}
 	return nil
 }
--- a/internal/proxy/admission/slots/limits.go
+++ b/internal/proxy/admission/slots/limits.go
@@ -55,7 +55,7 @@
 	LatencyTarget monotonic.Micros // until when the response has its full value; zero if unknown
 	Deadline      monotonic.Micros
 	StartBy       monotonic.Micros // by when it must have its slot; zero if only the deadline bounds that
-	NoAlternative       bool             // no other backend can take it
+	NoAlternative bool             // no other backend can take it
 	Tenant        string           // whose request it is; empty if it's of no tenant
 	Kind          string           // such as a route; requests of one kind have similar service times
 }
--- a/internal/proxy/admission/slots/pool.go
+++ b/internal/proxy/admission/slots/pool.go
@@ -28,7 +28,7 @@
 
 // New returns the pool of a backend whose number of slots and service time are not known yet.
 func New(limits Limits) *Pool {
-	return &Pool{limits: limits, tenants: occupancy{}, measured: serviceTimes{byKind: map[string]*mean{}}}
+	return &Pool{limits: limits, tenants: occupancy{}, measured: serviceTimes{byKind: map[string]*movingAverage{}}}
 }
 
 // SetCount sets the number of slots that the backend reports; zero if it reports none.
--- a/internal/proxy/admission/slots/service_time.go
+++ b/internal/proxy/admission/slots/service_time.go
@@ -11,28 +11,28 @@
 	minKindSamples = 4
 )
 
-// mean is a mean service time in microseconds, the newest samples weighing most.
-type mean struct {
+// movingAverage is a movingAverage service time in microseconds, the newest samples weighing most.
+type movingAverage struct {
 	average float64
 	samples int
 }
 
-func (m *mean) add(sample monotonic.Micros) {
+func (m *movingAverage) add(sample monotonic.Micros) {
 	m.samples = min(m.samples+1, meanWindow)
 	m.average += (float64(sample) - m.average) / float64(m.samples)
 }
 
 // serviceTimes holds the mean service time of all requests, and of each kind.
 type serviceTimes struct {
-	overall mean
-	byKind  map[string]*mean // one for each route to the backend, at most maxKinds
+	overall movingAverage
+	byKind  map[string]*movingAverage // one for each route to the backend, at most maxKinds
 }
 
 func (s *serviceTimes) add(kind string, sample monotonic.Micros) {
 	s.overall.add(sample)
 	known := s.byKind[kind]
 	if known == nil && len(s.byKind) < maxKinds {
-		known = &mean{}
+		known = &movingAverage{}
 		s.byKind[kind] = known
 	}
 	if known != nil {
