--- a/internal/proxy/admission/cancellations_test.go
+++ b/internal/proxy/admission/cancellations_test.go
@@ -6,8 +6,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestCancel checks when the function that ends a request is called: once, whether it was registered before the caller disconnected or
-// after.
+// TestCancel checks that the function registered for a request's cancellation is called once, whether it was registered before or
+// after the caller disconnected.
 func TestCancel(t *testing.T) {
 	req := &wire.ForwardRequest{From: "caller", Id: "1"}
 	newController := func() (*Controller, *cancellation) {
--- a/internal/proxy/admission/claim_test.go
+++ b/internal/proxy/admission/claim_test.go
@@ -16,7 +16,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// runProcess runs a test's body as a process of a simulated world.
+// runProcess runs a test's body as a process in a simulated world.
 func runProcess(t *testing.T, body func(process *world.Host)) {
 	t.Helper()
 	simulated := world.New(1)
@@ -35,7 +35,7 @@
 	}
 }
 
-// fakeRegistry answers claims with a fixed outcome or error, and counts the claims that are released.
+// fakeRegistry answers claims with a fixed outcome or error, and counts released claims.
 type fakeRegistry struct {
 	process  *world.Host
 	outcome  *wire.ClaimResponse
@@ -63,7 +63,8 @@
 		}})
 }
 
-// TestClaimOutcomes checks what each outcome of a claim means for the request, and that its slot is released unless it may run.
+// TestClaimOutcomes checks the result of a claim for each outcome, and that the request's slot is released unless the claim is
+// granted.
 func TestClaimOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -91,7 +92,7 @@
 				result := c.claim(&wire.ForwardRequest{Scope: "key", Attempt: "caller-1"}, deadline, deadline, func() { slotReleased = true })
 				if test.cause == 0 {
 					if !result.granted() || slotReleased || result.startBy != started+claimTTL {
-						t.Errorf("granted %v, slot released %v, to start within %d", result.granted(), slotReleased, result.startBy-started)
+						t.Errorf("granted %v, slot released %v, must start within %d", result.granted(), slotReleased, result.startBy-started)
 					}
 					return
 				}
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestClaimReturnsRecordedResponse: a claim for a key that an earlier attempt used returns that attempt's response, which the claim waits
-// for while the attempt is running on this host.
+// TestClaimReturnsRecordedResponse checks that a claim for a key that an earlier attempt holds returns that attempt's response, and
+// waits for it while the attempt is still running on this host.
 func TestClaimReturnsRecordedResponse(t *testing.T) {
 	runProcess(t, func(process *world.Host) {
 		pending := &wire.ClaimResponse{Outcome: idempotency.Pending, Owner: "here", Attempt: "caller-1"}
@@ -124,8 +125,8 @@
 	})
 }
 
-// TestUnansweredClaim: a claim that was not answered until the deadline is released if a registry server may have granted it, and not
-// otherwise. In both cases the request has certainly not run.
+// TestUnansweredClaim checks that a claim without an answer by the deadline is released if and only if a registry server may have
+// granted it. In both cases the request has certainly not run.
 func TestUnansweredClaim(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/proxy/admission/key_lease_test.go
+++ b/internal/proxy/admission/key_lease_test.go
@@ -9,9 +9,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestKeyLeaseAtHandOver guards against a request that runs by a key which was taken away while the request waited for its slot, its claim
-// or a frozen process: the sender's lease on the keys is judged again at the last moment.
-func TestKeyLeaseAtHandOver(t *testing.T) {
+// TestKeyLeaseBeforeSend guards against a request that runs with a tenant's key which was revoked while the request waited for its
+// slot or its claim, or while the process was frozen: the sender's lease on the keys is checked again right before the request is sent.
+func TestKeyLeaseBeforeSend(t *testing.T) {
 	for name, test := range map[string]struct {
 		lease, wait monotonic.Micros
 		rejected    bool
--- a/internal/proxy/admission/slots/fairness.go
+++ b/internal/proxy/admission/slots/fairness.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// occupancy counts the requests of each tenant that run or wait. A tenant without any isn't in it.
+// occupancy counts the running and waiting requests of each tenant. Tenants without any have no entry.
 type occupancy map[string]int
 
 func (o occupancy) add(tenant string) {
@@ -20,9 +20,9 @@
 	}
 }
 
-// fairVictim returns the position of the waiting ticket that has to give its place to a request that would be rejected otherwise, -1 if
-// there is none: the last one of the tenant that occupies most, among those of the request's priority, if that tenant would still
-// occupy no less than the request's own.
+// fairVictim returns the position of the waiting ticket to reject in favor of a request that would be rejected otherwise, or -1 if
+// there is none. Among the waiting tickets of the request's priority it chooses the last one of the tenant with the most running and
+// waiting requests, provided that afterwards this tenant still has no fewer requests than the request's own tenant.
 func (p *Pool) fairVictim(request Request) int {
 	if request.Tenant == "" {
 		return -1
@@ -41,7 +41,7 @@
 	return victim
 }
 
-// without returns the queue without the ticket at a position. The queue itself stays as it is.
+// without returns a copy of the queue without the ticket at a position.
 func without(queue []*Ticket, position int) []*Ticket {
 	return slices.Concat(queue[:position], queue[position+1:])
 }
--- a/internal/proxy/admission/slots/fairness_test.go
+++ b/internal/proxy/admission/slots/fairness_test.go
@@ -15,30 +15,31 @@
 	perSecond int
 }
 
-// serveTenants plays 20 s of traffic to a backend of four slots, whose requests take 40 to 120 ms and are wanted within 400 ms, and
-// returns the share of each tenant's requests that got a slot. Without names the pool can't tell the tenants apart.
+// serveTenants simulates 20 s of traffic to a backend with four slots, where requests take 40 to 120 ms and have a latency target of
+// 400 ms. It returns the fraction of each tenant's requests, and of all requests, that got a slot. If named is false, the pool can't
+// tell the tenants apart.
 func serveTenants(seed uint64, loads []tenantLoad, named bool) (shares map[string]float64, all float64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	pool, now := slots.New(slots.DefaultLimits()), monotonic.Minute
 	pool.SetCount(now, 4)
-	type running struct {
+	type runningRequest struct {
 		ticket *slots.Ticket
 		until  monotonic.Micros
 	}
 	sent, served := map[string]int{}, map[string]int{}
 	var waiting []*slots.Ticket
-	var busy []running
+	var running []runningRequest
 	owners := map[*slots.Ticket]string{}
 	for end := now + 20*monotonic.Second; now < end; now += ms {
-		var still []running
-		for _, one := range busy {
-			if now < one.until {
-				still = append(still, one)
+		var stillRunning []runningRequest
+		for _, request := range running {
+			if now < request.until {
+				stillRunning = append(stillRunning, request)
 				continue
 			}
-			pool.Release(now, one.ticket, slots.Completed)
+			pool.Release(now, request.ticket, slots.Completed)
 		}
-		busy = still
+		running = stillRunning
 		for _, load := range loads {
 			if random.IntN(1000) >= load.perSecond {
 				continue
@@ -53,18 +54,18 @@
 			waiting = append(waiting, ticket)
 		}
 		pool.Advance(now)
-		var left []*slots.Ticket
+		var stillWaiting []*slots.Ticket
 		for _, ticket := range waiting {
 			switch ticket.State() {
 			case slots.Running:
 				served[owners[ticket]]++
-				busy = append(busy, running{ticket, now + 40*ms + monotonic.Micros(random.Uint64N(uint64(80*ms)))})
+				running = append(running, runningRequest{ticket, now + 40*ms + monotonic.Micros(random.Uint64N(uint64(80*ms)))})
 			case slots.Waiting:
-				left = append(left, ticket)
+				stillWaiting = append(stillWaiting, ticket)
 			case slots.Rejected, slots.Ended:
 			}
 		}
-		waiting = left
+		waiting = stillWaiting
 	}
 	shares = map[string]float64{}
 	totalSent, totalServed := 0, 0
@@ -76,16 +77,17 @@
 	return shares, float64(totalServed) / float64(totalSent)
 }
 
-// TestRushOfOneTenant guards against a large tenant's rush that pushes small ones out: each is served a quarter as often as all at
-// least, whoever arrives how often. A pool that doesn't know the tenants fails it, since a rush takes what it sends.
-func TestRushOfOneTenant(t *testing.T) {
+// TestOverloadByOneTenant guards against a tenant with much traffic that crowds out tenants with little: whatever their rates, each
+// tenant's share of served requests must be at least a quarter of the share over all tenants. A pool that doesn't know the tenants
+// fails this, since each tenant then gets slots in proportion to its traffic.
+func TestOverloadByOneTenant(t *testing.T) {
 	loads := []tenantLoad{{"large", 1, 600}, {"middle", 1, 20}, {"small", 1, 5}, {"tiny", 1, 1}}
 	better, seeds := 0, 50
 	for seed := range uint64(seeds) {
 		shares, all := serveTenants(seed, loads, true)
 		for name, share := range shares {
 			if share < all/4 {
-				t.Errorf("seed %d: %s is served %.3f, all %.3f", seed, name, share, all)
+				t.Errorf("seed %d: share of %s served: %.3f, of all: %.3f", seed, name, share, all)
 			}
 		}
 		unnamed, allUnnamed := serveTenants(seed, loads, false)
@@ -93,25 +95,26 @@
 			better++
 		}
 		if all < allUnnamed-0.02 {
-			t.Errorf("seed %d: all are served %.3f, without tenants %.3f", seed, all, allUnnamed)
+			t.Errorf("seed %d: share of all served: %.3f, without tenant names: %.3f", seed, all, allUnnamed)
 		}
 	}
 	if better < seeds*9/10 {
-		t.Errorf("small is served nearly always with tenants, and under half the time without them, in %d of %d seeds", better, seeds)
+		t.Errorf("at least 0.9 of small is served with tenant names, and less than half without, only for %d of %d seeds", better, seeds)
 	}
 }
 
-// TestTenantPriorityGoesFirst: fairness is among tenants of one priority. A greater tenant of a better priority loses nothing to others.
+// TestTenantPriorityGoesFirst checks that fairness applies only among tenants of one priority: a tenant of a higher priority loses
+// nothing to those of a lower one.
 func TestTenantPriorityGoesFirst(t *testing.T) {
 	for seed := range uint64(50) {
 		shares, _ := serveTenants(seed, []tenantLoad{{"first", 0, 25}, {"second", 1, 300}}, true)
 		if shares["first"] < 0.95 {
-			t.Errorf("seed %d: first is served %.3f, second %.3f", seed, shares["first"], shares["second"])
+			t.Errorf("seed %d: share of first served: %.3f, of second: %.3f", seed, shares["first"], shares["second"])
 		}
 	}
 }
 
-// TestIdleTenantsCostNothing: a pool keeps no state of a tenant without requests.
+// TestIdleTenantsCostNothing checks that a pool keeps no state of tenants without requests.
 func TestIdleTenantsCostNothing(t *testing.T) {
 	pool, now := slots.New(slots.DefaultLimits()), monotonic.Minute
 	pool.SetCount(now, 2)
--- a/internal/proxy/admission/slots/pool.go
+++ b/internal/proxy/admission/slots/pool.go
@@ -8,42 +8,46 @@
 
 // Pool holds the slots of one backend and the queue for them.
 //
-// Invariants: running + lingering <= count whenever a ticket is started, unless count is zero or Force started it; no ticket waits
-// while a slot is free; the queue is sorted by
-// less; running is the number of tickets in that state; while neither queue nor lingering is empty, lingerWatcher is a waiting
-// ticket whose wakeAt is the first end of a lingering slot.
+// Invariants:
+//   - after a ticket was started, running + len(lingering) <= count, unless count is zero or Force started the ticket;
+//   - no ticket waits while a slot is free;
+//   - the queue is sorted by less;
+//   - running is the number of tickets in that state;
+//   - while neither queue nor lingering is empty, lingerWatcher is a waiting ticket whose wakeAt is the time at which the first
+//     lingering slot becomes free.
 type Pool struct {
 	limits Limits
-	// count is the number of the backend's slots. Zero: unknown, and then unbounded.
+	// count is the number of the backend's slots; zero if it is unknown, and then the number of running requests is unbounded.
 	count   int
 	running int
-	// lingering holds, for each slot whose request may still be running at the backend, the time until which it stays taken.
+	// lingering holds, for each slot whose request has ended but may still be running at the backend, the time until which the slot
+	// stays taken.
 	lingering     []monotonic.Micros
 	queue         []*Ticket
 	lingerWatcher *Ticket
-	// tenants counts the requests that run or wait.
+	// tenants counts each tenant's running and waiting requests.
 	tenants  occupancy
 	measured serviceTimes
 }
 
-// New returns the pool of a backend whose number of slots and service time are not known yet.
+// New returns the pool of a backend whose number of slots and service times are not known yet.
 func New(limits Limits) *Pool {
 	return &Pool{limits: limits, tenants: occupancy{}, measured: serviceTimes{byKind: map[string]*movingAverage{}}}
 }
 
-// SetCount sets the number of slots that the backend reports; zero if it reports none.
+// SetCount sets the number of slots to the one that the backend reports; zero if it reports none.
 func (p *Pool) SetCount(now monotonic.Micros, count uint32) {
 	p.count = int(count)
 	p.Advance(now)
 }
 
-// Count returns the number of slots, zero if unknown.
+// Count returns the number of slots; zero if it is unknown.
 func (p *Pool) Count() uint32 { return uint32(p.count) }
 
 // Taken returns the number of slots that are not free: running or lingering.
 func (p *Pool) Taken() int { return p.running + len(p.lingering) }
 
-// Running returns the number of requests that are in their slots.
+// Running returns the number of running requests.
 func (p *Pool) Running() int { return p.running }
 
 // Waiting returns the length of the queue.
@@ -54,7 +58,7 @@
 
 func (p *Pool) hasFree() bool { return p.count == 0 || p.Taken() < p.count }
 
-// Enter adds a request. Its ticket is running, waiting or rejected.
+// Enter adds a request and returns its ticket, which is running, waiting or rejected.
 func (p *Pool) Enter(now monotonic.Micros, request Request) *Ticket {
 	p.Advance(now)
 	ticket := &Ticket{request: request, dueAt: request.LatencyTarget, serviceTime: p.expectedServiceTime(request.Kind)}
@@ -70,7 +74,7 @@
 	return ticket
 }
 
-// Force starts a request without regard to the count. It is meant for a backend whose count is unknown.
+// Force starts a request regardless of the number of slots. It is meant for a backend whose number of slots is unknown.
 func (p *Pool) Force(now monotonic.Micros, request Request) *Ticket {
 	p.Advance(now)
 	ticket := &Ticket{request: request, serviceTime: p.expectedServiceTime(request.Kind)}
@@ -112,8 +116,8 @@
 	}
 }
 
-// Advance applies the passing of time: it frees lingering slots, rejects waiting tickets that are too late, and starts others in
-// free slots.
+// Advance updates the pool to the given time: it frees lingering slots whose time is over, rejects the waiting tickets that are
+// past their latest start, and starts others in free slots.
 func (p *Pool) Advance(now monotonic.Micros) {
 	p.lingering = slices.DeleteFunc(p.lingering, func(until monotonic.Micros) bool { return now >= until })
 	p.rejectTooLate(now)
--- a/internal/proxy/admission/slots/queue.go
+++ b/internal/proxy/admission/slots/queue.go
@@ -6,8 +6,9 @@
 	"snowflow/internal/monotonic"
 )
 
-// enqueue puts a ticket into the queue or rejects it. A full queue rejects its last ticket instead if that has a lower priority. Among
-// tenants of one priority, a ticket of one that occupies more gives its place to one that occupies less.
+// enqueue puts a ticket into the queue or rejects it. If the queue is full and its last ticket has a lower priority, that one is
+// rejected instead. Among requests of one priority, a tenant with more requests here loses a waiting ticket to a tenant with fewer,
+// see fairVictim.
 func (p *Pool) enqueue(now monotonic.Micros, ticket *Ticket) {
 	wait, allowed := p.tryEnqueue(now, ticket)
 	if allowed {
@@ -30,7 +31,7 @@
 	p.assignLingerWatcher()
 }
 
-// tryEnqueue puts a ticket into the queue, if it may wait there, and reports whether it did. Wait is its expected wait.
+// tryEnqueue puts a ticket into the queue if it may wait there, and reports whether it may. wait is its expected wait.
 func (p *Pool) tryEnqueue(now monotonic.Micros, ticket *Ticket) (wait monotonic.Micros, allowed bool) {
 	request := ticket.request
 	position := len(p.queue)
@@ -56,15 +57,16 @@
 	return wait, true
 }
 
-// rejectWaiting rejects a ticket that was taken out of the queue, and tells its expected wait.
+// rejectWaiting rejects a ticket that was taken out of the queue; wait becomes its RetryAfter.
 func (p *Pool) rejectWaiting(ticket *Ticket, wait monotonic.Micros) {
 	p.tenants.remove(ticket.request.Tenant)
 	ticket.reject(wait)
 }
 
-// mayQueue reports whether a ticket may wait at a position of the queue, and its expected wait. It may if it is expected to be
-// answered within its latency target and, unless it is patient, after at most maxWait. A patient one may also wait to be answered
-// late, behind all that can be answered in time, while the number of late ones is below LateQueuePerSlot.
+// mayQueue reports whether a ticket may wait at a position of the queue, and its expected wait. The ticket may wait if it is
+// expected to be answered within its latency target and, unless it has no alternative backend, to wait at most maxWait. A ticket
+// without an alternative may also wait if it will be answered late, behind all tickets that can be answered in time, while the
+// number of late tickets is below the limit that LateQueuePerSlot sets.
 func (p *Pool) mayQueue(now monotonic.Micros, ticket *Ticket, position int) (wait monotonic.Micros, allowed bool) {
 	request := ticket.request
 	wait = p.expectedWait(now, workAhead(p.queue[:position], func(other *Ticket) bool { return !other.late(now) }))
@@ -79,12 +81,12 @@
 		lateWaiting++
 		return other.less(ticket)
 	}))
-	few := float64(lateWaiting) < max(1, float64(p.count)*p.limits.LateQueuePerSlot)
+	belowLimit := float64(lateWaiting) < max(1, float64(p.count)*p.limits.LateQueuePerSlot)
 	ticket.queuedLate = true
-	return wait, request.NoAlternative && few && wait+ticket.serviceTime <= request.Deadline-now
+	return wait, request.NoAlternative && belowLimit && wait+ticket.serviceTime <= request.Deadline-now
 }
 
-// maxWait is the longest wait for which an impatient request is queued.
+// maxWait returns the longest expected wait with which a request is queued that could go to another backend.
 func (p *Pool) maxWait(now monotonic.Micros, request Request) monotonic.Micros {
 	if request.LatencyTarget > now {
 		return fraction(request.LatencyTarget-now, p.limits.LatencyTargetShare)
@@ -92,7 +94,7 @@
 	return fraction(request.Deadline-now, p.limits.RemainingShare)
 }
 
-// workAhead sums the expected service times of the tickets that count.
+// workAhead returns the sum of the expected service times of the tickets for which counts returns true.
 func workAhead(queue []*Ticket, counts func(ticket *Ticket) bool) (total monotonic.Micros) {
 	for _, ticket := range queue {
 		if counts(ticket) {
@@ -106,8 +108,9 @@
 	return workAhead(queue, func(*Ticket) bool { return true })
 }
 
-// expectedWait is the wait of a request with the given work, a sum of service times, ahead of it: slots become free one by one, each
-// after the mean service time divided by their number. A lingering slot serves no request before its end.
+// expectedWait returns the wait of a request that has the given work, a sum of service times, ahead of it. It assumes that slots
+// become free one by one, at intervals of the mean service time divided by their number. A lingering slot serves no request before
+// it is free.
 func (p *Pool) expectedWait(now, ahead monotonic.Micros) monotonic.Micros {
 	if p.count == 0 {
 		return 0
@@ -120,8 +123,8 @@
 	return first - now + ahead/monotonic.Micros(max(1, p.count))
 }
 
-// latestStart is the time from which a waiting ticket must not be started any more: its backend is unlikely to finish before the
-// deadline, or its StartBy has passed.
+// latestStart returns the time from which a waiting ticket must not be started any more, because its backend is unlikely to finish
+// before the deadline or its StartBy has passed.
 func (p *Pool) latestStart(ticket *Ticket) monotonic.Micros {
 	at := ticket.request.Deadline - p.ServiceTime()/latestStartDivisor
 	if ticket.request.StartBy > 0 {
@@ -143,8 +146,8 @@
 	p.queue = remaining
 }
 
-// assignLingerWatcher makes sure that the caller of one waiting ticket wakes when the first lingering slot becomes free: the pool
-// might not be called otherwise at that time.
+// assignLingerWatcher ensures that the caller of one waiting ticket wakes when the first lingering slot becomes free. Otherwise the
+// pool might not be called at that time.
 func (p *Pool) assignLingerWatcher() {
 	if len(p.queue) == 0 || len(p.lingering) == 0 {
 		p.lingerWatcher = nil
@@ -162,7 +165,7 @@
 	}
 }
 
-// WakeAt returns the time at which the owner must call Advance for a waiting ticket, unless the ticket is woken before.
+// WakeAt returns the time at which the owner must call Advance for a waiting ticket unless Ticket.Wake was called before.
 func (p *Pool) WakeAt(ticket *Ticket) monotonic.Micros {
 	at := p.latestStart(ticket)
 	if ticket == p.lingerWatcher {
--- a/internal/proxy/admission/slots/ticket.go
+++ b/internal/proxy/admission/slots/ticket.go
@@ -5,7 +5,7 @@
 // State is the state of a ticket. It changes only from a lower to a higher value.
 type State int
 
-// The states. A waiting ticket becomes running or rejected, a running one ended.
+// The states of a ticket. A waiting ticket becomes running or rejected, a running one becomes ended.
 const (
 	Waiting State = iota
 	Running
@@ -17,24 +17,24 @@
 type Outcome int
 
 const (
-	// Completed means that the backend did its work, so that its time is a sample of the service time.
+	// Completed means that the backend executed the request, so that the time in the slot is a sample of the service time.
 	Completed Outcome = iota
-	// Released means that the backend is not working on the request. Its time is no sample.
+	// Released means that the backend is not working on the request. The time in the slot is no sample.
 	Released
 	// Uncertain means that the backend may still be working on the request.
 	Uncertain
 )
 
-// Ticket is one request at the pool.
+// Ticket is one request in a pool.
 type Ticket struct {
-	// Wake is called when the state or WakeAt of a waiting ticket may have changed, so that its caller must read them again. The
-	// owner sets it.
+	// Wake is called when the state or the Pool.WakeAt of a waiting ticket may have changed, so that its caller must read them
+	// again. The pool's owner sets it.
 	Wake        func()
 	request     Request
-	dueAt       monotonic.Micros // the latest time at which its response has its full value, as far as known
+	dueAt       monotonic.Micros // orders the queue: the latency target or, if there is none, a time before the deadline (see Enter)
 	startedAt   monotonic.Micros
 	serviceTime monotonic.Micros // expected
-	queuedLate  bool             // it was queued though it would be late
+	queuedLate  bool             // it was queued although it would be late
 	wakeAt      monotonic.Micros // when the first lingering slot becomes free; used for Pool.lingerWatcher only
 	state       State
 	retryAfter  monotonic.Micros
@@ -43,11 +43,10 @@
 // State returns the ticket's state.
 func (t *Ticket) State() State { return t.state }
 
-// RetryAfter returns the expected wait of a rejected ticket at the time of its rejection.
+// RetryAfter returns the wait that a rejected ticket had to expect when it was rejected.
 func (t *Ticket) RetryAfter() monotonic.Micros { return t.retryAfter }
 
-// less is the order of the queue: by priority, then by the time at which the response is due. Equal tickets stay in the order of
-// arrival.
+// less orders the queue by priority, then by the time at which the response is due. Equal tickets stay in the order of arrival.
 func (t *Ticket) less(other *Ticket) bool {
 	if t.request.Priority != other.request.Priority {
 		return t.request.Priority < other.request.Priority
@@ -55,7 +54,7 @@
 	return t.dueAt < other.dueAt
 }
 
-// late reports whether the response is not expected within the latency target.
+// late reports whether the response is expected to miss the latency target.
 func (t *Ticket) late(now monotonic.Micros) bool {
 	return t.queuedLate || t.request.LatencyTarget > 0 && now+t.serviceTime > t.request.LatencyTarget
 }
--- a/internal/proxy/admission/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -1,5 +1,5 @@
-// Package uplink admits large responses to a host's network link: it tracks how long the link is taken by the responses that are being
-// sent and by the reservations of requests in flight. It has no clock of its own: callers pass the time.
+// Package uplink admits requests with large responses as far as a host's network link has capacity for them. It tracks how long the
+// link is busy with the responses being sent and with those that are reserved by requests in flight. Callers pass the time.
 package uplink
 
 import (
@@ -9,38 +9,39 @@
 )
 
 const (
-	// largeResponse is the usual size in bytes from which a route's responses may be rejected. Smaller ones are only counted.
+	// largeResponse is the usual size in bytes of a route's responses from which its requests may be rejected. Smaller responses only
+	// count as traffic.
 	largeResponse = 8 << 10
-	// sizeWindow is the number of responses over which a route's usual size is taken, the newest weighing most.
+	// sizeWindow is the number of responses over which a route's usual size is averaged; the newest ones have the most weight.
 	sizeWindow = 16
-	// maxRoutes bounds the number of routes with a usual size.
+	// maxRoutes bounds the number of routes whose usual size is stored.
 	maxRoutes = 4096
-	// bitsPerByte converts a capacity in megabits a second, which are bits a microsecond, to bytes a microsecond.
+	// bitsPerByte converts a capacity in megabits per second, which equals bits per microsecond, to bytes per microsecond.
 	bitsPerByte = 8
-	// overhead is the number of bytes on the link that are counted for each byte of a response: frames, headers, acknowledgements, and
-	// a reserve for all other traffic, which must not wait behind large responses.
+	// overhead is the number of bytes on the link that are counted for each byte of a response. It covers frames, headers and
+	// acknowledgements, and a reserve for all other traffic, which must not wait behind large responses.
 	overhead = 1.5
 )
 
 // Uplink tracks one host's link. It is safe for concurrent use.
 type Uplink struct {
-	rate float64 // bytes a microsecond; zero for no limit
+	rate float64 // bytes per microsecond; zero for no limit
 
 	mu sync.Mutex // guards the fields below
-	// freeAt is when the link has sent all responses handed to it, if it sends at its rate and nothing else.
+	// freeAt is when the link will have sent all responses passed to it so far, at its full rate and without other traffic.
 	freeAt monotonic.Micros
-	// reserved is the sum of the usual sizes of the responses that were admitted and are not handed to the link yet.
+	// reserved is the sum of the usual sizes of the responses that were admitted and have not been passed to the link yet.
 	reserved float64
 	sizes    map[string]float64 // usual size in bytes, by route
 }
 
-// New returns an uplink of a capacity in megabits a second; zero for no limit.
+// New returns an uplink with a capacity in megabits per second; zero for no limit.
 func New(megabits float64) *Uplink {
 	return &Uplink{rate: megabits / bitsPerByte, sizes: map[string]float64{}}
 }
 
-// Admit reserves the link for a response of the route's usual size, or rejects it with the wait until the link is free if the response
-// would not be sent within the limit. The size of an admitted response must be passed to Done.
+// Admit reserves the link for a response of the route's usual size. If such a response would not be sent within the limit, Admit
+// rejects it and returns the time until the link is free. The size that Admit returns for an admitted response must be passed to Done.
 func (u *Uplink) Admit(now monotonic.Micros, route string, limit monotonic.Micros) (size float64, wait monotonic.Micros, admitted bool) {
 	if u.rate == 0 {
 		return 0, 0, true
@@ -56,7 +57,7 @@
 	return size, wait, true
 }
 
-// Done replaces a reservation by the number of bytes that are sent, zero for a request without a response.
+// Done replaces a reservation with the number of bytes that are actually sent; zero for a request without a response.
 func (u *Uplink) Done(now monotonic.Micros, route string, size float64, bytes int) {
 	if u.rate == 0 {
 		return
@@ -78,7 +79,7 @@
 	u.sizes[route] = known + (float64(bytes)-known)/sizeWindow
 }
 
-// transmitTime returns how long the link takes to send a response. It must not be called without a limit.
+// transmitTime returns how long the link takes to send a response. It must not be called if the link has no limit.
 func (u *Uplink) transmitTime(bytes float64) monotonic.Micros {
 	return monotonic.Micros(bytes * overhead / u.rate)
 }
--- a/internal/proxy/admission/uplink/uplink_test.go
+++ b/internal/proxy/admission/uplink/uplink_test.go
@@ -7,15 +7,15 @@
 	"snowflow/internal/proxy/admission/uplink"
 )
 
-// TestUplink: large responses are admitted as far as the link sends them in time, small ones always, and a link without a limit admits
-// all.
+// TestUplink checks that large responses are admitted only as far as the link can send them in time, that small ones are always
+// admitted, and that a link without a limit admits all.
 func TestUplink(t *testing.T) {
 	const ms = monotonic.Millisecond
 	now := monotonic.Minute
-	narrow := uplink.New(8) // a megabyte a second
+	narrow := uplink.New(8) // one megabyte per second
 	size, _, admitted := narrow.Admit(now, "packs", 100*ms)
 	if !admitted || size != 0 {
-		t.Fatalf("before any response: %v %v", size, admitted)
+		t.Fatalf("before any response: size %v, admitted %v", size, admitted)
 	}
 	narrow.Done(now, "packs", size, 100_000)
 	now += 200 * ms // the link is free again
@@ -24,20 +24,20 @@
 		if size, wait, admitted := narrow.Admit(now, "packs", 480*ms); admitted {
 			sizes, admittedCount = append(sizes, size), admittedCount+1
 		} else if wait < 430*ms || wait > 470*ms {
-			t.Errorf("to be retried after %d", wait)
+			t.Errorf("a wait of %d us until the link is free", wait)
 		}
 	}
 	if admittedCount != 3 {
-		t.Fatalf("%d of 100 kB admitted within 480 ms", admittedCount)
+		t.Fatalf("%d responses of 100 kB admitted within 480 ms", admittedCount)
 	}
 	if _, _, admitted := narrow.Admit(now, "lookup", ms); !admitted {
 		t.Error("a small response was rejected")
 	}
 	for _, size := range sizes {
-		narrow.Done(now, "packs", size, 0) // without responses
+		narrow.Done(now, "packs", size, 0) // the request ended without a response
 	}
 	if _, wait, admitted := narrow.Admit(now, "packs", 480*ms); !admitted || wait != 0 {
-		t.Errorf("with nothing in flight: %d %v", wait, admitted)
+		t.Errorf("with nothing in flight: wait %d, admitted %v", wait, admitted)
 	}
 	wide := uplink.New(0)
 	for range 1000 {
