--- a/internal/proxy/admission/slots/fairness_test.go
+++ b/internal/proxy/admission/slots/fairness_test.go
@@ -28,18 +28,18 @@
 	}
 	sent, served := map[string]int{}, map[string]int{}
 	var waiting []*slots.Ticket
-	var running []runningRequest
+	var inProgress []runningRequest
 	owners := map[*slots.Ticket]string{}
 	for end := now + 20*monotonic.Second; now < end; now += ms {
-		var stillRunning []runningRequest
-		for _, request := range running {
-			if now < request.until {
-				stillRunning = append(stillRunning, request)
+		var stillInProgress []runningRequest
+		for _, entry := range inProgress {
+			if now < entry.until {
+				stillInProgress = append(stillInProgress, entry)
 				continue
 			}
-			pool.Release(now, request.ticket, slots.Completed)
+			pool.Release(now, entry.ticket, slots.Completed)
 		}
-		running = stillRunning
+		inProgress = stillInProgress
 		for _, load := range loads {
 			if random.IntN(1000) >= load.perSecond {
 				continue
@@ -59,7 +59,7 @@
 			switch ticket.State() {
 			case slots.Running:
 				served[owners[ticket]]++
-				running = append(running, runningRequest{ticket, now + 40*ms + monotonic.Micros(random.Uint64N(uint64(80*ms)))})
+				inProgress = append(inProgress, runningRequest{ticket, now + 40*ms + monotonic.Micros(random.Uint64N(uint64(80*ms)))})
 			case slots.Waiting:
 				stillWaiting = append(stillWaiting, ticket)
 			case slots.Rejected, slots.Ended:
--- a/internal/proxy/localbackends/doc.go
+++ b/internal/proxy/localbackends/doc.go
@@ -1,18 +1,18 @@
 // Package localbackends holds the backends on this proxy's host and admits requests to them.
 //
-// A backend joins by [Set.Register] or [Set.ApplyReport] under an instance id of its own and keeps itself registered by
-// heartbeats. Its entry goes through these states:
-//   - available: registered, its last heartbeat within [HeartbeatTimeout], and in condition [Alive] or [Working];
-//   - overdue: without a heartbeat for [HeartbeatTimeout]; the next heartbeat makes it available again;
+// A backend registers by [Set.Register] or [Set.ApplyReport] under an instance id of its own and stays registered by sending
+// heartbeats. Its entry has one of these states:
+//   - available: its last heartbeat was less than [HeartbeatTimeout] ago and reported the condition [Alive] or [Working];
+//   - overdue: there was no heartbeat for [HeartbeatTimeout]; the next one makes it available again;
 //   - leaving: it announced that it drains; it never becomes available again under the same instance id;
 //   - departed: it deregistered; the instance id can't be registered again while its entry or tombstone exists.
 //
-// An entry without a heartbeat for a minute is removed. An instance whose address another one takes over leaves a tombstone for as
-// long, so that its late reports are ignored.
+// An entry without a heartbeat for a minute is removed. If another instance takes over the address of an instance, the latter's
+// entry is replaced by a tombstone, which lasts as long, so that late reports of that instance are ignored.
 //
 // The proxy's session announces the backends to the registry; the function passed to [New] is called when that must happen at
-// once. Other proxies choose among the announced backends, and this package decides: it admits a request only to an available
-// backend with a free slot ([Set.Admit]) whose outlier detection admits it ([Set.Observe]).
+// once. Other proxies choose among the announced backends, but this package has the final say: it admits a request only to an
+// available backend with a free slot ([Set.Admit]), and only if the backend's outlier detection admits it ([Set.Observe]).
 //
 // Nothing is persisted: after a restart of the proxy its backends register again.
 package localbackends
--- a/internal/proxy/localbackends/localbackends_test.go
+++ b/internal/proxy/localbackends/localbackends_test.go
@@ -9,8 +9,9 @@
 	"snowflow/internal/simulation/world"
 )
 
-// TestSlotsOutliveRegistration: a backend that registers again under its instance, as after its proxy was slow to answer a
-// heartbeat, still runs the requests that it took before. Its bound must count them.
+// TestSlotsOutliveRegistration guards against exceeding the limit of a backend that registers again under its instance id, for
+// example after its proxy was slow to answer a heartbeat. The backend still runs the requests that were sent to it before, so the
+// limit must count them.
 func TestSlotsOutliveRegistration(t *testing.T) {
 	runInProcess(t, func(_ *world.Host, backends *localbackends.Set) {
 		backend := localbackends.Backend{Service: "forms", Instance: "first", Address: "127.0.0.1:8000"}
@@ -32,11 +33,11 @@
 			taken = append(taken, slot)
 		}
 		if len(taken) != 3 {
-			t.Errorf("%d requests were admitted to 4 slots, of which a quarter is reserved for run-once requests", len(taken))
+			t.Errorf("%d requests were admitted with a limit of 4, of which a quarter is reserved for run-once requests", len(taken))
 		}
 		register()
 		if _, fault := admit(); fault == nil || fault.Cause != apierror.Overloaded {
-			t.Errorf("after the second registration a request was admitted beyond the bound: %v", fault)
+			t.Errorf("after the second registration, no request beyond the limit must be admitted: %v", fault)
 		}
 		for _, slot := range taken {
 			slot.Release(slots.Released)
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -8,22 +8,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Observation is a request that the outlier detection of its backend admitted. Its owner must close it, also if the request is
-// rejected later.
+// Observation is a request that the outlier detection of its backend admitted. It must be closed, even if the request is rejected
+// later.
 type Observation struct {
 	set     *Set
 	backend *backendState
 	call    *outlier.Call
 }
 
-// Observe admits a request by the outlier detection of its backend, or rejects it because the backend is ejected. A rejected request
-// has not run.
+// Observe asks the outlier detection of a request's backend to admit the request. It returns a fault if the backend is ejected; the
+// request has not run then.
 func (s *Set) Observe(instance string, request outlier.RequestInfo) (*Observation, *apierror.Error) {
 	s.mu.Lock()
 	state := s.entries[instance]
 	if state == nil {
 		s.mu.Unlock()
-		return nil, apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s here", instance)
+		return nil, apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s is not registered here", instance)
 	}
 	call, wait := state.detector.Admit(s.host.Now(), request)
 	changes := s.applyEjections(state)
@@ -31,21 +31,21 @@
 	s.reportEjections(state.Backend, changes)
 	if call == nil {
 		fault := apierror.New(apierror.BackendUnhealthy, apierror.NotRun,
-			"instance %s is ejected as an outlier, only health checks are let in", instance)
+			"instance %s is ejected as an outlier, only probes are admitted", instance)
 		fault.RetryAfter = max(wait, monotonic.Millisecond)
 		return nil, fault
 	}
 	return &Observation{set: s, backend: state, call: call}, nil
 }
 
-// Start records that the request is being handed to the backend.
+// Start records that the request is about to be sent to the backend.
 func (o *Observation) Start() {
 	o.set.mu.Lock()
 	defer o.set.mu.Unlock()
 	o.call.Start(o.set.host.Now())
 }
 
-// Close records what the request's end says about the backend. Further calls do nothing.
+// Close records the outcome of the request for outlier detection. Further calls do nothing.
 func (o *Observation) Close(outcome outlier.Outcome) {
 	o.set.mu.Lock()
 	o.call.Close(o.set.host.Now(), outcome)
@@ -54,8 +54,9 @@
 	o.set.reportEjections(o.backend.Backend, changes)
 }
 
-// applyEjections returns the detector's ejections and reinstatements since the last call, for reportEjections. It rejects the requests
-// that wait for a backend which was ejected for all callers, so that these retry elsewhere. mu is held.
+// applyEjections returns the detector's ejections and reinstatements since the last call, for reportEjections. If the backend was
+// ejected for all callers, it rejects the requests that wait for a slot there, so that their callers retry elsewhere. The caller
+// holds mu.
 func (s *Set) applyEjections(state *backendState) []outlier.Change {
 	changes := state.detector.TakeChanges()
 	if state.detector.TakeRecovered() {
@@ -85,7 +86,7 @@
 	}
 }
 
-// AddHealth adds a backend's health, as callers of a failure domain see it, to its load for a route.
+// AddHealth adds a backend's health, as seen by callers in a failure domain, to its load for a route. A nil load is ignored.
 func (s *Set) AddHealth(load *wire.Load, instance, domain, route string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,23 +104,23 @@
 }
 
 const (
-	// maxRatio is the largest ratio that is sent.
+	// maxRatio is the largest ratio that is sent; larger ones are reduced to it.
 	maxRatio = 1000
-	// ratioScale is the denominator of the ratios that are sent as whole numbers.
+	// ratioScale is the denominator of ratios, which are sent as whole numbers.
 	ratioScale = 1000
 )
 
-// toThousandths encodes a ratio for a message.
+// toThousandths encodes a ratio as the whole number that a message has for it.
 func toThousandths(ratio float64) uint32 { return uint32(min(ratio, maxRatio) * ratioScale) }
 
-// BackendHealth is the health of a backend as operators see it.
+// BackendHealth is the health of a backend as shown to operators.
 type BackendHealth struct {
 	Service      string  `json:"service"`
 	Instance     string  `json:"instance"`
-	Faults       float64 `json:"faults"` // part of its recent responses that were faulty, 0 to 1
-	LatencyRatio float64 `json:"pace"`   // latency of its requests divided by their usual one
+	Faults       float64 `json:"faults"` // fraction of its recent responses that were faulty, 0 to 1
+	LatencyRatio float64 `json:"pace"`   // latency of its requests divided by their usual latency
 	Ejected      bool    `json:"ejected"`
-	// EjectedFor lists the failure domains for whose callers the backend is ejected, if not for all.
+	// EjectedFor lists the failure domains for whose callers the backend is ejected, if it isn't ejected for all callers.
 	EjectedFor []string `json:"ejected_for,omitempty"`
 }
 
--- a/internal/proxy/localbackends/registration.go
+++ b/internal/proxy/localbackends/registration.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/proxy/outlier"
 )
 
-// Register adds a backend in the condition that it reports, or confirms its registration. A leaving backend
-// can't register again in another condition. The instance that had the address before is removed.
+// Register adds a backend in the condition that it reports, or renews its registration. A leaving backend can't register again in
+// another condition. An instance that had the same address before is removed.
 func (s *Set) Register(backend Backend, condition string) error {
 	if err := validate(backend, condition); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// addBackend adds the entry of an instance and removes that of the instance that had its address. mu is held.
+// addBackend adds an entry for an instance and removes the entry of the instance that had its address. The caller holds mu.
 func (s *Set) addBackend(backend Backend) *backendState {
 	now := s.host.Now()
 	for instance, other := range s.entries {
@@ -72,7 +72,7 @@
 	return state
 }
 
-// Heartbeat records that a backend is alive, and its condition. An unknown instance must register again.
+// Heartbeat records that a backend is alive, and its condition. It fails for an unknown instance, which must register again.
 func (s *Set) Heartbeat(instance, condition string) error {
 	if err := validateCondition(condition); err != nil {
 		return err
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// recordHeartbeat applies a heartbeat, and reports whether other proxies should learn of what it changed. mu is held.
+// recordHeartbeat applies a heartbeat and reports whether it changed something that other proxies should learn of. The caller holds
+// mu.
 func (s *Set) recordHeartbeat(state *backendState, condition string) (changed bool) {
 	changed = state.overdue
 	state.lastHeartbeat, state.overdue = s.host.Now(), false
@@ -106,8 +107,8 @@
 	return changed
 }
 
-// ExtendHeartbeats adds a duration to the time that each backend has for its next heartbeat, because this process's clock jumped
-// ahead by that duration or because the process was stalled and could not receive heartbeats.
+// ExtendHeartbeats gives each backend that is not overdue a duration more for its next heartbeat, because this process's clock
+// jumped ahead by that duration or because the process was stalled and could not receive heartbeats.
 func (s *Set) ExtendHeartbeats(duration monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,35 +131,35 @@
 	}
 }
 
-// sweep returns the instances that have become overdue.
+// sweep does the work of Sweep, except for the notifications, and returns the instances that have become overdue.
 func (s *Set) sweep() (overdue []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.host.Now()
 	for _, instance := range s.sortedInstances() {
 		state := s.entries[instance]
-		silence := now - state.lastHeartbeat
-		if silence >= forgetAfter {
+		sinceHeartbeat := now - state.lastHeartbeat
+		if sinceHeartbeat >= forgetAfter {
 			state.slots.Flush(now)
 			delete(s.entries, instance)
 			continue
 		}
-		if !state.overdue && !state.departed && silence >= HeartbeatTimeout {
+		if !state.overdue && !state.departed && sinceHeartbeat >= HeartbeatTimeout {
 			state.overdue = true
 			state.slots.Flush(now)
 			overdue = append(overdue, instance)
 		}
 	}
-	for instance, ended := range s.tombstones {
-		if now >= ended.until {
+	for instance, entry := range s.tombstones {
+		if now >= entry.until {
 			delete(s.tombstones, instance)
 		}
 	}
 	return overdue
 }
 
-// Deregister ends an instance: it takes no requests, and its id can't be registered again until its entry is removed, see
-// forgetAfter.
+// Deregister ends an instance's registration. The instance gets no more requests, and its id can't be registered again until its
+// entry or tombstone is removed, see forgetAfter.
 func (s *Set) Deregister(instance string) {
 	if s.deregister(instance) {
 		s.reportLeft(instance, Leaving)
@@ -178,7 +179,7 @@
 	if state.departed {
 		return false
 	}
-	// The entry itself acts as tombstone until Sweep forgets it.
+	// The entry itself serves as the tombstone until Sweep removes it.
 	changed = state.condition != Leaving || state.overdue
 	state.condition, state.lastHeartbeat, state.overdue, state.departed = Leaving, now, false, true
 	state.slots.Flush(now)
--- a/internal/proxy/localbackends/report_test.go
+++ b/internal/proxy/localbackends/report_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/simulation/world"
 )
 
-// runInProcess runs a test as a process of a simulated world.
+// runInProcess runs a test as a process in a simulated world.
 func runInProcess(t *testing.T, test func(process *world.Host, backends *localbackends.Set)) {
 	t.Helper()
 	simulated := world.New(1)
@@ -55,48 +55,48 @@
 					return
 				}
 			}
-			t.Errorf("%s: not there", name)
+			t.Errorf("%s: instance %s is not announced", name, instance)
 		}
-		apply("the first", newReport("one", 5, 6, localbackends.Alive), true)
-		apply("the same", newReport("one", 5, 6, localbackends.Alive), false)
+		apply("the first report", newReport("one", 5, 6, localbackends.Alive), true)
+		apply("the same report again", newReport("one", 5, 6, localbackends.Alive), false)
 		apply("a heartbeat", newReport("one", 6, 6, localbackends.Working), false)
-		apply("an older one with other slots", newReport("one", 4, 2, localbackends.Leaving), false)
-		announces("after the older", "one", localbackends.Working, 6)
+		apply("an older report with another number of slots", newReport("one", 4, 2, localbackends.Leaving), false)
+		announces("after the older report", "one", localbackends.Working, 6)
 		apply("more slots", newReport("one", 7, 8, localbackends.Working), true)
 		process.Sleep(localbackends.HeartbeatTimeout)
 		backends.Sweep()
-		announces("silent", "one", "overdue", 8)
-		apply("an old report is no heartbeat", newReport("one", 7, 8, localbackends.Working), false)
-		announces("still silent", "one", "overdue", 8)
-		apply("back", newReport("one", 8, 8, localbackends.Working), true)
+		announces("without heartbeats", "one", "overdue", 8)
+		apply("an old report, which is no heartbeat", newReport("one", 7, 8, localbackends.Working), false)
+		announces("still without heartbeats", "one", "overdue", 8)
+		apply("the next heartbeat", newReport("one", 8, 8, localbackends.Working), true)
 		apply("leaving", newReport("one", 9, 8, localbackends.Leaving), true)
 		apply("not leaving any more", newReport("one", 10, 8, localbackends.Working), false)
 		announces("leaving is final", "one", localbackends.Leaving, 8)
 		moved := newReport("one", 11, 8, localbackends.Alive)
 		moved.Address = "127.0.0.1:9000"
 		if _, err := backends.ApplyReport(moved); err == nil {
-			t.Error("the instance moved")
+			t.Error("the instance changed its address")
 		}
-		apply("another at its address", newReport("two", 1, 6, localbackends.Alive), true)
-		apply("a late one of the first", newReport("one", 12, 6, localbackends.Alive), false)
-		announces("another took its address", "two", localbackends.Alive, 6)
+		apply("another instance at its address", newReport("two", 1, 6, localbackends.Alive), true)
+		apply("a late report of the first instance", newReport("one", 12, 6, localbackends.Alive), false)
+		announces("another instance has taken over its address", "two", localbackends.Alive, 6)
 		if listed := backends.Backends(); len(listed) != 1 {
-			t.Errorf("%d are there", len(listed))
+			t.Errorf("%d backends are announced", len(listed))
 		}
 		backends.Deregister("two")
-		apply("after it deregistered", newReport("two", 2, 6, localbackends.Alive), false)
+		apply("a report after it deregistered", newReport("two", 2, 6, localbackends.Alive), false)
 		announces("deregistered", "two", localbackends.Leaving, 6)
 		if err := backends.Register(newReport("two", 0, 0, "").Backend, localbackends.Leaving); err == nil {
-			t.Error("it registered after it had deregistered")
+			t.Error("the instance registered after it had deregistered")
 		}
 		backends.Deregister("three")
-		apply("deregistered before the first report", newReport("three", 1, 6, localbackends.Alive), false)
+		apply("the first report after it deregistered", newReport("three", 1, 6, localbackends.Alive), false)
 		process.Sleep(monotonic.Minute)
 		backends.Sweep()
 		if listed := backends.Backends(); len(listed) != 0 {
-			t.Errorf("%d are remembered", len(listed))
+			t.Errorf("%d backends are still announced", len(listed))
 		}
-		apply("long after", newReport("three", 2, 6, localbackends.Alive), true)
+		apply("a report after the tombstone was removed", newReport("three", 2, 6, localbackends.Alive), true)
 	})
 }
 
@@ -108,7 +108,7 @@
 		process.Sleep(monotonic.Second)
 		left := monotonic.Micros(backends.Load("one", "").SlowStartMicros)
 		if left > 2*monotonic.Second || left < 1900*monotonic.Millisecond {
-			t.Errorf("%d left", left)
+			t.Errorf("%d us of the warm-up left", left)
 		}
 		process.Sleep(3 * monotonic.Second)
 		if load := backends.Load("one", ""); load.SlowStartMicros != 0 || load.Slots != 6 {
@@ -166,7 +166,7 @@
 		_, _ = backends.ApplyReport(newReport("one", 2, 2, localbackends.Leaving))
 		process.Sleep(10 * monotonic.Millisecond)
 		if order[len(order)-1] != "c rejected" {
-			t.Errorf("its backend leaves, and it still waits: %v", order)
+			t.Errorf("a request was not rejected when its backend left: %v", order)
 		}
 		first.Release(slots.Completed)
 		// The next instance at the address starts with free slots.
@@ -182,11 +182,11 @@
 		began := process.Now()
 		_, fault = backends.Admit(newRequest(process, "two", monotonic.Second))
 		if waited := process.Now() - began; fault != nil || waited < 300*monotonic.Millisecond || waited > 320*monotonic.Millisecond {
-			t.Errorf("admitted after %d at a slot that lingers: %v", waited, fault)
+			t.Errorf("admitted after %d us of waiting for a lingering slot: %v", waited, fault)
 		}
 		backends.Close()
 		if _, fault = backends.Admit(newRequest(process, "two", monotonic.Second)); fault == nil || fault.Cause != apierror.Draining {
-			t.Errorf("closed: %v", fault)
+			t.Errorf("a request after Close: %v", fault)
 		}
 	})
 }
--- a/internal/proxy/localbackends/set.go
+++ b/internal/proxy/localbackends/set.go
@@ -14,22 +14,22 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The conditions that a backend reports. Only an alive or working backend takes new requests. The values are part of the backends'
-// API and are sent on the wire.
+// The conditions that a backend reports. Only an alive or working backend gets new requests. The values are part of the API for
+// backends and are sent on the wire.
 const (
 	Alive   = "alive"
 	Working = "working"
 	Leaving = wire.BackendLeaving
-	// conditionOverdue is announced in place of the last condition of a backend without heartbeats.
+	// conditionOverdue is announced instead of the last reported condition if the backend's heartbeats are overdue.
 	conditionOverdue = "overdue"
 )
 
 var conditions = map[string]bool{Alive: true, Working: true, Leaving: true}
 
 const (
-	// HeartbeatInterval is the time between two heartbeats that backends are asked for.
+	// HeartbeatInterval is the interval at which backends are asked to send heartbeats.
 	HeartbeatInterval = 2 * monotonic.Second
-	// HeartbeatTimeout is the time without a heartbeat after which a backend takes no requests.
+	// HeartbeatTimeout is the time without a heartbeat after which a backend gets no requests.
 	HeartbeatTimeout = 7 * monotonic.Second
 	// forgetAfter is the time without a heartbeat after which a backend's entry is removed, and the lifetime of a tombstone.
 	forgetAfter = 60 * monotonic.Second
@@ -42,29 +42,29 @@
 	Address  string // host and port
 }
 
-// backendState is the entry of one instance. Set.mu guards it.
+// backendState is the set's entry for one instance. Set.mu guards it.
 type backendState struct {
 	Backend                        // never changes
-	condition     string           // the last one reported; once Leaving, it stays so
+	condition     string           // the last one reported, except that it stays Leaving once it is
 	lastHeartbeat monotonic.Micros // when its last heartbeat arrived, or a later time, see ExtendHeartbeats
 	slots         *slots.Pool
 	detector      *outlier.Detector
-	inFlight      map[bool]uint32 // requests that have a slot; the key is true for run-once requests
-	overdue       bool            // Sweep found its heartbeats overdue; cleared by the next one
+	inFlight      map[bool]uint32 // number of requests that have a slot; the key is true for run-once requests
+	overdue       bool            // set by Sweep if its heartbeats are overdue, cleared by the next heartbeat
 	departed      bool            // it deregistered
-	reported      bool            // it uses ApplyReport, and sequence is that of its last report
+	reported      bool            // it uses ApplyReport; sequence is that of its last report
 	sequence      uint64
-	warmUntil     monotonic.Micros // until when it warms up
+	warmUntil     monotonic.Micros // end of its warm-up
 }
 
-// warmupLeft returns how long a backend will still be warming up; zero if it is not.
+// warmupLeft returns how long the backend will still be warming up; zero if its warm-up is over.
 func (b *backendState) warmupLeft(now monotonic.Micros) monotonic.Micros {
 	return max(b.warmUntil-now, 0)
 }
 
 // Set holds the backends. It is safe for concurrent use.
 type Set struct {
-	// Limits bound the waiting for slots. They must be set before the first backend registers.
+	// Limits bounds the wait for slots. It must be set before the first backend registers.
 	Limits   slots.Limits
 	host     host.Host
 	onChange func() // called without mu
@@ -72,12 +72,12 @@
 	mu sync.Mutex // guards the fields below
 	// entries has one entry for each instance, and at most one for each address.
 	entries map[string]*backendState
-	// tombstones has those of instances without an entry, until Sweep removes them.
+	// tombstones holds the tombstones of instances without an entry, until Sweep removes them.
 	tombstones map[string]tombstone
-	closed     bool // no request is admitted any more
+	closed     bool // Close was called: no request is admitted any more
 }
 
-// New returns an empty set. onChange is called when other proxies should learn of a change of the backends.
+// New returns an empty set. onChange is called after each change of the backends that other proxies should learn of at once.
 func New(h host.Host, onChange func()) *Set {
 	return &Set{
 		Limits:     slots.DefaultLimits(),
@@ -93,10 +93,11 @@
 	return fmt.Sprintf("%016x%016x", h.Random(), h.Random())
 }
 
-// sortedInstances returns the instance ids in order. mu is held.
+// sortedInstances returns the sorted ids of the instances with an entry. The caller holds mu.
 func (s *Set) sortedInstances() []string { return slices.Sorted(maps.Keys(s.entries)) }
 
-// Backends lists the backends as this proxy's session announces them, and the instances without an entry that have departed.
+// Backends lists the backends as this proxy's session announces them. Instances that deregistered and have only a tombstone are
+// listed as leaving.
 func (s *Set) Backends() []*wire.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +126,7 @@
 	return backends
 }
 
-// CheckAvailable returns the fault because of which an instance of a service takes no requests, or nil.
+// CheckAvailable returns nil if an instance of a service is registered here and takes requests, and a fault otherwise.
 func (s *Set) CheckAvailable(instance, service string) *apierror.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,16 +141,16 @@
 	return state != nil && s.checkAvailable(state, instance, state.Service) == nil
 }
 
-// checkAvailable does the work of CheckAvailable. state is nil for an unknown instance. mu is held.
+// checkAvailable implements CheckAvailable. state is nil for an unknown instance. The caller holds mu.
 func (s *Set) checkAvailable(state *backendState, instance, service string) *apierror.Error {
 	if state == nil || state.Service != service {
-		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "no instance %s of %s here", instance, service)
+		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s of %s is not registered here", instance, service)
 	}
 	if state.condition == Leaving {
 		return apierror.New(apierror.BackendLeaving, apierror.NotRun, "instance %s is leaving", instance)
 	}
 	if s.host.Now()-state.lastHeartbeat >= HeartbeatTimeout {
-		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s has sent no heartbeat in time", instance)
+		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "the heartbeats of instance %s are overdue", instance)
 	}
 	return nil
 }
--- a/internal/proxy/localbackends/slots.go
+++ b/internal/proxy/localbackends/slots.go
@@ -8,23 +8,23 @@
 	"snowflow/internal/transport/wire"
 )
 
-// maxClassShare is the largest part of a backend's slots that requests of one class may take, where the backend does not report
-// its slots. The classes are run-once requests and all others. Neither can starve the other: run-once requests cause requests
-// of the other class to the same services, so that each would wait for the other's slots.
+// maxClassShare is the largest fraction of the permitted requests that one class of requests may have in flight at a backend that
+// does not report its number of slots. The classes are run-once requests and all others. The limit keeps either class from starving
+// the other: run-once requests cause requests of the other class to the same services, so that each would wait for the other's slots.
 const maxClassShare = 0.75
 
-// minWait is the shortest wait for a signal, in microseconds, so that a waiting caller always lets time pass.
+// minWait is the shortest wait for a signal, in microseconds. It ensures that time passes in each iteration of a wait.
 const minWait = monotonic.Micros(1)
 
-// Request is a request for a slot. Its times are on this process's clock.
+// Request is a request for a slot at a backend. Its times are on this process's clock.
 type Request struct {
 	Instance string
 	Service  string
-	RunOnce  bool // it is a run-once request: it has an idempotency key
+	RunOnce  bool // it has an idempotency key and must run only once
 	slots.Request
 }
 
-// Slot is a request's slot at a backend. Its owner must release it.
+// Slot is a request's slot at a backend. It must be released.
 type Slot struct {
 	Backend Backend
 	set     *Set
@@ -43,13 +43,13 @@
 	s.backend.slots.Release(s.set.host.Now(), s.ticket, outcome)
 }
 
-// newSlot returns the slot of a running ticket. mu is held.
+// newSlot returns the slot of a running ticket. The caller holds mu.
 func (s *Set) newSlot(state *backendState, ticket *slots.Ticket, runOnce bool) *Slot {
 	state.inFlight[runOnce]++
 	return &Slot{Backend: state.Backend, set: s, backend: state, ticket: ticket, runOnce: runOnce}
 }
 
-// HasSlotCount reports whether a backend has reported the number of its slots.
+// HasSlotCount reports whether a backend has reported its number of slots.
 func (s *Set) HasSlotCount(instance string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,26 +57,28 @@
 	return state != nil && state.slots.Count() > 0
 }
 
-// CheckCapacity returns the fault with which AdmitUncounted would reject a request now, or nil. It takes no slot.
+// CheckCapacity returns the fault with which AdmitUncounted would reject a request now, or nil if it would admit the request. It
+// takes no slot.
 func (s *Set) CheckCapacity(instance, service string, limit uint32, runOnce bool) *apierror.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.checkCapacity(s.entries[instance], instance, service, limit, runOnce)
 }
 
-// checkCapacity does the work of CheckCapacity. mu is held.
+// checkCapacity implements CheckCapacity. The caller holds mu.
 func (s *Set) checkCapacity(state *backendState, instance, service string, limit uint32, runOnce bool) *apierror.Error {
 	if fault := s.checkAvailable(state, instance, service); fault != nil {
 		return fault
 	}
 	total := state.inFlight[true] + state.inFlight[false]
 	if total >= limit || limit > 1 && float64(state.inFlight[runOnce]) >= maxClassShare*float64(limit) {
-		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests at %s", total, instance)
+		return apierror.New(apierror.Overloaded, apierror.NotRun, "%d requests in flight at %s", total, instance)
 	}
 	return nil
 }
 
-// AdmitUncounted admits a request to a backend that does not report its number of slots, while fewer than limit are in flight there.
+// AdmitUncounted admits a request to a backend that does not report its number of slots, while fewer than limit requests are in
+// flight there and its class has not reached maxClassShare of them. Otherwise it rejects the request.
 func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +89,8 @@
 	return s.newSlot(state, state.slots.Force(s.host.Now(), request.Request), request.RunOnce), nil
 }
 
-// Admit takes a slot for a request at a backend that reports its number of slots, after a wait if necessary, or rejects the request,
-// which then has not run.
+// Admit takes a slot for a request at a backend that reports its number of slots. It waits for the slot if necessary. If it returns
+// a fault, the request has not run.
 func (s *Set) Admit(request Request) (*Slot, *apierror.Error) {
 	waiting, fault := s.enqueue(request)
 	if fault != nil {
@@ -104,14 +106,14 @@
 	return s.finishAdmission(waiting, request)
 }
 
-// waitingRequest is a request that entered a backend's pool.
+// waitingRequest is a request in a backend's pool.
 type waitingRequest struct {
 	backend *backendState
 	ticket  *slots.Ticket
 	signal  host.Signal // wakes the caller; nil if the ticket did not have to wait
 }
 
-// enqueue enters a request into its backend's pool.
+// enqueue adds a request to its backend's pool.
 func (s *Set) enqueue(request Request) (*waitingRequest, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +129,7 @@
 	return waiting, nil
 }
 
-// sleepTime returns how long the caller of a waiting ticket may sleep, and whether the ticket still waits.
+// sleepTime returns how long the caller of a ticket may sleep, and whether the ticket still waits.
 func (s *Set) sleepTime(waiting *waitingRequest) (timeout monotonic.Micros, waits bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,22 +139,22 @@
 	return pool.WakeAt(waiting.ticket) - now, waiting.ticket.State() == slots.Waiting
 }
 
-// finishAdmission returns the slot of a request whose ticket does not wait any more, or the fault.
+// finishAdmission returns the slot of a request whose ticket does not wait any more, or the fault that rejects it.
 func (s *Set) finishAdmission(waiting *waitingRequest, request Request) (*Slot, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pool := waiting.backend.slots
-	// The instance's entry, and whether it takes requests, may have changed during the wait.
+	// During the wait, the instance may have become unavailable or its entry may have been replaced.
 	fault := s.checkOpen(s.entries[request.Instance], request)
 	if fault == nil && s.entries[request.Instance] != waiting.backend {
-		fault = apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s was registered anew", request.Instance)
+		fault = apierror.New(apierror.BackendUnknown, apierror.NotRun, "instance %s was registered again during the wait", request.Instance)
 	}
 	if fault != nil {
 		pool.Release(s.host.Now(), waiting.ticket, slots.Released)
 		return nil, fault
 	}
 	if waiting.ticket.State() == slots.Rejected {
-		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d wait",
+		fault = apierror.New(apierror.Overloaded, apierror.NotRun, "%d of %d slots taken at %s, %d requests waiting",
 			pool.Taken(), pool.Count(), request.Instance, pool.Waiting())
 		fault.RetryAfter = waiting.ticket.RetryAfter()
 		return nil, fault
@@ -160,7 +162,7 @@
 	return s.newSlot(waiting.backend, waiting.ticket, request.RunOnce), nil
 }
 
-// checkOpen rejects requests to an unavailable backend, and all requests after Close. mu is held.
+// checkOpen rejects requests to an unavailable backend, and all requests after Close. The caller holds mu.
 func (s *Set) checkOpen(state *backendState, request Request) *apierror.Error {
 	if s.closed {
 		return apierror.New(apierror.Draining, apierror.NotRun, "this proxy is stopping")
@@ -168,7 +170,7 @@
 	return s.checkAvailable(state, request.Instance, request.Service)
 }
 
-// Close rejects all requests that wait for a slot, and all later ones.
+// Close rejects all requests that wait for a slot, and makes Admit reject all later ones.
 func (s *Set) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,8 +180,8 @@
 	}
 }
 
-// Load returns a backend's load for the load balancers of other proxies, with the service time of one kind of request. It is nil
-// for an unknown instance.
+// Load returns a backend's load for the load balancers of other proxies, including the service time of one kind of request. It
+// returns nil for an unknown instance.
 func (s *Set) Load(instance, kind string) *wire.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/replay/doc.go
+++ b/internal/proxy/replay/doc.go
@@ -1,6 +1,6 @@
-// Package replay stores complete responses to requests with an idempotency key for a while, so that a caller that repeats such
-// a request gets the response of the first run.
+// Package replay stores complete responses to requests with an idempotency key for a limited time, so that a caller that repeats
+// such a request gets the response of the first run.
 //
-// A Store is in memory, of one proxy process. The claim that a key has run is stored by the registry; a response is stored as
-// long as its claim.
+// A Store holds the responses of one proxy process in memory. The registry stores the claim of a key; a response is stored for as
+// long as that claim.
 package replay
--- a/internal/proxy/replay/store.go
+++ b/internal/proxy/replay/store.go
@@ -17,16 +17,16 @@
 	maxResponseBytes = maxBytes / 16
 )
 
-// Store holds responses by their idempotency scopes. It is safe for concurrent use.
+// Store holds responses by the scopes of their idempotency keys. It is safe for concurrent use.
 //
-// Invariants: totalBytes is the sum of the sizes of the stored bodies and at most maxBytes. order lists the stored scopes,
+// Invariants: totalBytes is the sum of the sizes of the stored bodies and at most maxBytes; order lists the scopes in entries, the
 // oldest first.
 type Store struct {
-	// TTL is how long responses are stored, in microseconds. It must be set before the first one is put.
+	// TTL is how long responses are stored. It must not be changed after the first call of Put.
 	TTL   monotonic.Micros
 	clock monotonic.Clock
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	entries    map[string]*entry
 	order      []string
 	totalBytes int
@@ -38,13 +38,13 @@
 	storedAt monotonic.Micros
 }
 
-// New returns an empty store with a TTL of two minutes.
+// New returns an empty store with the default TTL of two minutes.
 func New(clock monotonic.Clock) *Store {
 	return &Store{TTL: defaultTTL, clock: clock, entries: map[string]*entry{}}
 }
 
-// Put stores the response to a request with a scope and digest. A response that is too large isn't stored, and one that is
-// stored already isn't replaced until it expires.
+// Put stores the response to the request with a scope and digest. A response that is too large isn't stored. A
+// stored response isn't replaced until it expires.
 func (s *Store) Put(scope string, digest []byte, response *request.Response) {
 	if len(response.Body) > maxResponseBytes {
 		return
@@ -55,7 +55,7 @@
 		if !s.isExpired(existing) {
 			return
 		}
-		// The key has outlived its claim and has run again: the stored response is of the run before.
+		// The key's claim has expired and the key was used again: the stored response is that of the run before.
 		s.remove(scope)
 	}
 	s.entries[scope] = &entry{digest: digest, response: response, storedAt: s.clock.Now()}
@@ -64,7 +64,7 @@
 	s.evict()
 }
 
-// Lookup returns the stored response to a request with a scope and digest, nil if there is none.
+// Lookup returns the stored response to the request with a scope and digest, or nil if there is none.
 func (s *Store) Lookup(scope string, digest []byte) *request.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 
 func (s *Store) isExpired(e *entry) bool { return s.clock.Now()-e.storedAt >= s.TTL }
 
-// evict removes the oldest responses while they have expired, or the store is too large. The caller holds the lock.
+// evict removes the oldest responses while they have expired or the store is too large. The caller holds mu.
 func (s *Store) evict() {
 	for len(s.order) > 0 {
 		oldest := s.order[0]
@@ -90,7 +90,7 @@
 	}
 }
 
-// remove removes one response. The caller holds the lock.
+// remove removes the response of one scope. The caller holds mu.
 func (s *Store) remove(scope string) {
 	s.totalBytes -= len(s.entries[scope].response.Body)
 	delete(s.entries, scope)
--- a/internal/proxy/replay/store_test.go
+++ b/internal/proxy/replay/store_test.go
@@ -11,7 +11,8 @@
 
 func (c *fakeClock) Now() monotonic.Micros { return c.now }
 
-// TestStoreReplacesExpiredResponse: the store has the response of a key's last run, not one that has outlived its claim.
+// TestStoreReplacesExpiredResponse guards against returning a response whose claim has expired: if the key has run again since, the
+// store must have the response of that run.
 func TestStoreReplacesExpiredResponse(t *testing.T) {
 	clock := &fakeClock{now: monotonic.Minute}
 	store := New(clock)
@@ -31,7 +32,7 @@
 	}
 }
 
-// TestStoreHonoursTTL: a store with another TTL keeps responses for that long.
+// TestStoreHonoursTTL checks that a store with another TTL keeps responses for that long.
 func TestStoreHonoursTTL(t *testing.T) {
 	clock := &fakeClock{now: monotonic.Minute}
 	store := New(clock)
