--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -28,8 +28,8 @@
 
 func (r *claimResult) granted() bool { return r.recorded == nil && r.fault == nil }
 
-// claimFaults returns the fault for each outcome of a claim except Granted, which is none, and Pending, which
-// resolveRejectedClaim handles.
+// claimFaults has, for each outcome of a rejected claim, the function that creates its fault. Pending is not among them; it is
+// handled by resolveRejectedClaim.
 var claimFaults = map[string]func(req *wire.ForwardRequest) *apierror.Error{
 	idempotency.BodyMismatch: func(*wire.ForwardRequest) *apierror.Error {
 		return apierror.New(apierror.BodyMismatch, apierror.MayHaveRun, "the key was used with another body")
--- a/internal/proxy/admission/slots/pool.go
+++ b/internal/proxy/admission/slots/pool.go
@@ -35,7 +35,7 @@
 	return &Pool{limits: limits, tenants: occupancy{}, measured: serviceTimes{byKind: map[string]*movingAverage{}}}
 }
 
-// SetCount sets the number of slots to the one that the backend reports; zero if it reports none.
+// SetCount sets the number of slots, as reported by the backend; zero if it reports none.
 func (p *Pool) SetCount(now monotonic.Micros, count uint32) {
 	p.count = int(count)
 	p.Advance(now)
--- a/internal/proxy/localbackends/set.go
+++ b/internal/proxy/localbackends/set.go
@@ -74,7 +74,7 @@
 	entries map[string]*backendState
 	// tombstones holds the tombstones of instances without an entry, until Sweep removes them.
 	tombstones map[string]tombstone
-	closed     bool // Close was called: no request is admitted any more
+	closed     bool // Close was called: Admit rejects all requests
 }
 
 // New returns an empty set. onChange is called after each change of the backends that other proxies should learn of at once.
--- a/internal/proxy/localbackends/slots.go
+++ b/internal/proxy/localbackends/slots.go
@@ -9,8 +9,9 @@
 )
 
 // maxClassShare is the largest fraction of the permitted requests that one class of requests may have in flight at a backend that
-// does not report its number of slots. The classes are run-once requests and all others. The limit keeps either class from starving
-// the other: run-once requests cause requests of the other class to the same services, so that each would wait for the other's slots.
+// does not report its number of slots, if more than one request is permitted. The classes are run-once requests and all others. The
+// share keeps either class from starving the other: run-once requests cause requests of the other class to the same services, so that
+// each class would wait for the other's slots.
 const maxClassShare = 0.75
 
 // minWait is the shortest wait for a signal, in microseconds. It ensures that time passes in each iteration of a wait.
@@ -78,7 +79,7 @@
 }
 
 // AdmitUncounted admits a request to a backend that does not report its number of slots, while fewer than limit requests are in
-// flight there and its class has not reached maxClassShare of them. Otherwise it rejects the request.
+// flight there and the request's class has not reached its share, see maxClassShare.
 func (s *Set) AdmitUncounted(request Request, limit uint32) (*Slot, *apierror.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
