--- a/internal/proxy/admission/cancellations.go
+++ b/internal/proxy/admission/cancellations.go
@@ -52,9 +52,9 @@
 	return c.active[cancelKey{from, id}]
 }
 
-// Cancel cancels the request that a proxy named from sent under an id, because its caller has disconnected. It reports whether the
-// request was found in flight here. A request that has not been sent to its backend yet never will be. If it has been sent and may
-// be repeated, the connection to the backend is closed; otherwise it runs to completion.
+// Cancel cancels a request whose caller has disconnected: from is the name of the proxy that sent it here, and id that proxy's id
+// for it. Cancel reports whether the request was in flight here. A request that has not been sent to its backend yet never will be.
+// If it has been sent and may be repeated, the connection to the backend is closed; otherwise it runs to completion.
 func (c *Controller) Cancel(from, id string) bool {
 	found := c.cancellations.find(from, id)
 	if found == nil {
