--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -29,9 +29,9 @@
 		r.versions[newest] = NewDirectory(full.Sessions)
 	}
 	update := r.UpdateSince(directory.Base{
-		Source:    request.DirectorySource,
-		Version:   request.DirectoryVersion,
-		Checksum:  request.DirectoryChecksum,
+		Source:   request.DirectorySource,
+		Version:  request.DirectoryVersion,
+		Checksum: request.DirectoryChecksum,
 		Complete: request.DirectoryComplete,
 	})
 	response := &wire.RegistryPollResponse{
