--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -23,8 +23,8 @@
 	startedAt     monotonic.Micros
 }
 
-// Local reports whether the local breaker alone admitted the attempt, since the registry couldn't be reached.
-func (p *Permit) Local() bool { return p.local }
+// LocallyAdmitted reports whether the local breaker alone admitted the attempt, since the registry couldn't be reached.
+func (p *Permit) LocallyAdmitted() bool { return p.local }
 
 // Outcome is how an attempt ended, as evidence on its service.
 type Outcome int
--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -137,7 +137,7 @@
 		Tenant:          tenantName(exchange.Tenant),
 		KeyLease:        int64(f.keyLease(exchange)),
 		FormerScope:     exchange.FormerScope,
-		LocallyAdmitted: a.permit.Local(),
+		LocallyAdmitted: a.permit.LocallyAdmitted(),
 		LatencyTarget:   exchange.remainingLatencyTarget(f.config.Host.Now()),
 		AtMostOnce:      exchange.AtMostOnce,
 		MayQueue:        a.lastBackend,
