--- a/internal/proxy/breaker/control.go
+++ b/internal/proxy/breaker/control.go
@@ -35,7 +35,7 @@
 	if !known {
 		return apierror.Invalid.New("%q is not force_open, disable, metrics_only or reset", verb)
 	}
-	b := s.forService(service)
+	b := s.breakerFor(service)
 	b.mu.Lock()
 	b.control = control
 	if control == ControlNone {
--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -19,12 +19,12 @@
 	recordVersion uint64
 	localProbe    bool // the attempt is a probe of the local breaker
 	uncounted     bool // the outcome isn't counted, since the breaker is disabled
-	local         bool // admitted by the local breaker alone, since the registry couldn't be reached
+	locallyAdmitted         bool // admitted by the local breaker alone, since the registry couldn't be reached
 	startedAt     monotonic.Micros
 }
 
 // LocallyAdmitted reports whether the local breaker alone admitted the attempt, since the registry couldn't be reached.
-func (p *Permit) LocallyAdmitted() bool { return p.local }
+func (p *Permit) LocallyAdmitted() bool { return p.locallyAdmitted }
 
 // Outcome is how an attempt ended, as evidence on its service.
 type Outcome int
@@ -48,7 +48,7 @@
 // Admit admits one attempt to a service, or returns the fault with which it is rejected. It waits for the registry only while
 // the service's record is half open.
 func (s *Set) Admit(service *config.Service) (*Permit, *apierror.Error) {
-	b := s.forService(service.Name)
+	b := s.breakerFor(service.Name)
 	permit := &Permit{set: s, breaker: b, service: service, startedAt: s.config.Host.Now()}
 	state, control := b.beginAdmission(permit)
 	if control == ControlForceOpen {
@@ -59,7 +59,7 @@
 		return permit, nil
 	}
 	if s.Degraded() {
-		state, permit.local = breakerstore.Closed, true
+		state, permit.locallyAdmitted = breakerstore.Closed, true
 	}
 	if fault := admitByState[state](s, b, permit); fault != nil {
 		return nil, fault
@@ -122,13 +122,13 @@
 	if outcome == Neutral || p.uncounted {
 		return
 	}
-	if b.count(p.service.Breaker, callResult{failed: outcome == Failure, slow: slow}) {
+	if b.recordCall(p.service.Breaker, callResult{failed: outcome == Failure, slow: slow}) {
 		p.set.openLocally(b)
 	}
 }
 
-// count adds a call to the window, and reports whether the local breaker must open. The caller holds the lock.
-func (b *serviceBreaker) count(settings *wire.Breaker, result callResult) (open bool) {
+// recordCall adds a call to the window, and reports whether the local breaker must open. The caller holds the lock.
+func (b *serviceBreaker) recordCall(settings *wire.Breaker, result callResult) (open bool) {
 	b.calls++
 	if result.failed {
 		b.failedCalls++
@@ -137,7 +137,7 @@
 	if b.local.state != breakerstore.Closed || b.control != ControlNone {
 		return false
 	}
-	return b.window.exceeds(int(settings.GetMinimumCalls()), settings.GetFailureRate(), settings.GetSlowRate())
+	return b.window.exceedsThreshold(int(settings.GetMinimumCalls()), settings.GetFailureRate(), settings.GetSlowRate())
 }
 
 // openLocally opens the local breaker and reports that to the registry. The caller holds the breaker's lock.
--- a/internal/proxy/breaker/records.go
+++ b/internal/proxy/breaker/records.go
@@ -16,7 +16,7 @@
 	}
 	s.leaveDegraded()
 	for _, record := range records {
-		s.applyRecord(s.forService(record.Service), record)
+		s.applyRecord(s.breakerFor(record.Service), record)
 	}
 }
 
--- a/internal/proxy/breaker/set.go
+++ b/internal/proxy/breaker/set.go
@@ -95,8 +95,8 @@
 // program calls it.
 func (s *Set) SkipProbeLeases(skip bool) { s.skipProbeLeases = skip }
 
-// forService returns the breaker of a service.
-func (s *Set) forService(service string) *serviceBreaker {
+// breakerFor returns the breaker of a service.
+func (s *Set) breakerFor(service string) *serviceBreaker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	existing := s.breakers[service]
@@ -107,8 +107,8 @@
 	return existing
 }
 
-// sorted returns all breakers by the names of their services.
-func (s *Set) sorted() []*serviceBreaker {
+// sortedBreakers returns all breakers by the names of their services.
+func (s *Set) sortedBreakers() []*serviceBreaker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	breakers := make([]*serviceBreaker, 0, len(s.breakers))
--- a/internal/proxy/breaker/status.go
+++ b/internal/proxy/breaker/status.go
@@ -20,7 +20,7 @@
 
 // Statuses lists all breakers by the names of their services.
 func (s *Set) Statuses() (statuses []Status) {
-	for _, b := range s.sorted() {
+	for _, b := range s.sortedBreakers() {
 		statuses = append(statuses, b.status())
 	}
 	return statuses
@@ -46,7 +46,7 @@
 
 // TakeActivity returns the services that were called, or to which an attempt asked for admission, since the last call.
 func (s *Set) TakeActivity() (activity []*wire.Activity) {
-	for _, b := range s.sorted() {
+	for _, b := range s.sortedBreakers() {
 		if taken := b.takeActivity(); taken != nil {
 			activity = append(activity, taken)
 		}
--- a/internal/proxy/breaker/window.go
+++ b/internal/proxy/breaker/window.go
@@ -22,13 +22,13 @@
 		*w = *w.resized(size)
 	}
 	if w.filled == size {
-		w.count(w.results[w.next], -1)
+		w.adjustCounts(w.results[w.next], -1)
 	} else {
 		w.filled++
 	}
 	w.results[w.next] = result
 	w.next = (w.next + 1) % size
-	w.count(result, 1)
+	w.adjustCounts(result, 1)
 }
 
 // resized returns a window of another size with as many of the last results as it has room for: they still hold after
@@ -41,8 +41,8 @@
 	return resized
 }
 
-// count adds a result to the counts step times.
-func (w *window) count(result callResult, step int) {
+// adjustCounts adds a result to the counts step times.
+func (w *window) adjustCounts(result callResult, step int) {
 	if result.failed {
 		w.failed += step
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// exceeds reports whether there are enough calls in the window, and the share of failed or of slow ones reaches its rate.
-func (w *window) exceeds(minimumCalls int, failureRate, slowRate float64) bool {
+// exceedsThreshold reports whether there are enough calls in the window, and the share of failed or of slow ones reaches its rate.
+func (w *window) exceedsThreshold(minimumCalls int, failureRate, slowRate float64) bool {
 	if w.filled < minimumCalls || w.filled == 0 {
 		return false
 	}
--- a/internal/proxy/breaker/writes.go
+++ b/internal/proxy/breaker/writes.go
@@ -114,7 +114,7 @@
 		s.enterDegraded(err)
 		return nil, err
 	}
-	s.applyRecord(s.forService(request.Service), response.Record)
+	s.applyRecord(s.breakerFor(request.Service), response.Record)
 	return response, nil
 }
 
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -92,7 +92,7 @@
 	now := b.host.Now()
 	penalty := b.locality.penalty(criteria.Route, criteria.LatencyTarget)
 	if penalty >= localOnlyPenalty && !b.ignoreDomains {
-		candidates = b.restrictToDomain(candidates, now)
+		candidates = b.restrictToLocalDomain(candidates, now)
 	}
 	b.partition(candidates, criteria.Avoid, now)
 	choices := b.available
@@ -105,7 +105,7 @@
 	} else {
 		chosen = b.pickLessLoadedOfTwo(b.preferLocalDomain(directory, choices))
 	}
-	return Pick{Candidate: chosen, LastBackend: len(b.available) <= 1, Release: b.reserve(chosen, now)}, nil
+	return Pick{Candidate: chosen, LastBackend: len(b.available) <= 1, Release: b.beginAttempt(chosen, now)}, nil
 }
 
 // partition fills the buffers: the candidates to choose from, and those set aside. The caller holds the lock.
@@ -127,8 +127,8 @@
 		b.silence.isUnresponsive(candidate.Proxy, now)
 }
 
-// reserve counts an attempt as in flight until the returned function is called. The caller holds the lock.
-func (b *Balancer) reserve(chosen session.Candidate, now monotonic.Micros) (release func()) {
+// beginAttempt counts an attempt as in flight until the returned function is called. The caller holds the lock.
+func (b *Balancer) beginAttempt(chosen session.Candidate, now monotonic.Micros) (release func()) {
 	b.inFlight[chosen.Instance]++
 	pending := b.silence.begin(chosen.Proxy, chosen.Address, now)
 	return func() {
--- a/internal/proxy/loadbalancer/fastest.go
+++ b/internal/proxy/loadbalancer/fastest.go
@@ -18,8 +18,8 @@
 	best := math.Inf(1)
 	for index := range candidates {
 		candidate := &candidates[index]
-		expected := b.loads.expect(candidate, averages, route, now)
-		estimate := expected.responseTime(float64(b.inFlight[candidate.Instance])+math.Max(0, expected.others), float64(candidate.Slots))
+		expected := b.loads.estimateLoad(candidate, averages, route, now)
+		estimate := expected.responseTime(float64(b.inFlight[candidate.Instance])+math.Max(0, expected.otherRequests), float64(candidate.Slots))
 		if !b.ignoreDomains && candidate.Domain != b.domain {
 			estimate += float64(penalty)
 		}
--- a/internal/proxy/loadbalancer/load_reports.go
+++ b/internal/proxy/loadbalancer/load_reports.go
@@ -18,13 +18,13 @@
 	averageHalfLife = 5 * monotonic.Second
 	// averageSmoothing is the number of reports over which the load of other callers is averaged.
 	averageSmoothing = 5
-	// defaultWorkMicros is assumed while no backend of the service has reported its work time, as backends' proxies do.
-	defaultWorkMicros = float64(50 * monotonic.Millisecond)
+	// defaultServiceMicros is assumed while no backend of the service has reported its work time, as backends' proxies do.
+	defaultServiceMicros = float64(50 * monotonic.Millisecond)
 	// warmingFactor is how much slower an unmeasured backend in slow start is assumed to be.
 	warmingFactor = 1.5
-	// workWeight is the weight of the work time beside the wait for a slot. At its full weight a quick backend, even one in
+	// serviceTimeWeight is the weight of the work time beside the wait for a slot. At its full weight a quick backend, even one in
 	// another domain, would be filled before any other gets work, and once slots are short requests would queue there.
-	workWeight = 0.25
+	serviceTimeWeight = 0.25
 	// maxRoutesPerBackend bounds the routes whose work time is stored for one backend.
 	maxRoutesPerBackend = 256
 	// maxReportAge is the age from which a report is dropped: most such backends no longer exist.
@@ -37,10 +37,10 @@
 // holds values above 0 for at most maxRoutesPerBackend routes.
 type loadReport struct {
 	slots           float64
-	workMicros      float64            // 0 while not measured
-	routeWorkMicros map[string]float64 // work time of the requests of one route
-	others          float64            // requests of other callers that run or wait there
-	averageOthers   float64
+	serviceMicros      float64            // 0 while not measured
+	routeServiceMicros map[string]float64 // work time of the requests of one route
+	otherRequests          float64            // requests of other callers that run or wait there
+	averageOtherRequests   float64
 	receivedAt      monotonic.Micros
 }
 
@@ -52,15 +52,15 @@
 	others := math.Max(0, float64(load.Running+load.Waiting)-float64(ownInFlight))
 	report := r[instance]
 	if report == nil {
-		report = &loadReport{averageOthers: others, routeWorkMicros: map[string]float64{}}
+		report = &loadReport{averageOtherRequests: others, routeServiceMicros: map[string]float64{}}
 		r.dropStale(now)
 		r[instance] = report
 	}
-	report.averageOthers += (others - report.averageOthers) / averageSmoothing
-	report.slots, report.workMicros = float64(load.Slots), float64(load.ServiceMicros)
-	report.others, report.receivedAt = others, now
-	if _, known := report.routeWorkMicros[route]; load.RouteMicros > 0 && (known || len(report.routeWorkMicros) < maxRoutesPerBackend) {
-		report.routeWorkMicros[route] = float64(load.RouteMicros)
+	report.averageOtherRequests += (others - report.averageOtherRequests) / averageSmoothing
+	report.slots, report.serviceMicros = float64(load.Slots), float64(load.ServiceMicros)
+	report.otherRequests, report.receivedAt = others, now
+	if _, known := report.routeServiceMicros[route]; load.RouteMicros > 0 && (known || len(report.routeServiceMicros) < maxRoutesPerBackend) {
+		report.routeServiceMicros[route] = float64(load.RouteMicros)
 	}
 }
 
@@ -85,8 +85,8 @@
 
 // serviceAverages are averages over the backends of a service.
 type serviceAverages struct {
-	workMicros      float64
-	routeWorkMicros float64 // of one route's requests
+	serviceMicros      float64
+	routeServiceMicros float64 // of one route's requests
 	loadPerSlot     float64 // requests of other callers
 }
 
@@ -116,16 +116,16 @@
 			continue
 		}
 		weight := decay(now-report.receivedAt, averageHalfLife)
-		load, slots = load+weight*report.averageOthers, slots+weight*report.slots
-		if report.workMicros > 0 {
-			work.add(report.workMicros, weight)
+		load, slots = load+weight*report.averageOtherRequests, slots+weight*report.slots
+		if report.serviceMicros > 0 {
+			work.add(report.serviceMicros, weight)
 		}
-		if known := report.routeWorkMicros[route]; known > 0 {
+		if known := report.routeServiceMicros[route]; known > 0 {
 			routeWork.add(known, weight)
 		}
 	}
-	averages := serviceAverages{workMicros: work.valueOr(defaultWorkMicros)}
-	averages.routeWorkMicros = routeWork.valueOr(averages.workMicros)
+	averages := serviceAverages{serviceMicros: work.valueOr(defaultServiceMicros)}
+	averages.routeServiceMicros = routeWork.valueOr(averages.serviceMicros)
 	if slots > 0 {
 		averages.loadPerSlot = load / slots
 	}
@@ -134,38 +134,38 @@
 
 // expectedLoad is the load that a backend is expected to have.
 type expectedLoad struct {
-	others          float64 // requests of other callers
-	workMicros      float64 // work time of a request of any route
-	routeWorkMicros float64 // work time of a request of the route in question
+	otherRequests          float64 // requests of other callers
+	serviceMicros      float64 // work time of a request of any route
+	routeServiceMicros float64 // work time of a request of the route in question
 }
 
-// expect combines a backend's own report, the weight of which decays with its age, with the averages of its service.
-func (r loadReports) expect(candidate *session.Candidate, averages serviceAverages, route string, now monotonic.Micros) expectedLoad {
+// estimateLoad combines a backend's own report, the weight of which decays with its age, with the averages of its service.
+func (r loadReports) estimateLoad(candidate *session.Candidate, averages serviceAverages, route string, now monotonic.Micros) expectedLoad {
 	expected := expectedLoad{
-		others:          averages.loadPerSlot * float64(candidate.Slots),
-		workMicros:      averages.workMicros,
-		routeWorkMicros: averages.routeWorkMicros,
+		otherRequests:          averages.loadPerSlot * float64(candidate.Slots),
+		serviceMicros:      averages.serviceMicros,
+		routeServiceMicros: averages.routeServiceMicros,
 	}
 	report := r[candidate.Instance]
 	if report == nil {
 		if candidate.Warming {
-			expected.workMicros *= warmingFactor
-			expected.routeWorkMicros *= warmingFactor
+			expected.serviceMicros *= warmingFactor
+			expected.routeServiceMicros *= warmingFactor
 		}
 		return expected
 	}
 	age := now - report.receivedAt
 	weight := decay(age, averageHalfLife)
-	expected.others += (report.averageOthers - expected.others) * weight
-	if report.workMicros > 0 {
-		expected.workMicros += (report.workMicros - expected.workMicros) * weight
+	expected.otherRequests += (report.averageOtherRequests - expected.otherRequests) * weight
+	if report.serviceMicros > 0 {
+		expected.serviceMicros += (report.serviceMicros - expected.serviceMicros) * weight
 	}
-	if report.routeWorkMicros[route] > 0 {
-		expected.routeWorkMicros += (report.routeWorkMicros[route] - expected.routeWorkMicros) * weight
-	} else if averages.routeWorkMicros == averages.workMicros {
-		expected.routeWorkMicros = expected.workMicros // no backend has reported the route
+	if report.routeServiceMicros[route] > 0 {
+		expected.routeServiceMicros += (report.routeServiceMicros[route] - expected.routeServiceMicros) * weight
+	} else if averages.routeServiceMicros == averages.serviceMicros {
+		expected.routeServiceMicros = expected.serviceMicros // no backend has reported the route
 	}
-	expected.others += (report.others - report.averageOthers) * decay(age, max(loadHalfLife, monotonic.Micros(expected.workMicros)))
+	expected.otherRequests += (report.otherRequests - report.averageOtherRequests) * decay(age, max(loadHalfLife, monotonic.Micros(expected.serviceMicros)))
 	return expected
 }
 
@@ -175,6 +175,6 @@
 func (l expectedLoad) responseTime(requests, slots float64) float64 {
 	const linearFrom = 30 // from here on the softplus is its argument, and exp would overflow
 	excess := requests + 1 - slots
-	perRequest := l.workMicros / slots
-	return workWeight*l.routeWorkMicros + perRequest*math.Log1p(math.Exp(min(excess, linearFrom))) + perRequest*max(excess-linearFrom, 0)
+	perRequest := l.serviceMicros / slots
+	return serviceTimeWeight*l.routeServiceMicros + perRequest*math.Log1p(math.Exp(min(excess, linearFrom))) + perRequest*max(excess-linearFrom, 0)
 }
--- a/internal/proxy/loadbalancer/locality.go
+++ b/internal/proxy/loadbalancer/locality.go
@@ -24,32 +24,32 @@
 // locality estimates the cost of sending a route's requests to another failure domain. The Balancer's lock guards it.
 type locality struct {
 	basePenalty monotonic.Micros
-	bytes       map[string]float64 // mean bytes of a route's requests with their responses
+	meanBytes       map[string]float64 // mean bytes of a route's requests with their responses
 }
 
 func newLocality(basePenalty monotonic.Micros) locality {
-	return locality{basePenalty: basePenalty, bytes: map[string]float64{}}
+	return locality{basePenalty: basePenalty, meanBytes: map[string]float64{}}
 }
 
 func (l locality) observeSize(route string, bytes int) {
-	mean, known := l.bytes[route]
+	mean, known := l.meanBytes[route]
 	if !known {
 		mean = float64(bytes)
 	}
-	l.bytes[route] = mean + (float64(bytes)-mean)/sizeSmoothing
+	l.meanBytes[route] = mean + (float64(bytes)-mean)/sizeSmoothing
 }
 
-func (l locality) isBulk(route string) bool { return l.bytes[route] >= bulkBytes }
+func (l locality) isBulk(route string) bool { return l.meanBytes[route] >= bulkBytes }
 
 // penalty is the time in microseconds that sending a request of a route to another domain counts for.
 func (l locality) penalty(route string, latencyTarget monotonic.Micros) monotonic.Micros {
 	least := max(l.basePenalty, monotonic.Micros(minPenaltyShare*float64(latencyTarget)))
-	return least + monotonic.Micros(l.bytes[route]/bytesPerKilobyte*float64(penaltyPerKilobyte))
+	return least + monotonic.Micros(l.meanBytes[route]/bytesPerKilobyte*float64(penaltyPerKilobyte))
 }
 
-// restrictToDomain leaves only available candidates, and of these only those of the own domain if there are any. If none is
+// restrictToLocalDomain leaves only available candidates, and of these only those of the own domain if there are any. If none is
 // available it leaves all. The caller holds the lock.
-func (b *Balancer) restrictToDomain(candidates []session.Candidate, now monotonic.Micros) []session.Candidate {
+func (b *Balancer) restrictToLocalDomain(candidates []session.Candidate, now monotonic.Micros) []session.Candidate {
 	available := slices.DeleteFunc(slices.Clone(candidates), func(candidate session.Candidate) bool {
 		return b.isUnavailable(candidate, now)
 	})
--- a/internal/proxy/loadbalancer/outlier_test.go
+++ b/internal/proxy/loadbalancer/outlier_test.go
@@ -61,7 +61,7 @@
 			fleet.addCaller(domainOf(index, 3), ms, float64(r.callers)/rate, func(balancer *Balancer) func() {
 				work := fleet.uniformWork(20000, 100000)
 				request := &unhealthyRequest{unhealthyRun: r, fleet: fleet, balancer: balancer, work: work, random: fleet.random.Float64(), startedAt: fleet.node.Now()}
-				return func() { request.play(&counts) }
+				return func() { request.send(&counts) }
 			})
 		}
 	})
@@ -84,7 +84,7 @@
 	startedAt monotonic.Micros
 }
 
-func (r *unhealthyRequest) play(counts *requestCounts) {
+func (r *unhealthyRequest) send(counts *requestCounts) {
 	avoid := map[string]bool{}
 	at := r.startedAt - r.fleet.startedAt
 	during := at >= unhealthyFrom && at < unhealthyUntil
--- a/internal/proxy/loadbalancer/peer_health.go
+++ b/internal/proxy/loadbalancer/peer_health.go
@@ -60,7 +60,7 @@
 	if !load.Ejected {
 		return false
 	}
-	others := p.statisticsOf(candidates, service, now).forEjected
+	others := p.cachedStatistics(candidates, service, now).forEjected
 	return outlier.MayEject(int(others.Known), int(others.Ejected))
 }
 
@@ -70,25 +70,25 @@
 
 // statisticsFor returns the statistics of a service's other backends that are sent to one of them.
 func (p peerHealth) statisticsFor(candidates []session.Candidate, service, instance string, now monotonic.Micros) *wire.PeerStatistics {
-	statistics := p.statisticsOf(candidates, service, now)
+	statistics := p.cachedStatistics(candidates, service, now)
 	if report := p.reports[instance]; report != nil && report.ejected {
 		return statistics.forEjected
 	}
 	return statistics.forHealthy
 }
 
-// statisticsOf returns a service's statistics, which are computed again after statisticsTTL.
-func (p peerHealth) statisticsOf(candidates []session.Candidate, service string, now monotonic.Micros) *serviceStatistics {
+// cachedStatistics returns a service's statistics, which are computed again after statisticsTTL.
+func (p peerHealth) cachedStatistics(candidates []session.Candidate, service string, now monotonic.Micros) *serviceStatistics {
 	statistics := p.statistics[service]
 	if statistics == nil || now-statistics.computedAt >= statisticsTTL {
-		statistics = p.compute(candidates, now)
+		statistics = p.computeStatistics(candidates, now)
 		p.statistics[service] = statistics
 	}
 	return statistics
 }
 
-// compute takes the medians of the reports of a service's backends.
-func (p peerHealth) compute(candidates []session.Candidate, now monotonic.Micros) *serviceStatistics {
+// computeStatistics takes the medians of the reports of a service's backends.
+func (p peerHealth) computeStatistics(candidates []session.Candidate, now monotonic.Micros) *serviceStatistics {
 	var faultRates, latencyRatios []uint32
 	ejected := uint32(0)
 	for index := range candidates {
--- a/internal/proxy/loadbalancer/spread_test.go
+++ b/internal/proxy/loadbalancer/spread_test.go
@@ -65,7 +65,7 @@
 		for index := range r.callers {
 			fleet.addCaller(domainOf(index, r.domains), 20*ms, sum/(rate*weights[index]), func(balancer *Balancer) func() {
 				work := fleet.uniformWork(15000, 285000)
-				return func() { r.play(fleet, balancer, speeds, work, &result) }
+				return func() { r.sendRequest(fleet, balancer, speeds, work, &result) }
 			})
 		}
 	})
@@ -84,8 +84,8 @@
 	return weights, sum
 }
 
-// play plays one request.
-func (r spreadRun) play(fleet *fleet, balancer *Balancer, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
+// sendRequest plays one request.
+func (r spreadRun) sendRequest(fleet *fleet, balancer *Balancer, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
 	startedAt, avoid := fleet.node.Now(), map[string]bool{}
 	result.requests++
 	for made := 0; ; made++ {
--- a/internal/proxy/loadbalancer/two_choices.go
+++ b/internal/proxy/loadbalancer/two_choices.go
@@ -50,24 +50,24 @@
 	return shares
 }
 
-// backends is a domain's share of the backends.
-func (s domainShares) backends(domain string) float64 {
+// backendShare is a domain's share of the backendShare.
+func (s domainShares) backendShare(domain string) float64 {
 	return float64(len(s.candidates[domain])) / float64(s.total)
 }
 
-// callers is the share of the callers that a number of proxies has.
-func (s domainShares) callers(proxies int) float64 {
+// callerShare is the share of the callerShare that a number of proxies has.
+func (s domainShares) callerShare(proxies int) float64 {
 	return float64(proxies) / float64(max(1, s.directory.Live))
 }
 
 // localProbability is the probability with which a caller stays in its own domain. It may exceed 1.
 func (s domainShares) localProbability(domain string) float64 {
-	return s.backends(domain) / s.callers(max(1, s.directory.ProxiesByDomain[domain]))
+	return s.backendShare(domain) / s.callerShare(max(1, s.directory.ProxiesByDomain[domain]))
 }
 
-// spare is by how much a domain's share of the backends exceeds its share of the callers.
-func (s domainShares) spare(domain string) float64 {
-	return s.backends(domain) - s.callers(s.directory.ProxiesByDomain[domain])
+// spareShare is by how much a domain's share of the backends exceeds its share of the callers.
+func (s domainShares) spareShare(domain string) float64 {
+	return s.backendShare(domain) - s.callerShare(s.directory.ProxiesByDomain[domain])
 }
 
 // spareCandidates are the candidates of all other domains whose spare is above 0. A domain's spare is divided evenly among its
@@ -75,7 +75,7 @@
 func (s domainShares) spareCandidates(own string, candidates []session.Candidate) weightedCandidates {
 	var spare weightedCandidates
 	for _, candidate := range candidates {
-		weight := s.spare(candidate.Domain) / float64(len(s.candidates[candidate.Domain]))
+		weight := s.spareShare(candidate.Domain) / float64(len(s.candidates[candidate.Domain]))
 		if candidate.Domain == own || weight <= 0 {
 			continue
 		}
--- a/internal/proxy/outlier/call.go
+++ b/internal/proxy/outlier/call.go
@@ -6,26 +6,26 @@
 	"snowflow/internal/monotonic"
 )
 
-// Call is one request at the backend. Close must be called for each.
+// Call is an admitted request to the backend. Close must be called for each.
 type Call struct {
-	detector  *Detector
-	ejections [2]*ejection // of which the call is a probe
-	domain    string
-	kind      string
-	startedAt monotonic.Micros
-	started   bool
-	overdue   bool // it has counted as a failure already
-	closed    bool
+	detector        *Detector
+	probedEjections [2]*ejection // the active ejections that the call probes; nil where it is no probe
+	domain          string
+	kind            string
+	startedAt       monotonic.Micros
+	started         bool
+	overdue         bool // already counted as a failure because it took too long
+	closed          bool
 }
 
-// Start records that the request is being handed to the backend.
+// Start records that the request is being sent to the backend.
 func (c *Call) Start(now monotonic.Micros) {
 	c.startedAt, c.started = now, true
 	c.detector.calls = append(c.detector.calls, c)
 }
 
-// Close records the end of the request. The outcome of one that was never handed over isn't counted. Only the first Close of a
-// call counts.
+// Close records the outcome of the request. The outcome is ignored if Start was never called. Further calls of Close have no
+// effect.
 func (c *Call) Close(now monotonic.Micros, outcome Outcome) {
 	if c.closed {
 		return
@@ -47,12 +47,12 @@
 	}
 }
 
-// releaseProbes takes the call out of the probes in flight.
+// releaseProbes removes the call from the counts of probes in flight.
 func (c *Call) releaseProbes() {
-	for index, ejection := range c.ejections {
+	for index, ejection := range c.probedEjections {
 		if ejection != nil {
 			ejection.probesInFlight--
-			c.ejections[index] = nil
+			c.probedEjections[index] = nil
 		}
 	}
 }
--- a/internal/proxy/outlier/detector.go
+++ b/internal/proxy/outlier/detector.go
@@ -9,83 +9,84 @@
 )
 
 const (
-	// smoothingWindow is the number of responses over which the fault rate and the latency ratio are smoothed, the newest
-	// weighing most.
+	// smoothingWindow is the number of responses over which the fault rate and the latency ratio are smoothed. The newest
+	// response has the largest weight.
 	smoothingWindow = 8
-	// minFaultRate is the fault rate below which no backend is ejected. Four failures in a row reach it. At three, backends
-	// that fail one request in twenty, as half of a service may, were ejected again and again.
+	// minFaultRate is the fault rate below which no backend is ejected. Four consecutive failures reach it. A lower rate, reached
+	// after three, repeatedly ejected backends that fail one request in twenty, as up to half of a service's backends may.
 	minFaultRate = 0.4
-	// peerFaultFactor and peerFaultMargin are how much worse than its peers a backend must be. Faults that all backends have
-	// are the service's, and for its breaker to handle.
+	// peerFaultFactor and peerFaultMargin define how far a backend's fault rate must exceed that of its peers. Faults that all
+	// backends share are faults of the service, which its circuit breaker handles.
 	peerFaultFactor, peerFaultMargin = 2, 0.1
-	// maxEjectedShare is the share of a service's backends that may be ejected.
+	// maxEjectedShare is the largest share of a service's backends that may be ejected.
 	maxEjectedShare = 0.5
-	// minGlobalFailures is the number of last failures that must be of several domains for an ejection for all callers.
+	// minGlobalFailures is the number of most recent failures of which not all may be of the same domain if the backend is to
+	// be ejected for all callers.
 	minGlobalFailures = 3
 )
 
-// Peers are statistics of the other backends of the service, from what their proxies reported to the caller.
+// Peers holds statistics of the other backends of the service, as their proxies reported them to the caller.
 type Peers struct {
-	Known        int     // how many there are
-	Ejected      int     // how many of them are ejected
+	Known        int     // number of other backends
+	Ejected      int     // number of them that are ejected
 	FaultRate    float64 // median share of failed requests
-	LatencyRatio float64 // median of the time of a request over its usual time
+	LatencyRatio float64 // median ratio of the current latency to the baseline latency
 }
 
 // RequestInfo describes a request.
 type RequestInfo struct {
 	Domain string // failure domain of the caller
-	Kind   string // requests of a kind usually take the same time
-	// LatencyTarget is the rest of the time within which the response is wanted, in microseconds; 0 if that isn't known.
+	Kind   string // class of requests with similar latency
+	// LatencyTarget is the time left in which to meet the response's latency target, in microseconds; 0 if unknown.
 	LatencyTarget monotonic.Micros
 	Idempotent    bool
-	NoAlternative bool // the request has no other backend to go to
+	NoAlternative bool // no other backend can take the request
 	Peers         Peers
 }
 
-// Outcome is how a request ended, as evidence on its backend.
+// Outcome classifies the end of a request by what it says about the backend.
 type Outcome int
 
 const (
-	// Unknown isn't counted: the fault was the request's, or its time was too short.
+	// Unknown isn't counted: the request was at fault, or its deadline was too short.
 	Unknown Outcome = iota
-	// Success is a response in time.
+	// Success is a valid response in time.
 	Success
-	// Failure is an error, a broken response or none.
+	// Failure is an error, an invalid response or no response.
 	Failure
 )
 
-// Change is an ejection or a reinstatement, for an event.
+// Change describes an ejection or a reinstatement, to be reported as an event.
 type Change struct {
 	Ejected         bool
 	Domain          string // empty for all callers
 	FaultRate       float64
-	RecentEjections int // ejections of which each followed the one before within flapWindow
+	RecentEjections int // number of ejections in a row that each began within flapWindow of the one before
 }
 
-// Detector judges one backend. It isn't safe for concurrent use.
+// Detector tracks the failures and the latency of one backend. It isn't safe for concurrent use.
 //
-// Invariants: each Call of Admit is closed once. calls holds exactly the calls between Start and Close. An ejection's
-// probesInFlight counts the calls that are probes of it and aren't closed. An ejection for all callers holds for each domain.
+// Invariants: each Call returned by Admit is closed. calls holds exactly the calls between Start and Close. An ejection's
+// probesInFlight counts the open calls that probe it. An ejection for all callers applies to the callers of each domain.
 type Detector struct {
-	global  ejection
-	domains map[string]*ejection
+	global  ejection             // for all callers
+	domains map[string]*ejection // by failure domain of the callers
 	latency latencyTracker
-	peers   Peers   // as the last request brought them
+	peers   Peers   // from the last request
 	calls   []*Call // in flight
 	changes []Change
-	// recentResponses and recentFailures are the domains of the callers of the last few, so that one domain's fault isn't
-	// taken for a fault for all callers.
+	// recentResponses and recentFailures hold the callers' domains of the most recent responses and failures, so that a fault
+	// in one domain isn't taken for one that affects all callers.
 	recentResponses, recentFailures recentDomains
 }
 
-// New returns the detector of a backend without any calls: it isn't ejected.
+// New returns a detector for a backend that has received no requests yet and isn't ejected.
 func New() *Detector {
 	return &Detector{domains: map[string]*ejection{}, latency: newLatencyTracker(), peers: Peers{LatencyRatio: 1}}
 }
 
-// Admit admits a request, or returns a nil call and the Retry-After in microseconds. It first counts the calls in flight that
-// are overdue as failures, which may eject the backend.
+// Admit admits a request, or returns a nil call and the Retry-After in microseconds. It first counts overdue calls in flight as
+// failures, which may eject the backend.
 func (d *Detector) Admit(now monotonic.Micros, request RequestInfo) (call *Call, wait monotonic.Micros) {
 	d.peers = request.Peers
 	d.peers.LatencyRatio = max(1, request.Peers.LatencyRatio)
@@ -100,13 +101,13 @@
 	for index, ejection := range ejections {
 		if ejection.ejected {
 			ejection.probesInFlight++
-			call.ejections[index] = ejection
+			call.probedEjections[index] = ejection
 		}
 	}
 	return call, 0
 }
 
-// wait is for how long a request isn't admitted; 0 if it is.
+// wait returns how long a request must wait before it may be admitted; 0 if it is admitted now.
 func (d *Detector) wait(now monotonic.Micros, request RequestInfo, ejections [2]*ejection) monotonic.Micros {
 	ejected := false
 	for _, ejection := range ejections {
@@ -116,12 +117,12 @@
 		ejected = ejected || ejection.ejected
 	}
 	if ejected {
-		return 0 // a probe, and limited as such
+		return 0 // a probe: probes are limited by the ejection, not by their latency
 	}
 	return d.latency.wait(now, request, d.peers.LatencyRatio)
 }
 
-// ejectionsFor returns what decides on a domain's callers: the ejection for all callers and the domain's own.
+// ejectionsFor returns the two ejections that apply to a domain's callers: the one for all callers and the domain's own.
 func (d *Detector) ejectionsFor(domain string) [2]*ejection {
 	own := d.domains[domain]
 	if own == nil {
@@ -133,12 +134,13 @@
 
 func (d *Detector) mayBeEjected() bool { return MayEject(d.peers.Known, d.peers.Ejected) }
 
-// MayEject reports whether a backend may be ejected beside others, of which known are there and ejected are ejected already.
+// MayEject reports whether a backend may be ejected when the service has known other backends, of which ejected are ejected
+// already.
 func MayEject(known, ejected int) bool {
 	return ejected < known && float64(ejected+1) <= max(1, maxEjectedShare*float64(known+1))
 }
 
-// countOverdue counts the calls in flight that take far longer than usual as failures.
+// countOverdue counts the calls in flight that have exceeded their overdue timeout as failures.
 func (d *Detector) countOverdue(now monotonic.Micros) {
 	for _, call := range d.calls {
 		if !call.overdue && now-call.startedAt >= d.latency.overdueTimeout(call.kind, d.peers.LatencyRatio) {
@@ -148,9 +150,9 @@
 	}
 }
 
-// recordOutcome counts the outcome of one call. It may eject the backend, reinstate it, or put its next probe off.
+// recordOutcome counts the outcome of one call. It may eject the backend, reinstate it or postpone its next probe.
 func (d *Detector) recordOutcome(now monotonic.Micros, call *Call, outcome Outcome) {
-	probed := call.ejections
+	probed := call.probedEjections
 	call.releaseProbes()
 	if outcome == Unknown {
 		return
@@ -177,7 +179,7 @@
 	}
 }
 
-// isOutlier reports whether the fault rate is so high above the peers' that the backend is to be ejected, and it may be.
+// isOutlier reports whether the fault rate exceeds that of the peers far enough for an ejection, and an ejection is allowed.
 func (d *Detector) isOutlier(ejection *ejection) bool {
 	threshold := max(minFaultRate, peerFaultFactor*d.peers.FaultRate+peerFaultMargin)
 	return ejection.faultRate >= threshold && d.mayBeEjected()
@@ -194,7 +196,7 @@
 	}
 }
 
-// resetDomainFaultRates forgets the failures that each domain's callers saw before the backend was reinstated for all.
+// resetDomainFaultRates clears the fault rates that the domains collected before the backend was reinstated for all callers.
 func (d *Detector) resetDomainFaultRates() {
 	for _, ejection := range d.domains {
 		if !ejection.ejected {
@@ -219,13 +221,13 @@
 	return changes
 }
 
-// Ejected reports whether the backend is ejected for a domain's callers, who then only send probes.
+// Ejected reports whether the backend is ejected for the callers of a domain, of which it then receives only probes.
 func (d *Detector) Ejected(domain string) bool {
 	own := d.domains[domain]
 	return d.global.ejected || own != nil && own.ejected
 }
 
-// EjectedDomains lists the domains for whose callers alone the backend is ejected, in order.
+// EjectedDomains returns the sorted names of the domains that have an ejection of their own.
 func (d *Detector) EjectedDomains() (domains []string) {
 	for _, domain := range slices.Sorted(maps.Keys(d.domains)) {
 		if d.domains[domain].ejected {
@@ -235,7 +237,7 @@
 	return domains
 }
 
-// FaultRate is the share of failed requests of a domain's callers, or of all callers if that is higher.
+// FaultRate returns the smoothed share of failed requests of a domain's callers, or of all callers if that is higher.
 func (d *Detector) FaultRate(domain string) float64 {
 	own := d.domains[domain]
 	if own == nil {
@@ -244,17 +246,17 @@
 	return max(d.global.faultRate, own.faultRate)
 }
 
-// LatencyRatio is the time of requests over their usual time, smoothed.
+// LatencyRatio returns the smoothed ratio of the current latency to the baseline latency.
 func (d *Detector) LatencyRatio() float64 { return math.Max(0, d.latency.ratio) }
 
-// TakeRecovered reports, once, that the backend was slow and is as fast as its peers again: what was measured of it before no
-// longer holds.
+// TakeRecovered reports once that the backend was slow and is now as fast as its peers again. Earlier measurements of the
+// backend no longer apply then.
 func (d *Detector) TakeRecovered() bool { return d.latency.takeRecovered() }
 
-// BaselineLatency is the usual time of a request in microseconds; 0 if it isn't known.
+// BaselineLatency returns the usual latency of a request in microseconds; 0 if unknown.
 func (d *Detector) BaselineLatency() monotonic.Micros { return monotonic.Micros(d.latency.all.mean) }
 
-// BaselineLatencyOf is the usual time of a request of one kind in microseconds; 0 while too few were seen.
+// BaselineLatencyOf returns the usual latency of a request of one kind in microseconds; 0 while there are too few samples.
 func (d *Detector) BaselineLatencyOf(kind string) monotonic.Micros {
 	baseline := d.latency.baseline(kind)
 	if baseline == nil {
--- a/internal/proxy/outlier/detector_test.go
+++ b/internal/proxy/outlier/detector_test.go
@@ -9,7 +9,7 @@
 
 const ms = monotonic.Millisecond
 
-// backendTest plays requests at one backend, one after the other or side by side.
+// backendTest simulates requests to one backend, in sequence or concurrently.
 type backendTest struct {
 	t        *testing.T
 	now      monotonic.Micros
@@ -25,19 +25,19 @@
 	return RequestInfo{Domain: domain, Kind: "forms", LatencyTarget: 400 * ms, Idempotent: true, Peers: bt.peers}
 }
 
-// send plays a request of a domain and reports whether it was admitted.
+// send simulates a request from a caller in a domain and reports whether it was admitted.
 func (bt *backendTest) send(domain string, elapsed monotonic.Micros, outcome Outcome) bool {
 	bt.t.Helper()
-	return bt.play(bt.request(domain), elapsed, outcome)
+	return bt.sendRequest(bt.request(domain), elapsed, outcome)
 }
 
-// play plays a request and reports whether it was admitted.
-func (bt *backendTest) play(request RequestInfo, elapsed monotonic.Micros, outcome Outcome) bool {
+// sendRequest simulates a request and reports whether it was admitted.
+func (bt *backendTest) sendRequest(request RequestInfo, elapsed monotonic.Micros, outcome Outcome) bool {
 	bt.t.Helper()
 	c, wait := bt.detector.Admit(bt.now, request)
 	if c == nil {
 		if wait <= 0 {
-			bt.t.Error("a rejection without a time to come back")
+			bt.t.Error("a request was rejected without a retry-after time")
 		}
 		return false
 	}
@@ -47,12 +47,12 @@
 	return true
 }
 
-// warmUp plays successful requests, from which the usual time is learnt.
+// warmUp simulates successful requests of each domain, which establish the baseline latency.
 func (bt *backendTest) warmUp(domains ...string) {
 	for range 40 {
 		for _, domain := range domains {
 			if !bt.send(domain, 50*ms, Success) {
-				bt.t.Fatal("a healthy backend rejects requests")
+				bt.t.Fatal("a request to a healthy backend was rejected")
 			}
 		}
 	}
@@ -60,18 +60,18 @@
 
 func (bt *backendTest) ejected(domain string) bool { return bt.detector.Ejected(domain) }
 
-// TestConsecutiveFailuresEject: a backend that fails several requests in a row gets only probes, whatever the result of its
-// own health check.
+// TestConsecutiveFailuresEject: a backend that fails several consecutive requests receives only probes, regardless of its own
+// health check.
 func TestConsecutiveFailuresEject(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a", "b")
 	for _, domain := range []string{"a", "b", "a", "b"} {
 		if bt.ejected(domain) || !bt.send(domain, 5*ms, Failure) {
-			t.Fatal("ejected too early")
+			t.Fatal("ejected before four consecutive failures")
 		}
 	}
 	if !bt.ejected("a") || !bt.ejected("b") || !bt.ejected("never seen") {
-		t.Error("not ejected after four failures in a row")
+		t.Error("not ejected after four consecutive failures")
 	}
 	if bt.send("b", 5*ms, Success) {
 		t.Error("a request was admitted right after the ejection")
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestOccasionalFailuresDoNotEject: a backend with a few failures among many responses isn't an outlier.
+// TestOccasionalFailuresDoNotEject: a backend with occasional failures is not an outlier.
 func TestOccasionalFailuresDoNotEject(t *testing.T) {
 	bt := newBackendTest(t)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -99,35 +99,36 @@
 		}
 	}
 	if ejections > 2 {
-		t.Errorf("with one failure in twenty it was ejected %d times in 3000 requests", ejections)
+		t.Errorf("with one failure in twenty the backend was ejected %d times in 3000 requests", ejections)
 	}
 }
 
-// TestPartialFailuresEject: a backend that fails four requests in ten is ejected within a few dozen, and gets few from then on.
+// TestPartialFailuresEject: a backend that fails four requests in ten is ejected within a few dozen requests and then receives
+// only a few.
 func TestPartialFailuresEject(t *testing.T) {
 	for seed := range uint64(20) {
 		bt := newBackendTest(t)
 		bt.warmUp("a", "b")
 		random := rand.New(rand.NewPCG(seed, 1))
-		offered, taken := 0, 0
-		for began := bt.now; bt.now < began+6*monotonic.Second; offered++ {
+		offered, admitted := 0, 0
+		for startedAt := bt.now; bt.now < startedAt+6*monotonic.Second; offered++ {
 			outcome := Success
 			if random.Float64() < 0.4 {
 				outcome = Failure
 			}
 			if bt.send([]string{"a", "b"}[random.IntN(2)], 20*ms, outcome) {
-				taken++
+				admitted++
 			} else {
 				bt.now += 20 * ms
 			}
 		}
-		if taken*3 > offered {
-			t.Errorf("seed %d: %d of %d requests went to a backend that fails four in ten", seed, taken, offered)
+		if admitted*3 > offered {
+			t.Errorf("seed %d: %d of %d requests went to a backend that fails four in ten", seed, admitted, offered)
 		}
 	}
 }
 
-// TestOverdueRequestsCountAsFailures: requests that are in flight far longer than usual count before they end.
+// TestOverdueRequestsCountAsFailures: requests that are in flight far longer than the baseline count as failures before they end.
 func TestOverdueRequestsCountAsFailures(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -137,34 +138,34 @@
 	}
 	bt.now += 200 * ms
 	if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c == nil {
-		t.Fatal("rejected though a request may well take 200 ms")
+		t.Fatal("rejected although 200 ms is below the overdue timeout")
 	}
-	bt.now += 110 * ms // more than six times the usual 50 ms
+	bt.now += 110 * ms // 310 ms in total: more than six times the baseline of 50 ms
 	if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c != nil {
-		t.Error("not ejected while four requests hang")
+		t.Error("not ejected although four requests are overdue")
 	}
 }
 
-// TestServiceWideSlownessDoesNotEject: a fault that all backends have is the service's.
+// TestServiceWideSlownessDoesNotEject: failures and latency that all backends share don't eject a backend.
 func TestServiceWideSlownessDoesNotEject(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
 	bt.peers.FaultRate, bt.peers.LatencyRatio = 0.4, 5
 	for range 20 {
-		for number := range 5 {
+		for index := range 5 {
 			outcome := Success
-			if number < 2 {
+			if index < 2 {
 				outcome = Failure
 			}
 			if !bt.send("a", 400*ms, outcome) {
-				t.Fatal("rejected though its peers do no better")
+				t.Fatal("rejected although the peers fail as often and are as slow")
 			}
 		}
 	}
 }
 
-// TestEjectionIsBounded: no more than half of a service is ejected, never the only backend, and a request without another
-// backend to go to is admitted.
+// TestEjectionIsBounded: at most half of a service's backends are ejected, never the only one, and a request that has no other
+// backend is admitted.
 func TestEjectionIsBounded(t *testing.T) {
 	for name, test := range map[string]struct {
 		peers   Peers
@@ -186,7 +187,7 @@
 				bt.send("a", ms, Failure)
 			}
 			if bt.ejected("a") != test.ejected {
-				t.Errorf("ejected %v", bt.ejected("a"))
+				t.Errorf("ejected: %v", bt.ejected("a"))
 			}
 			if !test.ejected {
 				return
@@ -194,18 +195,18 @@
 			request := bt.request("a")
 			request.NoAlternative = true
 			if c, _ := bt.detector.Admit(bt.now, request); c == nil {
-				t.Error("a request without another backend was rejected")
+				t.Error("a request that has no other backend was rejected")
 			}
-			// Once all others are ejected too, it gets requests again.
+			// Once all other backends are ejected too, this one receives requests again.
 			bt.peers.Ejected = bt.peers.Known
 			if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c == nil {
-				t.Error("all backends reject requests")
+				t.Error("requests are rejected although all backends are ejected")
 			}
 		})
 	}
 }
 
-// TestGradualReinstatement: after a fault a backend gets more and more requests at once, beginning with one.
+// TestGradualReinstatement: after an ejection the number of concurrent probes rises with each success, starting at one.
 func TestGradualReinstatement(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -214,7 +215,7 @@
 	}
 	bt.now += initialProbeInterval
 	var inFlight []*Call
-	admittedAtOnce := []int{}
+	admittedConcurrently := []int{}
 	for range 4 {
 		for {
 			c, _ := bt.detector.Admit(bt.now, bt.request("a"))
@@ -224,28 +225,28 @@
 			c.Start(bt.now)
 			inFlight = append(inFlight, c)
 			if len(inFlight) > 100 {
-				admittedAtOnce = append(admittedAtOnce, len(inFlight))
+				admittedConcurrently = append(admittedConcurrently, len(inFlight))
 				break
 			}
 		}
-		admittedAtOnce = append(admittedAtOnce, len(inFlight))
+		admittedConcurrently = append(admittedConcurrently, len(inFlight))
 		bt.now += 50 * ms
 		for _, c := range inFlight {
 			c.Close(bt.now, Success)
 		}
 		inFlight = nil
 	}
-	if admittedAtOnce[0] != 1 || admittedAtOnce[1] != 1 || admittedAtOnce[2] != 2 || admittedAtOnce[3] != 4 {
-		t.Errorf("admitted at once: %v", admittedAtOnce)
+	if admittedConcurrently[0] != 1 || admittedConcurrently[1] != 1 || admittedConcurrently[2] != 2 || admittedConcurrently[3] != 4 {
+		t.Errorf("requests admitted concurrently in each round: %v", admittedConcurrently)
 	}
 	bt.warmUp("a")
 	if bt.ejected("a") || bt.detector.FaultRate("a") != 0 {
-		t.Error("a backend that has recovered isn't reinstated")
+		t.Error("a recovered backend isn't reinstated")
 	}
 }
 
-// TestRepeatedEjectionsBackOff: each further ejection, and each failed probe, makes the pause before the next probe longer, up
-// to a bound.
+// TestRepeatedEjectionsBackOff: each further ejection and each failed probe lengthens the pause before the next probe, up to a
+// maximum.
 func TestRepeatedEjectionsBackOff(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -254,16 +255,16 @@
 		for !bt.ejected("a") {
 			bt.send("a", ms, Failure)
 		}
-		began := bt.now
+		startedAt := bt.now
 		for !bt.send("a", ms, Success) {
 			bt.now += 10 * ms
 		}
-		waited := bt.now - began
+		waited := bt.now - startedAt
 		if round == 0 {
 			first = waited
 		}
 		if round == 3 && waited < 3*first || waited > maxProbeInterval+20*ms {
-			t.Errorf("ejection %d: the first probe came after %d ms", round, waited/ms)
+			t.Errorf("ejection %d: the first probe was admitted after %d ms", round, waited/ms)
 		}
 		for bt.ejected("a") {
 			bt.send("a", ms, Success)
@@ -273,7 +274,7 @@
 		bt.send("a", ms, Failure)
 	}
 	probes := 0
-	for began := bt.now; bt.now < began+20*monotonic.Second; bt.now += 10 * ms {
+	for startedAt := bt.now; bt.now < startedAt+20*monotonic.Second; bt.now += 10 * ms {
 		if bt.send("a", ms, Failure) {
 			probes++
 		}
@@ -283,7 +284,7 @@
 	}
 }
 
-// TestEjectionForOneDomain: a fault that only one domain's callers see ejects the backend for these alone.
+// TestEjectionForOneDomain: a fault that affects the callers of only one domain ejects the backend only for them.
 func TestEjectionForOneDomain(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a", "b", "c")
@@ -297,72 +298,72 @@
 	}
 }
 
-// TestSlowBackendWithinLatencyTarget: a backend that has become slow still gets the requests that it serves in time.
+// TestSlowBackendWithinLatencyTarget: a slow backend still receives the requests that it can serve within their latency target.
 func TestSlowBackendWithinLatencyTarget(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
-	taken, takenLongTarget := 0, 0
-	play := func(elapsed monotonic.Micros) {
+	admitted, admittedLongTarget := 0, 0
+	sendBoth := func(elapsed monotonic.Micros) {
 		if bt.send("a", elapsed, Success) {
-			taken++
+			admitted++
 		}
 		request := bt.request("a")
 		request.LatencyTarget = 2 * monotonic.Second
-		if bt.play(request, elapsed, Success) {
-			takenLongTarget++
+		if bt.sendRequest(request, elapsed, Success) {
+			admittedLongTarget++
 		}
 	}
 	for range 30 {
-		play(230 * ms) // 4.6 times its usual time, and within the target
+		sendBoth(230 * ms) // 4.6 times the baseline, and within the target
 	}
-	if taken != 30 || takenLongTarget != 30 {
-		t.Errorf("%d and %d of 30 that it serves in time", taken, takenLongTarget)
+	if admitted != 30 || admittedLongTarget != 30 {
+		t.Errorf("%d and %d of 30 requests with a reachable target were admitted", admitted, admittedLongTarget)
 	}
-	taken, takenLongTarget = 0, 0
+	admitted, admittedLongTarget = 0, 0
 	for range 40 {
-		play(290 * ms)
+		sendBoth(290 * ms)
 		bt.peers.LatencyRatio = 1
 	}
-	if taken != 40 {
-		t.Errorf("%d of 40 that it serves in time", taken)
+	if admitted != 40 {
+		t.Errorf("%d of 40 requests with a reachable target were admitted", admitted)
 	}
 }
 
-// TestSlowBackendMissesLatencyTarget: a slow backend gets few requests that it serves too late, and all of them again once
-// it is fast.
+// TestSlowBackendMissesLatencyTarget: a slow backend receives few of the requests whose latency target it would miss, and all
+// of them again once it is fast.
 func TestSlowBackendMissesLatencyTarget(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
-	short := func(elapsed monotonic.Micros) bool {
+	sendShortTarget := func(elapsed monotonic.Micros) bool {
 		request := bt.request("a")
 		request.LatencyTarget = 120 * ms
-		admitted := bt.play(request, elapsed, Success)
+		admitted := bt.sendRequest(request, elapsed, Success)
 		if !admitted {
 			bt.now += 50 * ms
 		}
 		return admitted
 	}
-	taken := 0
+	admittedCount := 0
 	for range 60 {
-		if short(200 * ms) {
-			taken++
+		if sendShortTarget(200 * ms) {
+			admittedCount++
 		}
 	}
-	if taken > 25 {
-		t.Errorf("%d of 60 requests went to a backend that can't serve them in time", taken)
+	if admittedCount > 25 {
+		t.Errorf("%d of 60 requests went to a backend that can't serve them in time", admittedCount)
 	}
 	for range 20 {
 		bt.now += initialProbeInterval
-		short(50 * ms)
+		sendShortTarget(50 * ms)
 	}
 	for range 2 {
-		if !short(50 * ms) {
-			t.Error("a backend that has recovered rejects requests")
+		if !sendShortTarget(50 * ms) {
+			t.Error("a request to a recovered backend was rejected")
 		}
 	}
 }
 
-// TestClosingCalls: closing a call again changes nothing, and the outcome of one that never started isn't counted.
+// TestClosingCalls: closing a call twice has no further effect, and the outcome of a call that never started isn't counted.
 func TestClosingCalls(t *testing.T) {
 	bt := newBackendTest(t)
 	bt.warmUp("a")
@@ -374,7 +375,7 @@
 	probe.Close(bt.now, Unknown)
 	probe.Close(bt.now, Failure)
 	if c, _ := bt.detector.Admit(bt.now, bt.request("a")); c == nil {
-		t.Error("a probe that was never handed to the backend blocks the next one")
+		t.Error("a probe that was never sent to the backend blocks the next one")
 	}
 	if len(bt.detector.calls) != 0 || bt.detector.global.probesInFlight != 1 {
 		t.Errorf("%d in flight, %d probes in flight", len(bt.detector.calls), bt.detector.global.probesInFlight)
--- a/internal/proxy/outlier/ejection.go
+++ b/internal/proxy/outlier/ejection.go
@@ -3,21 +3,22 @@
 import "snowflow/internal/monotonic"
 
 const (
-	// initialProbeInterval is the pause before the first probe of an ejected backend. It doubles with each failed probe, and
-	// with each ejection within flapWindow of the one before, up to maxProbeInterval.
+	// initialProbeInterval is the pause before the first probe of an ejected backend. The pause doubles with each failed probe
+	// and with each ejection within flapWindow of the one before, up to maxProbeInterval.
 	initialProbeInterval, maxProbeInterval = 500 * monotonic.Millisecond, 2 * monotonic.Second
-	// flapWindow is the time after an ejection in which another one counts as flapping.
+	// flapWindow is the time after an ejection during which another ejection counts as flapping.
 	flapWindow = 20 * monotonic.Second
-	// maxDoublings bounds how often the probe interval is doubled for flapping.
+	// maxDoublings limits how often the probe interval is doubled because of flapping.
 	maxDoublings = 4
-	// successesToReinstate is the number of successful probes in a row that reinstate a backend.
+	// successesToReinstate is the number of consecutive successful probes that reinstate a backend.
 	successesToReinstate = 8
 )
 
-// ejection is whether the backend is ejected for the callers of one domain, or for all, and the fault rate that they see.
+// ejection holds the fault rate that the callers of one domain, or all callers, observe, and whether the backend is ejected for
+// them.
 //
-// Invariant: consecutiveSuccesses, probeInterval and nextProbeAt are of use only while ejected. If consecutiveSuccesses is
-// above 0, it is the number of probes that may be in flight.
+// Invariant: consecutiveSuccesses, probeInterval and nextProbeAt are meaningful only while ejected. If consecutiveSuccesses is
+// above 0, it is also the largest number of probes that may be in flight.
 type ejection struct {
 	domain    string  // empty for all callers
 	faultRate float64 // share of failed requests, smoothed
@@ -27,11 +28,11 @@
 	probesInFlight       int
 	probeInterval        monotonic.Micros
 	nextProbeAt          monotonic.Micros
-	recentEjections      int // of which each followed the one before within flapWindow
+	recentEjections      int // ejections in a row that each began within flapWindow of the one before
 	lastEjectedAt        monotonic.Micros
 }
 
-// observe takes an outcome into the fault rate.
+// observe adds an outcome to the fault rate.
 func (e *ejection) observe(outcome Outcome) {
 	failed := 0.0
 	if outcome == Failure {
@@ -40,7 +41,7 @@
 	e.faultRate += (failed - e.faultRate) / smoothingWindow
 }
 
-// untilNextProbe is for how long no request may come; 0 if one may come now.
+// untilNextProbe returns how long no request is admitted; 0 if one may be admitted now.
 func (e *ejection) untilNextProbe(now monotonic.Micros, idempotent bool) monotonic.Micros {
 	if !e.ejected || e.consecutiveSuccesses > 0 && e.probesInFlight < e.consecutiveSuccesses {
 		return 0
@@ -50,7 +51,7 @@
 	}
 	next := e.nextProbeAt
 	if !idempotent {
-		next += e.probeInterval // a request that can't be repeated is risked only if no other one comes
+		next += e.probeInterval // prefer an idempotent request as the probe: others can't be retried after a failure
 	}
 	return max(0, next-now)
 }
@@ -65,7 +66,7 @@
 	e.lastEjectedAt, e.nextProbeAt = now, now+e.probeInterval
 }
 
-// recordProbeSuccess reports whether the backend is now reinstated.
+// recordProbeSuccess counts a successful probe and reports whether the backend is reinstated by it.
 func (e *ejection) recordProbeSuccess() (reinstated bool) {
 	e.consecutiveSuccesses++
 	if e.consecutiveSuccesses < successesToReinstate {
--- a/internal/proxy/outlier/latency.go
+++ b/internal/proxy/outlier/latency.go
@@ -3,44 +3,44 @@
 import "snowflow/internal/monotonic"
 
 const (
-	// overdueFactor is how many times its usual time a request may take before it counts as a failure while in flight.
-	overdueFactor = 6
-	minOverdue    = 150 * monotonic.Millisecond
-	// defaultOverdue is used for requests of a kind of which too few were seen.
-	defaultOverdue = monotonic.Second
-	// slowFactor is how much slower than its peers a backend must be for requests to be rejected that it would serve too
-	// late.
+	// overdueFactor is the multiple of its baseline latency after which a request in flight counts as a failure.
+	overdueFactor     = 6
+	minOverdueTimeout = 150 * monotonic.Millisecond
+	// defaultOverdueTimeout applies to requests of a kind that has no baseline yet.
+	defaultOverdueTimeout = monotonic.Second
+	// slowFactor is how many times slower than its peers a backend must be before requests that it would answer after their
+	// latency target are rejected.
 	slowFactor = 2
-	// recoveredFactor is how much slower than its peers a backend that was slow may still be to count as recovered.
+	// recoveredFactor is how many times slower than its peers a slow backend may still be to count as recovered.
 	recoveredFactor = 1.4
-	// baselineWindow is the number of requests over which a kind's usual time is averaged: much longer than a fault should
-	// weigh in it.
+	// baselineWindow is the number of requests over which a kind's baseline is averaged. It is large, so that a fault hardly
+	// changes the baseline while it lasts.
 	baselineWindow = 64
-	// minBaselineSamples is the number of requests from which a kind's usual time is used.
+	// minBaselineSamples is the number of requests that a kind's baseline needs before it is used.
 	minBaselineSamples = 8
-	// maxKinds bounds the kinds of which the usual time is stored.
+	// maxKinds is the largest number of kinds whose baseline is stored.
 	maxKinds = 256
-	// maxOutlierFactor bounds what one slow request adds to the usual time of its kind.
+	// maxOutlierFactor caps a latency sample at this multiple of its kind's baseline, before it is added to the baseline.
 	maxOutlierFactor = 2
-	// fasterSmoothingWindow smooths the latency ratio while requests are faster than it: a backend that has been slow gets few
-	// requests by which to show that it has recovered.
+	// fasterSmoothingWindow is the window for samples below the latency ratio. It is short because a slow backend receives few
+	// requests that can show that it has recovered.
 	fasterSmoothingWindow = 3
 )
 
-// latencyTracker compares the time of a backend's requests with their usual time.
+// latencyTracker compares the latency of a backend's requests with their baseline latency.
 type latencyTracker struct {
 	kinds        map[string]*latencyBaseline
 	all          latencyBaseline  // over all kinds
-	ratio        float64          // time over the kind's usual time, smoothed
-	samples      int              // that the ratio is smoothed over, up to smoothingWindow
-	slow         bool             // it has been slower than its peers by slowFactor, and hasn't recovered
-	recovered    bool             // it has recovered since takeRecovered was last called
-	slowProbedAt monotonic.Micros // when a request that may be served too late was last admitted, to measure; 0 if none was
+	ratio        float64          // latency over the kind's baseline, smoothed
+	samples      int              // number of samples in the ratio, up to smoothingWindow
+	slow         bool             // the backend became slower than its peers by slowFactor and hasn't recovered
+	recovered    bool             // the backend has recovered since the last call of takeRecovered
+	slowProbedAt monotonic.Micros // when a request expected to miss its target was last admitted; 0 if never
 }
 
-// latencyBaseline is a usual time.
+// latencyBaseline is the mean latency of past requests.
 type latencyBaseline struct {
-	mean    float64 // microseconds
+	mean    float64 // in microseconds
 	samples int     // up to baselineWindow
 }
 
@@ -48,7 +48,7 @@
 	return latencyTracker{kinds: map[string]*latencyBaseline{}, ratio: 1}
 }
 
-// baseline is the usual time of a kind; nil while too few requests were seen.
+// baseline returns the baseline of a kind; nil while it has too few samples.
 func (l *latencyTracker) baseline(kind string) *latencyBaseline {
 	baseline := l.kinds[kind]
 	if baseline == nil || baseline.samples < minBaselineSamples {
@@ -57,8 +57,8 @@
 	return baseline
 }
 
-// wait is for how long a request isn't admitted because the backend would serve it too late; 0 if it is. One such
-// request is still admitted each initialProbeInterval, to measure the backend.
+// wait returns how long a request must wait because the backend would miss its latency target; 0 if it is admitted now. One
+// such request per initialProbeInterval is admitted to measure the backend.
 func (l *latencyTracker) wait(now monotonic.Micros, request RequestInfo, peerRatio float64) monotonic.Micros {
 	if !l.missesTarget(request, peerRatio) {
 		return 0
@@ -77,16 +77,17 @@
 		baseline.mean*l.ratio > float64(request.LatencyTarget)
 }
 
-// overdueTimeout is the time from which a request in flight counts as a failure.
+// overdueTimeout returns the time after which a request in flight counts as a failure.
 func (l *latencyTracker) overdueTimeout(kind string, peerRatio float64) monotonic.Micros {
 	baseline := l.baseline(kind)
 	if baseline == nil {
-		return defaultOverdue
+		return defaultOverdueTimeout
 	}
-	return max(minOverdue, monotonic.Micros(overdueFactor*baseline.mean*peerRatio))
+	return max(minOverdueTimeout, monotonic.Micros(overdueFactor*baseline.mean*peerRatio))
 }
 
-// observe takes the time of a successful request. Times far above the usual one add little to it.
+// observe adds the latency of a successful request. A latency far above the baseline is capped before it is added to the
+// baseline.
 func (l *latencyTracker) observe(kind string, elapsed monotonic.Micros, peerRatio float64) {
 	baseline := l.kinds[kind]
 	if baseline == nil {
@@ -103,10 +104,10 @@
 	}
 	baseline.observe(micros)
 	l.all.observe(micros)
-	l.compare(peerRatio)
+	l.updateSlow(peerRatio)
 }
 
-// observeRatio smooths the latency ratio.
+// observeRatio adds a sample to the smoothed latency ratio.
 func (l *latencyTracker) observeRatio(ratio float64, faster bool) {
 	l.samples = min(l.samples+1, smoothingWindow)
 	weight := float64(max(2, l.samples))
@@ -116,8 +117,8 @@
 	l.ratio += (ratio - l.ratio) / weight
 }
 
-// compare notes whether the backend has become slow, or recovered.
-func (l *latencyTracker) compare(peerRatio float64) {
+// updateSlow marks the backend as slow or as recovered.
+func (l *latencyTracker) updateSlow(peerRatio float64) {
 	if l.ratio >= slowFactor*peerRatio {
 		l.slow = true
 	} else if l.slow && l.ratio < recoveredFactor*peerRatio {
--- a/internal/proxy/outlier/recent.go
+++ b/internal/proxy/outlier/recent.go
@@ -1,9 +1,9 @@
 package outlier
 
-// recentDomains holds the callers' domains of the last smoothingWindow of something.
+// recentDomains holds the callers' domains of the last smoothingWindow responses or failures.
 type recentDomains struct {
-	domains [smoothingWindow]string // a ring
-	count   int                     // how many there have been
+	domains [smoothingWindow]string // ring buffer
+	count   int                     // entries ever added
 }
 
 func (r *recentDomains) add(domain string) {
@@ -11,7 +11,7 @@
 	r.count++
 }
 
-// includeSeveral reports whether the last few were of more than one domain.
+// includeSeveral reports whether the given number of most recent entries include more than one domain.
 func (r *recentDomains) includeSeveral(last int) bool {
 	last = min(last, r.count, smoothingWindow)
 	for back := 2; back <= last; back++ {
