--- a/internal/proxy/loadbalancer/balancer_test.go
+++ b/internal/proxy/loadbalancer/balancer_test.go
@@ -122,9 +122,9 @@
 	})
 }
 
-// TestWorkIsKnownByRoute: a short request stays in its domain though that backend has much long work of another route. Where
+// TestServiceTimeByRoute: a short request stays in its domain though that backend has much long work of another route. Where
 // its own route takes long, it goes to where that takes less.
-func TestWorkIsKnownByRoute(t *testing.T) {
+func TestServiceTimeByRoute(t *testing.T) {
 	simulate(t, monotonic.Second, func(node *world.Host) {
 		balancer := newTwoDomains(node)
 		report := func(instance, route string, work, routeWork monotonic.Micros) {
