--- a/internal/proxy/breaker/control.go
+++ b/internal/proxy/breaker/control.go
@@ -5,21 +5,21 @@
 	"snowflow/internal/eventlog"
 )
 
-// Control is an operator's override of one service's breaker on this proxy. It goes before the shared record.
+// Control is an operator's override of one service's breaker on this proxy. It takes precedence over the shared record.
 type Control string
 
 const (
-	// ControlNone lets the breaker decide.
+	// ControlNone means no override: the breaker decides.
 	ControlNone Control = ""
 	// ControlForceOpen rejects every attempt.
 	ControlForceOpen Control = "force_open"
-	// ControlDisable admits every attempt and counts none.
+	// ControlDisable admits every attempt and doesn't count the outcomes.
 	ControlDisable Control = "disable"
-	// ControlMetricsOnly admits every attempt, and still counts the outcomes.
+	// ControlMetricsOnly admits every attempt and counts the outcomes.
 	ControlMetricsOnly Control = "metrics_only"
 )
 
-// controlVerbs are the controls by the words that operators give. A reset clears the control and the local breaker, not the
+// controlVerbs maps the verbs of the operator API to controls. A reset clears the control and the local breaker, but not the
 // shared record.
 var controlVerbs = map[string]Control{
 	"force_open":   ControlForceOpen,
@@ -28,8 +28,8 @@
 	"reset":        ControlNone,
 }
 
-// SetControl sets a service's control by the word that an operator gave: force_open, disable, metrics_only or reset. Another
-// word is an error of the type apierror.Invalid.
+// SetControl sets a service's control by an operator's verb: force_open, disable, metrics_only or reset. It returns an
+// apierror.Invalid error for any other verb.
 func (s *Set) SetControl(service, verb string) error {
 	control, known := controlVerbs[verb]
 	if !known {
--- a/internal/proxy/breaker/degraded.go
+++ b/internal/proxy/breaker/degraded.go
@@ -7,24 +7,24 @@
 	"snowflow/internal/monotonic"
 )
 
-// jitterSteps is the number of values that the random share of the backoff's jitter takes, from 0 to below 1.
+// jitterSteps is the number of distinct values of the random factor, from 0 to below 1, that scales the backoff's jitter.
 const jitterSteps = 1000
 
-// Degraded reports whether the registry can't be reached, so that local breakers decide.
+// Degraded reports whether the registry is unreachable and the local breakers decide.
 func (s *Set) Degraded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.degraded
 }
 
-// enterDegraded makes local breakers decide, because of a failed call to the registry. Queued writes will be dropped.
+// enterDegraded makes the local breakers decide after a failed call to the registry. Queued writes will be dropped.
 func (s *Set) enterDegraded(cause error) {
 	if s.markDegraded() {
 		s.config.Host.Report(eventlog.BreakerDegraded, eventlog.Attributes{"error": cause.Error()})
 	}
 }
 
-// markDegraded reports whether the set wasn't degraded before. Then the backoff begins.
+// markDegraded marks the set as degraded and starts the backoff. It reports whether the set wasn't degraded before.
 func (s *Set) markDegraded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// backoff is for how long writes are dropped. The caller holds the lock.
+// backoff returns how long writes are dropped. The caller holds the lock.
 func (s *Set) backoff() monotonic.Micros {
 	delay := float64(s.config.RetryBackoff) * math.Pow(s.config.RetryMultiplier, float64(s.failures))
 	if s.config.RetryBackoffMax > 0 {
--- a/internal/proxy/breaker/local.go
+++ b/internal/proxy/breaker/local.go
@@ -6,40 +6,40 @@
 	"snowflow/internal/transport/wire"
 )
 
-// minRetryAfter and maxRetryAfter bound the Retry-After of a rejection by an open breaker.
+// minRetryAfter and maxRetryAfter are the limits of the Retry-After of a rejection by an open breaker.
 const (
 	minRetryAfter = monotonic.Second
 	maxRetryAfter = 5 * monotonic.Second
 )
 
-// retryAfter is the Retry-After, in microseconds, of a rejection by a breaker that stays open for that long.
-func retryAfter(open monotonic.Micros) monotonic.Micros {
-	return min(max(open, minRetryAfter), maxRetryAfter)
+// retryAfter returns the Retry-After, in microseconds, of a rejection by a breaker that stays open for the remaining time.
+func retryAfter(remaining monotonic.Micros) monotonic.Micros {
+	return min(max(remaining, minRetryAfter), maxRetryAfter)
 }
 
-// localBreaker is the state machine of this proxy's own breaker for one service. It is pure: the lock of its serviceBreaker
-// guards it, and it is given the time.
+// localBreaker is the state machine of this proxy's own breaker for one service. It is pure: the caller passes in the time and
+// holds the lock of the serviceBreaker.
 //
-//	closed ── window over a threshold ──> open ── wait ──> half open ── all probes ended, few failed ──> closed
-//	                                       ^                  │
-//	                                       └── many failed ───┘
+//	closed ── rate reaches its threshold ──> open ── wait ──> half open ── all probes ended, few failed ──> closed
+//	                                          ^                  │
+//	                                          └── many failed ───┘
 type localBreaker struct {
-	state     string // one of breakerstore's
-	enteredAt monotonic.Micros
-	// The probes of a half-open round.
-	remaining int // that may still start
-	completed int // that ended with an outcome
-	failed    int // of these, failed or slow
+	state     string           // breakerstore.Closed, Open or HalfOpen
+	enteredAt monotonic.Micros // when the open or half-open state began
+	// Counts of the probes in a half-open round.
+	remaining int // may still start
+	completed int // ended with an outcome other than Neutral
+	failed    int // completed ones that failed or were slow
 }
 
-// localDecision is what a local breaker decides on an attempt.
+// localDecision is a local breaker's decision on an attempt.
 type localDecision struct {
 	admitted   bool
-	probe      bool             // endProbe must be called when the attempt has ended
-	retryAfter monotonic.Micros // when the caller may retry, if it isn't admitted
+	probe      bool             // the attempt is a probe: endProbe must be called at its end
+	retryAfter monotonic.Micros // how long the caller of a rejected attempt should wait before a retry
 }
 
-// admit decides on an attempt. An open breaker becomes half open once it has been open for the configured time.
+// admit decides whether an attempt is admitted. An open breaker becomes half open after the configured time.
 func (l *localBreaker) admit(now monotonic.Micros, settings *wire.Breaker) localDecision {
 	if l.state == breakerstore.Closed {
 		return localDecision{admitted: true}
@@ -55,8 +55,8 @@
 	return localDecision{retryAfter: retryAfter(waitOpen - (now - l.enteredAt))}
 }
 
-// endProbe records the outcome of a probe. The last one of a round closes the breaker, or reports that it must open again. A
-// probe that ends after its round changes nothing.
+// endProbe records the outcome of a probe. The last probe of a round closes the breaker, or endProbe returns true because the
+// breaker must open again. A probe that ends after its round is ignored.
 func (l *localBreaker) endProbe(settings *wire.Breaker, outcome Outcome, slow bool) (open bool) {
 	if l.state != breakerstore.HalfOpen {
 		return false
--- a/internal/proxy/breaker/local_test.go
+++ b/internal/proxy/breaker/local_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestLocalBreakerRounds: a half-open breaker admits as many probes as are permitted, and their outcomes decide.
+// TestLocalBreakerRounds: the outcomes of the permitted probes of a half-open round close the breaker or open it again.
 func TestLocalBreakerRounds(t *testing.T) {
 	settings := &wire.Breaker{WaitOpenMicros: proto.Int64(int64(2 * monotonic.Second)), PermittedHalfOpen: proto.Uint32(2), FailureRate: proto.Float64(0.5)}
 	type probe struct {
@@ -20,7 +20,7 @@
 	for name, test := range map[string]struct {
 		probes []probe
 		state  string
-		open   bool // the last probe opens the breaker again
+		open   bool // the last probe reports that the breaker must open again
 	}{
 		"all succeed":             {[]probe{{outcome: Success}, {outcome: Success}}, breakerstore.Closed, false},
 		"failures reach the rate": {[]probe{{outcome: Success}, {outcome: Failure}}, breakerstore.HalfOpen, true},
@@ -34,17 +34,17 @@
 				t.Fatalf("while open: %+v", decision)
 			}
 			now, open := monotonic.Minute+2*monotonic.Second, false
-			for number, probe := range test.probes {
+			for index, probe := range test.probes {
 				if decision := breaker.admit(now, settings); !decision.admitted || !decision.probe {
-					t.Fatalf("probe %d: %+v", number, decision)
+					t.Fatalf("probe %d: %+v", index, decision)
 				}
 				if open {
-					t.Fatalf("opened before probe %d", number)
+					t.Fatalf("opened before probe %d", index)
 				}
 				open = breaker.endProbe(settings, probe.outcome, probe.slow)
 			}
 			if breaker.state != test.state || open != test.open {
-				t.Errorf("%s, opens again %v", breaker.state, open)
+				t.Errorf("state %s, must open again: %v", breaker.state, open)
 			}
 		})
 	}
@@ -54,9 +54,9 @@
 func TestLocalBreakerLimitsProbes(t *testing.T) {
 	settings := &wire.Breaker{PermittedHalfOpen: proto.Uint32(2)}
 	breaker := localBreaker{state: breakerstore.Open}
-	for number := range 4 {
-		if decision := breaker.admit(monotonic.Minute, settings); decision.admitted != (number < 2) {
-			t.Errorf("attempt %d: %+v", number, decision)
+	for index := range 4 {
+		if decision := breaker.admit(monotonic.Minute, settings); decision.admitted != (index < 2) {
+			t.Errorf("attempt %d: %+v", index, decision)
 		}
 	}
 }
--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -9,44 +9,44 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Permit is one admitted attempt. Done must be called exactly once.
+// Permit represents one admitted attempt. Done must be called exactly once.
 type Permit struct {
 	set     *Set
 	breaker *serviceBreaker
-	service *config.Service // as it was configured when the attempt was admitted
-	// probeID is the attempt's probe, leased by the shared record of recordVersion; empty if it has none.
-	probeID       string
-	recordVersion uint64
-	localProbe    bool // the attempt is a probe of the local breaker
-	uncounted     bool // the outcome isn't counted, since the breaker is disabled
-	locallyAdmitted         bool // admitted by the local breaker alone, since the registry couldn't be reached
-	startedAt     monotonic.Micros
+	service *config.Service // its configuration when the attempt was admitted
+	// probeID identifies the probe that the registry leased for the attempt; empty if it has none.
+	probeID         string
+	recordVersion   uint64 // version of the shared record when the attempt was admitted
+	localProbe      bool   // the attempt is a probe of the local breaker
+	uncounted       bool   // the outcome isn't counted because the breaker is disabled
+	locallyAdmitted bool   // admitted by the local breaker alone because the registry was unreachable
+	startedAt       monotonic.Micros
 }
 
-// LocallyAdmitted reports whether the local breaker alone admitted the attempt, since the registry couldn't be reached.
+// LocallyAdmitted reports whether the local breaker alone admitted the attempt because the registry was unreachable.
 func (p *Permit) LocallyAdmitted() bool { return p.locallyAdmitted }
 
-// Outcome is how an attempt ended, as evidence on its service.
+// Outcome classifies the end of an attempt by what it says about the service.
 type Outcome int
 
 const (
 	// Success is a response that isn't an error.
 	Success Outcome = iota
-	// Failure is an error of the backend's.
+	// Failure is an error caused by the backend.
 	Failure
-	// Neutral isn't counted: the fault was of this proxy, of another one or of the request.
+	// Neutral isn't counted: this proxy, another proxy or the request was at fault.
 	Neutral
 )
 
-// admitByState decides by the state of the shared record.
+// admitByState maps the state of the shared record to the function that admits or rejects an attempt.
 var admitByState = map[string]func(s *Set, b *serviceBreaker, permit *Permit) *apierror.Error{
 	breakerstore.Closed:   (*Set).admitLocally,
 	breakerstore.Open:     (*Set).rejectOpen,
 	breakerstore.HalfOpen: (*Set).admitProbe,
 }
 
-// Admit admits one attempt to a service, or returns the fault with which it is rejected. It waits for the registry only while
-// the service's record is half open.
+// Admit admits one attempt to call a service, or returns the error with which it is rejected. It waits for the registry only
+// while the service's shared record is half open.
 func (s *Set) Admit(service *config.Service) (*Permit, *apierror.Error) {
 	b := s.breakerFor(service.Name)
 	permit := &Permit{set: s, breaker: b, service: service, startedAt: s.config.Host.Now()}
@@ -67,7 +67,7 @@
 	return permit, nil
 }
 
-// beginAdmission counts an attempt that asks for admission, and returns what decides on it.
+// beginAdmission counts an admission request and returns the state of the shared record and the control, which decide on it.
 func (b *serviceBreaker) beginAdmission(permit *Permit) (state string, control Control) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +88,7 @@
 	return fault
 }
 
-// admitLocally decides by the local breaker.
+// admitLocally lets the local breaker decide on an attempt.
 func (s *Set) admitLocally(b *serviceBreaker, permit *Permit) *apierror.Error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +102,7 @@
 	return fault
 }
 
-// Done records how an admitted attempt ended.
+// Done records the outcome of an admitted attempt.
 func (p *Permit) Done(outcome Outcome) {
 	elapsed := p.set.config.Host.Now() - p.startedAt
 	slow := elapsed > monotonic.Micros(p.service.Breaker.GetSlowMicros())
@@ -127,7 +127,7 @@
 	}
 }
 
-// recordCall adds a call to the window, and reports whether the local breaker must open. The caller holds the lock.
+// recordCall adds a call to the window and reports whether the local breaker must open. The caller holds the lock.
 func (b *serviceBreaker) recordCall(settings *wire.Breaker, result callResult) (open bool) {
 	b.calls++
 	if result.failed {
@@ -140,7 +140,7 @@
 	return b.window.exceedsThreshold(int(settings.GetMinimumCalls()), settings.GetFailureRate(), settings.GetSlowRate())
 }
 
-// openLocally opens the local breaker and reports that to the registry. The caller holds the breaker's lock.
+// openLocally opens the local breaker and queues a report for the registry. The caller holds the breaker's lock.
 func (s *Set) openLocally(b *serviceBreaker) {
 	b.local = localBreaker{state: breakerstore.Open, enteredAt: s.config.Host.Now()}
 	b.window = newWindow(len(b.window.results))
--- a/internal/proxy/breaker/probes.go
+++ b/internal/proxy/breaker/probes.go
@@ -9,12 +9,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// leaseTimeout is how long the lease of a probe may take, in which a caller waits. It outlasts a batch of the registry's log
-// that a slow disk syncs.
+// leaseTimeout limits the lease of a probe, for which a caller's request waits. It is longer than a slow disk needs to sync a
+// batch of the registry's log.
 const leaseTimeout = monotonic.Second
 
-// admitProbe leases a probe from the registry. If the registry can't be reached, or the record has been closed meanwhile, the
-// local breaker decides.
+// admitProbe leases a probe from the registry. If the registry is unreachable or the record has been closed in the meantime,
+// the local breaker decides.
 func (s *Set) admitProbe(b *serviceBreaker, permit *Permit) *apierror.Error {
 	if s.skipProbeLeases {
 		return nil
@@ -38,8 +38,8 @@
 	return apierror.New(apierror.NoProbeLeft, apierror.NotRun, "the breaker of %s has no probe left", b.service)
 }
 
-// endProbe writes the result of a leased probe. A neutral outcome is no evidence on the service, so the probe is
-// returned for another attempt.
+// endProbe queues the result of a leased probe for the registry. A neutral outcome says nothing about the service, so the
+// probe is returned for another attempt.
 func (p *Permit) endProbe(outcome Outcome, slow bool) {
 	verb := breakerstore.VerbProbe
 	if outcome == Neutral {
--- a/internal/proxy/breaker/records.go
+++ b/internal/proxy/breaker/records.go
@@ -7,10 +7,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ApplyPoll takes the records that a poll of the registry brought. With reached false the registry's leader wasn't reached,
-// and the set becomes degraded.
-func (s *Set) ApplyPoll(records []*wire.BreakerRecord, reached bool) {
-	if !reached {
+// ApplyPoll applies the records that a poll of the registry returned. If the poll didn't reach the registry's leader, the set
+// becomes degraded.
+func (s *Set) ApplyPoll(records []*wire.BreakerRecord, leaderReached bool) {
+	if !leaderReached {
 		s.enterDegraded(apierror.Unreachable.New("poll"))
 		return
 	}
@@ -20,8 +20,8 @@
 	}
 }
 
-// applyRecord takes a shared record, unless a newer one is known. If the state has changed, the local breaker starts anew. A
-// nil record is ignored.
+// applyRecord stores a shared record unless a newer one is known. A change of state resets the local breaker. A nil record is
+// ignored.
 func (s *Set) applyRecord(b *serviceBreaker, record *wire.BreakerRecord) {
 	if record == nil {
 		return
@@ -31,12 +31,12 @@
 	if b.shared != nil && record.Version < b.shared.Version {
 		return
 	}
-	formerState := breakerstore.Closed
+	previousState := breakerstore.Closed
 	if b.shared != nil {
-		formerState = b.shared.State
+		previousState = b.shared.State
 	}
 	b.shared = record
-	if record.State == formerState {
+	if record.State == previousState {
 		return
 	}
 	b.resetLocal()
--- a/internal/proxy/breaker/set.go
+++ b/internal/proxy/breaker/set.go
@@ -16,22 +16,22 @@
 const (
 	defaultWriteQueueLength = 128
 	defaultRetryBackoff     = 5 * monotonic.Second
-	// initialWindowCalls is the size of a window until the first call brings the service's own.
+	// initialWindowCalls is the size of a window until the first call resizes it to the service's configured size.
 	initialWindowCalls = 100
 )
 
-// Config holds what a Set needs.
+// Config configures a Set.
 type Config struct {
 	Host        host.Host
 	Proxy       string // this proxy's name
 	Incarnation uint64
 	// Call calls the registry's leader once, with a timeout in microseconds.
 	Call func(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error
-	// WriteQueueLength is the most writes that may wait; 0 stands for 128.
+	// WriteQueueLength is the largest number of unfinished writes; 0 means 128.
 	WriteQueueLength int
-	// RetryBackoff is for how many microseconds writes are dropped after a failure; 0 stands for 5 s. It grows by
-	// RetryMultiplier with each failure in a row up to RetryBackoffMax, if that isn't 0, and up to RetryJitter, as a part of
-	// it, is added. A RetryMultiplier below 1 counts as 1.
+	// RetryBackoff is the time in microseconds for which writes are dropped after a failure; 0 means 5 s. It is multiplied by
+	// RetryMultiplier with each consecutive failure, up to RetryBackoffMax if that isn't 0. A random share of it, up to
+	// RetryJitter, is added. A RetryMultiplier below 1 counts as 1.
 	RetryBackoff, RetryBackoffMax monotonic.Micros
 	RetryMultiplier, RetryJitter  float64
 }
@@ -40,41 +40,41 @@
 type Set struct {
 	config Config
 	writes *host.Queue[*wire.BreakerWriteRequest]
-	// writesDrained is fired when no write waits any more.
+	// writesDrained is fired when no unfinished write is left.
 	writesDrained host.Signal
-	// skipProbeLeases admits calls while half open without a probe. Only tests of the simulator's invariants set it.
+	// skipProbeLeases admits calls without a probe while half open. Only tests of the simulator's invariants set it.
 	skipProbeLeases bool
 
-	mu           sync.Mutex // guards what follows
-	breakers     map[string]*serviceBreaker
-	degraded     bool             // the registry can't be reached, so local breakers decide
-	failures     int              // times in a row that the set has become degraded
-	retryAt      monotonic.Micros // until then writes are dropped while degraded
-	queuedWrites int              // writes that wait or are being sent
-	closed       bool             // no more writes are taken
+	mu           sync.Mutex                 // guards the fields below
+	breakers     map[string]*serviceBreaker // by service
+	degraded     bool                       // the registry is unreachable, so local breakers decide
+	failures     int                        // consecutive failures since the last recovery
+	retryAt      monotonic.Micros           // while degraded, writes are dropped until this time
+	queuedWrites int                        // writes that are queued or being sent
+	closed       bool                       // no more writes are accepted
 }
 
 // serviceBreaker is the breaker of one service.
 //
-// Invariants: shared is only replaced by a record of the same or a higher version. local is closed whenever the shared
-// record isn't, except while degraded.
+// Invariants: shared is replaced only by a record of the same or a higher version. local is closed whenever the shared record
+// isn't, except while degraded.
 type serviceBreaker struct {
 	service string
 
-	mu       sync.Mutex            // guards what follows
-	shared   *wire.BreakerRecord   // nil until the registry has sent one
-	settings *wire.BreakerSettings // of the last call's configuration
+	mu       sync.Mutex            // guards the fields below
+	shared   *wire.BreakerRecord   // the shared record; nil until the registry has sent one
+	settings *wire.BreakerSettings // from the configuration of the last attempt
 	window   *window
 	local    localBreaker
 	control  Control
 
-	calls, failedCalls uint64 // calls that count in the window
-	admissions         uint64 // attempts that asked for admission, whether or not they got it
-	// reportedCalls and reportedAdmissions are what TakeActivity has returned of calls and admissions.
+	calls, failedCalls uint64 // calls added to the window so far
+	admissions         uint64 // attempts that requested admission, including rejected ones
+	// reportedCalls and reportedAdmissions are the values of calls and admissions at the last TakeActivity.
 	reportedCalls, reportedAdmissions uint64
 }
 
-// NewSet returns a set without breakers: each is made when its service is first called.
+// NewSet returns a set without breakers. Each breaker is created when its service is first used.
 func NewSet(config Config) *Set {
 	if config.WriteQueueLength == 0 {
 		config.WriteQueueLength = defaultWriteQueueLength
@@ -91,11 +91,11 @@
 	}
 }
 
-// SkipProbeLeases admits calls while half open without a probe, so that a test can show that a violation is detected. No
-// program calls it.
+// SkipProbeLeases admits calls without a probe while half open, so that a simulation can show that the violation is detected.
+// A deployed proxy never calls it.
 func (s *Set) SkipProbeLeases(skip bool) { s.skipProbeLeases = skip }
 
-// breakerFor returns the breaker of a service.
+// breakerFor returns the breaker of a service, and creates it if necessary.
 func (s *Set) breakerFor(service string) *serviceBreaker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,7 @@
 	return existing
 }
 
-// sortedBreakers returns all breakers by the names of their services.
+// sortedBreakers returns all breakers, sorted by service name.
 func (s *Set) sortedBreakers() []*serviceBreaker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/breaker/set_test.go
+++ b/internal/proxy/breaker/set_test.go
@@ -16,21 +16,21 @@
 	"snowflow/internal/transport/wire"
 )
 
-// admitted is the cause of an attempt that wasn't rejected.
+// admitted stands for the missing cause of an attempt that wasn't rejected.
 const admitted apierror.Cause = 0
 
-// breakerTest runs a set alone on a simulated host, with a registry whose responses the function respond gives.
+// breakerTest runs a Set on a simulated host against a fake registry, whose responses are set by respond.
 type breakerTest struct {
 	t        *testing.T
 	breakers *breaker.Set
 	node     *world.Host
 	service  *config.Service
-	calls    []wire.Kind
+	calls    []wire.Kind // calls to the registry
 	respond  func(kind wire.Kind, response proto.Message) error
-	events   map[int]int
+	events   map[int]int // number of reported events, by event number
 }
 
-// runBreakerTest runs a scenario with the service forms: a window of 10 calls, of which 5 are needed, 2 s open, 2 probes.
+// runBreakerTest runs a scenario with the service forms: a window of 10 calls, a minimum of 5 calls, 2 s open, 2 probes.
 func runBreakerTest(t *testing.T, scenario func(bt *breakerTest)) {
 	t.Helper()
 	simulated := world.New(1)
@@ -53,7 +53,7 @@
 	}))
 	simulated.Run(simulated.Now() + monotonic.Minute)
 	if !finished {
-		t.Fatalf("the scenario did not end: %v", simulated.Panicked)
+		t.Fatalf("the scenario did not finish: %v", simulated.Panicked)
 	}
 }
 
@@ -62,7 +62,7 @@
 	return bt.respond(kind, response)
 }
 
-// attempt makes one attempt with an outcome, and returns the cause of its rejection, or admitted.
+// attempt makes one attempt with the given outcome and returns the cause of its rejection, or admitted.
 func (bt *breakerTest) attempt(outcome breaker.Outcome) apierror.Cause {
 	permit, fault := bt.breakers.Admit(bt.service)
 	if fault != nil {
@@ -72,10 +72,10 @@
 	return admitted
 }
 
-func (bt *breakerTest) expect(what string, got, wanted any) {
+func (bt *breakerTest) expect(what string, got, want any) {
 	bt.t.Helper()
-	if got != wanted {
-		bt.t.Errorf("%s: %v, not %v", what, got, wanted)
+	if got != want {
+		bt.t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// status is that of the one breaker there is.
+// status returns the status of the only breaker.
 func (bt *breakerTest) status() breaker.Status { return bt.breakers.Statuses()[0] }
 
 func recordsInState(state string, version uint64) []*wire.BreakerRecord {
@@ -105,9 +105,9 @@
 		bt.expect("calls", len(bt.calls), 0)
 		bt.breakers.ApplyPoll(recordsInState("half_open", 3), true)
 		bt.respond = func(_ wire.Kind, response proto.Message) error {
-			lease, is := response.(*wire.ProbeLeaseResponse)
-			if !is {
-				t.Errorf("a call for %T", response)
+			lease, isLease := response.(*wire.ProbeLeaseResponse)
+			if !isLease {
+				t.Errorf("unexpected call with response type %T", response)
 				return nil
 			}
 			lease.Record = recordsInState("half_open", 3)[0]
@@ -126,7 +126,7 @@
 			bt.expect("before the minimum of calls", bt.attempt(breaker.Failure), admitted)
 		}
 		for range 30 {
-			bt.expect("neutral outcomes say nothing", bt.attempt(breaker.Neutral), admitted)
+			bt.expect("neutral outcomes aren't counted", bt.attempt(breaker.Neutral), admitted)
 		}
 		bt.expect("the fifth failure", bt.attempt(breaker.Failure), admitted)
 		bt.expect("open locally", bt.attempt(breaker.Success), apierror.BreakerOpen)
@@ -150,7 +150,7 @@
 			}
 		}
 		bt.expect("no probe was leased", len(bt.calls), 0)
-		bt.expect("counted by metrics_only alone", bt.status().Calls, uint64(30))
+		bt.expect("calls counted by metrics_only only", bt.status().Calls, uint64(30))
 		bt.setControl("reset")
 		bt.breakers.ApplyPoll(recordsInState("open", 3), true)
 		bt.expect("after a reset the shared record decides", bt.attempt(breaker.Success), apierror.BreakerOpen)
@@ -165,7 +165,7 @@
 		bt.breakers.ApplyPoll(recordsInState("half_open", 2), true)
 		bt.respond = func(wire.Kind, proto.Message) error { return errors.New("unreachable") }
 		bt.expect("after a failed lease the local breaker decides", bt.attempt(breaker.Success), admitted)
-		bt.expect("and later attempts don't call the registry", bt.attempt(breaker.Success), admitted)
+		bt.expect("later attempts don't call the registry", bt.attempt(breaker.Success), admitted)
 		bt.expect("calls", len(bt.calls), 1)
 		for range 10 {
 			bt.attempt(breaker.Failure)
@@ -189,7 +189,7 @@
 			}
 			return nil
 		}
-		for range 200 { // no task sends the writes yet
+		for range 200 { // no task is sending the writes yet
 			bt.attempt(breaker.Success)
 		}
 		bt.expect("dropped beyond 128", bt.events[eventlog.BreakerWriteDropped], 72)
@@ -207,8 +207,8 @@
 	})
 }
 
-// TestWindowSurvivesConfigChanges: what a window has counted of a service stands when a new version changes a route, or the
-// size of the service's window. Four failures under one version and one under the next open the breaker.
+// TestWindowSurvivesConfigChanges: a service's window keeps its counts when a new configuration version changes a route or the
+// size of the window. Four failures under one version and one under the next open the breaker.
 func TestWindowSurvivesConfigChanges(t *testing.T) {
 	for name, change := range map[string]func(service *wire.ServiceInForce) *config.Change{
 		"a route": func(*wire.ServiceInForce) *config.Change {
@@ -239,12 +239,12 @@
 					return
 				}
 				bt.service = next.Services["forms"]
-				bt.expect("the same service", bt.service == previous, name == "a route")
+				bt.expect("the service is unchanged", bt.service == previous, name == "a route")
 				bt.expect("trips before", bt.events[eventlog.BreakerTrippedLocally], 0)
 				bt.attempt(breaker.Failure)
 				bt.expect("trips after", bt.events[eventlog.BreakerTrippedLocally], 1)
 				bt.expect("calls", bt.status().Calls, uint64(5))
-				inFlight.Done(breaker.Success) // it ends under the version it was admitted by
+				inFlight.Done(breaker.Success) // it ends under the version that it was admitted under
 				bt.expect("calls with the one in flight", bt.status().Calls, uint64(6))
 			})
 		})
--- a/internal/proxy/breaker/status.go
+++ b/internal/proxy/breaker/status.go
@@ -5,20 +5,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Status is one breaker as an operator sees it on a proxy.
+// Status describes one breaker on a proxy for operators.
 type Status struct {
 	Service string `json:"service"`
-	// Shared is the state of the shared record, and Version the record's version; 0 until the registry has sent one.
+	// Shared and Version are the state and the version of the shared record: closed and 0 until the registry has sent one.
 	Shared  string  `json:"shared"`
 	Version uint64  `json:"serial"`
-	Local   string  `json:"local"` // state of the local breaker
+	Local   string  `json:"local"` // the state of the local breaker
 	Control Control `json:"control,omitempty"`
 	Calls   uint64  `json:"calls"`
 	Failed  uint64  `json:"failed"`
-	Window  int     `json:"window"` // calls that the window holds
+	Window  int     `json:"window"` // number of calls in the window
 }
 
-// Statuses lists all breakers by the names of their services.
+// Statuses returns the status of each breaker, sorted by service name.
 func (s *Set) Statuses() (statuses []Status) {
 	for _, b := range s.sortedBreakers() {
 		statuses = append(statuses, b.status())
@@ -44,7 +44,8 @@
 	return status
 }
 
-// TakeActivity returns the services that were called, or to which an attempt asked for admission, since the last call.
+// TakeActivity returns the activity of each service that was called or for which admission was requested since the last
+// TakeActivity.
 func (s *Set) TakeActivity() (activity []*wire.Activity) {
 	for _, b := range s.sortedBreakers() {
 		if taken := b.takeActivity(); taken != nil {
@@ -54,7 +55,7 @@
 	return activity
 }
 
-// takeActivity returns nil if there was none.
+// takeActivity returns nil if there was no activity since its last call.
 func (b *serviceBreaker) takeActivity() *wire.Activity {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/breaker/window.go
+++ b/internal/proxy/breaker/window.go
@@ -4,9 +4,9 @@
 //
 // Invariant: failed and slow count the results in the filled part of the ring.
 type window struct {
-	results []callResult // a ring
-	next    int          // where the next result goes
-	filled  int
+	results []callResult // ring buffer
+	next    int          // index for the next result
+	filled  int          // number of results in the ring
 	failed  int
 	slow    int
 }
@@ -16,7 +16,7 @@
 
 func newWindow(size int) *window { return &window{results: make([]callResult, size)} }
 
-// add adds a result, in place of the oldest if the window is full. It resizes the window if it isn't of that size.
+// add adds a result, which replaces the oldest one if the window is full. It first resizes the window to size if necessary.
 func (w *window) add(result callResult, size int) {
 	if len(w.results) != size {
 		*w = *w.resized(size)
@@ -31,8 +31,8 @@
 	w.adjustCounts(result, 1)
 }
 
-// resized returns a window of another size with as many of the last results as it has room for: they still hold after
-// a change of the size.
+// resized returns a window of another size with as many of the most recent results as fit. A change of the size doesn't
+// invalidate them.
 func (w *window) resized(size int) *window {
 	resized := newWindow(size)
 	for back := min(w.filled, size); back > 0; back-- {
@@ -41,7 +41,7 @@
 	return resized
 }
 
-// adjustCounts adds a result to the counts step times.
+// adjustCounts adds step to the counts that the result belongs to.
 func (w *window) adjustCounts(result callResult, step int) {
 	if result.failed {
 		w.failed += step
@@ -51,7 +51,7 @@
 	}
 }
 
-// exceedsThreshold reports whether there are enough calls in the window, and the share of failed or of slow ones reaches its rate.
+// exceedsThreshold reports whether the window holds at least minimumCalls and the share of failed or slow calls reaches its rate.
 func (w *window) exceedsThreshold(minimumCalls int, failureRate, slowRate float64) bool {
 	if w.filled < minimumCalls || w.filled == 0 {
 		return false
--- a/internal/proxy/breaker/writes.go
+++ b/internal/proxy/breaker/writes.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// writeTimeout is how long a write may take, in which no caller waits. It outlasts a batch of the registry's log that a
-	// slow disk syncs.
+	// writeTimeout limits a write, for which no caller waits. It is longer than a slow disk needs to sync a batch of the
+	// registry's log.
 	writeTimeout = 1500 * monotonic.Millisecond
-	// drainPollInterval is the longest time between two checks of the queue by Close.
+	// drainPollInterval is the longest time between two checks of the write queue in Close.
 	drainPollInterval = 100 * monotonic.Millisecond
 )
 
-// enqueueWrite queues a write, or drops it and reports that. It never waits.
+// enqueueWrite queues a write, or drops and reports it. It never blocks.
 func (s *Set) enqueueWrite(request *wire.BreakerWriteRequest) {
 	request.Proxy, request.Incarnation = s.config.Proxy, s.config.Incarnation
 	accepted, backingOff := s.reserveWrite()
@@ -26,7 +26,7 @@
 	s.writes.Put(request)
 }
 
-// reserveWrite counts one more write as queued, unless writes are dropped or too many are queued.
+// reserveWrite reserves a place in the write queue, unless the set is closed, the queue is full or a backoff is running.
 func (s *Set) reserveWrite() (accepted, backingOff bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	})
 }
 
-// SendWrites sends the queued writes in order. It is run on one task and doesn't return.
+// SendWrites sends the queued writes in order. It runs on a single task and doesn't return.
 func (s *Set) SendWrites() {
 	for {
 		for _, request := range s.writes.TakeAll(monotonic.Second) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// endWrite takes a write out of those that are queued.
+// endWrite frees the place of a write in the queue.
 func (s *Set) endWrite() {
 	s.mu.Lock()
 	s.queuedWrites--
@@ -68,7 +68,7 @@
 	}
 }
 
-// sendWrite sends a write and takes the record that comes with the response.
+// sendWrite sends a write, unless the set is degraded, and handles the response.
 func (s *Set) sendWrite(request *wire.BreakerWriteRequest) {
 	if s.Degraded() {
 		s.reportDroppedWrite(request, true)
@@ -93,8 +93,8 @@
 	}
 }
 
-// decideRound ends a round of probes of which this proxy's result was the last. The version of the round's record fences the
-// decision: it doesn't apply to a later round.
+// decideRound ends a round of probes whose last result this proxy has written. The expected version fences the decision: the
+// registry doesn't apply it to a later round.
 func (s *Set) decideRound(last *wire.BreakerWriteRequest, record *wire.BreakerRecord) {
 	_, _ = s.write(&wire.BreakerWriteRequest{
 		Service:         last.Service,
@@ -104,10 +104,10 @@
 		Proxy:           s.config.Proxy,
 		Incarnation:     s.config.Incarnation,
 		Settings:        last.Settings,
-	}) // an error has made the set degraded, and the registry ends the round by itself after a while
+	}) // on an error the set is degraded already, and the registry ends the round itself after a timeout
 }
 
-// write calls the registry and takes the record of its response. An error makes the set degraded.
+// write sends a write to the registry and applies the record in the response. An error makes the set degraded.
 func (s *Set) write(request *wire.BreakerWriteRequest) (*wire.BreakerWriteResponse, error) {
 	response := &wire.BreakerWriteResponse{}
 	if err := s.config.Call(wire.Kind_breaker_write, request, response, writeTimeout); err != nil {
@@ -118,8 +118,8 @@
 	return response, nil
 }
 
-// Close waits until the queued writes are sent, at most for the timeout in microseconds. Afterwards writes are dropped, and
-// local breakers decide.
+// Close waits until the queued writes are sent, for at most timeout microseconds. Afterwards writes are dropped and local
+// breakers decide.
 func (s *Set) Close(timeout monotonic.Micros) {
 	deadline := s.config.Host.Now() + timeout
 	for !s.isDrained() {
