--- a/internal/proxy/loadbalancer/availability.go
+++ b/internal/proxy/loadbalancer/availability.go
@@ -3,9 +3,9 @@
 import "snowflow/internal/monotonic"
 
 const (
-	// avoidDuration is how long a backend or proxy is chosen, after a failure, only if no other candidate is available.
+	// avoidDuration is how long a backend or proxy is avoided after a failure: it is chosen only if no other one is available.
 	avoidDuration = 2 * monotonic.Second
-	// maxConsecutiveFaults is the number of faulty responses in a row after which a backend is avoided.
+	// maxConsecutiveFaults is the number of consecutive faulty responses after which a backend is avoided.
 	maxConsecutiveFaults = 3
 )
 
@@ -32,7 +32,7 @@
 	return avoided
 }
 
-// observe counts faulty responses in a row and avoids a backend that has given too many.
+// observe counts consecutive faulty responses and avoids a backend after too many of them.
 func (a availability) observe(instance string, faulty bool, now monotonic.Micros) {
 	if !faulty {
 		delete(a.consecutiveFaults, instance)
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -10,17 +10,17 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Config holds what a Balancer needs.
+// Config configures a Balancer.
 type Config struct {
 	Host host.Host
 	// Domain is the failure domain (zone) of this proxy.
 	Domain string
-	// IgnoreDomains makes all candidates equally near.
+	// IgnoreDomains treats all candidates as if they were in the same domain.
 	IgnoreDomains bool
 	// CrossDomainPenalty is added, in microseconds, to the expected response time of a backend in another domain.
 	CrossDomainPenalty monotonic.Micros
-	// SilenceTimeout is how long a proxy with attempts in flight may give no response before it is sent a health check;
-	// 0 stands for 700 ms.
+	// SilenceTimeout is how long a proxy with attempts in flight may go without a response before it is sent a health check;
+	// 0 means 700 ms.
 	SilenceTimeout monotonic.Micros
 }
 
@@ -30,7 +30,7 @@
 	domain        string
 	ignoreDomains bool
 
-	mu           sync.Mutex     // guards all that follows
+	mu           sync.Mutex     // guards the fields below
 	inFlight     map[string]int // this proxy's attempts in flight, by instance; never 0
 	availability availability
 	silence      silenceDetector
@@ -38,7 +38,7 @@
 	loads        loadReports
 	peers        peerHealth
 
-	// Buffers that Pick uses again.
+	// Buffers that each Pick reuses.
 	available, unavailable []session.Candidate
 	estimates              []float64
 }
@@ -61,27 +61,27 @@
 	}
 }
 
-// Criteria is what a choice has to meet.
+// Criteria describes the request for which a backend is chosen.
 type Criteria struct {
 	Service string
 	Route   string
-	// LatencyTarget is the time in microseconds within which the route's responses are wanted; 0 if it has none.
+	// LatencyTarget is the target for the route's response time in microseconds; 0 if it has none.
 	LatencyTarget monotonic.Micros
-	// Avoid holds instances that are chosen only if no other one is left.
+	// Avoid holds instances that are chosen only if no other one is available.
 	Avoid map[string]bool
 }
 
 // Pick is a chosen backend.
 type Pick struct {
 	Candidate session.Candidate
-	// LastBackend is true if no other backend was left that is available and not to be avoided.
+	// LastBackend is true if no other backend is available and not in Criteria.Avoid.
 	LastBackend bool
-	// Release must be called once, when the attempt has ended.
+	// Release must be called once when the attempt has ended.
 	Release func()
 }
 
-// Pick chooses a backend of a service and counts an attempt at it as in flight until its Release is called. It fails only if
-// the directory has no backend of the service.
+// Pick chooses a backend of a service and counts an attempt as in flight there until the result's Release is called. It fails
+// only if the directory has no backend of the service.
 func (b *Balancer) Pick(directory *session.Directory, criteria Criteria) (Pick, *apierror.Error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +108,7 @@
 	return Pick{Candidate: chosen, LastBackend: len(b.available) <= 1, Release: b.beginAttempt(chosen, now)}, nil
 }
 
-// partition fills the buffers: the candidates to choose from, and those set aside. The caller holds the lock.
+// partition divides the candidates into the buffers available and unavailable. The caller holds the lock.
 func (b *Balancer) partition(candidates []session.Candidate, avoid map[string]bool, now monotonic.Micros) {
 	b.available, b.unavailable = b.available[:0], b.unavailable[:0]
 	for _, candidate := range candidates {
@@ -120,7 +120,7 @@
 	}
 }
 
-// isUnavailable reports whether a backend or its proxy failed recently, or its proxy doesn't respond. The caller holds the lock.
+// isUnavailable reports whether a backend or its proxy failed recently or the proxy is unresponsive. The caller holds the lock.
 func (b *Balancer) isUnavailable(candidate session.Candidate, now monotonic.Micros) bool {
 	return b.availability.isAvoided(candidate.Instance, now) ||
 		b.availability.isAvoided(candidate.Proxy, now) ||
@@ -141,28 +141,29 @@
 	}
 }
 
-// MarkUnavailable sets a backend or a proxy that just failed aside for a while, by its name.
+// MarkUnavailable marks a backend or a proxy that has just failed, by its name, as unavailable for a while.
 func (b *Balancer) MarkUnavailable(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.availability.avoid(name, b.host.Now())
 }
 
-// ObserveOutcome records whether a backend's response was faulty. Several faults in a row set the backend aside for a while.
+// ObserveOutcome records whether a backend's response was faulty. Several consecutive faults make the backend unavailable for a
+// while.
 func (b *Balancer) ObserveOutcome(instance string, faulty bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.availability.observe(instance, faulty, b.host.Now())
 }
 
-// ObserveSize records the bytes of a request of a route together with its response.
+// ObserveSize records the total size in bytes of a route's request and its response.
 func (b *Balancer) ObserveSize(route string, bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.locality.observeSize(route, bytes)
 }
 
-// IsBulk reports whether a route's messages are usually so large that they go on a connection of their own.
+// IsBulk reports whether a route's messages are usually so large that they are sent on a separate connection.
 func (b *Balancer) IsBulk(route string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -177,13 +178,13 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// The attempt that brought the report is still counted in flight here, and no longer at the backend.
+	// The attempt whose response carried the report still counts as in flight here, but no longer at the backend.
 	b.loads.observe(instance, route, load, b.inFlight[instance]-1, b.host.Now())
 }
 
-// ObserveHealth records the health that a backend's proxy reported with a response. It reports whether faults of that
-// backend are its own: it is ejected, and so few backends of the service are ejected that its proxy rejects most requests
-// for it. Otherwise faults are of the service, and count for its breaker.
+// ObserveHealth records the health that a backend's proxy reported with a response. It returns true if faults of that backend
+// are attributed to the backend alone: it is ejected, and few enough backends of the service are ejected that its proxy rejects
+// most requests for it. Otherwise faults are attributed to the service and count for its circuit breaker.
 func (b *Balancer) ObserveHealth(directory *session.Directory, service, instance string, load *wire.Load) (backendOnly bool) {
 	if load == nil || load.LatencyRatio == 0 {
 		return false
@@ -193,8 +194,8 @@
 	return b.peers.observe(directory.Candidates[service], service, instance, load, b.host.Now())
 }
 
-// PeerStatistics returns statistics of the health of a service's other backends, with which the proxy of one backend compares
-// its own. The message must not be changed.
+// PeerStatistics returns health statistics of the other backends of a service, with which a backend's proxy compares its own
+// backend. The message must not be modified.
 func (b *Balancer) PeerStatistics(directory *session.Directory, service, instance string) *wire.PeerStatistics {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/loadbalancer/balancer_test.go
+++ b/internal/proxy/loadbalancer/balancer_test.go
@@ -13,7 +13,7 @@
 
 const ms = monotonic.Millisecond
 
-// simulate runs a body on one simulated host. It fails the test if the body hasn't returned after the duration.
+// simulate runs body on one simulated host. The test fails if body hasn't returned after the duration.
 func simulate(t *testing.T, duration monotonic.Micros, body func(node *world.Host)) {
 	t.Helper()
 	simulated := world.New(1)
@@ -30,7 +30,7 @@
 	}
 }
 
-// twoDomains is a balancer in domain a that reads reports of two backends, near in domain a and far in domain b.
+// twoDomains is a balancer in domain a with two candidates: near in domain a and far in domain b.
 type twoDomains struct {
 	*Balancer
 	candidates []session.Candidate
@@ -46,13 +46,15 @@
 	}
 }
 
+// fastest returns the backend that the balancer picks for a request of a route.
 func (d twoDomains) fastest(route string) string {
 	return d.pickFastest(d.candidates, route, d.host.Now(), d.locality.basePenalty).Instance
 }
 
+// report simulates a response of a backend that carries a load report.
 func (d twoDomains) report(instance, route string, load *wire.Load) {
 	load.Slots = 6
-	d.inFlight[instance] = 1 // the attempt that brings the report
+	d.inFlight[instance] = 1 // the attempt whose response carries the report
 	d.ObserveLoad(instance, route, load)
 	delete(d.inFlight, instance)
 }
@@ -67,14 +69,14 @@
 		}
 		balancer.MarkUnavailable("3")
 		avoid := map[string]bool{}
-		for number := range 4 {
+		for round := range 4 {
 			pick, fault := balancer.Pick(directory, Criteria{Service: "forms", Avoid: avoid})
-			if fault != nil || pick.LastBackend != (number >= 2) {
-				t.Errorf("pick %d: last backend %v, %v", number, pick.LastBackend, fault)
+			if fault != nil || pick.LastBackend != (round >= 2) {
+				t.Errorf("pick %d: last backend %v, error %v", round, pick.LastBackend, fault)
 			}
 			instance := pick.Candidate.Instance
-			if number < 3 && (avoid[instance] || instance == "3") {
-				t.Errorf("pick %d: %s, though others are left", number, instance)
+			if round < 3 && (avoid[instance] || instance == "3") {
+				t.Errorf("pick %d: chose %s although other backends are left", round, instance)
 			}
 			avoid[instance] = true
 			pick.Release()
@@ -82,74 +84,74 @@
 	})
 }
 
-// TestLoadReportsDecay: a reported load of other callers counts less as it gets older, and a backend that hasn't reported
-// for long counts like the average of its service.
+// TestLoadReportsDecay: the weight of a reported load decreases with its age, and a backend that hasn't reported for a long time
+// is treated like the average of its service.
 func TestLoadReportsDecay(t *testing.T) {
 	simulate(t, 2*monotonic.Minute, func(node *world.Host) {
 		balancer := newTwoDomains(node)
-		report := func(instance string, running, waiting uint32, work monotonic.Micros) {
-			balancer.report(instance, "", &wire.Load{Running: running, Waiting: waiting, ServiceMicros: int64(work)})
+		report := func(instance string, running, waiting uint32, serviceTime monotonic.Micros) {
+			balancer.report(instance, "", &wire.Load{Running: running, Waiting: waiting, ServiceMicros: int64(serviceTime)})
 		}
 		for range 30 {
 			report("near", 2, 0, 100*ms)
 			report("far", 1, 0, 100*ms)
 		}
 		if balancer.fastest("") != "near" {
-			t.Error("the other domain was picked, though the own one has free slots")
+			t.Error("picked the other domain although the own one has free slots")
 		}
 		report("near", 6, 6, 100*ms)
 		if balancer.fastest("") != "far" {
-			t.Error("the own domain was picked, though it is full")
+			t.Error("picked the own domain although it is full")
 		}
 		node.Sleep(500 * ms)
 		if balancer.fastest("") != "near" {
-			t.Error("a backend that was full half a second ago still counts as full")
+			t.Error("a report of a full backend still counts after half a second")
 		}
 		for range 200 {
 			report("near", 6, 4, 900*ms)
 			report("far", 1, 0, 100*ms)
 		}
 		if balancer.fastest("") != "far" {
-			t.Error("a backend that is usually slow and full was picked")
+			t.Error("picked a backend that is usually slow and full")
 		}
-		for range 50 { // only the other one goes on reporting
+		for range 50 { // only the other backend continues to report
 			node.Sleep(monotonic.Second)
 			report("far", 1, 0, 100*ms)
 		}
 		if balancer.fastest("") != "near" {
-			t.Error("a backend that hasn't reported for long is never tried again")
+			t.Error("a backend that hasn't reported for 50 s isn't tried again")
 		}
 	})
 }
 
-// TestServiceTimeByRoute: a short request stays in its domain though that backend has much long work of another route. Where
-// its own route takes long, it goes to where that takes less.
+// TestServiceTimeByRoute: a request stays in its domain although requests of another route take long at the backend there. If
+// its own route takes long there, it goes to the domain where that takes less time.
 func TestServiceTimeByRoute(t *testing.T) {
 	simulate(t, monotonic.Second, func(node *world.Host) {
 		balancer := newTwoDomains(node)
-		report := func(instance, route string, work, routeWork monotonic.Micros) {
-			balancer.report(instance, route, &wire.Load{Running: 1, ServiceMicros: int64(work), RouteMicros: int64(routeWork)})
+		report := func(instance, route string, serviceTime, routeServiceTime monotonic.Micros) {
+			balancer.report(instance, route, &wire.Load{Running: 1, ServiceMicros: int64(serviceTime), RouteMicros: int64(routeServiceTime)})
 		}
 		for range 30 {
 			report("near", "lookup", 300*ms, 50*ms)
 			report("far", "lookup", 100*ms, 50*ms)
 		}
 		if balancer.fastest("lookup") != "near" {
-			t.Error("a lookup takes as long in both domains, and left its own because of other requests' work")
+			t.Error("a lookup left its domain because of another route's service time")
 		}
 		report("near", "submission", 300*ms, 400*ms)
 		report("far", "submission", 100*ms, 150*ms)
 		if balancer.fastest("submission") != "far" {
-			t.Error("a submission takes much longer in its own domain, and stayed")
+			t.Error("a submission stayed in its domain although it takes much longer there")
 		}
 		if balancer.fastest("lookup") != "near" {
-			t.Error("reports of submissions count for lookups")
+			t.Error("reports of submissions affect lookups")
 		}
 	})
 }
 
-// TestLargeRoutesStayInDomain: a route with large responses stays in its domain while a backend is available there, however
-// full. One with small responses doesn't, and a domain without available backends doesn't make a request fail.
+// TestLargeRoutesStayInDomain: a route with large messages stays in its domain while a backend is available there, however
+// loaded. A route with small messages doesn't. If the domain has no available backend, another domain is used.
 func TestLargeRoutesStayInDomain(t *testing.T) {
 	simulate(t, monotonic.Second, func(node *world.Host) {
 		balancer := New(Config{Host: node, Domain: "a", CrossDomainPenalty: 20 * ms})
@@ -168,14 +170,14 @@
 		balancer.ObserveSize("small", 400)
 		balancer.ObserveSize("large", 100<<10)
 		if chosen, _ := pick("small"); chosen != "remote" {
-			t.Errorf("a small one waits at %s", chosen)
+			t.Errorf("route small goes to %s", chosen)
 		}
 		if chosen, lastBackend := pick("large"); chosen != "local" || !lastBackend {
-			t.Errorf("a large one goes to %s, last backend %v", chosen, lastBackend)
+			t.Errorf("route large goes to %s, last backend %v", chosen, lastBackend)
 		}
 		balancer.MarkUnavailable("local")
 		if chosen, _ := pick("large"); chosen != "remote" {
-			t.Errorf("with no backend available in its domain a large one goes to %s", chosen)
+			t.Errorf("without an available backend in its domain, route large goes to %s", chosen)
 		}
 	})
 }
--- a/internal/proxy/loadbalancer/fastest.go
+++ b/internal/proxy/loadbalancer/fastest.go
@@ -8,10 +8,10 @@
 )
 
 // equalTolerance is the share by which an estimate may exceed the best one and still count as equal. The estimates aren't more
-// exact than that, and if all callers chose the lowest one they would all choose the same backend.
+// accurate than that, and if every caller took the lowest estimate, all would choose the same backend.
 const equalTolerance = 0.1
 
-// pickFastest draws one of the candidates with the shortest expected response time. The caller holds the lock.
+// pickFastest draws one of the candidates with the shortest expected response times. The caller holds the lock.
 func (b *Balancer) pickFastest(candidates []session.Candidate, route string, now, penalty monotonic.Micros) session.Candidate {
 	averages := b.loads.averages(candidates, route, now)
 	b.estimates = b.estimates[:0]
@@ -29,7 +29,7 @@
 	return candidates[b.drawBest(best)]
 }
 
-// drawBest draws the index of one of the estimates that equal the best one, each with the same probability.
+// drawBest returns the index of a random one of the estimates that count as equal to the best one, by reservoir sampling.
 func (b *Balancer) drawBest(best float64) int {
 	chosen, equal := 0, uint64(0)
 	for index, estimate := range b.estimates {
--- a/internal/proxy/loadbalancer/fleet_test.go
+++ b/internal/proxy/loadbalancer/fleet_test.go
@@ -12,8 +12,8 @@
 	"snowflow/internal/simulation/world"
 )
 
-// fleet is a service and its callers in simulated time: a real balancer at each caller, the real slots and outlier detection
-// at each backend's proxy. Only the network between them is a pause.
+// fleet simulates a service and its callers with a real balancer at each caller, and real slots and outlier detection at each
+// backend's proxy. Only the network between them and the backends' work are replaced by sleeps in simulated time.
 type fleet struct {
 	node      *world.Host
 	random    *rand.Rand
@@ -22,7 +22,7 @@
 	directory *session.Directory
 }
 
-// runFleet builds a fleet with body on a simulated host, and runs what it started for the duration.
+// runFleet lets body set up a fleet on a simulated host, and runs it for the duration.
 func runFleet(t *testing.T, seed uint64, duration monotonic.Micros, body func(fleet *fleet)) {
 	t.Helper()
 	simulated := world.New(seed)
@@ -43,9 +43,10 @@
 	}
 }
 
+// domainOf assigns the domains in turn.
 func domainOf(index, domains int) string { return fmt.Sprint("zone-", index%domains) }
 
-// addBackends adds backends, spread over the domains, and has them report to their proxies from now on.
+// addBackends adds backends, distributed over the domains, and starts their periodic reports to their proxies.
 func (f *fleet) addBackends(names []string, slots uint32, domains int) {
 	report := func(sequence uint64) {
 		for _, name := range names {
@@ -64,21 +65,21 @@
 	})
 }
 
-// addCaller adds a caller in a domain, which sends requests with a mean interval in microseconds. prepare draws what a
-// request needs and returns the function that plays it.
-func (f *fleet) addCaller(domain string, crossDomainPenalty monotonic.Micros, meanInterval float64, prepare func(balancer *Balancer) (play func())) {
+// addCaller adds a caller in a domain, which sends requests at exponentially distributed intervals with the given mean in
+// microseconds. newRequest draws the random values of a request and returns the function that sends it.
+func (f *fleet) addCaller(domain string, crossDomainPenalty monotonic.Micros, meanInterval float64, newRequest func(balancer *Balancer) (send func())) {
 	f.directory.ProxiesByDomain[domain]++
 	f.directory.Live++
 	balancer := New(Config{Host: f.node, Domain: domain, CrossDomainPenalty: crossDomainPenalty})
 	f.node.Go(func() {
 		for {
 			f.node.Sleep(monotonic.Micros(f.random.ExpFloat64() * meanInterval))
-			f.node.Go(func() { prepare(balancer)() })
+			f.node.Go(func() { newRequest(balancer)() })
 		}
 	})
 }
 
-// uniformWork draws a work time between least and least+width microseconds.
-func (f *fleet) uniformWork(least, width int) monotonic.Micros {
-	return monotonic.Micros(least + f.random.IntN(width))
+// uniformServiceTime draws a service time from [minimum, minimum+width) microseconds.
+func (f *fleet) uniformServiceTime(minimum, width int) monotonic.Micros {
+	return monotonic.Micros(minimum + f.random.IntN(width))
 }
--- a/internal/proxy/loadbalancer/locality.go
+++ b/internal/proxy/loadbalancer/locality.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// penaltyPerKilobyte is what each kilobyte of a route's usual request and response adds to the cross-domain penalty.
+	// penaltyPerKilobyte is added to the cross-domain penalty for each kilobyte of a route's mean message size.
 	penaltyPerKilobyte = 5 * monotonic.Millisecond
 	bytesPerKilobyte   = 1024
-	// minPenaltyShare is the least cross-domain penalty as a share of the route's latency target.
+	// minPenaltyShare is the smallest cross-domain penalty as a share of the route's latency target.
 	minPenaltyShare = 0.1
 	// localOnlyPenalty is the penalty from which a route stays in the caller's own domain while a backend is available there.
 	localOnlyPenalty = 100 * monotonic.Millisecond
-	// sizeSmoothing is the number of responses over which a route's size is averaged.
+	// sizeSmoothing is the number of responses over which a route's message size is averaged.
 	sizeSmoothing = 16
-	// bulkBytes is the usual size from which a route's messages go on a connection of their own.
+	// bulkBytes is the mean message size from which a route's messages are sent on a separate connection.
 	bulkBytes = 16 << 10
 )
 
 // locality estimates the cost of sending a route's requests to another failure domain. The Balancer's lock guards it.
 type locality struct {
 	basePenalty monotonic.Micros
-	meanBytes       map[string]float64 // mean bytes of a route's requests with their responses
+	meanBytes   map[string]float64 // mean message size (request and response together), by route
 }
 
 func newLocality(basePenalty monotonic.Micros) locality {
@@ -41,14 +41,14 @@
 
 func (l locality) isBulk(route string) bool { return l.meanBytes[route] >= bulkBytes }
 
-// penalty is the time in microseconds that sending a request of a route to another domain counts for.
+// penalty returns the cross-domain penalty of a route's requests in microseconds.
 func (l locality) penalty(route string, latencyTarget monotonic.Micros) monotonic.Micros {
-	least := max(l.basePenalty, monotonic.Micros(minPenaltyShare*float64(latencyTarget)))
-	return least + monotonic.Micros(l.meanBytes[route]/bytesPerKilobyte*float64(penaltyPerKilobyte))
+	minPenalty := max(l.basePenalty, monotonic.Micros(minPenaltyShare*float64(latencyTarget)))
+	return minPenalty + monotonic.Micros(l.meanBytes[route]/bytesPerKilobyte*float64(penaltyPerKilobyte))
 }
 
-// restrictToLocalDomain leaves only available candidates, and of these only those of the own domain if there are any. If none is
-// available it leaves all. The caller holds the lock.
+// restrictToLocalDomain returns the available candidates in the caller's own domain or, if there are none, all available
+// candidates. If none is available anywhere, it returns all candidates. The caller holds the lock.
 func (b *Balancer) restrictToLocalDomain(candidates []session.Candidate, now monotonic.Micros) []session.Candidate {
 	available := slices.DeleteFunc(slices.Clone(candidates), func(candidate session.Candidate) bool {
 		return b.isUnavailable(candidate, now)
--- a/internal/proxy/loadbalancer/outlier_test.go
+++ b/internal/proxy/loadbalancer/outlier_test.go
@@ -20,8 +20,8 @@
 	requestTimeout                = 800 * ms
 )
 
-// unhealthyRun is a run of many callers at a service of which some backends are unhealthy for a while, though they report
-// that they are healthy. A request that fails is attempted at one more backend.
+// unhealthyRun simulates many callers of a service some of whose backends are unhealthy for a while, although they report that
+// they are healthy. A failed request is retried once at another backend.
 type unhealthyRun struct {
 	fault             backendFault
 	withoutEjection   bool // no backend is ejected, for comparison
@@ -29,12 +29,12 @@
 	callers           int
 }
 
-// requestCounts is what became of the requests of a run.
+// requestCounts counts the requests of a run by their outcome.
 type requestCounts struct {
-	requests, failed         int // while backends were unhealthy; failed counts late ones too
+	requests, failed         int // requests sent while backends were unhealthy; failed includes late ones
 	unhealthyVisits          int // requests that reached an unhealthy backend
-	afterRecovery            int // requests that reached a backend 5 s after the recovery
-	afterRecoveryAtUnhealthy int // of these, requests at the backends that had been unhealthy
+	afterRecovery            int // visits to backends by requests sent 5 s or more after the recovery
+	afterRecoveryAtUnhealthy int // the part of afterRecovery at the backends that had been unhealthy
 }
 
 func (c *requestCounts) add(other requestCounts) {
@@ -47,6 +47,7 @@
 
 func (c requestCounts) failedShare() float64 { return float64(c.failed) / float64(max(1, c.requests)) }
 
+// run simulates the run with a seed.
 func (r unhealthyRun) run(t *testing.T, seed uint64) (counts requestCounts) {
 	t.Helper()
 	runFleet(t, seed, 30*monotonic.Second, func(fleet *fleet) {
@@ -55,12 +56,12 @@
 			names = append(names, fmt.Sprintf("backend-%02d", index))
 		}
 		fleet.addBackends(names, 4, 3)
-		const meanWork = 70000.0
-		rate := 0.6 * backendCount * 4 / meanWork
+		const meanServiceTime = 70000.0
+		rate := 0.6 * backendCount * 4 / meanServiceTime
 		for index := range r.callers {
 			fleet.addCaller(domainOf(index, 3), ms, float64(r.callers)/rate, func(balancer *Balancer) func() {
-				work := fleet.uniformWork(20000, 100000)
-				request := &unhealthyRequest{unhealthyRun: r, fleet: fleet, balancer: balancer, work: work, random: fleet.random.Float64(), startedAt: fleet.node.Now()}
+				serviceTime := fleet.uniformServiceTime(20000, 100000)
+				request := &unhealthyRequest{unhealthyRun: r, fleet: fleet, balancer: balancer, serviceTime: serviceTime, random: fleet.random.Float64(), startedAt: fleet.node.Now()}
 				return func() { request.send(&counts) }
 			})
 		}
@@ -68,6 +69,7 @@
 	return counts
 }
 
+// isUnhealthy reports whether a backend is one of those that become unhealthy.
 func (r unhealthyRun) isUnhealthy(instance string) bool {
 	index := 0
 	_, _ = fmt.Sscanf(instance, "backend-%d", &index)
@@ -78,27 +80,27 @@
 type unhealthyRequest struct {
 	unhealthyRun
 	*fleet
-	balancer  *Balancer
-	work      monotonic.Micros
-	random    float64 // decides whether an unhealthy backend fails it
-	startedAt monotonic.Micros
+	balancer    *Balancer
+	serviceTime monotonic.Micros // at a healthy backend
+	random      float64          // in [0, 1); determines whether an unhealthy backend fails the request
+	startedAt   monotonic.Micros
 }
 
 func (r *unhealthyRequest) send(counts *requestCounts) {
 	avoid := map[string]bool{}
-	at := r.startedAt - r.fleet.startedAt
-	during := at >= unhealthyFrom && at < unhealthyUntil
-	if during {
+	sentAt := r.startedAt - r.fleet.startedAt
+	duringFault := sentAt >= unhealthyFrom && sentAt < unhealthyUntil
+	if duringFault {
 		counts.requests++
 	}
 	attempts, served := 0, false
-	for made := 0; attempts < 2 && !served && made < 8; made++ {
+	for dispatches := 0; attempts < 2 && !served && dispatches < 8; dispatches++ {
 		pick, _ := r.balancer.Pick(r.directory, Criteria{Service: "forms", Avoid: avoid, LatencyTarget: requestLatencyTarget})
 		instance := pick.Candidate.Instance
 		avoid[instance] = true
-		lastBackend := pick.LastBackend || made >= retry.MaxRedispatches
+		lastBackend := pick.LastBackend || dispatches >= retry.MaxRedispatches
 		r.node.Sleep(ms / 2)
-		unhealthy := r.isUnhealthy(instance) && during
+		unhealthy := r.isUnhealthy(instance) && duringFault
 		reached, succeeded := r.visit(pick.Candidate, lastBackend, unhealthy)
 		pick.Release()
 		if reached {
@@ -106,7 +108,7 @@
 			if unhealthy {
 				counts.unhealthyVisits++
 			}
-			if at >= unhealthyUntil+5*monotonic.Second {
+			if sentAt >= unhealthyUntil+5*monotonic.Second {
 				counts.afterRecovery++
 				if r.isUnhealthy(instance) {
 					counts.afterRecoveryAtUnhealthy++
@@ -115,12 +117,12 @@
 		}
 		served = succeeded
 	}
-	if during && (!served || r.node.Now()-r.startedAt > requestLatencyTarget) {
+	if duringFault && (!served || r.node.Now()-r.startedAt > requestLatencyTarget) {
 		counts.failed++
 	}
 }
 
-// visit plays what a backend's proxy does with a request.
+// visit simulates how a backend's proxy and its backend handle a request.
 func (r *unhealthyRequest) visit(candidate session.Candidate, lastBackend, unhealthy bool) (reached, succeeded bool) {
 	instance, domain := candidate.Instance, r.balancer.domain
 	remaining := r.startedAt + requestTimeout - r.node.Now()
@@ -146,15 +148,15 @@
 		return false, false
 	}
 	observation.Start()
-	fails, took := false, r.work
+	fails, elapsed := false, r.serviceTime
 	if unhealthy {
-		if fails, took = r.fault(r.random, remaining, domain); took == 0 {
-			took = r.work
-		} else if took < 0 {
-			took = -took * r.work
+		if fails, elapsed = r.fault(r.random, remaining, domain); elapsed == 0 {
+			elapsed = r.serviceTime
+		} else if elapsed < 0 {
+			elapsed = -elapsed * r.serviceTime
 		}
 	}
-	r.node.Sleep(min(took, max(1, r.startedAt+requestTimeout-r.node.Now())))
+	r.node.Sleep(min(elapsed, max(1, r.startedAt+requestTimeout-r.node.Now())))
 	outcome, end := outlier.Success, slots.Completed
 	if fails {
 		outcome, end = outlier.Failure, slots.Released
@@ -168,11 +170,11 @@
 	return true, !fails
 }
 
-// backendFault decides whether an unhealthy backend fails a request, by a random number in [0, 1), and how long it takes. 0
-// stands for the request's own work time, a negative number for a multiple of it.
-type backendFault func(random float64, remaining monotonic.Micros, domain string) (fails bool, took monotonic.Micros)
+// backendFault returns whether an unhealthy backend fails a request, given a random number in [0, 1), and how long the request
+// takes. An elapsed time of 0 stands for the request's service time, and -n for n times the service time.
+type backendFault func(random float64, remaining monotonic.Micros, domain string) (fails bool, elapsed monotonic.Micros)
 
-// backendFaults are the ways in which a backend may be unhealthy.
+// backendFaults holds the ways in which a backend may be unhealthy, by test case.
 var backendFaults = map[string]backendFault{
 	"errors": func(float64, monotonic.Micros, string) (bool, monotonic.Micros) { return true, ms },
 	"four errors in ten": func(random float64, _ monotonic.Micros, _ string) (bool, monotonic.Micros) {
@@ -196,9 +198,9 @@
 	},
 }
 
-// TestUnhealthyBackendsAreAvoided: of many callers, few lose requests to a backend that is unhealthy while it reports that it
-// is healthy, and afterwards it is used as before. Each case holds the most requests that may be lost, and the most visits to
-// unhealthy backends, as parts of what they are without ejection.
+// TestUnhealthyBackendsAreAvoided: callers lose few requests to backends that are unhealthy but report that they are healthy, and
+// use them as before after the recovery. Each case sets the largest allowed numbers of lost requests and of visits to unhealthy
+// backends, as a share of those without ejection.
 func TestUnhealthyBackendsAreAvoided(t *testing.T) {
 	for name, allowed := range map[string]struct{ lost, visits float64 }{
 		"errors":              {1, 0.1},
@@ -219,19 +221,20 @@
 			t.Logf("two of twelve backends unhealthy for 6 s: %.2f %% of %d requests late or lost, %d visits; without ejection %.2f %%, %d visits; 5 s later the two have %.3f of all requests",
 				100*with.failedShare(), with.requests, with.unhealthyVisits, 100*without.failedShare(), without.unhealthyVisits, shareAfter)
 			if with.failedShare() > allowed.lost*without.failedShare() || float64(with.unhealthyVisits) > allowed.visits*float64(without.unhealthyVisits) {
-				t.Errorf("%.4f of the requests are late or lost, %.4f without ejection; %d visits, and %d", with.failedShare(), without.failedShare(), with.unhealthyVisits, without.unhealthyVisits)
+				t.Errorf("%.4f of the requests are late or lost, %.4f without ejection; %d visits, %d without ejection", with.failedShare(), without.failedShare(), with.unhealthyVisits, without.unhealthyVisits)
 			}
 			if shareAfter < 0.1 {
-				t.Errorf("they have %.3f of all requests 5 s later, not near 0.167", shareAfter)
+				t.Errorf("the two backends have %.3f of all requests 5 s later, want about 0.167", shareAfter)
 			}
 		})
 	}
 }
 
-// TestAllBackendsUnhealthy: a fault of the whole service ejects no backend for long: requests still reach backends.
+// TestAllBackendsUnhealthy: a fault that all backends of a service share ejects none of them for long, so that requests still
+// reach backends.
 func TestAllBackendsUnhealthy(t *testing.T) {
 	counts := unhealthyRun{fault: backendFaults["errors"], unhealthyBackends: backendCount, callers: 72}.run(t, 1)
 	if counts.unhealthyVisits < counts.requests/2 {
-		t.Errorf("%d of %d requests reached a backend, though none is better than another", counts.unhealthyVisits, counts.requests)
+		t.Errorf("%d of %d requests reached a backend although all backends are equally unhealthy", counts.unhealthyVisits, counts.requests)
 	}
 }
--- a/internal/proxy/loadbalancer/peer_health.go
+++ b/internal/proxy/loadbalancer/peer_health.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// statisticsTTL is how long the statistics of a service's backends are used before they are computed again.
+	// statisticsTTL is how long the statistics of a service's backends are cached.
 	statisticsTTL = 200 * monotonic.Millisecond
-	// healthTTL is how long a health report counts in the statistics.
+	// healthTTL is how long a health report is included in the statistics.
 	healthTTL = 10 * monotonic.Second
-	// normalLatencyRatio is the latency ratio of backends without a recent report, in thousandths.
+	// normalLatencyRatio is the median latency ratio, in thousandths, of a service without recent reports.
 	normalLatencyRatio = 1000
 )
 
-// healthReport is what a backend's proxy last reported of its backend's health. Both ratios are in thousandths.
+// healthReport is the last health report of a backend's proxy on its backend. Both rates are in thousandths.
 type healthReport struct {
 	faultRate, latencyRatio uint32
 	ejected                 bool
 	receivedAt              monotonic.Micros
 }
 
-// serviceStatistics are statistics of the health of a service's backends. Invariant: the messages aren't changed once made.
+// serviceStatistics holds health statistics of a service's backends. Invariant: the messages aren't modified once created.
 type serviceStatistics struct {
 	computedAt monotonic.Micros
-	// forHealthy is sent to a backend that isn't ejected, and forEjected to one that is. Each describes the other backends.
+	// forHealthy is sent to a backend that isn't ejected and forEjected to one that is. Both describe the other backends.
 	forHealthy, forEjected *wire.PeerStatistics
 }
 
-// peerHealth stores the health reports of all backends, and statistics of them by service. The Balancer's lock guards it.
+// peerHealth stores the health reports of all backends and statistics of them. The Balancer's lock guards it.
 type peerHealth struct {
-	reports    map[string]*healthReport // by instance
-	statistics map[string]*serviceStatistics
+	reports    map[string]*healthReport      // by instance
+	statistics map[string]*serviceStatistics // by service
 }
 
 func newPeerHealth() peerHealth {
 	return peerHealth{reports: map[string]*healthReport{}, statistics: map[string]*serviceStatistics{}}
 }
 
-// observe records a report and reports whether the backend is ejected and may be: not too many others are.
+// observe records a report. It returns true if the backend is ejected and not too many others are.
 func (p peerHealth) observe(
 	candidates []session.Candidate, service, instance string, load *wire.Load, now monotonic.Micros,
 ) (ejected bool) {
@@ -68,7 +68,7 @@
 	maps.DeleteFunc(p.reports, func(_ string, report *healthReport) bool { return now-report.receivedAt >= maxReportAge })
 }
 
-// statisticsFor returns the statistics of a service's other backends that are sent to one of them.
+// statisticsFor returns the statistics of a service's other backends that are sent to the given one.
 func (p peerHealth) statisticsFor(candidates []session.Candidate, service, instance string, now monotonic.Micros) *wire.PeerStatistics {
 	statistics := p.cachedStatistics(candidates, service, now)
 	if report := p.reports[instance]; report != nil && report.ejected {
@@ -77,7 +77,7 @@
 	return statistics.forHealthy
 }
 
-// cachedStatistics returns a service's statistics, which are computed again after statisticsTTL.
+// cachedStatistics returns a service's statistics. It recomputes them after statisticsTTL.
 func (p peerHealth) cachedStatistics(candidates []session.Candidate, service string, now monotonic.Micros) *serviceStatistics {
 	statistics := p.statistics[service]
 	if statistics == nil || now-statistics.computedAt >= statisticsTTL {
@@ -87,7 +87,7 @@
 	return statistics
 }
 
-// computeStatistics takes the medians of the reports of a service's backends.
+// computeStatistics computes the medians of the reports of a service's backends.
 func (p peerHealth) computeStatistics(candidates []session.Candidate, now monotonic.Micros) *serviceStatistics {
 	var faultRates, latencyRatios []uint32
 	ejected := uint32(0)
@@ -103,7 +103,7 @@
 	}
 	others := uint32(max(0, len(candidates)-1))
 	faultRate, latencyRatio := median(faultRates, 0), median(latencyRatios, normalLatencyRatio)
-	// An ejected backend isn't one of its ejected peers. ejected is 0 if its own report has expired.
+	// An ejected backend doesn't count itself among its ejected peers. ejected is 0 if the backend's own report has expired.
 	ejectedPeers := max(1, ejected) - 1
 	return &serviceStatistics{
 		computedAt: now,
@@ -112,10 +112,10 @@
 	}
 }
 
-// median sorts the values and returns the middle one, or a default if there is none.
-func median(values []uint32, otherwise uint32) uint32 {
+// median sorts the values and returns the middle one, or defaultValue if there is none.
+func median(values []uint32, defaultValue uint32) uint32 {
 	if len(values) == 0 {
-		return otherwise
+		return defaultValue
 	}
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/internal/proxy/loadbalancer/silence.go
+++ b/internal/proxy/loadbalancer/silence.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// defaultSilenceTimeout is the silence timeout where none is configured.
+	// defaultSilenceTimeout is the silence timeout if none is configured.
 	defaultSilenceTimeout = 700 * monotonic.Millisecond
 	// maxProbeInterval is the longest interval between two checks for silent proxies.
 	maxProbeInterval = 200 * monotonic.Millisecond
-	// minProbeTimeout is the least time that a silent proxy has to respond to a health check.
+	// minProbeTimeout is the shortest timeout of a health check.
 	minProbeTimeout = 150 * monotonic.Millisecond
-	// probeResponseTime is what a live proxy needs to respond to a health check.
+	// probeResponseTime is the time that a live proxy is allowed for the response to a health check.
 	probeResponseTime = 50 * monotonic.Millisecond
 )
 
-// silenceDetector finds proxies that have attempts in flight and don't respond. The Balancer's lock guards it.
+// silenceDetector finds proxies that have attempts in flight and have not responded for longer than the timeout: they are silent.
+// The Balancer's lock guards it.
 //
 // Invariant: pending holds a proxy exactly while attempts at its backends are in flight.
 type silenceDetector struct {
@@ -28,10 +29,10 @@
 	pending map[string]*pendingResponses // by proxy
 }
 
-// pendingResponses are the attempts in flight at one proxy.
+// pendingResponses tracks the attempts in flight at one proxy.
 type pendingResponses struct {
-	attempts int
-	since    monotonic.Micros // when the proxy last responded, or the first attempt began
+	attempts int              // number of attempts in flight
+	since    monotonic.Micros // when the proxy last responded or the first attempt began
 	address  string
 	probed   bool // a health check is in flight
 }
@@ -51,7 +52,7 @@
 	return pending
 }
 
-// end takes an attempt out of those in flight.
+// end removes an attempt from those in flight and restarts the proxy's silence timeout.
 func (d silenceDetector) end(proxy string, pending *pendingResponses, now monotonic.Micros) {
 	pending.since = now
 	if pending.attempts--; pending.attempts == 0 {
@@ -59,25 +60,24 @@
 	}
 }
 
-// probeInterval is how often to check for silent proxies.
+// probeInterval returns the interval between two checks for silent proxies.
 func (d silenceDetector) probeInterval() monotonic.Micros {
 	return min(maxProbeInterval, d.timeout/2)
 }
 
-// probeTimeout is how long a health check may take.
+// probeTimeout returns the timeout of a health check.
 func (d silenceDetector) probeTimeout() monotonic.Micros {
 	return max(minProbeTimeout, d.timeout*5/7)
 }
 
-// isUnresponsive reports whether a proxy has been sent a health check and should have responded to it by now. A proxy that
-// only has long-running requests isn't.
+// isUnresponsive reports whether a proxy has been silent for so long that it should have responded to a health check by now. A
+// proxy that is merely serving long-running requests passes the check and is responsive.
 func (d silenceDetector) isUnresponsive(proxy string, now monotonic.Micros) bool {
 	pending := d.pending[proxy]
 	return pending != nil && now-pending.since >= d.timeout+d.probeInterval()+probeResponseTime
 }
 
-// beginProbes returns the silent proxies that have no health check in flight, in order of their names, and marks them as
-// having one.
+// beginProbes returns the silent proxies without a health check in flight, sorted by name, and marks them as being checked.
 func (d silenceDetector) beginProbes(now monotonic.Micros) (silent []*pendingResponses) {
 	for _, proxy := range slices.Sorted(maps.Keys(d.pending)) {
 		pending := d.pending[proxy]
@@ -89,7 +89,7 @@
 	return silent
 }
 
-// endProbe records the end of a health check. A proxy that passed it is only slow.
+// endProbe records the end of a health check. A proxy that passed it is slow but alive, so its silence timeout restarts.
 func (p *pendingResponses) endProbe(passed bool, now monotonic.Micros) {
 	p.probed = false
 	if passed {
@@ -97,12 +97,12 @@
 	}
 }
 
-// ProbeInterval is how often ProbeSilentProxies is to be called, in microseconds.
+// ProbeInterval returns the interval in microseconds at which ProbeSilentProxies must be called.
 func (b *Balancer) ProbeInterval() monotonic.Micros { return b.silence.probeInterval() }
 
-// ProbeSilentProxies sends a health check to each proxy that has attempts in flight and hasn't responded within the silence
-// timeout. It doesn't wait for the results. A failed check closes the connection, so that the attempts that wait there end
-// and can be retried long before their deadlines.
+// ProbeSilentProxies sends a health check to each proxy that has attempts in flight and has been silent for the silence timeout.
+// It doesn't wait for the results. A failed check closes the connection, so that the attempts waiting on it end and can be
+// retried long before their deadlines.
 func (b *Balancer) ProbeSilentProxies() {
 	for _, pending := range b.silentProxies() {
 		b.host.Go(func() { b.probe(pending) })
--- a/internal/proxy/loadbalancer/silence_test.go
+++ b/internal/proxy/loadbalancer/silence_test.go
@@ -6,8 +6,8 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestSilenceDetector: a proxy with an attempt in flight is probed once it has been silent for the timeout, and is
-// unresponsive only if it doesn't pass the probe in time.
+// TestSilenceDetector: a proxy with an attempt in flight is probed once it has been silent for the timeout, and is unresponsive
+// only if it doesn't pass the probe in time.
 func TestSilenceDetector(t *testing.T) {
 	start := monotonic.Minute
 	detector := newSilenceDetector(700 * ms)
@@ -25,14 +25,14 @@
 	}
 	silent[0].endProbe(true, start+750*ms)
 	if until := start + 950*ms; detector.isUnresponsive("a", until) || !detector.isUnresponsive("b", until) || detector.isUnresponsive("b", until-1) {
-		t.Error("the proxy that passed its probe is unresponsive, or the other one isn't in time")
+		t.Error("want a unresponsive never and b unresponsive from 950 ms on")
 	}
 	silent[1].endProbe(false, start+1200*ms)
 	if again := detector.beginProbes(start + 1200*ms); len(again) != 1 || again[0] != first {
-		t.Errorf("%d probes after a failed one", len(again))
+		t.Errorf("%d probes after a failed one, want one of b", len(again))
 	}
 	detector.end("b", first, start+1300*ms)
 	if len(detector.pending) != 1 || detector.isUnresponsive("b", start+2*monotonic.Second) {
-		t.Error("a proxy without attempts in flight is watched")
+		t.Error("a proxy without attempts in flight is still tracked")
 	}
 }
--- a/internal/proxy/loadbalancer/spread_test.go
+++ b/internal/proxy/loadbalancer/spread_test.go
@@ -10,23 +10,23 @@
 	"snowflow/internal/proxy/retry"
 )
 
-// spreadRun is a run of callers at backends of unequal speeds.
+// spreadRun simulates callers that distribute their requests over backends of unequal speeds.
 type spreadRun struct {
-	speeds                 []float64
-	slots                  uint32
+	speeds                 []float64 // of each backend
+	slots                  uint32    // of each backend
 	callers                int
 	domains                int
-	unequal                bool    // a domain's callers send three times as much as the next one's
-	utilisation            float64 // of all slots
+	unequal                bool    // a domain's callers send three times as many requests as the next domain's
+	utilisation            float64 // mean share of all slots that is occupied
 	latencyTarget, timeout monotonic.Micros
 	duration               monotonic.Micros
-	ownLoadOnly            bool // balance by the caller's own requests in flight, as where slots aren't known
+	ownLoadOnly            bool // balance by the caller's own requests in flight only, as if the slots were unknown
 }
 
-// spreadResult is what became of the requests of a run.
+// spreadResult counts the requests of a run by their outcome.
 type spreadResult struct {
 	requests, rejected, late, crossDomain, redispatches int
-	total                                               monotonic.Micros // time of all requests that were served
+	total                                               monotonic.Micros // sum of the response times of all served requests
 	byBackend                                           map[string]int
 }
 
@@ -41,6 +41,7 @@
 		r.requests, percent(r.rejected), percent(r.late), mean, percent(r.crossDomain), r.redispatches, r.byBackend)
 }
 
+// run simulates the run with a seed.
 func (r spreadRun) run(t *testing.T, seed uint64) spreadResult {
 	t.Helper()
 	result := spreadResult{byBackend: map[string]int{}}
@@ -59,20 +60,20 @@
 				fleet.directory.Candidates["forms"][index].Slots = 0
 			}
 		}
-		const meanWork = 157500.0 // of 15 to 300 ms, at speed 1
-		rate := r.utilisation * total * float64(r.slots) / meanWork
+		const meanServiceTime = 157500.0 // microseconds, of 15 to 300 ms at speed 1
+		rate := r.utilisation * total * float64(r.slots) / meanServiceTime
 		weights, sum := r.weights()
 		for index := range r.callers {
 			fleet.addCaller(domainOf(index, r.domains), 20*ms, sum/(rate*weights[index]), func(balancer *Balancer) func() {
-				work := fleet.uniformWork(15000, 285000)
-				return func() { r.sendRequest(fleet, balancer, speeds, work, &result) }
+				serviceTime := fleet.uniformServiceTime(15000, 285000)
+				return func() { r.sendRequest(fleet, balancer, speeds, serviceTime, &result) }
 			})
 		}
 	})
 	return result
 }
 
-// weights is how much each caller sends, and their sum.
+// weights returns the relative request rate of each caller, and their sum.
 func (r spreadRun) weights() (weights []float64, sum float64) {
 	for index := range r.callers {
 		weight := 1.0
@@ -84,15 +85,15 @@
 	return weights, sum
 }
 
-// sendRequest plays one request.
-func (r spreadRun) sendRequest(fleet *fleet, balancer *Balancer, speeds map[string]float64, work monotonic.Micros, result *spreadResult) {
+// sendRequest simulates one request, with its redispatches.
+func (r spreadRun) sendRequest(fleet *fleet, balancer *Balancer, speeds map[string]float64, serviceTime monotonic.Micros, result *spreadResult) {
 	startedAt, avoid := fleet.node.Now(), map[string]bool{}
 	result.requests++
-	for made := 0; ; made++ {
+	for attempt := 0; ; attempt++ {
 		pick, _ := balancer.Pick(fleet.directory, Criteria{Service: "forms", Avoid: avoid})
 		instance := pick.Candidate.Instance
 		avoid[instance] = true
-		lastBackend := pick.LastBackend || made == retry.MaxRedispatches
+		lastBackend := pick.LastBackend || attempt == retry.MaxRedispatches
 		delay := ms / 2
 		if pick.Candidate.Domain != balancer.domain {
 			delay = 2 * ms
@@ -100,7 +101,7 @@
 		fleet.node.Sleep(delay)
 		slot, fault := fleet.backends.Admit(localbackends.Request{Instance: instance, Service: "forms", Request: slots.Request{LatencyTarget: startedAt + r.latencyTarget, Deadline: startedAt + r.timeout, Patient: lastBackend}})
 		if fault == nil {
-			fleet.node.Sleep(monotonic.Micros(float64(work) / speeds[instance]))
+			fleet.node.Sleep(monotonic.Micros(float64(serviceTime) / speeds[instance]))
 			slot.Release(slots.Completed)
 		}
 		load := fleet.backends.Load(instance, "")
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestSpreadUnderLoad: near full, at backends of unequal speeds, fewer requests are rejected or late than when callers
-// balance by their own requests alone.
+// TestSpreadUnderLoad: at high utilisation of backends of unequal speeds, no more requests are rejected or late than when callers
+// balance by their own requests in flight alone.
 func TestSpreadUnderLoad(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -161,7 +162,7 @@
 			}
 			t.Logf("three runs: %.2f %% rejected or late, by own requests in flight %.2f %%", 100*failed, 100*failedOwnLoadOnly)
 			if failed > failedOwnLoadOnly {
-				t.Errorf("%.4f rejected or late, %.4f by the own requests alone", failed, failedOwnLoadOnly)
+				t.Errorf("%.4f rejected or late, %.4f by own requests in flight", failed, failedOwnLoadOnly)
 			}
 		})
 	}
--- a/internal/proxy/loadbalancer/two_choices.go
+++ b/internal/proxy/loadbalancer/two_choices.go
@@ -2,12 +2,12 @@
 
 import "snowflow/internal/proxy/session"
 
-// randomSteps is the resolution of random fractions.
+// randomSteps is the number of distinct values of a random fraction.
 const randomSteps = 1000000
 
-// preferLocalDomain stays in the own domain with the probability that levels the load of all backends: the domain's share of
-// the backends over its share of the callers. Otherwise two candidates are drawn from the domains whose share of the
-// backends exceeds their share of the callers. The caller holds the lock.
+// preferLocalDomain returns the candidates in the caller's own domain with the probability that balances the load of all
+// backends: the domain's share of the backends divided by its share of the callers. Otherwise it returns two candidates drawn
+// from the domains whose share of the backends exceeds their share of the callers. The caller holds the lock.
 func (b *Balancer) preferLocalDomain(directory *session.Directory, candidates []session.Candidate) []session.Candidate {
 	domains := newDomainShares(directory, candidates)
 	local := domains.candidates[b.domain]
@@ -25,17 +25,18 @@
 	return []session.Candidate{remote.draw(b.host.Random()), remote.draw(b.host.Random())}
 }
 
-// pickLessLoadedOfTwo draws two candidates and returns the one with fewer own attempts in flight. The caller holds the lock.
+// pickLessLoadedOfTwo draws two candidates and returns the one with fewer of the caller's attempts in flight. The caller holds
+// the lock.
 func (b *Balancer) pickLessLoadedOfTwo(candidates []session.Candidate) session.Candidate {
-	one := candidates[b.host.Random()%uint64(len(candidates))]
-	other := candidates[b.host.Random()%uint64(len(candidates))]
-	if b.inFlight[other.Instance] < b.inFlight[one.Instance] {
-		return other
+	first := candidates[b.host.Random()%uint64(len(candidates))]
+	second := candidates[b.host.Random()%uint64(len(candidates))]
+	if b.inFlight[second.Instance] < b.inFlight[first.Instance] {
+		return second
 	}
-	return one
+	return first
 }
 
-// domainShares compares the backends of each failure domain with its callers.
+// domainShares compares each failure domain's share of a service's backends with its share of the callers.
 type domainShares struct {
 	directory  *session.Directory
 	candidates map[string][]session.Candidate // by domain
@@ -60,18 +61,18 @@
 	return float64(proxies) / float64(max(1, s.directory.Live))
 }
 
-// localProbability is the probability with which a caller stays in its own domain. It may exceed 1.
+// localProbability returns the probability with which a caller stays in its own domain. It may exceed 1.
 func (s domainShares) localProbability(domain string) float64 {
 	return s.backendShare(domain) / s.callerShare(max(1, s.directory.ProxiesByDomain[domain]))
 }
 
-// spareShare is by how much a domain's share of the backends exceeds its share of the callers.
+// spareShare returns by how much a domain's share of the backends exceeds its share of the callers.
 func (s domainShares) spareShare(domain string) float64 {
 	return s.backendShare(domain) - s.callerShare(s.directory.ProxiesByDomain[domain])
 }
 
-// spareCandidates are the candidates of all other domains whose spare is above 0. A domain's spare is divided evenly among its
-// candidates, as their weights.
+// spareCandidates returns the candidates of the other domains whose spare share is positive. The weights of a domain's
+// candidates are equal and add up to its spare share.
 func (s domainShares) spareCandidates(own string, candidates []session.Candidate) weightedCandidates {
 	var spare weightedCandidates
 	for _, candidate := range candidates {
@@ -86,14 +87,14 @@
 	return spare
 }
 
-// weightedCandidates is a set to draw from; total is the sum of the weights.
+// weightedCandidates is a list of candidates to draw from by weight.
 type weightedCandidates struct {
 	candidates []session.Candidate
 	weights    []float64
-	total      float64
+	total      float64 // sum of the weights
 }
 
-// draw returns one of the candidates with a probability in proportion to its weight.
+// draw maps a random number to a candidate, with a probability proportional to the candidate's weight.
 func (c weightedCandidates) draw(random uint64) session.Candidate {
 	point := c.total * float64(random%randomSteps) / randomSteps
 	index := 0
--- a/internal/proxy/loadbalancer/two_choices_test.go
+++ b/internal/proxy/loadbalancer/two_choices_test.go
@@ -9,8 +9,8 @@
 	"snowflow/internal/simulation/world"
 )
 
-// TestDomainShares: callers keep to their own domain with the probability that levels the load, and the rest goes to the
-// domains that have backends to spare.
+// TestDomainShares: callers stay in their own domain with the probability that balances the load. The remaining requests go to
+// the domains whose share of the backends exceeds their share of the callers.
 func TestDomainShares(t *testing.T) {
 	directory := &session.Directory{Live: 8, ProxiesByDomain: map[string]int{"a": 4, "b": 2, "c": 2}}
 	var candidates []session.Candidate
@@ -20,22 +20,22 @@
 	shares := newDomainShares(directory, candidates)
 	for domain, expected := range map[string]float64{"a": 0.5, "b": 2, "c": 1} {
 		if probability := shares.localProbability(domain); math.Abs(probability-expected) > 1e-9 {
-			t.Errorf("%s: probability %v, not %v", domain, probability, expected)
+			t.Errorf("%s: probability %v, want %v", domain, probability, expected)
 		}
 	}
 	spare := shares.spareCandidates("a", candidates)
 	if len(spare.candidates) != 2 || spare.candidates[0].Domain != "b" || spare.candidates[1].Domain != "b" {
-		t.Errorf("to spare: %v", spare.candidates)
+		t.Errorf("spare candidates: %v", spare.candidates)
 	}
 	if drawn := spare.draw(0); drawn.Instance != "1" {
-		t.Errorf("drew %s by the least random number", drawn.Instance)
+		t.Errorf("drew %s with the smallest random number", drawn.Instance)
 	}
 	if drawn := spare.draw(randomSteps - 1); drawn.Instance != "2" {
-		t.Errorf("drew %s by the greatest random number", drawn.Instance)
+		t.Errorf("drew %s with the largest random number", drawn.Instance)
 	}
 }
 
-// TestPreferLocalDomain: the share of choices in the own domain is the probability that levels the load.
+// TestPreferLocalDomain: the share of choices in the caller's own domain equals the probability that balances the load.
 func TestPreferLocalDomain(t *testing.T) {
 	simulate(t, ms, func(node *world.Host) {
 		balancer := New(Config{Host: node, Domain: "a"})
@@ -47,8 +47,8 @@
 				local++
 			}
 		}
-		if local < 1900 || local > 2100 { // 1/2 of the backends over 3/4 of the callers
-			t.Errorf("%d of 3000 choices are in the own domain, not near 2000", local)
+		if local < 1900 || local > 2100 { // 1/2 of the backends divided by 3/4 of the callers is 2/3
+			t.Errorf("%d of 3000 choices are in the own domain, want about 2000", local)
 		}
 	})
 }
