--- a/internal/proxy/breaker/set.go
+++ b/internal/proxy/breaker/set.go
@@ -48,7 +48,7 @@
 	mu           sync.Mutex                 // guards the fields below
 	breakers     map[string]*serviceBreaker // by service
 	degraded     bool                       // the registry is unreachable, so local breakers decide
-	failures     int                        // consecutive failures since the last recovery
+	failures     int                        // times that the set has become degraded since the last recovery
 	retryAt      monotonic.Micros           // while degraded, writes are dropped until this time
 	queuedWrites int                        // writes that are queued or being sent
 	closed       bool                       // no more writes are accepted
--- a/internal/proxy/loadbalancer/load_reports.go
+++ b/internal/proxy/loadbalancer/load_reports.go
@@ -69,7 +69,7 @@
 	maps.DeleteFunc(r, func(_ string, report *loadReport) bool { return now-report.receivedAt >= maxReportAge })
 }
 
-// AllReportSlots reports whether the slots (the number of requests that run concurrently) of each candidate are known.
+// AllReportSlots reports whether each candidate has reported its slots, the number of requests that it runs concurrently.
 func AllReportSlots(candidates []session.Candidate) bool {
 	for index := range candidates {
 		if candidates[index].Slots == 0 {
--- a/internal/proxy/loadbalancer/outlier_test.go
+++ b/internal/proxy/loadbalancer/outlier_test.go
@@ -56,7 +56,7 @@
 			names = append(names, fmt.Sprintf("backend-%02d", index))
 		}
 		fleet.addBackends(names, 4, 3)
-		const meanServiceTime = 70000.0
+		const meanServiceTime = 70000.0 // microseconds, of 20 to 120 ms
 		rate := 0.6 * backendCount * 4 / meanServiceTime
 		for index := range r.callers {
 			fleet.addCaller(domainOf(index, 3), ms, float64(r.callers)/rate, func(balancer *Balancer) func() {
@@ -86,6 +86,7 @@
 	startedAt   monotonic.Micros
 }
 
+// send simulates the request: it is dispatched to at most 8 backends and makes at most 2 attempts.
 func (r *unhealthyRequest) send(counts *requestCounts) {
 	avoid := map[string]bool{}
 	sentAt := r.startedAt - r.fleet.startedAt
--- a/internal/proxy/loadbalancer/silence_test.go
+++ b/internal/proxy/loadbalancer/silence_test.go
@@ -25,7 +25,7 @@
 	}
 	silent[0].endProbe(true, start+750*ms)
 	if until := start + 950*ms; detector.isUnresponsive("a", until) || !detector.isUnresponsive("b", until) || detector.isUnresponsive("b", until-1) {
-		t.Error("want a unresponsive never and b unresponsive from 950 ms on")
+		t.Error("a passed its probe but is unresponsive, or b isn't unresponsive from exactly 950 ms on")
 	}
 	silent[1].endProbe(false, start+1200*ms)
 	if again := detector.beginProbes(start + 1200*ms); len(again) != 1 || again[0] != first {
--- a/internal/proxy/loadbalancer/two_choices.go
+++ b/internal/proxy/loadbalancer/two_choices.go
@@ -51,12 +51,12 @@
 	return shares
 }
 
-// backendShare is a domain's share of the backendShare.
+// backendShare returns a domain's share of the backends.
 func (s domainShares) backendShare(domain string) float64 {
 	return float64(len(s.candidates[domain])) / float64(s.total)
 }
 
-// callerShare is the share of the callerShare that a number of proxies has.
+// callerShare returns the share of all callers that the given number of proxies amounts to.
 func (s domainShares) callerShare(proxies int) float64 {
 	return float64(proxies) / float64(max(1, s.directory.Live))
 }
--- a/internal/proxy/outlier/detector.go
+++ b/internal/proxy/outlier/detector.go
@@ -20,8 +20,8 @@
 	peerFaultFactor, peerFaultMargin = 2, 0.1
 	// maxEjectedShare is the largest share of a service's backends that may be ejected.
 	maxEjectedShare = 0.5
-	// minGlobalFailures is the number of most recent failures of which not all may be of the same domain if the backend is to
-	// be ejected for all callers.
+	// minGlobalFailures is the number of most recent failures that must include several domains for an ejection for all
+	// callers.
 	minGlobalFailures = 3
 )
 
@@ -61,7 +61,7 @@
 	Ejected         bool
 	Domain          string // empty for all callers
 	FaultRate       float64
-	RecentEjections int // number of ejections in a row that each began within flapWindow of the one before
+	RecentEjections int // consecutive ejections that each began within flapWindow of the one before
 }
 
 // Detector tracks the failures and the latency of one backend. It isn't safe for concurrent use.
@@ -185,7 +185,7 @@
 	return ejection.faultRate >= threshold && d.mayBeEjected()
 }
 
-// recordProbeSuccess reinstates the backend after enough successful probes in a row.
+// recordProbeSuccess reinstates the backend after enough consecutive successful probes.
 func (d *Detector) recordProbeSuccess(ejection *ejection) {
 	if !ejection.recordProbeSuccess() {
 		return
@@ -221,7 +221,7 @@
 	return changes
 }
 
-// Ejected reports whether the backend is ejected for the callers of a domain, of which it then receives only probes.
+// Ejected reports whether the backend is ejected for the callers of a domain, from which it then receives only probes.
 func (d *Detector) Ejected(domain string) bool {
 	own := d.domains[domain]
 	return d.global.ejected || own != nil && own.ejected
--- a/internal/proxy/outlier/ejection.go
+++ b/internal/proxy/outlier/ejection.go
@@ -28,7 +28,7 @@
 	probesInFlight       int
 	probeInterval        monotonic.Micros
 	nextProbeAt          monotonic.Micros
-	recentEjections      int // ejections in a row that each began within flapWindow of the one before
+	recentEjections      int // consecutive ejections that each began within flapWindow of the one before
 	lastEjectedAt        monotonic.Micros
 }
 
