--- a/internal/apierror/causes.go
+++ b/internal/apierror/causes.go
@@ -27,7 +27,7 @@
 	ForwardUnreachable      Cause = 401 // the backend's proxy could not be reached
 	ForwardLost             Cause = 402 // the backend's proxy gave no response
 	VersionOlder            Cause = 403 // the request was resolved by an older configuration than the backend's proxy has
-	VersionBehind           Cause = 404 // the request was resolved by a newer configuration than the backend's proxy has
+	VersionNewer           Cause = 404 // the request was resolved by a newer configuration than the backend's proxy has
 	BackendLeaving          Cause = 405 // the backend is shutting down
 	BackendUnknown          Cause = 406 // the backend's proxy does not have that backend
 	BackendDialFailed       Cause = 407 // the backend did not accept the connection
@@ -78,7 +78,7 @@
 	ForwardUnreachable:      {"pass_unreachable", 502, retrySoon, false},
 	ForwardLost:             {"pass_lost", 502, retrySoon, false},
 	VersionOlder:            {"older_serial", 503, retrySoon, false},
-	VersionBehind:           {"serial_behind", 503, retrySoon, false},
+	VersionNewer:           {"serial_behind", 503, retrySoon, false},
 	BackendLeaving:          {"backend_leaving", 503, retrySoon, false},
 	BackendUnknown:          {"backend_unknown", 503, retrySoon, false},
 	BackendDialFailed:       {"backend_dial_failed", 502, retrySoon, true},
--- a/internal/compatibility/values_test.go
+++ b/internal/compatibility/values_test.go
@@ -123,7 +123,7 @@
 	{"pass unreachable", apierror.ForwardUnreachable},
 	{"pass lost", apierror.ForwardLost},
 	{"serial older", apierror.VersionOlder},
-	{"serial behind", apierror.VersionBehind},
+	{"serial behind", apierror.VersionNewer},
 	{"backend leaving", apierror.BackendLeaving},
 	{"backend unknown", apierror.BackendUnknown},
 	{"backend dial", apierror.BackendDialFailed},
--- a/internal/proxy/admission/preconditions.go
+++ b/internal/proxy/admission/preconditions.go
@@ -67,7 +67,7 @@
 	}
 	catchUpTimeout := min(versionCatchUpTimeout, monotonic.Micros(req.Remaining))
 	if req.ConfigVersion > version && !c.options.ConfigClient.WaitForVersion(req.ConfigVersion, catchUpTimeout) {
-		return apierror.New(apierror.VersionBehind, apierror.NotRun,
+		return apierror.New(apierror.VersionNewer, apierror.NotRun,
 			"routed by configuration version %d, this proxy has %d", req.ConfigVersion, version)
 	}
 	return nil
--- a/internal/proxy/forward/retries.go
+++ b/internal/proxy/forward/retries.go
@@ -54,7 +54,7 @@
 		return apierror.New(apierror.RetryBudgetExhausted, fault.Verdict,
 			"the retry budget is exhausted; the last attempt failed: %s", fault.Detail)
 	}
-	if fault.Cause == apierror.VersionOlder || fault.Cause == apierror.VersionBehind {
+	if fault.Cause == apierror.VersionOlder || fault.Cause == apierror.VersionNewer {
 		f.resolveAgain(exchange)
 	}
 	f.config.Host.Sleep(backoff)
