--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -49,9 +49,9 @@
 	Backend bool
 	// RetryAfterMeasured means that admission control measured RetryAfter; otherwise it is the catalogue's.
 	RetryAfterMeasured bool
-	// Local means that the error says nothing about the backend: its cause is the network, or a connection that the backend had
+	// HealthNeutral means that the error says nothing about the backend: its cause is the network, or a connection that the backend had
 	// closed for being idle.
-	Local bool
+	HealthNeutral bool
 }
 
 // New returns an error with the catalogue's RetryAfter and Backend. The detail is formatted as by fmt.Sprintf.
--- a/internal/proxy/admission/health.go
+++ b/internal/proxy/admission/health.go
@@ -58,7 +58,7 @@
 // requests that the backend did not execute count as failures, like lost responses.
 func backendOutcome(response *request.Response, fault *apierror.Error) outlier.Outcome {
 	switch {
-	case fault != nil && (fault.Local || neutralCauses[fault.Cause]):
+	case fault != nil && (fault.HealthNeutral || neutralCauses[fault.Cause]):
 		return outlier.Unknown
 	case fault != nil || response.NotRun || response.Status >= http.StatusInternalServerError:
 		return outlier.Failure
--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -82,7 +82,7 @@
 	}
 	response, reusable, fault = conn.readResponse(req, t.dialect)
 	if fault != nil && fault.Cause == apierror.ResponseBroken && !conn.anythingRead() {
-		fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
+		fault.HealthNeutral = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
 	}
 	return response, reusable && fault == nil, fault
 }
@@ -98,7 +98,7 @@
 		verdict = apierror.NotRun
 	}
 	fault := apierror.New(apierror.ResponseBroken, verdict, "sending to %s: %v", req.Backend.Instance, err)
-	fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
+	fault.HealthNeutral = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
 	return fault
 }
 
