--- a/internal/host/clockwatch/clockwatch_test.go
+++ b/internal/host/clockwatch/clockwatch_test.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/simulation/world"
 )
 
-// runWatcher runs a watcher in a simulated process for a duration.
+// runWatcher runs a watcher in a simulated process for a duration, after a call of prepare.
 func runWatcher(t *testing.T, duration monotonic.Micros, prepare func(watcher *Watcher)) {
 	t.Helper()
 	simulated := world.New(1)
@@ -23,8 +23,8 @@
 	simulated.Close()
 }
 
-// TestPeriodicTasksRunAtCheckMultiples checks that a task runs at the multiple of the check interval nearest to its own, and at
-// every check if that is shorter.
+// TestPeriodicTasksRunAtCheckMultiples checks that a task runs at the multiple of the check interval that is nearest to the task's
+// interval, and at every check if the task's interval is shorter.
 func TestPeriodicTasksRunAtCheckMultiples(t *testing.T) {
 	counts := make([]int, 3)
 	runWatcher(t, 10*monotonic.Second, func(watcher *Watcher) {
@@ -33,6 +33,6 @@
 		}
 	})
 	if counts[0] < 90 || counts[0] > 100 || !slices.Equal([]int{counts[0] / 2, counts[0] / 5}, counts[1:]) {
-		t.Errorf("in ten seconds they ran %v times", counts)
+		t.Errorf("in ten seconds the tasks ran %v times", counts)
 	}
 }
--- a/internal/host/executor.go
+++ b/internal/host/executor.go
@@ -2,13 +2,13 @@
 
 import "snowflow/internal/monotonic"
 
-// Executor runs commands one after another in one task, which owns the state that they use.
+// Executor runs commands one at a time in a single task, which owns the state that the commands use.
 type Executor struct {
 	host  Host
 	queue *Queue[func()]
 }
 
-// NewExecutor starts an executor. It runs as long as the process.
+// NewExecutor starts an executor, which runs until the process ends.
 func NewExecutor(host Host) *Executor {
 	executor := &Executor{host: host, queue: NewQueue[func()](host)}
 	host.Go(executor.serve)
@@ -23,7 +23,7 @@
 	}
 }
 
-// Run runs a command and waits until it has returned. It must not be called by a command of the same executor.
+// Run runs a command and waits until it has returned. A command must not call Run of its own executor, which would block forever.
 func (e *Executor) Run(command func()) {
 	done := e.host.NewSignal()
 	e.queue.Put(func() { command(); done.Fire() })
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,9 +1,9 @@
-// Package host is the interface between a snowflow process and its environment: the clock, tasks, messages to other processes
-// and the disk.
+// Package host defines the interface between a snowflow process and its environment: the clock, tasks, messages to other
+// processes and the disk.
 //
-// Package host/machine implements it on a real machine, package simulation/world in a deterministic simulation. All code above
-// uses the environment through this package alone, so that the same code runs in both. Because the simulator runs one task at a
-// time, no lock may be held across Sleep, Call, Signal.Wait or a disk's Sync.
+// Package host/machine implements it on a real machine, package simulation/world in a deterministic simulation. All code that is
+// built on it accesses the environment only through this package, so that the same code runs in both. Because the simulator runs
+// one task at a time, no lock may be held across Sleep, Call, Signal.Wait or a disk's Sync.
 package host
 
 import (
@@ -23,7 +23,7 @@
 	Sleep(duration monotonic.Micros)
 	// Go starts a task.
 	Go(task func())
-	// Call sends a request to an address and waits for its reply. Its errors are apierror.Unreachable (certainly not delivered),
+	// Call sends a request to an address and waits for the reply. Its errors are apierror.Unreachable (certainly not delivered),
 	// apierror.Lost (may have been delivered), apierror.Refused (delivered and refused) and apierror.Invalid (not encodable).
 	Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error
 	// NewSignal returns a signal that has not fired.
@@ -32,26 +32,26 @@
 	Random() uint64
 	// Disk returns the process's data folder, or nil if it has none.
 	Disk() wal.Disk
-	// Report publishes an event of eventlog.Catalogue.
+	// Report publishes the event that has the given number in eventlog.Catalogue.
 	Report(number int, attributes eventlog.Attributes)
 	// Stop ends the process at once, for example after a failed sync. It may return before the process has ended.
 	Stop(reason string)
 }
 
-// Signal wakes one waiting task. A Fire without a waiter is remembered for the next Wait; further ones are dropped.
+// Signal wakes one waiting task. If no task waits, one Fire is kept for the next Wait, and further ones are dropped.
 type Signal interface {
 	Fire()
-	// Wait reports false if the signal did not fire within the timeout.
+	// Wait blocks until the signal fires. It returns false if that did not happen within the timeout.
 	Wait(timeout monotonic.Micros) bool
 }
 
-// Handler answers an encoded request of one kind.
+// Handler handles an encoded request of one kind and returns the reply.
 type Handler func(content []byte) (proto.Message, error)
 
-// Handlers are the handlers by kind. They are added before the process serves, and only read afterwards.
+// Handlers holds the handlers by message kind. It must not change once the process serves requests.
 type Handlers map[wire.Kind]Handler
 
-// Handle adds a handler of typed requests. A request that cannot be decoded is answered with apierror.Invalid.
+// Handle adds a handler that takes decoded requests. A request that cannot be decoded fails with apierror.Invalid.
 func Handle[Request any, RequestPointer interface {
 	*Request
 	proto.Message
@@ -59,7 +59,7 @@
 	handlers[kind] = func(content []byte) (proto.Message, error) {
 		request := RequestPointer(new(Request))
 		if err := proto.Unmarshal(content, request); err != nil {
-			return nil, apierror.Invalid.Wrap(err, "unreadable %s", kind)
+			return nil, apierror.Invalid.Wrap(err, "decoding %s", kind)
 		}
 		reply, err := handle(request)
 		if err != nil {
--- a/internal/host/machine/connection.go
+++ b/internal/host/machine/connection.go
@@ -27,7 +27,7 @@
 	dialErr error
 	socket  net.Conn
 
-	lastReceived atomic.Int64 // the clock when something was last received
+	lastReceived atomic.Int64 // the host's clock when bytes were last received
 	writeLock    sync.Mutex   // serializes writes to socket
 
 	lock          sync.Mutex // guards the fields below
@@ -39,7 +39,7 @@
 // pendingRequest is a request that waits for its reply.
 type pendingRequest struct {
 	id      uint64
-	replies <-chan frame.Frame // gets the reply, or is closed with the connection
+	replies <-chan frame.Frame // receives the reply, or is closed with the connection
 }
 
 // run dials and then receives until the connection ends.
@@ -58,7 +58,7 @@
 	c.receive()
 }
 
-// receive passes replies to the requests that wait for them. A reply without one is dropped: its request timed out.
+// receive passes each reply to the request that waits for it. The reply to a request that has timed out is dropped.
 func (c *peerConnection) receive() {
 	defer c.close()
 	reader := bufio.NewReaderSize(activityReader{c}, readBufferSize)
@@ -79,7 +79,7 @@
 	}
 }
 
-// activityReader reads a connection and notes when it received something. Part of a long frame shows that the peer lives, too.
+// activityReader reads from a connection and updates lastReceived, because even part of a long frame shows that the peer is alive.
 type activityReader struct{ connection *peerConnection }
 
 // Read implements io.Reader.
@@ -91,12 +91,12 @@
 	return count, err
 }
 
-// send writes a request. After an error nothing waits for its reply: Unreachable if nothing was written, Lost if part of it may
-// have been.
+// send writes a request. Its errors are apierror.Unreachable if nothing was written, apierror.Lost if part of the request may have
+// been written, and apierror.Invalid if it cannot be encoded. After an error, the request is not pending.
 func (c *peerConnection) send(kind wire.Kind, request proto.Message, timeout time.Duration) (pendingRequest, error) {
 	pending, open := c.addPending()
 	if !open {
-		return pending, apierror.Unreachable.New("connection to %s had ended", c.key.address)
+		return pending, apierror.Unreachable.New("connection to %s is closed", c.key.address)
 	}
 	encoded, err := frame.AppendMessage(nil, frame.Frame{Kind: kind, RequestID: pending.id}, request)
 	if err != nil {
@@ -115,14 +115,15 @@
 	return pending, nil
 }
 
-// decodeReply decodes the reply to a request of a kind. A reply of another kind closes the connection, which must be faulty.
+// decodeReply decodes the reply to a request of a kind. A reply of another kind means that the connection is faulty, so that it
+// is closed.
 func (c *peerConnection) decodeReply(incoming frame.Frame, kind wire.Kind, message proto.Message) error {
 	if incoming.Flags&frame.Fault != 0 {
 		return apierror.Refused.New("%s: %s", c.key.address, incoming.Content)
 	}
 	if incoming.Kind != kind {
 		c.close()
-		return apierror.Lost.New("%s answered %s with %s", c.key.address, kind, incoming.Kind)
+		return apierror.Lost.New("%s replied to %s with %s", c.key.address, kind, incoming.Kind)
 	}
 	if err := proto.Unmarshal(incoming.Content, message); err != nil {
 		return apierror.Lost.Wrap(err, "decoding %s", kind)
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// addPending adds a request that waits for its reply. It reports false if the connection is closed.
+// addPending adds a pending request. It returns false if the connection is closed.
 func (c *peerConnection) addPending() (pendingRequest, bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -143,7 +144,7 @@
 	return pendingRequest{id: c.lastRequestID, replies: replies}, true
 }
 
-// takePending removes a request that waits for its reply and returns where to send that, nil if there is none.
+// takePending removes a pending request and returns the channel for its reply, or nil if the request is not pending.
 func (c *peerConnection) takePending(id uint64) chan<- frame.Frame {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -152,10 +153,10 @@
 	return waiter
 }
 
-// cancel removes a request that waits for its reply.
+// cancel removes a pending request.
 func (c *peerConnection) cancel(id uint64) { c.takePending(id) }
 
-// close closes the connection and ends the requests that wait for a reply on it.
+// close closes the connection and the channels of its pending requests.
 func (c *peerConnection) close() {
 	c.peers.forget(c)
 	c.lock.Lock()
--- a/internal/host/machine/counters.go
+++ b/internal/host/machine/counters.go
@@ -6,19 +6,19 @@
 	"snowflow/internal/transport/wire"
 )
 
-// maxKinds bounds the kinds that are counted. It is above every kind there is.
+// maxKinds bounds the message kinds that are counted. It is above every defined kind.
 const maxKinds = 128
 
-// MessageCount is what a process has exchanged in messages of one kind. Bytes are those of whole frames.
+// MessageCount holds how many messages of one kind a process has exchanged, and the bytes of their whole frames.
 type MessageCount struct {
-	Sent, SentBytes         uint64 // requests to others, and replies to others' requests
+	Sent, SentBytes         uint64 // requests and replies, as client and as server
 	Received, ReceivedBytes uint64
 }
 
-// messageCounter counts the messages of one kind. Its counts only rise.
+// messageCounter counts the messages of one kind. Its counts never decrease.
 type messageCounter struct{ sent, sentBytes, received, receivedBytes atomic.Uint64 }
 
-// messageCounters counts by kind, without a lock since it counts every message of the process.
+// messageCounters counts messages by kind. It uses no lock, since it counts every message of the process.
 type messageCounters [maxKinds]messageCounter
 
 func (c *messageCounters) countSent(kind wire.Kind, bytes int) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// MessageCounts returns what this process has exchanged by kind, as client and as server. Kinds without a message are left out.
+// MessageCounts returns what this process has exchanged by kind, as client and as server. Kinds without messages are omitted.
 func (p *Peers) MessageCounts() map[wire.Kind]MessageCount {
 	totals := map[wire.Kind]MessageCount{}
 	for kind := range wire.Kind(maxKinds) {
@@ -51,10 +51,10 @@
 	return totals
 }
 
-// ByteCount is the bytes exchanged with one address.
+// ByteCount holds the bytes exchanged with one address.
 type ByteCount struct{ Sent, Received uint64 }
 
-// byteCounter counts the bytes exchanged with one address. Its counts only rise.
+// byteCounter counts the bytes exchanged with one address. Its counts never decrease.
 type byteCounter struct{ sent, received atomic.Uint64 }
 
 // Traffic returns the bytes exchanged with each address that this process has called.
--- a/internal/host/machine/counters_test.go
+++ b/internal/host/machine/counters_test.go
@@ -10,8 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestMessagesAreCountedByKind checks that each message counts once at each end, under its kind, with the bytes of its whole
-// frame.
+// TestMessagesAreCountedByKind checks that each end counts each message once, under its kind, with the bytes of its whole frame.
 func TestMessagesAreCountedByKind(t *testing.T) {
 	handlers := host.Handlers{}
 	host.Handle(handlers, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
@@ -28,7 +27,7 @@
 	if err := client.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 10*monotonic.Second); !apierror.IsRefused(err) {
 		t.Fatal(err)
 	}
-	const claim = frame.HeaderLength + 4 // one field: its number, its length and two letters
+	const claim = frame.HeaderLength + 4 // one field: its tag, its length and two letters
 	if got, want := client.MessageCounts()[wire.Kind_claim], (MessageCount{Sent: 3, SentBytes: 3 * claim, Received: 3, ReceivedBytes: 3 * claim}); got != want {
 		t.Errorf("the client counts %+v, want %+v", got, want)
 	}
@@ -36,7 +35,7 @@
 		t.Errorf("the server counts %+v, want %+v", got, want)
 	}
 	if got := client.MessageCounts()[wire.Kind_discover]; got.Sent != 1 || got.Received != 1 || got.ReceivedBytes <= frame.HeaderLength {
-		t.Errorf("a refusal counts as %+v", got)
+		t.Errorf("a refused call counts as %+v", got)
 	}
 	if len(client.MessageCounts()) != 2 {
 		t.Errorf("other kinds count too: %v", client.MessageCounts())
@@ -48,8 +47,8 @@
 	}
 }
 
-// TestCloseConnections checks that a call which waits on a closed connection ends with Lost, and that the next call dials a new
-// one.
+// TestCloseConnections checks that a call that waits for a reply fails with Lost when its connection is closed, and that the next
+// call dials a new connection.
 func TestCloseConnections(t *testing.T) {
 	handlers, received, release := host.Handlers{}, make(chan struct{}), make(chan struct{})
 	host.Handle(handlers, wire.Kind_forward, func(*wire.ForwardRequest) (*wire.ForwardResponse, error) {
@@ -74,7 +73,7 @@
 	}
 }
 
-// TestKindLabelsAreStable checks that each kind has the label under which it was first published, by its number on the wire.
+// TestKindLabelsAreStable checks that each kind, by its number on the wire, keeps the label under which it was first published.
 func TestKindLabelsAreStable(t *testing.T) {
 	labels := map[wire.Kind]string{
 		0: "kind_unset", 1: "whois", 2: "register_read", 3: "register_promise", 4: "register_accept", 5: "tenure_ask", 6: "replicate", 7: "install",
--- a/internal/host/machine/kind_labels.go
+++ b/internal/host/machine/kind_labels.go
@@ -2,7 +2,7 @@
 
 import "snowflow/internal/transport/wire"
 
-// kindLabels are the labels of kinds that were renamed since they were first published.
+// kindLabels maps the kinds that were renamed to the labels under which they were first published.
 var kindLabels = map[wire.Kind]string{
 	wire.Kind_discover:           "whois",
 	wire.Kind_prepare:            "register_promise",
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/wal"
 )
 
-// ExitStopped is the exit code of a process that stopped itself because its state is in doubt.
+// ExitStopped is the exit code of a process that stopped itself because its state can no longer be trusted.
 const ExitStopped = 3
 
 // Machine is the host of one process.
@@ -25,8 +25,8 @@
 	workers workerPool
 }
 
-// New returns a host. disk is nil for a process that stores nothing, and events may be nil, which discards them. stop is called
-// by Stop; if it is nil, Stop ends the process with ExitStopped.
+// New returns a host. disk is nil for a process that stores nothing. If events is nil, events are discarded. Stop calls stop, or
+// exits with ExitStopped if stop is nil.
 func New(disk wal.Disk, events *eventlog.EventLog, stop func(reason string)) *Machine {
 	machine := &Machine{SystemClock: monotonic.NewSystemClock(), disk: disk, events: events, stop: stop}
 	machine.Peers = newPeers(machine)
@@ -42,15 +42,15 @@
 // Random returns 64 random bits.
 func (m *Machine) Random() uint64 { return rand.Uint64() }
 
-// Disk returns the data folder, or nil if there is none.
+// Disk returns the process's data folder, or nil if it has none.
 func (m *Machine) Disk() wal.Disk { return m.disk }
 
-// Report publishes an event.
+// Report publishes the event that has the given number in eventlog.Catalogue.
 func (m *Machine) Report(number int, attributes eventlog.Attributes) {
 	m.events.Publish(number, attributes)
 }
 
-// Stop ends the process at once, for a reason that leaves its state in doubt.
+// Stop publishes the reason and ends the process at once. It is called when the process's state can no longer be trusted.
 func (m *Machine) Stop(reason string) {
 	m.Report(eventlog.ProcessStopped, eventlog.Stopped(reason))
 	if m.stop != nil {
--- a/internal/host/machine/peers.go
+++ b/internal/host/machine/peers.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// maxFrameSize bounds one message between processes, in bytes.
+	// maxFrameSize is the largest message between processes, in bytes.
 	maxFrameSize = 64 << 20
-	// readBufferSize is what is read at once from a connection, in bytes. The content of a longer message is read directly.
+	// readBufferSize is the size of a connection's read buffer, in bytes. Longer content is read without the buffer.
 	readBufferSize = 16 << 10
 	// defaultDialTimeout and minDialTimeout bound how long a dial may take.
 	defaultDialTimeout = 2 * time.Second
 	minDialTimeout     = 50 * time.Millisecond
-	// repliesPollInterval is how often WaitForReplies looks.
+	// repliesPollInterval is how often WaitForReplies checks for replies that are not written yet.
 	repliesPollInterval = 2 * monotonic.Millisecond
 )
 
-// Peers holds a process's connections to others, and serves theirs. It is safe for concurrent use.
+// Peers holds a process's connections to other processes, and serves their requests. It is safe for concurrent use.
 //
 // Invariant: a connection in connections is being dialled, or was open when it was last used.
 type Peers struct {
 	machine         *Machine
 	messageCounters messageCounters
-	inFlight        atomic.Int64  // others' requests whose reply is not written yet
+	inFlight        atomic.Int64  // received requests whose replies are not written yet
 	dialTimeout     time.Duration // set before the first call
 	localAddress    net.Addr      // set before the first call; nil leaves the choice to the system
 
@@ -42,7 +42,7 @@
 	traffic     map[string]*byteCounter // by address
 }
 
-// connectionKey identifies a connection. Bulk messages have one of their own, so that small ones don't wait behind them.
+// connectionKey identifies a connection. Bulk messages use a separate connection, so that small messages don't wait behind them.
 type connectionKey struct {
 	address string
 	bulk    bool
@@ -55,8 +55,8 @@
 	}
 }
 
-// SetLocalAddress makes connections go out from the IP address of an own address, unless that is unspecified. It must be called
-// before the first call.
+// SetLocalAddress sets the source IP address of outgoing connections to that of one of the process's addresses, unless it is the
+// unspecified address. It must be called before the first call.
 func (p *Peers) SetLocalAddress(address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -67,11 +67,11 @@
 	}
 }
 
-// SetDialTimeout bounds how long a dial may take, two seconds otherwise. On a fast network, a machine that does not answer sooner
-// is down. It must be called before the first call.
+// SetDialTimeout sets how long a dial may take; the default is two seconds. On a fast network, a machine that does not
+// answer within a shorter timeout is down. SetDialTimeout must be called before the first call.
 func (p *Peers) SetDialTimeout(timeout monotonic.Micros) { p.dialTimeout = timeout.Duration() }
 
-// Call sends a request and waits for its reply, as host.Host says.
+// Call sends a request and waits for the reply, as host.Host specifies.
 func (p *Peers) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	if address == "" {
 		return apierror.Unreachable.New("no address")
@@ -81,12 +81,12 @@
 	defer timer.Stop()
 	peer := p.connect(connectionKey{address, kind == wire.Kind_forward_bulk}, timeout.Duration())
 	if kind == wire.Kind_forward_bulk {
-		kind = wire.Kind_forward // the server need not know on which connection it came
+		kind = wire.Kind_forward // the server need not know which connection was used
 	}
 	select {
 	case <-peer.dialled:
 	case <-timer.C:
-		return apierror.Unreachable.New("dialling %s took too long", address)
+		return apierror.Unreachable.New("dialling %s timed out", address)
 	}
 	if peer.dialErr != nil {
 		return apierror.Unreachable.Wrap(peer.dialErr, "dialling %s", address)
@@ -103,21 +103,21 @@
 		return peer.decodeReply(incoming, kind, reply)
 	case <-timer.C:
 		peer.cancel(pending.id)
-		// If nothing was received since the request was sent, the connection may be dead; the next call dials a new one.
+		// If nothing has been received since the request was sent, the connection may be dead. The next call dials a new one.
 		if peer.lastReceived.Load() < int64(started) {
 			peer.close()
 		}
-		return apierror.Lost.New("no answer from %s within %v", address, timeout.Duration())
+		return apierror.Lost.New("no reply from %s within %v", address, timeout.Duration())
 	}
 }
 
-// connect returns the connection to an address, and starts to dial it if there is none. The dial takes at most the timeout of the
-// call that started it; later calls share its outcome.
+// connect returns the connection for a key, and starts to dial it if there is none. The dial takes at most the timeout of the call
+// that started it; later calls share its outcome.
 func (p *Peers) connect(key connectionKey, timeout time.Duration) *peerConnection {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if present := p.connections[key]; present != nil {
-		return present
+	if existing := p.connections[key]; existing != nil {
+		return existing
 	}
 	traffic := p.traffic[key.address]
 	if traffic == nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// CloseConnections closes every connection that this process opened. Calls that wait for a reply on one end with Lost.
+// CloseConnections closes every connection that this process opened. Calls that wait for a reply fail with apierror.Lost.
 func (p *Peers) CloseConnections() {
 	p.lock.Lock()
 	connections := maps.Clone(p.connections)
--- a/internal/host/machine/peers_test.go
+++ b/internal/host/machine/peers_test.go
@@ -33,8 +33,8 @@
 	return machine, listener.Addr().String(), events
 }
 
-// TestMalformedFramesCloseTheConnection sends bytes that are no frame, a frame with a flipped bit, an unknown kind and a version
-// that is not adjacent. Each must close the connection and be published as an event.
+// TestMalformedFramesCloseTheConnection sends bytes that are no frame, a frame with a flipped bit, one of an unknown kind and one
+// of a version that is not adjacent. The server must close the connection and publish an event for each.
 func TestMalformedFramesCloseTheConnection(t *testing.T) {
 	_, address, events := startServer(t, host.Handlers{wire.Kind_discover: nil})
 	valid := frame.Append(nil, frame.Frame{Kind: wire.Kind_forward, RequestID: 1, Content: []byte("abc")})
@@ -53,11 +53,11 @@
 			_, _ = connection.Write(content)
 			_ = connection.SetReadDeadline(time.Now().Add(10 * time.Second))
 			if _, err := connection.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !isReset(err) {
-				t.Errorf("the connection stays open: %v", err)
+				t.Errorf("the connection was not closed: %v", err)
 			}
 			_ = connection.Close()
 			if events.Counts()[eventlog.MalformedFrame] != before+1 {
-				t.Error("no event")
+				t.Error("no event was published")
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	return errors.As(err, &operation) && !operation.Timeout()
 }
 
-// TestCallErrorsAreDistinguished checks that refused, unreachable and lost calls have errors of their own types.
+// TestCallErrorsAreDistinguished checks that refused, unreachable and lost calls fail with different types of error.
 func TestCallErrorsAreDistinguished(t *testing.T) {
 	handlers := host.Handlers{}
 	release := make(chan struct{})
@@ -91,7 +91,7 @@
 	if err := machine.Call("127.0.0.1:1", wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, monotonic.Second); !apierror.IsUnreachable(err) {
 		t.Errorf("unreachable: %v", err)
 	}
-	// Each reply must reach its own request, whatever else waits on the connection.
+	// Each reply must reach its own request, whatever other requests are pending on the connection.
 	done := make(chan bool)
 	for number := range 50 {
 		go func() {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestLongResponseSurvivesShortTimeout checks that a request which times out while a long reply is received on the same
-// connection does not close it: the connection is alive, so the long reply must arrive.
+// TestLongResponseSurvivesShortTimeout checks that a request that times out while a long reply is being received on the same
+// connection does not close the connection: it is alive, so the long reply must arrive.
 func TestLongResponseSurvivesShortTimeout(t *testing.T) {
 	events, err := eventlog.New("test", "test", "error")
 	if err != nil {
--- a/internal/host/machine/serve.go
+++ b/internal/host/machine/serve.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a failed accept, for example while there are no file descriptors.
+	// acceptRetryDelay is the pause after a failed accept, for example while no file descriptors are available.
 	acceptRetryDelay = 10 * time.Millisecond
-	// replyWriteTimeout bounds how long writing a reply may take.
+	// replyWriteTimeout is how long writing a reply may take.
 	replyWriteTimeout = 10 * time.Second
 )
 
-// Serve answers the requests that come in on a listener. It returns nil once the listener is closed.
+// Serve accepts connections on a listener and handles their requests. It returns nil once the listener is closed.
 func (p *Peers) Serve(listener net.Listener, handlers host.Handlers) error {
 	for {
 		connection, err := listener.Accept()
@@ -38,7 +38,7 @@
 	}
 }
 
-// WaitForReplies waits until every request of others has its reply written, at most for the timeout.
+// WaitForReplies waits until the replies to all requests that were received are written, at most for the timeout.
 func (p *Peers) WaitForReplies(timeout monotonic.Micros) {
 	deadline := p.machine.Now() + timeout
 	for p.inFlight.Load() > 0 && p.machine.Now() < deadline {
@@ -54,7 +54,7 @@
 	writeLock sync.Mutex // serializes writes to socket
 }
 
-// serve answers each request in a task of its own, until the connection ends or a frame is malformed.
+// serve handles each request in its own task, until the connection ends or a frame is malformed.
 func (c *incomingConnection) serve() {
 	defer func() { _ = c.socket.Close() }()
 	reader := bufio.NewReaderSize(c.socket, readBufferSize)
@@ -94,7 +94,7 @@
 	}
 }
 
-// answer handles a request and writes its reply. If the reply cannot be written the connection is closed.
+// answer handles a request and writes the reply. If the reply cannot be written, it closes the connection.
 func (c *incomingConnection) answer(incoming frame.Frame) {
 	encoded := c.encodeReply(incoming)
 	c.writeLock.Lock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// encodeReply handles a request and returns the frame that answers it: the handler's reply, or the text of its error.
+// encodeReply calls the handler of a request and returns the frame of the reply: the handler's message, or the text of its error.
 func (c *incomingConnection) encodeReply(incoming frame.Frame) []byte {
 	outgoing := frame.Frame{Kind: incoming.Kind, Flags: frame.Reply, RequestID: incoming.RequestID}
 	message, err := c.handlers[incoming.Kind](incoming.Content)
--- a/internal/host/machine/signal.go
+++ b/internal/host/machine/signal.go
@@ -7,13 +7,13 @@
 	"snowflow/internal/monotonic"
 )
 
-// signal implements host.Signal by a channel that holds one Fire.
+// signal implements host.Signal by a channel that buffers one Fire.
 type signal struct{ channel chan struct{} }
 
 // NewSignal returns a signal that has not fired.
 func (m *Machine) NewSignal() host.Signal { return &signal{channel: make(chan struct{}, 1)} }
 
-// Fire wakes the waiter, or the next one.
+// Fire wakes the task that waits, or the next one that does.
 func (s *signal) Fire() {
 	select {
 	case s.channel <- struct{}{}:
@@ -21,7 +21,7 @@
 	}
 }
 
-// Wait reports false if the signal does not fire within the timeout.
+// Wait blocks until the signal fires. It returns false if that does not happen within the timeout.
 func (s *signal) Wait(timeout monotonic.Micros) bool {
 	select {
 	case <-s.channel:
--- a/internal/host/machine/socket/socket.go
+++ b/internal/host/machine/socket/socket.go
@@ -1,7 +1,7 @@
-// Package socket is a TCP connection for short messages. It makes the system calls for reading and writing without notifying the Go
-// scheduler, which is safe because they never block: the descriptor is non-blocking, and waiting is left to the runtime's poller.
-// If the scheduler is notified, the runtime wakes a thread that checks every 20 µs for calls that take long, which costs more than
-// the call itself.
+// Package socket implements a TCP connection for short messages. It makes the system calls for reading and writing without notifying
+// the Go scheduler, which is safe because they never block: the descriptor is non-blocking, and waiting is left to the runtime's
+// poller. If the scheduler were notified, the runtime would wake a thread that checks every 20 µs for calls that take long, which
+// costs more than the call itself.
 package socket
 
 import (
@@ -14,27 +14,27 @@
 	"unsafe"
 )
 
-// Conn is a TCP connection. It is safe for concurrent use, as any net.Conn.
+// Conn is a TCP connection. It is safe for concurrent use, like any net.Conn.
 //
-// Invariant: its descriptor is non-blocking, as that of every connection of package net.
+// Invariant: its descriptor is non-blocking, like that of every connection of package net.
 type Conn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
-	readLock   sync.Mutex // guards the following
+	readLock   sync.Mutex // guards the read state below
 	readBuffer []byte
 	readCount  int
 	readErrno  syscall.Errno
 	readFunc   func(descriptor uintptr) bool // readOnce as a value, to save an allocation per read
 
-	writeLock  sync.Mutex // guards the following
+	writeLock  sync.Mutex // guards the write state below
 	unwritten  []byte
 	writeErrno syscall.Errno
 	noWait     bool                          // whether to return instead of waiting for buffer space
 	writeFunc  func(descriptor uintptr) bool // writeAll as a value, to save an allocation per write
 }
 
-// Wrap returns a connection that replaces the given one. A connection that is not TCP is returned as it is.
+// Wrap returns a Conn to use in place of a TCP connection. Other connections are returned unchanged.
 func Wrap(connection net.Conn) net.Conn {
 	plain, ok := connection.(*net.TCPConn)
 	if !ok {
@@ -49,7 +49,7 @@
 	return wrapped
 }
 
-// rawCall makes a non-blocking system call on a descriptor and a buffer, again if a signal interrupted it.
+// rawCall makes a non-blocking system call on a descriptor and a buffer, and repeats it if a signal interrupts it.
 func rawCall(number uintptr, descriptor uintptr, content []byte) (int, syscall.Errno) {
 	for {
 		count, _, errno := syscall.RawSyscall(number, descriptor, uintptr(unsafe.Pointer(unsafe.SliceData(content))), uintptr(len(content)))
@@ -59,13 +59,13 @@
 	}
 }
 
-// readOnce reads once into readBuffer. It reports false if there was nothing, which makes the poller wait.
+// readOnce reads once into readBuffer. It returns false if there is nothing to read, which makes the poller wait.
 func (c *Conn) readOnce(descriptor uintptr) bool {
 	c.readCount, c.readErrno = rawCall(syscall.SYS_READ, descriptor, c.readBuffer)
 	return c.readErrno != syscall.EAGAIN
 }
 
-// Read reads what there is, and waits if there is nothing, until the read deadline.
+// Read reads the bytes that have arrived. If there are none, it waits for some until the read deadline.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
@@ -86,10 +86,11 @@
 	return c.readCount, nil
 }
 
-// maxWriteSize bounds what one call takes: more would keep the processor from other tasks.
+// maxWriteSize bounds the bytes that one system call writes: a longer call would keep the processor from other tasks.
 const maxWriteSize = 1 << 20
 
-// writeAll writes what is unwritten. It reports false if there is no buffer space and it may wait for it.
+// writeAll writes the unwritten bytes. If no buffer space is left, it returns false, which makes the poller wait, unless noWait is
+// set.
 func (c *Conn) writeAll(descriptor uintptr) bool {
 	for len(c.unwritten) > 0 {
 		count, errno := rawCall(syscall.SYS_WRITE, descriptor, c.unwritten[:min(len(c.unwritten), maxWriteSize)])
@@ -112,7 +113,7 @@
 }
 
 // writeLocked writes all of content, or with noWait as much as there is buffer space for. It returns the number of bytes written.
-// The lock is held.
+// The caller holds writeLock.
 func (c *Conn) writeLocked(content []byte, noWait bool) (int, error) {
 	c.unwritten, c.writeErrno, c.noWait = content, 0, noWait
 	err := c.raw.Write(c.writeFunc)
@@ -124,8 +125,8 @@
 	return written, err
 }
 
-// WriteWithin writes all of content within a timeout. It uses the write deadline, which must not be set otherwise, and sets it only
-// if the content does not fit into the system's buffer, to save the cost of a timer.
+// WriteWithin writes all of content within a timeout. It uses the write deadline, which must not be used for anything else, and sets
+// it only if the content does not fit into the system's buffer, to save the cost of a timer.
 func (c *Conn) WriteWithin(content []byte, timeout time.Duration) error {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -149,7 +150,7 @@
 	return err
 }
 
-// IsIdle reports whether a connection is open and has nothing to read. It doesn't block and reads nothing.
+// IsIdle reports whether a connection is open and has nothing to read. It neither blocks nor consumes any bytes.
 func IsIdle(connection syscall.Conn) bool {
 	raw, err := connection.SyscallConn()
 	if err != nil {
@@ -169,24 +170,24 @@
 	return &net.OpError{Op: operation, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(operation, errno)}
 }
 
-// ReadFrom implements io.ReaderFrom by plain writes. TCPConn's would pass the descriptor to the kernel to copy.
+// ReadFrom implements io.ReaderFrom by calls of Write. TCPConn's method would pass the descriptor to the kernel to copy.
 func (c *Conn) ReadFrom(source io.Reader) (int64, error) {
 	return io.Copy(onlyWriter{c}, source)
 }
 
-// WriteTo implements io.WriterTo by plain reads.
+// WriteTo implements io.WriterTo by calls of Read.
 func (c *Conn) WriteTo(target io.Writer) (int64, error) {
 	return io.Copy(target, onlyReader{c})
 }
 
-// onlyWriter and onlyReader hide all other methods, so that io.Copy does not call ReadFrom and WriteTo again.
+// onlyWriter and onlyReader hide all other methods of a Conn, so that io.Copy does not call ReadFrom and WriteTo again.
 type onlyWriter struct{ io.Writer }
 type onlyReader struct{ io.Reader }
 
 // listener wraps the connections that it accepts.
 type listener struct{ net.Listener }
 
-// WrapListener returns a listener whose connections are replaced as by Wrap.
+// WrapListener returns a listener that passes each connection that it accepts through Wrap.
 func WrapListener(plain net.Listener) net.Listener { return listener{plain} }
 
 // Accept implements net.Listener.
--- a/internal/host/machine/socket/socket_test.go
+++ b/internal/host/machine/socket/socket_test.go
@@ -31,8 +31,8 @@
 	return Wrap(dialled).(*Conn), accepted.(*Conn)
 }
 
-// TestLargeTransferArrivesComplete checks that content far beyond a connection's buffers arrives complete and in order, whichever
-// way it is written.
+// TestLargeTransferArrivesComplete checks that content much larger than a connection's buffers arrives complete and in order,
+// whichever method writes it.
 func TestLargeTransferArrivesComplete(t *testing.T) {
 	client, server := pair(t)
 	content := make([]byte, 20<<20)
@@ -48,7 +48,7 @@
 		go func() { result <- write() }()
 		arrived := make([]byte, len(content))
 		if _, err := io.ReadFull(server, arrived); err != nil || !bytes.Equal(arrived, content) {
-			t.Errorf("%s: %v, or other bytes", name, err)
+			t.Errorf("%s: reading ended with %v, or other bytes arrived", name, err)
 		}
 		if err := <-result; err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestEndOfStreamAndReset checks that the end of the stream reads as such, also after content, and a reset as an error.
+// TestEndOfStreamAndReset checks that Read returns io.EOF at the end of the stream, also after content, and another error after a
+// reset.
 func TestEndOfStreamAndReset(t *testing.T) {
 	client, server := pair(t)
 	if _, err := client.Write([]byte("last")); err != nil {
@@ -64,7 +65,7 @@
 	}
 	_ = client.Close()
 	if all, err := io.ReadAll(server); err != nil || string(all) != "last" {
-		t.Errorf("%q, %v", all, err)
+		t.Errorf("read %q, %v", all, err)
 	}
 	client, server = pair(t)
 	_ = client.SetLinger(0)
@@ -85,7 +86,7 @@
 		t.Errorf("reading ended with %v", err)
 	}
 	if err := client.WriteWithin(make([]byte, 64<<20), time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("writing to one who doesn't read ended with %v", err)
+		t.Errorf("writing to a peer that doesn't read ended with %v", err)
 	}
 	result := make(chan error, 1)
 	go func() {
@@ -95,7 +96,7 @@
 	_ = client.SetReadDeadline(time.Time{})
 	_ = client.Close()
 	if err := <-result; !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a close ended reading with %v", err)
+		t.Errorf("after a close, reading ended with %v", err)
 	}
 	_ = server.Close()
 }
@@ -104,13 +105,13 @@
 func TestIsIdle(t *testing.T) {
 	client, server := pair(t)
 	if !IsIdle(client) {
-		t.Error("an idle connection is not idle")
+		t.Error("an open connection without unread content is not idle")
 	}
 	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for IsIdle(client) {
-		runtime.Gosched() // it is still under way
+		runtime.Gosched() // the byte has not arrived yet
 	}
 	client, server = pair(t)
 	_ = server.Close()
@@ -118,6 +119,6 @@
 		t.Fatal(err)
 	}
 	if IsIdle(client) {
-		t.Error("idle after its end")
+		t.Error("a connection that has ended is idle")
 	}
 }
--- a/internal/host/machine/workers.go
+++ b/internal/host/machine/workers.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// maxIdleWorkers bounds the idle goroutines that are reused for later tasks.
+// maxIdleWorkers is how many idle goroutines are kept at most for later tasks.
 const maxIdleWorkers = 32
 
-// workerPool runs tasks in goroutines that ran others before. A new goroutine grows its stack step by step and copies it each
-// time, which costs more than most tasks of a request.
+// workerPool runs tasks in goroutines that it reuses. A new goroutine grows its stack step by step and copies it each time, which
+// costs more than most tasks of a request.
 //
 // Invariant: a worker is in idle exactly while it waits for a task.
 type workerPool struct {
 	lock sync.Mutex // guards idle
-	idle []*worker  // the one that has waited least is last, and is taken first
+	idle []*worker  // a stack: the worker that became idle last is taken first
 }
 
 // worker is a goroutine that waits for its next task.
@@ -40,7 +40,7 @@
 	return idle
 }
 
-// putIdle adds a worker to the idle ones. It reports false if there are enough.
+// putIdle adds a worker to the idle ones. It returns false if there are maxIdleWorkers already.
 func (p *workerPool) putIdle(idle *worker) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -51,7 +51,7 @@
 	return true
 }
 
-// run runs a first task, and then further ones until the pool has enough idle workers.
+// run is a worker's goroutine. It runs a first task and then those that start passes to it, until the pool has enough idle workers.
 func (p *workerPool) run(task func()) {
 	self := &worker{tasks: make(chan func(), 1)}
 	for {
--- a/internal/host/machine/workers_test.go
+++ b/internal/host/machine/workers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWorkerPoolRunsEveryTaskOnce checks that every task runs once, also tasks that wait for each other, and that no more than
-// maxIdleWorkers are kept.
+// TestWorkerPoolRunsEveryTaskOnce checks that every task runs once, even if tasks wait for each other, and that no more than
+// maxIdleWorkers idle workers are kept.
 func TestWorkerPoolRunsEveryTaskOnce(t *testing.T) {
 	var pool workerPool
 	var count atomic.Int64
--- a/internal/host/queue.go
+++ b/internal/host/queue.go
@@ -25,8 +25,8 @@
 	q.signal.Fire()
 }
 
-// TakeAll removes and returns all items, in the order of their Put. If there is none it waits for one up to the timeout; it may
-// still return none.
+// TakeAll removes and returns all items, in the order in which they were put. If there are none, it waits for one up to the
+// timeout, and may still return none.
 func (q *Queue[Item]) TakeAll(timeout monotonic.Micros) []Item {
 	if items := q.takePending(); len(items) > 0 {
 		return items
