--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,8 +1,8 @@
-// Package apierror defines the errors of a request on its way through the mesh.
+// Package apierror defines the errors of a request that passes through the mesh.
 //
-// There are two kinds. An Error is returned to a caller: a numbered cause with an HTTP status, and a verdict on whether the request
-// may have run. Unreachable, Lost, Refused and Invalid are the errors of a call between two processes of the mesh, from
-// which such a verdict is derived.
+// There are two kinds. An Error is returned to a caller: it has a numbered cause, which determines the HTTP status, and a verdict on
+// whether the request may have run. Unreachable, Lost, Refused and Invalid are the errors of a call between two processes of the
+// mesh, from which such a verdict is derived.
 package apierror
 
 import (
@@ -13,7 +13,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// Verdict says whether a request that got no backend's response may have run. Its values are sent to callers.
+// Verdict says whether a request that received no response from a backend may have run. Its values are sent to callers.
 type Verdict string
 
 const (
@@ -25,7 +25,7 @@
 
 var namespace = errorx.NewNamespace("snowflow")
 
-// The types of errors of a call between two processes. Test for them by IsUnreachable, IsLost and IsRefused.
+// The types of errors of a call between two processes. IsUnreachable, IsLost and IsRefused test for them.
 var (
 	// Unreachable means that the request certainly never reached the other process.
 	Unreachable = namespace.NewType("unreachable")
@@ -37,7 +37,7 @@
 	Invalid = namespace.NewType("invalid")
 )
 
-// Error is the error that is returned to a caller.
+// Error is an error that is returned to a caller.
 //
 // Invariant: Verdict is NotRun only if that is certain.
 type Error struct {
@@ -45,16 +45,16 @@
 	Verdict    Verdict
 	RetryAfter monotonic.Micros // zero if a retry is useless
 	Detail     string
-	// Backend means that the backend is to blame, so that the error counts against its breaker.
+	// Backend means that the backend caused the error, so that it counts as a failure in the circuit breaker.
 	Backend bool
-	// RetryAfterMeasured means that admission control measured RetryAfter; otherwise it is the catalogue's.
+	// RetryAfterMeasured means that admission control measured RetryAfter; otherwise it is the catalogue's value for the cause.
 	RetryAfterMeasured bool
-	// HealthNeutral means that the error says nothing about the backend: its cause is the network, or a connection that the backend had
-	// closed for being idle.
+	// HealthNeutral means that the error says nothing about the backend's health: it was caused by the network, by an idle connection
+	// that the backend had closed, or by the proxy itself.
 	HealthNeutral bool
 }
 
-// New returns an error with the catalogue's RetryAfter and Backend. The detail is formatted as by fmt.Sprintf.
+// New returns an error with the catalogue's RetryAfter and Backend for the cause. The detail is formatted as by fmt.Sprintf.
 func New(cause Cause, verdict Verdict, format string, arguments ...any) *Error {
 	entry := catalogue[cause]
 	return &Error{Cause: cause, Verdict: verdict, RetryAfter: entry.retryAfter, Detail: fmt.Sprintf(format, arguments...),
@@ -66,7 +66,7 @@
 	return fmt.Sprintf("cause %d %s (%s): %s", e.Cause, e.Cause.Name(), e.Verdict, e.Detail)
 }
 
-// NotRun reports whether the request has certainly not run.
+// NotRun reports whether the request certainly has not run.
 func (e *Error) NotRun() bool { return e.Verdict == NotRun }
 
 // Status returns the HTTP status of the response to the caller.
--- a/internal/apierror/causes.go
+++ b/internal/apierror/causes.go
@@ -2,36 +2,36 @@
 
 import "snowflow/internal/monotonic"
 
-// Cause is the number of a fault's cause. Numbers are stable across releases, never reused, and listed in docs/interfaces.md.
+// Cause is the number of an Error's cause. Numbers are stable across releases, never reused, and listed in docs/interfaces.md.
 type Cause uint32
 
-// The causes.
+// The causes of the errors that are returned to callers.
 const (
 	MissingKey              Cause = 101 // the request needs an idempotency key and has none
 	UnknownPath             Cause = 102 // no service or route matches the path
 	BodyTooLarge            Cause = 103 // the body exceeds the limit
 	BodyMismatch            Cause = 104 // the idempotency key was used with a different body
 	MalformedRequest        Cause = 105 // the request cannot be read
-	Unauthenticated         Cause = 106 // the request bears no key of a tenant, an unknown one, or several
+	Unauthenticated         Cause = 106 // the request has no tenant's key, an unknown one, or several
 	NotReady                Cause = 201 // the proxy has no configuration or directory yet
 	ConfigLeaseExpired      Cause = 202 // the lease on the configuration expired
 	Draining                Cause = 203 // the proxy is shutting down
 	StoppedInFlight         Cause = 204 // the proxy stopped while the request was in flight
-	KeyLeaseExpired         Cause = 205 // the proxy can't tell whether a tenant's key is still in force
+	KeyLeaseExpired         Cause = 205 // the proxy can't tell whether a tenant's key is still valid
 	BreakerOpen             Cause = 301 // the service's breaker is open
-	NoProbeLeft             Cause = 302 // the service's breaker is half open and no probe is left
+	NoProbeLeft             Cause = 302 // the service's breaker is half open and admits no further probe
 	NoBackend               Cause = 303 // no backend is available
 	Overloaded              Cause = 304 // admission control rejected the request
 	RetryBudgetExhausted    Cause = 305 // the retry budget is exhausted
 	DeadlineExceeded        Cause = 306 // the request's deadline passed
 	ForwardUnreachable      Cause = 401 // the backend's proxy could not be reached
-	ForwardLost             Cause = 402 // the backend's proxy gave no response
+	ForwardLost             Cause = 402 // the backend's proxy sent no response
 	VersionOlder            Cause = 403 // the request was resolved by an older configuration than the backend's proxy has
-	VersionNewer           Cause = 404 // the request was resolved by a newer configuration than the backend's proxy has
+	VersionNewer            Cause = 404 // the request was resolved by a newer configuration than the backend's proxy has
 	BackendLeaving          Cause = 405 // the backend is shutting down
 	BackendUnknown          Cause = 406 // the backend's proxy does not have that backend
 	BackendDialFailed       Cause = 407 // the backend did not accept the connection
-	BackendIdentityMismatch Cause = 408 // another instance runs at the address
+	BackendIdentityMismatch Cause = 408 // another backend instance runs at the address
 	BackendUnhealthy        Cause = 409 // the backend failed its health check
 	ResponseBroken          Cause = 501 // the backend's response was malformed or incomplete
 	ResponseTooLarge        Cause = 502 // the backend's response exceeds the limit
@@ -40,21 +40,21 @@
 	ResponseMismatch        Cause = 505 // the response belongs to another request
 	KeyPending              Cause = 601 // another attempt with the idempotency key is pending
 	ClaimUnreachable        Cause = 602 // no registry could grant the claim
-	KeyFenced               Cause = 603 // the request was read before the fence of its key
+	KeyFenced               Cause = 603 // the attempt was voided, or the key was fenced after the request was read
 	ClaimTimeout            Cause = 604 // the claim was not granted in time
-	ResponseExpired         Cause = 605 // the recorded response to the key has expired
+	ResponseExpired         Cause = 605 // the recorded response for the key has expired
 	ClientClosed            Cause = 701 // the caller closed its connection
 )
 
-// causeEntry holds what faults of one cause have in common.
+// causeEntry holds what errors of one cause have in common.
 type causeEntry struct {
 	name       string           // sent to callers and in metrics
 	status     int              // of the HTTP response
 	retryAfter monotonic.Micros // zero if a retry is useless
-	backend    bool             // whether the backend is to blame
+	backend    bool             // whether the backend caused the error
 }
 
-// retrySoon is the usual time after which a caller should retry.
+// retrySoon is the usual value of retryAfter.
 const retrySoon = monotonic.Second
 
 var catalogue = map[Cause]causeEntry{
@@ -78,7 +78,7 @@
 	ForwardUnreachable:      {"pass_unreachable", 502, retrySoon, false},
 	ForwardLost:             {"pass_lost", 502, retrySoon, false},
 	VersionOlder:            {"older_serial", 503, retrySoon, false},
-	VersionNewer:           {"serial_behind", 503, retrySoon, false},
+	VersionNewer:            {"serial_behind", 503, retrySoon, false},
 	BackendLeaving:          {"backend_leaving", 503, retrySoon, false},
 	BackendUnknown:          {"backend_unknown", 503, retrySoon, false},
 	BackendDialFailed:       {"backend_dial_failed", 502, retrySoon, true},
--- a/internal/monotonic/monotonic_test.go
+++ b/internal/monotonic/monotonic_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSystemClock checks that the clock advances with the system's, in microseconds. Nothing here can suspend the machine; the
-// simulator shows what follows from a clock that stops.
+// TestSystemClock checks that the clock advances like Go's monotonic clock, in microseconds. The test cannot suspend the machine;
+// simulations show the consequences of a clock that stops.
 func TestSystemClock(t *testing.T) {
 	clock := NewSystemClock()
 	before := clock.Now()
@@ -14,12 +14,13 @@
 	after := clock.Now()
 	for time.Since(began) < 5*time.Millisecond {
 	}
-	// Each bound is read outside of the other clock's readings, so that a pause anywhere does not matter.
+	// The lower bound is measured within the readings of this clock, and the upper bound around them, so that a pause at any point
+	// does not matter.
 	least := FromDuration(time.Since(began))
 	now := clock.Now()
 	most := FromDuration(time.Since(began))
 	if now-before < least-1 || now-after > most+2 {
-		t.Errorf("%d to %d microseconds by this clock, %d to %d by Go's", now-after, now-before, least, most)
+		t.Errorf("%d to %d microseconds by SystemClock, %d to %d by Go's clock", now-after, now-before, least, most)
 	}
 }
 
