--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -15,21 +15,21 @@
 
 // The exit codes of a program.
 const (
-	exitFailure = 1 // it could not start
+	exitFailure = 1 // it could not start, or failed later
 	exitUsage   = 2 // its arguments or settings are invalid
 	exitStopped = machine.ExitStopped
 )
 
-// UsageError is an error in the arguments or settings with which a program was started.
+// UsageError is an error in a program's arguments or settings.
 type UsageError struct{ error }
 
 // NewUsageError returns an error that makes Main exit with code 2.
 func NewUsageError(err error) error { return &UsageError{err} }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *UsageError) Unwrap() error { return e.error }
 
-// Command returns a daemon's command line. It reads the settings that fields declare and then calls Run.
+// Command returns the command that runs a daemon: it loads the settings that fields declare and calls Run.
 func Command(program, short string, fields []settings.Field, group string, build func(daemon *Daemon) error) *cobra.Command {
 	command := &cobra.Command{
 		Use: program, Short: short, Args: cobra.NoArgs, Version: fmt.Sprintf("%s (wire version %d)", release.Version, frame.Version),
@@ -47,8 +47,8 @@
 	return command
 }
 
-// Main executes a command and ends the process: with exit code 0, with 2 after a UsageError, and with 1 after any other error,
-// which it prints.
+// Main executes a command and ends the process, with exit code 0 after success, 2 after a UsageError and 1 after any other error.
+// It prints errors to standard error.
 func Main(command *cobra.Command) {
 	err := command.Execute()
 	if err == nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon assembles a program from its settings: the event log, the host, the resolver and the listeners, which run under
-// a supervisor until a planned stop or a failure.
+// a supervisor until a graceful shutdown or a failure.
 package daemon
 
 import (
@@ -33,37 +33,39 @@
 const (
 	// discoveryInterval is how often the resolver sends a discover request.
 	discoveryInterval = monotonic.Second
-	// replyTimeout bounds how long a planned stop waits for replies to other processes that are not written yet.
+	// replyTimeout is how long a graceful shutdown waits at most for unwritten replies to other processes.
 	replyTimeout = 200 * monotonic.Millisecond
 	// failureTimeout is how long after a failure the process is ended even if its main task is stuck.
 	failureTimeout = 2 * time.Second
-	// signalQueue is how many unread stop signals and failures are buffered. One of each would be enough; more are ignored.
+	// signalQueue is the buffer size of the channels of signals and failures. One would be enough for stop signals and failures, of
+	// which only the first counts.
 	signalQueue = 4
 )
 
-// Daemon is a program that is being assembled or runs. Its exported fields are set before build is called, except for Drain.
+// Daemon is a program while it is assembled and while it runs. Run sets the exported fields except Drain before it calls build.
 type Daemon struct {
 	Program  string
 	Settings settings.Values
 	Events   *eventlog.EventLog
 	Host     *machine.Machine
 	Resolver *discovery.Resolver
-	// Handlers answer other processes. build adds the program's.
+	// Handlers handle the requests of other processes. build adds those of the program.
 	Handlers host.Handlers
 	// MetricsRegistry collects the metrics that Metrics serves.
 	MetricsRegistry *prometheus.Registry
-	// Drain, unless nil, is called at a planned stop, before the listeners close. build sets it.
+	// Drain, unless nil, is called in a graceful shutdown, before the listeners close. build may set it.
 	Drain func()
 
 	supervisor  *suture.Supervisor
 	cleanups    []func()
-	servers     []*http.Server // all are shut down by one cleanup
+	servers     []*http.Server // shut down together by one cleanup
 	failures    chan string    // the reasons for which the process must stop
 	stopSignals chan os.Signal
 }
 
-// Run runs a daemon with checked settings until a planned stop, when it returns nil, or until it fails. build adds the program's
-// own handlers, tasks and listeners. group is the process's replication group, empty for a process outside the control plane.
+// Run runs a daemon with checked settings until a graceful shutdown, after which it returns nil, or until a failure. build adds the
+// program's own handlers, tasks and listeners. group is the process's replication group, empty for a process outside the control
+// plane.
 func Run(program, group string, values settings.Values, build func(daemon *Daemon) error) error {
 	events, err := eventlog.New(program, values["name"], values["log"])
 	if err != nil {
@@ -88,14 +90,14 @@
 	return daemon.serve()
 }
 
-// openDisk opens and locks the data folder. It returns nil if the program has none. The lock lasts until the process ends, since
+// openDisk opens and locks the data folder. It returns nil if the program has none. The lock is held until the process ends, since
 // tasks may still write while the daemon stops.
 func openDisk(values settings.Values) (wal.Disk, error) {
 	path := values["data"]
 	if path == "" {
 		return nil, nil
 	}
-	// A write beyond the system's limit on a file's length then fails as on a full disk, instead of ending the process.
+	// A write beyond the system's limit on file sizes then fails as on a full disk, instead of ending the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	disk, err := folder.OpenShared(path, values["data-owner"], values.Duration("rehearse-sync").Duration())
 	if err != nil {
@@ -104,7 +106,7 @@
 	return disk, nil
 }
 
-// newHost sets Host, with the clock and the local address that the settings say.
+// newHost sets Host, with the clock and the local address of the settings.
 func (d *Daemon) newHost(disk wal.Disk) {
 	d.Host = machine.New(disk, d.Events, d.fail)
 	d.Host.SetLocalAddress(d.Settings["listen"])
@@ -116,7 +118,7 @@
 	}
 }
 
-// newResolver sets Resolver. A control-plane process advertises itself; one outside the control plane (group is empty) does not.
+// newResolver sets Resolver. A process of the control plane advertises itself. One outside it, whose group is empty, does not.
 func (d *Daemon) newResolver(group string, disk wal.Disk) {
 	if d.Settings["advertise"] == "" {
 		d.Settings["advertise"] = d.Settings["listen"]
@@ -132,7 +134,7 @@
 	d.Resolver.Register(d.Handlers)
 }
 
-// Defer adds a cleanup. Run calls each once before it returns, the last one first.
+// Defer adds a cleanup. Run calls the cleanups before it returns, in reverse order.
 func (d *Daemon) Defer(cleanup func()) { d.cleanups = append(d.cleanups, cleanup) }
 
 func (d *Daemon) runCleanups() {
@@ -143,17 +145,17 @@
 	}
 }
 
-// supervisedTask is a task as the supervisor takes it.
+// supervisedTask makes a task a suture.Service.
 type supervisedTask func() error
 
 // Serve runs the task.
 func (t supervisedTask) Serve(context.Context) error { return t() }
 
-// Add adds a task that the supervisor starts, and restarts when it returns, unless it returns suture.ErrDoNotRestart.
+// Add adds a task. The supervisor starts it, and restarts it when it returns, unless it returns suture.ErrDoNotRestart.
 func (d *Daemon) Add(task func() error) { d.supervisor.Add(supervisedTask(task)) }
 
-// ServeHTTP listens on an address at once, and adds a task that serves HTTP on it until Run ends. It fails if the address cannot be
-// listened on.
+// ServeHTTP starts to listen on an address, and adds a task that serves HTTP on it until Run ends. It returns an error if it cannot
+// listen.
 func (d *Daemon) ServeHTTP(address string, server *http.Server) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -184,7 +186,7 @@
 	d.Host.Report(eventlog.ProcessStarted, start.Attributes())
 	signal.Notify(d.stopSignals, syscall.SIGTERM, syscall.SIGINT)
 	select {
-	case <-d.stopSignals: // further ones stay unread
+	case <-d.stopSignals: // further ones are ignored
 		if d.Drain != nil {
 			d.Drain()
 		}
@@ -210,14 +212,14 @@
 	})
 	d.Add(func() error { d.Resolver.Run(discoveryInterval); return nil })
 	if d.Settings.Int("processors") == 1 {
-		runtime.GOMAXPROCS(1) // if set explicitly, the runtime doesn't read the system's limit every second
+		runtime.GOMAXPROCS(1) // after an explicit call, the runtime doesn't read the system's limit every second
 	} else {
 		d.Add(func() error { d.adjustProcessors(); return nil })
 	}
 	return nil
 }
 
-// Stop begins a planned stop, as SIGTERM does. It doesn't wait for it.
+// Stop begins a graceful shutdown, as SIGTERM does, and doesn't wait for its end.
 func (d *Daemon) Stop() {
 	select {
 	case d.stopSignals <- syscall.SIGTERM:
@@ -225,7 +227,7 @@
 	}
 }
 
-// fail ends the process without a drain, for a reason that leaves its state in doubt. It returns before the process has ended.
+// fail ends the process without a drain, because its state can no longer be trusted. It returns before the process has ended.
 func (d *Daemon) fail(reason string) {
 	select {
 	case d.failures <- reason:
--- a/internal/daemon/governor.go
+++ b/internal/daemon/governor.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// governInterval is how often the number of processors is adjusted.
-	governInterval = 100 * monotonic.Millisecond
+	// adjustInterval is how often the number of processors is adjusted.
+	adjustInterval = 100 * monotonic.Millisecond
 	// highUsage is the share of the processors in use above which their number is doubled.
 	highUsage = 0.6
-	// lowUsage is the share in use below which an interval counts as one of low usage.
+	// lowUsage is the share of the processors in use below which an interval counts as one of low usage.
 	lowUsage = 0.25
-	// lowUsagePeriods is after how many intervals of low usage in a row the number of processors is halved.
+	// lowUsagePeriods is the number of intervals of low usage in a row after which the number of processors is halved.
 	lowUsagePeriods = 50
 )
 
-// governor decides on how many processors a daemon runs. Under ordinary load most work of a proxy is short, and the runtime
-// wakes idle threads for it that find nothing left to do. So a daemon starts with one processor, doubles their number as soon as
-// they are busy, and halves it slowly.
+// governor determines how many processors (GOMAXPROCS) a daemon uses. Under ordinary load, most work of a proxy is short, and the
+// runtime wakes idle threads for it that find nothing left to do. So a daemon starts with one processor, doubles their number as
+// soon as they are busy, and halves it slowly.
 //
 // Invariant: 1 <= current <= limit.
 type governor struct {
@@ -29,7 +29,8 @@
 	lowPeriods     int // intervals of low usage in a row
 }
 
-// next returns the number of processors for the next interval, from the share of the current ones that the last one used.
+// next returns the number of processors for the next interval. share is the share of the current processors that was in use in the
+// last interval.
 func (g *governor) next(share float64) int {
 	g.lowPeriods++
 	if share >= lowUsage {
@@ -54,7 +55,7 @@
 	runtime.GOMAXPROCS(governor.current)
 	used, measuredAt := processorTime(), d.Host.Now()
 	for {
-		d.Host.Sleep(governInterval)
+		d.Host.Sleep(adjustInterval)
 		previousUsed, previousAt := used, measuredAt
 		used, measuredAt = processorTime(), d.Host.Now()
 		current := governor.current
--- a/internal/daemon/governor_test.go
+++ b/internal/daemon/governor_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestGovernor checks that a burst of load gets all processors within three intervals, that low load gives them back one halving
-// at a time, and that a load too high for one processor keeps two.
+// TestGovernor checks that a burst of load gets all processors within three intervals, that low load halves their number step by
+// step, and that a load that is too high for one processor keeps two.
 func TestGovernor(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		limit, start int
 		periods      int
-		load         float64 // processors' worth of work
+		load         float64 // in fully used processors
 		want         int
 	}{
 		{"low load", 8, 1, 200, 0.3, 1},
--- a/internal/daemon/http_shutdown.go
+++ b/internal/daemon/http_shutdown.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// httpShutdownTimeout bounds how long a planned stop waits for HTTP requests.
+// httpShutdownTimeout is how long a graceful shutdown waits at most for HTTP requests.
 const httpShutdownTimeout = 250 * time.Millisecond
 
-// shutdownAll shuts HTTP servers down at the same time, so that together they take no longer than one: a planned stop has a fixed time.
-// Requests that are still running after httpShutdownTimeout are cut.
+// shutdownAll shuts HTTP servers down concurrently, so that together they take no longer than one: a graceful shutdown has a fixed
+// time limit. Requests that are still running after httpShutdownTimeout are cut off.
 func shutdownAll(servers []*http.Server) {
 	limit, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
--- a/internal/daemon/http_shutdown_test.go
+++ b/internal/daemon/http_shutdown_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestServersShutDownTogether guards against a planned stop that outlasts its time and is killed: each server waited in turn for requests
-// that were still running. Here each request runs until all servers have begun to shut down, so that it's cut if they do so in turn.
+// TestServersShutDownTogether guards against a graceful shutdown that exceeds its time limit and is killed, because the servers wait
+// one after the other for their running requests. Here each request runs until all servers have begun to shut down, so that requests
+// are cut off if the servers shut down one after the other.
 func TestServersShutDownTogether(t *testing.T) {
 	const count = 4
 	var begun, running sync.WaitGroup
@@ -42,7 +43,7 @@
 	shutdownAll(servers)
 	for range count {
 		if err := <-results; err != nil {
-			t.Errorf("a request was cut: %v", err)
+			t.Errorf("a request was cut off: %v", err)
 		}
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -43,15 +43,15 @@
 	})
 }
 
-// The histogram of adoption times has buckets from 0.5 ms to 33 s, each twice as long as the one before.
+// The histogram of adoption times has buckets from 0.5 ms to 33 s, each with twice the limit of the one before.
 const (
 	smallestBucket = 500 // microseconds
 	bucketFactor   = 2
 	bucketCount    = 17
 )
 
-// AdoptionObserver registers a histogram of the time from a version's commit to its adoption by a proxy, and returns the function
-// that observes one. That function only uses the duration.
+// AdoptionObserver registers a histogram of the time from the commit of a configuration version to its adoption by a proxy. It
+// returns a function that records one such time; of its arguments, only the duration is used.
 func (d *Daemon) AdoptionObserver() func(proxy string, version uint64, duration monotonic.Micros) {
 	histogram := prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name:    "snowflow_desired_take_up_micros",
@@ -86,7 +86,7 @@
 	messageDescriptions     = []*prometheus.Desc{sentDescription, receivedDescription, messagesDescription, messageBytesDescription}
 )
 
-// eventCollector collects how often each event was published.
+// eventCollector collects how often each event of the event log was published.
 type eventCollector struct{ events *eventlog.EventLog }
 
 // Describe implements prometheus.Collector.
@@ -101,7 +101,7 @@
 	}
 }
 
-// messageCollector collects what was exchanged with other processes.
+// messageCollector collects the counts of the messages and bytes that were exchanged with other processes.
 type messageCollector struct{ host *machine.Machine }
 
 // Describe implements prometheus.Collector.
--- a/internal/daemon/rehearsal.go
+++ b/internal/daemon/rehearsal.go
@@ -9,8 +9,8 @@
 	"snowflow/internal/monotonic"
 )
 
-// moveClockOnSignal moves the process's clock at each SIGUSR1 by the number of microseconds in a file, to rehearse a faulty
-// clock.
+// moveClockOnSignal moves the process's clock at each SIGUSR1 by the number of microseconds that a file holds, to simulate a faulty
+// clock in rehearsals.
 func (d *Daemon) moveClockOnSignal(path string) {
 	signals := make(chan os.Signal, signalQueue)
 	signal.Notify(signals, syscall.SIGUSR1)
@@ -23,7 +23,7 @@
 	}()
 }
 
-// readJump reads the number of microseconds by which the clock is to move, negative to move it back.
+// readJump reads the number of microseconds by which to move the clock from a file. A negative number moves it back.
 func readJump(path string) (monotonic.Micros, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/daemon/request_counters.go
+++ b/internal/daemon/request_counters.go
@@ -32,7 +32,7 @@
 	return counters
 }
 
-// CountRequest counts a request that has ended. The fault is nil if a backend responded.
+// CountRequest counts a request that has ended, and its attempts. fault is nil if a backend responded.
 func (c *RequestCounters) CountRequest(exchange *forward.Exchange, _ *request.Response, fault *apierror.Error) {
 	service, cause, verdict := "", "0", ""
 	if exchange.Service != nil {
--- a/internal/daemon/status_page.go
+++ b/internal/daemon/status_page.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// StatusPage returns a handler that responds with the present status as JSON.
+// StatusPage returns a handler that responds with the current status as JSON.
 func StatusPage(status func() any) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
--- a/internal/daemon/tenant_metrics.go
+++ b/internal/daemon/tenant_metrics.go
@@ -7,19 +7,20 @@
 	"snowflow/internal/proxy/tenantstats"
 )
 
-// restLabel is the label of the tenants that aren't reported by name. No tenant can have it, since names have no spaces.
+// restLabel is the label of all tenants that aren't reported by name. No tenant can have this name, since names contain no spaces.
 const restLabel = "all others"
 
-// TenantCollector reports a proxy's requests by tenant when metrics are read. A tenant that becomes one of the largest leaves the rest,
-// whose count then falls as if the process had restarted.
+// TenantCollector collects a proxy's requests by tenant. When a tenant becomes one of the largest, its requests are no longer counted
+// under restLabel, whose counters then fall as if the process had restarted.
 type TenantCollector struct {
 	report   func() tenantstats.Report
-	keyLease func() (remaining monotonic.Micros, limited bool)
+	keyLease func() (remaining monotonic.Micros, limited bool) // limited is whether the tenants' keys need a lease
 
 	requests, rejected, refused, lease *prometheus.Desc
 }
 
-// NewTenantCollector returns a collector of what the functions return.
+// NewTenantCollector returns a collector of the requests that report returns and the remaining time of the lease on the tenants' keys
+// that keyLease returns.
 func NewTenantCollector(report func() tenantstats.Report, keyLease func() (remaining monotonic.Micros, limited bool)) *TenantCollector {
 	return &TenantCollector{
 		report:   report,
