--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// CheckAddresses accepts a list of addresses.
+// CheckAddresses accepts a list of IP addresses with ports.
 func CheckAddresses(value string) error {
 	var problems []error
 	for _, address := range strings.Split(value, ",") {
@@ -50,7 +50,7 @@
 	return errors.Join(problems...)
 }
 
-// CheckName accepts a name of a process or zone: a lower-case letter, then up to 62 letters, digits or hyphens.
+// CheckName accepts the name of a process or zone: a lower-case letter, then up to 62 letters, digits or hyphens.
 func CheckName(value string) error {
 	if !namePattern.MatchString(value) {
 		return fmt.Errorf("%q %s", value, namePatternDoc)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// CheckNames accepts a list of different names.
+// CheckNames accepts a list of names without duplicates.
 func CheckNames(value string) error {
 	seen := map[string]bool{}
 	var problems []error
@@ -67,14 +67,14 @@
 			problems = append(problems, err)
 		}
 		if seen[name] {
-			problems = append(problems, fmt.Errorf("%q is there twice", name))
+			problems = append(problems, fmt.Errorf("%q is listed twice", name))
 		}
 		seen[name] = true
 	}
 	return errors.Join(problems...)
 }
 
-// CheckVoters accepts a list of at least three different names: with fewer, the group could not lose a process.
+// CheckVoters accepts a list of at least three names without duplicates: a group of fewer could not lose a process.
 func CheckVoters(value string) error {
 	err := CheckNames(value)
 	if count := len(strings.Split(value, ",")); count < minVoterCount {
@@ -92,7 +92,7 @@
 func checkRange(value string, least, most int) error {
 	number, err := strconv.Atoi(value)
 	if err == nil && (number < least || number > most) {
-		return fmt.Errorf("%d is not from %d to %d", number, least, most)
+		return fmt.Errorf("%d is not between %d and %d", number, least, most)
 	}
 	return err
 }
@@ -101,16 +101,16 @@
 func CheckDuration(value string) error {
 	duration, err := time.ParseDuration(value)
 	if err == nil && (duration <= 0 || duration > maxDuration) {
-		return fmt.Errorf("%s is not above zero and at most 1h", value)
+		return fmt.Errorf("%s is not above 0 and at most 1h", value)
 	}
 	return err
 }
 
-// CheckOneOf returns a check that accepts some words.
+// CheckOneOf returns a check that accepts only the given words.
 func CheckOneOf(words ...string) func(value string) error {
 	return func(value string) error {
 		if !slices.Contains(words, value) {
-			return fmt.Errorf("%q is none of %v", value, words)
+			return fmt.Errorf("%q is not one of %v", value, words)
 		}
 		return nil
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -8,7 +8,7 @@
 	BalanceUniform = "uniform"
 )
 
-// CommonFields returns the settings of every daemon.
+// CommonFields returns the settings that every daemon has.
 func CommonFields() []Field {
 	return []Field{
 		{Name: "name", Help: "this process's name, unique in its group", Check: CheckName},
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -16,11 +16,11 @@
 const fileFlag = "env"
 
 var (
-	// ErrMissing is the error of a setting that must be set and is not.
+	// ErrMissing is the error of a setting that must be set but is not.
 	ErrMissing = errors.New("must be set")
-	// ErrUnknown is the error of a name in the settings file that is no setting.
+	// ErrUnknown is the error of a name in the settings file that is not the name of a setting.
 	ErrUnknown = errors.New("no such setting")
-	// ErrSetTwice is the error of a setting that is set by its name and by its former name.
+	// ErrSetTwice is the error of a setting that is set under both its name and its former name.
 	ErrSetTwice = errors.New("set by its former name too")
 )
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// Load reads the settings file and the flags that AddFlags added, and checks all values. The error joins those of all settings; it
-// is nil if all are valid.
+// Load reads the settings file and the flags that AddFlags added, and checks all values. It returns the joined errors of all settings,
+// or nil if all are valid.
 func Load(flags *pflag.FlagSet, fields []Field) (Values, error) {
 	fromFile, err := readFile(flags)
 	problems := []error{err}
@@ -55,7 +55,7 @@
 		}
 		values[field.Name] = value
 	}
-	problems = append(problems, checkNames(fromFile, fields)...)
+	problems = append(problems, checkUnknown(fromFile, fields)...)
 	return values, errors.Join(problems...)
 }
 
@@ -76,7 +76,7 @@
 	return content, nil
 }
 
-// read returns the value of a field: the flag's, or else the file's, or else the default.
+// read returns the value of a field: that of the flag if it is given, else that of the settings file, else the default.
 func (f *Field) read(flags *pflag.FlagSet, fromFile map[string]any) (string, error) {
 	value, set, err := f.readFlag(flags)
 	if !set && err == nil {
@@ -88,13 +88,13 @@
 	if !set {
 		return f.Default, nil
 	}
-	if present, former := f.FormerValues[value]; former {
-		return present, nil
+	if current, former := f.FormerValues[value]; former {
+		return current, nil
 	}
 	return value, nil
 }
 
-// readFlag returns the value of the field's flag, under its present or its former name, and whether it was given.
+// readFlag returns the value of the field's flag, under its current or its former name, and whether it was given.
 func (f *Field) readFlag(flags *pflag.FlagSet) (value string, set bool, err error) {
 	name := f.Name
 	if f.FormerName != "" && flags.Changed(f.FormerName) {
@@ -110,7 +110,7 @@
 	return value, true, err
 }
 
-// readFile returns the field's value in the settings file, under its present or its former name, and whether it was given.
+// readFile returns the field's value in the settings file, under its current or its former name, and whether it was given.
 func (f *Field) readFile(fromFile map[string]any) (value string, set bool, err error) {
 	raw, set := fromFile[f.Name]
 	if former, formerSet := fromFile[f.FormerName]; f.FormerName != "" && formerSet {
@@ -140,8 +140,8 @@
 	return f.Check(value)
 }
 
-// checkNames returns an error for each name in the file that is no field's, sorted by name.
-func checkNames(fromFile map[string]any, fields []Field) (problems []error) {
+// checkUnknown returns an error for each name in the file that no field has, sorted by name.
+func checkUnknown(fromFile map[string]any, fields []Field) (problems []error) {
 	known := map[string]bool{}
 	for _, field := range fields {
 		known[field.Name] = true
@@ -162,7 +162,7 @@
 	return problems
 }
 
-// formatValue returns a value of the settings file in the form of a flag: a list is joined by commas.
+// formatValue returns a value of the settings file in the form that a flag has. The entries of a list are joined by commas.
 func formatValue(raw any) (string, error) {
 	switch value := raw.(type) {
 	case string:
@@ -174,13 +174,13 @@
 	case []any:
 		parts := make([]string, len(value))
 		for index, part := range value {
-			text, isText := part.(string)
-			if !isText {
-				return "", fmt.Errorf("entry %d is not a text", index)
+			text, isString := part.(string)
+			if !isString {
+				return "", fmt.Errorf("entry %d is not a string", index)
 			}
 			parts[index] = text
 		}
 		return strings.Join(parts, ","), nil
 	}
-	return "", fmt.Errorf("%v is not a text, number, truth value or list of texts", raw)
+	return "", fmt.Errorf("%v is not a string, number, boolean or list of strings", raw)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads a program's settings from a JSON file and from flags of the same names; a flag overrides the file.
 //
-// A program declares its settings as a table of Fields. Load checks each value and reports all errors at once. A setting may
-// have a former name and former values, which are still read and are marked deprecated.
+// A program declares its settings as a list of Fields. Load checks each value and reports all errors at once. A setting may have
+// a former name and former values, which are deprecated but still read.
 package settings
 
 import (
@@ -19,7 +19,7 @@
 	Default string
 	// FormerName, unless empty, is a deprecated name that is still read.
 	FormerName string
-	// FormerValues maps deprecated values that are still read to those that replaced them.
+	// FormerValues maps deprecated values, which are still read, to the values that replaced them.
 	FormerValues map[string]string
 	// Check, unless nil, returns an error if a value is invalid. It is not called for the empty value.
 	Check func(value string) error
@@ -27,10 +27,10 @@
 	Optional bool
 }
 
-// Values holds the checked settings by their present names. Lists are joined by commas.
+// Values holds the checked settings by their current names. The entries of a list are joined by commas.
 type Values map[string]string
 
-// List returns a setting of several values, nil if it is empty.
+// List returns the entries of a setting that is a list, or nil if it is empty.
 func (v Values) List(name string) []string {
 	if v[name] == "" {
 		return nil
@@ -38,7 +38,7 @@
 	return strings.Split(v[name], ",")
 }
 
-// Duration returns a setting that CheckDuration accepted, zero if it is empty.
+// Duration returns the value of a setting that CheckDuration accepted, or zero if it is empty.
 func (v Values) Duration(name string) monotonic.Micros {
 	duration, err := time.ParseDuration(v[name])
 	if err != nil {
@@ -47,7 +47,7 @@
 	return monotonic.FromDuration(duration)
 }
 
-// Int returns a setting that CheckCount or CheckPenalty accepted, zero if it is empty.
+// Int returns the value of a setting that CheckCount or CheckPenalty accepted, or zero if it is empty.
 func (v Values) Int(name string) int {
 	number, err := strconv.Atoi(v[name])
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/pflag"
 )
 
-// load reads the settings of a proxy from a file's content and arguments.
+// load reads the settings of a proxy from the content of a settings file and from arguments.
 func load(t *testing.T, content string, arguments ...string) (Values, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
@@ -24,11 +24,11 @@
 	return Load(flags, ProxyFields())
 }
 
-// required is what every file of these tests has.
+// required holds the settings that the file of each test has.
 const required = `"name": "proxy-1", "domain": "north", "listen": "10.1.1.1:7300", "callers": "127.0.0.1:7302", "seeds": ["10.1.0.1:7100", "10.2.0.1:7100"]`
 
-// TestFormerNames checks that former names and values are read from the file and from flags, and that flags override the file
-// under either name.
+// TestFormerNames checks that former names and values are read from the file and from flags, and that flags override the file,
+// whichever of the two names is used.
 func TestFormerNames(t *testing.T) {
 	for _, test := range []struct {
 		name, content string
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestFormerNamesAreDeprecated checks that the flags of former names are marked.
+// TestFormerNamesAreDeprecated checks that the flags of former names are marked deprecated, and no others.
 func TestFormerNamesAreDeprecated(t *testing.T) {
 	for program, fields := range map[string][]Field{"proxy": ProxyFields(), "control plane": ControlPlaneFields()} {
 		t.Run(program, func(t *testing.T) {
@@ -88,21 +88,21 @@
 	}
 }
 
-// TestLoadErrors checks that each error is reported, with the setting's name.
+// TestLoadErrors checks that each kind of error is reported with the name of its setting.
 func TestLoadErrors(t *testing.T) {
 	for _, test := range []struct {
 		name, content string
 		arguments     []string
-		want          error  // unless nil
-		text          string // of one of the joined errors
+		want          error  // wrapped by the error of Load, unless nil
+		text          string // the text of the error of Load
 	}{
 		{"missing", `{` + required + `}`, nil, ErrMissing, "http: must be set"},
 		{"unknown", `{` + required + `, "http": "10.1.1.1:7301", "colour": "red"}`, nil, ErrUnknown, "colour: no such setting"},
 		{"set twice in the file", `{` + required + `, "http": "10.1.1.1:7301", "desk": "10.1.1.1:7301"}`, nil, ErrSetTwice, "http: set by its former name too: desk"},
 		{"set twice by flags", `{` + required + `}`, []string{"--http", "10.1.1.1:7301", "--desk", "10.1.1.1:7301"}, ErrSetTwice, "http: set by its former name too: --desk"},
-		{"invalid value", `{` + required + `, "http": "10.1.1.1:7301", "balance": "far"}`, nil, nil, `balance: "far" is none of [near uniform]`},
+		{"invalid value", `{` + required + `, "http": "10.1.1.1:7301", "balance": "far"}`, nil, nil, `balance: "far" is not one of [near uniform]`},
 		{"invalid address", `{` + required + `, "http": "localhost:7301"}`, nil, nil, `http: "localhost" is not an IP address`},
-		{"list of numbers", `{` + required + `, "http": [1]}`, nil, nil, "http: entry 0 is not a text"},
+		{"list of numbers", `{` + required + `, "http": [1]}`, nil, nil, "http: entry 0 is not a string"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := load(t, test.content, test.arguments...)
