--- a/internal/eventlog/attributes.go
+++ b/internal/eventlog/attributes.go
@@ -1,7 +1,7 @@
 package eventlog
 
-// Attributes are an event's attributes by key, each of a type that encoding/json encodes. They are written beside the event's
-// text; the keys event, program and name are the log's own.
+// Attributes holds the attributes of an event by key, each of a type that encoding/json can encode. They become fields of the log
+// line; the keys event, program and name are reserved for the log itself.
 type Attributes map[string]any
 
 // Incarnation returns the attributes of an event about one incarnation of a proxy.
@@ -14,17 +14,17 @@
 	return Attributes{"address": address, "error": err.Error()}
 }
 
-// ClockJump returns the attributes of an event about a clock that went ahead, or back if negative, by some microseconds.
+// ClockJump returns the attributes of an event about a clock that jumped ahead by a number of microseconds, or back if negative.
 func ClockJump(micros int64) Attributes {
 	return Attributes{"micros": micros}
 }
 
-// Stopped returns the attributes of an event about a process that stops by itself.
+// Stopped returns the attributes of an event about a process that stops itself.
 func Stopped(reason string) Attributes {
 	return Attributes{"why": reason}
 }
 
-// Start describes the process in the event ProcessStarted.
+// Start describes a process for the event ProcessStarted.
 type Start struct {
 	Release     string // of the program
 	WireVersion uint16
--- a/internal/eventlog/catalogue.go
+++ b/internal/eventlog/catalogue.go
@@ -62,7 +62,7 @@
 	ObjectStoreFailed       = 710
 )
 
-// Event is the catalogue's entry of an event.
+// Event is an entry of the Catalogue.
 type Event struct {
 	Level log.Level
 	Text  string // of the log line
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,7 +1,7 @@
 // Package eventlog writes numbered events to the log, and counts them.
 //
-// Every log line of a process is one event of the Catalogue. Events pass through a bounded queue to one writer, so that
-// publishing never waits for the log; if the queue is full, an event is counted but not written.
+// Every log line of a process is one event of the Catalogue. Events pass through a bounded queue to a single writer, so that
+// publishing never waits for the log. If the queue is full, an event is counted but not written.
 package eventlog
 
 import (
@@ -24,7 +24,7 @@
 	topic = "events"
 	// numberKey is the metadata key of an event's number.
 	numberKey = "number"
-	// queueLength is how many events may wait for the writer.
+	// queueLength is the maximum number of events that wait for the writer.
 	queueLength = 4096
 )
 
@@ -54,7 +54,7 @@
 	}
 	events := &EventLog{
 		program: program, name: name,
-		// Blocking until the acknowledgment keeps the events in order, and keeps Close from discarding those under way.
+		// Blocking until the acknowledgment keeps the events in order, and keeps Close from discarding events that are not written yet.
 		channel: gochannel.NewGoChannel(gochannel.Config{BlockPublishUntilSubscriberAck: true}, watermill.NopLogger{}),
 		logger:  &log.Logger{Handler: jsonhandler.New(output), Level: threshold},
 		counts:  map[int]uint64{}, queue: make(chan *message.Message, queueLength), done: make(chan struct{}),
@@ -110,14 +110,14 @@
 	}
 	select {
 	case l.queue <- entry:
-	default: // the queue is full
+	default: // the queue is full: the event is only counted
 	}
 }
 
 func (l *EventLog) write(entry *message.Message) {
 	number, err := strconv.Atoi(entry.Metadata.Get(numberKey))
 	if err != nil {
-		return // Publish sets a number
+		return // impossible: Publish sets a number
 	}
 	fields := log.Fields{"event": number, "program": l.program, "name": l.name}
 	var attributes Attributes
@@ -144,7 +144,7 @@
 	return maps.Clone(l.counts)
 }
 
-// Close writes the events that are queued and ends the log. Events published later are only counted. It must be called once.
+// Close writes the queued events and ends the log. Events that are published later are only counted. Close must be called once.
 func (l *EventLog) Close() {
 	l.lock.Lock()
 	l.closed = true
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestEventsBeforeCloseAreLogged checks that events published right before the end of a process are written, in order.
+// TestEventsBeforeCloseAreLogged checks that events that are published right before Close are written, in order.
 func TestEventsBeforeCloseAreLogged(t *testing.T) {
 	var output bytes.Buffer
 	events, err := newEventLog("proxy", "proxy-1", "info", &output)
