--- a/internal/host/machine/counters_test.go
+++ b/internal/host/machine/counters_test.go
@@ -27,8 +27,8 @@
 	if err := client.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 10*monotonic.Second); !apierror.IsRefused(err) {
 		t.Fatal(err)
 	}
-	const claim = frame.HeaderLength + 4 // one field: its tag, its length and two letters
-	if got, want := client.MessageCounts()[wire.Kind_claim], (MessageCount{Sent: 3, SentBytes: 3 * claim, Received: 3, ReceivedBytes: 3 * claim}); got != want {
+	const claimSize = frame.HeaderLength + 4 // one field: its tag, its length and two letters
+	if got, want := client.MessageCounts()[wire.Kind_claim], (MessageCount{Sent: 3, SentBytes: 3 * claimSize, Received: 3, ReceivedBytes: 3 * claimSize}); got != want {
 		t.Errorf("the client counts %+v, want %+v", got, want)
 	}
 	if got, want := server.MessageCounts()[wire.Kind_claim], client.MessageCounts()[wire.Kind_claim]; got != want {
