--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -110,7 +110,7 @@
 	response, fault := c.options.Upstream.RoundTrip(c.backendRequest(e))
 	if fault != nil && !fault.NotRun() && e.cancellable() && e.cancellation.cancelled() {
 		fault = apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected while the backend processed the request")
-		fault.Local = true // this proxy closed the connection, which says nothing about the backend
+		fault.HealthNeutral = true // this proxy closed the connection, which says nothing about the backend
 	}
 	e.observation.Close(backendOutcome(response, fault))
 	e.permit.Release(slotOutcome(response, fault))
