--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -35,8 +35,8 @@
 	return EffectiveService(&wire.Group{}, &wire.Service{Name: name})
 }
 
-// BreakerTerms returns the breaker's settings in the form that proxies send to the registry. Durations are in microseconds.
-func (s *Service) BreakerTerms() *wire.BreakerSettings {
+// BreakerSettings returns the breaker's settings in the form that proxies send to the registry. Durations are in microseconds.
+func (s *Service) BreakerSettings() *wire.BreakerSettings {
 	return &wire.BreakerSettings{
 		WaitOpen:    s.Breaker.GetWaitOpenMicros(),
 		Permitted:   s.Breaker.GetPermittedHalfOpen(),
--- a/internal/proxy/breaker/permit.go
+++ b/internal/proxy/breaker/permit.go
@@ -71,7 +71,7 @@
 func (b *serviceBreaker) beginAdmission(permit *Permit) (state string, control Control) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settings = permit.service.BreakerTerms()
+	b.settings = permit.service.BreakerSettings()
 	b.admissions++
 	state = breakerstore.Closed
 	if b.shared != nil {
--- a/internal/proxy/breaker/probes.go
+++ b/internal/proxy/breaker/probes.go
@@ -51,6 +51,6 @@
 		ExpectedVersion: p.recordVersion,
 		Id:              p.probeID,
 		Success:         outcome == Success && !slow,
-		Settings:        p.service.BreakerTerms(),
+		Settings:        p.service.BreakerSettings(),
 	})
 }
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -181,7 +181,7 @@
 // TripBreaker reports a fault of a service on behalf of a proxy, after which the service's breaker has a shared record.
 func (p *Pool) TripBreaker(index, service int) error {
 	current := p.currentMembers()[index]
-	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: current.name, Incarnation: current.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerTerms()}
+	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: current.name, Incarnation: current.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerSettings()}
 	return current.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
