--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -362,7 +362,7 @@
 			t.Fatal(err)
 		}
 		if _, err := config.Compile(other, 1, "").With(step.Change, 2, ""); err != nil {
-			if !errors.Is(err, config.ErrChange) {
+			if !errors.Is(err, config.ErrChangeMismatch) {
 				t.Errorf("another error: %v", err)
 			}
 			refused++
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ErrChange means that a change doesn't fit the snapshot that it was applied to.
-var ErrChange = errors.New("config: the change doesn't fit the snapshot")
+// ErrChangeMismatch means that a change doesn't fit the snapshot that it was applied to.
+var ErrChangeMismatch = errors.New("config: the change doesn't fit the snapshot")
 
 // Change turns a snapshot into the next one. RemovedPaths, RemovedRoutes and RemovedTenants include the former versions of
 // what changed. RemovedServices doesn't include services that changed, because the snapshot finds them by name.
@@ -55,7 +55,7 @@
 	services, changed = maps.Clone(s.Services), map[string]bool{}
 	for _, name := range change.RemovedServices {
 		if services[name] == nil {
-			return nil, nil, fmt.Errorf("%w: service %q, which is to be removed, doesn't exist", ErrChange, name)
+			return nil, nil, fmt.Errorf("%w: service %q, which is to be removed, doesn't exist", ErrChangeMismatch, name)
 		}
 		delete(services, name)
 		changed[name] = true
@@ -84,14 +84,14 @@
 	for _, path := range change.RemovedPaths {
 		key := matchKey{"", path.Path.Prefix, path.Path.Method}
 		if found := u.table.lookup(key); found == nil || found.Name != "" || found.Service.Name != path.Service {
-			return fmt.Errorf("%w: path %s %s of %s, which is to be removed, doesn't exist", ErrChange, key.method, key.prefix, path.Service)
+			return fmt.Errorf("%w: path %s %s of %s, which is to be removed, doesn't exist", ErrChangeMismatch, key.method, key.prefix, path.Service)
 		}
 		u.updates[key] = nil
 	}
 	for _, route := range change.RemovedRoutes {
 		key := matchKey{route.Host, route.Prefix, methodOf(route.Method)}
 		if found := u.table.lookup(key); found == nil || found.Name != route.Name {
-			return fmt.Errorf("%w: route %q, which is to be removed, doesn't exist", ErrChange, route.Name)
+			return fmt.Errorf("%w: route %q, which is to be removed, doesn't exist", ErrChangeMismatch, route.Name)
 		}
 		u.updates[key] = nil
 	}
@@ -112,7 +112,7 @@
 		for index, share := range route.Split {
 			service := u.services[share.Service.Name]
 			if service == nil {
-				return fmt.Errorf("%w: service %q is removed, and %s %s%s leads to it", ErrChange, share.Service.Name, key.method, key.host, key.prefix)
+				return fmt.Errorf("%w: service %q is removed, and %s %s%s leads to it", ErrChangeMismatch, share.Service.Name, key.method, key.host, key.prefix)
 			}
 			relinked.Split[index] = WeightedService{Service: service, CumulativeWeight: share.CumulativeWeight}
 		}
@@ -127,7 +127,7 @@
 	for _, path := range change.Paths {
 		service := u.services[path.Service]
 		if service == nil {
-			return fmt.Errorf("%w: no service %q", ErrChange, path.Service)
+			return fmt.Errorf("%w: no service %q", ErrChangeMismatch, path.Service)
 		}
 		if err := u.add(pathRoute(path.Path, service)); err != nil {
 			return err
@@ -136,12 +136,12 @@
 	for _, route := range change.Routes {
 		for _, share := range route.Split {
 			if u.services[share.Service] == nil {
-				return fmt.Errorf("%w: route %q leads to service %q, which doesn't exist", ErrChange, route.Name, share.Service)
+				return fmt.Errorf("%w: route %q leads to service %q, which doesn't exist", ErrChangeMismatch, route.Name, share.Service)
 			}
 		}
 		compiled := compileRoute(route, u.services)
 		if compiled.Service == nil {
-			return fmt.Errorf("%w: route %q has no service with a weight", ErrChange, route.Name)
+			return fmt.Errorf("%w: route %q has no service with a weight", ErrChangeMismatch, route.Name)
 		}
 		if err := u.add(compiled); err != nil {
 			return err
@@ -158,7 +158,7 @@
 		present = u.table.lookup(key)
 	}
 	if present != nil {
-		return fmt.Errorf("%w: %s %s%s is used twice", ErrChange, key.method, key.host, key.prefix)
+		return fmt.Errorf("%w: %s %s%s is used twice", ErrChangeMismatch, key.method, key.host, key.prefix)
 	}
 	u.updates[key] = route
 	return nil
