--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -108,18 +108,18 @@
 	return tenant
 }
 
-// TenantFault is one error in a configuration's tenants. Its message never holds a key.
-type TenantFault struct {
+// TenantError is one error in a configuration's tenants. Its message never holds a key.
+type TenantError struct {
 	// Index is the tenant's position in the list.
 	Index   int
 	Message string
 }
 
 // CheckTenants returns all errors of a configuration's tenants: their names must be unique, and each key must be of one tenant alone.
-func CheckTenants(tenants []*wire.Tenant) (faults []TenantFault) {
+func CheckTenants(tenants []*wire.Tenant) (faults []TenantError) {
 	names, owners := map[string]bool{}, map[string]string{}
 	for index, tenant := range tenants {
-		report := func(message string) { faults = append(faults, TenantFault{Index: index, Message: message}) }
+		report := func(message string) { faults = append(faults, TenantError{Index: index, Message: message}) }
 		if !isToken(tenant.Name, maxTenantName) {
 			report("the name must be of 1 to 200 visible ASCII characters")
 		}
