--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -304,7 +304,7 @@
 func TestSummaryOfTenants(t *testing.T) {
 	shown := func(key string) string {
 		digest, _ := config.DigestKey(key)
-		return config.ShowDigest(digest[:])
+		return config.ShortDigest(digest[:])
 	}
 	state := func(tenants ...*wire.Tenant) *changes.Set {
 		return read(t, &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Tenants: tenants})
--- a/internal/config/changes/summary.go
+++ b/internal/config/changes/summary.go
@@ -73,7 +73,7 @@
 	}
 	for _, digest := range digestsOf(one) {
 		if !present[string(digest)] {
-			shown = append(shown, config.ShowDigest(digest))
+			shown = append(shown, config.ShortDigest(digest))
 		}
 	}
 	return shown
--- a/internal/config/redact.go
+++ b/internal/config/redact.go
@@ -10,8 +10,8 @@
 // digestPrefixBytes is how much of a key's digest operators are shown: enough to tell keys apart, too little to find one by trying.
 const digestPrefixBytes = 4
 
-// ShowDigest returns what operators are shown in place of a tenant's key: the beginning of its digest.
-func ShowDigest(digest []byte) string {
+// ShortDigest returns what operators are shown in place of a tenant's key: the beginning of its digest.
+func ShortDigest(digest []byte) string {
 	return "sha256:" + hex.EncodeToString(digest[:min(len(digest), digestPrefixBytes)])
 }
 
@@ -87,7 +87,7 @@
 	}
 	digest, _ := DigestKey(key)
 	r.redacted = append(r.redacted, r.content[r.copied:start]...)
-	r.redacted = strconv.AppendQuote(r.redacted, ShowDigest(digest[:]))
+	r.redacted = strconv.AppendQuote(r.redacted, ShortDigest(digest[:]))
 	r.copied = end
 }
 
--- a/internal/config/redact_test.go
+++ b/internal/config/redact_test.go
@@ -11,7 +11,7 @@
 // TestRedact guards against keys of tenants in what operators are shown.
 func TestRedact(t *testing.T) {
 	digest, _ := config.DigestKey("secret-1")
-	shown := `"` + config.ShowDigest(digest[:]) + `"`
+	shown := `"` + config.ShortDigest(digest[:]) + `"`
 	for name, test := range map[string]struct{ content, redacted string }{
 		"no tenants":         {`{"note":"keys", "groups":[{"name":"a"}]}`, `{"note":"keys", "groups":[{"name":"a"}]}`},
 		"spaces are kept":    {"{ \"tenants\" : [ {\"name\":\"n\",\n \"keys\" : [ \"secret-1\" , \"secret-1\"]} ] }\n", "{ \"tenants\" : [ {\"name\":\"n\",\n \"keys\" : [ " + shown + " , " + shown + "]} ] }\n"},
--- a/internal/configstore/api/tenants.go
+++ b/internal/configstore/api/tenants.go
@@ -46,7 +46,7 @@
 func describeTenant(tenant *wire.TenantInForce) TenantState {
 	described := TenantState{Name: tenant.Name, Priority: tenant.Priority, Keys: []string{}}
 	for _, digest := range tenant.KeyDigests {
-		described.Keys = append(described.Keys, config.ShowDigest(digest))
+		described.Keys = append(described.Keys, config.ShortDigest(digest))
 	}
 	return described
 }
