--- a/internal/config/changes/changes.go
+++ b/internal/config/changes/changes.go
@@ -16,7 +16,7 @@
 // Errors for a difference that can't be applied. No part of it is applied then.
 var (
 	ErrMalformed      = errors.New("changes: the difference can't be decoded")
-	ErrNoTenants      = errors.New("changes: the difference is of a build that leaves tenants out")
+	ErrTenantsOmitted      = errors.New("changes: the difference is of a build that leaves tenants out")
 	ErrBaseMismatch   = errors.New("changes: the difference is from another base")
 	ErrDigestMismatch = errors.New("changes: the result doesn't match the difference's digest")
 )
@@ -137,7 +137,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if !encoded.CoversTenants {
-		return nil, ErrNoTenants
+		return nil, ErrTenantsOmitted
 	}
 	if !bytes.Equal(encoded.Base, base.Digest()) {
 		return nil, ErrBaseMismatch
--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -295,7 +295,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := changes.Apply(base, content); !errors.Is(err, changes.ErrNoTenants) {
+	if _, err := changes.Apply(base, content); !errors.Is(err, changes.ErrTenantsOmitted) {
 		t.Error(err)
 	}
 }
