--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestDesiredStates approves transcripts of what is parsed and refused, how requests are resolved, and what services inherit.
+// TestDesiredStates compares with approved transcripts: which configurations are accepted or rejected, how requests are resolved, and
+// which settings services inherit.
 func TestDesiredStates(t *testing.T) {
 	datadriven.RunTest(t, "testdata/desired", func(t *testing.T, data *datadriven.TestData) string {
 		state, text := parse(t, data)
@@ -34,8 +35,8 @@
 	})
 }
 
-// parse reads the configuration of a case. The state is nil if it has errors, which are returned as text, and the case isn't one
-// of a configuration that was accepted.
+// parse reads the configuration of a test case: with ParseAccepted for the commands adopt and adopted-resolve, otherwise with Parse. If
+// Parse reports errors, they are returned as text and the state is nil.
 func parse(t *testing.T, data *datadriven.TestData) (state *wire.DesiredState, text string) {
 	t.Helper()
 	if data.Cmd == "adopt" || data.Cmd == "adopted-resolve" {
@@ -47,7 +48,7 @@
 	}
 	state, fieldErrors := config.Parse([]byte(data.Input))
 	for _, fieldError := range fieldErrors {
-		// The JSON library varies its white space on purpose.
+		// protojson varies the white space of its error texts on purpose.
 		text += strings.Join(strings.Fields(fieldError.String()), " ") + "\n"
 	}
 	if len(fieldErrors) > 0 {
@@ -56,7 +57,8 @@
 	return state, ""
 }
 
-// describeResolution shows where requests lead. An argument is a host and a path, or the method of the requests after it.
+// describeResolution shows the services that requests are routed to. An argument is a host and a path, or the method of the requests
+// after it.
 func describeResolution(snapshot *config.Snapshot, arguments []datadriven.CmdArg) string {
 	var text strings.Builder
 	method := "GET"
@@ -76,7 +78,7 @@
 	return text.String()
 }
 
-// describeRoute shows the route for a host and a path, with the services it picks by consecutive random numbers.
+// describeRoute shows the route for a host and a path, and the services that it picks for consecutive random numbers.
 func describeRoute(snapshot *config.Snapshot, target string) string {
 	var text strings.Builder
 	host, rest, _ := strings.Cut(target, "/")
@@ -87,7 +89,7 @@
 		fmt.Fprintf(&text, "%s ", route.PickService(random).Name)
 	}
 	for _, name := range []string{"one", "two", "three", "four"} {
-		if service, has := route.FindService(name); has {
+		if service, found := route.FindService(name); found {
 			fmt.Fprintf(&text, "has %s ", service.Name)
 		}
 	}
@@ -106,7 +108,7 @@
 	return text.String()
 }
 
-// TestExamplesAreValid checks that the shipped examples pass the validation they are shipped with.
+// TestExamplesAreValid checks that the shipped example configurations pass this build's validation.
 func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"association", "raahbar", "small"} {
 		t.Run(name, func(t *testing.T) {
@@ -121,64 +123,65 @@
 	}
 }
 
-// scan is the reference for Snapshot.Resolve, without an index: it tries all routes and returns the name of the best match.
-func scan(state *wire.DesiredState, host, method, path string) string {
-	best, rank := "", -1
+// resolveByScan is the reference implementation of Snapshot.Resolve without an index: it tries all routes and returns the name of the
+// best match.
+func resolveByScan(state *wire.DesiredState, host, method, path string) string {
+	best, bestScore := "", -1
 	for _, route := range state.Routes {
-		under := strings.HasPrefix(path, route.Prefix) && (len(path) == len(route.Prefix) || strings.HasSuffix(route.Prefix, "/") || path[len(route.Prefix)] == '/')
-		if !under || route.Host != "" && route.Host != host || route.Method != "" && route.Method != "*" && route.Method != method {
+		inPrefix := strings.HasPrefix(path, route.Prefix) && (len(path) == len(route.Prefix) || strings.HasSuffix(route.Prefix, "/") || path[len(route.Prefix)] == '/')
+		if !inPrefix || route.Host != "" && route.Host != host || route.Method != "" && route.Method != "*" && route.Method != method {
 			continue
 		}
-		own := 2 * len(route.Prefix)
+		score := 2 * len(route.Prefix)
 		if route.Host != "" {
-			own += 10000
+			score += 10000
 		}
 		if route.Method == method {
-			own++
+			score++
 		}
-		if own > rank {
-			best, rank = route.Name, own
+		if score > bestScore {
+			best, bestScore = route.Name, score
 		}
 	}
 	return best
 }
 
-// TestResolveFindsWhatAScanFinds compares the table with a plain scan, over random routes and requests of few segments, so that many
-// of them match.
-func TestResolveFindsWhatAScanFinds(t *testing.T) {
+// TestResolveMatchesScan compares Resolve with a linear scan, over random routes and requests. They consist of few different segments, so
+// that many requests match.
+func TestResolveMatchesScan(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	pick := func(words ...string) string { return words[random.IntN(len(words))] }
-	made := func() string {
+	randomPath := func() string {
 		path := ""
 		for range random.IntN(5) {
 			path += "/" + pick("a", "b", "ab")
 		}
 		return path + pick("", "/")
 	}
-	met := 0
+	matched := 0
 	for range 200 {
 		state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}}
 		for number := range 30 {
-			if prefix := made(); prefix != "" {
+			if prefix := randomPath(); prefix != "" {
 				state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprint("r-", number), Host: pick("", "x", "y"), Method: pick("", "GET", "POST"), Prefix: prefix,
 					Class: wire.Path_read, Split: []*wire.Share{{Service: "one", Weight: 1}}})
 			}
 		}
 		snapshot := config.Compile(state, 1, "")
 		for range 200 {
-			host, method, path := pick("", "x", "y", "z"), pick("GET", "POST", "PUT"), "/"+strings.TrimPrefix(made(), "/")
-			found, is := snapshot.Resolve(host, method, path)
-			wanted := scan(state, host, method, path)
-			if is != (wanted != "") || found.Name != wanted {
-				t.Fatalf("%s %s%s: %q, wanted %q of %v", method, host, path, found.Name, wanted, state.Routes)
+			host, method, path := pick("", "x", "y", "z"), pick("GET", "POST", "PUT"), "/"+strings.TrimPrefix(randomPath(), "/")
+			route, found := snapshot.Resolve(host, method, path)
+			want := resolveByScan(state, host, method, path)
+			if found != (want != "") || route.Name != want {
+				t.Fatalf("%s %s%s: route %q, want %q; routes %v", method, host, path, route.Name, want, state.Routes)
 			}
-			if is {
-				met++
+			if found {
+				matched++
 			}
 		}
 	}
-	if met < 10000 {
-		t.Errorf("only %d requests found a route", met)
+	if matched < 10000 {
+		t.Errorf("only %d requests found a route", matched)
 	}
 }
 
@@ -189,10 +192,10 @@
 	if len(fieldErrors) > 0 {
 		t.Fatal(fieldErrors)
 	}
-	path, _ := config.Compile(state, 1, "").Resolve("", "GET", "/")
+	route, _ := config.Compile(state, 1, "").Resolve("", "GET", "/")
 	random, counts := rand.New(rand.NewPCG(3, 4)), map[string]int{}
 	for range 100000 {
-		counts[path.PickService(random.Uint64()).Name]++
+		counts[route.PickService(random.Uint64()).Name]++
 	}
 	if counts["two"] > 0 || counts["one"] < 89000 || counts["one"] > 91000 || counts["one"]+counts["three"] != 100000 {
 		t.Error(counts)
--- a/internal/config/redact_test.go
+++ b/internal/config/redact_test.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/config"
 )
 
-// TestRedact guards against keys of tenants in what operators are shown.
+// TestRedact guards against showing tenants' keys to operators.
 func TestRedact(t *testing.T) {
 	digest, _ := config.DigestKey("secret-1")
 	shown := `"` + config.ShortDigest(digest[:]) + `"`
@@ -32,7 +32,8 @@
 	}
 }
 
-// FuzzRedact checks that a key is in no redacted configuration, whatever it and the text before it are, and that all else stays.
+// FuzzRedact checks that a redacted configuration contains no key, whatever the key and the preceding text are, and that everything else
+// is unchanged.
 func FuzzRedact(f *testing.F) {
 	f.Add("secret", "north")
 	f.Add(`a"b\`, `\"`)
@@ -56,7 +57,7 @@
 		}
 		for _, shown := range after.Tenants[0].Keys {
 			if !strings.HasPrefix(shown, "sha256:") || len(shown) != len("sha256:")+8 {
-				t.Fatalf("%q is shown", shown)
+				t.Fatalf("the redacted key is %q", shown)
 			}
 		}
 	})
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -11,43 +11,43 @@
 // WeightedService is one service of a route's split.
 type WeightedService struct {
 	Service *Service
-	// CumulativeWeight is the sum of the weights of the services up to this one, itself included.
+	// CumulativeWeight is the sum of the weights of the services up to and including this one.
 	CumulativeWeight uint64
 }
 
-// Route leads the requests of a host, method and path prefix to services. It's compiled from a configuration's route or from a
-// path that a service has of its own.
+// Route routes the requests for a host, method and path prefix to services. It's compiled from a route of the configuration or from
+// a path that a service declares itself.
 //
-// Invariants: Service is the split's first that has a weight, nil if none has; in Split CumulativeWeight never falls, and ends
-// above zero unless Service is nil; Once and Single are never both set.
+// Invariants: Service is the first service of the split with a weight above zero, nil if there is none; CumulativeWeight never decreases
+// along Split, and its last value is above zero unless Service is nil; Once and Single are never both set.
 type Route struct {
-	// Name is empty for a service's own path.
+	// Name is empty for a path that a service declares itself.
 	Name string
-	// Host is in canonical form, empty for any host.
+	// Host is in canonical form. It's empty for any host.
 	Host string
 	// Method is "*" for any method.
 	Method string
 	Prefix string
-	// Once is set for the class "once": a request runs at most once, and carries an idempotency key by which it may be retried.
+	// Once is set for the class "once": a request runs at most once, and carries an idempotency key so that it can be retried.
 	Once bool
-	// Single is set for the class "single": a request runs at most once and has no key, so that it's retried only if it's certain
-	// that it hasn't run.
+	// Single is set for the class "single": a request runs at most once and has no idempotency key, so it's retried only if it
+	// certainly hasn't run.
 	Single bool
-	// Timeout is how long a request may take, zero to leave it to the service.
+	// Timeout is how long a request may take. Zero means the service's timeout.
 	Timeout monotonic.Micros
-	// LatencyTarget is the time within which a response is wanted, zero if there is no target.
+	// LatencyTarget is the desired response time. Zero means that there is no target.
 	LatencyTarget monotonic.Micros
 	// Priority ranks requests for admission under load: the lowest number is admitted first.
 	Priority uint32
-	// MaxAttempts is the most attempts of a request, zero to leave it to the service.
+	// MaxAttempts is the maximum number of attempts of a request. Zero means the service's maximum.
 	MaxAttempts uint32
-	// Anonymous is set if requests need no tenant's key.
+	// Anonymous is set if requests don't need a tenant's key.
 	Anonymous bool
 	Service   *Service
 	Split     []WeightedService
 }
 
-// PickService picks a service of the split in proportion to its weight, by a uniformly distributed random number.
+// PickService picks a service of the split with a probability in proportion to its weight, given a uniformly distributed random number.
 func (r *Route) PickService(random uint64) *Service {
 	if len(r.Split) < 2 {
 		return r.Service
@@ -57,7 +57,7 @@
 	return r.Split[index].Service
 }
 
-// FindService returns the service with a name, if it has a weight in the split.
+// FindService returns the service with the given name if its weight in the split is above zero.
 func (r *Route) FindService(service string) (*Service, bool) {
 	previous := uint64(0)
 	for _, share := range r.Split {
@@ -79,18 +79,18 @@
 	return false
 }
 
-// anyMethod matches every method; a route may also leave its method out.
+// anyMethod matches every method, like an omitted method of a route.
 const anyMethod = "*"
 
-// methodOf returns a route's method, anyMethod if it is left out.
-func methodOf(method string) string {
+// methodOrAny returns a route's method, or anyMethod if it is omitted.
+func methodOrAny(method string) string {
 	if method == "" {
 		return anyMethod
 	}
 	return method
 }
 
-// CanonicalHost returns a host in its canonical form: lower case, without a port and without a dot at its end.
+// CanonicalHost returns a host in its canonical form: lower case, without a port and without a trailing dot.
 func CanonicalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.Contains(host[colon:], "]") {
 		host = host[:colon]
@@ -98,7 +98,7 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// pathRoute compiles a path that a service has of its own.
+// pathRoute compiles a path that a service declares itself.
 func pathRoute(path *wire.Path, service *Service) *Route {
 	return &Route{
 		Method:  path.Method,
@@ -110,14 +110,13 @@
 	}
 }
 
-// compileRoute compiles a route of the configuration. Services that aren't known are left out. A route that has no known service
-// with a weight has a nil Service: Validate rejects it, so that only a configuration that was accepted by a build which checked less
-// can have it.
+// compileRoute compiles a route of the configuration. Unknown services are omitted. Service is nil if no known service has a weight
+// above zero. Validate rejects such a route, so it occurs only in a configuration that was accepted by a build with fewer checks.
 func compileRoute(route *wire.Route, services map[string]*Service) *Route {
 	compiled := &Route{
 		Name:          route.Name,
 		Host:          route.Host,
-		Method:        methodOf(route.Method),
+		Method:        methodOrAny(route.Method),
 		Prefix:        route.Prefix,
 		Once:          route.Class == wire.Path_once,
 		Single:        route.Class == wire.Path_single,
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,10 +7,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// breakerStateTTL is how long after the last write the registries' record of a service's breaker returns to closed.
+// breakerStateTTL is the time after the last write at which the registry's record of a service's breaker reverts to closed.
 const breakerStateTTL = 300 * monotonic.Second
 
-// Service is a service with its effective policies: none of their fields is left out. It must not be changed.
+// Service is a service with its effective policies, all of whose fields are set. It must not be modified.
 type Service struct {
 	Name    string
 	Group   string
@@ -19,7 +19,7 @@
 	Limits  *wire.Limits
 }
 
-// EffectiveService merges a service's policies field by field over its group's, and those over the defaults.
+// EffectiveService merges policies field by field: a service's override its group's, which override the defaults.
 func EffectiveService(group *wire.Group, service *wire.Service) *Service {
 	return &Service{
 		Name:    service.Name,
@@ -30,12 +30,12 @@
 	}
 }
 
-// DefaultService returns a service with the default policies, for a name that a snapshot doesn't have.
+// DefaultService returns a service with the default policies, for a name that isn't in a snapshot.
 func DefaultService(name string) *Service {
 	return EffectiveService(&wire.Group{}, &wire.Service{Name: name})
 }
 
-// BreakerSettings returns the breaker's settings in the form that proxies send to the registry. Durations are in microseconds.
+// BreakerSettings returns the breaker's settings as proxies send them to the registry. Durations are in microseconds.
 func (s *Service) BreakerSettings() *wire.BreakerSettings {
 	return &wire.BreakerSettings{
 		WaitOpen:    s.Breaker.GetWaitOpenMicros(),
@@ -78,7 +78,7 @@
 	}
 }
 
-// mergeBreaker merges the breaker policy. A probe's lease that is left out is no shorter than a call's timeout.
+// mergeBreaker merges the breaker policy. If the lease of a probe is omitted, it's at least as long as the timeout of a call.
 func mergeBreaker(group *wire.Group, service *wire.Service) *wire.Breaker {
 	merged := defaultBreaker()
 	merged.ProbeTenureMicros = proto.Int64(max(merged.GetProbeTenureMicros(), mergeLimits(group, service).GetCutoffMicros()))
@@ -101,7 +101,7 @@
 	return merged
 }
 
-// orEmpty returns a message, or an empty one of its type for nil, which proto.Merge doesn't accept.
+// orEmpty returns the message, or an empty one of its type in place of nil, which proto.Merge doesn't accept.
 func orEmpty[Message any, Pointer interface {
 	*Message
 	proto.Message
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// checkShape reports everything in a JSON tree that doesn't fit a message, because protojson stops at the first such place. Values
-// that only protojson can judge, such as numbers out of range, and texts that aren't JSON at all are left to it.
+// checkShape reports every field of a JSON document that doesn't fit the message type, because protojson stops at the first one.
+// What only protojson can check, such as the range of numbers, and content that isn't valid JSON are left to protojson.
 func checkShape(content []byte, message protoreflect.MessageDescriptor) []FieldError {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
@@ -24,7 +24,7 @@
 	return v.fieldErrors
 }
 
-// joinLocation returns the location of a field within another, which is empty for the root.
+// joinLocation returns the location of a field within a parent. The root's location is empty.
 func joinLocation(location, name string) string {
 	if location == "" {
 		return name
@@ -32,7 +32,7 @@
 	return location + "." + name
 }
 
-// checkObject checks that a value is an object with fields of a message. A field may be named by its JSON or its protobuf name.
+// checkObject checks that a value is an object whose members are fields of the message, named by their JSON or protobuf names.
 func (v *validator) checkObject(location string, value any, message protoreflect.MessageDescriptor) {
 	members, isObject := value.(map[string]any)
 	if !isObject {
@@ -47,7 +47,7 @@
 		switch {
 		case field == nil:
 			v.addf(joinLocation(location, name), "no such field")
-		case members[name] == nil: // null stands for a field that is left out
+		case members[name] == nil: // null means that the field is omitted
 		case field.IsList():
 			v.checkList(joinLocation(location, name), members[name], field)
 		default:
@@ -73,7 +73,7 @@
 		return
 	}
 	if field.Enum() != nil {
-		if name, is := value.(string); !is || field.Enum().Values().ByName(protoreflect.Name(name)) == nil {
+		if name, ok := value.(string); !ok || field.Enum().Values().ByName(protoreflect.Name(name)) == nil {
 			v.addf(location, "%v is not a value of %s", value, field.Enum().Name())
 		}
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// kindChecks are the JSON values that each kind of field accepts.
+// kindChecks maps each kind of field to a check of its JSON value.
 var kindChecks = map[protoreflect.Kind]struct {
 	expected string
 	accepts  func(value any) bool
@@ -96,9 +96,9 @@
 	protoreflect.DoubleKind: {"a number", isNumber},
 }
 
-func isBool(value any) bool { _, is := value.(bool); return is }
+func isBool(value any) bool { _, ok := value.(bool); return ok }
 
-func isString(value any) bool { _, is := value.(string); return is }
+func isString(value any) bool { _, ok := value.(string); return ok }
 
-// isNumber accepts strings too, because 64-bit numbers may be written as such.
-func isNumber(value any) bool { _, is := value.(json.Number); return is || isString(value) }
+// isNumber accepts strings too, because protojson allows 64-bit numbers to be written as strings.
+func isNumber(value any) bool { _, ok := value.(json.Number); return ok || isString(value) }
--- a/internal/config/shared/shared.go
+++ b/internal/config/shared/shared.go
@@ -1,5 +1,5 @@
-// Package shared is a persistent map with string keys: setting or removing entries makes a new version, which shares with the
-// earlier one what hasn't changed. A change costs about as much as the shards it touches, however large the map.
+// Package shared implements a persistent map with string keys: setting or removing entries creates a new version, which shares
+// unchanged entries with the previous one. The cost of a change is proportional to the shards it affects, not to the size of the map.
 package shared
 
 import (
@@ -10,24 +10,23 @@
 )
 
 const (
-	// targetShardSize is how many entries a shard has on average when a map is made.
+	// targetShardSize is the intended average number of entries per shard of a new map.
 	targetShardSize = 16
-	// maxShardSize is how many entries a shard may have on average before a map is divided anew.
+	// maxShardSize is the average number of entries per shard above which a map is rebuilt with more shards.
 	maxShardSize = 4 * targetShardSize
-	// maxShards bounds the number of shards, whose list is copied with each version.
+	// maxShards bounds the number of shards, because the list of shards is copied for each version.
 	maxShards = 4096
 )
 
-// Map is one version of the map. It's immutable, and safe for concurrent use if its values are. Nil is an empty map.
+// Map is one version of the map. It's immutable, and safe for concurrent use if its values are. A nil Map is empty.
 //
-// Invariants: the number of shards is a power of two; a key is in the shard that its hash names; a shard never changes once it's
-// in a map.
+// Invariants: the number of shards is a power of two; a key's hash determines its shard; a shard never changes once it's in a map.
 type Map[Value any] struct {
 	shards []map[string]Value
 	size   int
 }
 
-// New returns a map of entries.
+// New returns a map with the given entries.
 func New[Value any](entries map[string]Value) *Map[Value] {
 	count := 1
 	for count < maxShards && count*targetShardSize < len(entries) {
@@ -44,7 +43,7 @@
 	return m
 }
 
-// index is the number of a key's shard.
+// index returns the index of a key's shard.
 func (m *Map[Value]) index(key string) uint64 {
 	if len(m.shards) == 1 {
 		return 0
@@ -52,7 +51,7 @@
 	return xxhash.Sum64String(key) & uint64(len(m.shards)-1)
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (m *Map[Value]) Len() int {
 	if m == nil {
 		return 0
@@ -60,7 +59,7 @@
 	return m.size
 }
 
-// Get returns the value of a key, if it's in the map.
+// Get returns the value of a key, and whether the key is in the map.
 func (m *Map[Value]) Get(key string) (value Value, found bool) {
 	if m == nil {
 		return value, false
@@ -69,7 +68,7 @@
 	return value, found
 }
 
-// All iterates over all entries, in no order.
+// All iterates over all entries in unspecified order.
 func (m *Map[Value]) All(yield func(key string, value Value) bool) {
 	if m == nil {
 		return
@@ -83,7 +82,7 @@
 	}
 }
 
-// With returns the version in which some entries are set and some removed. A key that is in both is set.
+// With returns the version in which some entries are set and others removed. A key in both arguments is set.
 func (m *Map[Value]) With(set map[string]Value, removed []string) *Map[Value] {
 	if m == nil {
 		return New(set)
@@ -101,14 +100,14 @@
 	return e.next
 }
 
-// edit changes a new version, whose shards are those of the earlier one until they are written to.
+// edit modifies a new version. Its shards are shared with the previous version until they are written to.
 type edit[Value any] struct {
 	next *Map[Value]
-	// copied are the shards that belong to the new version alone.
+	// copied holds the indexes of the shards that belong only to the new version.
 	copied map[uint64]bool
 }
 
-// shard returns the shard of a key for writing.
+// shard returns the shard of a key for writing, and copies it first if it's shared.
 func (e *edit[Value]) shard(key string) map[string]Value {
 	index := e.next.index(key)
 	if !e.copied[index] {
--- a/internal/config/shared/shared_test.go
+++ b/internal/config/shared/shared_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/config/shared"
 )
 
-// TestVersions compares a sequence of versions with plain maps: each has the right entries, also after the next one was made.
+// TestVersions compares a sequence of versions with plain maps: each version has the right entries, even after the next one is created.
 func TestVersions(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var version *shared.Map[int]
@@ -25,21 +25,21 @@
 				removed = append(removed, key)
 			}
 		}
-		earlier, previous := version, maps.Clone(plain)
+		previous, previousPlain := version, maps.Clone(plain)
 		for _, key := range removed {
 			delete(plain, key)
 		}
 		maps.Copy(plain, set)
 		version = version.With(set, removed)
 		if !reflect.DeepEqual(maps.Collect(version.All), plain) || version.Len() != len(plain) {
-			t.Fatalf("round %d: %d entries, wanted %d", round, version.Len(), len(plain))
+			t.Fatalf("round %d: %d entries, want %d", round, version.Len(), len(plain))
 		}
-		if len(previous) != earlier.Len() || len(previous) > 0 && !reflect.DeepEqual(maps.Collect(earlier.All), previous) {
-			t.Fatalf("round %d: the version before has changed", round)
+		if len(previousPlain) != previous.Len() || len(previousPlain) > 0 && !reflect.DeepEqual(maps.Collect(previous.All), previousPlain) {
+			t.Fatalf("round %d: the previous version has changed", round)
 		}
 		for key, value := range plain {
-			if found, is := version.Get(key); !is || found != value {
-				t.Fatalf("round %d: %s is %d, %v", round, key, found, is)
+			if found, ok := version.Get(key); !ok || found != value {
+				t.Fatalf("round %d: key %s has value %d, found: %v", round, key, found, ok)
 			}
 		}
 	}
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -10,19 +10,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Snapshot is a configuration version compiled for serving. It's immutable, and shares with other versions what they have in
-// common.
+// Snapshot is a configuration version compiled for serving. It's immutable, and shares unchanged parts with other versions.
 type Snapshot struct {
 	Version uint64
-	// Digest is that of the content; see the function Digest.
+	// Digest is the digest of the configuration's content, as returned by the function Digest.
 	Digest   string
 	Services map[string]*Service
 	table    routeTable
 	tenants  tenantTable
 }
 
-// Compile makes a snapshot of a configuration that was accepted. Of two routes that match the same requests the first wins;
-// Validate rejects such a configuration.
+// Compile builds a snapshot from an accepted configuration. If two routes match the same requests, the first one wins; Validate
+// rejects such a configuration.
 func Compile(state *wire.DesiredState, version uint64, digest string) *Snapshot {
 	snapshot := &Snapshot{Version: version, Digest: digest, Services: map[string]*Service{}, tenants: newTenantTable(state.Tenants)}
 	builder := tableBuilder{}
@@ -42,10 +41,10 @@
 	return snapshot
 }
 
-// Resolve returns a copy of the route for a request: among those of its host, then among those of any host, the one with the
-// longest prefix that ends at a whole segment, and at one prefix one with a method before one for any. The host must be in
-// canonical form (CanonicalHost) and the path too (package resourcepath). It returns false if there is no such route or it has no
-// service.
+// Resolve returns a copy of the route for a request. Routes for the request's host take precedence over routes for any host, then the
+// longest prefix that ends at a segment boundary wins, then a route for the request's method over one for any method. The host must be
+// in canonical form (CanonicalHost), and so must the path (package resourcepath). Resolve returns false if no route matches or the
+// matching route has no service.
 func (s *Snapshot) Resolve(host, method, path string) (Route, bool) {
 	found := s.Lookup(host, method, path)
 	if found == nil {
@@ -54,8 +53,8 @@
 	return *found, found.Service != nil
 }
 
-// Lookup returns the snapshot's own route for a request as Resolve does, nil if there is none. It's the same object in every
-// version in which the route is unchanged. It must not be changed.
+// Lookup finds a route as Resolve does, but returns the snapshot's own object, or nil if no route matches. Versions in which the
+// route is unchanged return the same object. The caller must not modify it.
 func (s *Snapshot) Lookup(host, method, path string) *Route {
 	for _, name := range [...]string{host, ""} {
 		if routes, found := s.table.hosts.Get(name); found {
@@ -70,13 +69,13 @@
 	return nil
 }
 
-// Fingerprint returns a digest over a snapshot's behavior: the policies of its services, the route of each request, and the keys of
-// tenants. Two snapshots with the same fingerprint behave alike, whether they were compiled or made by With. It's slow, for tests and
-// checks.
+// Fingerprint returns a digest of a snapshot's behavior: the policies of its services, its routes, and the keys of its tenants. Two
+// snapshots with the same fingerprint behave identically, whether they come from Compile or With. It's slow and meant for tests and
+// consistency checks.
 func (s *Snapshot) Fingerprint() string {
 	lines := s.fingerprintTenants()
 	for _, service := range s.Services {
-		lines = append(lines, fmt.Sprintf("service %s %s %v %v %v", service.Name, service.Group, deterministic(service.Breaker), deterministic(service.Retry), deterministic(service.Limits)))
+		lines = append(lines, fmt.Sprintf("service %s %s %v %v %v", service.Name, service.Group, mustMarshal(service.Breaker), mustMarshal(service.Retry), mustMarshal(service.Limits)))
 	}
 	for key, route := range s.table.all {
 		line := fmt.Sprintf("path %q %q %q %q %v %v %v %d %d %d %d", key.host, key.method, key.prefix, route.Name, route.Once, route.Single, route.Anonymous, route.Timeout, route.LatencyTarget, route.Priority, route.MaxAttempts)
@@ -89,8 +88,8 @@
 	return Digest([]byte(strings.Join(lines, "\n")))
 }
 
-// deterministic encodes a policy deterministically. The policy was decoded or built in this package, so that an error is a bug.
-func deterministic(message proto.Message) []byte {
+// mustMarshal encodes a policy deterministically. The policy was decoded or built in this package, so an error is a bug.
+func mustMarshal(message proto.Message) []byte {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		panic(err)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -7,24 +7,24 @@
 	"snowflow/internal/config/shared"
 )
 
-// matchKey is what a route matches, and its key in the table.
+// matchKey is what a route matches. It's the route's key in the table.
 type matchKey struct{ host, prefix, method string }
 
-// keyOf returns the key of a route in a table.
-func keyOf(route *Route) matchKey { return matchKey{route.Host, route.Prefix, route.Method} }
+// matchKeyOf returns the key of a route in a table.
+func matchKeyOf(route *Route) matchKey { return matchKey{route.Host, route.Prefix, route.Method} }
 
-// routeTable holds all routes by host, prefix and method. It's immutable, and shares with other versions the hosts, prefixes and
-// routes in which they don't differ.
+// routeTable holds all routes by host, prefix and method. It's immutable, and shares unchanged hosts, prefixes and routes with other
+// versions.
 type routeTable struct{ hosts *shared.Map[*hostRoutes] }
 
-// hostRoutes are the routes of one host. Invariants: maxPrefixLength is no less than the length of any prefix; the routes by
-// method at one prefix are never empty, and never change once they are in a table.
+// hostRoutes holds the routes of one host. Invariants: no prefix is longer than maxPrefixLength; the map of routes by method at a prefix
+// is never empty, and never changes once it's in a table.
 type hostRoutes struct {
 	byPrefix        *shared.Map[map[string]*Route]
 	maxPrefixLength int
 }
 
-// lookup returns the route with exactly this key, nil if there is none.
+// lookup returns the route with exactly this key, or nil if there is none.
 func (t routeTable) lookup(key matchKey) *Route {
 	host, found := t.hosts.Get(key.host)
 	if !found {
@@ -34,7 +34,7 @@
 	return methods[key.method]
 }
 
-// all iterates over all routes, in no order.
+// all iterates over all routes in unspecified order.
 func (t routeTable) all(yield func(key matchKey, route *Route) bool) {
 	for host, routes := range t.hosts.All {
 		for prefix, methods := range routes.byPrefix.All {
@@ -47,16 +47,16 @@
 	}
 }
 
-// match returns the route for a request's method and path, nil if there is none. It tries each beginning of the path that ends at
-// a whole segment, the longest first: the path itself, then at each slash with and without it.
+// match returns the route for a request's method and path, or nil if there is none. It tries each prefix of the path that ends at a
+// segment boundary, the longest first: the path itself, then for each slash the prefix that includes it and the one before it.
 func (h *hostRoutes) match(method, path string) *Route {
 	if len(path) <= h.maxPrefixLength {
 		if found := h.lookup(method, path); found != nil {
 			return found
 		}
 	}
-	beginning := path[:min(len(path), h.maxPrefixLength+1)]
-	for slash := strings.LastIndexByte(beginning, '/'); slash >= 0; slash = strings.LastIndexByte(path[:slash], '/') {
+	truncated := path[:min(len(path), h.maxPrefixLength+1)]
+	for slash := strings.LastIndexByte(truncated, '/'); slash >= 0; slash = strings.LastIndexByte(path[:slash], '/') {
 		if found := h.lookup(method, path[:slash+1]); found != nil {
 			return found
 		}
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// lookup returns the route at a prefix for a method: one that names the method, or else one for any.
+// lookup returns the route at a prefix for a method: one that names the method, otherwise one for any method.
 func (h *hostRoutes) lookup(method, prefix string) *Route {
 	methods, found := h.byPrefix.Get(prefix)
 	if !found {
@@ -79,10 +79,10 @@
 	return methods[anyMethod]
 }
 
-// tableBuilder is a table that is being filled, by host, prefix and method.
+// tableBuilder collects the routes of a table by host, prefix and method.
 type tableBuilder map[string]map[string]map[string]*Route
 
-// add puts a route in; of two with the same key the first stands.
+// add adds a route unless there is already one with the same key.
 func (b tableBuilder) add(route *Route) {
 	prefixes := b[route.Host]
 	if prefixes == nil {
@@ -111,18 +111,18 @@
 	return routeTable{hosts: shared.New(hosts)}
 }
 
-// withUpdates returns the table with the routes at some keys replaced. Nil removes a route.
+// withUpdates returns the table with the routes at the given keys replaced. A nil route removes the key.
 func (t routeTable) withUpdates(updates map[matchKey]*Route) routeTable {
 	if len(updates) == 0 {
 		return t
 	}
 	hosts, emptyHosts := map[string]*hostRoutes{}, []string{}
 	for name, prefixes := range t.changedPrefixes(updates) {
-		former, found := t.hosts.Get(name)
+		current, found := t.hosts.Get(name)
 		if !found {
-			former = &hostRoutes{}
+			current = &hostRoutes{}
 		}
-		updated := former.withPrefixes(prefixes)
+		updated := current.withPrefixes(prefixes)
 		if updated.byPrefix.Len() == 0 {
 			emptyHosts = append(emptyHosts, name)
 			continue
@@ -132,7 +132,7 @@
 	return routeTable{hosts: t.hosts.With(hosts, emptyHosts)}
 }
 
-// changedPrefixes returns the routes after the updates at each host and prefix that they touch.
+// changedPrefixes returns the updated routes of each host and prefix that the updates affect.
 func (t routeTable) changedPrefixes(updates map[matchKey]*Route) tableBuilder {
 	changed := tableBuilder{}
 	for key, route := range updates {
@@ -154,7 +154,7 @@
 	return changed
 }
 
-// cloneMethods returns a copy of the routes at a key's host and prefix by method.
+// cloneMethods returns a copy of the map of routes by method at a key's host and prefix.
 func (t routeTable) cloneMethods(key matchKey) map[string]*Route {
 	if host, found := t.hosts.Get(key.host); found {
 		if methods, found := host.byPrefix.Get(key.prefix); found {
@@ -164,8 +164,8 @@
 	return map[string]*Route{}
 }
 
-// withPrefixes returns the host's routes with those at some prefixes replaced. Prefixes without routes are removed. The length of
-// the longest prefix never falls, which is allowed and cheap.
+// withPrefixes returns the host's routes with those at the given prefixes replaced. Prefixes without routes are removed.
+// maxPrefixLength isn't lowered, because that would need a scan of all prefixes; it may be larger than necessary.
 func (h *hostRoutes) withPrefixes(prefixes map[string]map[string]*Route) *hostRoutes {
 	updated, empty := &hostRoutes{maxPrefixLength: h.maxPrefixLength}, []string{}
 	for prefix, methods := range prefixes {
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -13,21 +13,22 @@
 // Limits on tenants, in bytes.
 const (
 	maxTenantName = 200
-	// MaxTenantKey is the longest key of a tenant.
+	// MaxTenantKey is the maximum length of a tenant's key.
 	MaxTenantKey = 256
 )
 
-// Tenant is a customer of the mesh, known by its keys. It must not be changed.
+// Tenant is a customer of the mesh, identified by its API keys. It must not be modified.
 type Tenant struct {
 	Name string
-	// Priority ranks a tenant's requests for admission under load, before the priority of their routes: the lowest number goes first.
+	// Priority ranks the tenant's requests for admission under load: the lowest number is admitted first. It takes precedence over the
+	// priority of routes.
 	Priority uint32
 }
 
-// KeyDigest identifies a tenant's key without telling it.
+// KeyDigest identifies a tenant's key without revealing it.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key. A key that is longer than MaxTenantKey bytes has none.
+// DigestKey returns the digest of a key. It returns false for a key longer than MaxTenantKey bytes.
 func DigestKey(key string) (digest KeyDigest, valid bool) {
 	if len(key) > MaxTenantKey {
 		return KeyDigest{}, false
@@ -37,7 +38,8 @@
 	return sha256.Sum256(buffer[:length]), true
 }
 
-// TenantInForce returns a tenant with the digests of its keys, sorted, in place of the keys. Keys without a digest are left out.
+// TenantInForce converts a tenant to the form that proxies get, with sorted digests in place of its keys. Keys that are too long are
+// omitted.
 func TenantInForce(tenant *wire.Tenant) *wire.TenantInForce {
 	inForce := &wire.TenantInForce{Name: tenant.Name, Priority: tenant.GetPriority()}
 	for _, key := range tenant.Keys {
@@ -49,15 +51,15 @@
 	return inForce
 }
 
-// tenantTable finds tenants by the digests of their keys. It's immutable, and versions share what they have in common. The zero
-// tenantTable has no tenants.
+// tenantTable finds tenants by the digests of their keys. It's immutable, and versions share unchanged parts. The zero tenantTable
+// has no tenants.
 type tenantTable struct {
 	byDigest *shared.Map[*Tenant]
-	// count is the number of tenants, also of those without a key.
+	// count is the number of tenants, including those without a key.
 	count int
 }
 
-// newTenantTable returns the table of a configuration's tenants.
+// newTenantTable builds the table of a configuration's tenants.
 func newTenantTable(tenants []*wire.Tenant) tenantTable {
 	if len(tenants) == 0 {
 		return tenantTable{}
@@ -76,29 +78,29 @@
 	}
 }
 
-// with returns the table in which some tenants are removed and others added. A changed tenant is in both lists.
+// with returns the table after some tenants are removed and others added. A changed tenant is in both lists.
 func (t tenantTable) with(added, removed []*wire.TenantInForce) tenantTable {
 	if len(added)+len(removed) == 0 {
 		return t
 	}
-	var withdrawn []string
+	var removedDigests []string
 	for _, tenant := range removed {
 		for _, digest := range tenant.KeyDigests {
-			withdrawn = append(withdrawn, string(digest))
+			removedDigests = append(removedDigests, string(digest))
 		}
 	}
 	byDigest := map[string]*Tenant{}
 	for _, tenant := range added {
 		addKeys(byDigest, tenant)
 	}
-	return tenantTable{byDigest: t.byDigest.With(byDigest, withdrawn), count: t.count + len(added) - len(removed)}
+	return tenantTable{byDigest: t.byDigest.With(byDigest, removedDigests), count: t.count + len(added) - len(removed)}
 }
 
 // HasTenants reports whether the configuration has tenants, so that requests need a key.
 func (s *Snapshot) HasTenants() bool { return s.tenants.count > 0 }
 
-// FindTenant returns the tenant that has a key in this version, nil if there is none. The time that it takes doesn't depend on how much
-// of a key is right.
+// FindTenant returns the tenant that a key belongs to in this version, or nil if there is none. It compares digests, so its running time
+// doesn't reveal how much of a key is correct.
 func (s *Snapshot) FindTenant(key string) *Tenant {
 	digest, valid := DigestKey(key)
 	if !valid {
@@ -108,18 +110,18 @@
 	return tenant
 }
 
-// TenantError is one error in a configuration's tenants. Its message never holds a key.
+// TenantError is one error in a configuration's tenants. Its message never contains a key.
 type TenantError struct {
 	// Index is the tenant's position in the list.
 	Index   int
 	Message string
 }
 
-// CheckTenants returns all errors of a configuration's tenants: their names must be unique, and each key must be of one tenant alone.
-func CheckTenants(tenants []*wire.Tenant) (faults []TenantError) {
+// CheckTenants returns all errors in a configuration's tenants: their names must be unique, and each key must belong to one tenant only.
+func CheckTenants(tenants []*wire.Tenant) (tenantErrors []TenantError) {
 	names, owners := map[string]bool{}, map[string]string{}
 	for index, tenant := range tenants {
-		report := func(message string) { faults = append(faults, TenantError{Index: index, Message: message}) }
+		report := func(message string) { tenantErrors = append(tenantErrors, TenantError{Index: index, Message: message}) }
 		if !isToken(tenant.Name, maxTenantName) {
 			report("the name must be of 1 to 200 visible ASCII characters")
 		}
@@ -140,10 +142,10 @@
 			owners[key] = tenant.Name
 		}
 	}
-	return faults
+	return tenantErrors
 }
 
-// isToken reports whether a text can stand in a header and be compared byte by byte: visible ASCII without spaces.
+// isToken reports whether a text can be sent in a header and compared byte by byte: visible ASCII without spaces.
 func isToken(text string, maxLength int) bool {
 	for index := range len(text) {
 		if text[index] <= ' ' || text[index] > '~' {
@@ -153,7 +155,7 @@
 	return text != "" && len(text) <= maxLength
 }
 
-// fingerprintTenants returns lines that describe the tenants and their keys, for Fingerprint.
+// fingerprintTenants returns lines that describe the tenants and their keys, as input for Fingerprint.
 func (s *Snapshot) fingerprintTenants() []string {
 	lines := []string{fmt.Sprintf("tenants %d", s.tenants.count)}
 	for digest, tenant := range s.tenants.byDigest.All {
--- a/internal/config/tenant_test.go
+++ b/internal/config/tenant_test.go
@@ -13,16 +13,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-// tenantState is a configuration with one service and some tenants.
+// tenantState returns a configuration with one service and the given tenants.
 func tenantState(tenants ...*wire.Tenant) *wire.DesiredState {
 	return &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Tenants: tenants}
 }
 
-func TestTenantFaults(t *testing.T) {
+func TestCheckTenants(t *testing.T) {
 	longKey := strings.Repeat("k", config.MaxTenantKey+1)
 	for name, test := range map[string]struct {
 		tenants []*wire.Tenant
-		fault   string
+		message string
 	}{
 		"valid":                {[]*wire.Tenant{{Name: "north", Keys: []string{"k1", "k2"}}, {Name: "south", Keys: []string{"k3"}}}, ""},
 		"no keys left":         {[]*wire.Tenant{{Name: "north"}}, ""},
@@ -39,24 +39,24 @@
 		"the longest key of 1": {[]*wire.Tenant{{Name: "north", Keys: []string{longKey[1:]}}}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			faults := config.CheckTenants(test.tenants)
-			if (len(faults) > 0) != (test.fault != "") || len(faults) > 0 && !strings.Contains(faults[0].Message, test.fault) {
-				t.Errorf("faults %v, wanted %q", faults, test.fault)
+			tenantErrors := config.CheckTenants(test.tenants)
+			if (len(tenantErrors) > 0) != (test.message != "") || len(tenantErrors) > 0 && !strings.Contains(tenantErrors[0].Message, test.message) {
+				t.Errorf("errors %v, want %q", tenantErrors, test.message)
 			}
-			for _, fault := range faults {
-				if strings.Contains(fault.Message, "secret") || strings.Contains(fault.Message, longKey) {
-					t.Errorf("%q tells a key", fault.Message)
+			for _, tenantError := range tenantErrors {
+				if strings.Contains(tenantError.Message, "secret") || strings.Contains(tenantError.Message, longKey) {
+					t.Errorf("%q reveals a key", tenantError.Message)
 				}
 			}
-			if validated := config.Validate(withPath(test.tenants)); len(validated) != len(faults) {
-				t.Errorf("Validate reports %v", validated)
+			if fieldErrors := config.Validate(validState(test.tenants)); len(fieldErrors) != len(tenantErrors) {
+				t.Errorf("Validate reports %v", fieldErrors)
 			}
 		})
 	}
 }
 
-// withPath is a configuration that is valid but for its tenants.
-func withPath(tenants []*wire.Tenant) *wire.DesiredState {
+// validState returns a configuration with the given tenants that is otherwise valid.
+func validState(tenants []*wire.Tenant) *wire.DesiredState {
 	state := tenantState(tenants...)
 	state.Groups[0].Services[0].Paths = []*wire.Path{{Method: "GET", Prefix: "/a", Class: wire.Path_read}}
 	return state
@@ -67,25 +67,25 @@
 	for key, name := range map[string]string{"k1": "north", "k2": "north", "k3": "south", "k": "", "k11": "", "": "", strings.Repeat("k", 9999): ""} {
 		found := snapshot.FindTenant(key)
 		if (found != nil) != (name != "") || found != nil && found.Name != name {
-			t.Errorf("%.20q is of %v, wanted %q", key, found, name)
+			t.Errorf("key %.20q belongs to %v, want %q", key, found, name)
 		}
 	}
 	if found := snapshot.FindTenant("k1"); found.Priority != 3 {
-		t.Errorf("priority %d", found.Priority)
+		t.Errorf("priority %d, want 3", found.Priority)
 	}
-	if open := config.Compile(tenantState(), 1, ""); open.HasTenants() || open.FindTenant("k1") != nil {
+	if snapshot := config.Compile(tenantState(), 1, ""); snapshot.HasTenants() || snapshot.FindTenant("k1") != nil {
 		t.Error("a configuration without tenants has some")
 	}
-	if closed := config.Compile(tenantState(&wire.Tenant{Name: "north"}), 1, ""); !closed.HasTenants() {
+	if snapshot := config.Compile(tenantState(&wire.Tenant{Name: "north"}), 1, ""); !snapshot.HasTenants() {
 		t.Error("a tenant without keys isn't counted")
 	}
 }
 
-// TestTenantVersions compares tenants that are changed version by version with a plain map: keys come, go, and pass from tenant to tenant.
+// TestTenantVersions compares the tenants of successive versions with a plain map, while keys are added, removed and moved between tenants.
 func TestTenantVersions(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		snapshot, present := config.Compile(tenantState(), 1, ""), map[string]*wire.TenantInForce{}
+		snapshot, current := config.Compile(tenantState(), 1, ""), map[string]*wire.TenantInForce{}
 		for version := range uint64(30) {
 			owners, next := map[string]string{}, map[string]*wire.TenantInForce{}
 			for number := range 40 {
@@ -106,14 +106,14 @@
 			}
 			change := &config.Change{}
 			for name, tenant := range next {
-				if former := present[name]; former == nil || !proto.Equal(former, tenant) {
+				if former := current[name]; former == nil || !proto.Equal(former, tenant) {
 					change.Tenants = append(change.Tenants, tenant)
 					if former != nil {
 						change.RemovedTenants = append(change.RemovedTenants, former)
 					}
 				}
 			}
-			for name, former := range present {
+			for name, former := range current {
 				if next[name] == nil {
 					change.RemovedTenants = append(change.RemovedTenants, former)
 				}
@@ -122,30 +122,30 @@
 			if snapshot, err = snapshot.With(change, version+2, ""); err != nil {
 				t.Fatal(err)
 			}
-			present = next
+			current = next
 			if snapshot.HasTenants() != (len(next) > 0) {
-				t.Fatalf("seed %d: has tenants: %v of %d", seed, snapshot.HasTenants(), len(next))
+				t.Fatalf("seed %d: HasTenants is %v with %d tenants", seed, snapshot.HasTenants(), len(next))
 			}
 			for number := range 40 {
 				key := fmt.Sprintf("key-%d", number)
-				wanted := owners[key]
-				if next[wanted] == nil {
-					wanted = ""
+				want := owners[key]
+				if next[want] == nil {
+					want = ""
 				}
-				if found := snapshot.FindTenant(key); found == nil && wanted != "" || found != nil && found.Name != wanted {
-					t.Fatalf("seed %d version %d: %s is of %v, wanted %q", seed, version, key, found, wanted)
+				if found := snapshot.FindTenant(key); found == nil && want != "" || found != nil && found.Name != want {
+					t.Fatalf("seed %d version %d: key %s belongs to %v, want %q", seed, version, key, found, want)
 				}
 			}
 		}
 	}
 }
 
-// TestFindTenantAllocatesNothing holds the cost of a look-up, which each request pays.
+// TestFindTenantAllocatesNothing guards the cost of a lookup, which is done for each request.
 func TestFindTenantAllocatesNothing(t *testing.T) {
 	snapshot := config.Compile(manyTenants(1000), 1, "")
 	key := "key-of-a-customer-500"
 	if allocations := testing.AllocsPerRun(100, func() { snapshot.FindTenant(key) }); allocations > 0 || snapshot.FindTenant(key) == nil {
-		t.Errorf("%.1f allocations", allocations)
+		t.Errorf("%.1f allocations, want 0", allocations)
 	}
 }
 
@@ -157,7 +157,7 @@
 	return state
 }
 
-// BenchmarkFindTenant measures a look-up among 100,000 keys.
+// BenchmarkFindTenant measures a lookup among 100,000 keys.
 func BenchmarkFindTenant(b *testing.B) {
 	state := manyTenants(100_000)
 	before := heapBytes()
@@ -173,7 +173,7 @@
 	b.ReportMetric(perKey, "heap-B/key")
 }
 
-// heapBytes returns the size of all live objects.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -181,13 +181,14 @@
 	return stats.HeapAlloc
 }
 
-// FuzzParseTenants checks that no configuration with tenants is accepted whose keys can't be told apart, and that no error tells a key.
+// FuzzParseTenants checks that a configuration whose tenants share a key or a name is rejected, and that in an accepted one each key
+// finds its tenant.
 func FuzzParseTenants(f *testing.F) {
 	f.Add("north", "k1", "k2", "south", "k3")
 	f.Add("north", "k1", "k1", "north", "")
 	f.Add("n\r\n", " ", "k2", "south", "k2")
 	f.Fuzz(func(t *testing.T, one, first, second, other, third string) {
-		state := withPath([]*wire.Tenant{{Name: one, Keys: []string{first, second}}, {Name: other, Keys: []string{third}}})
+		state := validState([]*wire.Tenant{{Name: one, Keys: []string{first, second}}, {Name: other, Keys: []string{third}}})
 		if len(config.Validate(state)) > 0 {
 			return
 		}
@@ -197,7 +198,7 @@
 		snapshot := config.Compile(state, 1, "")
 		for key, name := range map[string]string{first: one, second: one, third: other} {
 			if found := snapshot.FindTenant(key); found == nil || found.Name != name || strings.ContainsAny(name, "\r\n ") {
-				t.Fatalf("%q is of %v, wanted %q", key, found, name)
+				t.Fatalf("key %q belongs to %v, want %q", key, found, name)
 			}
 		}
 	})
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -8,11 +8,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// ErrChangeMismatch means that a change doesn't fit the snapshot that it was applied to.
-var ErrChangeMismatch = errors.New("config: the change doesn't fit the snapshot")
+// ErrChangeMismatch means that a change doesn't apply to the snapshot, because it was computed for another one.
+var ErrChangeMismatch = errors.New("config: the change doesn't apply to the snapshot")
 
-// Change turns a snapshot into the next one. RemovedPaths, RemovedRoutes and RemovedTenants include the former versions of
-// what changed. RemovedServices doesn't include services that changed, because the snapshot finds them by name.
+// Change describes how to get from a snapshot to the next one. RemovedPaths, RemovedRoutes and RemovedTenants include the previous state
+// of what changed. RemovedServices doesn't include changed services, because the snapshot finds them by name.
 type Change struct {
 	Services        []*wire.ServiceInForce // added or changed
 	RemovedServices []string
@@ -24,8 +24,8 @@
 	RemovedTenants  []*wire.TenantInForce
 }
 
-// With returns the snapshot after a change. Services, routes and hosts that the change doesn't touch are the same objects; a
-// route whose service has changed is replaced. An error is an ErrChange. The snapshot itself stays as it is.
+// With returns the snapshot after a change, and doesn't modify s. Services, routes and hosts that aren't affected are the same objects in
+// both; a route whose service has changed is replaced. All errors are ErrChangeMismatch.
 func (s *Snapshot) With(change *Change, version uint64, digest string) (*Snapshot, error) {
 	services, changed, err := s.withServices(change)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return next, nil
 }
 
-// withServices returns the services after a change, and the names of those that were changed or removed.
+// withServices returns the services after a change, and the names of the services that were changed or removed.
 func (s *Snapshot) withServices(change *Change) (services map[string]*Service, changed map[string]bool, err error) {
 	if len(change.Services)+len(change.RemovedServices) == 0 {
 		return s.Services, nil, nil
@@ -55,7 +55,7 @@
 	services, changed = maps.Clone(s.Services), map[string]bool{}
 	for _, name := range change.RemovedServices {
 		if services[name] == nil {
-			return nil, nil, fmt.Errorf("%w: service %q, which is to be removed, doesn't exist", ErrChangeMismatch, name)
+			return nil, nil, fmt.Errorf("%w: removed service %q doesn't exist", ErrChangeMismatch, name)
 		}
 		delete(services, name)
 		changed[name] = true
@@ -69,36 +69,36 @@
 	return services, changed, nil
 }
 
-// tableUpdate collects the updates of a table for a change.
+// tableUpdate collects the updates that a change makes to a route table.
 type tableUpdate struct {
-	// table is the one before the change.
+	// table is the table before the change.
 	table routeTable
-	// services are those after the change.
+	// services holds the services after the change.
 	services map[string]*Service
-	// updates are the routes after the change by their keys, nil where there is none any more.
+	// updates maps the affected keys to their routes after the change; nil means that the route is removed.
 	updates map[matchKey]*Route
 }
 
-// removeRoutes frees the keys of the routes that are removed or changed.
+// removeRoutes removes the paths and routes that are removed or changed, so that their keys can be used again.
 func (u *tableUpdate) removeRoutes(change *Change) error {
 	for _, path := range change.RemovedPaths {
 		key := matchKey{"", path.Path.Prefix, path.Path.Method}
 		if found := u.table.lookup(key); found == nil || found.Name != "" || found.Service.Name != path.Service {
-			return fmt.Errorf("%w: path %s %s of %s, which is to be removed, doesn't exist", ErrChangeMismatch, key.method, key.prefix, path.Service)
+			return fmt.Errorf("%w: removed path %s %s of service %q doesn't exist", ErrChangeMismatch, key.method, key.prefix, path.Service)
 		}
 		u.updates[key] = nil
 	}
 	for _, route := range change.RemovedRoutes {
-		key := matchKey{route.Host, route.Prefix, methodOf(route.Method)}
+		key := matchKey{route.Host, route.Prefix, methodOrAny(route.Method)}
 		if found := u.table.lookup(key); found == nil || found.Name != route.Name {
-			return fmt.Errorf("%w: route %q, which is to be removed, doesn't exist", ErrChangeMismatch, route.Name)
+			return fmt.Errorf("%w: removed route %q doesn't exist", ErrChangeMismatch, route.Name)
 		}
 		u.updates[key] = nil
 	}
 	return nil
 }
 
-// relinkServices replaces the unchanged routes that lead to a changed service, so that they use its new policies.
+// relinkServices replaces the unchanged routes to changed services, so that they use the new policies of these.
 func (u *tableUpdate) relinkServices(changed map[string]bool) error {
 	if len(changed) == 0 {
 		return nil
@@ -112,7 +112,7 @@
 		for index, share := range route.Split {
 			service := u.services[share.Service.Name]
 			if service == nil {
-				return fmt.Errorf("%w: service %q is removed, and %s %s%s leads to it", ErrChangeMismatch, share.Service.Name, key.method, key.host, key.prefix)
+				return fmt.Errorf("%w: removed service %q is still used by the route %s %s%s", ErrChangeMismatch, share.Service.Name, key.method, key.host, key.prefix)
 			}
 			relinked.Split[index] = WeightedService{Service: service, CumulativeWeight: share.CumulativeWeight}
 		}
@@ -122,12 +122,12 @@
 	return nil
 }
 
-// addRoutes adds the routes that are new or changed.
+// addRoutes adds the new and changed paths and routes.
 func (u *tableUpdate) addRoutes(change *Change) error {
 	for _, path := range change.Paths {
 		service := u.services[path.Service]
 		if service == nil {
-			return fmt.Errorf("%w: no service %q", ErrChangeMismatch, path.Service)
+			return fmt.Errorf("%w: service %q doesn't exist", ErrChangeMismatch, path.Service)
 		}
 		if err := u.add(pathRoute(path.Path, service)); err != nil {
 			return err
@@ -136,12 +136,12 @@
 	for _, route := range change.Routes {
 		for _, share := range route.Split {
 			if u.services[share.Service] == nil {
-				return fmt.Errorf("%w: route %q leads to service %q, which doesn't exist", ErrChangeMismatch, route.Name, share.Service)
+				return fmt.Errorf("%w: route %q uses service %q, which doesn't exist", ErrChangeMismatch, route.Name, share.Service)
 			}
 		}
 		compiled := compileRoute(route, u.services)
 		if compiled.Service == nil {
-			return fmt.Errorf("%w: route %q has no service with a weight", ErrChangeMismatch, route.Name)
+			return fmt.Errorf("%w: route %q has no service with a weight above zero", ErrChangeMismatch, route.Name)
 		}
 		if err := u.add(compiled); err != nil {
 			return err
@@ -150,15 +150,15 @@
 	return nil
 }
 
-// add puts a route at its key, which must be free.
+// add sets the route of a key. No other route may have the key.
 func (u *tableUpdate) add(route *Route) error {
-	key := keyOf(route)
+	key := matchKeyOf(route)
 	present, updated := u.updates[key]
 	if !updated {
 		present = u.table.lookup(key)
 	}
 	if present != nil {
-		return fmt.Errorf("%w: %s %s%s is used twice", ErrChangeMismatch, key.method, key.host, key.prefix)
+		return fmt.Errorf("%w: two routes match %s %s%s", ErrChangeMismatch, key.method, key.host, key.prefix)
 	}
 	u.updates[key] = route
 	return nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Limits on names and texts, in bytes.
+// Maximum lengths of texts, in bytes.
 const (
 	maxNote      = 1000
 	maxRouteName = 200
@@ -17,12 +17,12 @@
 	maxPrefix    = 500
 )
 
-// reservedPrefix begins the paths that proxies serve themselves.
+// reservedPrefix is the prefix of the paths that proxies serve themselves.
 const reservedPrefix = "/.snowflow"
 
 var methods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, anyMethod: true}
 
-// Validate returns all errors of a configuration, nil if it is valid.
+// Validate returns all errors in a configuration, or nil if it is valid.
 func Validate(state *wire.DesiredState) []FieldError {
 	v := &validator{services: map[string]string{}, matches: map[string]string{}}
 	if len(state.Groups) == 0 {
@@ -33,8 +33,8 @@
 	}
 	v.checkGroups(state)
 	v.checkRoutes(state.Routes)
-	for _, fault := range CheckTenants(state.Tenants) {
-		v.addf(fmt.Sprintf("tenants[%d]", fault.Index), "%s", fault.Message)
+	for _, tenantError := range CheckTenants(state.Tenants) {
+		v.addf(fmt.Sprintf("tenants[%d]", tenantError.Index), "%s", tenantError.Message)
 	}
 	return v.fieldErrors
 }
@@ -42,18 +42,18 @@
 // validator collects the errors of a configuration.
 type validator struct {
 	fieldErrors []FieldError
-	// services are the services' locations by name.
+	// services maps the names of services to their locations.
 	services map[string]string
-	// matches are the locations of paths and routes by the requests they match.
+	// matches maps what a path or route matches to its location.
 	matches map[string]string
 }
 
-// addf adds an error, whose message is formatted as by fmt.Sprintf.
+// addf adds an error with a message that is formatted as by fmt.Sprintf.
 func (v *validator) addf(location, format string, arguments ...any) {
 	v.fieldErrors = append(v.fieldErrors, FieldError{Location: location, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// checkGroups checks the groups with their services, and records the services' names for checkRoutes.
+// checkGroups checks the groups and their services, and records the names of the services for checkRoutes.
 func (v *validator) checkGroups(state *wire.DesiredState) {
 	groups := map[string]string{}
 	for index, group := range state.Groups {
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkService checks a service, which needs a path of its own if there are no routes.
+// checkService checks a service. needsPath is set if the configuration has no routes, so that each service must declare a path.
 func (v *validator) checkService(location string, group *wire.Group, service *wire.Service, needsPath bool) {
 	v.checkName(location, service.Name, v.services)
 	v.checkPolicies(location, service.Guard, service.Retry, service.Limits)
@@ -82,23 +82,23 @@
 	}
 }
 
-// checkName checks the name of a group or service. Seen has the locations of the names that were checked before it.
+// checkName checks the name of a group or service. seen maps the names that were checked before to their locations.
 func (v *validator) checkName(location, name string, seen map[string]string) {
 	if settings.CheckName(name) != nil {
 		v.addf(location+".name", "%q must be a lower-case letter, then up to 62 letters, digits or hyphens", name)
 	}
-	v.checkUnused(location, name, seen)
+	v.checkUniqueName(location, name, seen)
 }
 
-// checkUnused checks that a name isn't in seen, and adds it.
-func (v *validator) checkUnused(location, name string, seen map[string]string) {
+// checkUniqueName checks that a name isn't in seen, and adds it there.
+func (v *validator) checkUniqueName(location, name string, seen map[string]string) {
 	if other, duplicate := seen[name]; duplicate {
 		v.addf(location+".name", "%q is already used at %s", name, other)
 	}
 	seen[name] = location
 }
 
-// checkRoutes checks the list of routes. The groups must have been checked before.
+// checkRoutes checks the list of routes. It must be called after checkGroups.
 func (v *validator) checkRoutes(routes []*wire.Route) {
 	names := map[string]string{}
 	for index, route := range routes {
@@ -106,11 +106,11 @@
 		if route.Name == "" || len(route.Name) > maxRouteName {
 			v.addf(location+".name", "%q must be of 1 to %d bytes", route.Name, maxRouteName)
 		}
-		v.checkUnused(location, route.Name, names)
+		v.checkUniqueName(location, route.Name, names)
 		if route.Host != CanonicalHost(route.Host) || strings.ContainsAny(route.Host, "/?#@ ") || len(route.Host) > maxHost {
-			v.addf(location+".host", "%q must be a host in small letters, without a port and without a dot at its end", route.Host)
+			v.addf(location+".host", "%q must be a host name in lower case, without a port or a trailing dot", route.Host)
 		}
-		v.checkMatch(location, route.Host, methodOf(route.Method), route.Prefix, route.Class)
+		v.checkMatch(location, route.Host, methodOrAny(route.Method), route.Prefix, route.Class)
 		v.checkSplit(location+".split", route.Split)
 		v.checkDuration(location+".cutoffMicros", route.CutoffMicros, 1, maxRequestDuration)
 		v.checkDuration(location+".aimMicros", route.AimMicros, 1, maxRequestDuration)
@@ -118,7 +118,7 @@
 	}
 }
 
-// checkSplit checks a route's split: the services must exist, and one weight at least must be above zero.
+// checkSplit checks a route's split: its services must exist, and at least one weight must be above zero.
 func (v *validator) checkSplit(location string, split []*wire.Share) {
 	if len(split) == 0 {
 		v.addf(location, "at least one service is needed")
@@ -136,7 +136,7 @@
 	}
 }
 
-// checkMatch checks what a service's path and a route have in common. The host is empty for any.
+// checkMatch checks the fields that a service's path and a route have in common. The host is empty for any host.
 func (v *validator) checkMatch(location, host, method, prefix string, class wire.Path_Class) {
 	if !methods[method] {
 		v.addf(location+".method", "%q is not a method or *", method)
@@ -148,12 +148,12 @@
 		v.addf(location+".prefix", "%q must be spelled as requests are resolved: no escapes, doubled slashes or dot segments", prefix)
 	}
 	if strings.HasPrefix(prefix, reservedPrefix) {
-		v.addf(location+".prefix", "%s is the mesh's own", reservedPrefix)
+		v.addf(location+".prefix", "%s is reserved for the mesh", reservedPrefix)
 	}
 	if class == wire.Path_unset {
 		v.addf(location+".class", "must be read, once or single")
 	}
-	// With and without a slash at the end it's the same resource, which must not have two classes.
+	// A path with and without a trailing slash is the same resource, which must not have two classes.
 	key := method + " " + host + resourcepath.TrimTrailingSlash(prefix)
 	if other, duplicate := v.matches[key]; duplicate {
 		v.addf(location, "%s is already at %s", key, other)
--- a/internal/config/validate_policies.go
+++ b/internal/config/validate_policies.go
@@ -5,25 +5,25 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Bounds of the fields of policies and routes. They are named where several fields share them or where they need a reason.
+// Bounds of the fields of policies and routes. A bound has a name where several fields share it or where it needs an explanation.
 const (
 	maxAttempts = 10
-	// maxRequestDuration bounds a route's timeout and latency target, and the latency from which a call counts as slow.
+	// maxRequestDuration bounds a route's timeout and latency target, and the latency above which a call counts as slow.
 	maxRequestDuration = 10 * monotonic.Minute
-	// maxWindowCalls bounds the calls in a breaker's window.
+	// maxWindowCalls bounds the number of calls in a breaker's window.
 	maxWindowCalls = 10_000
-	// minBreakerWait and maxBreakerWait bound how long a breaker stays open, and how long a probe's lease lasts.
+	// minBreakerWait and maxBreakerWait bound how long a breaker stays open and how long a probe's lease lasts.
 	minBreakerWait = 100 * monotonic.Millisecond
 	maxBreakerWait = 2 * monotonic.Minute
-	// maxBodyBytes bounds the bodies of requests and responses.
+	// maxBodyBytes bounds the body size of requests and responses.
 	maxBodyBytes = 32 << 20
-	// maxBudgetRatio bounds the retries per first attempt, so that retries can't multiply the load of a service.
+	// maxBudgetRatio bounds the retries per first attempt, so that retries can't multiply the load on a service.
 	maxBudgetRatio = 0.2
 	// minRate is the lowest share of failed or slow calls at which a breaker may open.
 	minRate = 0.01
 )
 
-// checkPolicies checks the policies of a group or service, of which any may be nil.
+// checkPolicies checks the policies of a group or service. Each of them may be nil.
 func (v *validator) checkPolicies(location string, breaker *wire.Breaker, retry *wire.Retry, limits *wire.Limits) {
 	if breaker != nil {
 		v.checkBreaker(location+".guard", breaker)
@@ -61,25 +61,25 @@
 	v.checkBytes(location+".answerBytes", limits.AnswerBytes, 1, maxBodyBytes)
 }
 
-// checkEffective checks the relations between fields, which hold only for a service's policies merged with its group's and the
-// defaults.
+// checkEffective checks constraints between fields. They apply to a service's effective policies, that is merged with those of its
+// group and the defaults.
 func (v *validator) checkEffective(location string, group *wire.Group, service *wire.Service) {
 	breaker, limits := mergeBreaker(group, service), mergeLimits(group, service)
 	if breaker.GetProbeTenureMicros() < limits.GetCutoffMicros() {
-		v.addf(location+".guard.probeTenureMicros", "%d is less than the cutoff of %d: a probe would go back while its call still runs (group and defaults counted in)",
+		v.addf(location+".guard.probeTenureMicros", "%d is less than the cutoff of %d: a probe's lease would expire while its call is still running (including values from the group and the defaults)",
 			breaker.GetProbeTenureMicros(), limits.GetCutoffMicros())
 	}
 	if breaker.GetSlowRate() < 1 && breaker.GetSlowMicros() >= limits.GetCutoffMicros() {
-		v.addf(location+".guard.slowMicros", "%d is not less than the cutoff of %d: no call would ever count as slow (group and defaults counted in)",
+		v.addf(location+".guard.slowMicros", "%d is not less than the cutoff of %d: no call would ever count as slow (including values from the group and the defaults)",
 			breaker.GetSlowMicros(), limits.GetCutoffMicros())
 	}
 	if breaker.GetMinimumCalls() > breaker.GetWindowCalls() {
-		v.addf(location+".guard.minimumCalls", "%d is more than the window of %d calls (group and defaults counted in)",
+		v.addf(location+".guard.minimumCalls", "%d is more than the window of %d calls (including values from the group and the defaults)",
 			breaker.GetMinimumCalls(), breaker.GetWindowCalls())
 	}
 }
 
-// The checks below accept nil, which is a field that is left out. Minimum and maximum are allowed.
+// The checks below accept nil, which stands for an omitted field. The bounds are inclusive.
 
 func (v *validator) checkDuration(location string, value *int64, minimum, maximum monotonic.Micros) {
 	if value != nil && (monotonic.Micros(*value) < minimum || monotonic.Micros(*value) > maximum) {
@@ -100,7 +100,7 @@
 }
 
 func (v *validator) checkRatio(location string, value *float64, minimum, maximum float64) {
-	if value != nil && !(*value >= minimum && *value <= maximum) { // not a number fails too
+	if value != nil && !(*value >= minimum && *value <= maximum) { // written so that NaN is rejected too
 		v.addf(location, "%v is not between %v and %v", *value, minimum, maximum)
 	}
 }
