--- a/internal/config/changes/changes.go
+++ b/internal/config/changes/changes.go
@@ -13,26 +13,26 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Errors for a difference that can't be applied. No part of it is applied then.
+// Errors for a difference that can't be applied. In these cases nothing is applied.
 var (
 	ErrMalformed      = errors.New("changes: the difference can't be decoded")
-	ErrTenantsOmitted      = errors.New("changes: the difference is of a build that leaves tenants out")
-	ErrBaseMismatch   = errors.New("changes: the difference is from another base")
+	ErrTenantsOmitted = errors.New("changes: the difference comes from a build that omits tenants")
+	ErrBaseMismatch   = errors.New("changes: the difference has another base")
 	ErrDigestMismatch = errors.New("changes: the result doesn't match the difference's digest")
 )
 
-// Difference is how a version differs from another, its base. Each list is in the order of the keys.
+// Difference describes how a version differs from another one, its base. Each list is sorted by key.
 type Difference struct {
 	Added, Changed []*Resource
-	// Removed are the base's resources.
+	// Removed holds resources of the base.
 	Removed      []*Resource
 	base, digest Digest
 }
 
-// Len is the number of resources in which the versions differ.
+// Len returns the number of resources in which the versions differ.
 func (d *Difference) Len() int { return len(d.Added) + len(d.Changed) + len(d.Removed) }
 
-// updated returns the resources that the difference sets.
+// updated returns the resources that are added or changed.
 func (d *Difference) updated() []*Resource { return slices.Concat(d.Added, d.Changed) }
 
 // Diff returns how target differs from base.
@@ -42,22 +42,22 @@
 	return difference
 }
 
-// SnapshotChange returns what the base's snapshot has to change for a difference from that base.
+// SnapshotChange returns the change that a difference makes to the snapshot of its base.
 func SnapshotChange(base *Set, difference *Difference) *config.Change {
 	change := &config.Change{}
-	for _, one := range difference.updated() {
-		addUpdated(change, one.Message)
-		if former := base.Get(one.Key); former != nil {
-			addFormer(change, former.Message)
+	for _, r := range difference.updated() {
+		addUpdated(change, r.Message)
+		if previous := base.Get(r.Key); previous != nil {
+			addPrevious(change, previous.Message)
 		}
 	}
-	for _, one := range difference.Removed {
-		addRemoved(change, one.Message)
+	for _, r := range difference.Removed {
+		addRemoved(change, r.Message)
 	}
 	return change
 }
 
-// addUpdated notes a resource that is added or has changed.
+// addUpdated adds a new or changed resource to a change.
 func addUpdated(change *config.Change, message proto.Message) {
 	switch message := message.(type) {
 	case *wire.Route:
@@ -71,8 +71,8 @@
 	}
 }
 
-// addFormer notes the former state of a resource that has changed. A snapshot finds a service's by its name.
-func addFormer(change *config.Change, message proto.Message) {
+// addPrevious adds the previous state of a changed resource to a change. Services need none, because a snapshot finds them by name.
+func addPrevious(change *config.Change, message proto.Message) {
 	switch message := message.(type) {
 	case *wire.Route:
 		change.RemovedRoutes = append(change.RemovedRoutes, message)
@@ -83,22 +83,22 @@
 	}
 }
 
-// addRemoved notes a resource that is removed.
+// addRemoved adds a removed resource to a change.
 func addRemoved(change *config.Change, message proto.Message) {
-	if service, is := message.(*wire.ServiceInForce); is {
+	if service, isService := message.(*wire.ServiceInForce); isService {
 		change.RemovedServices = append(change.RemovedServices, service.Name)
 		return
 	}
-	addFormer(change, message)
+	addPrevious(change, message)
 }
 
 var deterministic = proto.MarshalOptions{Deterministic: true}
 
-// Encode returns a difference as it's sent, for the version that it leads to and the digest of that version's content.
+// Encode encodes a difference for sending. version and contentDigest are those of the resulting version.
 func Encode(difference *Difference, version uint64, contentDigest string) ([]byte, error) {
 	change := &config.Change{}
-	for _, one := range difference.updated() {
-		addUpdated(change, one.Message)
+	for _, r := range difference.updated() {
+		addUpdated(change, r.Message)
 	}
 	encoded := &wire.Difference{
 		Base:          difference.base[:],
@@ -111,26 +111,26 @@
 		Tenants:       change.Tenants,
 		CoversTenants: true,
 	}
-	for _, one := range difference.Removed {
-		encoded.Removed = append(encoded.Removed, one.Key)
+	for _, r := range difference.Removed {
+		encoded.Removed = append(encoded.Removed, r.Key)
 	}
 	return deterministic.Marshal(encoded)
 }
 
-// ApplyResult is the version that a difference leads to.
+// ApplyResult is the version that results from applying a difference.
 type ApplyResult struct {
 	Set     *Set
 	Version uint64
-	// ContentDigest is that of the version's content.
+	// ContentDigest is the digest of the version's content.
 	ContentDigest string
 	// ResourcesChanged is the number of resources in which the two versions differ.
 	ResourcesChanged int
-	// Change is what the base's snapshot has to change.
+	// Change is the change to the base's snapshot.
 	Change *config.Change
 }
 
-// Apply returns the version that an encoded difference leads to from its base. Errors are ErrMalformed, ErrNoTenants, ErrBaseMismatch,
-// ErrDigestMismatch, or that of a resource that can't be encoded.
+// Apply applies an encoded difference to its base. It returns ErrMalformed, ErrTenantsOmitted, ErrBaseMismatch, ErrDigestMismatch, or
+// the error of a resource that can't be encoded.
 func Apply(base *Set, content []byte) (*ApplyResult, error) {
 	encoded := &wire.Difference{}
 	if err := proto.Unmarshal(content, encoded); err != nil {
@@ -142,7 +142,7 @@
 	if !bytes.Equal(encoded.Base, base.Digest()) {
 		return nil, ErrBaseMismatch
 	}
-	updated, err := resources(encoded)
+	updated, err := decodeResources(encoded)
 	if err != nil {
 		return nil, err
 	}
@@ -151,8 +151,8 @@
 		return nil, err
 	}
 	size := base.Len() - len(removed)
-	for _, one := range updated {
-		if base.Get(one.Key) == nil {
+	for _, r := range updated {
+		if base.Get(r.Key) == nil {
 			size++
 		}
 	}
@@ -173,8 +173,8 @@
 	}, nil
 }
 
-// resources returns the resources that an encoded difference sets.
-func resources(encoded *wire.Difference) ([]*Resource, error) {
+// decodeResources returns the resources that an encoded difference adds or changes.
+func decodeResources(encoded *wire.Difference) ([]*Resource, error) {
 	b := &setBuilder{}
 	for _, route := range encoded.Routes {
 		b.add(newRouteResource(route))
@@ -188,17 +188,17 @@
 	for _, tenant := range encoded.Tenants {
 		b.add(newTenantResource(tenant))
 	}
-	return b.resources, errors.Join(b.problems...)
+	return b.resources, errors.Join(b.errs...)
 }
 
 // removedResources returns the base's resources with the given keys.
 func removedResources(base *Set, keys []string) (removed []*Resource, err error) {
 	for _, key := range keys {
-		former := base.Get(key)
-		if former == nil {
-			return nil, fmt.Errorf("%w: %s, which is to be removed, doesn't exist", ErrDigestMismatch, key)
+		r := base.Get(key)
+		if r == nil {
+			return nil, fmt.Errorf("%w: removed resource %q doesn't exist", ErrDigestMismatch, key)
 		}
-		removed = append(removed, former)
+		removed = append(removed, r)
 	}
 	return removed, nil
 }
--- a/internal/config/changes/changes_test.go
+++ b/internal/config/changes/changes_test.go
@@ -16,7 +16,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// randomState returns a random valid configuration of few names, so that two of them have much in common.
+// randomState returns a random valid configuration. It uses few names, so that two configurations have much in common.
 func randomState(random *rand.Rand) *wire.DesiredState {
 	pick := func(words ...string) string { return words[random.IntN(len(words))] }
 	state := &wire.DesiredState{Note: fmt.Sprint(random.Int())}
@@ -46,7 +46,7 @@
 			route.Split = append(route.Split, &wire.Share{Service: pick(services...), Weight: uint32(random.IntN(3))})
 			route.CutoffMicros = proto.Int64(1 + int64(random.IntN(3)))
 		}
-		if random.IntN(4) == 0 { // the same match under another name in another state: a renamed route
+		if random.IntN(4) == 0 { // so that states have the same route under different names
 			route.Name = fmt.Sprint("s-", random.IntN(4)*100+number)
 		}
 		if random.IntN(5) == 0 {
@@ -65,7 +65,7 @@
 	return state
 }
 
-// mutate returns a configuration that differs from another in a few random steps.
+// mutate returns a copy of a configuration after a few random changes.
 func mutate(random *rand.Rand, state *wire.DesiredState) *wire.DesiredState {
 	next := proto.CloneOf(state)
 	steps := []func(at int){
@@ -80,7 +80,7 @@
 			next.Tenants = append(next.Tenants, &wire.Tenant{Name: fmt.Sprint("new-", at, len(next.Tenants)), Keys: []string{fmt.Sprint("new-", at, len(next.Tenants))}})
 		},
 		func(int) {
-			if len(next.Tenants) > 1 { // its keys pass to another tenant
+			if len(next.Tenants) > 1 { // the keys of the last tenant move to the first
 				last := len(next.Tenants) - 1
 				next.Tenants[0].Keys = append(next.Tenants[0].Keys, next.Tenants[last].Keys...)
 				next.Tenants = next.Tenants[:last]
@@ -93,7 +93,7 @@
 	return next
 }
 
-func read(t testing.TB, state *wire.DesiredState) *changes.Set {
+func newSet(t testing.TB, state *wire.DesiredState) *changes.Set {
 	t.Helper()
 	set, err := changes.NewSet(state)
 	if err != nil {
@@ -111,15 +111,15 @@
 	return content
 }
 
-func same(one, other *changes.Set) bool {
+func sameSet(one, other *changes.Set) bool {
 	all, others := one.All(), other.All()
 	return bytes.Equal(one.Digest(), other.Digest()) && slices.EqualFunc(all, others, func(one, other *changes.Resource) bool {
 		return one.Key == other.Key && proto.Equal(one.Message, other.Message)
 	})
 }
 
-// requests visits the requests that routes of random states may match.
-func requests(visit func(host, method, path string)) {
+// visitRequests visits the requests that routes of random states may match.
+func visitRequests(visit func(host, method, path string)) {
 	for _, host := range []string{"", "x", "y", "z"} {
 		for _, method := range []string{"GET", "POST"} {
 			for number := range 30 {
@@ -133,13 +133,12 @@
 	}
 }
 
-// TestApplyGivesTheNewState checks over random pairs that a base and a difference give the same as the new state itself: the same
-// resources, digests, services and routes. What the difference doesn't name is the same object in the next snapshot, and the base's
-// snapshot stays as it was.
-func TestApplyGivesTheNewState(t *testing.T) {
+// TestApply checks with random pairs that applying a difference to its base gives the same resources, digests, services and routes as the
+// new state itself. Objects that the difference doesn't affect are shared with the base's snapshot, which doesn't change.
+func TestApply(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
-	if faults := config.Validate(randomState(random)); len(faults) > 0 {
-		t.Fatal(faults)
+	if fieldErrors := config.Validate(randomState(random)); len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	shared, compiled := 0, 0
 	for round := range 400 {
@@ -147,68 +146,68 @@
 		if round%2 == 0 {
 			after = mutate(random, before)
 		}
-		base, wanted := read(t, before), read(t, after)
-		step, err := changes.Apply(base, encode(t, base, wanted))
+		base, want := newSet(t, before), newSet(t, after)
+		result, err := changes.Apply(base, encode(t, base, want))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !same(step.Set, wanted) || step.Version != 2 || step.ContentDigest != "content" || !same(base, read(t, before)) {
-			t.Fatal("the base and the difference don't give the new state")
+		if !sameSet(result.Set, want) || result.Version != 2 || result.ContentDigest != "content" || !sameSet(base, newSet(t, before)) {
+			t.Fatal("applying the difference to its base doesn't give the new state")
 		}
 		snapshot := config.Compile(before, 1, "")
-		next, err := snapshot.With(step.Change, 2, "content")
+		next, err := snapshot.With(result.Change, 2, "content")
 		if err != nil {
 			t.Fatal(err)
 		}
-		full, former := config.Compile(after, 2, "content"), config.Compile(before, 1, "")
-		if !reflect.DeepEqual(names(next), names(full)) || next.Version != 2 || next.Digest != "content" {
-			t.Fatal(names(next), names(full))
+		full, unchanged := config.Compile(after, 2, "content"), config.Compile(before, 1, "")
+		if !reflect.DeepEqual(serviceNames(next), serviceNames(full)) || next.Version != 2 || next.Digest != "content" {
+			t.Fatal(serviceNames(next), serviceNames(full))
 		}
-		if next.Fingerprint() != full.Fingerprint() || snapshot.Fingerprint() != former.Fingerprint() || (snapshot.Fingerprint() == full.Fingerprint()) != same(base, wanted) {
-			t.Fatal("the snapshots serve otherwise than the states say")
+		if next.Fingerprint() != full.Fingerprint() || snapshot.Fingerprint() != unchanged.Fingerprint() || (snapshot.Fingerprint() == full.Fingerprint()) != sameSet(base, want) {
+			t.Fatal("a snapshot's fingerprint doesn't match its state")
 		}
-		touched := map[string]bool{}
-		difference := changes.Diff(base, wanted)
-		for _, one := range slices.Concat(difference.Added, difference.Changed) {
-			touched[one.Key] = true
+		affected := map[string]bool{}
+		difference := changes.Diff(base, want)
+		for _, r := range slices.Concat(difference.Added, difference.Changed) {
+			affected[r.Key] = true
 		}
 		for name, service := range full.Services {
-			if !alike(next.Services[name], service) {
-				t.Fatalf("%v in place of %v", next.Services[name], service)
+			if !equalServices(next.Services[name], service) {
+				t.Fatalf("service %v, want %v", next.Services[name], service)
 			}
-			if unchanged := !touched["service/"+name]; unchanged != (next.Services[name] == snapshot.Services[name]) {
-				t.Fatalf("service %s: unchanged %v, the same object %v", name, unchanged, !unchanged)
+			if same := !affected["service/"+name]; same != (next.Services[name] == snapshot.Services[name]) {
+				t.Fatalf("service %s: unchanged %v, shared %v", name, same, !same)
 			}
 		}
-		requests(func(host, method, path string) {
-			found, wanted, earlier := next.Lookup(host, method, path), full.Lookup(host, method, path), snapshot.Lookup(host, method, path)
-			if !entryAlike(found, wanted) || !entryAlike(earlier, former.Lookup(host, method, path)) {
-				t.Fatalf("%s %s%s: %v, wanted %v", method, host, path, found, wanted)
+		visitRequests(func(host, method, path string) {
+			found, want, previous := next.Lookup(host, method, path), full.Lookup(host, method, path), snapshot.Lookup(host, method, path)
+			if !equalRoutes(found, want) || !equalRoutes(previous, unchanged.Lookup(host, method, path)) {
+				t.Fatalf("%s %s%s: route %v, want %v", method, host, path, found, want)
 			}
 			if found == nil || found.Name == "" {
 				return
 			}
-			changed := touched["route/"+found.Name]
+			changed := affected["route/"+found.Name]
 			for _, share := range found.Split {
-				changed = changed || touched["service/"+share.Service.Name]
+				changed = changed || affected["service/"+share.Service.Name]
 				if share.Service != next.Services[share.Service.Name] {
-					t.Fatalf("%s leads to a service that isn't the snapshot's", found.Name)
+					t.Fatalf("route %s refers to a service object that isn't in the snapshot", found.Name)
 				}
 			}
-			if compiled++; found == earlier {
+			if compiled++; found == previous {
 				shared++
 			}
-			if earlier != nil && earlier.Name == found.Name && changed == (found == earlier) {
-				t.Fatalf("route %s: changed %v, the same object %v", found.Name, changed, !changed)
+			if previous != nil && previous.Name == found.Name && changed == (found == previous) {
+				t.Fatalf("route %s: changed %v, shared %v", found.Name, changed, !changed)
 			}
 		})
 	}
 	if shared < 1000 || compiled-shared < 1000 {
-		t.Errorf("%d of %d entries were the same objects", shared, compiled)
+		t.Errorf("%d of %d routes were shared, want at least 1000 shared and 1000 not shared", shared, compiled)
 	}
 }
 
-func names(snapshot *config.Snapshot) (names []string) {
+func serviceNames(snapshot *config.Snapshot) (names []string) {
 	for name := range snapshot.Services {
 		names = append(names, name)
 	}
@@ -216,35 +215,35 @@
 	return names
 }
 
-func alike(one, other *config.Service) bool {
+func equalServices(one, other *config.Service) bool {
 	return one != nil && other != nil && one.Name == other.Name && one.Group == other.Group && proto.Equal(one.Breaker, other.Breaker) && proto.Equal(one.Retry, other.Retry) && proto.Equal(one.Limits, other.Limits)
 }
 
-func entryAlike(one, other *config.Route) bool {
+func equalRoutes(one, other *config.Route) bool {
 	if one == nil || other == nil {
 		return one == other
 	}
-	if !alike(one.Service, other.Service) || !slices.EqualFunc(one.Split, other.Split, func(one, other config.WeightedService) bool {
-		return one.CumulativeWeight == other.CumulativeWeight && alike(one.Service, other.Service)
+	if !equalServices(one.Service, other.Service) || !slices.EqualFunc(one.Split, other.Split, func(one, other config.WeightedService) bool {
+		return one.CumulativeWeight == other.CumulativeWeight && equalServices(one.Service, other.Service)
 	}) {
 		return false
 	}
-	bare, otherBare := *one, *other
-	bare.Service, bare.Split, otherBare.Service, otherBare.Split = nil, nil, nil, nil
-	return reflect.DeepEqual(bare, otherBare)
+	oneFields, otherFields := *one, *other
+	oneFields.Service, oneFields.Split, otherFields.Service, otherFields.Split = nil, nil, nil, nil
+	return reflect.DeepEqual(oneFields, otherFields)
 }
 
-// TestRefusals checks that a difference from another base, one that was changed, and one that is truncated anywhere is refused.
-func TestRefusals(t *testing.T) {
+// TestApplyRejectsInvalid checks that Apply rejects a difference that has another base, was modified, or was truncated anywhere.
+func TestApplyRejectsInvalid(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 8))
 	for range 20 {
-		base, wanted, other := read(t, randomState(random)), read(t, randomState(random)), read(t, randomState(random))
-		content := encode(t, base, wanted)
+		base, want, other := newSet(t, randomState(random)), newSet(t, randomState(random)), newSet(t, randomState(random))
+		content := encode(t, base, want)
 		if _, err := changes.Apply(other, content); !errors.Is(err, changes.ErrBaseMismatch) {
 			t.Fatal(err)
 		}
-		if _, err := changes.Apply(wanted, content); !errors.Is(err, changes.ErrBaseMismatch) {
-			t.Fatal("applied twice: ", err)
+		if _, err := changes.Apply(want, content); !errors.Is(err, changes.ErrBaseMismatch) {
+			t.Fatal("applied a second time: ", err)
 		}
 		for length := range content {
 			if _, err := changes.Apply(base, content[:length]); err == nil {
@@ -280,14 +279,13 @@
 	}
 }
 
-// TestInvalidStates checks that a configuration that validation refuses isn't a set, so that it's only sent in full.
-// TestDifferenceOfEarlierBuild guards against a proxy that takes up a version without its tenants: a build that doesn't know them leaves
-// them out of its differences.
+// TestDifferenceOfEarlierBuild guards against a proxy that adopts a version without its tenants: a build that doesn't know tenants omits
+// them from its differences.
 func TestDifferenceOfEarlierBuild(t *testing.T) {
 	random := rand.New(rand.NewPCG(13, 14))
-	base, wanted := read(t, randomState(random)), read(t, randomState(random))
+	base, want := newSet(t, randomState(random)), newSet(t, randomState(random))
 	difference := &wire.Difference{}
-	if err := proto.Unmarshal(encode(t, base, wanted), difference); err != nil {
+	if err := proto.Unmarshal(encode(t, base, want), difference); err != nil {
 		t.Fatal(err)
 	}
 	difference.CoversTenants = false
@@ -300,27 +298,28 @@
 	}
 }
 
-// TestSummaryOfTenants: operators see which keys came and went by the beginnings of their digests.
+// TestSummaryOfTenants checks that operators see the added and removed keys of tenants by their short digests.
 func TestSummaryOfTenants(t *testing.T) {
 	shown := func(key string) string {
 		digest, _ := config.DigestKey(key)
 		return config.ShortDigest(digest[:])
 	}
 	state := func(tenants ...*wire.Tenant) *changes.Set {
-		return read(t, &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Tenants: tenants})
+		return newSet(t, &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}}}}, Tenants: tenants})
 	}
 	base := state(&wire.Tenant{Name: "north", Keys: []string{"k1"}}, &wire.Tenant{Name: "south", Keys: []string{"k2"}})
 	next := state(&wire.Tenant{Name: "north", Keys: []string{"k2"}}, &wire.Tenant{Name: "west", Keys: []string{"k3"}})
-	wanted := changes.Summary{
+	want := changes.Summary{
 		Added:   []changes.ResourceChange{{Kind: "tenant", Name: "west", KeysAdded: []string{shown("k3")}}},
 		Changed: []changes.ResourceChange{{Kind: "tenant", Name: "north", Fields: []string{"keyDigests"}, KeysAdded: []string{shown("k2")}, KeysRemoved: []string{shown("k1")}}},
 		Removed: []changes.ResourceChange{{Kind: "tenant", Name: "south", KeysRemoved: []string{shown("k2")}}},
 	}
-	if summary := changes.Summarize(base, changes.Diff(base, next)); !reflect.DeepEqual(summary, wanted) {
+	if summary := changes.Summarize(base, changes.Diff(base, next)); !reflect.DeepEqual(summary, want) {
 		t.Errorf("%+v", summary)
 	}
 }
 
+// TestInvalidStates checks that NewSet rejects invalid configurations, which are therefore only sent in full.
 func TestInvalidStates(t *testing.T) {
 	split := []*wire.Share{{Service: "one", Weight: 1}}
 	for name, routes := range map[string][]*wire.Route{
@@ -338,42 +337,43 @@
 	}
 }
 
-// TestOrderAndNoteDontCount checks that states that differ in order and note alone are the same set.
-func TestOrderAndNoteDontCount(t *testing.T) {
+// TestOrderAndNoteAreIgnored checks that states that differ only in order and note are the same set.
+func TestOrderAndNoteAreIgnored(t *testing.T) {
 	random := rand.New(rand.NewPCG(9, 10))
 	state := randomState(random)
-	turned := proto.CloneOf(state)
-	slices.Reverse(turned.Routes)
-	slices.Reverse(turned.Groups)
-	turned.Note = "turned"
-	if one, other := read(t, state), read(t, turned); !same(one, other) || changes.Diff(one, other).Len() > 0 {
-		t.Error("the order counts")
+	reordered := proto.CloneOf(state)
+	slices.Reverse(reordered.Routes)
+	slices.Reverse(reordered.Groups)
+	reordered.Note = "reordered"
+	if one, other := newSet(t, state), newSet(t, reordered); !sameSet(one, other) || changes.Diff(one, other).Len() > 0 {
+		t.Error("the sets differ")
 	}
 }
 
-// TestForeignChangesAreRefused checks that a snapshot refuses a change that doesn't fit it.
-func TestForeignChangesAreRefused(t *testing.T) {
+// TestWithRejectsMismatch checks that Snapshot.With rejects changes that were computed for another snapshot. A few of the
+// random changes may happen to apply.
+func TestWithRejectsMismatch(t *testing.T) {
 	random := rand.New(rand.NewPCG(11, 12))
-	refused := 0
+	rejected := 0
 	for range 50 {
-		base, wanted, other := randomState(random), randomState(random), randomState(random)
-		step, err := changes.Apply(read(t, base), encode(t, read(t, base), read(t, wanted)))
+		base, want, other := randomState(random), randomState(random), randomState(random)
+		result, err := changes.Apply(newSet(t, base), encode(t, newSet(t, base), newSet(t, want)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := config.Compile(other, 1, "").With(step.Change, 2, ""); err != nil {
+		if _, err := config.Compile(other, 1, "").With(result.Change, 2, ""); err != nil {
 			if !errors.Is(err, config.ErrChangeMismatch) {
-				t.Errorf("another error: %v", err)
+				t.Errorf("unexpected error: %v", err)
 			}
-			refused++
+			rejected++
 		}
 	}
-	if refused < 45 {
-		t.Errorf("only %d of 50 were refused", refused)
+	if rejected < 45 {
+		t.Errorf("%d of 50 changes were rejected, want at least 45", rejected)
 	}
 }
 
-// TestSummary checks that operators are shown what was added and removed, and the fields of what changed.
+// TestSummary checks that operators see the added and removed resources, and the changed fields of the others.
 func TestSummary(t *testing.T) {
 	split := []*wire.Share{{Service: "one", Weight: 1}}
 	state := &wire.DesiredState{Groups: []*wire.Group{{Name: "field", Services: []*wire.Service{{Name: "one"}, {Name: "two"}}}},
@@ -381,11 +381,11 @@
 	next := proto.CloneOf(state)
 	next.Routes[1].Name, next.Routes[2].Split[0].Service, next.Routes[2].CutoffMicros = "come", "two", proto.Int64(5)
 	next.Groups[0].Services[1].Guard = &wire.Breaker{WindowCalls: proto.Uint32(7)}
-	base := read(t, state)
-	summary := changes.Summarize(base, changes.Diff(base, read(t, next)))
-	wanted := changes.Summary{Added: []changes.ResourceChange{{Kind: "route", Name: "come"}}, Removed: []changes.ResourceChange{{Kind: "route", Name: "gone"}},
+	base := newSet(t, state)
+	summary := changes.Summarize(base, changes.Diff(base, newSet(t, next)))
+	want := changes.Summary{Added: []changes.ResourceChange{{Kind: "route", Name: "come"}}, Removed: []changes.ResourceChange{{Kind: "route", Name: "gone"}},
 		Changed: []changes.ResourceChange{{Kind: "route", Name: "moved", Fields: []string{"split", "cutoffMicros"}}, {Kind: "service", Name: "two", Fields: []string{"guard.windowCalls"}}}}
-	if !reflect.DeepEqual(summary, wanted) {
+	if !reflect.DeepEqual(summary, want) {
 		t.Errorf("%+v", summary)
 	}
 }
--- a/internal/config/changes/set.go
+++ b/internal/config/changes/set.go
@@ -12,13 +12,13 @@
 type (
 	// Digest is the digest of a set.
 	Digest = resource.Digest
-	// Resource is a route, a service, a path or a tenant of a version.
+	// Resource is a route, a service, a service's path or a tenant of a version.
 	Resource = resource.Resource
-	// Set is a version as a set of resources.
+	// Set is the set of resources of a version.
 	Set = resource.Set
 )
 
-// The kinds of resources, with which their keys begin. They are sent, shown to operators and part of digests.
+// The kinds of resources, which are the prefixes of their keys. They are sent, shown to operators and included in digests.
 const (
 	KindRoute   = "route"
 	KindService = "service"
@@ -26,15 +26,15 @@
 	KindTenant  = "tenant"
 )
 
-// anyMethod is how a route is keyed that leaves its method out.
+// anyMethod stands for the omitted method of a route.
 const anyMethod = "*"
 
-// ErrInvalidSet means that a configuration isn't a set of resources, because something is there twice or leads nowhere. Such a
-// configuration is invalid too, but a build that checked less may have accepted it.
+// ErrInvalidSet means that a configuration can't be represented as a set of resources, because it contains duplicates, or routes without
+// a valid service. Such a configuration is invalid, but a build with fewer checks may have accepted it.
 var ErrInvalidSet = resource.ErrInvalidSet
 
-// NewSet returns the resources of a configuration, which must not be changed afterwards. An error that is ErrInvalidSet lists all
-// that is wrong.
+// NewSet returns the resources of a configuration, which must not be modified afterwards. An error that is ErrInvalidSet lists all
+// problems.
 func NewSet(state *wire.DesiredState) (*Set, error) {
 	b := &setBuilder{services: map[string]bool{}, matches: map[string]bool{}, keyOwners: map[string]string{}}
 	for _, group := range state.Groups {
@@ -48,7 +48,7 @@
 	for _, tenant := range state.Tenants {
 		b.addTenant(config.TenantInForce(tenant))
 	}
-	if err := errors.Join(b.problems...); err != nil {
+	if err := errors.Join(b.errs...); err != nil {
 		return nil, err
 	}
 	return (&Set{}).With(b.resources, nil, len(b.resources))
@@ -57,24 +57,24 @@
 // setBuilder collects the resources of a configuration.
 type setBuilder struct {
 	resources []*Resource
-	problems  []error
-	// services are the names of the services.
+	errs      []error
+	// services holds the names of the services.
 	services map[string]bool
-	// matches are the requests that a path or route matches already.
+	// matches holds the host, method and prefix of each path and route so far.
 	matches map[string]bool
-	// keyOwners are the tenants' names by the digests of their keys.
+	// keyOwners maps the digests of keys to the names of their tenants.
 	keyOwners map[string]string
 }
 
-func (b *setBuilder) add(one *Resource, err error) {
-	b.resources = append(b.resources, one)
+func (b *setBuilder) add(r *Resource, err error) {
+	b.resources = append(b.resources, r)
 	if err != nil {
-		b.problems = append(b.problems, err)
+		b.errs = append(b.errs, err)
 	}
 }
 
 func (b *setBuilder) invalidf(format string, arguments ...any) {
-	b.problems = append(b.problems, fmt.Errorf("%w: %s", ErrInvalidSet, fmt.Sprintf(format, arguments...)))
+	b.errs = append(b.errs, fmt.Errorf("%w: %s", ErrInvalidSet, fmt.Sprintf(format, arguments...)))
 }
 
 func (b *setBuilder) addService(group *wire.Group, service *wire.Service) {
@@ -99,11 +99,11 @@
 	for _, share := range route.Split {
 		sum += uint64(share.Weight)
 		if !b.services[share.Service] {
-			b.invalidf("route %q leads to service %q, which isn't there", route.Name, share.Service)
+			b.invalidf("route %q uses service %q, which doesn't exist", route.Name, share.Service)
 		}
 	}
 	if sum == 0 {
-		b.invalidf("route %q leads nowhere", route.Name)
+		b.invalidf("route %q has no service with a weight above zero", route.Name)
 	}
 	b.add(newRouteResource(route))
 }
@@ -124,7 +124,7 @@
 	}
 	match := host + " " + method + " " + prefix
 	if b.matches[match] {
-		b.invalidf("%s is there twice", match)
+		b.invalidf("duplicate match %q", match)
 	}
 	b.matches[match] = true
 }
--- a/internal/config/changes/summary.go
+++ b/internal/config/changes/summary.go
@@ -8,28 +8,28 @@
 	"snowflow/internal/transport/wire"
 )
 
-// unknownFields stands for fields that differ and that this build doesn't know.
+// unknownFields stands for changed fields that this build doesn't know.
 const unknownFields = "(fields of a later build)"
 
-// ResourceChange is one resource that differs, as operators are shown it.
+// ResourceChange describes one resource that differs, as shown to operators.
 type ResourceChange struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Fields are the paths of the fields that changed, for a resource that is in both versions.
+	// Fields holds the paths of the changed fields, for a resource that is in both versions.
 	Fields []string `json:"fields,omitempty"`
-	// KeysAdded and KeysRemoved are a tenant's keys in which the versions differ, each as the beginning of its digest.
+	// KeysAdded and KeysRemoved hold the keys of a tenant that only one of the versions has, each as a prefix of its digest.
 	KeysAdded   []string `json:"keys_added,omitempty"`
 	KeysRemoved []string `json:"keys_removed,omitempty"`
 }
 
-// Summary is a difference as operators are shown it.
+// Summary describes a difference, as shown to operators.
 type Summary struct {
 	Added   []ResourceChange `json:"added"`
 	Changed []ResourceChange `json:"changed"`
 	Removed []ResourceChange `json:"removed"`
 }
 
-// Summarize describes a difference from a base to operators.
+// Summarize describes a difference from a base for operators.
 func Summarize(base *Set, difference *Difference) Summary {
 	return Summary{
 		Added:   describe(base, difference.Added),
@@ -38,40 +38,40 @@
 	}
 }
 
-// describe never returns nil, so that an empty list is encoded as such.
+// describe describes added or changed resources. It never returns nil, so that an empty list is encoded as [].
 func describe(base *Set, resources []*Resource) []ResourceChange {
 	described := []ResourceChange{}
-	for _, one := range resources {
-		change := ResourceChange{Kind: one.Kind(), Name: one.Name()}
-		if former := base.Get(one.Key); former != nil && former != one {
-			change.Fields = changedFields("", former.Message.ProtoReflect(), one.Message.ProtoReflect())
-			change.KeysRemoved = keysWithout(former, one)
+	for _, r := range resources {
+		change := ResourceChange{Kind: r.Kind(), Name: r.Name()}
+		if previous := base.Get(r.Key); previous != nil && previous != r {
+			change.Fields = changedFields("", previous.Message.ProtoReflect(), r.Message.ProtoReflect())
+			change.KeysRemoved = keysOnlyIn(previous, r)
 		}
-		change.KeysAdded = keysWithout(one, base.Get(one.Key))
+		change.KeysAdded = keysOnlyIn(r, base.Get(r.Key))
 		described = append(described, change)
 	}
 	return described
 }
 
-// describeRemoved describes resources that are in the base alone.
+// describeRemoved describes resources that are only in the base.
 func describeRemoved(resources []*Resource) []ResourceChange {
 	described := []ResourceChange{}
-	for _, one := range resources {
-		described = append(described, ResourceChange{Kind: one.Kind(), Name: one.Name(), KeysRemoved: keysWithout(one, nil)})
+	for _, r := range resources {
+		described = append(described, ResourceChange{Kind: r.Kind(), Name: r.Name(), KeysRemoved: keysOnlyIn(r, nil)})
 	}
 	return described
 }
 
-// keysWithout returns what operators are shown of a tenant's keys that another state of the tenant lacks. Other is nil for no state, and
-// a resource that isn't a tenant has no keys.
-func keysWithout(one, other *Resource) (shown []string) {
+// keysOnlyIn returns the short digests of a tenant's keys that another state of the tenant doesn't have. other is nil if there is no
+// other state. A resource that isn't a tenant has no keys.
+func keysOnlyIn(tenant, other *Resource) (shown []string) {
 	present := map[string]bool{}
 	if other != nil {
-		for _, digest := range digestsOf(other) {
+		for _, digest := range keyDigests(other) {
 			present[string(digest)] = true
 		}
 	}
-	for _, digest := range digestsOf(one) {
+	for _, digest := range keyDigests(tenant) {
 		if !present[string(digest)] {
 			shown = append(shown, config.ShortDigest(digest))
 		}
@@ -79,30 +79,31 @@
 	return shown
 }
 
-func digestsOf(one *Resource) [][]byte {
-	tenant, isTenant := one.Message.(*wire.TenantInForce)
+func keyDigests(r *Resource) [][]byte {
+	tenant, isTenant := r.Message.(*wire.TenantInForce)
 	if !isTenant {
 		return nil
 	}
 	return tenant.KeyDigests
 }
 
-// changedFields returns the paths of the fields in which two messages of a type differ. It descends into messages that both have.
-func changedFields(prefix string, one, other protoreflect.Message) (names []string) {
-	fields := one.Descriptor().Fields()
+// changedFields returns the paths of the fields in which two messages of the same type differ. It descends into submessages that are set
+// in both.
+func changedFields(prefix string, before, after protoreflect.Message) (names []string) {
+	fields := before.Descriptor().Fields()
 	for index := range fields.Len() {
 		field := fields.Get(index)
-		if one.Has(field) == other.Has(field) && one.Get(field).Equal(other.Get(field)) {
+		if before.Has(field) == after.Has(field) && before.Get(field).Equal(after.Get(field)) {
 			continue
 		}
 		name := prefix + field.JSONName()
-		if field.Message() != nil && !field.IsList() && one.Has(field) && other.Has(field) {
-			names = append(names, changedFields(name+".", one.Get(field).Message(), other.Get(field).Message())...)
+		if field.Message() != nil && !field.IsList() && before.Has(field) && after.Has(field) {
+			names = append(names, changedFields(name+".", before.Get(field).Message(), after.Get(field).Message())...)
 			continue
 		}
 		names = append(names, name)
 	}
-	if len(names) == 0 && prefix == "" && !proto.Equal(one.Interface(), other.Interface()) {
+	if len(names) == 0 && prefix == "" && !proto.Equal(before.Interface(), after.Interface()) {
 		names = append(names, unknownFields)
 	}
 	return names
