--- a/internal/resource/doc.go
+++ b/internal/resource/doc.go
@@ -1,7 +1,7 @@
-// Package resource holds sets of named messages with a digest over the whole set. A recipient that has one version of a set can
-// be sent the next as its changes, and checks by the digest that the result is the same set.
+// Package resource implements sets of named messages with a digest of the whole set. A recipient that has one version of a set is sent
+// only the changes to the next version, and verifies by the digest that the result is the same set.
 //
-// A set is divided into a fixed number of buckets by the hash of its resources' keys. Each bucket has a digest over its resources
-// and the set one over its buckets, so that a change costs as much as the buckets that it touches, and comparing two versions
-// skips the buckets that are the same. Versions share the buckets in which they don't differ.
+// A set is divided into a fixed number of buckets by the hash of its resources' keys. Each bucket has a digest of its resources, and the
+// set has a digest of its buckets. So the cost of a change is proportional to the buckets it affects, and a comparison of two versions
+// skips equal buckets. Versions share unchanged buckets.
 package resource
--- a/internal/resource/set.go
+++ b/internal/resource/set.go
@@ -10,24 +10,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrInvalidSet means that resources don't form a set, because two have the same key.
-var ErrInvalidSet = errors.New("resource: no set of resources")
+// ErrInvalidSet means that resources don't form a set, because two of them have the same key.
+var ErrInvalidSet = errors.New("resource: invalid set of resources")
 
-// bucketCount is the number of buckets of a set. The digest depends on it, so processes of all builds must use the same.
+// bucketCount is the number of buckets of a set. The digest depends on it, so all builds must use the same number.
 const bucketCount = 256
 
-// bucket holds the resources whose keys hash to its index. It's immutable once it's in a set. The digest is over the digests of the
-// keys and of the resources, in the order of the keys.
+// bucket holds the resources whose keys hash to its index. It's immutable once it's in a set. Its digest is computed from the digests of
+// the keys and the resources, in the order of the keys.
 type bucket struct {
 	resources map[string]*Resource
 	digest    Digest
 }
 
-// noBucket is returned for a bucket without resources, which a set holds as nil.
-var noBucket = &bucket{}
+// emptyBucket stands for a bucket without resources, which is nil in a set.
+var emptyBucket = &bucket{}
 
-// Set is one version of a set. It's immutable. The digest is over the buckets' digests in their order; the zero Set has no digest
-// yet, see Empty.
+// Set is one version of a set. It's immutable. Its digest is computed from the digests of its buckets in order. The zero Set has no
+// digest; use Empty for a valid empty set.
 type Set struct {
 	buckets [bucketCount]*bucket
 	size    int
@@ -38,29 +38,29 @@
 var Empty = func() *Set {
 	empty, err := (&Set{}).With(nil, nil, 0)
 	if err != nil {
-		panic(err) // nothing can be there twice
+		panic(err) // without resources there is no duplicate key
 	}
 	return empty
 }()
 
-// Sum returns the set's digest. Two sets have the same one only if all their resources are the same.
+// Sum returns the set's digest. Two sets have the same digest only if they contain the same resources.
 func (s *Set) Sum() Digest { return s.digest }
 
-// Digest returns Sum as a slice, which must not be changed.
+// Digest returns the set's digest as a slice, which must not be modified.
 func (s *Set) Digest() []byte { return s.digest[:] }
 
-// Len is the number of resources.
+// Len returns the number of resources.
 func (s *Set) Len() int { return s.size }
 
-// Get returns the resource with a key, nil if there is none.
+// Get returns the resource with the given key, or nil if there is none.
 func (s *Set) Get(key string) *Resource { return s.bucket(bucketIndex(key)).resources[key] }
 
-// All returns all resources in the order of their keys.
+// All returns all resources, sorted by key.
 func (s *Set) All() (all []*Resource) {
 	for index := range s.buckets {
 		all = slices.AppendSeq(all, maps.Values(s.bucket(index).resources))
 	}
-	slices.SortFunc(all, byKey)
+	slices.SortFunc(all, compareKeys)
 	return all
 }
 
@@ -68,45 +68,45 @@
 	if present := s.buckets[index]; present != nil {
 		return present
 	}
-	return noBucket
+	return emptyBucket
 }
 
 func bucketIndex(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
-// With returns the set in which some resources are set and others removed. Size is the number of resources that it must have then;
+// With returns a version in which some resources are set and others removed. size is the number of resources that the result must have;
 // otherwise the error is ErrInvalidSet.
 func (s *Set) With(updated []*Resource, removed []string, size int) (*Set, error) {
 	e := &edit{next: &Set{buckets: s.buckets, size: s.size}, copied: map[int]bool{}}
 	for _, key := range removed {
 		e.remove(key)
 	}
-	for _, one := range updated {
-		e.set(one)
+	for _, r := range updated {
+		e.set(r)
 	}
 	if e.next.size != size {
-		return nil, fmt.Errorf("%w: %d resources in place of %d, some key is there twice", ErrInvalidSet, e.next.size, size)
+		return nil, fmt.Errorf("%w: %d resources, expected %d; there is a duplicate key", ErrInvalidSet, e.next.size, size)
 	}
 	e.computeDigests()
 	return e.next, nil
 }
 
-// edit changes a new version, whose buckets are those of the earlier one until they are written to.
+// edit modifies a new version. Its buckets are shared with the previous version until they are written to.
 type edit struct {
 	next *Set
-	// copied are the buckets that belong to the new version alone.
+	// copied holds the indexes of the buckets that belong only to the new version.
 	copied map[int]bool
 }
 
-// bucket returns the bucket of a key for writing.
+// bucket returns the bucket of a key for writing, and copies it first if it's shared.
 func (e *edit) bucket(key string) *bucket {
 	index := bucketIndex(key)
 	if !e.copied[index] {
 		e.copied[index] = true
-		fresh := &bucket{resources: maps.Clone(e.next.bucket(index).resources)}
-		if fresh.resources == nil {
-			fresh.resources = map[string]*Resource{}
+		clone := &bucket{resources: maps.Clone(e.next.bucket(index).resources)}
+		if clone.resources == nil {
+			clone.resources = map[string]*Resource{}
 		}
-		e.next.buckets[index] = fresh
+		e.next.buckets[index] = clone
 	}
 	return e.next.buckets[index]
 }
@@ -119,15 +119,15 @@
 	delete(bucket.resources, key)
 }
 
-func (e *edit) set(one *Resource) {
-	bucket := e.bucket(one.Key)
-	if bucket.resources[one.Key] == nil {
+func (e *edit) set(r *Resource) {
+	bucket := e.bucket(r.Key)
+	if bucket.resources[r.Key] == nil {
 		e.next.size++
 	}
-	bucket.resources[one.Key] = one
+	bucket.resources[r.Key] = r
 }
 
-// computeDigests completes the new version.
+// computeDigests computes the digests of the new version and replaces empty buckets by nil.
 func (e *edit) computeDigests() {
 	for index := range e.copied {
 		if len(e.next.buckets[index].resources) == 0 {
@@ -154,29 +154,29 @@
 	hash.Sum(b.digest[:0])
 }
 
-// Diff returns how target differs from base, each list in the order of the keys. Removed resources are the base's.
+// Diff returns the resources in which target differs from base. Each list is sorted by key. Removed resources are those of the base.
 func Diff(base, target *Set) (added, changed, removed []*Resource) {
 	for index := range bucketCount {
 		from, to := base.bucket(index), target.bucket(index)
 		if from.digest == to.digest {
 			continue
 		}
-		for key, one := range to.resources {
-			former := from.resources[key]
-			if former == nil {
-				added = append(added, one)
-			} else if !former.SameDigest(one) {
-				changed = append(changed, one)
+		for key, r := range to.resources {
+			previous := from.resources[key]
+			if previous == nil {
+				added = append(added, r)
+			} else if !previous.SameDigest(r) {
+				changed = append(changed, r)
 			}
 		}
-		for key, one := range from.resources {
+		for key, r := range from.resources {
 			if to.resources[key] == nil {
-				removed = append(removed, one)
+				removed = append(removed, r)
 			}
 		}
 	}
 	for _, list := range [][]*Resource{added, changed, removed} {
-		slices.SortFunc(list, byKey)
+		slices.SortFunc(list, compareKeys)
 	}
 	return added, changed, removed
 }
--- a/internal/resource/set_test.go
+++ b/internal/resource/set_test.go
@@ -16,11 +16,11 @@
 
 func newResource(t *testing.T, key, value string) *resource.Resource {
 	t.Helper()
-	one, err := resource.New(key, wrapperspb.String(value))
+	r, err := resource.New(key, wrapperspb.String(value))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return one
+	return r
 }
 
 func newSet(t *testing.T, values map[string]string) *resource.Set {
@@ -36,7 +36,7 @@
 	return set
 }
 
-// TestDigestsAreStable checks digests against those of earlier builds: processes of different builds compare them.
+// TestDigestsAreStable compares digests with those of earlier builds, because processes of different builds exchange them.
 func TestDigestsAreStable(t *testing.T) {
 	many := map[string]string{}
 	for number := range 1000 {
@@ -52,14 +52,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if digest := hex.EncodeToString(newSet(t, test.values).Digest()); digest != test.digest {
-				t.Errorf("digest %s, wanted %s", digest, test.digest)
+				t.Errorf("digest %s, want %s", digest, test.digest)
 			}
 		})
 	}
 }
 
-// TestVersions compares a sequence of random versions with plain maps: each version has the right resources and the digest of a set
-// that is made at once, differences list what has changed, and the version before stays as it was.
+// TestVersions compares a sequence of random versions with plain maps: each version has the right resources and the same digest as a set
+// created in one step, Diff lists the changes, and the previous version stays unchanged.
 func TestVersions(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	version, plain := resource.Empty, map[string]string{}
@@ -83,50 +83,50 @@
 			t.Fatal(err)
 		}
 		if version.Sum() != newSet(t, next).Sum() || before.Sum() != newSet(t, plain).Sum() || version.Len() != len(next) {
-			t.Fatalf("round %d: %d resources, wanted %d", round, version.Len(), len(next))
+			t.Fatalf("round %d: %d resources, want %d", round, version.Len(), len(next))
 		}
 		checkDiff(t, before, version, plain, next)
 		plain = next
 	}
 }
 
-func checkDiff(t *testing.T, before, after *resource.Set, former, present map[string]string) {
+func checkDiff(t *testing.T, before, after *resource.Set, oldValues, newValues map[string]string) {
 	t.Helper()
 	var wantAdded, wantChanged, wantRemoved []string
-	for _, key := range slices.Sorted(maps.Keys(present)) {
-		if value, found := former[key]; !found {
+	for _, key := range slices.Sorted(maps.Keys(newValues)) {
+		if value, found := oldValues[key]; !found {
 			wantAdded = append(wantAdded, key)
-		} else if value != present[key] {
+		} else if value != newValues[key] {
 			wantChanged = append(wantChanged, key)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(former)) {
-		if _, found := present[key]; !found {
+	for _, key := range slices.Sorted(maps.Keys(oldValues)) {
+		if _, found := newValues[key]; !found {
 			wantRemoved = append(wantRemoved, key)
 		}
 	}
 	added, changed, removed := resource.Diff(before, after)
 	for name, lists := range map[string][2][]string{"added": {keys(added), wantAdded}, "changed": {keys(changed), wantChanged}, "removed": {keys(removed), wantRemoved}} {
 		if !slices.Equal(lists[0], lists[1]) {
-			t.Fatalf("%s %v, wanted %v", name, lists[0], lists[1])
+			t.Fatalf("%s %v, want %v", name, lists[0], lists[1])
 		}
 	}
-	if !slices.Equal(keys(after.All()), slices.Sorted(maps.Keys(present))) {
-		t.Fatalf("resources %v", keys(after.All()))
+	if !slices.Equal(keys(after.All()), slices.Sorted(maps.Keys(newValues))) {
+		t.Fatalf("keys %v", keys(after.All()))
 	}
 }
 
 func keys(resources []*resource.Resource) (all []string) {
-	for _, one := range resources {
-		all = append(all, one.Key)
+	for _, r := range resources {
+		all = append(all, r.Key)
 	}
 	return all
 }
 
-// TestDuplicateKeys checks that resources with the same key aren't a set.
+// TestDuplicateKeys checks that resources with the same key are rejected.
 func TestDuplicateKeys(t *testing.T) {
-	twice := []*resource.Resource{newResource(t, "route/a", "x"), newResource(t, "route/a", "y")}
-	if _, err := resource.Empty.With(twice, nil, len(twice)); !errors.Is(err, resource.ErrInvalidSet) {
-		t.Errorf("error %v, wanted %v", err, resource.ErrInvalidSet)
+	duplicates := []*resource.Resource{newResource(t, "route/a", "x"), newResource(t, "route/a", "y")}
+	if _, err := resource.Empty.With(duplicates, nil, len(duplicates)); !errors.Is(err, resource.ErrInvalidSet) {
+		t.Errorf("error %v, want %v", err, resource.ErrInvalidSet)
 	}
 }
--- a/internal/resourcepath/resourcepath.go
+++ b/internal/resourcepath/resourcepath.go
@@ -1,5 +1,5 @@
-// Package resourcepath brings the targets of requests into canonical form, so that a request is routed, matched with its
-// idempotency key and forwarded by the same path however its client wrote it.
+// Package resourcepath converts request targets to canonical form, so that a request is routed, matched with its idempotency key and
+// forwarded by the same path however its client wrote it.
 package resourcepath
 
 import (
@@ -9,20 +9,20 @@
 	"snowflow/internal/apierror"
 )
 
-// RequestTarget is a request's target in canonical form.
+// RequestTarget is a request target in canonical form.
 //
-// Invariants: Path starts with a slash and has no empty, "." or ".." segment, except that it may end with a slash; all targets of
-// one Path have the same Encoded form, apart from the query.
+// Invariants: Path starts with a slash and has no empty, "." or ".." segments, except that it may end with a slash; targets with the same
+// Path have the same Encoded form, apart from the query.
 type RequestTarget struct {
 	// Path is the decoded path, without the query.
 	Path string
-	// Encoded is the target as it's sent: the escaped path, and the query as it came.
+	// Encoded is the target as it's sent: the escaped path, followed by the query as it was received.
 	Encoded string
 }
 
-// Parse brings a target into canonical form: it resolves escapes, and removes empty and dot segments. Targets that
-// servers may interpret differently are rejected with an apierror.Invalid: an escaped slash, a backslash, a control
-// character, and escapes that can't be decoded.
+// Parse converts a target to canonical form: it decodes escapes, and removes empty and dot segments. It rejects targets that servers
+// may interpret differently with an apierror.Invalid: those with an escaped slash, a backslash, a control character, or an escape that
+// can't be decoded.
 func Parse(target string) (RequestTarget, error) {
 	escaped, query, _ := strings.Cut(target, "?")
 	if !strings.HasPrefix(escaped, "/") {
@@ -54,7 +54,7 @@
 	return canonical, nil
 }
 
-// decodeSegment resolves the escapes of one segment. It fails if an escape is malformed or stands for an ambiguous character.
+// decodeSegment decodes the escapes of one segment. It fails if an escape is malformed or the result has an ambiguous character.
 func decodeSegment(part string) (string, error) {
 	segment, err := url.PathUnescape(part)
 	if err != nil {
@@ -66,12 +66,13 @@
 	return segment, nil
 }
 
-// ambiguous reports whether servers differ in how they interpret a decoded character within a segment.
+// ambiguous reports whether servers differ in their interpretation of a decoded character within a segment.
 func ambiguous(character rune) bool {
 	return character == '/' || character == '\\' || character < ' ' || character == 0x7f
 }
 
-// TrimTrailingSlash returns a path without slashes at its end, which only some servers distinguish from the path with them. The root stays "/".
+// TrimTrailingSlash removes the trailing slashes of a path, because only some servers distinguish a path with them from one without. The
+// root stays "/".
 func TrimTrailingSlash(path string) string {
 	if trimmed := strings.TrimRight(path, "/"); trimmed != "" {
 		return trimmed
