--- a/internal/config/tenant_test.go
+++ b/internal/config/tenant_test.go
@@ -73,10 +73,10 @@
 	if found := snapshot.FindTenant("k1"); found.Priority != 3 {
 		t.Errorf("priority %d, want 3", found.Priority)
 	}
-	if snapshot := config.Compile(tenantState(), 1, ""); snapshot.HasTenants() || snapshot.FindTenant("k1") != nil {
+	if withoutTenants := config.Compile(tenantState(), 1, ""); withoutTenants.HasTenants() || withoutTenants.FindTenant("k1") != nil {
 		t.Error("a configuration without tenants has some")
 	}
-	if snapshot := config.Compile(tenantState(&wire.Tenant{Name: "north"}), 1, ""); !snapshot.HasTenants() {
+	if withoutKeys := config.Compile(tenantState(&wire.Tenant{Name: "north"}), 1, ""); !withoutKeys.HasTenants() {
 		t.Error("a tenant without keys isn't counted")
 	}
 }
