--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -25,51 +25,51 @@
 	"snowflow/internal/transport/wire"
 )
 
-// sweepInterval is the time between two checks for backends whose heartbeats are overdue.
+// sweepInterval is the time between two checks for overdue heartbeats of backends.
 const sweepInterval = 500 * monotonic.Millisecond
 
-// Options are the parts and settings of a Proxy. Host, Resolver, Name, Address and Upstream must be set.
+// Options are the dependencies and settings of a Proxy. Host, Resolver, Name, Address and Upstream must be set.
 type Options struct {
 	Host     host.Host           // clock, tasks and network of this process
 	Resolver *discovery.Resolver // finds the core processes and their leaders
 	Name     string              // of this proxy, unique in the mesh
-	Domain   string              // failure domain of this host, such as a zone
-	Address  string              // at which other proxies reach this one
-	// IgnoreDomains makes the load balancer treat backends of all failure domains alike.
+	Domain   string              // failure domain of this host, such as an availability zone
+	Address  string              // address at which other proxies reach this one
+	// IgnoreDomains makes the load balancer treat backends of all failure domains equally.
 	IgnoreDomains bool
 	// CrossDomainPenalty is the latency that the load balancer adds to backends of other failure domains.
 	CrossDomainPenalty monotonic.Micros
 	// Upstream sends requests to the local backends.
 	Upstream admission.Upstream
-	// ReadConfig reads an accepted configuration. Nil means config.Accepted.
+	// ReadConfig reads an accepted configuration. Nil means config.ParseAccepted.
 	ReadConfig config.Parser
-	// ServeStale makes this proxy go on serving with its last known configuration while it can't reach the configuration store.
+	// ServeStale makes this proxy continue to serve with its last known configuration while it can't reach the configuration store.
 	// The store must have the same setting.
 	ServeStale bool
-	// KeyLease is how long tenants' keys are in force without contact to the configuration store's primary; see
+	// KeyLease is how long tenants' keys remain valid without contact to the configuration store's primary, see
 	// configclient.Options.KeyLease.
 	KeyLease monotonic.Micros
-	// OnFinished is called with the outcome of each request of a caller: either response or fault is nil. Nil for no calls.
+	// OnFinished, unless nil, is called with the outcome of each caller's request: one of response and fault is nil.
 	OnFinished func(exchange *forward.Exchange, response *request.Response, fault *apierror.Error)
-	// IdempotencyTTL is how long the responses to idempotency keys are recorded. It must be as long as the registry keeps the
-	// keys. Zero means two minutes.
+	// IdempotencyTTL is how long the responses to requests with idempotency keys are kept. It must equal the time that the registry
+	// keeps the keys. Zero means two minutes.
 	IdempotencyTTL monotonic.Micros
-	// Linger is how long a draining proxy still accepts callers' requests while it already reports that it is not ready: the time
-	// that callers need to notice that and to stop sending. Zero if they notice at once.
+	// Linger is how long a draining proxy still accepts callers' requests after it reports that it is not ready: the time that callers
+	// need to notice that and to stop sending. Zero if they notice immediately.
 	Linger monotonic.Micros
-	// LinkMegabits is the capacity of this host's network link in megabits a second; zero for no limit.
+	// LinkMegabits is the capacity of this host's network link in megabits per second. Zero means no limit.
 	LinkMegabits float64
-	// SilenceTimeout is the time without a response from a proxy with requests in flight after which it is sent a health check.
-	// Zero means 700 ms.
+	// SilenceTimeout is how long another proxy with requests in flight may send no response before it is sent a health check. Zero
+	// means 700 ms.
 	SilenceTimeout monotonic.Micros
-	// WaitForReplies, unless nil, waits at most for a timeout until the replies to other processes are written.
+	// WaitForReplies, unless nil, waits until the replies to other processes are written or the timeout has passed.
 	WaitForReplies func(timeout monotonic.Micros)
 }
 
-// Proxy is one sidecar proxy.
+// Proxy is a sidecar proxy with all its parts.
 type Proxy struct {
 	options       Options
-	incarnation   uint64 // random, never zero, new with each start of the process
+	incarnation   uint64 // random, never zero, new at each start of the process
 	ConfigClient  *configclient.Client
 	Session       *session.Client
 	LocalBackends *localbackends.Set
@@ -78,14 +78,15 @@
 	Singleton     *singleton.Client
 	Admission     *admission.Controller
 	Forwarder     *forward.Forwarder
-	// Callers counts the callers' requests from when they were read until their responses are written. The handlers of callers count.
+	// Callers counts callers' requests from the time they were read until their responses are written. The handlers of callers'
+	// requests increment and decrement it.
 	Callers    *shutdown.InFlight
-	draining   atomic.Bool         // Ready reports false, so that the platform sends callers elsewhere
-	leaving    atomic.Bool         // the session announces it, so that other proxies stop choosing the backends of this host
+	draining   atomic.Bool         // makes Ready report false, so that the platform sends callers elsewhere
+	leaving    atomic.Bool         // announced by the session, so that other proxies stop choosing the backends of this host
 	clockWatch *clockwatch.Watcher // detects jumps of this process's clock
 }
 
-// New returns a proxy that is not started.
+// New returns a proxy that is not started yet, see Start.
 func New(options Options) *Proxy {
 	p := &Proxy{
 		options:     options,
@@ -166,18 +167,18 @@
 	})
 }
 
-// handleClockJumps drops or corrects what was measured across a jump of this process's clock.
+// handleClockJumps registers handlers that discard or correct what was measured across a jump of this process's clock.
 func (p *Proxy) handleClockJumps() {
 	p.clockWatch.OnJump(p.LocalBackends.ExtendHeartbeats)
 	p.clockWatch.OnJump(func(monotonic.Micros) { p.RetryBudget.Clear() })
 	p.clockWatch.OnJump(func(monotonic.Micros) { p.Session.ForgetLeaderClock() })
 }
 
-// TrustClock turns off the detection of clock jumps. It exists so that tests can show that the simulation's invariants detect the
-// consequences; no program calls it.
+// TrustClock turns off the detection of clock jumps. It exists only for tests that verify that the simulation's invariants detect the
+// consequences.
 func (p *Proxy) TrustClock(enabled bool) { p.clockWatch.TrustClock(enabled) }
 
-// Start starts the proxy's background work, which goes on until the process ends.
+// Start starts the proxy's background tasks, which run until the process ends.
 func (p *Proxy) Start() {
 	p.clockWatch.Every(p.Forwarder.ProbeInterval(), p.Forwarder.ProbeSilentPeers)
 	p.clockWatch.Every(sweepInterval, p.LocalBackends.Sweep)
@@ -187,10 +188,10 @@
 	}
 }
 
-// Register adds the handlers of the messages that other processes send to this one.
+// Register adds the handlers for messages from other processes.
 func (p *Proxy) Register(handlers host.Handlers) { p.Admission.Register(handlers) }
 
-// currentSession returns the session that the next poll of the registry announces.
+// currentSession returns the current session, which each poll of the registry announces.
 func (p *Proxy) currentSession() *wire.Session {
 	version, _ := p.ConfigClient.Version()
 	return &wire.Session{
@@ -205,15 +206,15 @@
 	}
 }
 
-// callProxy sends one message to another proxy by its name, at the address that the directory has for it.
+// callProxy sends one message to the named proxy, whose address it takes from the directory.
 func (p *Proxy) callProxy(name string, kind wire.Kind, message, reply proto.Message, timeout monotonic.Micros) error {
 	return p.options.Host.Call(p.Session.Directory().Addresses[name], kind, message, reply, timeout)
 }
 
-// LeaderClock returns a lower bound of the registry leader's clock, see session.Client.LeaderClock.
+// LeaderClock returns a lower bound for the clock of the registry's leader, see session.Client.LeaderClock.
 func (p *Proxy) LeaderClock() *wire.LeaderTimestamp { return p.Session.LeaderClock() }
 
-// Now returns the time on this process's clock.
+// Now returns the current time of this process's clock.
 func (p *Proxy) Now() monotonic.Micros { return p.options.Host.Now() }
 
 // Incarnation identifies this run of the process.
--- a/internal/proxy/shutdown/in_flight_test.go
+++ b/internal/proxy/shutdown/in_flight_test.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/simulation/world"
 )
 
-// wakeupTime bounds what the simulated host takes to wake a task.
+// wakeupTime bounds the time that the simulated host takes to wake a task.
 const wakeupTime = monotonic.Millisecond
 
 // TestDrain checks that a drain ends with the last request, or at its timeout.
@@ -47,13 +47,13 @@
 				}
 				process.Go(func() {
 					if count := requests.Count(); count != int64(len(test.requestTimes)) {
-						t.Errorf("%d requests are in flight, %d were expected", count, len(test.requestTimes))
+						t.Errorf("%d requests are in flight, want %d", count, len(test.requestTimes))
 					}
 					startedAt := process.Now()
 					drained := requests.Drain(test.timeout)
 					duration := process.Now() - startedAt
 					if drained != test.drained || duration < test.duration || duration > test.duration+wakeupTime {
-						t.Errorf("it drained: %v after %d, expected: %v after %d", drained, duration, test.drained, test.duration)
+						t.Errorf("Drain returned %v after %d us, want %v after %d us", drained, duration, test.drained, test.duration)
 					}
 					if drained && requests.Count() != 0 {
 						t.Errorf("%d requests are in flight after the drain", requests.Count())
--- a/internal/proxy/shutdown/shutdown_test.go
+++ b/internal/proxy/shutdown/shutdown_test.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/simulation/world"
 )
 
-// TestAbort checks the outcome of a task that is abandoned, and that one abandoned before its start can't start any more.
+// TestAbort checks the outcomes of abandoned tasks, and that a task that was abandoned before its start can't start any more.
 func TestAbort(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -16,7 +16,7 @@
 		endsAfter   monotonic.Micros
 		abortsAfter monotonic.Micros
 		expected    Outcome
-		maySucceed  bool // Start returned true
+		canStart    bool // Start is expected to return true
 	}{
 		{"done before the abort", 0, monotonic.Second, 2 * monotonic.Second, Done, true},
 		{"started before the abort", 0, 3 * monotonic.Second, 2 * monotonic.Second, Started, true},
@@ -54,8 +54,8 @@
 			if !ended {
 				t.Fatal(simulated.Panicked)
 			}
-			if allowed != test.maySucceed {
-				t.Errorf("the task could start: %v", allowed)
+			if allowed != test.canStart {
+				t.Errorf("Start returned %v", allowed)
 			}
 		})
 	}
--- a/internal/proxy/singleton/singleton_test.go
+++ b/internal/proxy/singleton/singleton_test.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// runClient runs a test with a client whose calls to the registry take a second.
+// runClient runs a test with a client whose calls to the registry take a second and then return the given response or error.
 func runClient(t *testing.T, response *wire.SingletonLeaseResponse, err error, test func(client *Client)) {
 	t.Helper()
 	simulated := world.New(1)
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestGrantEndsBeforeLease: the remaining time of a lease counts from before the request was sent and leaves out the clocks' drift.
+// TestGrantEndsBeforeLease checks that the remaining time of a lease is counted from before the request was sent, less the margin for
+// clock drift.
 func TestGrantEndsBeforeLease(t *testing.T) {
 	const length = 100 * monotonic.Second
 	runClient(t, &wire.SingletonLeaseResponse{Granted: true, Duration: int64(length)}, nil, func(client *Client) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// TestRejectionNamesOwner: a backend that does not get a role learns who has it.
+// TestRejectionNamesOwner checks that a backend that is denied a role learns which backend holds it.
 func TestRejectionNamesOwner(t *testing.T) {
 	runClient(t, &wire.SingletonLeaseResponse{Owner: "other", Instance: "there"}, nil, func(client *Client) {
 		grant, err := client.Acquire("role", "here", monotonic.Second)
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -9,36 +9,36 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Status is the state of a proxy as operators see it. The JSON keys are part of the operators' API.
+// Status is the state of a proxy as shown to operators. The JSON keys are part of the operators' API.
 type Status struct {
 	Name        string `json:"name"`
 	Domain      string `json:"domain"`
 	Incarnation uint64 `json:"incarnation"`
 	Ready       bool   `json:"ready"`
-	Reason      string `json:"why,omitempty"` // why it is not ready; empty if it is
+	Reason      string `json:"why,omitempty"` // why the proxy is not ready; empty if it is
 
 	ConfigVersion   uint64             `json:"desired_serial"`
-	ConfigDigest    string             `json:"desired_check,omitempty"` // of the resources in force
-	ConfigAgeMicros int64              `json:"desired_age_micros"`      // since the version was adopted
+	ConfigDigest    string             `json:"desired_check,omitempty"` // digest of the resources of the adopted version
+	ConfigAgeMicros int64              `json:"desired_age_micros"`      // time since the version was adopted
 	ConfigUpdates   configclient.Stats `json:"desired_taken"`
 
 	Tenants        tenantstats.Report `json:"tenants"`
-	KeyLeaseMicros int64              `json:"key_lease_micros,omitempty"` // for which tenants' keys may still be relied on; left out if they need no lease
+	KeyLeaseMicros int64              `json:"key_lease_micros,omitempty"` // remaining lease on tenants' keys; omitted if they need no lease
 
 	Running         int64 `json:"requests_running"` // callers' requests in flight
-	AdmittedRunning int64 `json:"passes_running"`   // requests in flight to the local backends
+	AdmittedRunning int64 `json:"passes_running"`   // requests in flight to local backends
 
 	Backends      []*wire.Backend               `json:"backends"`
-	BackendHealth []localbackends.BackendHealth `json:"standings"` // as this proxy's outlier detection sees it
+	BackendHealth []localbackends.BackendHealth `json:"standings"` // as determined by this proxy's outlier detection
 
 	Breakers         []breaker.Status `json:"guards"`
-	BreakersDegraded bool             `json:"guards_degraded"` // the registry can't be reached; breakers use local counts only
+	BreakersDegraded bool             `json:"guards_degraded"` // the registry can't be reached, so breakers only use local counts
 
 	Members          int                  `json:"members_seen"` // live proxies in the directory
 	DirectoryUpdates session.UpdateCounts `json:"directory_taken"`
 }
 
-// Status returns the proxy's state.
+// Status returns the proxy's current state.
 func (p *Proxy) Status() Status {
 	ready, reason := p.Ready()
 	version, age, digest := p.ConfigClient.Adopted()
@@ -66,7 +66,7 @@
 	}
 }
 
-// Ready reports whether callers may be sent to this proxy, and the reason if not.
+// Ready reports whether callers may use this proxy, and if not, the reason.
 func (p *Proxy) Ready() (ready bool, reason string) {
 	if p.draining.Load() {
 		return false, "draining"
--- a/internal/proxy/tenantstats/tenantstats.go
+++ b/internal/proxy/tenantstats/tenantstats.go
@@ -1,5 +1,5 @@
-// Package tenantstats counts a proxy's requests by tenant, and the rejections of requests that are of no tenant by their reason. What it
-// reports is bounded: the largest tenants by name, and the rest together.
+// Package tenantstats counts a proxy's requests by tenant, and requests that were rejected because they have no valid tenant by reason.
+// The size of its report is bounded: it lists the tenants with the most requests by name, and the sum of all others.
 package tenantstats
 
 import (
@@ -11,14 +11,14 @@
 const (
 	// maxReported is the number of tenants that are reported by name.
 	maxReported = 20
-	// maxCounted bounds the tenants that are counted by name; those that come later count towards the rest.
+	// maxCounted bounds the tenants that are counted by name; the requests of any further tenants are counted together.
 	maxCounted = 10_000
 )
 
-// Reason is why a request is of no tenant. Its values are labels of metrics.
+// Reason is why a request has no valid tenant. Its values are labels of metrics.
 type Reason string
 
-// The reasons.
+// The reasons: the request has no tenant's key, several keys, or an unknown key, or the proxy's lease on the keys has expired.
 const (
 	NoKey        Reason = "no_key"
 	SeveralKeys  Reason = "several_keys"
@@ -26,23 +26,23 @@
 	LeaseExpired Reason = "lease_expired"
 )
 
-// Reasons are all reasons.
+// Reasons returns all reasons.
 func Reasons() []Reason { return []Reason{NoKey, SeveralKeys, UnknownKey, LeaseExpired} }
 
-// Counts are the requests of one tenant since the process started. The JSON keys are part of the operators' API.
+// Counts holds the number of requests of one tenant since the process started. The JSON keys are part of the operators' API.
 type Counts struct {
-	Tenant   string `json:"tenant,omitempty"` // empty for the rest
+	Tenant   string `json:"tenant,omitempty"` // empty in Report.Rest
 	Requests uint64 `json:"requests"`
-	Rejected uint64 `json:"rejected"` // by the mesh, for whatever cause
+	Rejected uint64 `json:"rejected"` // by the mesh, for any reason
 }
 
-// Report is what operators are shown.
+// Report contains the counts as shown to operators.
 type Report struct {
-	// Largest are the tenants with most requests, the largest first.
+	// Largest lists the tenants with the most requests, in descending order.
 	Largest []Counts `json:"largest,omitempty"`
-	// Rest sums up all others.
+	// Rest is the sum of all other tenants.
 	Rest Counts `json:"rest"`
-	// Refused counts the requests that are of no tenant.
+	// Refused counts the requests without a valid tenant by reason.
 	Refused map[Reason]uint64 `json:"refused,omitempty"`
 }
 
@@ -59,7 +59,7 @@
 	return &Counters{tenants: map[string]*Counts{}, refused: map[Reason]uint64{}}
 }
 
-// CountRequest counts a tenant's request that has ended.
+// CountRequest counts a finished request of a tenant.
 func (c *Counters) CountRequest(tenant string, rejected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// countsOf returns the counts to which a tenant's requests belong. mu is held.
+// countsOf returns the counts to which a tenant's requests are added. The caller holds mu.
 func (c *Counters) countsOf(tenant string) *Counts {
 	if counts := c.tenants[tenant]; counts != nil {
 		return counts
@@ -83,14 +83,14 @@
 	return counts
 }
 
-// CountRefusal counts a request that is of no tenant.
+// CountRefusal counts a request without a valid tenant.
 func (c *Counters) CountRefusal(reason Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refused[reason]++
 }
 
-// Report returns the counts.
+// Report returns the current counts.
 func (c *Counters) Report() Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/tenantstats/tenantstats_test.go
+++ b/internal/proxy/tenantstats/tenantstats_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestReportIsBounded: whatever the number of tenants, some are reported by name, the largest first, and no request is left out.
+// TestReportIsBounded checks for various numbers of tenants that a bounded number is reported by name in descending order, and that the
+// report includes all requests.
 func TestReportIsBounded(t *testing.T) {
 	for _, count := range []int{0, 1, maxReported, maxReported + 1, maxCounted + 500} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -19,13 +20,13 @@
 			report, sum, previous := counters.Report(), uint64(0), ^uint64(0)
 			for _, counts := range report.Largest {
 				if counts.Requests > previous {
-					t.Errorf("%v comes behind %d requests", counts, previous)
+					t.Errorf("%v follows a tenant with %d requests", counts, previous)
 				}
 				previous = counts.Requests
 				sum += counts.Requests
 			}
 			if len(report.Largest) != min(count, maxReported) || len(counters.tenants) > maxCounted || sum+report.Rest.Requests != requests {
-				t.Errorf("%d tenants are reported, %d counted, %d and %d requests of %d", len(report.Largest), len(counters.tenants), sum, report.Rest.Requests, requests)
+				t.Errorf("%d tenants reported, %d counted; %d requests by tenant and %d in the rest, want %d in total", len(report.Largest), len(counters.tenants), sum, report.Rest.Requests, requests)
 			}
 		})
 	}
