--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -31,9 +31,9 @@
 	CheckResponse func(req admission.BackendRequest, response *http.Response) (notRun bool, err error)
 	// AllowsTrailingBytes accepts a complete response that is followed by more bytes. The connection is not used again.
 	AllowsTrailingBytes bool
-	// MaxIdleForOnce is how long a connection may have been idle for a request that must not be repeated to be sent on it: such a
+	// MaxIdleForNonRetryable is how long a connection may have been idle for a request that must not be repeated to be sent on it: such a
 	// request can't be sent again if the backend closes the connection meanwhile. Zero requires a new connection.
-	MaxIdleForOnce time.Duration
+	MaxIdleForNonRetryable time.Duration
 }
 
 // DefaultDialect returns snowflow's own dialect.
--- a/internal/proxy/upstream/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		parsed.dialect.MaxIdleForOnce = maxIdle
+		parsed.dialect.MaxIdleForNonRetryable = maxIdle
 	}
 	backend.formatHeaders = s.headerFormatter(parsed.headers)
 	return parsed
--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -144,7 +144,7 @@
 
 // reuse returns an idle connection on which a request may be sent, or nil. It closes those that are not fit for any request.
 func (t *Transport) reuse(req admission.BackendRequest) *backendConn {
-	maxIdleForOnce := t.dialect.MaxIdleForOnce
+	maxIdleForOnce := t.dialect.MaxIdleForNonRetryable
 	if req.FreshConnection && maxIdleForOnce <= 0 {
 		return nil
 	}
