--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestCancelClosesConnection: the connection of a request whose caller disconnects while its backend works on it is closed at once.
+// TestCancelClosesConnection: when a caller disconnects while a backend is processing its request, the connection to the backend is
+// closed at once.
 func TestCancelClosesConnection(t *testing.T) {
 	backend := newTestBackend(t)
 	working, ended := make(chan struct{}), make(chan error, 1)
@@ -31,7 +32,7 @@
 	}
 }
 
-// readUntilClosed reads one request, closes working, and returns what it reads after the request's end.
+// readUntilClosed reads one request, closes working, and returns the error of reading beyond the end of the request.
 func (b *testBackend) readUntilClosed(working chan struct{}) error {
 	connection, err := b.Accept()
 	if err != nil {
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	// IdentityPath is the page on which a backend names its service and instance.
+	// IdentityPath is the path at which a backend returns its service and instance names as JSON.
 	IdentityPath = "/.snowflow/identity"
-	// idleMargin is how long before the idle timeout that the backend announces a connection is no longer used.
+	// idleMargin is subtracted from the idle timeout that a backend announces: the connection is not used after that.
 	idleMargin = time.Second
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 16 << 10
 )
 
-// backendConn is a connection to a backend. One goroutine at a time uses it.
+// backendConn is a connection to a backend. It must not be used concurrently.
 type backendConn struct {
 	net       net.Conn
-	limited   *io.LimitedReader // reads net, at most as many bytes as the responses read for one request may have
-	readLimit int64             // the bytes that could be read for this request so far; limited.N of them are left
-	reader    *bufio.Reader     // reads limited
-	buffer    bytes.Buffer      // of the encoded request
-	idleFor   time.Duration     // how long it had been idle before this request; zero for a new connection
-	idleSince time.Time         // when it was last put among the idle ones
-	maxIdle   time.Duration     // how long it may be idle: the backend's Keep-Alive header, or maxIdleTime
-	history   requestHistory    // the requests that were sent on it, by the ids that the backend knows them by
+	limited   *io.LimitedReader // reads from net, and bounds the bytes read for one request
+	readLimit int64             // number of bytes allowed for this request so far; limited.N of them are still unread
+	reader    *bufio.Reader     // reads from limited
+	buffer    bytes.Buffer      // holds the encoded request
+	idleFor   time.Duration     // how long it was idle before this request; zero for a new connection
+	idleSince time.Time         // when it was last returned to the pool
+	maxIdle   time.Duration     // how long it may be idle: set by the backend's Keep-Alive header, otherwise maxIdleTime
+	history   requestHistory    // ids of the requests that were sent on it, as the backend knows them
 }
 
 func newBackendConn(connection net.Conn) *backendConn {
@@ -45,24 +45,24 @@
 	return &backendConn{net: connection, limited: limited, reader: bufio.NewReaderSize(limited, readBufferBytes), maxIdle: maxIdleTime}
 }
 
-// reusable reports whether an idle connection is open with nothing to read on it.
+// reusable reports whether an idle connection is still open, has not been idle for too long and has no unread data.
 func (c *backendConn) reusable() bool {
 	if c.reader.Buffered() > 0 || time.Since(c.idleSince) > c.maxIdle {
 		return false
 	}
-	known, ok := c.net.(syscall.Conn)
-	return ok && socket.IsIdle(known)
+	rawConn, ok := c.net.(syscall.Conn)
+	return ok && socket.IsIdle(rawConn)
 }
 
-// anythingRead reports whether a byte of a response has arrived since the request was sent.
-func (c *backendConn) anythingRead() bool { return c.limited.N != c.readLimit }
+// responseStarted reports whether a byte of a response has arrived since the request was sent.
+func (c *backendConn) responseStarted() bool { return c.limited.N != c.readLimit }
 
 type identity struct {
 	Service  string `json:"service"`
 	Instance string `json:"instance"`
 }
 
-// identify requests the identity page and returns an error if it does not name the backend.
+// identify requests the identity page and returns an error if the page does not name the expected backend.
 func (c *backendConn) identify(backend localbackends.Backend) error {
 	head := "GET " + IdentityPath + " HTTP/1.1\r\nHost: " + backend.Address + "\r\n\r\n"
 	if _, err := io.WriteString(c.net, head); err != nil {
@@ -85,12 +85,13 @@
 		return fmt.Errorf("it is %s of %s, not %s of %s", page.Instance, page.Service, backend.Instance, backend.Service)
 	}
 	if response.Close || c.reader.Buffered() > 0 {
-		return errors.New("the identity page ended the connection or said more than it should")
+		return errors.New("the identity response closes the connection or is followed by more data")
 	}
 	return nil
 }
 
-// applyKeepAlive limits maxIdle by the timeout of the backend's Keep-Alive header, in seconds, if there is one.
+// applyKeepAlive sets maxIdle to the timeout in the backend's Keep-Alive header, which is in seconds, minus idleMargin, but at most to
+// maxIdleTime. Without such a timeout it changes nothing.
 func (c *backendConn) applyKeepAlive(headers http.Header) {
 	seconds, found := strings.CutPrefix(headers.Get("Keep-Alive"), "timeout=")
 	if !found {
--- a/internal/proxy/upstream/dialect.go
+++ b/internal/proxy/upstream/dialect.go
@@ -11,28 +11,28 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Dialect is what differs between kinds of backends: the headers that they expect and send. DefaultDialect is snowflow's own. An
-// adapter to another platform defines its own, and tests it with package transcript.
+// Dialect holds what differs between kinds of backends: the headers that they expect and send, and how their responses are checked.
+// DefaultDialect is snowflow's own. An adapter to another platform defines its own dialect and tests it with package transcript.
 type Dialect struct {
-	// ChecksIdentity makes the transport request the identity page on each new connection. Without it Headers must name the
+	// ChecksIdentity makes the transport request the identity page on each new connection. Without it, Headers must name the
 	// instance.
 	ChecksIdentity bool
-	// RequestID returns the id by which the backend knows a request, and which its response names. Attempts at one request may have
-	// the same one. The transport sends no id on a connection that has it in its requestHistory.
+	// RequestID returns the id by which the backend knows a request, and which its response echoes. All attempts at a request may
+	// share one id. The transport does not send an id again on a connection that has it in its requestHistory.
 	RequestID func(req admission.BackendRequest) string
-	// ResponseID returns the id of the request that a response names, empty if it names none. A response that names an earlier request
-	// on its connection is surplus: the transport passes it over and reads on, once for each request.
+	// ResponseID returns the request id that a response names, empty if it names none. The transport takes a response that names an
+	// earlier request on its connection for a duplicate: it discards one such response per request and reads the next.
 	ResponseID func(response *http.Response) string
-	// Headers returns the headers of a request; remaining is the time to its deadline. A "Host" among them replaces the
-	// backend's address in that header.
+	// Headers returns the headers of a request; remaining is the time until its deadline. A "Host" header among them replaces the
+	// default one, which is the backend's address.
 	Headers func(req admission.BackendRequest, remaining monotonic.Micros) []*wire.Header
 	// CheckResponse examines a complete response. notRun is true if the backend certainly did not run the request; err is set if
-	// the response is not the backend's response to this request.
+	// the response does not belong to this request.
 	CheckResponse func(req admission.BackendRequest, response *http.Response) (notRun bool, err error)
-	// AllowsTrailingBytes accepts a complete response that is followed by more bytes. The connection is not used again.
+	// AllowsTrailingBytes accepts a complete response that is followed by more bytes. Its connection is then closed.
 	AllowsTrailingBytes bool
-	// MaxIdleForNonRetryable is how long a connection may have been idle for a request that must not be repeated to be sent on it: such a
-	// request can't be sent again if the backend closes the connection meanwhile. Zero requires a new connection.
+	// MaxIdleForNonRetryable bounds the idle time of a connection that is reused for a request that must not be repeated: such a
+	// request can't be sent again if the backend closes the idle connection at that moment. Zero requires a new connection.
 	MaxIdleForNonRetryable time.Duration
 }
 
@@ -54,11 +54,11 @@
 }
 
 func defaultHeaders(req admission.BackendRequest, _ monotonic.Micros) []*wire.Header {
-	own := req.Headers[:len(req.Headers):len(req.Headers)] // so that append copies them
+	headers := req.Headers[:len(req.Headers):len(req.Headers)] // full capacity, so that append copies the slice
 	if req.Tenant != "" {
-		own = append(own, &wire.Header{Name: request.TenantHeader, Value: req.Tenant})
+		headers = append(headers, &wire.Header{Name: request.TenantHeader, Value: req.Tenant})
 	}
-	return append(own, &wire.Header{Name: request.RequestIDHeader, Value: req.ID})
+	return append(headers, &wire.Header{Name: request.RequestIDHeader, Value: req.ID})
 }
 
 func checkDefaultResponse(req admission.BackendRequest, response *http.Response) (notRun bool, err error) {
--- a/internal/proxy/upstream/dialect_test.go
+++ b/internal/proxy/upstream/dialect_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestResponses checks the transcripts of what means the same in every dialect.
+// TestResponses checks the transcripts whose outcome is the same in every dialect.
 func TestResponses(t *testing.T) { suite().Run(t, "testdata/answers") }
 
-// TestDefaultDialectResponses checks those of snowflow's own dialect alone.
+// TestDefaultDialectResponses checks the transcripts that apply only to snowflow's own dialect.
 func TestDefaultDialectResponses(t *testing.T) { suite().Run(t, "testdata/own") }
--- a/internal/proxy/upstream/early_response_test.go
+++ b/internal/proxy/upstream/early_response_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// TestEarlyResponse: a backend responds before it has read a long body, keeps the connection open and reads on. It must read that
-// body to its end, and after it the next request or nothing.
+// TestEarlyResponse: a backend responds before it has read a long request body, keeps the connection open and reads on. It must
+// receive the complete body, followed by the next request or nothing.
 func TestEarlyResponse(t *testing.T) {
 	backend := newTestBackend(t)
-	body := bytes.Repeat([]byte("0123456789abcdef"), 512<<10) // more than a connection buffers
+	body := bytes.Repeat([]byte("0123456789abcdef"), 512<<10) // larger than the buffers of a connection
 	read := make(chan error, 4)
 	go func() {
 		for {
@@ -36,8 +36,8 @@
 	}
 }
 
-// respondEarly responds to each request of a connection before it reads its body, and sends on read whether that was the expected
-// one.
+// respondEarly responds to each request on a connection before it reads the body. It sends nil on read if the body was the expected
+// one, otherwise an error.
 func respondEarly(connection net.Conn, expected []byte, read chan<- error) {
 	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
@@ -50,7 +50,7 @@
 		_, _ = fmt.Fprintf(connection, "HTTP/1.1 413 Too Large\r\nX-Snowflow-Request: %s\r\nContent-Length: 2\r\n\r\nno", id)
 		content, err := io.ReadAll(incoming.Body)
 		if err == nil && !bytes.Equal(content, expected) {
-			err = fmt.Errorf("%d other bytes", len(content))
+			err = fmt.Errorf("%d bytes that differ from the body", len(content))
 		}
 		read <- err
 	}
--- a/internal/proxy/upstream/helpers_test.go
+++ b/internal/proxy/upstream/helpers_test.go
@@ -13,7 +13,7 @@
 	"snowflow/internal/proxy/upstream"
 )
 
-// testBackend is a listener at which a test's backend accepts connections, and a transport to it that does not check identities.
+// testBackend is a listener for a test's backend, and a transport that sends requests to it without identity checks.
 type testBackend struct {
 	net.Listener
 	clock     monotonic.Clock
--- a/internal/proxy/upstream/idle_limits.go
+++ b/internal/proxy/upstream/idle_limits.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// minIdleTime is the shortest idle time after which the end of a connection may mean that its backend closed it as idle.
+	// minIdleTime is the shortest idle time after which a closed connection is attributed to the backend's idle timeout.
 	minIdleTime = 100 * time.Millisecond
-	// idleLimitShare is multiplied by the idle time of a connection that its backend had closed; the result limits the idle time of
-	// further connections to that backend.
-	idleLimitShare = 0.75
-	// idleLimitTTL is how long such a limit holds.
+	// idleLimitFactor times the idle time of a connection that its backend closed is the limit for the idle time of other
+	// connections to that backend.
+	idleLimitFactor = 0.75
+	// idleLimitTTL is how long such a limit applies.
 	idleLimitTTL = 10 * time.Second
-	// maxIdleLimits bounds the number of instances with a limit.
+	// maxIdleLimits bounds the number of instances with a limit. All limits are dropped when it is reached.
 	maxIdleLimits = 256
 )
 
-// idleLimits holds, by instance, how long connections may be idle where a backend was found to close them earlier than it
-// announces. Its owner holds a lock and passes the time.
+// idleLimits holds, by instance, how long connections may be idle if the backend closes them earlier than it announces. It is not
+// safe for concurrent use.
 type idleLimits map[string]idleLimit
 
 type idleLimit struct {
@@ -23,15 +23,15 @@
 	until time.Time
 }
 
-// observeClosed records that a connection ended without a byte of a response to what was sent on it after an idle time. It reports
-// whether the backend had probably closed it as idle, which says nothing about the backend's health.
+// observeClosed records that a connection which had been idle for idleFor closed before the first byte of a response. It reports
+// whether the backend probably closed it because it was idle, which says nothing about the backend's health.
 func (l idleLimits) observeClosed(now time.Time, instance string, idleFor time.Duration) bool {
 	if idleFor < minIdleTime {
 		return false
 	}
-	limit := max(minIdleTime, time.Duration(idleLimitShare*float64(idleFor)))
-	if known, present := l[instance]; present && now.Before(known.until) {
-		limit = min(limit, known.max)
+	limit := max(minIdleTime, time.Duration(idleLimitFactor*float64(idleFor)))
+	if existing, present := l[instance]; present && now.Before(existing.until) {
+		limit = min(limit, existing.max)
 	} else if !present && len(l) >= maxIdleLimits {
 		clear(l)
 	}
@@ -39,12 +39,12 @@
 	return true
 }
 
-// allows reports whether a connection that was idle for so long may still be used.
+// allows reports whether a connection to an instance may still be used after it was idle for idleFor.
 func (l idleLimits) allows(now time.Time, instance string, idleFor time.Duration) bool {
-	known, present := l[instance]
-	if present && !now.Before(known.until) {
+	existing, present := l[instance]
+	if present && !now.Before(existing.until) {
 		delete(l, instance)
 		present = false
 	}
-	return !present || idleFor < known.max
+	return !present || idleFor < existing.max
 }
--- a/internal/proxy/upstream/message.go
+++ b/internal/proxy/upstream/message.go
@@ -10,10 +10,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// maxPreallocation bounds the memory that is reserved for a body because its sender announced that size.
+// maxPreallocation bounds the memory that is allocated in advance for a body of an announced size.
 const maxPreallocation = 256 << 10
 
-// ReadAll reads a body to its end. announced is its announced size in bytes, negative if there is none.
+// ReadAll reads a body to its end. announced is its Content-Length, negative if there is none.
 func ReadAll(source io.Reader, announced int64) ([]byte, error) {
 	if announced < 0 {
 		return io.ReadAll(source)
@@ -24,7 +24,7 @@
 	return body.Bytes(), err
 }
 
-// hopByHop are the headers that belong to one connection, or that the mesh writes itself.
+// hopByHop lists the headers that are not forwarded: they apply to one connection only, or the mesh writes them itself.
 var hopByHop = map[string]bool{
 	"Connection":           true,
 	"Keep-Alive":           true,
@@ -41,8 +41,7 @@
 	request.DeadlineHeader: true,
 }
 
-// EndToEndHeaders returns the headers that are forwarded: all but those that belong to one connection, by their name or because
-// the Connection header lists them.
+// EndToEndHeaders returns the headers that are forwarded: all except those in hopByHop and those that the Connection header lists.
 func EndToEndHeaders(headers http.Header) []*wire.Header {
 	listed := map[string]bool{}
 	for _, value := range headers.Values("Connection") {
--- a/internal/proxy/upstream/request.go
+++ b/internal/proxy/upstream/request.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/proxy/admission"
 )
 
-// encode returns the bytes of a request, which are valid until the next call for the connection.
+// encode returns the encoded request. The bytes are valid until the next call with the same connection.
 func (t *Transport) encode(conn *backendConn, req admission.BackendRequest) []byte {
 	buffer := &conn.buffer
 	buffer.Reset()
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -12,22 +12,22 @@
 	"snowflow/internal/proxy/request"
 )
 
-// maxInterim bounds the interim responses (status below 200) before a response.
+// maxInterim bounds the number of interim (1xx) responses before the final one.
 const maxInterim = 4
 
 // message is one complete HTTP response.
 type message struct {
 	head     *http.Response
 	body     []byte
-	bodyless bool // it has no body, whatever its head says of one
+	bodyless bool // it has no body, even if its headers announce one
 }
 
-// readResponse reads the response to a request, and reports whether the connection may be used again. One surplus response to an
-// earlier request is passed over.
+// readResponse reads the response to a request, and reports whether the connection may be used again. It discards one duplicate
+// response to an earlier request.
 func (c *backendConn) readResponse(req admission.BackendRequest, dialect Dialect) (*request.Response, bool, *apierror.Error) {
 	c.readLimit, c.limited.N = 0, 0
 	received, fault := c.readMessage(req)
-	if fault == nil && c.isSurplus(req, dialect, received.head) {
+	if fault == nil && c.isDuplicate(req, dialect, received.head) {
 		received, fault = c.readMessage(req)
 	}
 	if fault != nil {
@@ -52,14 +52,14 @@
 	return response, !head.Close && !received.bodyless && trailing == 0, nil
 }
 
-// isSurplus reports whether a response is one to an earlier request on this connection, after which the one that is due may still
-// come. The response to a HEAD request is read without a body, so the end of another one in its place can't be told.
-func (c *backendConn) isSurplus(req admission.BackendRequest, dialect Dialect, head *http.Response) bool {
+// isDuplicate reports whether a response belongs to an earlier request on this connection, so that the response to req may follow it.
+// After a HEAD request it reports false: responses are then read without a body, so the end of one to another method is unknown.
+func (c *backendConn) isDuplicate(req admission.BackendRequest, dialect Dialect, head *http.Response) bool {
 	id := dialect.ResponseID(head)
 	return id != "" && id != dialect.RequestID(req) && !head.Close && req.Method != http.MethodHead && c.history.contains(id)
 }
 
-// readMessage reads a response to its end.
+// readMessage reads one complete response.
 func (c *backendConn) readMessage(req admission.BackendRequest) (message, *apierror.Error) {
 	head, fault := c.readHead(req)
 	if fault != nil {
@@ -76,7 +76,7 @@
 	return message{head: head, body: body, bodyless: bodyless}, nil
 }
 
-// readHead reads the status and the headers of a response, past any interim ones.
+// readHead reads the status and the headers of a response, and skips interim responses.
 func (c *backendConn) readHead(req admission.BackendRequest) (*http.Response, *apierror.Error) {
 	limit := int64(req.ResponseLimit) + maxHeaderBytes
 	c.readLimit += limit
@@ -119,7 +119,7 @@
 	return body, nil
 }
 
-// malformed returns the fault of a response that is incomplete, not HTTP, or followed by more bytes than it announced.
+// malformed returns the error for a response that is incomplete, is not valid HTTP, or is longer than announced.
 func malformed(req admission.BackendRequest, format string, arguments ...any) *apierror.Error {
 	return apierror.New(apierror.ResponseBroken, apierror.MayHaveRun, "%s: %s", req.Backend.Instance, fmt.Sprintf(format, arguments...))
 }
--- a/internal/proxy/upstream/transcript/backend.go
+++ b/internal/proxy/upstream/transcript/backend.go
@@ -12,17 +12,17 @@
 	"snowflow/internal/proxy/upstream"
 )
 
-// fakeBackend is a scripted backend. It serves the identity page and sends its response to the first other request of each
-// connection, which it closes then unless keepAlive is set.
+// fakeBackend is a scripted backend. It serves the identity page, and sends its response to every other request. It closes the
+// connection after the response unless keepAlive is set.
 type fakeBackend struct {
 	listener      net.Listener
 	identity      string
-	response      string // idMark in it stands for the id of the request that is answered
-	idHeader      string // of a request
+	response      string // the raw response, in which idPlaceholder stands for the request's id
+	idHeader      string // name of the request header that contains the id
 	keepAlive     bool
-	surplus       int // how many times each response is sent once more, before the next one on its connection
+	duplicates    int // how often each response is repeated before the next response on its connection
 	formatHeaders func(request *http.Request) string
-	lines         chan string // one for each request
+	requestLines  chan string // a description of each received request
 }
 
 // serve accepts connections until the listener is closed.
@@ -54,17 +54,17 @@
 		if len(body) > 0 {
 			line += fmt.Sprintf(" with %q", body)
 		}
-		b.lines <- line + b.formatHeaders(request)
-		response := strings.ReplaceAll(b.response, idMark, request.Header.Get(b.idHeader))
+		b.requestLines <- line + b.formatHeaders(request)
+		response := strings.ReplaceAll(b.response, idPlaceholder, request.Header.Get(b.idHeader))
 		_, _ = io.WriteString(connection, previous+response)
 		if !b.keepAlive {
 			return
 		}
-		previous = strings.Repeat(response, b.surplus)
+		previous = strings.Repeat(response, b.duplicates)
 	}
 }
 
-// headerFormatter returns a function that lists a request's headers, or nothing if they are not shown.
+// headerFormatter returns a function that formats the headers of a request, or returns an empty string if they are not shown.
 func (s *Suite) headerFormatter(shown bool) func(request *http.Request) string {
 	return func(request *http.Request) string {
 		if !shown {
--- a/internal/proxy/upstream/transcript/transcript.go
+++ b/internal/proxy/upstream/transcript/transcript.go
@@ -1,4 +1,5 @@
-// Package transcript checks a dialect against approved transcripts of what backends send and of the outcome. Only tests use it.
+// Package transcript tests a dialect against approved transcripts, which contain the responses of a backend and the expected outcome.
+// Only tests use it.
 package transcript
 
 import (
@@ -20,16 +21,16 @@
 )
 
 const (
-	// requestTimeout is the time from the start of each request to its deadline.
+	// requestTimeout is the time until the deadline of each request.
 	requestTimeout = 300 * monotonic.Millisecond
 	// responseLimit bounds the body of each response, in bytes.
 	responseLimit = 64
-	// requestID is the id of the first request, to which the number of the attempt is appended. The transcripts contain it.
-	requestID = "ask"
-	// idMark stands for the id of the request that is answered.
-	idMark = "{id}"
-	// closedCommand is the command of a transcript whose backend does not listen.
-	closedCommand = "gone"
+	// requestIDPrefix begins the id of each request. The transcripts contain it.
+	requestIDPrefix = "ask"
+	// idPlaceholder stands in a response for the id of its request.
+	idPlaceholder = "{id}"
+	// notListeningCommand is the command of a transcript in which the backend refuses connections.
+	notListeningCommand = "gone"
 )
 
 // Suite is a dialect under test.
@@ -37,27 +38,27 @@
 	Dialect upstream.Dialect
 	// IDHeader is the header in which a backend finds the id of a request.
 	IDHeader string
-	// ResponseHeaders are the header lines that a backend of the dialect writes into every response, each with its end of line.
-	// They replace {marks} in a transcript. In them, and in a transcript, {id} is the id of the request that is answered.
+	// ResponseHeaders are the header lines that a backend of the dialect writes into every response, each with its line ending.
+	// They replace {marks} in a transcript. {id}, here and in a transcript, stands for the id of the request.
 	ResponseHeaders string
-	// OtherHeaders are the header lines of a response to another request. They replace {other} in a transcript.
+	// OtherHeaders are the header lines of a response that names another request. They replace {other} in a transcript.
 	OtherHeaders string
-	// VaryingHeaders are the headers of a request whose values are shown as dots.
+	// VaryingHeaders are request headers whose values differ between runs. Transcripts show dots instead of the values.
 	VaryingHeaders []string
 }
 
-// exchange is one transcript: what is sent, and how the backend behaves.
+// exchange is one transcript: the requests that are sent, and how the backend behaves.
 type exchange struct {
-	dialect upstream.Dialect
-	method  string
-	body    string
-	times   int
-	once    bool // the request needs a fresh connection
-	again   bool // each request after the first is one more attempt at it
-	leaving bool // the backend is found to be leaving before the request is sent
-	headers bool // the request's headers are shown
-	tenant  string
-	backend *fakeBackend
+	dialect         upstream.Dialect
+	method          string
+	body            string
+	count           int  // number of requests
+	freshConnection bool // the requests need a fresh connection
+	retries         bool // each request after the first is a further attempt at the first
+	backendLeaving  bool // the backend turns out to be leaving just before a request is sent
+	showHeaders     bool // the transcript shows the headers of the requests
+	tenant          string
+	backend         *fakeBackend
 }
 
 // Run executes the transcripts of a file and compares their outcomes.
@@ -73,31 +74,31 @@
 		exchange := s.parse(t, data)
 		exchange.backend.listener, exchange.backend.response = listener, escapes.Replace(data.Input)
 		go exchange.backend.serve()
-		if data.Cmd == closedCommand {
+		if data.Cmd == notListeningCommand {
 			_ = listener.Close()
 		}
-		return exchange.play()
+		return exchange.run()
 	})
 }
 
 // parse reads the arguments of a transcript.
 func (s *Suite) parse(t *testing.T, data *datadriven.TestData) *exchange {
 	t.Helper()
-	backend := &fakeBackend{identity: `{"service":"forms","instance":"one"}`, idHeader: s.IDHeader, lines: make(chan string, 16)}
-	parsed := &exchange{dialect: s.Dialect, method: "GET", times: 1, backend: backend}
+	backend := &fakeBackend{identity: `{"service":"forms","instance":"one"}`, idHeader: s.IDHeader, requestLines: make(chan string, 16)}
+	parsed := &exchange{dialect: s.Dialect, method: "GET", count: 1, backend: backend}
 	if name := ""; data.MaybeScanArgs(t, "identity", &name) {
 		backend.identity = fmt.Sprintf(`{"service":"forms","instance":%q}`, name)
 	}
 	data.MaybeScanArgs(t, "method", &parsed.method)
-	data.MaybeScanArgs(t, "times", &parsed.times)
-	data.MaybeScanArgs(t, "leaving", &parsed.leaving)
-	data.MaybeScanArgs(t, "once", &parsed.once)
-	data.MaybeScanArgs(t, "again", &parsed.again)
-	data.MaybeScanArgs(t, "headers", &parsed.headers)
+	data.MaybeScanArgs(t, "times", &parsed.count)
+	data.MaybeScanArgs(t, "leaving", &parsed.backendLeaving)
+	data.MaybeScanArgs(t, "once", &parsed.freshConnection)
+	data.MaybeScanArgs(t, "again", &parsed.retries)
+	data.MaybeScanArgs(t, "headers", &parsed.showHeaders)
 	data.MaybeScanArgs(t, "tenant", &parsed.tenant)
 	data.MaybeScanArgs(t, "body", &parsed.body)
 	data.MaybeScanArgs(t, "stay", &backend.keepAlive)
-	data.MaybeScanArgs(t, "surplus", &backend.surplus)
+	data.MaybeScanArgs(t, "surplus", &backend.duplicates)
 	if reuse := ""; data.MaybeScanArgs(t, "reuse", &reuse) {
 		maxIdle, err := time.ParseDuration(reuse)
 		if err != nil {
@@ -105,21 +106,21 @@
 		}
 		parsed.dialect.MaxIdleForNonRetryable = maxIdle
 	}
-	backend.formatHeaders = s.headerFormatter(parsed.headers)
+	backend.formatHeaders = s.headerFormatter(parsed.showHeaders)
 	return parsed
 }
 
-// play sends the requests and returns the transcript of their outcomes and of what the backend received.
-func (e *exchange) play() string {
+// run sends the requests and returns their outcomes and descriptions of the requests that the backend received.
+func (e *exchange) run() string {
 	clock := monotonic.NewSystemClock()
 	transport := upstream.New(clock, e.dialect)
 	var text strings.Builder
-	for number := range e.times {
+	for number := range e.count {
 		response, fault := transport.RoundTrip(e.request(clock, number+1))
 		text.WriteString(formatOutcome(response, fault))
 	}
-	for len(e.backend.lines) > 0 {
-		fmt.Fprintf(&text, "backend got %s\n", <-e.backend.lines)
+	for len(e.backend.requestLines) > 0 {
+		fmt.Fprintf(&text, "backend got %s\n", <-e.backend.requestLines)
 	}
 	return text.String()
 }
@@ -133,11 +134,11 @@
 		Target:          "/forms/7?page=2",
 		Headers:         []*wire.Header{{Name: "Host", Value: "forms.example"}, {Name: "Accept", Value: "*/*"}},
 		Body:            []byte(e.body),
-		FreshConnection: e.once,
+		FreshConnection: e.freshConnection,
 		Deadline:        clock.Now() + requestTimeout,
 		ResponseLimit:   responseLimit,
 		BeforeSend: func() *apierror.Error {
-			if e.leaving {
+			if e.backendLeaving {
 				return apierror.New(apierror.BackendLeaving, apierror.NotRun, "leaving")
 			}
 			return nil
@@ -145,12 +146,12 @@
 	}
 }
 
-// requestID returns the id of one of the requests, the first of which has number 1.
+// requestID returns the id of a request by its number, which starts at 1. It ends with the number of the attempt.
 func (e *exchange) requestID(number int) string {
-	if number == 1 || e.again {
-		return fmt.Sprintf("%s.%d", requestID, number)
+	if number == 1 || e.retries {
+		return fmt.Sprintf("%s.%d", requestIDPrefix, number)
 	}
-	return fmt.Sprintf("%s-%d.1", requestID, number)
+	return fmt.Sprintf("%s-%d.1", requestIDPrefix, number)
 }
 
 func formatOutcome(response *request.Response, fault *apierror.Error) string {
--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -1,12 +1,14 @@
 // Package upstream sends requests to backends over HTTP/1.1 and returns their responses.
 //
-// A response counts only if it is complete and well formed: its end must be announced, nothing may follow it, and it must belong
-// to the request. Anything else is a fault, whose verdict says whether the backend may have run the request.
+// A response is accepted only if it is complete and well formed: the end of its body must be explicit (a closed connection does not
+// count), nothing may follow it, and it must belong to the request. Anything else is an error, whose verdict tells whether the backend
+// may have run the request.
 //
 // Connections are pooled. A connection is checked before each use, because unsolicited bytes on it would be read as the next
 // response, and because many backends close idle connections earlier than they announce; the transport estimates how early (see
-// idleLimits). A backend may send a response twice, the second time in place of the next one, and only the request's id tells the two
-// apart. So one more attempt with the same id goes on a connection that has not carried that id (see requestHistory).
+// idleLimits). A backend may send a response twice, so that the duplicate takes the place of the next response; only the request's id
+// distinguishes them. A further attempt with the same id is therefore sent on a connection that has not carried that id (see
+// requestHistory).
 package upstream
 
 import (
@@ -23,13 +25,13 @@
 )
 
 const (
-	// dialTimeout bounds the time to connect, and the time to check the identity of a new connection's backend.
+	// dialTimeout bounds the time to connect to a backend, and separately the time of the identity check.
 	dialTimeout = time.Second
-	// maxIdleTime is how long a connection may be idle if the backend announces no shorter time.
+	// maxIdleTime is how long a connection may be idle unless the backend announces a shorter time.
 	maxIdleTime = 20 * time.Second
 	// maxIdlePerInstance bounds the idle connections to one instance.
 	maxIdlePerInstance = 32
-	// maxHeaderBytes bounds the head of a response.
+	// maxHeaderBytes bounds the status line and headers of a response.
 	maxHeaderBytes = 64 << 10
 )
 
@@ -39,13 +41,13 @@
 	dialect Dialect
 
 	mu sync.Mutex // guards the fields below
-	// idle has the idle connections of each instance, the one that is idle for longest first. Each had its backend's identity checked
-	// when it was dialled, if the dialect has such a check, and has nothing unread on it.
+	// idle holds the idle connections of each instance, the longest idle first. Their identity was checked after the dial if the
+	// dialect requires it, and they have no unread data.
 	idle       map[string][]*backendConn
 	idleLimits idleLimits
 }
 
-// New returns a transport without connections. Deadlines of requests are on the given clock.
+// New returns a transport without connections. The deadlines of requests refer to the given clock.
 func New(clock monotonic.Clock, dialect Dialect) *Transport {
 	return &Transport{clock: clock, dialect: dialect, idle: map[string][]*backendConn{}, idleLimits: idleLimits{}}
 }
@@ -72,7 +74,7 @@
 	conn *backendConn, req admission.BackendRequest, deadline time.Time,
 ) (response *request.Response, reusable bool, fault *apierror.Error) {
 	if req.OnCancel != nil {
-		stop := req.OnCancel(func() { _ = conn.net.Close() }) // most backends drop a request whose connection has closed
+		stop := req.OnCancel(func() { _ = conn.net.Close() }) // most backends abort a request when its connection closes
 		defer stop()
 	}
 	_ = conn.net.SetDeadline(deadline)
@@ -81,7 +83,7 @@
 		return nil, false, fault
 	}
 	response, reusable, fault = conn.readResponse(req, t.dialect)
-	if fault != nil && fault.Cause == apierror.ResponseBroken && !conn.anythingRead() {
+	if fault != nil && fault.Cause == apierror.ResponseBroken && !conn.responseStarted() {
 		fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
 	}
 	return response, reusable && fault == nil, fault
@@ -102,22 +104,22 @@
 	return fault
 }
 
-// release puts a connection among the idle ones if it is reusable, and closes it otherwise.
+// release returns a connection to the pool if it is reusable, and closes it otherwise.
 func (t *Transport) release(instance string, conn *backendConn, reusable bool) {
 	if !reusable {
 		_ = conn.net.Close()
 		return
 	}
-	_ = conn.net.SetDeadline(time.Time{}) // or the timer of the passed deadline would wake this process
+	_ = conn.net.SetDeadline(time.Time{}) // otherwise the deadline's timer would wake up this process
 	t.putIdle(instance, conn)
 }
 
-// connect returns an idle connection to a request's backend, or a new one.
+// connect returns a pooled or a new connection to the backend of a request.
 func (t *Transport) connect(req admission.BackendRequest, deadline time.Time) (*backendConn, *apierror.Error) {
 	if conn := t.reuse(req); conn != nil {
 		return conn, nil
 	}
-	// TCP keep-alive probes are off: a connection is checked before it is used again, and a response has its deadline.
+	// TCP keep-alive probes are not needed: a connection is checked before reuse, and responses have a deadline.
 	dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(deadline)), KeepAlive: -1}
 	connection, err := dialer.Dial("tcp", req.Backend.Address)
 	if err != nil {
@@ -142,7 +144,7 @@
 	return one
 }
 
-// reuse returns an idle connection on which a request may be sent, or nil. It closes those that are not fit for any request.
+// reuse returns an idle connection on which a request may be sent, or nil. It closes the unusable ones that it finds.
 func (t *Transport) reuse(req admission.BackendRequest) *backendConn {
 	maxIdleForOnce := t.dialect.MaxIdleForNonRetryable
 	if req.FreshConnection && maxIdleForOnce <= 0 {
@@ -160,23 +162,23 @@
 	return nil
 }
 
-// mayReuse reports whether a connection that was idle for so long is likely to be still open at its backend.
+// mayReuse reports whether the backend is likely to have kept a connection open that was idle for idleFor.
 func (t *Transport) mayReuse(instance string, idleFor time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.idleLimits.allows(time.Now(), instance, idleFor)
 }
 
-// closedWhileIdle records that a connection ended without a byte of a response, and reports whether the backend had probably closed
-// it while it was idle. That says nothing about the backend's health.
+// closedWhileIdle records that a connection closed before the first byte of a response, and reports whether the backend probably
+// closed it because it was idle. That says nothing about the backend's health.
 func (t *Transport) closedWhileIdle(instance string, idleFor time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.idleLimits.observeClosed(time.Now(), instance, idleFor)
 }
 
-// takeIdle removes the connection that was used last from the idle ones, leaving out those that have carried the request's id. It
-// returns nil if there is none.
+// takeIdle removes the most recently used idle connection from the pool and returns it, or nil if there is none. It skips those that
+// have carried the request's id.
 func (t *Transport) takeIdle(instance, requestID string) *backendConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,7 +192,7 @@
 	return nil
 }
 
-// setIdle replaces the idle connections of an instance. The caller holds the lock.
+// setIdle replaces the idle connections of an instance. mu must be held.
 func (t *Transport) setIdle(instance string, idle []*backendConn) {
 	if len(idle) == 0 {
 		delete(t.idle, instance)
@@ -199,7 +201,7 @@
 	t.idle[instance] = idle
 }
 
-// putIdle adds a connection to the idle ones, and closes the oldest of those that are too many or too old.
+// putIdle adds a connection to the pool. It first closes the longest idle ones while there are too many or they are too old.
 func (t *Transport) putIdle(instance string, used *backendConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
