--- a/internal/proxy/session/announcements.go
+++ b/internal/proxy/session/announcements.go
@@ -7,16 +7,16 @@
 	"snowflow/internal/monotonic"
 )
 
-// announcements counts the polls, each of which announces this proxy's session, so that a change of the session can be waited for.
-// Client.mu guards it.
+// announcements counts the polls, each of which announces this proxy's session to the registry, so that callers can wait until a
+// change of the session is announced. Client.mu guards it.
 type announcements struct {
-	begun    uint64        // number of the last poll, counted before its session was composed
-	answered uint64        // highest number of a poll that was answered
-	waiters  []host.Signal // fired with each answer
+	started  uint64        // number of the last poll, assigned before its session was read
+	answered uint64        // highest number of a poll that a server responded to
+	waiters  []host.Signal // fired on each response
 }
 
-// AwaitAnnounced polls the registry and returns once it knows this proxy's session as it is now, or after the timeout. It reports
-// whether the registry does.
+// AwaitAnnounced polls the registry and waits until it has received the present state of this proxy's session, or until the timeout.
+// It reports whether the registry has received it.
 func (c *Client) AwaitAnnounced(timeout monotonic.Micros) bool {
 	answered := c.host.NewSignal()
 	last := c.addWaiter(answered)
@@ -33,12 +33,13 @@
 	return true
 }
 
-// addWaiter adds a signal that fires with each answer, and returns the number of the last poll so far: its session may be out of date.
+// addWaiter adds a signal that is fired on each response. It returns the number of the last poll so far, whose session may be out of
+// date.
 func (c *Client) addWaiter(answered host.Signal) (last uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.announced.waiters = append(c.announced.waiters, answered)
-	return c.announced.begun
+	return c.announced.started
 }
 
 func (c *Client) removeWaiter(answered host.Signal) {
@@ -47,22 +48,22 @@
 	c.announced.waiters = slices.DeleteFunc(c.announced.waiters, func(other host.Signal) bool { return other == answered })
 }
 
-// announcedAfter reports whether a poll after the given one was answered.
+// announcedAfter reports whether a server responded to a later poll than the given one.
 func (c *Client) announcedAfter(number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.announced.answered > number
 }
 
-// beginAnnouncement returns the number of a poll whose session is about to be composed.
+// beginAnnouncement returns the number of a new poll. It is called before the session is read.
 func (c *Client) beginAnnouncement() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.announced.begun++
-	return c.announced.begun
+	c.announced.started++
+	return c.announced.started
 }
 
-// endAnnouncement records that a poll was answered.
+// endAnnouncement records the response to a poll and fires the waiters.
 func (c *Client) endAnnouncement(number uint64) {
 	c.mu.Lock()
 	c.announced.answered = max(c.announced.answered, number)
--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	// maxBatch bounds the requests in one message.
+	// maxBatch is the maximum number of requests in one message.
 	maxBatch = 64
-	// usualSenders is the number of senders, each with one message in flight, that are started without a delay. Requests queue
-	// only while the leader answers more slowly than they arrive.
-	usualSenders = 4
-	// maxSenders bounds the senders. Above usualSenders one is added each extraSenderInterval, so that a leader that lacks
-	// processor time is sent few messages, and one with a slow disk gets large batches and needs few syncs.
+	// undelayedSenders is the number of senders, each with one message in flight, that are started without a delay. Requests queue
+	// only while they arrive faster than the leader responds.
+	undelayedSenders = 4
+	// maxSenders is the maximum number of senders. Above undelayedSenders one is added per extraSenderInterval: a leader that is
+	// short of CPU time then receives few messages, and one with a slow disk receives large batches, which need few syncs.
 	maxSenders          = 16
 	extraSenderInterval = 50 * monotonic.Millisecond
-	// maxSingleSenders replaces maxSenders for a leader that takes no batches.
+	// maxSingleSenders replaces maxSenders for a leader that does not support batches.
 	maxSingleSenders = 64
-	// singlePeriod is how long requests are sent one by one after a batch was lost: the leader may be of a release that closes
-	// the connection on a batch.
+	// singlePeriod is how long requests are sent individually after a batch was lost: the leader may run a release that closes
+	// the connection when it receives a batch.
 	singlePeriod = monotonic.Second
-	// slowResponse distinguishes two reasons for a lost message. After a wait as long as this the leader accepts requests and is
-	// slow; after a shorter one it may not be accepting any.
+	// slowResponse is the wait from which a lost message is attributed to a leader that accepts requests but is slow. After a
+	// shorter wait the leader may not be accepting any.
 	slowResponse = 500 * monotonic.Millisecond
 )
 
-// pendingCall is one request that waits for the leader's answer. The first five fields never change. batcher.mu guards the
-// others; once finished is set, response belongs to the caller and nothing changes any more.
+// pendingCall is a request that waits for the leader's response. The first five fields are immutable, batcher.mu guards the others.
+// Once finished is set, no field changes any more and response may be read without the lock.
 type pendingCall struct {
 	kind     wire.Kind
 	request  proto.Message
 	response proto.Message
 	deadline monotonic.Micros
-	done     host.Signal // fired when the call is finished by an answer
+	done     host.Signal // fired when a response finishes the call
 
 	finished      bool
-	inFlight      bool // it is part of a message that is not answered yet
-	mayBeExecuted bool // a leader may have executed it without confirming it
+	inFlight      bool // it is part of a message without a response yet
+	mayBeExecuted bool // a leader may have executed it, although no response arrived
 	err           error
 }
 
-// batcher sends requests to the registry's leader, several in one message while they arrive faster than it answers. Handling a
-// message costs the leader many times what a request in it does. A request whose caller gave up is not sent.
+// batcher sends requests to the registry's leader, several in one message while they arrive faster than it responds. A message costs
+// the leader many times as much as a request in it. A request whose caller has timed out is not sent.
 type batcher struct {
 	client *Client
 
-	// mu guards the fields below, and those of pendingCall that change. It is not held while a message is in flight.
+	// mu guards the fields below and the mutable ones of pendingCall. It is not held while a message is in flight.
 	mu sync.Mutex
 	// queue holds the calls that are neither finished nor in flight, oldest first.
 	queue []*pendingCall
 	// senders counts the running sender tasks. There is at least one while the queue is not empty, and at most senderLimit.
 	senders      int
 	lastSenderAt monotonic.Micros // when the last sender was started
-	// failing is set while messages are rejected or not delivered. Only one sender runs then.
+	// failing is set while messages are rejected or not delivered. At most one sender runs then.
 	failing bool
-	// singleTarget is the leader to which requests are sent one by one until singleUntil.
+	// singleTarget is the leader to which requests are sent individually until singleUntil.
 	singleTarget string
 	singleUntil  monotonic.Micros
 }
 
-// batchCommand returns the form that a request has in a batch, or nil if requests of its type are not batched.
+// batchCommand returns a request as a command of a batch, or nil if requests of its type are not batched.
 func batchCommand(request proto.Message) *wire.RegistryCommand {
 	switch request := request.(type) {
 	case *wire.ClaimRequest:
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// batchResponse returns the answer to a request out of a batch's result, or nil if the result has none.
+// batchResponse returns the response to a request from its result in a batch, or nil if the result contains none.
 func batchResponse(request proto.Message, result *wire.RegistryResult) proto.Message {
 	var response proto.Message
 	switch request.(type) {
@@ -90,13 +90,13 @@
 	case *wire.CompleteClaimRequest:
 		response = result.GetComplete()
 	}
-	if response == nil || !response.ProtoReflect().IsValid() { // a missing part is a nil pointer of its type
+	if response == nil || !response.ProtoReflect().IsValid() { // an unset field is a typed nil pointer
 		return nil
 	}
 	return response
 }
 
-// call sends a request to the leader and fills response with its answer, as CallLeader does.
+// call sends a request to the leader and stores the reply in response, as CallLeader does.
 func (b *batcher) call(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	h := b.client.host
 	call := &pendingCall{kind: kind, request: request, response: response, deadline: h.Now() + timeout, done: h.NewSignal()}
@@ -119,8 +119,8 @@
 	return b.outcome(call)
 }
 
-// outcome returns the error of a call that was answered or whose deadline has passed. An unanswered call leaves the queue. mu is
-// held.
+// outcome returns the error of a call that is finished or whose deadline has passed. An unfinished call is removed from the queue. mu
+// must be held.
 func (b *batcher) outcome(call *pendingCall) error {
 	if call.finished {
 		return call.err
@@ -131,14 +131,14 @@
 	}
 	switch {
 	case call.inFlight || call.mayBeExecuted:
-		return apierror.Lost.New("no answer of a registry leader in time")
+		return apierror.Lost.New("no response from a registry leader in time")
 	case call.err != nil:
 		return call.err
 	}
-	return apierror.Unreachable.New("no registry leader took the request in time")
+	return apierror.Unreachable.New("no registry leader accepted the request in time")
 }
 
-// finish gives a call its answer, unless its caller gave up.
+// finish stores the response to a call and wakes its caller, unless the caller has timed out.
 func (b *batcher) finish(call *pendingCall, answer proto.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,8 +150,8 @@
 	call.done.Fire()
 }
 
-// takeBatch removes the calls of the next message from the queue. It returns nil, and the sender that called it must end, if
-// the queue is empty or there are more senders than senderLimit.
+// takeBatch removes the calls of the next message from the queue. It returns nil if the queue is empty or there are more senders than
+// senderLimit; the calling sender must then end.
 func (b *batcher) takeBatch() []*pendingCall {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,16 +168,16 @@
 	return calls
 }
 
-// requeue puts the calls of a message that were not answered back to the front of the queue, and reports whether the message was
-// the first to fail. Only a leader that rejects requests or can't be reached is left to one sender. One that takes requests
-// and is slow, as on a slow disk, does best with large batches from all senders.
+// requeue returns the unfinished calls of a message to the front of the queue, and reports whether the message is the first to fail.
+// Senders are limited to one only if the leader rejects requests or can't be reached. A leader that accepts requests but is slow, for
+// example because of a slow disk, is served best by large batches from all senders.
 func (b *batcher) requeue(calls []*pendingCall, err error, waited monotonic.Micros) (firstFailure bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lost := apierror.IsLost(err)
 	firstFailure = !b.failing
 	b.failing = err != nil && (!lost || waited < slowResponse)
-	var again []*pendingCall
+	var unfinished []*pendingCall
 	for _, call := range calls {
 		call.inFlight = false
 		if call.finished {
@@ -187,14 +187,14 @@
 			call.err = err
 		}
 		call.mayBeExecuted = call.mayBeExecuted || lost
-		again = append(again, call)
+		unfinished = append(unfinished, call)
 	}
-	b.queue = append(again, b.queue...)
+	b.queue = append(unfinished, b.queue...)
 	b.startSenders((len(b.queue) - 1) / b.batchSize())
 	return firstFailure
 }
 
-// senderLimit returns the number of senders that may run now. mu is held.
+// senderLimit returns the number of senders that may run now. mu must be held.
 func (b *batcher) senderLimit() int {
 	switch {
 	case b.failing:
@@ -205,7 +205,7 @@
 	return maxSenders
 }
 
-// batchSize returns the number of requests that a message to the current leader may have. mu is held.
+// batchSize returns the maximum number of requests in a message to the current leader. mu must be held.
 func (b *batcher) batchSize() int {
 	name := b.client.resolver.Leader(registryGroup)
 	single := name == b.singleTarget && b.client.host.Now() < b.singleUntil
--- a/internal/proxy/session/batch_sender.go
+++ b/internal/proxy/session/batch_sender.go
@@ -5,11 +5,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// startSenders starts up to count senders, as far as the limits allow. mu is held.
+// startSenders starts up to count senders, within the limits. mu must be held.
 func (b *batcher) startSenders(count int) {
 	now := b.client.host.Now()
 	for ; count > 0 && b.senders < b.senderLimit(); count-- {
-		if b.senders >= usualSenders && b.batchSize() > 1 && now-b.lastSenderAt < extraSenderInterval {
+		if b.senders >= undelayedSenders && b.batchSize() > 1 && now-b.lastSenderAt < extraSenderInterval {
 			return
 		}
 		b.senders, b.lastSenderAt = b.senders+1, now
@@ -17,7 +17,7 @@
 	}
 }
 
-// runSender sends one message after another until the queue is empty or there are too many senders.
+// runSender sends messages, one at a time, until the queue is empty or there are too many senders.
 func (b *batcher) runSender() {
 	h, resolver := b.client.host, b.client.resolver
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// stopIfIdle reports whether a sender that found no leader must end, because the queue is empty or there are too many senders.
+// stopIfIdle reports whether a sender that found no leader must end because the queue is empty or there are too many senders.
 func (b *batcher) stopIfIdle() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +60,7 @@
 	return true
 }
 
-// send sends calls to a leader in one message and finishes those that are answered. The error is that of the others.
+// send sends calls to a leader in one message and finishes those that receive a response. It returns the error of the others.
 func (b *batcher) send(name string, calls []*pendingCall) error {
 	if !b.client.resolver.SupportsBatches(name) || len(calls) == 1 {
 		return b.sendSingle(name, calls[0])
@@ -82,7 +82,7 @@
 	return b.finishExecuted(name, calls, response.Outcomes)
 }
 
-// sendSingle sends one call in a message of its own.
+// sendSingle sends one call in its own message.
 func (b *batcher) sendSingle(name string, call *pendingCall) error {
 	response := call.response.ProtoReflect().New().Interface()
 	err := b.client.callWhileLeading(name, call.kind, call.request, response, messageTimeout)
@@ -90,17 +90,17 @@
 		b.finish(call, response)
 	} else if apierror.IsRefused(err) {
 		b.mu.Lock()
-		call.mayBeExecuted = true // the leader may reject it because it does not know the outcome
+		call.mayBeExecuted = true // the leader also rejects a request if it does not know whether it was executed
 		b.mu.Unlock()
 	}
 	return err
 }
 
-// finishExecuted finishes the calls of a batch that were executed. The error is that of the last one that was rejected.
+// finishExecuted finishes the calls of a batch that were executed. It returns the error of the last call that was rejected.
 func (b *batcher) finishExecuted(name string, calls []*pendingCall, outcomes []*wire.RegistryOutcome) error {
 	var rejection error
 	for index, call := range calls {
-		outcome := &wire.RegistryOutcome{Error: "the batch's answer has too few outcomes"}
+		outcome := &wire.RegistryOutcome{Error: "the response to the batch has too few outcomes"}
 		if index < len(outcomes) {
 			outcome = outcomes[index]
 		}
--- a/internal/proxy/session/batch_test.go
+++ b/internal/proxy/session/batch_test.go
@@ -13,10 +13,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestFewSendersWhileLeaderRejects: while the leader rejects requests, as between its election and its replicas being caught up, few of a
-// proxy's pending requests are sent to it. Once it accepts them all are answered soon, and a new leader is found at once.
+// TestFewSendersWhileLeaderRejects: while the leader rejects requests, for example after its election until its replicas have caught up,
+// a proxy sends it few of its pending requests. Once it accepts them, all receive a response soon, and a new leader is found at once.
 func TestFewSendersWhileLeaderRejects(t *testing.T) {
-	const waiters = 200
+	const callers = 200
 	for name, failover := range map[string]bool{"the same leader recovers": false, "another one takes over": true} {
 		t.Run(name, func(t *testing.T) {
 			simulated := world.New(1)
@@ -46,7 +46,7 @@
 				})
 				resolver.ObservePrimaries([]*wire.Primary{{Group: registryGroup, Epoch: 1, Name: "first"}})
 				client := New(process, resolver, emptySession, steadyClock(process))
-				for range waiters {
+				for range callers {
 					process.Go(func() {
 						if client.CallLeader(wire.Kind_claim, &wire.ClaimRequest{}, &wire.ClaimResponse{}, 5*monotonic.Second) == nil {
 							answered++
@@ -66,19 +66,20 @@
 			if simulated.Panicked != nil {
 				t.Fatal(simulated.Panicked)
 			}
-			if limit := 2*waiters + 3*20; messages > limit {
-				t.Errorf("%d messages for %d requests in 3 s", messages, waiters)
+			if limit := 2*callers + 3*20; messages > limit {
+				t.Errorf("%d messages for %d requests in 3 s", messages, callers)
 			}
-			if answered != waiters || slowest > 400*monotonic.Millisecond {
-				t.Errorf("%d of %d are answered, the last one %d ms after the leader accepts requests",
-					answered, waiters, slowest/monotonic.Millisecond)
+			if answered != callers || slowest > 400*monotonic.Millisecond {
+				t.Errorf("%d of %d requests succeeded, the last one %d ms after the leader accepts requests",
+					answered, callers, slowest/monotonic.Millisecond)
 			}
 		})
 	}
 }
 
-// TestSenderLimitAfterFailures: after a rejection only one sender runs. A message that was lost after a short wait doesn't change that; one
-// that waited for long does, because then the leader accepts requests and is slow, and large batches from all senders serve it best.
+// TestSenderLimitAfterFailures: after a rejection only one sender runs. A message that is lost after a short wait doesn't change that.
+// One that is lost after a long wait does: the leader then accepts requests but is slow, and is served best by large batches from all
+// senders.
 func TestSenderLimitAfterFailures(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -108,10 +109,11 @@
 	}
 }
 
-// TestBatching: requests that arrive faster than the leader answers share messages, and the messages in flight are bounded however many
-// requests wait. A request whose caller gave up is not sent. A leader of a release without batches gets each request alone.
+// TestBatching: requests that arrive faster than the leader responds share messages, and the number of messages in flight is bounded
+// however many requests are pending. A request whose caller has timed out is not sent. A leader of a release without batches receives
+// each request individually.
 func TestBatching(t *testing.T) {
-	const waiters, timeout = 300, 2 * monotonic.Second
+	const callers, timeout = 300, 2 * monotonic.Second
 	for name, batching := range map[string]bool{"leader takes batches": true, "leader of an earlier release": false} {
 		t.Run(name, func(t *testing.T) {
 			simulated := world.New(1)
@@ -160,7 +162,7 @@
 				}
 				process.Go(func() {
 					process.Sleep(500 * monotonic.Millisecond)
-					for index := range waiters {
+					for index := range callers {
 						scope := fmt.Sprint(index)
 						claim(scope, timeout, func(response *wire.ClaimResponse, err error) {
 							if err == nil && response.Outcome == scope {
@@ -177,26 +179,26 @@
 			if simulated.Panicked != nil {
 				t.Fatal(simulated.Panicked)
 			}
-			if answered != waiters || notSent != 20 || requests != waiters {
-				t.Errorf("%d of %d answered, %d of 20 are known not to have been sent, %d requests were", answered, waiters, notSent, requests)
+			if answered != callers || notSent != 20 || requests != callers {
+				t.Errorf("%d of %d requests succeeded, %d of 20 are known not to have been sent, the leader received %d", answered, callers, notSent, requests)
 			}
-			wanted, bound := (waiters+maxBatch-1)/maxBatch+usualSenders, usualSenders+1 // one more starts after extraSenderInterval
+			wanted, bound := (callers+maxBatch-1)/maxBatch+undelayedSenders, undelayedSenders+1 // one more starts after extraSenderInterval
 			if !batching {
-				wanted, bound = waiters, maxSingleSenders
+				wanted, bound = callers, maxSingleSenders
 			}
 			if messages > wanted || peak > bound {
-				t.Errorf("%d messages, %d at once; at most %d and %d", messages, peak, wanted, bound)
+				t.Errorf("%d messages, %d in flight at once; at most %d and %d are allowed", messages, peak, wanted, bound)
 			}
 		})
 	}
 }
 
-// TestLostBatchFallsBackToSingleCalls: where a batch closes its connection, as at a leader that was replaced by one of an earlier
-// release, its requests are sent one by one. The requests of a batch that the leader did not accept are known not to have been executed.
+// TestLostBatchFallsBackToSingleCalls: if a leader closes the connection on a batch, as one that was replaced by an earlier release does,
+// the requests are sent individually. The requests of a batch that the leader rejected are known not to have been executed.
 func TestLostBatchFallsBackToSingleCalls(t *testing.T) {
 	simulated := world.New(1)
 	t.Cleanup(simulated.Close)
-	answered, untaken, rejected := 0, 0, false
+	answered, notExecuted, rejected := 0, 0, false
 	simulated.Start(simulated.Add("first", "first", "first", func(process *world.Host) (host.Handlers, error) {
 		table := host.Handlers{}
 		host.Handle(table, wire.Kind_claim, func(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
@@ -230,7 +232,7 @@
 						answered++
 					}
 					if primary == "second" && err != nil && !apierror.IsLost(err) {
-						untaken++
+						notExecuted++
 					}
 				})
 			}
@@ -245,7 +247,8 @@
 	if simulated.Panicked != nil {
 		t.Fatal(simulated.Panicked)
 	}
-	if answered != 20 || !rejected || untaken != 20 {
-		t.Errorf("%d of 20 answered one by one; rejected: %v, and %d of 20 are known not to have been executed", answered, rejected, untaken)
+	if answered != 20 || !rejected || notExecuted != 20 {
+		t.Errorf("%d of 20 succeeded individually; a batch was rejected: %v, and %d of 20 are known not to have been executed",
+			answered, rejected, notExecuted)
 	}
 }
--- a/internal/proxy/session/client_test.go
+++ b/internal/proxy/session/client_test.go
@@ -11,8 +11,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestLeaderClockNeverAhead: a proxy that was cut off from the leader for a minute, with a clock that runs faster than the leader's,
-// must not claim a time that the leader has not reached. The simulation's clock is the leader's.
+// TestLeaderClockNeverAhead: a proxy that is cut off from the leader for a minute, and whose clock runs faster than the leader's, must
+// not return a bound that the leader's clock has not reached. The leader's clock is that of the simulation.
 func TestLeaderClockNeverAhead(t *testing.T) {
 	fasterClock := false
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestFenceMovesLeaderClock: a proxy that had a key fenced learns the fence's time. A caller that retries at this proxy at once must
-// be read after the fence, however long ago the proxy polled.
+// TestFenceMovesLeaderClock: a proxy that had a key fenced learns the time of the fence. A retry that reaches this proxy at once must
+// carry a time that is not before the fence, however long ago the proxy polled.
 func TestFenceMovesLeaderClock(t *testing.T) {
 	runProcess(t, 1, func(_ *world.World, process *world.Host) {
 		client := New(process, discovery.New(process, nil, nil), emptySession, steadyClock(process))
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestCallMovesToNextLeader: a call to a leader that froze without closing its connection moves to the next leader as soon as there
-// is one, instead of using up its timeout at the first.
+// TestCallMovesToNextLeader: a call to a leader that froze without closing its connection is sent to the next leader as soon as there
+// is one, instead of waiting for the first until the timeout.
 func TestCallMovesToNextLeader(t *testing.T) {
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { callAcrossFailover(t, seed) })
--- a/internal/proxy/session/directory.go
+++ b/internal/proxy/session/directory.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Candidate is one backend that a load balancer may choose.
+// Candidate is a backend that a load balancer may choose.
 type Candidate struct {
 	Proxy       string // name of the proxy on the backend's host
 	Incarnation uint64 // of that proxy
@@ -17,14 +17,14 @@
 	Domain      string // failure domain of that proxy
 	Service     string
 	Instance    string
-	Slots       uint32 // number of requests that the backend runs at once; zero if unknown
-	Warming     bool   // the backend reported that it is still slower than usual
+	Slots       uint32 // number of requests that the backend runs concurrently; zero if unknown
+	Warming     bool   // the backend reported that it is still warming up and slower than usual
 }
 
-// Directory is one version of the live proxies and their backends. It never changes once built.
+// Directory is one version of the live proxies and their backends. It is immutable.
 type Directory struct {
-	// Candidates lists the backends of each service, sorted by instance, then by proxy. The second key matters while an
-	// instance moves from one proxy to another and both report it.
+	// Candidates lists the backends of each service, sorted by instance, then by proxy: while an instance moves from one
+	// proxy to another, both report it.
 	Candidates map[string][]Candidate
 	// ProxiesByDomain counts the live proxies that are not draining, by failure domain.
 	ProxiesByDomain map[string]int
@@ -34,7 +34,8 @@
 	Addresses map[string]string
 }
 
-// UpdateCounts counts the answers by the way in which they updated the directory. Unchanged directories don't count.
+// UpdateCounts counts the responses by how they updated the directory. Those without a change are not counted. The JSON keys keep
+// their former names.
 type UpdateCounts struct {
 	Deltas    uint64 `json:"changes"`
 	Snapshots uint64 `json:"wholes"`
@@ -49,8 +50,8 @@
 
 func buildDirectory(set *resource.Set) *Directory {
 	directory := &Directory{Candidates: map[string][]Candidate{}, ProxiesByDomain: map[string]int{}, Addresses: map[string]string{}}
-	for _, one := range set.All() {
-		if session, ok := one.Message.(*wire.Session); ok { // a snapshot holds nothing else
+	for _, entry := range set.All() {
+		if session, ok := entry.Message.(*wire.Session); ok { // a snapshot holds nothing else
 			directory.add(session)
 		}
 	}
@@ -89,15 +90,15 @@
 	}
 }
 
-// Directory returns the newest directory. It is empty, never nil, before the first answer.
+// Directory returns the newest directory. Before the first response it is empty, but not nil.
 func (c *Client) Directory() *Directory {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.directory
 }
 
-// Version identifies the current directory: the server's incarnation that returned it, and its version there. Both are zero
-// before the first answer; the version is zero after a rejected delta until the complete directory arrives.
+// Version identifies the current directory by the server incarnation that returned it and the version there. Both are zero
+// before the first response; the version is also zero from a rejected delta until the complete directory arrives.
 func (c *Client) Version() (source, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,8 +112,8 @@
 	return c.updates
 }
 
-// SkipDigestChecks makes the client apply deltas without checking base or digest. It exists so that tests can show that
-// the simulation's invariants detect the damage; no program calls it.
+// SkipDigestChecks makes the client apply deltas without checking their base or digest. Tests use it to show that the
+// simulation's invariants detect a wrong directory; no program calls it.
 func (c *Client) SkipDigestChecks(enabled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/session/helpers_test.go
+++ b/internal/proxy/session/helpers_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// runProcess runs a test's body as a process of a simulated world, for at most ten minutes of its time.
+// runProcess runs body in a process of a new simulated world, for at most ten minutes of simulated time.
 func runProcess(t *testing.T, seed uint64, body func(simulated *world.World, process *world.Host)) {
 	t.Helper()
 	simulated := world.New(seed)
@@ -29,7 +29,7 @@
 	}
 }
 
-// steadyClock returns a running watch of a process's clock.
+// steadyClock returns a running watcher of a process's clock.
 func steadyClock(process *world.Host) *clockwatch.Watcher {
 	watch := clockwatch.New(process)
 	process.Go(watch.Run)
@@ -38,7 +38,7 @@
 
 func emptySession() *wire.Session { return &wire.Session{} }
 
-// echoScope grants a claim, with the request's scope as the outcome.
+// echoScope returns the scope of a claim as its outcome.
 func echoScope(request *wire.ClaimRequest) (*wire.ClaimResponse, error) {
 	return &wire.ClaimResponse{Outcome: request.Scope}, nil
 }
--- a/internal/proxy/session/leader_call.go
+++ b/internal/proxy/session/leader_call.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// messageTimeout bounds the wait for the answer to one message. A call may have more time and is then sent again.
+	// messageTimeout bounds the wait for the response to one message. A call with a longer timeout then sends it again.
 	messageTimeout = 700 * monotonic.Millisecond
-	// firstRetryDelay and nextRetryDelay are the waits after the first, and each further, message that failed.
+	// firstRetryDelay and nextRetryDelay are the delays after the first failed message and after each further one.
 	firstRetryDelay = 50 * monotonic.Millisecond
 	nextRetryDelay  = 100 * monotonic.Millisecond
-	// leaderCheckDelay is the time without an answer after which the resolver asks the other servers for the leader. It is well
-	// above the usual time to an answer.
+	// leaderCheckDelay is the time without a response after which the resolver asks the other servers for the leader. It is well
+	// above the usual response time.
 	leaderCheckDelay = 100 * monotonic.Millisecond
 	// leaderCheckInterval is the time between further checks for a new leader.
 	leaderCheckInterval = 50 * monotonic.Millisecond
 )
 
-// CallLeader sends a request to the registry's leader and fills response with its answer. It repeats the request, also across
-// a failover, until it is answered or timeout has passed, so the request must be idempotent. An error that satisfies
+// CallLeader sends a request to the registry's leader and stores the reply in response. It retries the request, also across a
+// failover, until a leader responds or the timeout has passed, so the request must be idempotent. An error that satisfies
 // apierror.IsLost means that a leader may have executed the request; any other error means that none did.
 func (c *Client) CallLeader(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	if batchCommand(request) != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// CallLeaderOnce sends one message to the registry's leader and fills response with its answer, without a retry. An error that
+// CallLeaderOnce sends one message to the registry's leader and stores the reply in response. It does not retry. An error that
 // satisfies apierror.IsUnreachable means that no leader is known or reachable.
 func (c *Client) CallLeaderOnce(kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	name := c.resolver.Leader(registryGroup)
@@ -63,20 +63,20 @@
 	return c.resolver.Call(name, kind, request, response, timeout)
 }
 
-// callTimedOut returns the error of a call that ran out of time. The error for a missing leader is made only here, not on each
-// attempt: an errorx error records its stack, which is costly.
+// callTimedOut returns the error of a call that timed out. The error for an unknown leader is created only here, not on each
+// attempt, because an errorx error records its stack, which is expensive.
 func callTimedOut(lastErr error, mayBeExecuted bool) error {
 	switch {
 	case mayBeExecuted && !apierror.IsLost(lastErr):
-		return apierror.Lost.New("no answer of a registry leader in time")
+		return apierror.Lost.New("no response from a registry leader in time")
 	case lastErr == nil:
 		return apierror.Unreachable.New("no registry leader is known")
 	}
 	return lastErr
 }
 
-// callWhileLeading sends one message to a leader and waits for the answer until the timeout, or until another server is known to
-// lead: a leader that crashed would never answer.
+// callWhileLeading sends one message to a leader and waits for the response until the timeout, or until another server is known to
+// be the leader: a leader that crashed would never respond.
 func (c *Client) callWhileLeading(name string, kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) error {
 	deadline := c.host.Now() + timeout
 	sent := c.send(name, kind, request, response.ProtoReflect().New().Interface(), timeout)
@@ -96,17 +96,17 @@
 	}
 }
 
-// sentMessage is a message in flight, and its answer once that has arrived. Its sender may stop waiting for it.
+// sentMessage is a message in flight, and its response once that has arrived. Its sender may stop waiting for it.
 type sentMessage struct {
-	response proto.Message // must not be read before result reports an answer
+	response proto.Message // must not be read before answered is set
 	done     host.Signal
 
 	mu       sync.Mutex // guards the fields below
-	answered bool
+	answered bool       // the call has ended, with a response or an error
 	err      error
 }
 
-// send sends a message in a task of its own, which ends by the timeout.
+// send sends a message in a new task, which ends at the timeout at the latest.
 func (c *Client) send(name string, kind wire.Kind, request, response proto.Message, timeout monotonic.Micros) *sentMessage {
 	sent := &sentMessage{response: response, done: c.host.NewSignal()}
 	c.host.Go(func() {
@@ -119,7 +119,7 @@
 	return sent
 }
 
-// result reports whether the message was answered or failed, and its error.
+// result reports whether the call has ended, and its error.
 func (s *sentMessage) result() (answered bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/session/poll.go
+++ b/internal/proxy/session/poll.go
@@ -8,7 +8,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// PollNow makes the next poll start at once, so that the registry learns of a change of this proxy's session.
+// PollNow starts the next poll at once, to announce a change of this proxy's session to the registry.
 func (c *Client) PollNow() { c.pollNow.Fire() }
 
 // Run polls the registry until the process ends.
@@ -22,19 +22,19 @@
 	}
 }
 
-// pollDelay returns the time from the start of the last poll to that of the next one. Fast polls are spread by up to a
-// quarter, so that proxies that lost the same server don't poll the next one all at once.
+// pollDelay returns the time from the start of the last poll to the start of the next one. Fast polls have a random jitter of up to
+// a quarter of the interval, so that proxies that lost the same server don't all poll the next one at once.
 func (c *Client) pollDelay() monotonic.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.reached || c.sourceIncomplete {
+	if !c.lastPollAnswered || c.sourceIncomplete {
 		return fastPollInterval + monotonic.Micros(c.host.Random()%uint64(fastPollInterval/4))
 	}
 	return PollInterval
 }
 
-// Poll sends one heartbeat to the registry's leader, or to another server if the leader does not answer, and applies the
-// answer. Only the leader's answer has breaker records.
+// Poll sends one heartbeat to the registry's leader, or to another server if the leader does not respond, and applies the
+// response. Only the leader's response contains breaker records.
 func (c *Client) Poll() {
 	response := c.pollFirstReachable()
 	if response.GetPrimary() {
@@ -47,14 +47,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reached = response != nil
+	c.lastPollAnswered = response != nil
 	if response.GetPrimary() {
 		c.breakersSource, c.breakersVersion = response.BreakersSource, response.BreakersVersion
 	}
 }
 
-// pollFirstReachable polls the servers, the leader first, until one answers, and returns its answer or nil. If that answer
-// names another leader, the leader is polled too and its answer returned instead.
+// pollFirstReachable polls the servers, the leader first, until one responds, and returns its response, nil if none did. If the
+// response names another leader, that leader is polled too, and its response is returned instead if there is one.
 func (c *Client) pollFirstReachable() *wire.RegistryPollResponse {
 	leader := c.resolver.Leader(registryGroup)
 	names := c.resolver.Members(registryGroup)
@@ -71,17 +71,17 @@
 		if response.Primary || next == name || next == leader {
 			return response
 		}
-		if answer, err := c.pollServer(next); err == nil {
-			_ = c.apply(answer) // after a rejected delta the next poll returns the complete directory
-			return answer
+		if fromLeader, err := c.pollServer(next); err == nil {
+			_ = c.apply(fromLeader) // after a rejected delta the next poll returns the complete directory
+			return fromLeader
 		}
 		return response
 	}
 	return nil
 }
 
-// pollAndApply polls one server and applies its answer. If the answer's delta is rejected, the server is polled again
-// and returns the complete directory. The result is nil if a poll was not answered.
+// pollAndApply polls one server and applies its response. If the delta in the response is rejected, it polls the server again for
+// the complete directory. The result is nil if the server did not respond to each poll.
 func (c *Client) pollAndApply(name string) *wire.RegistryPollResponse {
 	response, err := c.pollServer(name)
 	if err != nil {
@@ -110,7 +110,7 @@
 		DirectorySource:   c.snapshot.source,
 		DirectoryVersion:  c.snapshot.version,
 		DirectoryChecksum: c.snapshot.checksum(),
-		DirectoryComplete: c.complete,
+		DirectoryComplete: c.directoryComplete,
 		BreakersSource:    c.breakersSource,
 		BreakersVersion:   c.breakersVersion,
 	}
@@ -124,16 +124,16 @@
 	return response, nil
 }
 
-// apply applies an answer to a poll. It returns an error if the answer's delta of the directory was rejected; the rest of the
-// answer is applied nevertheless.
+// apply applies a response to a poll. It returns an error if the directory delta in it was rejected; the rest of the response is
+// applied nevertheless.
 func (c *Client) apply(response *wire.RegistryPollResponse) error {
 	c.resolver.ObservePrimaries(response.Primaries)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.host.Now()
 	c.polledAt = now
-	if response.Proxies >= c.live || now-c.liveSetAt >= liveCountWindow {
-		c.live, c.liveSetAt = response.Proxies, now
+	if response.Proxies >= c.liveProxies || now-c.liveProxiesAt >= liveCountWindow {
+		c.liveProxies, c.liveProxiesAt = response.Proxies, now
 	}
 	if response.Primary && (c.leaderClock == nil || response.Epoch >= c.leaderClock.Epoch) {
 		c.leaderClock, c.leaderClockAt = &wire.LeaderTimestamp{Epoch: response.Epoch, Time: response.LeaderClock}, now
@@ -141,14 +141,14 @@
 	return c.applyDirectory(response)
 }
 
-// applyDirectory applies the directory in an answer, unless it is older or less complete than the current one. mu is held.
+// applyDirectory applies the directory in a response, unless it is older or less complete than the current one. mu must be held.
 func (c *Client) applyDirectory(response *wire.RegistryPollResponse) error {
 	c.sourceIncomplete = response.DirectoryAge > 0 && monotonic.Micros(response.DirectoryAge) < completeDirectoryAge
 	otherSource := response.DirectorySource != c.snapshot.source
 	if !otherSource && !c.sourceIncomplete {
-		c.complete = true
+		c.directoryComplete = true
 	}
-	lessComplete := otherSource && c.sourceIncomplete && c.complete
+	lessComplete := otherSource && c.sourceIncomplete && c.directoryComplete
 	if response.DirectoryUnchanged || lessComplete || c.snapshot.isStale(response) {
 		return nil
 	}
@@ -163,7 +163,7 @@
 		})
 		return err
 	}
-	c.complete = !c.sourceIncomplete
+	c.directoryComplete = !c.sourceIncomplete
 	c.snapshot = next
 	c.directory = buildDirectory(next.set)
 	if response.DirectoryIsDelta {
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -15,10 +15,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// registryStub is one registry server's directory, and answers polls as a server does.
+// registryStub is the directory of one registry server. It responds to polls as a server does.
 type registryStub struct {
 	*directory.Directory
-	versions map[directoryVersion]*Directory // of all servers, as their complete answers give them
+	versions map[directoryVersion]*Directory // the expected directories, built from the complete ones of all servers
 }
 
 type directoryVersion struct{ source, number uint64 }
@@ -50,10 +50,10 @@
 	return proto.CloneOf(response)
 }
 
-// clientPair is two clients that meet the same faults: one is updated by deltas, the other by complete directories.
+// clientPair is two clients that are subject to the same faults: one receives deltas, the other only complete directories.
 type clientPair struct {
 	deltas, snapshots *Client
-	late              [2]*wire.RegistryPollResponse // answers that are delayed
+	delayed           [2]*wire.RegistryPollResponse // responses that are delivered later
 }
 
 func pollRequest(c *Client, complete bool) *wire.RegistryPollRequest {
@@ -61,7 +61,7 @@
 		DirectorySource:   c.snapshot.source,
 		DirectoryVersion:  c.snapshot.version,
 		DirectoryChecksum: c.snapshot.checksum(),
-		DirectoryComplete: c.complete,
+		DirectoryComplete: c.directoryComplete,
 	}
 	if complete {
 		request.DirectoryChecksum = 0
@@ -69,7 +69,7 @@
 	return request
 }
 
-// The ways in which an answer is delivered. One that is delivered late arrives after the one that followed it.
+// The ways in which a response is delivered. A late one arrives after the response that follows it.
 const (
 	deliveredOnce  = "once"
 	deliveredTwice = "twice"
@@ -77,10 +77,11 @@
 	deliveredNever = "never"
 )
 
-// deliveries are drawn from; the last one only where reordering is part of the test.
+// deliveries is the distribution from which deliveries are chosen. The last one is chosen only if the run includes reordering.
 var deliveries = []string{deliveredOnce, deliveredOnce, deliveredOnce, deliveredOnce, deliveredNever, deliveredTwice, deliveredLate}
 
-// poll makes both clients poll a server, and delivers the two answers in the same way. It returns what is wrong then.
+// poll makes both clients poll a server, and delivers the two responses in the same way. It returns a description of the violation, if
+// there is one.
 func (p *clientPair) poll(random *rand.Rand, registry *registryStub, reordering bool) string {
 	delivery := deliveries[random.IntN(len(deliveries)-1)]
 	if reordering {
@@ -88,56 +89,56 @@
 	}
 	for index, c := range []*Client{p.deltas, p.snapshots} {
 		response := registry.answer(pollRequest(c, index == 1))
-		take := func(response *wire.RegistryPollResponse) {
+		deliver := func(response *wire.RegistryPollResponse) {
 			if c.apply(response) != nil {
 				_ = c.apply(registry.answer(pollRequest(c, index == 1)))
 			}
 		}
 		switch delivery {
 		case deliveredOnce:
-			take(response)
+			deliver(response)
 		case deliveredTwice:
-			take(response)
-			take(proto.CloneOf(response))
+			deliver(response)
+			deliver(proto.CloneOf(response))
 		case deliveredLate:
-			if earlier := p.late[index]; earlier != nil {
-				take(response)
-				take(earlier)
-				p.late[index] = nil
+			if earlier := p.delayed[index]; earlier != nil {
+				deliver(response)
+				deliver(earlier)
+				p.delayed[index] = nil
 			} else {
-				p.late[index] = response
+				p.delayed[index] = response
 			}
 		}
-		present := directoryVersion{c.snapshot.source, c.snapshot.version}
-		// After a rejected delta there is no version until the complete directory has arrived.
-		if present.number != 0 && !reflect.DeepEqual(c.Directory(), registry.versions[present]) {
-			return "the directory is not the version that it claims to be"
+		current := directoryVersion{c.snapshot.source, c.snapshot.version}
+		// After a rejected delta the version is zero until the complete directory has arrived.
+		if current.number != 0 && !reflect.DeepEqual(c.Directory(), registry.versions[current]) {
+			return "the directory differs from the server's directory of that version"
 		}
 		newest := registry.UpdateSince(directory.Base{})
-		if delivery == deliveredOnce && registry.Age() >= completeDirectoryAge && present != (directoryVersion{newest.Source, newest.Version}) {
-			return "an answer was delivered, and its version is not held"
+		if delivery == deliveredOnce && registry.Age() >= completeDirectoryAge && current != (directoryVersion{newest.Source, newest.Version}) {
+			return "a response was delivered, but the client does not have its version"
 		}
 	}
 	if !reordering && !reflect.DeepEqual(p.deltas.Directory(), p.snapshots.Directory()) {
-		return "the two clients differ"
+		return "the directories of the two clients differ"
 	}
 	return ""
 }
 
-// faultRun is a run of random faults: sessions are created, changed, drained, ended and renewed at two servers that exchange them,
-// restart and lose contact, while clients poll now one and now the other.
+// faultRun is a run with random faults. Sessions are created, changed, drained, ended and renewed at two servers, which exchange them,
+// restart and lose contact, while clients poll either server at random.
 type faultRun struct {
 	process    *world.Host
 	random     *rand.Rand
-	unchecked  bool // the clients skip their checks
-	reordering bool // answers may arrive out of order
+	unchecked  bool // the clients skip the digest checks
+	reordering bool // responses may arrive out of order
 	versions   map[directoryVersion]*Directory
 	registries []*registryStub
 	sessions   map[string]*wire.Session
 	pairs      []*clientPair
 }
 
-// runFaults executes a run of 400 steps. It returns the first violation, and how the clients were updated.
+// runFaults executes a run of 400 steps. It returns the first violation, and the update counts of the clients that receive deltas.
 func runFaults(t *testing.T, seed uint64, unchecked bool) (wrong string, counts UpdateCounts) {
 	t.Helper()
 	runProcess(t, seed, func(_ *world.World, process *world.Host) {
@@ -177,14 +178,14 @@
 
 func (f *faultRun) newPair() *clientPair {
 	pair := &clientPair{}
-	for _, into := range []**Client{&pair.deltas, &pair.snapshots} {
-		*into = New(f.process, discovery.New(f.process, nil, nil), emptySession, nil)
-		(*into).SkipDigestChecks(f.unchecked)
+	for _, client := range []**Client{&pair.deltas, &pair.snapshots} {
+		*client = New(f.process, discovery.New(f.process, nil, nil), emptySession, nil)
+		(*client).SkipDigestChecks(f.unchecked)
 	}
 	return pair
 }
 
-// step makes one change, delivers heartbeats, and lets some clients poll. It returns the first violation.
+// step makes one random change, delivers heartbeats, and makes some clients poll. It returns the first violation.
 func (f *faultRun) step() (wrong string) {
 	f.process.Sleep(monotonic.Micros(f.random.Uint64N(uint64(300 * monotonic.Millisecond))))
 	f.change()
@@ -208,18 +209,18 @@
 	case 0, 1: // a new session, or a new incarnation
 		f.sessions[name] = &wire.Session{Proxy: name, Incarnation: f.random.Uint64(), Address: name, Domain: "zone",
 			Backends: []*wire.Backend{{Service: "forms", Instance: fmt.Sprint(f.random.IntN(5)), Condition: "alive"}}}
-	case 2: // draining
+	case 2: // the proxy starts to drain
 		if session != nil {
 			session.Leaving = true
 		}
-	case 3: // backends are replaced
+	case 3: // the backends are replaced
 		if session != nil {
 			session.Backends = f.newBackends(name)
 		}
-	case 4: // no more heartbeats
+	case 4: // the heartbeats stop
 		delete(f.sessions, name)
 	case 5:
-		if f.random.IntN(6) == 0 { // a server restarts empty
+		if f.random.IntN(6) == 0 { // a server restarts with an empty directory
 			f.registries[f.random.IntN(2)] = f.newRegistry()
 		}
 	case 6:
@@ -237,7 +238,7 @@
 	return backends
 }
 
-// heartbeat delivers most sessions' heartbeats to the first server and, unless contact is lost, from it to the second.
+// heartbeat delivers the heartbeats of most sessions to the first server. Unless contact is lost, it forwards them to the second.
 func (f *faultRun) heartbeat() {
 	for _, session := range f.sessions {
 		session.Heartbeat++
@@ -255,8 +256,9 @@
 	}
 }
 
-// TestDeltasEqualSnapshots: whatever happens, a client that is updated by deltas holds exactly the version that it claims, every answer
-// that is delivered leads it to the newest one, and its directory equals that of a client that only gets complete ones.
+// TestDeltasEqualSnapshots: under random faults, the directory of a client that receives deltas is exactly the server's directory of
+// that version, each delivered response leads to the newest version, and the directory equals that of a client that receives only
+// complete ones.
 func TestDeltasEqualSnapshots(t *testing.T) {
 	sum := UpdateCounts{}
 	for seed := range uint64(24) {
@@ -272,7 +274,7 @@
 	}
 }
 
-// TestUncheckedDeltasAreDetected: clients that apply deltas without checking their base are found to have a wrong directory.
+// TestUncheckedDeltasAreDetected: the checks of this test detect clients that apply deltas without checking base and digest.
 func TestUncheckedDeltasAreDetected(t *testing.T) {
 	for seed := range uint64(20) {
 		if wrong, _ := runFaults(t, seed, true); wrong != "" {
@@ -280,11 +282,11 @@
 			return
 		}
 	}
-	t.Error("nothing was wrong in 20 seeds")
+	t.Error("no violation was detected in 20 seeds")
 }
 
-// TestRejectedDeltas: deltas that are damaged, cut short or made from another version change nothing. The complete directory is
-// requested and applied, and deltas again after it.
+// TestRejectedDeltas: deltas that are damaged, truncated or made from another version change nothing. The client then requests and
+// applies the complete directory, and applies deltas again after it.
 func TestRejectedDeltas(t *testing.T) {
 	for name, damage := range map[string]func(response *wire.RegistryPollResponse){
 		"a removed session is left out": func(response *wire.RegistryPollResponse) { response.DirectoryRemoved = nil },
@@ -314,7 +316,7 @@
 					response := registry.answer(pollRequest(client, false))
 					if damage != nil {
 						if !response.DirectoryIsDelta {
-							t.Fatalf("the answer is no delta: %v", response)
+							t.Fatalf("the response contains no delta: %v", response)
 						}
 						damage(response)
 					}
@@ -331,7 +333,7 @@
 				before := client.Directory()
 				change("proxy-3", "proxy-10", "proxy-4")
 				if err := poll(damage); err == nil || client.Directory() != before {
-					t.Errorf("applied: %v", err)
+					t.Errorf("the damaged delta was applied: %v", err)
 				}
 				if err := poll(nil); err != nil || client.UpdateCounts() != (UpdateCounts{Snapshots: 2, Rejected: 1}) {
 					t.Errorf("%v, %+v", err, client.UpdateCounts())
@@ -348,7 +350,8 @@
 	}
 }
 
-// TestOlderRegistry: a server of a release without deltas sends no digest. Its complete directories are applied, and requested again.
+// TestOlderRegistry: a server of a release without deltas sends no digest. The client applies its complete directories, and keeps
+// requesting complete ones.
 func TestOlderRegistry(t *testing.T) {
 	runProcess(t, 1, func(_ *world.World, process *world.Host) {
 		client := New(process, discovery.New(process, nil, nil), emptySession, nil)
