--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -11,20 +11,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// candidate is a version that was compiled and isn't adopted yet.
+// candidate is a compiled version that isn't adopted yet.
 type candidate struct {
 	snapshot  *config.Snapshot
 	resources *changes.Set
-	// changed is the number of resources in which it differs from the adopted version, zero for the first.
+	// changed is the number of resources that differ from the adopted version, zero for the first version.
 	changed int
 }
 
-// adopt adopts the version of a response to a poll that was sent at requestedAt, if it's newer, and takes the lease. It returns false if
-// the response can't be used: its version is older than the adopted one or can't be parsed.
+// adopt adopts the version in a response if it's newer, and extends the lease. requestedAt is when the poll was sent. It returns false
+// if the response is unusable: its version is older than the adopted one or can't be parsed.
 func (c *Client) adopt(response *wire.ConfigPollResponse, requestedAt monotonic.Micros) bool {
 	version, _ := c.Version()
 	if response.Primary && c.unconfirmedSince > 0 {
-		version = 0 // the unconfirmed version may never have been acknowledged, so that a lower one may be right
+		version = 0 // the unconfirmed version may never have been acknowledged, so a lower one may be the right one
 	}
 	if response.Version < version {
 		return false
@@ -51,7 +51,7 @@
 	return true
 }
 
-// applyDifference makes the version that a difference leads to. The adopted version isn't changed.
+// applyDifference returns the version that results from a difference. The adopted version isn't changed.
 func (c *Client) applyDifference(response *wire.ConfigPollResponse) (*candidate, error) {
 	if c.resources == nil {
 		return nil, changes.ErrBaseMismatch
@@ -84,9 +84,9 @@
 	})
 }
 
-// compileFull compiles a version from its full content, nil if that can't be parsed. The parts that don't differ from the adopted
-// version are shared with it, as they are for a difference. A configuration that isn't a set of resources is compiled on its own, and
-// the next version after it is requested in full.
+// compileFull compiles a version from its full content. It returns nil if that can't be parsed. Parts that are equal to those of the
+// adopted version are shared with it, as for a difference. A configuration that isn't a set of resources shares nothing, and the
+// version after it is requested in full.
 func (c *Client) compileFull(response *wire.ConfigPollResponse) *candidate {
 	state, fieldErrors := c.options.Parse(response.Content)
 	if len(fieldErrors) > 0 {
@@ -111,7 +111,7 @@
 	return next
 }
 
-// install makes a candidate the adopted version, takes the lease, and wakes the tasks in WaitForVersion.
+// install makes a candidate the adopted version, extends the lease, and wakes the tasks in WaitForVersion.
 func (c *Client) install(next *candidate, response *wire.ConfigPollResponse, requestedAt monotonic.Micros) {
 	isDifference := len(response.Difference) > 0
 	c.requestFull = false
@@ -143,26 +143,25 @@
 	})
 }
 
-// renewLease takes the lease of a response that brings no newer version.
+// renewLease extends the lease by a response without a newer version.
 func (c *Client) renewLease(response *wire.ConfigPollResponse, requestedAt monotonic.Micros) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.extendLease(response, requestedAt)
 }
 
-// extendLease takes the lease and the poll time of a response. A process that isn't the primary grants no lease. It must be called with
-// mu held.
+// extendLease applies the lease and the long-poll time of a response. Only a primary grants a lease. mu must be held.
 func (c *Client) extendLease(response *wire.ConfigPollResponse, requestedAt monotonic.Micros) {
 	c.longPoll = monotonic.Micros(response.LongPoll)
 	if response.Primary && c.snapshot != nil && !c.released {
 		c.leaseExpiry = max(c.leaseExpiry, requestedAt+monotonic.Micros(response.Lease))
-		c.keys.confirm(requestedAt)
-		c.lapseReported, c.keyLapseReported = false, false
+		c.keyLease.confirm(requestedAt)
+		c.expiryReported, c.keyExpiryReported = false, false
 	}
 }
 
-// Release ends the lease for good, and notifies the primary, so that no apply waits for the lease to expire. If the primary isn't
-// reached within the timeout, applies wait until it has expired.
+// Release ends the lease permanently and notifies the primary, so that apply calls don't wait for the lease to expire. If the primary
+// isn't reached within the timeout, they wait until the lease has expired.
 func (c *Client) Release(timeout monotonic.Micros) {
 	c.mu.Lock()
 	c.released, c.leaseExpiry = true, 0
@@ -175,25 +174,26 @@
 	_ = c.resolver.Call(leader, wire.Kind_config_poll, request, &wire.ConfigPollResponse{}, timeout)
 }
 
-// reportLapse reports once that the lease has ended, if serving needs one.
-func (c *Client) reportLapse() {
+// reportLeaseExpiry reports once that the lease has expired, if the proxy needs one to serve.
+func (c *Client) reportLeaseExpiry() {
 	c.mu.Lock()
-	lapsed := c.snapshot != nil && !c.options.ServeStale && c.host.Now() >= c.leaseExpiry && !c.lapseReported
-	c.lapseReported = c.lapseReported || lapsed
+	expired := c.snapshot != nil && !c.options.ServeStale && c.host.Now() >= c.leaseExpiry && !c.expiryReported
+	c.expiryReported = c.expiryReported || expired
 	c.mu.Unlock()
-	if lapsed {
+	if expired {
 		c.host.Report(eventlog.ConfigLeaseExpired, eventlog.Attributes{})
 	}
 }
 
-// reportKeyLapse reports once that the lease on tenants' keys has ended, if the adopted version has tenants and they need a lease.
-func (c *Client) reportKeyLapse() {
+// reportKeyLeaseExpiry reports once that the lease on tenants' keys has expired, if the adopted version has tenants and their keys need
+// a lease.
+func (c *Client) reportKeyLeaseExpiry() {
 	remaining, limited := c.KeyLease()
 	c.mu.Lock()
-	lapsed := limited && remaining <= 0 && c.keys.confirmed && c.snapshot.HasTenants() && !c.keyLapseReported
-	c.keyLapseReported = c.keyLapseReported || lapsed
+	expired := limited && remaining <= 0 && c.keyLease.confirmed && c.snapshot.HasTenants() && !c.keyExpiryReported
+	c.keyExpiryReported = c.keyExpiryReported || expired
 	c.mu.Unlock()
-	if lapsed {
+	if expired {
 		c.host.Report(eventlog.KeyLeaseExpired, eventlog.Attributes{})
 	}
 }
--- a/internal/proxy/configclient/client_test.go
+++ b/internal/proxy/configclient/client_test.go
@@ -20,32 +20,32 @@
 	longPoll     = 200 * monotonic.Millisecond
 )
 
-// fixture is a simulated configuration store whose answers a test sets, and a proxy that follows it.
+// fixture is a simulated configuration store, whose responses are set by the test, and a proxy that polls it.
 type fixture struct {
 	t      *testing.T
 	world  *world.World
 	store  *world.Node
 	proxy  *world.Host
 	client *configclient.Client
-	// resolver is the proxy's.
+	// resolver belongs to the proxy.
 	resolver *discovery.Resolver
-	// answer returns the store's answer to a poll.
+	// answer returns the store's response to a poll.
 	answer func(request *wire.ConfigPollRequest) *wire.ConfigPollResponse
-	polls  []*wire.ConfigPollRequest
+	polls  []*wire.ConfigPollRequest // that the store received
 }
 
-// newFixture starts a store that is primary and has a version, and a proxy.
+// newFixture starts a proxy, and a store that is the primary and has the given version.
 func newFixture(t *testing.T, version uint64, serveStale bool) *fixture {
 	t.Helper()
 	return newLeasedFixture(t, version, serveStale, 0)
 }
 
-// newLeasedFixture is newFixture with a lease on tenants' keys.
+// newLeasedFixture is like newFixture, with a lease on tenants' keys.
 func newLeasedFixture(t *testing.T, version uint64, serveStale bool, keyLease monotonic.Micros) *fixture {
 	t.Helper()
 	f := &fixture{t: t, world: world.New(1)}
 	t.Cleanup(f.world.Close)
-	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(version) }
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryResponse(version) }
 	f.store = f.world.Add("store", storeAddress, "machine", f.startStore)
 	f.world.Start(f.store)
 	f.world.Start(f.world.Add("proxy", "proxy", "proxy", func(h *world.Host) (host.Handlers, error) {
@@ -76,7 +76,7 @@
 
 func (f *fixture) run(duration monotonic.Micros) { f.world.Run(f.world.Now() + duration) }
 
-// check compares the adopted version and whether it may be served by.
+// check compares the adopted version, and whether the proxy may serve from it, with the expected ones.
 func (f *fixture) check(when string, version uint64, live bool) {
 	f.t.Helper()
 	adopted, _ := f.client.Version()
@@ -87,17 +87,16 @@
 
 func (f *fixture) lastPoll() *wire.ConfigPollRequest { return f.polls[len(f.polls)-1] }
 
-// contentOf returns a valid configuration that differs for each version.
+// contentOf returns a valid configuration with different content for each version.
 func contentOf(version uint64) []byte {
 	return fmt.Appendf(nil, `{"note":"%d","groups":[{"name":"g","services":[{"name":"a","paths":[{"method":"GET","prefix":"/%d","class":"read"}]}]}]}`, version, version)
 }
 
-func primaryWith(version uint64) *wire.ConfigPollResponse {
+func primaryResponse(version uint64) *wire.ConfigPollResponse {
 	return &wire.ConfigPollResponse{Primary: true, Epoch: 1, Version: version, Content: contentOf(version), Lease: int64(lease), LongPoll: int64(longPoll)}
 }
 
-// TestLease checks that a proxy that loses contact serves until its lease ends, or with ServeStale until it receives a newer
-// version.
+// TestLease checks that a proxy that loses contact serves until its lease expires, or with ServeStale until it receives a newer version.
 func TestLease(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -119,8 +118,8 @@
 	}
 }
 
-// TestKeyLease guards against keys that are relied on without contact: the lease on them counts from before the poll that a primary
-// answered with the adopted version, whatever else is answered meanwhile.
+// TestKeyLease guards against keys that are relied on without contact to a primary. The lease on them counts from before the last poll
+// to which a primary responded with the adopted version; no other response extends it.
 func TestKeyLease(t *testing.T) {
 	const keyLease = 4 * monotonic.Second
 	for name, test := range map[string]struct {
@@ -130,14 +129,14 @@
 		"not the primary": {func(*wire.ConfigPollRequest) *wire.ConfigPollResponse {
 			return &wire.ConfigPollResponse{Version: 9, Content: contentOf(9), Lease: int64(lease), LongPoll: int64(longPoll)}
 		}},
-		"an older version": {func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(4) }},
+		"an older version": {func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryResponse(4) }},
 		"a newer one that can't be read": {func(*wire.ConfigPollRequest) *wire.ConfigPollResponse {
-			response := primaryWith(6)
+			response := primaryResponse(6)
 			response.Content = []byte("{")
 			return response
 		}},
 		"a difference that doesn't apply": {func(*wire.ConfigPollRequest) *wire.ConfigPollResponse {
-			response := primaryWith(6)
+			response := primaryResponse(6)
 			response.Content, response.Difference = nil, []byte("no difference")
 			return response
 		}},
@@ -147,26 +146,26 @@
 			f.run(2 * monotonic.Second)
 			f.check("in contact", 5, true)
 			if remaining, limited := f.client.KeyLease(); !limited || remaining <= keyLease-2*longPoll || remaining > keyLease {
-				t.Fatalf("%d us are left in contact", remaining)
+				t.Fatalf("%d us of the key lease remain while in contact", remaining)
 			}
 			if f.answer = test.answer; test.answer == nil {
 				f.world.Kill(f.store)
 			}
 			f.run(keyLease - 2*longPoll)
 			if remaining, _ := f.client.KeyLease(); remaining <= 0 || remaining > 2*longPoll {
-				t.Errorf("%d us are left shortly before the end", remaining)
+				t.Errorf("%d us of the key lease remain shortly before its end", remaining)
 			}
 			f.run(2 * longPoll)
 			if remaining, limited := f.client.KeyLease(); remaining != 0 || !limited {
-				t.Errorf("%d us are left after the end", remaining)
+				t.Errorf("%d us of the key lease remain after its end", remaining)
 			}
 			f.check("out of contact", 5, true)
 		})
 	}
 }
 
-// TestSupersededPollIsAbandoned guards against a proxy that waits for the answer of a primary which was cut off, though it knows the
-// next one: a version is then adopted seconds after its acknowledgement.
+// TestSupersededPollIsAbandoned guards against a proxy that waits for the response of a primary that is cut off, although it knows the
+// next primary. It would then adopt a version seconds after its acknowledgement.
 func TestSupersededPollIsAbandoned(t *testing.T) {
 	for name, abandon := range map[string]bool{"abandoned": true, "waited for": false} {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +174,7 @@
 				resolver := discovery.New(h, &wire.PeerAddress{Name: "next", Address: "next:store", Group: group}, nil)
 				handlers := host.Handlers{}
 				resolver.Register(handlers)
-				host.Handle(handlers, wire.Kind_config_poll, func(*wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) { return primaryWith(2), nil })
+				host.Handle(handlers, wire.Kind_config_poll, func(*wire.ConfigPollRequest) (*wire.ConfigPollResponse, error) { return primaryResponse(2), nil })
 				return handlers, nil
 			}))
 			f.run(2 * monotonic.Second)
@@ -199,12 +198,12 @@
 	}
 }
 
-// TestVersionsNeverFall checks that an older version of the primary isn't adopted.
+// TestVersionsNeverFall checks that a version of the primary that is older than the adopted one isn't adopted.
 func TestVersionsNeverFall(t *testing.T) {
 	f := newFixture(t, 5, false)
 	f.run(2 * monotonic.Second)
 	f.check("at first", 5, true)
-	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(4) }
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryResponse(4) }
 	f.run(2 * monotonic.Second)
 	f.check("after an older one", 5, true)
 	f.run(lease)
@@ -217,7 +216,7 @@
 	f := newFixture(t, 1, false)
 	f.run(2 * monotonic.Second)
 	f.answer = func(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
-		response := primaryWith(2)
+		response := primaryResponse(2)
 		if !request.Full {
 			response.Content, response.Difference = nil, []byte("no difference")
 		}
@@ -233,8 +232,8 @@
 	}
 }
 
-// TestUnconfirmedVersion checks that a proxy without a version takes that of a store that isn't the primary, but serves by it only
-// once a primary has been looked for, and that any version of a primary replaces it.
+// TestUnconfirmedVersion checks that a proxy without a version adopts that of a store that isn't the primary, but serves from it only
+// after it has looked for a primary until unconfirmedTimeout, and that any version of a primary replaces it.
 func TestUnconfirmedVersion(t *testing.T) {
 	f := newFixture(t, 0, true)
 	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse {
@@ -247,12 +246,12 @@
 	if poll := f.lastPoll(); poll.CurrentVersion != 0 {
 		t.Errorf("a poll reports the unconfirmed version: %v", poll)
 	}
-	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(3) }
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryResponse(3) }
 	f.run(2 * monotonic.Second)
 	f.check("after the primary's", 3, true)
 }
 
-// TestRelease checks that a released lease is reported, and isn't renewed by later answers.
+// TestRelease checks that the proxy notifies the primary of the released lease, and that later responses don't renew it.
 func TestRelease(t *testing.T) {
 	f := newFixture(t, 1, false)
 	f.run(2 * monotonic.Second)
@@ -271,7 +270,7 @@
 	f.check("after the release", 1, false)
 }
 
-// TestWaitForVersion checks that a waiter is woken by the adoption of its version, and not before.
+// TestWaitForVersion checks that WaitForVersion returns when its version is adopted or at its timeout, and not before.
 func TestWaitForVersion(t *testing.T) {
 	f := newFixture(t, 1, false)
 	f.run(2 * monotonic.Second)
@@ -280,12 +279,12 @@
 	f.proxy.Go(func() { missed, done = !f.client.WaitForVersion(3, 2*monotonic.Second), true })
 	f.run(monotonic.Second)
 	if reached || done {
-		t.Fatal("a wait has ended early")
+		t.Fatal("a wait ended too early")
 	}
-	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryWith(2) }
+	f.answer = func(*wire.ConfigPollRequest) *wire.ConfigPollResponse { return primaryResponse(2) }
 	f.run(monotonic.Second / 2)
 	if !reached {
-		t.Error("the wait for an adopted version goes on")
+		t.Error("the wait for an adopted version didn't end")
 	}
 	f.run(monotonic.Second)
 	if !missed {
--- a/internal/proxy/configclient/key_lease_search_test.go
+++ b/internal/proxy/configclient/key_lease_search_test.go
@@ -6,29 +6,31 @@
 	"snowflow/internal/monotonic"
 )
 
-// The revocation search is a model checker. It explores one proxy that polls two configuration stores, of which one at a time has a
-// lease as primary, while an operator takes a tenant's key away. Polls and answers are delayed and lost, the proxy is cut off, frozen
-// (it does nothing while time passes) and restarted, its clock steps back, and the other store becomes primary.
+// The revocation search is a model checker. It explores one proxy that polls two configuration stores, of which at most one has a lease
+// as primary, while an operator revokes a tenant's key. Polls and responses are delayed and lost, the proxy is cut off, frozen (it does
+// nothing while time passes) and restarted, its clock steps back, and the other store becomes primary.
 //
-// Checked: no request by that key runs that is sent later than a revocation may take after its acknowledgement.
+// It checks that no request with that key runs if it is sent more than modelRevocationTicks after the revocation is acknowledged.
 //
-// Left out: that no two stores have a lease at once and that a new primary knows every acknowledged version, which the searches of
-// package consensus and package replication check; the proxy beside the backend, since a request is sent before its key is judged.
+// Not covered: that no two stores have a lease at once and that a new primary knows every acknowledged version, which the searches of
+// package consensus and package replication check; the proxy beside the backend, because a request is sent before its key is checked.
 
 const (
 	modelStores = 2
-	// modelRevocationTicks is how long a revocation may take, and modelKeyLeaseTicks the lease that leaves a margin.
+	// modelRevocationTicks is how long a revocation may take to become effective. modelKeyLeaseTicks is the length of the key lease,
+	// which is shorter by a margin.
 	modelRevocationTicks = 4
 	modelKeyLeaseTicks   = 3
-	modelPrimaryTicks    = 2
-	modelRestarts        = 2
-	modelElections       = 2
-	// modelNow is the time in each state: instead of the clock, recorded times move. Those more than modelPast ago count alike.
-	modelNow  = 100
-	modelPast = 2 * modelRevocationTicks
+	modelPrimaryTicks    = 2 // length of the primary's lease
+	modelRestarts        = 2 // maximum number of restarts of the proxy
+	modelElections       = 2 // maximum number of elections
+	// modelNow is the current time in every state: a tick decreases the recorded times instead. Times more than modelHorizon before it
+	// are not distinguished.
+	modelNow     = 100
+	modelHorizon = 2 * modelRevocationTicks
 )
 
-// pollStage is where the proxy's poll is.
+// pollStage is the state of the proxy's poll.
 type pollStage uint8
 
 const (
@@ -37,41 +39,41 @@
 	pollAnswered
 )
 
-// revocationState is one state of the model. It is the key of a map.
+// revocationState is one state of the model. It is used as a map key.
 type revocationState struct {
-	primary      uint8 // the store that was elected last
-	primaryLease uint8 // what remains of its lease
-	knows        [modelStores]bool
-	acknowledged bool
-	sinceAck     uint8 // ticks, up to modelPast
+	primary      uint8             // the store that was elected last
+	primaryLease uint8             // remaining ticks of its lease
+	knows        [modelStores]bool // whether each store has the version without the key
+	acknowledged bool              // whether the revocation is acknowledged
+	sinceAck     uint8             // ticks since the acknowledgement, at most modelHorizon
 
 	// The proxy's memory.
-	keys       keyLease // the real one
-	hasAdopted bool     // a version, and with revoked the one without the key
-	revoked    bool
-	wentBack   bool // its clock did, as it knows
+	keyLease   keyLease // the type under test
+	hasAdopted bool     // the proxy has adopted a version
+	revoked    bool     // that version is the one without the key
+	wentBack   bool     // the proxy has detected that its clock went back
 
 	stage         pollStage
 	requestedAt   monotonic.Micros
-	answerRevoked bool // the answer's version is the one without the key
-	answerPrimary bool // a primary answered
+	answerRevoked bool // the response has the version without the key
+	answerPrimary bool // the response is from a primary
 
 	restarts, elections uint8
-	stepped             bool
-	lapsed              bool // a request was rejected for want of a lease, so the search covers that rule
+	clockStepped        bool
+	leaseExpired        bool // a request was rejected because the lease had expired, so the search covers that rule
 }
 
-// revocationDefects are rules that may be left out, to show that the search detects it.
+// revocationDefects selects rules that are left out, to show that the search detects it.
 type revocationDefects struct {
-	noLease       bool // keys are relied on for good
-	fromAnswer    bool // the lease counts from the answer in place of the poll
-	anyStore      bool // the answer of a store that isn't the primary confirms too
-	unnoticedStep bool // a clock that went back isn't noticed
-	electedAtOnce bool // a primary is elected while the former has a lease
+	noLease       bool // keys are valid forever
+	fromAnswer    bool // the lease counts from the response instead of the poll
+	anyStore      bool // a response of a store that isn't the primary also confirms the version
+	unnoticedStep bool // the proxy doesn't detect that its clock went back
+	electedAtOnce bool // a primary is elected while the former primary still has a lease
 	leaseTooLong  bool // the lease is longer than a revocation may take
 }
 
-// next visits every state that may follow, and whether a request ran that must not have on the way.
+// next visits every state that may follow. violated is true if a request with the revoked key ran too late in that transition.
 func (s revocationState) next(defects revocationDefects, visit func(next revocationState, violated bool)) {
 	visit(s.tick(), false)
 	s.changeStores(defects, visit)
@@ -80,18 +82,18 @@
 	s.sendRequest(defects, visit)
 }
 
-// tick lets time pass alike for all.
+// tick advances the time of all processes by one tick.
 func (s revocationState) tick() revocationState {
 	s.primaryLease = max(s.primaryLease, 1) - 1
 	if s.acknowledged {
-		s.sinceAck = min(s.sinceAck+1, modelPast)
+		s.sinceAck = min(s.sinceAck+1, modelHorizon)
 	}
-	s.keys.confirmedAt = max(s.keys.confirmedAt-1, modelNow-modelPast)
-	s.requestedAt = max(s.requestedAt-1, modelNow-modelPast)
+	s.keyLease.confirmedAt = max(s.keyLease.confirmedAt-1, modelNow-modelHorizon)
+	s.requestedAt = max(s.requestedAt-1, modelNow-modelHorizon)
 	return s
 }
 
-// changeStores renews the primary's lease, elects a primary, or has it acknowledge the revocation.
+// changeStores renews the primary's lease, acknowledges the revocation at the primary, or elects the other store.
 func (s revocationState) changeStores(defects revocationDefects, visit func(next revocationState, violated bool)) {
 	if s.primaryLease > 0 {
 		renewed := s
@@ -108,12 +110,12 @@
 		elected.elections++
 		elected.primary = (s.primary + 1) % modelStores
 		elected.primaryLease = modelPrimaryTicks
-		elected.knows[elected.primary] = s.acknowledged // it has read what a majority has
+		elected.knows[elected.primary] = s.acknowledged // a new primary reads the versions that a majority has
 		visit(elected, false)
 	}
 }
 
-// poll sends a poll, has one of the stores answer it, or delivers or loses the answer.
+// poll sends a poll, lets one of the stores respond, delivers the response, or loses the poll or the response.
 func (s revocationState) poll(defects revocationDefects, visit func(next revocationState, violated bool)) {
 	switch s.stage {
 	case noPoll:
@@ -137,7 +139,7 @@
 	}
 }
 
-// receive has the proxy take the answer to its poll.
+// receive delivers the response to the proxy's poll.
 func (s revocationState) receive(defects revocationDefects) revocationState {
 	if s.answerPrimary || defects.anyStore {
 		s.hasAdopted, s.revoked = true, s.revoked || s.answerRevoked
@@ -145,52 +147,52 @@
 		if defects.fromAnswer {
 			requestedAt = modelNow
 		}
-		s.keys.confirm(requestedAt)
+		s.keyLease.confirm(requestedAt)
 	}
 	s.forgetPoll()
 	return s
 }
 
 func (s *revocationState) forgetPoll() {
-	s.stage, s.requestedAt, s.answerRevoked, s.answerPrimary = noPoll, modelNow-modelPast, false, false
+	s.stage, s.requestedAt, s.answerRevoked, s.answerPrimary = noPoll, modelNow-modelHorizon, false, false
 }
 
-// disturbProxy restarts the proxy or steps its clock back. The watch of the clock notices a step.
+// disturbProxy restarts the proxy or steps its clock back. The clock watcher detects the step.
 func (s revocationState) disturbProxy(defects revocationDefects, visit func(next revocationState, violated bool)) {
 	if s.restarts < modelRestarts {
 		restarted := s
 		restarted.restarts++
-		restarted.keys = keyLease{length: s.keys.length}
+		restarted.keyLease = keyLease{length: s.keyLease.length}
 		restarted.hasAdopted, restarted.revoked, restarted.wentBack = false, false, false
 		restarted.forgetPoll()
 		visit(restarted, false)
 	}
-	if !s.stepped {
+	if !s.clockStepped {
 		stepped := s
-		stepped.stepped, stepped.wentBack = true, !defects.unnoticedStep
-		stepped.keys.confirmedAt = min(s.keys.confirmedAt+modelRevocationTicks, modelNow)
+		stepped.clockStepped, stepped.wentBack = true, !defects.unnoticedStep
+		stepped.keyLease.confirmedAt = min(s.keyLease.confirmedAt+modelRevocationTicks, modelNow)
 		visit(stepped, false)
 	}
 }
 
-// sendRequest has a client send a request by the key right now.
+// sendRequest sends a client's request with the key at the current time.
 func (s revocationState) sendRequest(defects revocationDefects, visit func(next revocationState, violated bool)) {
 	if !s.hasAdopted || s.revoked {
-		return // rejected, as by a version without the key
+		return // rejected: there is no version, or it is the one without the key
 	}
-	if !defects.noLease && (s.wentBack || s.keys.remaining(modelNow) == 0) {
-		s.lapsed = true
+	if !defects.noLease && (s.wentBack || s.keyLease.remaining(modelNow) == 0) {
+		s.leaseExpired = true
 		visit(s, false)
 		return
 	}
 	visit(s, s.acknowledged && s.sinceAck > modelRevocationTicks)
 }
 
-// searchRevocations explores every state.
-func searchRevocations(defects revocationDefects) (states int, lapsed, violated bool) {
-	start := revocationState{primaryLease: modelPrimaryTicks, keys: keyLease{length: modelKeyLeaseTicks}}
+// searchRevocations explores every reachable state until a violation is found.
+func searchRevocations(defects revocationDefects) (states int, leaseExpired, violated bool) {
+	start := revocationState{primaryLease: modelPrimaryTicks, keyLease: keyLease{length: modelKeyLeaseTicks}}
 	if defects.leaseTooLong {
-		start.keys.length = modelRevocationTicks + 2
+		start.keyLease.length = modelRevocationTicks + 2
 	}
 	start.forgetPoll()
 	seen, frontier := map[revocationState]struct{}{start: {}}, []revocationState{start}
@@ -198,18 +200,18 @@
 		state := frontier[len(frontier)-1]
 		frontier = frontier[:len(frontier)-1]
 		state.next(defects, func(next revocationState, violatedHere bool) {
-			violated, lapsed = violated || violatedHere, lapsed || next.lapsed
+			violated, leaseExpired = violated || violatedHere, leaseExpired || next.leaseExpired
 			if _, known := seen[next]; !known && !violated {
 				seen[next] = struct{}{}
 				frontier = append(frontier, next)
 			}
 		})
 	}
-	return len(seen), lapsed, violated
+	return len(seen), leaseExpired, violated
 }
 
-// TestRevocationSearch explores every order of events: with the rules as they are no key is relied on for too long, though leases
-// end; with each rule left out the search detects it.
+// TestRevocationSearch explores every order of events. With all rules in place no key is relied on for too long, and some leases
+// expire; if one rule is left out, the search detects a violation.
 func TestRevocationSearch(t *testing.T) {
 	for name, test := range map[string]struct {
 		defects  revocationDefects
@@ -224,13 +226,13 @@
 		"the lease is too long":                        {revocationDefects{leaseTooLong: true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			states, lapsed, violated := searchRevocations(test.defects)
-			t.Logf("%d states, a lease ended %v, a key relied on for too long %v", states, lapsed, violated)
+			states, leaseExpired, violated := searchRevocations(test.defects)
+			t.Logf("%d states; a lease expired: %v; a key was relied on for too long: %v", states, leaseExpired, violated)
 			if violated != test.violated {
 				t.Errorf("a key was relied on for too long: %v", violated)
 			}
-			if !lapsed && !violated {
-				t.Error("no lease ever ended")
+			if !leaseExpired && !violated {
+				t.Error("no lease expired")
 			}
 		})
 	}
--- a/internal/proxy/configclient/pending.go
+++ b/internal/proxy/configclient/pending.go
@@ -7,16 +7,16 @@
 	"snowflow/internal/transport/wire"
 )
 
-// SupersededCheckInterval is how often AbandonSuperseded is to be called.
+// SupersededCheckInterval is the interval at which AbandonSuperseded should be called.
 const SupersededCheckInterval = 200 * monotonic.Millisecond
 
-// pendingPoll is a poll whose response hasn't come yet. Client.mu guards it.
+// pendingPoll is a poll that waits for its response. Client.mu guards it.
 type pendingPoll struct {
 	target   string // empty if no poll is pending
 	finished host.Signal
 }
 
-// callPending sends a poll and waits for its response, or until the poll is abandoned. The response is nil then, and after an error.
+// callPending sends a poll and waits until it is answered or abandoned. It returns nil if the poll was abandoned or failed.
 func (c *Client) callPending(target string, request *wire.ConfigPollRequest, timeout monotonic.Micros) *wire.ConfigPollResponse {
 	finished := c.host.NewSignal()
 	c.setPending(pendingPoll{target: target, finished: finished})
@@ -38,7 +38,7 @@
 	return received.response
 }
 
-// pollResult is what a poll gives. Client.mu guards it.
+// pollResult holds the response to a poll, nil if there is none. Client.mu guards it.
 type pollResult struct{ response *wire.ConfigPollResponse }
 
 func (c *Client) setPending(pending pendingPoll) {
@@ -47,20 +47,21 @@
 	c.pending = pending
 }
 
-// AbandonSuperseded ends a poll that waits for another process than the primary known by now: one that was cut off answers only after
-// the poll's timeout, which allows for the transfer of a long content. It must be called regularly, and doesn't block.
+// AbandonSuperseded ends the pending poll if it was sent to a process that is no longer the known primary. Otherwise the client would
+// wait for a process that is cut off until the poll's timeout, which allows for the transfer of a long content. It must be called
+// regularly and doesn't block.
 func (c *Client) AbandonSuperseded() {
 	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
 	c.mu.Lock()
 	pending := c.pending
 	c.mu.Unlock()
-	if pending.target != "" && leader != "" && leader != pending.target && c.hasVersion() {
+	if pending.target != "" && leader != "" && leader != pending.target && c.hasConfirmedVersion() {
 		pending.finished.Fire()
 	}
 }
 
-// hasVersion reports whether a version of a primary has been adopted. Before, polls go to other processes too.
-func (c *Client) hasVersion() bool {
+// hasConfirmedVersion reports whether a version of a primary has been adopted. Until then, polls go to other processes too.
+func (c *Client) hasConfirmedVersion() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshot != nil && c.unconfirmedSince == 0
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// minRetryDelay is the least time before a failed poll is repeated. A random time of up to the same length is added.
+	// minRetryDelay is the minimum delay before a failed poll is retried. A random jitter of up to the same length is added.
 	minRetryDelay = 100 * monotonic.Millisecond
-	// pingTimeout is how long a configuration store that wasn't reached may take to answer a ping.
+	// pingTimeout is how long a configuration store may take to respond to a ping, which is sent after a failed poll.
 	pingTimeout = 500 * monotonic.Millisecond
-	// transferTimeout is what the response to a poll may take beyond the time the poll stays open: a long content on a slow link.
+	// transferTimeout is added to the time for which a poll stays open, to allow for the transfer of a long content on a slow link.
 	transferTimeout = 1500 * monotonic.Millisecond
-	// minLongPoll is the least time that the client allows a poll to stay open, whatever the primary's last response set.
+	// minLongPoll is the minimum time for which the client lets a poll stay open, even if the primary's last response set a shorter one.
 	minLongPoll = monotonic.Second
 )
 
-var errTooLong = errors.New("configclient: the content exceeds the limit of configurations")
+var errTooLong = errors.New("configclient: the content exceeds the size limit of configurations")
 
-// Run polls until the process ends. Each adoption is reported by the next poll, which is sent at once.
+// Run polls until the process ends. The next poll after an adoption is sent at once, to report the adopted version.
 func (c *Client) Run() {
 	first := true
 	for {
@@ -36,13 +36,14 @@
 		}
 		first = true
 		c.host.Sleep(minRetryDelay + monotonic.Micros(c.host.Random()%uint64(minRetryDelay)))
-		c.reportLapse()
-		c.reportKeyLapse()
+		c.reportLeaseExpiry()
+		c.reportKeyLeaseExpiry()
 	}
 }
 
-// poll sends one poll and adopts the version in its response. First is set for the first poll after a failed one, whose response
-// doesn't wait for a newer version. It returns false if no primary has responded or the response can't be used.
+// poll sends one poll and adopts the version in its response. first is set for the first poll of the process and the first after a
+// failed one, to which the store responds without waiting for a newer version. It returns false if no primary responded or the
+// response is unusable.
 func (c *Client) poll(first bool) bool {
 	current := c.confirmedVersion()
 	target := c.pollTarget(current)
@@ -70,7 +71,8 @@
 	return c.adopt(response, requestedAt)
 }
 
-// confirmedVersion returns the adopted version, zero if there is none or it is unconfirmed: the primary then sends its own version.
+// confirmedVersion returns the adopted version, or zero, which makes the primary send its version, if there is none or it is
+// unconfirmed.
 func (c *Client) confirmedVersion() uint64 {
 	if c.unconfirmedSince > 0 {
 		return 0
@@ -79,8 +81,8 @@
 	return version
 }
 
-// adoptUnconfirmed adopts the version of a configuration store that isn't the primary, without a lease. It does so only with
-// ServeStale, if the version is newer than the adopted one and no version of a primary has been adopted.
+// adoptUnconfirmed adopts the version of a configuration store that isn't the primary, without a lease. It requires ServeStale, that
+// no version of a primary has been adopted, and that the version is newer than the adopted one.
 func (c *Client) adoptUnconfirmed(response *wire.ConfigPollResponse) {
 	version, _ := c.Version()
 	if c.options.ServeStale && c.confirmedVersion() == 0 && response.Version > version {
@@ -88,7 +90,7 @@
 	}
 }
 
-// pollRequest returns a poll that names the version to which the response is to be a difference, zero to get the full content.
+// pollRequest returns a poll. current is the version from which the response may be a difference; zero requests the full content.
 func (c *Client) pollRequest(current uint64, first bool) *wire.ConfigPollRequest {
 	request := &wire.ConfigPollRequest{
 		Proxy:             c.options.Proxy,
@@ -104,33 +106,33 @@
 	return request
 }
 
-// pollTimeout returns the timeout of a poll: the time for which the primary may leave it open, and the time of the transfer.
+// pollTimeout returns the timeout of a poll: the time for which the primary may keep it open plus transferTimeout.
 func (c *Client) pollTimeout() monotonic.Micros {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(c.longPoll, minLongPoll) + transferTimeout
 }
 
-// pollTarget returns the configuration store to poll, empty if none is known. That is the primary. While the proxy has no version
-// of a primary and may serve stale, every second poll goes to the next of all configuration stores instead.
+// pollTarget returns the configuration store to poll, empty if none is known: usually the primary. If ServeStale is set and no version
+// of a primary has been adopted, every second poll goes to one of all configuration stores in turn instead.
 func (c *Client) pollTarget(current uint64) string {
 	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
 	if current > 0 || !c.options.ServeStale {
 		return leader
 	}
-	c.emptyPolls++
-	if leader != "" && c.emptyPolls%2 == 1 {
+	c.pollsWithoutVersion++
+	if leader != "" && c.pollsWithoutVersion%2 == 1 {
 		return leader
 	}
 	if members := c.resolver.Members(discovery.ConfigStoreGroup); len(members) > 0 {
-		return members[c.emptyPolls/2%len(members)]
+		return members[c.pollsWithoutVersion/2%len(members)]
 	}
 	return leader
 }
 
-// ping reports whether a configuration store responds. It's sent before the first poll after a failed one, because the timeout of a
-// poll allows for the transfer of a long content: without the ping, a proxy that was partitioned would wait that long for a store
-// that is still unreachable.
+// ping reports whether a configuration store responds. The client sends it before the first poll after a failed one: without it, a
+// partitioned proxy would wait for a store that is still unreachable until the timeout of a poll, which allows for the transfer of a
+// long content.
 func (c *Client) ping(target string) bool {
 	response := &wire.DiscoverResponse{}
 	if c.resolver.Call(target, wire.Kind_discover, &wire.DiscoverRequest{}, response, pingTimeout) != nil {
@@ -140,7 +142,7 @@
 	return true
 }
 
-// decompress replaces a compressed content by the plain one. No content is longer than the configuration stores accept.
+// decompress decompresses the content of a response. It fails if the content is longer than configuration stores accept.
 func decompress(response *wire.ConfigPollResponse) error {
 	if len(response.Compressed) == 0 {
 		return nil
