--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -155,7 +155,7 @@
 	c.longPoll = monotonic.Micros(response.LongPoll)
 	if response.Primary && c.snapshot != nil && !c.released {
 		c.leaseExpiry = max(c.leaseExpiry, requestedAt+monotonic.Micros(response.Lease))
-		c.keyLease.confirm(requestedAt)
+		c.tenantKeyLease.confirm(requestedAt)
 		c.expiryReported, c.keyExpiryReported = false, false
 	}
 }
@@ -190,7 +190,7 @@
 func (c *Client) reportKeyLeaseExpiry() {
 	remaining, limited := c.KeyLease()
 	c.mu.Lock()
-	expired := limited && remaining <= 0 && c.keyLease.confirmed && c.snapshot.HasTenants() && !c.keyExpiryReported
+	expired := limited && remaining <= 0 && c.tenantKeyLease.confirmed && c.snapshot.HasTenants() && !c.keyExpiryReported
 	c.keyExpiryReported = c.keyExpiryReported || expired
 	c.mu.Unlock()
 	if expired {
--- a/internal/proxy/configclient/client.go
+++ b/internal/proxy/configclient/client.go
@@ -60,8 +60,8 @@
 	unconfirmedSince monotonic.Micros
 	// leaseExpiry is the end of the lease, counted from before the poll that granted it.
 	leaseExpiry monotonic.Micros
-	// keyLease is the lease on the tenants' keys of the adopted version.
-	keyLease keyLease
+	// tenantKeyLease is the lease on the tenants' keys of the adopted version.
+	tenantKeyLease keyLease
 	// expiryReported is set once the expiry of the current lease has been reported.
 	expiryReported bool
 	// keyExpiryReported is set once the expiry of the current lease on tenants' keys has been reported.
@@ -93,7 +93,7 @@
 	if options.Parse == nil {
 		options.Parse = config.ParseAccepted
 	}
-	return &Client{options: options, host: options.Host, resolver: options.Resolver, keyLease: keyLease{length: options.KeyLease}}
+	return &Client{options: options, host: options.Host, resolver: options.Resolver, tenantKeyLease: keyLease{length: options.KeyLease}}
 }
 
 // IgnoreLease lets the proxy serve without a lease. Tests use it as a deliberate fault that their checks must detect; no program
@@ -134,7 +134,7 @@
 	if c.released || c.options.ClockWatch.WentBack() {
 		return 0, true
 	}
-	return c.keyLease.remaining(c.host.Now()), true
+	return c.tenantKeyLease.remaining(c.host.Now()), true
 }
 
 // InContact reports whether a primary recently confirmed the adopted version as the newest, so that a key that isn't in it belongs to
@@ -142,7 +142,7 @@
 func (c *Client) InContact() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.keyLease.confirmed && c.host.Now() < c.leaseExpiry && !c.options.ClockWatch.WentBack()
+	return c.tenantKeyLease.confirmed && c.host.Now() < c.leaseExpiry && !c.options.ClockWatch.WentBack()
 }
 
 // Version returns the adopted version and the time since its adoption. Both are zero before the first.
--- a/internal/proxy/configclient/key_lease_search_test.go
+++ b/internal/proxy/configclient/key_lease_search_test.go
@@ -48,10 +48,10 @@
 	sinceAck     uint8             // ticks since the acknowledgement, at most modelHorizon
 
 	// The proxy's memory.
-	keyLease   keyLease // the type under test
-	hasAdopted bool     // the proxy has adopted a version
-	revoked    bool     // that version is the one without the key
-	wentBack   bool     // the proxy has detected that its clock went back
+	tenantKeyLease keyLease // the type under test
+	hasAdopted     bool     // the proxy has adopted a version
+	revoked        bool     // that version is the one without the key
+	wentBack       bool     // the proxy has detected that its clock went back
 
 	stage         pollStage
 	requestedAt   monotonic.Micros
@@ -88,7 +88,7 @@
 	if s.acknowledged {
 		s.sinceAck = min(s.sinceAck+1, modelHorizon)
 	}
-	s.keyLease.confirmedAt = max(s.keyLease.confirmedAt-1, modelNow-modelHorizon)
+	s.tenantKeyLease.confirmedAt = max(s.tenantKeyLease.confirmedAt-1, modelNow-modelHorizon)
 	s.requestedAt = max(s.requestedAt-1, modelNow-modelHorizon)
 	return s
 }
@@ -147,7 +147,7 @@
 		if defects.fromAnswer {
 			requestedAt = modelNow
 		}
-		s.keyLease.confirm(requestedAt)
+		s.tenantKeyLease.confirm(requestedAt)
 	}
 	s.forgetPoll()
 	return s
@@ -162,7 +162,7 @@
 	if s.restarts < modelRestarts {
 		restarted := s
 		restarted.restarts++
-		restarted.keyLease = keyLease{length: s.keyLease.length}
+		restarted.tenantKeyLease = keyLease{length: s.tenantKeyLease.length}
 		restarted.hasAdopted, restarted.revoked, restarted.wentBack = false, false, false
 		restarted.forgetPoll()
 		visit(restarted, false)
@@ -170,7 +170,7 @@
 	if !s.clockStepped {
 		stepped := s
 		stepped.clockStepped, stepped.wentBack = true, !defects.unnoticedStep
-		stepped.keyLease.confirmedAt = min(s.keyLease.confirmedAt+modelRevocationTicks, modelNow)
+		stepped.tenantKeyLease.confirmedAt = min(s.tenantKeyLease.confirmedAt+modelRevocationTicks, modelNow)
 		visit(stepped, false)
 	}
 }
@@ -180,7 +180,7 @@
 	if !s.hasAdopted || s.revoked {
 		return // rejected: there is no version, or it is the one without the key
 	}
-	if !defects.noLease && (s.wentBack || s.keyLease.remaining(modelNow) == 0) {
+	if !defects.noLease && (s.wentBack || s.tenantKeyLease.remaining(modelNow) == 0) {
 		s.leaseExpired = true
 		visit(s, false)
 		return
@@ -190,9 +190,9 @@
 
 // searchRevocations explores every reachable state until a violation is found.
 func searchRevocations(defects revocationDefects) (states int, leaseExpired, violated bool) {
-	start := revocationState{primaryLease: modelPrimaryTicks, keyLease: keyLease{length: modelKeyLeaseTicks}}
+	start := revocationState{primaryLease: modelPrimaryTicks, tenantKeyLease: keyLease{length: modelKeyLeaseTicks}}
 	if defects.leaseTooLong {
-		start.keyLease.length = modelRevocationTicks + 2
+		start.tenantKeyLease.length = modelRevocationTicks + 2
 	}
 	start.forgetPoll()
 	seen, frontier := map[revocationState]struct{}{start: {}}, []revocationState{start}
--- a/internal/proxy/configclient/pending.go
+++ b/internal/proxy/configclient/pending.go
@@ -48,7 +48,7 @@
 }
 
 // AbandonSuperseded ends the pending poll if it was sent to a process that is no longer the known primary. Otherwise the client would
-// wait for a process that is cut off until the poll's timeout, which allows for the transfer of a long content. It must be called
+// wait for a process that is cut off until the poll's timeout, which allows for the transfer of long content. It must be called
 // regularly and doesn't block.
 func (c *Client) AbandonSuperseded() {
 	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -18,7 +18,7 @@
 	minRetryDelay = 100 * monotonic.Millisecond
 	// pingTimeout is how long a configuration store may take to respond to a ping, which is sent after a failed poll.
 	pingTimeout = 500 * monotonic.Millisecond
-	// transferTimeout is added to the time for which a poll stays open, to allow for the transfer of a long content on a slow link.
+	// transferTimeout is added to the time for which a poll stays open, to allow for the transfer of long content on a slow link.
 	transferTimeout = 1500 * monotonic.Millisecond
 	// minLongPoll is the minimum time for which the client lets a poll stay open, even if the primary's last response set a shorter one.
 	minLongPoll = monotonic.Second
@@ -131,7 +131,7 @@
 }
 
 // ping reports whether a configuration store responds. The client sends it before the first poll after a failed one: without it, a
-// partitioned proxy would wait for a store that is still unreachable until the timeout of a poll, which allows for the transfer of a
+// partitioned proxy would wait for a store that is still unreachable until the timeout of a poll, which allows for the transfer of
 // long content.
 func (c *Client) ping(target string) bool {
 	response := &wire.DiscoverResponse{}
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/proxy/request"
 )
 
-// maxInterim bounds the number of interim (1xx) responses before the final one.
+// maxInterim bounds the number of interim responses (status below 200) before the final one.
 const maxInterim = 4
 
 // message is one complete HTTP response.
