--- a/internal/proxy/configclient/pending.go
+++ b/internal/proxy/configclient/pending.go
@@ -47,8 +47,8 @@
 	c.pending = pending
 }
 
-// AbandonSuperseded ends the pending poll if it was sent to a process that is no longer the known primary. Otherwise the client would
-// wait for a process that is cut off until the poll's timeout, which allows for the transfer of long content. It must be called
+// AbandonSuperseded ends the pending poll if it was sent to a process other than the currently known primary. Otherwise the client
+// would wait for a process that is cut off until the poll's timeout, which allows for the transfer of long content. It must be called
 // regularly and doesn't block.
 func (c *Client) AbandonSuperseded() {
 	leader := c.resolver.Leader(discovery.ConfigStoreGroup)
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -71,8 +71,7 @@
 	return c.adopt(response, requestedAt)
 }
 
-// confirmedVersion returns the adopted version, or zero, which makes the primary send its version, if there is none or it is
-// unconfirmed.
+// confirmedVersion returns the adopted version, zero if there is none or it is unconfirmed. Zero makes the primary send its version.
 func (c *Client) confirmedVersion() uint64 {
 	if c.unconfirmedSince > 0 {
 		return 0
--- a/internal/proxy/session/poll.go
+++ b/internal/proxy/session/poll.go
@@ -81,7 +81,7 @@
 }
 
 // pollAndApply polls one server and applies its response. If the delta in the response is rejected, it polls the server again for
-// the complete directory. The result is nil if the server did not respond to each poll.
+// the complete directory. It returns nil if a poll fails.
 func (c *Client) pollAndApply(name string) *wire.RegistryPollResponse {
 	response, err := c.pollServer(name)
 	if err != nil {
