--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -84,7 +84,7 @@
 	}
 	response, reusable, fault = conn.readResponse(req, t.dialect)
 	if fault != nil && fault.Cause == apierror.ResponseBroken && !conn.responseStarted() {
-		fault.Local = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
+		fault.HealthNeutral = t.closedWhileIdle(req.Backend.Instance, conn.idleFor)
 	}
 	return response, reusable && fault == nil, fault
 }
