--- a/internal/invariants/config_change_checks.go
+++ b/internal/invariants/config_change_checks.go
@@ -34,8 +34,8 @@
 }
 
 // executionsByKey groups the executed runs by their idempotency keys.
-func (h *History) executionsByKey() map[string][]Run {
-	executed := map[string][]Run{}
+func (h *History) executionsByKey() map[string][]BackendRequest {
+	executed := map[string][]BackendRequest{}
 	for _, run := range h.Runs {
 		if run.Executed && run.Key != "" {
 			executed[run.Key] = append(executed[run.Key], run)
--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -11,9 +11,9 @@
 func TestConfigChangeChecks(t *testing.T) {
 	const second = monotonic.Second
 	attempt := &invariants.Attempt{ID: "a", Key: "k", Sent: 10 * second, Ended: 11 * second, Mesh: true, Status: 502}
-	run := invariants.Run{Attempt: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
-	secondRun := invariants.Run{Attempt: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
-	keyed := func(runs ...invariants.Run) *invariants.History {
+	run := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
+	secondRun := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
+	keyed := func(runs ...invariants.BackendRequest) *invariants.History {
 		return &invariants.History{Attempts: []*invariants.Attempt{attempt}, Runs: runs}
 	}
 	killedAt := func(at monotonic.Micros) *invariants.History {
--- a/internal/invariants/execution_rules.go
+++ b/internal/invariants/execution_rules.go
@@ -7,7 +7,7 @@
 
 // checkExecutedOnce is rule 1: no idempotency key is executed twice within the time that keys are remembered.
 func checkExecutedOnce(history *History) (findings []Finding, seen int) {
-	last := map[string]Run{}
+	last := map[string]BackendRequest{}
 	for _, run := range sortedByTime(history.Runs) {
 		if run.Key == "" || !run.Executed {
 			continue
@@ -23,7 +23,7 @@
 }
 
 // sortedByTime returns the runs in the order of their times; runs at the same time stay in their order.
-func sortedByTime(runs []Run) []Run {
+func sortedByTime(runs []BackendRequest) []BackendRequest {
 	ordered := slices.Clone(runs)
 	sort.SliceStable(ordered, func(i, j int) bool { return ordered[i].At < ordered[j].At })
 	return ordered
@@ -32,7 +32,7 @@
 // checkNotRun is rule 2: an attempt that was rejected as not run, be it a read or a write, was executed neither before nor
 // after the rejection. Nor had its key been executed when it was sent, within the time that keys are remembered.
 func checkNotRun(history *History) (findings []Finding, seen int) {
-	byAttempt, byKey := map[string]Run{}, map[string][]Run{}
+	byAttempt, byKey := map[string]BackendRequest{}, map[string][]BackendRequest{}
 	for _, run := range history.Runs {
 		if !run.Executed {
 			continue
@@ -68,7 +68,7 @@
 // checkOwnResponses is rule 3: a successful response is complete, and is byte for byte what a backend responded to this very
 // request or, for an idempotency key, to an earlier request with the key.
 func checkOwnResponses(history *History) (findings []Finding, seen int) {
-	executions := map[string][]Run{}
+	executions := map[string][]BackendRequest{}
 	for _, run := range history.Runs {
 		if run.Executed {
 			executions[run.Attempt] = append(executions[run.Attempt], run)
@@ -88,8 +88,8 @@
 
 // foreignResponse returns what is wrong with a successful response, given the executions of the attempt that it names, or
 // nothing.
-func foreignResponse(attempt *Attempt, executions []Run) string {
-	responded := slices.ContainsFunc(executions, func(run Run) bool { return run.Sum != "" && run.Sum == attempt.Sum })
+func foreignResponse(attempt *Attempt, executions []BackendRequest) string {
+	responded := slices.ContainsFunc(executions, func(run BackendRequest) bool { return run.Sum != "" && run.Sum == attempt.Sum })
 	switch {
 	case !attempt.Complete:
 		return "got a success that is not complete"
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -37,8 +37,8 @@
 // succeeded reports whether a backend's response with a status of 2xx reached the caller.
 func (a *Attempt) succeeded() bool { return !a.Mesh && a.Status >= 200 && a.Status < 300 }
 
-// Run is one request as a backend saw it.
-type Run struct {
+// BackendRequest is one request as a backend saw it.
+type BackendRequest struct {
 	Attempt       string // the caller's attempt ID
 	AttemptNumber int    // 1 for the first forwarding of the request, more for its retries
 	Key           string // the idempotency key; empty for reads
--- a/internal/invariants/retry_rules.go
+++ b/internal/invariants/retry_rules.go
@@ -14,7 +14,7 @@
 	until          monotonic.Micros
 }
 
-func (c *attemptCounts) add(run Run, change int) {
+func (c *attemptCounts) add(run BackendRequest, change int) {
 	if run.AttemptNumber <= 1 {
 		c.first += change
 	} else {
@@ -23,8 +23,8 @@
 }
 
 // runsByService groups all runs by their service, each group in the order of time.
-func (h *History) runsByService() map[string][]Run {
-	services := map[string][]Run{}
+func (h *History) runsByService() map[string][]BackendRequest {
+	services := map[string][]BackendRequest{}
 	for _, run := range sortedByTime(h.Runs) {
 		services[run.Service] = append(services[run.Service], run)
 	}
@@ -33,7 +33,7 @@
 
 // slideRetryWindow calls visit for each run, with the counts of the retry window that ends with it. runs are in the order of
 // time.
-func slideRetryWindow(runs []Run, visit func(counts attemptCounts)) {
+func slideRetryWindow(runs []BackendRequest, visit func(counts attemptCounts)) {
 	counts, start := attemptCounts{}, 0
 	for _, run := range runs {
 		counts.add(run, 1)
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -83,7 +83,7 @@
 			recordAttempt(history, attempt)
 		}
 	}),
-	"run": recorder(func(history *invariants.History, run invariants.Run) {
+	"run": recorder(func(history *invariants.History, run invariants.BackendRequest) {
 		run.At *= monotonic.Second
 		history.RecordRun(run)
 	}),
--- a/internal/invariants/tenant_checks.go
+++ b/internal/invariants/tenant_checks.go
@@ -55,7 +55,7 @@
 func isPermanent(periods []*KeyPeriod) bool { return len(periods) == 1 && periods[0].Permanent }
 
 // whyNotAllowed returns why a request's key doesn't allow that it ran, or nothing if it does.
-func whyNotAllowed(periods []*KeyPeriod, attempt *Attempt, run Run, timeout monotonic.Micros) string {
+func whyNotAllowed(periods []*KeyPeriod, attempt *Attempt, run BackendRequest, timeout monotonic.Micros) string {
 	why := "no configuration ever had its key"
 	for _, period := range periods {
 		switch {
--- a/internal/invariants/tenant_checks_test.go
+++ b/internal/invariants/tenant_checks_test.go
@@ -16,19 +16,19 @@
 	for _, test := range []struct {
 		name     string
 		attempt  invariants.Attempt
-		run      *invariants.Run
+		run      *invariants.BackendRequest
 		findings int
 	}{
-		{"in force", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.Run{At: 13 * second, Tenant: "north"}, 0},
-		{"not yet in force", invariants.Attempt{TenantKey: "key", Sent: 8 * second}, &invariants.Run{At: 9 * second, Tenant: "north"}, 1},
-		{"sent within the timeout", invariants.Attempt{TenantKey: "key", Sent: 25 * second}, &invariants.Run{At: 26 * second, Tenant: "north"}, 0},
-		{"sent after the timeout", invariants.Attempt{TenantKey: "key", Sent: 25*second + 1}, &invariants.Run{At: 26 * second, Tenant: "north"}, 1},
-		{"as another tenant", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.Run{At: 13 * second, Tenant: "south"}, 1},
-		{"an unknown key", invariants.Attempt{TenantKey: "other", Sent: 12 * second}, &invariants.Run{At: 13 * second, Tenant: "north"}, 1},
-		{"no key", invariants.Attempt{Sent: 12 * second}, &invariants.Run{At: 13 * second}, 1},
-		{"no key on an anonymous route", invariants.Attempt{Anonymous: true, Sent: 12 * second}, &invariants.Run{At: 13 * second}, 0},
-		{"a key shown to a backend", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.Run{At: 13 * second, Tenant: "north", TenantKey: "key"}, 1},
-		{"a key shown on an anonymous route", invariants.Attempt{Anonymous: true, Sent: 12 * second}, &invariants.Run{At: 13 * second, TenantKey: "key"}, 1},
+		{"in force", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, Tenant: "north"}, 0},
+		{"not yet in force", invariants.Attempt{TenantKey: "key", Sent: 8 * second}, &invariants.BackendRequest{At: 9 * second, Tenant: "north"}, 1},
+		{"sent within the timeout", invariants.Attempt{TenantKey: "key", Sent: 25 * second}, &invariants.BackendRequest{At: 26 * second, Tenant: "north"}, 0},
+		{"sent after the timeout", invariants.Attempt{TenantKey: "key", Sent: 25*second + 1}, &invariants.BackendRequest{At: 26 * second, Tenant: "north"}, 1},
+		{"as another tenant", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, Tenant: "south"}, 1},
+		{"an unknown key", invariants.Attempt{TenantKey: "other", Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, Tenant: "north"}, 1},
+		{"no key", invariants.Attempt{Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second}, 1},
+		{"no key on an anonymous route", invariants.Attempt{Anonymous: true, Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second}, 0},
+		{"a key shown to a backend", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, Tenant: "north", TenantKey: "key"}, 1},
+		{"a key shown on an anonymous route", invariants.Attempt{Anonymous: true, Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, TenantKey: "key"}, 1},
 		{"a permanent key refused", invariants.Attempt{TenantKey: "stays", Sent: 12 * second, Mesh: true, Cause: 106}, nil, 1},
 		{"a key taken away refused", invariants.Attempt{TenantKey: "key", Sent: 30 * second, Mesh: true, Cause: 106}, nil, 0},
 	} {
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -141,7 +141,7 @@
 // recordRun records that a request has reached a backend. Only a healthy or slow backend sends a complete response.
 func (m *Mesh) recordRun(order admission.BackendRequest, backend *simulatedBackend, present behavior, body []byte) {
 	attempt, number := splitRequestID(order.ID)
-	run := invariants.Run{
+	run := invariants.BackendRequest{
 		Attempt:       attempt,
 		AttemptNumber: number,
 		Key:           request.HeaderValue(order.Headers, request.IdempotencyKeyHeader),
