--- a/internal/invariants/breaker_rules.go
+++ b/internal/invariants/breaker_rules.go
@@ -145,7 +145,7 @@
 // shared record.
 func checkProbeCalls(history *History, state *breakerState) []Finding {
 	ran := 0
-	for _, run := range history.Runs {
+	for _, run := range history.BackendRequests {
 		if run.Service == state.Service && run.At > state.At && run.At < state.lastSeen.At {
 			ran++
 		}
--- a/internal/invariants/config_change_checks.go
+++ b/internal/invariants/config_change_checks.go
@@ -36,7 +36,7 @@
 // executionsByKey groups the executed runs by their idempotency keys.
 func (h *History) executionsByKey() map[string][]BackendRequest {
 	executed := map[string][]BackendRequest{}
-	for _, run := range h.Runs {
+	for _, run := range h.BackendRequests {
 		if run.Executed && run.Key != "" {
 			executed[run.Key] = append(executed[run.Key], run)
 		}
--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -14,7 +14,7 @@
 	run := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
 	secondRun := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
 	keyed := func(runs ...invariants.BackendRequest) *invariants.History {
-		return &invariants.History{Attempts: []*invariants.Attempt{attempt}, Runs: runs}
+		return &invariants.History{Attempts: []*invariants.Attempt{attempt}, BackendRequests: runs}
 	}
 	killedAt := func(at monotonic.Micros) *invariants.History {
 		history := keyed()
--- a/internal/invariants/drain_rules.go
+++ b/internal/invariants/drain_rules.go
@@ -15,7 +15,7 @@
 			departures[departure.Instance] = departure.At
 		}
 	}
-	for _, run := range history.Runs {
+	for _, run := range history.BackendRequests {
 		if leftAt, known := departures[run.Instance]; known && run.At > leftAt+propagationLimit {
 			findings = append(findings, ruleViolation(ruleDrainedBackends, "%s reached %s at %d, which left at %d", run.Attempt, run.Instance, run.At, leftAt))
 		}
--- a/internal/invariants/execution_rules.go
+++ b/internal/invariants/execution_rules.go
@@ -8,7 +8,7 @@
 // checkExecutedOnce is rule 1: no idempotency key is executed twice within the time that keys are remembered.
 func checkExecutedOnce(history *History) (findings []Finding, seen int) {
 	last := map[string]BackendRequest{}
-	for _, run := range sortedByTime(history.Runs) {
+	for _, run := range sortedByTime(history.BackendRequests) {
 		if run.Key == "" || !run.Executed {
 			continue
 		}
@@ -33,7 +33,7 @@
 // after the rejection. Nor had its key been executed when it was sent, within the time that keys are remembered.
 func checkNotRun(history *History) (findings []Finding, seen int) {
 	byAttempt, byKey := map[string]BackendRequest{}, map[string][]BackendRequest{}
-	for _, run := range history.Runs {
+	for _, run := range history.BackendRequests {
 		if !run.Executed {
 			continue
 		}
@@ -69,7 +69,7 @@
 // request or, for an idempotency key, to an earlier request with the key.
 func checkOwnResponses(history *History) (findings []Finding, seen int) {
 	executions := map[string][]BackendRequest{}
-	for _, run := range history.Runs {
+	for _, run := range history.BackendRequests {
 		if run.Executed {
 			executions[run.Attempt] = append(executions[run.Attempt], run)
 		}
@@ -112,7 +112,7 @@
 	for _, attempt := range history.Attempts {
 		kinds[attempt.ID] = attempt.Kind
 	}
-	for _, run := range history.Runs {
+	for _, run := range history.BackendRequests {
 		seen++
 		kind, known := kinds[run.Attempt]
 		if !known {
--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -13,7 +13,7 @@
 	// lock guards the fields below.
 	lock             sync.Mutex
 	Attempts         []*Attempt
-	Runs             []BackendRequest
+	BackendRequests             []BackendRequest
 	Departures       []Departure
 	AppliedConfigs   []AppliedConfig
 	ReadBack         []ReadBack
@@ -52,7 +52,7 @@
 }
 
 // RecordRun adds a request that reached a backend.
-func (h *History) RecordRun(run BackendRequest) { record(h, &h.Runs, run) }
+func (h *History) RecordRun(run BackendRequest) { record(h, &h.BackendRequests, run) }
 
 // RecordDeparture adds a backend's announcement that it is draining.
 func (h *History) RecordDeparture(instance string, at monotonic.Micros) {
--- a/internal/invariants/retry_rules.go
+++ b/internal/invariants/retry_rules.go
@@ -25,7 +25,7 @@
 // runsByService groups all runs by their service, each group in the order of time.
 func (h *History) runsByService() map[string][]BackendRequest {
 	services := map[string][]BackendRequest{}
-	for _, run := range sortedByTime(h.Runs) {
+	for _, run := range sortedByTime(h.BackendRequests) {
 		services[run.Service] = append(services[run.Service], run)
 	}
 	return services
@@ -63,7 +63,7 @@
 				name, highest.retries, highest.first, highest.until))
 		}
 	}
-	return findings, len(history.Runs)
+	return findings, len(history.BackendRequests)
 }
 
 // minFirstAttempts is how many first attempts a window needs for its ratio to be reported.
--- a/internal/invariants/tenant_checks.go
+++ b/internal/invariants/tenant_checks.go
@@ -36,7 +36,7 @@
 			findings = append(findings, newFinding("%s was rejected at %s, though each configuration has its key", attempt.ID, attempt.Caller))
 		}
 	}
-	for _, run := range history.Runs {
+	for _, run := range history.BackendRequests {
 		attempt := attempts[run.Attempt]
 		if run.TenantKey != "" {
 			findings = append(findings, newFinding("%s ran at a backend that was shown a tenant's key", run.Attempt))
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -278,7 +278,7 @@
 
 // executed returns the services on which a key was executed.
 func (s *configChangeScene) executed(key string) (services []string) {
-	for _, run := range s.mesh.History.Runs {
+	for _, run := range s.mesh.History.BackendRequests {
 		if run.Key == key && run.Executed {
 			services = append(services, run.Service)
 		}
--- a/internal/simulation/scenario/response_replay_test.go
+++ b/internal/simulation/scenario/response_replay_test.go
@@ -40,7 +40,7 @@
 				}
 			}
 			ran := 0
-			for _, run := range mesh.History.Runs {
+			for _, run := range mesh.History.BackendRequests {
 				if run.Key == "k-1" {
 					ran++
 				}
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -84,7 +84,7 @@
 				t.Error(finding)
 			}
 			executed, again, services := map[string]int{}, 0, map[string]int{}
-			for _, run := range mesh.History.Runs {
+			for _, run := range mesh.History.BackendRequests {
 				attempt := singles[run.Attempt]
 				if attempt == nil {
 					continue
