--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -51,8 +51,8 @@
 	change()
 }
 
-// RecordRun adds a request that reached a backend.
-func (h *History) RecordRun(run BackendRequest) { record(h, &h.BackendRequests, run) }
+// RecordBackendRequest adds a request that reached a backend.
+func (h *History) RecordBackendRequest(run BackendRequest) { record(h, &h.BackendRequests, run) }
 
 // RecordDeparture adds a backend's announcement that it is draining.
 func (h *History) RecordDeparture(instance string, at monotonic.Micros) {
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -85,7 +85,7 @@
 	}),
 	"run": recorder(func(history *invariants.History, run invariants.BackendRequest) {
 		run.At *= monotonic.Second
-		history.RecordRun(run)
+		history.RecordBackendRequest(run)
 	}),
 	"departure": recorder(func(history *invariants.History, departure invariants.Departure) {
 		history.RecordDeparture(departure.Instance, departure.At*monotonic.Second)
--- a/internal/invariants/tenant_checks_test.go
+++ b/internal/invariants/tenant_checks_test.go
@@ -38,7 +38,7 @@
 			history.RecordKeyPeriod(permanent)
 			history.RecordAttempt(&test.attempt)
 			if test.run != nil {
-				history.RecordRun(*test.run)
+				history.RecordBackendRequest(*test.run)
 			}
 			findings, _ := invariants.RevocationTimeout(timeout).Run(history)
 			// A check that has nothing to examine says so, which isn't judged here.
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -171,7 +171,7 @@
 	if misbehave == nil {
 		run.Sum = Checksum(body)
 	}
-	b.sender.history.RecordRun(run)
+	b.sender.history.RecordBackendRequest(run)
 	served := b.Served.Inc()
 	if misbehave != nil {
 		misbehave(writer, attempt)
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -156,7 +156,7 @@
 	if present == healthy || present == slow {
 		run.Sum = checksum(body)
 	}
-	m.History.RecordRun(run)
+	m.History.RecordBackendRequest(run)
 }
 
 // respond returns the response of a backend that has worked on a request.
