--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -10,7 +10,7 @@
 // TestConfigChangeChecks runs each check on short histories: it finds what it exists for, and nothing where nothing is wrong.
 func TestConfigChangeChecks(t *testing.T) {
 	const second = monotonic.Second
-	attempt := &invariants.Attempt{ID: "a", Key: "k", Sent: 10 * second, Ended: 11 * second, Mesh: true, Status: 502}
+	attempt := &invariants.Attempt{ID: "a", Key: "k", Sent: 10 * second, Ended: 11 * second, RejectedByMesh: true, Status: 502}
 	run := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
 	secondRun := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
 	keyed := func(runs ...invariants.BackendRequest) *invariants.History {
--- a/internal/invariants/execution_rules.go
+++ b/internal/invariants/execution_rules.go
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, attempt := range history.Attempts {
-		if !attempt.Mesh || !attempt.NotRun {
+		if !attempt.RejectedByMesh || !attempt.NotRun {
 			continue
 		}
 		seen++
--- a/internal/invariants/isolation_rules.go
+++ b/internal/invariants/isolation_rules.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		seen++
-		if attempt.Mesh && isolationCauses[apierror.Cause(attempt.Cause)] {
+		if attempt.RejectedByMesh && isolationCauses[apierror.Cause(attempt.Cause)] {
 			rejected++
 		}
 	}
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -16,7 +16,7 @@
 	Sent          monotonic.Micros
 	Ended         monotonic.Micros // zero while the attempt is in flight
 	Status        int              // zero without a response
-	Mesh          bool             // the mesh itself rejected the request
+	RejectedByMesh          bool             // the mesh itself rejected the request
 	Cause         int              // the mesh's cause of the rejection
 	NotRun        bool             // the rejection states that the request has not run
 	Version       uint64           // the configuration version that the request was handled by; zero if unknown
@@ -35,7 +35,7 @@
 }
 
 // succeeded reports whether a backend's response with a status of 2xx reached the caller.
-func (a *Attempt) succeeded() bool { return !a.Mesh && a.Status >= 200 && a.Status < 300 }
+func (a *Attempt) succeeded() bool { return !a.RejectedByMesh && a.Status >= 200 && a.Status < 300 }
 
 // BackendRequest is one request as a backend saw it.
 type BackendRequest struct {
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -78,7 +78,7 @@
 			attempt := attempts.Attempt
 			attempt.ID = fmt.Sprintf("%s-%d", attempt.ID, number)
 			if number < attempts.Failed {
-				attempt.Status, attempt.Mesh = 503, true
+				attempt.Status, attempt.RejectedByMesh = 503, true
 			}
 			recordAttempt(history, attempt)
 		}
--- a/internal/invariants/tenant_checks_test.go
+++ b/internal/invariants/tenant_checks_test.go
@@ -29,8 +29,8 @@
 		{"no key on an anonymous route", invariants.Attempt{Anonymous: true, Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second}, 0},
 		{"a key shown to a backend", invariants.Attempt{TenantKey: "key", Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, Tenant: "north", TenantKey: "key"}, 1},
 		{"a key shown on an anonymous route", invariants.Attempt{Anonymous: true, Sent: 12 * second}, &invariants.BackendRequest{At: 13 * second, TenantKey: "key"}, 1},
-		{"a permanent key refused", invariants.Attempt{TenantKey: "stays", Sent: 12 * second, Mesh: true, Cause: 106}, nil, 1},
-		{"a key taken away refused", invariants.Attempt{TenantKey: "key", Sent: 30 * second, Mesh: true, Cause: 106}, nil, 0},
+		{"a permanent key refused", invariants.Attempt{TenantKey: "stays", Sent: 12 * second, RejectedByMesh: true, Cause: 106}, nil, 1},
+		{"a key taken away refused", invariants.Attempt{TenantKey: "key", Sent: 30 * second, RejectedByMesh: true, Cause: 106}, nil, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			history := &invariants.History{}
--- a/internal/rehearse/scenario/report.go
+++ b/internal/rehearse/scenario/report.go
@@ -97,7 +97,7 @@
 			r.Kinds[attempt.Kind] = map[string]int{}
 		}
 		r.Kinds[attempt.Kind][describeOutcome(attempt)]++
-		if attempt.Mesh && attempt.Status >= 500 && !attempt.RetryAfterSet {
+		if attempt.RejectedByMesh && attempt.Status >= 500 && !attempt.RetryAfterSet {
 			r.RejectionsWithoutRetryAfter++
 		}
 		if attempt.Ended > 0 {
@@ -245,9 +245,9 @@
 		return "transport " + attempt.Transport
 	case attempt.Ended == 0:
 		return "open"
-	case attempt.Mesh && attempt.NotRun:
+	case attempt.RejectedByMesh && attempt.NotRun:
 		return "refused " + strconv.Itoa(attempt.Cause) + " not_run"
-	case attempt.Mesh:
+	case attempt.RejectedByMesh:
 		return "refused " + strconv.Itoa(attempt.Cause) + " may_have_run"
 	case attempt.Status >= 200 && attempt.Status < 300:
 		return outcomeServed
--- a/internal/rehearse/standin/load_generator.go
+++ b/internal/rehearse/standin/load_generator.go
@@ -185,7 +185,7 @@
 }
 
 func isServed(attempt *invariants.Attempt) bool {
-	return attempt.Status >= 200 && attempt.Status < 300 && !attempt.Mesh
+	return attempt.Status >= 200 && attempt.Status < 300 && !attempt.RejectedByMesh
 }
 
 // FinishRetries starts no new requests, and waits until each that was started is served or given up.
--- a/internal/rehearse/standin/sender.go
+++ b/internal/rehearse/standin/sender.go
@@ -90,6 +90,6 @@
 	}
 	var rejection ingress.ErrorBody
 	if json.Unmarshal(content, &rejection) == nil && rejection.Cause > 0 {
-		attempt.Mesh, attempt.Cause, attempt.NotRun = true, int(rejection.Cause), rejection.Verdict == "not_run"
+		attempt.RejectedByMesh, attempt.Cause, attempt.NotRun = true, int(rejection.Cause), rejection.Verdict == "not_run"
 	}
 }
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -76,7 +76,7 @@
 
 // served reports whether an attempt got a response with status 200 from a backend.
 func served(attempt *invariants.Attempt) bool {
-	return attempt.Status == http.StatusOK && !attempt.Mesh
+	return attempt.Status == http.StatusOK && !attempt.RejectedByMesh
 }
 
 func (m *Mesh) newAttempt(number, retries int, keyed bool) *invariants.Attempt {
@@ -128,7 +128,7 @@
 // applyTo completes an attempt with the reply.
 func (r callerReply) applyTo(attempt *invariants.Attempt) {
 	attempt.Status, attempt.Version, attempt.Echo, attempt.Complete, attempt.Sum = int(r.Status), r.Version, r.Echo, r.Complete, r.Sum
-	attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = r.Mesh, int(r.Cause), r.NotRun, r.RetryAfter > 0
+	attempt.RejectedByMesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = r.Mesh, int(r.Cause), r.NotRun, r.RetryAfter > 0
 }
 
 // transportLost is the transport error of an attempt whose response did not arrive.
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -298,7 +298,7 @@
 	removed := func(state *wire.DesiredState) { state.Routes = append(state.Routes[:1:1], state.Routes[2:]...) }
 	served := func(what string, attempt *invariants.Attempt, version uint64, key string) {
 		t.Helper()
-		if attempt.Mesh || attempt.Status != 200 || attempt.Version != version || len(scene.executed(key)) != 1 || scene.executed(key)[0] != "households" {
+		if attempt.RejectedByMesh || attempt.Status != 200 || attempt.Version != version || len(scene.executed(key)) != 1 || scene.executed(key)[0] != "households" {
 			t.Errorf("%s: %+v, ran on %v", what, attempt, scene.executed(key))
 		}
 	}
@@ -308,7 +308,7 @@
 	for _, backend := range mesh.liveBackends("households") {
 		backend.behavior = "losing"
 	}
-	if lost := scene.submit(1, "lost"); !lost.Mesh || lost.NotRun || len(scene.executed("lost")) != 1 {
+	if lost := scene.submit(1, "lost"); !lost.RejectedByMesh || lost.NotRun || len(scene.executed("lost")) != 1 {
 		t.Errorf("%+v, ran on %v", lost, scene.executed("lost"))
 	}
 	for _, backend := range mesh.liveBackends("") {
@@ -325,7 +325,7 @@
 	repeat := scene.startSubmission(5, "under")
 	scene.run(8 * monotonic.Second)
 	served("in flight", under, 1, "under")
-	if repeat.Mesh && repeat.NotRun {
+	if repeat.RejectedByMesh && repeat.NotRun {
 		t.Errorf("a repeat meanwhile: %+v", repeat)
 	}
 	mesh.workDuration = 0
@@ -336,13 +336,13 @@
 	if fresh := scene.submit(3, "fresh"); fresh.Status != 200 || len(scene.executed("fresh")) != 1 || scene.executed("fresh")[0] != "forms" {
 		t.Errorf("a new key isn't run where the route leads now: %+v, ran on %v", fresh, scene.executed("fresh"))
 	}
-	if again := scene.submit(4, "lost"); again.Mesh && again.NotRun || len(scene.executed("lost")) != 1 {
+	if again := scene.submit(4, "lost"); again.RejectedByMesh && again.NotRun || len(scene.executed("lost")) != 1 {
 		t.Errorf("%+v, ran on %v", again, scene.executed("lost"))
 	}
 	// Without its route a key is not executed, and its rejection does not state that it has not run.
 	scene.apply(desiredWithManyRoutes(t, removed), 300*monotonic.Millisecond)
 	for _, key := range []string{"answered", "lost", "under", "fresh"} {
-		if rejected := scene.submit(6, key); !rejected.Mesh || rejected.NotRun || rejected.Cause != int(apierror.UnknownPath) {
+		if rejected := scene.submit(6, key); !rejected.RejectedByMesh || rejected.NotRun || rejected.Cause != int(apierror.UnknownPath) {
 			t.Errorf("without a route: %+v", rejected)
 		}
 	}
--- a/internal/simulation/scenario/drain_linger_test.go
+++ b/internal/simulation/scenario/drain_linger_test.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		served++
-		if attempt.Mesh && apierror.Cause(attempt.Cause) == apierror.NoBackend {
+		if attempt.RejectedByMesh && apierror.Cause(attempt.Cause) == apierror.NoBackend {
 			missing++
 		}
 	}
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -102,13 +102,13 @@
 				if executed[id] > 1 {
 					t.Errorf("%s was executed %d times", id, executed[id])
 				}
-				if attempt.Mesh && attempt.NotRun && executed[id] > 0 {
+				if attempt.RejectedByMesh && attempt.NotRun && executed[id] > 0 {
 					t.Errorf("%s was rejected as not run by cause %d, and was executed", id, attempt.Cause)
 				}
 				switch {
 				case attempt.Transport != "":
 					counts["proxy lost"]++
-				case !attempt.Mesh:
+				case !attempt.RejectedByMesh:
 					counts["served"]++
 				case attempt.NotRun:
 					counts["not run"]++
--- a/internal/simulation/scenario/slots_test.go
+++ b/internal/simulation/scenario/slots_test.go
@@ -71,7 +71,7 @@
 				}
 				if attempt.Kind == "form" {
 					forms++
-					if attempt.Mesh {
+					if attempt.RejectedByMesh {
 						rejected++
 					}
 				}
