--- a/internal/invariants/drain_rules.go
+++ b/internal/invariants/drain_rules.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		seen++
-		if attempt.Read && attempt.Status == 0 {
+		if attempt.ReadByProxy && attempt.Status == 0 {
 			findings = append(findings, ruleViolation(rulePlannedStops, "%s was read by %s and dropped without a response during: %s",
 				attempt.ID, attempt.Caller, history.PlannedChanges[index].What))
 		}
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -26,9 +26,9 @@
 	Instance      string           // the backend instance that responded
 	Transport     string           // the error of an attempt that ended without a response
 	RetryAfterSet bool             // the response had a Retry-After header
-	// Read is true if the proxy has certainly read the request and was ended by nothing but a planned stop. Such a request
+	// ReadByProxy is true if the proxy has certainly read the request and was ended by nothing but a planned stop. Such a request
 	// must be answered.
-	Read bool
+	ReadByProxy bool
 	// TenantKey is the tenant's key that the request bears, empty for none. Anonymous is set if its route needs none.
 	TenantKey string
 	Anonymous bool
--- a/internal/rehearse/standin/sender.go
+++ b/internal/rehearse/standin/sender.go
@@ -69,7 +69,7 @@
 		if err != nil {
 			attempt.Transport = "lost"
 			// A proxy may close a connection that was used before without having read anything of the next request on it.
-			attempt.Read = wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(s.client.Timeout)
+			attempt.ReadByProxy = wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(s.client.Timeout)
 			return
 		}
 		recordResponse(attempt, response, content)
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -159,7 +159,7 @@
 		response, fault := instance.Forwarder.Forward(incoming)
 		return response, fault, nil
 	})
-	attempt.Read = read && m.plannedStopsOnly
+	attempt.ReadByProxy = read && m.plannedStopsOnly
 	if err != nil {
 		return 0
 	}
