--- a/internal/invariants/config_change_checks.go
+++ b/internal/invariants/config_change_checks.go
@@ -46,7 +46,7 @@
 
 // interruptedByKill reports whether a proxy was killed while an attempt was in flight that ended without a certain outcome.
 func (h *History) interruptedByKill(attempt *Attempt) bool {
-	ambiguous := attempt.Transport != "" || attempt.RejectedByMesh && !attempt.NotRun
+	ambiguous := attempt.TransportError != "" || attempt.RejectedByMesh && !attempt.NotRun
 	return ambiguous && slices.ContainsFunc(h.Markers, func(marker Marker) bool {
 		return strings.HasPrefix(marker.What, ProxyKilledMarker) && marker.At >= attempt.Sent && marker.At <= attempt.Ended
 	})
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -24,7 +24,7 @@
 	Complete      bool             // the response's body matches the checksum that the backend sent with it
 	Sum           string           // the checksum of the body as it arrived
 	Instance      string           // the backend instance that responded
-	Transport     string           // the error of an attempt that ended without a response
+	TransportError     string           // the error of an attempt that ended without a response
 	RetryAfterSet bool             // the response had a Retry-After header
 	// ReadByProxy is true if the proxy has certainly read the request and was ended by nothing but a planned stop. Such a request
 	// must be answered.
--- a/internal/rehearse/scenario/report.go
+++ b/internal/rehearse/scenario/report.go
@@ -241,8 +241,8 @@
 // describeOutcome names how an attempt ended, as Kinds counts it.
 func describeOutcome(attempt *invariants.Attempt) string {
 	switch {
-	case attempt.Transport != "":
-		return "transport " + attempt.Transport
+	case attempt.TransportError != "":
+		return "transport " + attempt.TransportError
 	case attempt.Ended == 0:
 		return "open"
 	case attempt.RejectedByMesh && attempt.NotRun:
--- a/internal/rehearse/standin/sender.go
+++ b/internal/rehearse/standin/sender.go
@@ -67,7 +67,7 @@
 	s.history.Update(func() {
 		attempt.Ended = ended
 		if err != nil {
-			attempt.Transport = "lost"
+			attempt.TransportError = "lost"
 			// A proxy may close a connection that was used before without having read anything of the next request on it.
 			attempt.ReadByProxy = wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(s.client.Timeout)
 			return
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -181,7 +181,7 @@
 		err = json.Unmarshal(content, &reply)
 	}
 	if err != nil {
-		attempt.Transport = transportLost
+		attempt.TransportError = transportLost
 		return callerReply{}, err
 	}
 	reply.applyTo(attempt)
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -106,7 +106,7 @@
 					t.Errorf("%s was rejected as not run by cause %d, and was executed", id, attempt.Cause)
 				}
 				switch {
-				case attempt.Transport != "":
+				case attempt.TransportError != "":
 					counts["proxy lost"]++
 				case !attempt.RejectedByMesh:
 					counts["served"]++
