--- a/internal/invariants/drain_rules.go
+++ b/internal/invariants/drain_rules.go
@@ -34,7 +34,7 @@
 		seen++
 		if attempt.ReadByProxy && attempt.Status == 0 {
 			findings = append(findings, ruleViolation(rulePlannedStops, "%s was read by %s and dropped without a response during: %s",
-				attempt.ID, attempt.Caller, history.PlannedChanges[index].What))
+				attempt.ID, attempt.Proxy, history.PlannedChanges[index].What))
 		}
 	}
 	return findings, seen
--- a/internal/invariants/isolation_rules.go
+++ b/internal/invariants/isolation_rules.go
@@ -52,7 +52,7 @@
 
 // mustBeServed reports whether an attempt was sent by a caller without trouble, within the period and outside its excuses.
 func (t networkTrouble) mustBeServed(attempt *Attempt) bool {
-	if t.from == 0 || attempt.Sent < t.from || t.until > 0 && attempt.Sent > t.until || slices.Contains(t.callers, attempt.Caller) {
+	if t.from == 0 || attempt.Sent < t.from || t.until > 0 && attempt.Sent > t.until || slices.Contains(t.callers, attempt.Proxy) {
 		return false
 	}
 	return !slices.ContainsFunc(t.excused, func(excuse PlannedChange) bool {
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -10,7 +10,7 @@
 	ID            string
 	Key           string // the idempotency key; empty for reads
 	Kind          string // the kind of traffic, to group attempts by
-	Caller        string // the name of the proxy that the request was sent to
+	Proxy        string // the name of the proxy that the request was sent to
 	Method        string
 	Path          string
 	Sent          monotonic.Micros
--- a/internal/invariants/tenant_checks.go
+++ b/internal/invariants/tenant_checks.go
@@ -33,7 +33,7 @@
 	for _, attempt := range history.Attempts {
 		attempts[attempt.ID] = attempt
 		if attempt.RejectedByMesh && attempt.Cause == causeUnauthenticated && isPermanent(periods[attempt.TenantKey]) {
-			findings = append(findings, newFinding("%s was rejected at %s, though each configuration has its key", attempt.ID, attempt.Caller))
+			findings = append(findings, newFinding("%s was rejected at %s, though each configuration has its key", attempt.ID, attempt.Proxy))
 		}
 	}
 	for _, run := range history.BackendRequests {
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -212,7 +212,7 @@
 
 // sendLookup sends a read to another service through the instance's proxy.
 func (b *Backend) sendLookup(attempt string, number int64) {
-	lookup := &invariants.Attempt{ID: fmt.Sprintf("%s-look-%d-%d", attempt, number, rand.Uint32()), Kind: lookupKindPrefix + b.Service.LookupPath, Caller: b.proxy.Name,
+	lookup := &invariants.Attempt{ID: fmt.Sprintf("%s-look-%d-%d", attempt, number, rand.Uint32()), Kind: lookupKindPrefix + b.Service.LookupPath, Proxy: b.proxy.Name,
 		Method: http.MethodGet, Path: fmt.Sprintf("%s/%d", b.Service.LookupPath, number), Anonymous: true, Sent: b.sender.clock.Now()}
 	b.sender.send(b.proxy, lookup, nil)
 }
--- a/internal/rehearse/standin/load_generator.go
+++ b/internal/rehearse/standin/load_generator.go
@@ -159,7 +159,7 @@
 	for began, retries := time.Now(), 0; ; retries++ {
 		process := g.pickProxy()
 		attempt := &invariants.Attempt{ID: fmt.Sprintf("%s-%s%d-%d", kind.Name, g.idPrefix, number, retries), Key: key, Kind: kind.Name,
-			Caller: process.Name, Method: kind.Method, Path: g.path(kind, number), TenantKey: tenantKey, Sent: g.sender.clock.Now()}
+			Proxy: process.Name, Method: kind.Method, Path: g.path(kind, number), TenantKey: tenantKey, Sent: g.sender.clock.Now()}
 		g.sender.send(process, attempt, body)
 		if !kind.Idempotent || isServed(attempt) || retries >= g.MaxRetries || g.RetryTimeout > 0 && time.Since(began) > g.RetryTimeout {
 			return
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -89,9 +89,9 @@
 		attempt.Method = pick(m, []string{"POST", "POST", "post"})
 		attempt.Path = fmt.Sprintf(pick(m, pathSpellings), number)
 	}
-	attempt.Caller = pick(m, m.proxyNames)
+	attempt.Proxy = pick(m, m.proxyNames)
 	if degraded := slices.Sorted(maps.Keys(m.degraded)); len(degraded) > 1 && !m.oneIn(4) {
-		attempt.Caller = pick(m, degraded) // callers in trouble retry most
+		attempt.Proxy = pick(m, degraded) // callers in trouble retry most
 	}
 	attempt.ID = fmt.Sprintf("%s-%d-%d", attempt.Kind, number, retries)
 	attempt.Sent = m.World.Now()
@@ -138,7 +138,7 @@
 func (m *Mesh) send(attempt *invariants.Attempt) (retryAfter monotonic.Micros) {
 	read := false
 	reply, err := m.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
-		if m.refusingCallers[attempt.Caller] {
+		if m.refusingCallers[attempt.Proxy] {
 			return nil, nil, apierror.Refused.New("the listener is closed")
 		}
 		read = true
@@ -153,7 +153,7 @@
 		if attempt.TenantKey != "" {
 			incoming.TenantKeys = []string{attempt.TenantKey}
 		}
-		if m.degraded[attempt.Caller] == shortDeadlines {
+		if m.degraded[attempt.Proxy] == shortDeadlines {
 			incoming.Deadline = instance.Now() + shortDeadline
 		}
 		response, fault := instance.Forwarder.Forward(incoming)
@@ -169,8 +169,8 @@
 // transactReply runs a request in the process of the attempt's proxy and completes the attempt with its result. The error is that
 // of the transport.
 func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error)) (reply callerReply, err error) {
-	content, err := m.External.Transact(m.World.Node(attempt.Caller).Address, callerTimeout, func(*world.Node) ([]byte, error) {
-		response, fault, err := forward(m.proxies[attempt.Caller])
+	content, err := m.External.Transact(m.World.Node(attempt.Proxy).Address, callerTimeout, func(*world.Node) ([]byte, error) {
+		response, fault, err := forward(m.proxies[attempt.Proxy])
 		if err != nil {
 			return nil, err
 		}
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -270,7 +270,7 @@
 func (s *configChangeScene) startSubmission(caller int, key string) *invariants.Attempt {
 	mesh := s.mesh
 	mesh.nextID++
-	attempt := &invariants.Attempt{ID: fmt.Sprintf("keyed-%d", mesh.nextID), Key: key, Kind: "submission", Caller: mesh.proxyNames[caller], Method: "POST", Path: "/households/" + key, Sent: mesh.World.Now()}
+	attempt := &invariants.Attempt{ID: fmt.Sprintf("keyed-%d", mesh.nextID), Key: key, Kind: "submission", Proxy: mesh.proxyNames[caller], Method: "POST", Path: "/households/" + key, Sent: mesh.World.Now()}
 	mesh.History.RecordAttempt(attempt)
 	mesh.External.Go(func() { mesh.send(attempt) })
 	return attempt
--- a/internal/simulation/scenario/proxy_faults_test.go
+++ b/internal/simulation/scenario/proxy_faults_test.go
@@ -20,7 +20,7 @@
 		InitialFaults: []fault{frozen}, Faults: []fault{noFault}}, 1)
 	longest, passed := monotonic.Micros(0), 0
 	for _, attempt := range mesh.History.Attempts {
-		if attempt.Caller == mesh.proxyNames[1] || attempt.Ended == 0 {
+		if attempt.Proxy == mesh.proxyNames[1] || attempt.Ended == 0 {
 			continue
 		}
 		passed++
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -53,7 +53,7 @@
 			}}
 			send := func(number int) {
 				caller := pick(mesh, mesh.proxyNames)
-				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
+				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Proxy: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
 				singles[attempt.ID] = attempt
 				mesh.History.RecordAttempt(attempt)
 				_, _ = mesh.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
--- a/internal/simulation/scenario/tenants.go
+++ b/internal/simulation/scenario/tenants.go
@@ -151,7 +151,7 @@
 // sendRequest sends a request with a permanent key, one that was ever in force, one that never was, or none.
 func (w *tenantWorkload) sendRequest(number int) {
 	m := w.mesh
-	attempt := &invariants.Attempt{ID: fmt.Sprintf("tenant-%d", number), Kind: "form", Method: http.MethodGet, Path: fmt.Sprintf("/forms/%d", number), Caller: pick(m, m.proxyNames)}
+	attempt := &invariants.Attempt{ID: fmt.Sprintf("tenant-%d", number), Kind: "form", Method: http.MethodGet, Path: fmt.Sprintf("/forms/%d", number), Proxy: pick(m, m.proxyNames)}
 	if m.oneIn(3) {
 		attempt.Kind, attempt.Method, attempt.Path, attempt.Key = "submission", http.MethodPost, fmt.Sprintf("/households/%d", number), fmt.Sprintf("key-%d", number)
 	}
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -190,7 +190,7 @@
 	attempt := &invariants.Attempt{
 		ID:     fmt.Sprintf("lookup-%d", m.nextID),
 		Kind:   "lookup",
-		Caller: from.proxy,
+		Proxy: from.proxy,
 		Method: http.MethodGet,
 		Path:   fmt.Sprintf("/forms/%d", m.nextID),
 		Sent:   m.World.Now(),
