--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -79,9 +79,9 @@
 	{ruleRecoveryTime, "service resumes in time", checkRecoveryTime},
 }
 
-// Inspect checks the rules with the given numbers, or all rules if none are given. seen holds, by the rule's number, how many
+// CheckRules checks the rules with the given numbers, or all rules if none are given. seen holds, by the rule's number, how many
 // observations the rule examined.
-func Inspect(history *History, numbers ...int) (findings []Finding, seen map[int]int) {
+func CheckRules(history *History, numbers ...int) (findings []Finding, seen map[int]int) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	wanted := map[int]bool{}
--- a/internal/invariants/rules_test.go
+++ b/internal/invariants/rules_test.go
@@ -26,7 +26,7 @@
 			}
 			recorders[kind](t, history, fields)
 		}
-		findings, seen := invariants.Inspect(history, rule)
+		findings, seen := invariants.CheckRules(history, rule)
 		text := fmt.Sprintf("examined %d\n", seen[rule])
 		for _, finding := range findings {
 			text += finding.String() + "\n"
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -141,7 +141,7 @@
 	if err := rehearsal.Operator.ReadBack(); err != nil {
 		t.Fatal(err)
 	}
-	findings, seen := invariants.Inspect(rehearsal.History, 1, 2, 3, 5, 7)
+	findings, seen := invariants.CheckRules(rehearsal.History, 1, 2, 3, 5, 7)
 	for _, check := range []invariants.Check{invariants.KeysExecutedOnce, invariants.ContentMatchesVersion, invariants.BreakerCountersMonotonic} {
 		found, observed := check.Run(rehearsal.History)
 		findings = append(findings, found...)
--- a/internal/rehearse/scenario/report.go
+++ b/internal/rehearse/scenario/report.go
@@ -52,7 +52,7 @@
 // BuildReport checks the invariants and the given checks on the history, and computes the report's figures. began is when traffic
 // started. The load generator must have stopped.
 func (r *Rehearsal) BuildReport(began time.Time, checks ...invariants.Check) Report {
-	violations, observations := invariants.Inspect(r.History)
+	violations, observations := invariants.CheckRules(r.History)
 	report := Report{Layout: r.Fleet.Layout.Name, Scenario: r.Options.Scenario, Seconds: time.Since(began).Seconds(),
 		Observations: observations, RetryRatios: invariants.HighestRetryRatios(r.History)}
 	report.Findings = append([]string{}, r.findings...)
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -358,7 +358,7 @@
 	if took := mesh.World.Now() - began; took > monotonic.Minute {
 		t.Errorf("the claims' time may have run out: %d", took)
 	}
-	if findings, seen := invariants.Inspect(mesh.History, 1, 2, 3); len(findings) > 0 || seen[1] == 0 {
+	if findings, seen := invariants.CheckRules(mesh.History, 1, 2, 3); len(findings) > 0 || seen[1] == 0 {
 		t.Error(findings, seen)
 	}
 }
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -202,7 +202,7 @@
 // check returns the findings of all rules and of the scenario's checks, among them what examined nothing, and how many
 // observations each rule examined.
 func (m *Mesh) check(scenario Scenario) (findings []invariants.Finding, seen map[int]int) {
-	findings, seen = invariants.Inspect(m.History)
+	findings, seen = invariants.CheckRules(m.History)
 	for _, rule := range scenario.Rules {
 		if seen[rule] == 0 {
 			findings = append(findings, invariants.Finding{Rule: rule, Text: "there was nothing to examine", NothingExamined: true})
