--- a/internal/invariants/config_change_checks.go
+++ b/internal/invariants/config_change_checks.go
@@ -48,7 +48,7 @@
 func (h *History) interruptedByKill(attempt *Attempt) bool {
 	ambiguous := attempt.TransportError != "" || attempt.RejectedByMesh && !attempt.NotRun
 	return ambiguous && slices.ContainsFunc(h.Markers, func(marker Marker) bool {
-		return strings.HasPrefix(marker.What, ProxyKilledMarker) && marker.At >= attempt.Sent && marker.At <= attempt.Ended
+		return strings.HasPrefix(marker.What, MarkerProxyKilled) && marker.At >= attempt.Sent && marker.At <= attempt.Ended
 	})
 }
 
--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -18,7 +18,7 @@
 	}
 	killedAt := func(at monotonic.Micros) *invariants.History {
 		history := keyed()
-		history.RecordMarker(invariants.ProxyKilledMarker+"c", at)
+		history.RecordMarker(invariants.MarkerProxyKilled+"c", at)
 		return history
 	}
 	applied := func(version uint64, at monotonic.Micros) invariants.AppliedConfig {
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -119,7 +119,7 @@
 	MarkerRecovered   = "recovered"      // the failing service is healthy again
 	MarkerTroubled    = "troubled "      // prefix: the network of the named proxy is degraded from now on
 	MarkerUntroubled  = "untroubled"     // no proxy's network is degraded any more
-	ProxyKilledMarker = "proxy killed: " // prefix: the named proxy was killed
+	MarkerProxyKilled = "proxy killed: " // prefix: the named proxy was killed
 )
 
 // BreakerObservation is a shared breaker record as an observer read it.
--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -218,9 +218,9 @@
 // killOneProxy kills a proxy and starts it again. Requests that were in flight there are excused by the markers around its end.
 func (r *Rehearsal) killOneProxy() error {
 	victim := randomItem(r.Fleet.Proxies)
-	r.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, r.Clock.Now())
+	r.History.RecordMarker(invariants.MarkerProxyKilled+victim.Name, r.Clock.Now())
 	victim.Kill()
-	r.History.RecordMarker(invariants.ProxyKilledMarker+victim.Name, r.Clock.Now())
+	r.History.RecordMarker(invariants.MarkerProxyKilled+victim.Name, r.Clock.Now())
 	r.restartAfter(victim, time.Second)
 	return nil
 }
--- a/internal/simulation/scenario/faults_process.go
+++ b/internal/simulation/scenario/faults_process.go
@@ -18,7 +18,7 @@
 	// killMarkedProxy marks the kill for the check that no idempotency key is lost.
 	killMarkedProxy = fault{"kill a proxy, with a marker", func(m *Mesh) {
 		name := pick(m, m.proxyNames)
-		m.History.RecordMarker(invariants.ProxyKilledMarker+name, m.World.Now())
+		m.History.RecordMarker(invariants.MarkerProxyKilled+name, m.World.Now())
 		m.restartAfter([]*world.Node{m.World.Node(name)}, m.randomDuration(100*monotonic.Millisecond, 2*monotonic.Second), m.World.Kill)
 	}}
 	killCoreProcess = fault{"kill a core process", func(m *Mesh) {
