--- a/internal/invariants/isolation_rules.go
+++ b/internal/invariants/isolation_rules.go
@@ -32,7 +32,7 @@
 func readNetworkTrouble(markers []Marker) networkTrouble {
 	trouble := networkTrouble{}
 	for _, marker := range markers {
-		caller, troubled := strings.CutPrefix(marker.What, MarkerTroubled)
+		caller, troubled := strings.CutPrefix(marker.What, MarkerNetworkDegraded)
 		switch {
 		case troubled && caller != "":
 			if trouble.from == 0 {
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -117,7 +117,7 @@
 	MarkerReturned    = "returned"       // every fault has ended and all machines run again
 	MarkerFailing     = "failing"        // a service begins to fail
 	MarkerRecovered   = "recovered"      // the failing service is healthy again
-	MarkerTroubled    = "troubled "      // prefix: the network of the named proxy is degraded from now on
+	MarkerNetworkDegraded    = "troubled "      // prefix: the network of the named proxy is degraded from now on
 	MarkerUntroubled  = "untroubled"     // no proxy's network is degraded any more
 	MarkerProxyKilled = "proxy killed: " // prefix: the named proxy was killed
 )
--- a/internal/simulation/scenario/faults_network.go
+++ b/internal/simulation/scenario/faults_network.go
@@ -50,7 +50,7 @@
 					m.World.Delay(other, name, slowNetworkDelay)
 				}
 			}
-			m.History.RecordMarker(invariants.MarkerTroubled+name, m.World.Now())
+			m.History.RecordMarker(invariants.MarkerNetworkDegraded+name, m.World.Now())
 		}
 	}
 }
