--- a/internal/invariants/isolation_rules.go
+++ b/internal/invariants/isolation_rules.go
@@ -39,7 +39,7 @@
 				trouble.from = marker.At
 			}
 			trouble.callers = append(trouble.callers, caller)
-		case marker.What == MarkerUntroubled:
+		case marker.What == MarkerNetworkRestored:
 			trouble.until = marker.At
 		case marker.What == MarkerFailing:
 			trouble.excused = append(trouble.excused, PlannedChange{From: marker.At})
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -118,7 +118,7 @@
 	MarkerFailing     = "failing"        // a service begins to fail
 	MarkerRecovered   = "recovered"      // the failing service is healthy again
 	MarkerNetworkDegraded    = "troubled "      // prefix: the network of the named proxy is degraded from now on
-	MarkerUntroubled  = "untroubled"     // no proxy's network is degraded any more
+	MarkerNetworkRestored  = "untroubled"     // no proxy's network is degraded any more
 	MarkerProxyKilled = "proxy killed: " // prefix: the named proxy was killed
 )
 
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -171,7 +171,7 @@
 	}
 	setBehavior(m.backends, healthy)
 	m.degraded = nil
-	m.History.RecordMarker(invariants.MarkerUntroubled, m.World.Now())
+	m.History.RecordMarker(invariants.MarkerNetworkRestored, m.World.Now())
 	m.History.RecordMarker(invariants.MarkerReturned, m.World.Now())
 }
 
