--- a/internal/invariants/recovery_rules.go
+++ b/internal/invariants/recovery_rules.go
@@ -29,7 +29,7 @@
 func checkRecoveryTime(history *History) (findings []Finding, seen int) {
 	firstSent := history.firstSent()
 	for _, marker := range history.Markers {
-		if marker.What != MarkerReturned {
+		if marker.What != MarkerFaultsEnded {
 			continue
 		}
 		counts := countAfterReturn(history.Attempts, marker.At, firstSent)
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -172,7 +172,7 @@
 	setBehavior(m.backends, healthy)
 	m.degraded = nil
 	m.History.RecordMarker(invariants.MarkerNetworkRestored, m.World.Now())
-	m.History.RecordMarker(invariants.MarkerReturned, m.World.Now())
+	m.History.RecordMarker(invariants.MarkerFaultsEnded, m.World.Now())
 }
 
 // result checks the history of a run that has ended.
