--- a/internal/invariants/isolation_rules.go
+++ b/internal/invariants/isolation_rules.go
@@ -41,7 +41,7 @@
 			trouble.callers = append(trouble.callers, caller)
 		case marker.What == MarkerNetworkRestored:
 			trouble.until = marker.At
-		case marker.What == MarkerFailing:
+		case marker.What == MarkerServiceFailing:
 			trouble.excused = append(trouble.excused, PlannedChange{From: marker.At})
 		case marker.What == MarkerRecovered:
 			trouble.excused[len(trouble.excused)-1].Until = marker.At + recoveryTime
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -115,7 +115,7 @@
 // The markers that rules and checks know.
 const (
 	MarkerFaultsEnded    = "returned"       // every fault has ended and all machines run again
-	MarkerFailing     = "failing"        // a service begins to fail
+	MarkerServiceFailing     = "failing"        // a service begins to fail
 	MarkerRecovered   = "recovered"      // the failing service is healthy again
 	MarkerNetworkDegraded    = "troubled "      // prefix: the network of the named proxy is degraded from now on
 	MarkerNetworkRestored  = "untroubled"     // no proxy's network is degraded any more
--- a/internal/simulation/scenario/faults_backend.go
+++ b/internal/simulation/scenario/faults_backend.go
@@ -25,7 +25,7 @@
 	failServiceMarked = fault{"make a whole service fail, with markers", func(m *Mesh) {
 		backends := m.liveBackends(pick(m, []string{formsService, householdsService}))
 		setBehavior(backends, failing)
-		m.History.RecordMarker(invariants.MarkerFailing, m.World.Now())
+		m.History.RecordMarker(invariants.MarkerServiceFailing, m.World.Now())
 		m.after(8*monotonic.Second, func() {
 			setBehavior(backends, healthy)
 			m.History.RecordMarker(invariants.MarkerRecovered, m.World.Now())
