--- a/internal/invariants/isolation_rules.go
+++ b/internal/invariants/isolation_rules.go
@@ -43,7 +43,7 @@
 			trouble.until = marker.At
 		case marker.What == MarkerServiceFailing:
 			trouble.excused = append(trouble.excused, PlannedChange{From: marker.At})
-		case marker.What == MarkerRecovered:
+		case marker.What == MarkerServiceRecovered:
 			trouble.excused[len(trouble.excused)-1].Until = marker.At + recoveryTime
 		}
 	}
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -116,7 +116,7 @@
 const (
 	MarkerFaultsEnded    = "returned"       // every fault has ended and all machines run again
 	MarkerServiceFailing     = "failing"        // a service begins to fail
-	MarkerRecovered   = "recovered"      // the failing service is healthy again
+	MarkerServiceRecovered   = "recovered"      // the failing service is healthy again
 	MarkerNetworkDegraded    = "troubled "      // prefix: the network of the named proxy is degraded from now on
 	MarkerNetworkRestored  = "untroubled"     // no proxy's network is degraded any more
 	MarkerProxyKilled = "proxy killed: " // prefix: the named proxy was killed
--- a/internal/simulation/scenario/faults_backend.go
+++ b/internal/simulation/scenario/faults_backend.go
@@ -28,7 +28,7 @@
 		m.History.RecordMarker(invariants.MarkerServiceFailing, m.World.Now())
 		m.after(8*monotonic.Second, func() {
 			setBehavior(backends, healthy)
-			m.History.RecordMarker(invariants.MarkerRecovered, m.World.Now())
+			m.History.RecordMarker(invariants.MarkerServiceRecovered, m.World.Now())
 		})
 	}}
 	slowBackends = fault{"make half of all backends slow", func(m *Mesh) {
