--- a/internal/invariants/config_change_checks.go
+++ b/internal/invariants/config_change_checks.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		seen++
-		if counts.Calls < before.Calls || counts.Verdict == before.Verdict && counts.Window < before.Window {
+		if counts.Calls < before.Calls || counts.BreakerState == before.BreakerState && counts.Window < before.Window {
 			findings = append(findings, newFinding("%s lost calls of %s between %d and %d: %d in all and %d in its window, then %d and %d",
 				counts.Proxy, counts.Service, before.At, counts.At, before.Calls, before.Window, counts.Calls, counts.Window))
 		}
--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -32,7 +32,7 @@
 		return &invariants.History{AppliedConfigs: applied, ActiveConfigs: active}
 	}
 	counts := func(incarnation uint64, verdict string, calls uint64, window int) invariants.CallCounts {
-		return invariants.CallCounts{Proxy: "c", Incarnation: incarnation, Service: "s", Verdict: verdict, Calls: calls, Window: window}
+		return invariants.CallCounts{Proxy: "c", Incarnation: incarnation, Service: "s", BreakerState: verdict, Calls: calls, Window: window}
 	}
 	counted := func(counts ...invariants.CallCounts) *invariants.History {
 		return &invariants.History{CallCounts: counts}
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -94,7 +94,7 @@
 	Proxy       string
 	Incarnation uint64 // of the proxy's process
 	Service     string
-	Verdict     string // everything whose change may start a new window
+	BreakerState     string // everything whose change may start a new window
 	Calls       uint64 // since the process started
 	Window      int    // calls in the current window
 	At          monotonic.Micros
--- a/internal/rehearse/scenario/watch.go
+++ b/internal/rehearse/scenario/watch.go
@@ -75,6 +75,6 @@
 	}
 	for _, breaker := range status.Breakers {
 		r.History.RecordCallCounts(invariants.CallCounts{Proxy: name, Incarnation: status.Incarnation, Service: breaker.Service, At: now, Calls: breaker.Calls, Window: breaker.Window,
-			Verdict: fmt.Sprint(breaker.Shared, breaker.Version, breaker.Local, breaker.Control)})
+			BreakerState: fmt.Sprint(breaker.Shared, breaker.Version, breaker.Local, breaker.Control)})
 	}
 }
--- a/internal/simulation/scenario/observer.go
+++ b/internal/simulation/scenario/observer.go
@@ -73,7 +73,7 @@
 			Proxy:       name,
 			Incarnation: instance.Incarnation(),
 			Service:     status.Service,
-			Verdict:     fmt.Sprint(status.Shared, status.Version, status.Local, status.Control),
+			BreakerState:     fmt.Sprint(status.Shared, status.Version, status.Local, status.Control),
 			Calls:       status.Calls,
 			Window:      status.Window,
 			At:          m.World.Now(),
