--- a/internal/invariants/breaker_rules.go
+++ b/internal/invariants/breaker_rules.go
@@ -39,13 +39,13 @@
 		lastSeen:           reading,
 		previousAt:         previousAt,
 		returned:           reading.Returned,
-		continuous:         !reading.LocalVerdict,
+		continuous:         !reading.LocalDecisions,
 	}
 }
 
 // extend adds a later reading of the same state.
 func (s *breakerState) extend(reading BreakerObservation) {
-	s.continuous = s.continuous && !reading.LocalVerdict && reading.At-s.lastSeen.At <= maxObservationGap
+	s.continuous = s.continuous && !reading.LocalDecisions && reading.At-s.lastSeen.At <= maxObservationGap
 	s.lastSeen = reading
 	s.returned = max(s.returned, reading.Returned)
 }
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -139,9 +139,9 @@
 	ProbeLease   monotonic.Micros // the duration of a probe lease
 	At           monotonic.Micros // by the observer's clock
 	Source       string           // the process that the record was read from
-	// LocalVerdict is true while some proxy may go by its own window in place of the shared record, because it is cut off,
+	// LocalDecisions is true while some proxy may go by its own window in place of the shared record, because it is cut off,
 	// frozen or has only just started.
-	LocalVerdict bool
+	LocalDecisions bool
 }
 
 // ObserveBreaker returns the observation of a record that was read at a time from a process.
@@ -160,7 +160,7 @@
 		ProbeLease:   monotonic.Micros(settings.GetProbeLease()),
 		At:           at,
 		Source:       source,
-		LocalVerdict: localVerdict,
+		LocalDecisions: localVerdict,
 	}
 	for _, probe := range record.ProbeLeases {
 		observed.ProbeLeases = append(observed.ProbeLeases, probe.Id)
