--- a/internal/simulation/scenario/backends.go
+++ b/internal/simulation/scenario/backends.go
@@ -74,7 +74,7 @@
 	m.External.Sleep(backend.startDelay)
 	for backend.up {
 		node := m.World.Node(backend.proxy)
-		_, err := m.External.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
+		_, err := m.External.CallFunc(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 			return nil, m.sendHeartbeat(backend, registered)
 		})
 		registered = err == nil || registered && !apierror.IsRefused(err)
@@ -108,7 +108,7 @@
 	m.External.Go(func() {
 		backend.draining = true
 		node := m.World.Node(backend.proxy)
-		_, err := m.External.Transact(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
+		_, err := m.External.CallFunc(node.Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 			if m.defects.IgnoreDraining {
 				return nil, nil
 			}
--- a/internal/simulation/scenario/caller_cancelled_test.go
+++ b/internal/simulation/scenario/caller_cancelled_test.go
@@ -32,7 +32,7 @@
 			}
 			var fault error
 			mesh.External.Go(func() {
-				_, fault = mesh.External.Transact(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+				_, fault = mesh.External.CallFunc(mesh.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 					req.ReadAt = mesh.proxies[caller].LeaderClock()
 					if _, rejected := mesh.proxies[caller].Forwarder.Forward(&req); rejected != nil {
 						return nil, rejected
@@ -51,7 +51,7 @@
 				t.Fatalf("%s, seed %d: %d backends are at work", test.name, seed, running())
 			}
 			mesh.External.Go(func() {
-				_, _ = mesh.External.Transact(mesh.World.Node(caller).Address, monotonic.Second, func(*world.Node) ([]byte, error) {
+				_, _ = mesh.External.CallFunc(mesh.World.Node(caller).Address, monotonic.Second, func(*world.Node) ([]byte, error) {
 					leave()
 					return nil, nil
 				})
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -169,7 +169,7 @@
 // transactReply runs a request in the process of the attempt's proxy and completes the attempt with its result. The error is that
 // of the transport.
 func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error)) (reply callerReply, err error) {
-	content, err := m.External.Transact(m.World.Node(attempt.Proxy).Address, callerTimeout, func(*world.Node) ([]byte, error) {
+	content, err := m.External.CallFunc(m.World.Node(attempt.Proxy).Address, callerTimeout, func(*world.Node) ([]byte, error) {
 		response, fault, err := forward(m.proxies[attempt.Proxy])
 		if err != nil {
 			return nil, err
--- a/internal/simulation/scenario/departure_restart_test.go
+++ b/internal/simulation/scenario/departure_restart_test.go
@@ -101,7 +101,7 @@
 func (m *Mesh) callProxy(name string, work func() error) (succeeded bool) {
 	ended := false
 	m.External.Go(func() {
-		_, err := m.External.Transact(m.World.Node(name).Address, monotonic.Second, func(*world.Node) ([]byte, error) { return nil, work() })
+		_, err := m.External.CallFunc(m.World.Node(name).Address, monotonic.Second, func(*world.Node) ([]byte, error) { return nil, work() })
 		succeeded, ended = err == nil, true
 	})
 	for !ended {
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -215,7 +215,7 @@
 
 // transactAt runs work in the process at an address. Only whether it failed is of interest: not even that if the caller ignores it.
 func (m *Mesh) transactAt(address string, timeout monotonic.Micros, work func()) error {
-	_, err := m.External.Transact(address, timeout, func(*world.Node) ([]byte, error) {
+	_, err := m.External.CallFunc(address, timeout, func(*world.Node) ([]byte, error) {
 		work()
 		return nil, nil
 	})
--- a/internal/simulation/scenario/operator_workload.go
+++ b/internal/simulation/scenario/operator_workload.go
@@ -80,7 +80,7 @@
 func (m *Mesh) writeAt(machine string, write configWrite) invariants.CallOutcome {
 	node, sent := m.operatorNode(machine), m.World.Now()
 	var response *wire.ConfigApplyResponse
-	_, err := m.External.Transact(node.Address, 5*monotonic.Second, func(node *world.Node) ([]byte, error) {
+	_, err := m.External.CallFunc(node.Address, 5*monotonic.Second, func(node *world.Node) ([]byte, error) {
 		var err error
 		response, err = m.operatorAPIs[node.Name].Apply(3500*monotonic.Millisecond, &wire.ConfigApplyRequest{Content: write.content, Version: write.version})
 		return nil, err
@@ -117,7 +117,7 @@
 func (m *Mesh) readAt(machine string) {
 	node, sent := m.operatorNode(machine), m.World.Now()
 	var stored *wire.StoredConfig
-	_, err := m.External.Transact(node.Address, 3*monotonic.Second, func(node *world.Node) ([]byte, error) {
+	_, err := m.External.CallFunc(node.Address, 3*monotonic.Second, func(node *world.Node) ([]byte, error) {
 		var err error
 		stored, err = m.operatorAPIs[node.Name].Latest(900 * monotonic.Millisecond)
 		return nil, err
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -159,7 +159,7 @@
 func (m *Mesh) forward(caller string, req *request.Request) (response *request.Response, fault error) {
 	done := false
 	m.External.Go(func() {
-		_, err := m.External.Transact(m.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
+		_, err := m.External.CallFunc(m.World.Node(caller).Address, 8*monotonic.Second, func(*world.Node) ([]byte, error) {
 			req.ReadAt = m.proxies[caller].LeaderClock()
 			given, rejected := m.proxies[caller].Forwarder.Forward(req)
 			if rejected != nil {
--- a/internal/simulation/scenario/singleton_test.go
+++ b/internal/simulation/scenario/singleton_test.go
@@ -22,7 +22,7 @@
 	for m.serving && backend.up {
 		m.External.Sleep(500*monotonic.Millisecond + monotonic.Micros(m.World.Rand().Uint64N(uint64(monotonic.Second))))
 		requestedAt := m.World.Now()
-		content, err := m.External.Transact(m.World.Node(backend.proxy).Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
+		content, err := m.External.CallFunc(m.World.Node(backend.proxy).Address, 5*monotonic.Second, func(*world.Node) ([]byte, error) {
 			grant, err := m.proxies[backend.proxy].Singleton.Acquire("tally", backend.instance, 3*monotonic.Second)
 			if err != nil {
 				return nil, err
--- a/internal/simulation/world/call.go
+++ b/internal/simulation/world/call.go
@@ -73,7 +73,7 @@
 	}
 	w.Calls[name][kind]++
 	w.Bytes[name] += len(content)
-	encodedReply, err := h.Transact(address, timeout, func(node *Node) ([]byte, error) {
+	encodedReply, err := h.CallFunc(address, timeout, func(node *Node) ([]byte, error) {
 		handle := node.handlers[kind]
 		if handle == nil {
 			return nil, apierror.Refused.New("no handler for this kind")
@@ -91,10 +91,10 @@
 	return proto.Unmarshal(encodedReply, reply)
 }
 
-// Transact runs work as a task of the process at an address, as a request to it would, and returns its result. Callers,
+// CallFunc runs work as a task of the process at an address, as a request to it would, and returns its result. Callers,
 // operators and backends use it for the protocols that are not simulated. The errors are those of host.Host: Unreachable if the
 // work has certainly not run, Lost if it may have.
-func (h *Host) Transact(address string, timeout monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
+func (h *Host) CallFunc(address string, timeout monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
 	w, from := h.node.world, h.node
 	target, err := w.dial(from, address, timeout)
 	if err != nil {
