--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -59,7 +59,7 @@
 		for _, group := range state.Groups {
 			addAlternate(group, family)
 		}
-		state.Routes = append(state.Routes, family.Route())
+		state.Routes = append(state.Routes, family.GeneralRoute())
 	}
 	for number := range archivedRoutes {
 		state.Routes = append(state.Routes, &wire.Route{Name: fmt.Sprint("archive-", number), Host: fmt.Sprintf("a%d.example", number%20), Prefix: fmt.Sprintf("/archive/%d/", number),
--- a/internal/simulation/scenario/peak_traffic.go
+++ b/internal/simulation/scenario/peak_traffic.go
@@ -61,7 +61,7 @@
 				group.Services = append(group.Services, &wire.Service{Name: name})
 			}
 		}
-		state.Routes = append(state.Routes, family.Route())
+		state.Routes = append(state.Routes, family.GeneralRoute())
 	}
 	for number := range unusedRoutes {
 		state.Routes = append(state.Routes, &wire.Route{
--- a/internal/workload/route_changes.go
+++ b/internal/workload/route_changes.go
@@ -27,8 +27,8 @@
 	Service, Alternate string
 }
 
-// Route returns the family's general route. Requests that may change something run at most once.
-func (f RouteFamily) Route() *wire.Route {
+// GeneralRoute returns the family's general route. Requests that may change something run at most once.
+func (f RouteFamily) GeneralRoute() *wire.Route {
 	route := &wire.Route{
 		Name:   f.Kind,
 		Method: f.Method,
--- a/internal/workload/route_changes_test.go
+++ b/internal/workload/route_changes_test.go
@@ -22,7 +22,7 @@
 		for _, name := range []string{family.Service, family.Alternate} {
 			state.Groups[0].Services = append(state.Groups[0].Services, &wire.Service{Name: name})
 		}
-		state.Routes = append(state.Routes, family.Route())
+		state.Routes = append(state.Routes, family.GeneralRoute())
 	}
 	return workload.NewRouteChanges(state, families, rand.New(rand.NewPCG(seed, 0)))
 }
