--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -13,7 +13,7 @@
 	// lock guards the fields below.
 	lock             sync.Mutex
 	Attempts         []*Attempt
-	BackendRequests             []BackendRequest
+	BackendRequests  []BackendRequest
 	Departures       []Departure
 	AppliedConfigs   []AppliedConfig
 	ReadBack         []ReadBack
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -7,25 +7,25 @@
 
 // Attempt is one request as its caller saw it.
 type Attempt struct {
-	ID            string
-	Key           string // the idempotency key; empty for reads
-	Kind          string // the kind of traffic, to group attempts by
-	Proxy        string // the name of the proxy that the request was sent to
-	Method        string
-	Path          string
-	Sent          monotonic.Micros
-	Ended         monotonic.Micros // zero while the attempt is in flight
-	Status        int              // zero without a response
-	RejectedByMesh          bool             // the mesh itself rejected the request
-	Cause         int              // the mesh's cause of the rejection
-	NotRun        bool             // the rejection states that the request has not run
-	Version       uint64           // the configuration version that the request was handled by; zero if unknown
-	Echo          string           // the attempt ID that the response names
-	Complete      bool             // the response's body matches the checksum that the backend sent with it
-	Sum           string           // the checksum of the body as it arrived
-	Instance      string           // the backend instance that responded
-	TransportError     string           // the error of an attempt that ended without a response
-	RetryAfterSet bool             // the response had a Retry-After header
+	ID             string
+	Key            string // the idempotency key; empty for reads
+	Kind           string // the kind of traffic, to group attempts by
+	Proxy          string // the name of the proxy that the request was sent to
+	Method         string
+	Path           string
+	Sent           monotonic.Micros
+	Ended          monotonic.Micros // zero while the attempt is in flight
+	Status         int              // zero without a response
+	RejectedByMesh bool             // the mesh itself rejected the request
+	Cause          int              // the mesh's cause of the rejection
+	NotRun         bool             // the rejection states that the request has not run
+	Version        uint64           // the configuration version that the request was handled by; zero if unknown
+	Echo           string           // the attempt ID that the response names
+	Complete       bool             // the response's body matches the checksum that the backend sent with it
+	Sum            string           // the checksum of the body as it arrived
+	Instance       string           // the backend instance that responded
+	TransportError string           // the error of an attempt that ended without a response
+	RetryAfterSet  bool             // the response had a Retry-After header
 	// ReadByProxy is true if the proxy has certainly read the request and was ended by nothing but a planned stop. Such a request
 	// must be answered.
 	ReadByProxy bool
@@ -91,13 +91,13 @@
 
 // CallCounts is what a proxy's circuit breaker of one service had counted at some time.
 type CallCounts struct {
-	Proxy       string
-	Incarnation uint64 // of the proxy's process
-	Service     string
-	BreakerState     string // everything whose change may start a new window
-	Calls       uint64 // since the process started
-	Window      int    // calls in the current window
-	At          monotonic.Micros
+	Proxy        string
+	Incarnation  uint64 // of the proxy's process
+	Service      string
+	BreakerState string // everything whose change may start a new window
+	Calls        uint64 // since the process started
+	Window       int    // calls in the current window
+	At           monotonic.Micros
 }
 
 // PlannedChange is a period in which a process stops as planned or a configuration changes. Until is zero while it lasts.
@@ -114,12 +114,12 @@
 
 // The markers that rules and checks know.
 const (
-	MarkerFaultsEnded    = "returned"       // every fault has ended and all machines run again
-	MarkerServiceFailing     = "failing"        // a service begins to fail
-	MarkerServiceRecovered   = "recovered"      // the failing service is healthy again
-	MarkerNetworkDegraded    = "troubled "      // prefix: the network of the named proxy is degraded from now on
+	MarkerFaultsEnded      = "returned"       // every fault has ended and all machines run again
+	MarkerServiceFailing   = "failing"        // a service begins to fail
+	MarkerServiceRecovered = "recovered"      // the failing service is healthy again
+	MarkerNetworkDegraded  = "troubled "      // prefix: the network of the named proxy is degraded from now on
 	MarkerNetworkRestored  = "untroubled"     // no proxy's network is degraded any more
-	MarkerProxyKilled = "proxy killed: " // prefix: the named proxy was killed
+	MarkerProxyKilled      = "proxy killed: " // prefix: the named proxy was killed
 )
 
 // BreakerObservation is a shared breaker record as an observer read it.
@@ -148,18 +148,18 @@
 func ObserveBreaker(record *wire.BreakerRecord, at monotonic.Micros, source string, localVerdict bool) BreakerObservation {
 	settings := record.Settings
 	observed := BreakerObservation{
-		Service:      record.Service,
-		State:        record.State,
-		Version:      record.Version,
-		Budget:       int(record.Budget),
-		ProbeResults: len(record.ProbeResults),
-		Permitted:    int(max(1, settings.GetPermitted())),
-		EnteredAt:    monotonic.Micros(record.EnteredAt),
-		ExpiresAt:    monotonic.Micros(record.ExpiresAt),
-		Wait:         monotonic.Micros(settings.GetWaitOpen()),
-		ProbeLease:   monotonic.Micros(settings.GetProbeLease()),
-		At:           at,
-		Source:       source,
+		Service:        record.Service,
+		State:          record.State,
+		Version:        record.Version,
+		Budget:         int(record.Budget),
+		ProbeResults:   len(record.ProbeResults),
+		Permitted:      int(max(1, settings.GetPermitted())),
+		EnteredAt:      monotonic.Micros(record.EnteredAt),
+		ExpiresAt:      monotonic.Micros(record.ExpiresAt),
+		Wait:           monotonic.Micros(settings.GetWaitOpen()),
+		ProbeLease:     monotonic.Micros(settings.GetProbeLease()),
+		At:             at,
+		Source:         source,
 		LocalDecisions: localVerdict,
 	}
 	for _, probe := range record.ProbeLeases {
--- a/internal/simulation/world/call.go
+++ b/internal/simulation/world/call.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// undialedOdds: across a partition, one call in so many finds no connection established.
-	undialedOdds = 2
-	// bootPollInterval is how often a request that arrives during the start of a process looks for its handlers.
+	// unconnectedOdds: one in this many calls across a partition has no established connection and cannot open one.
+	unconnectedOdds = 2
+	// bootPollInterval is how often a request to a process that is still starting checks whether its handlers are ready.
 	bootPollInterval = 20 * monotonic.Millisecond
 )
 
-// connection is what the real host has for each address: the time of the last response and the calls in flight. As there, a
-// call that times out without any response since it began ends the connection, and the other calls with it.
+// connection models the real host's connection to an address: the time of the last response and the pending calls. As there, a
+// call that times out although nothing was received since it began closes the connection, so that its other calls fail too.
 type connection struct {
 	lastReceived monotonic.Micros
 	pending      []*pendingCall
@@ -38,14 +38,14 @@
 	c.pending = slices.DeleteFunc(c.pending, func(other *pendingCall) bool { return other == call })
 }
 
-// failAll completes every call in flight with an error.
+// failAll completes every pending call with an error.
 func (c *connection) failAll(err error) {
 	for _, call := range slices.Clone(c.pending) {
 		call.complete(nil, err)
 	}
 }
 
-// pendingCall is a call in flight. Only its first completion counts.
+// pendingCall is a call that waits for its response. Completions after the first are ignored.
 type pendingCall struct {
 	signal host.Signal
 	done   bool
@@ -61,7 +61,7 @@
 	c.signal.Fire()
 }
 
-// Call sends a request to the process at an address and decodes its response into reply. Its errors are those of host.Host.
+// Call sends a request to the process at an address and decodes its response into reply. Its errors are those of host.Host.Call.
 func (h *Host) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	content, err := proto.Marshal(request)
 	if err != nil {
@@ -91,9 +91,9 @@
 	return proto.Unmarshal(encodedReply, reply)
 }
 
-// CallFunc runs work as a task of the process at an address, as a request to it would, and returns its result. Callers,
-// operators and backends use it for the protocols that are not simulated. The errors are those of host.Host: Unreachable if the
-// work has certainly not run, Lost if it may have.
+// CallFunc runs work as a task of the process at an address, in place of a request's handler, and returns its result. Simulated
+// callers, operators and backends use it instead of their real protocols, which are not simulated. Its errors are those of
+// host.Host.Call: Unreachable if work has certainly not run, Lost if it may have run.
 func (h *Host) CallFunc(address string, timeout monotonic.Micros, work func(node *Node) ([]byte, error)) ([]byte, error) {
 	w, from := h.node.world, h.node
 	target, err := w.dial(from, address, timeout)
@@ -121,7 +121,7 @@
 	return nil, apierror.Lost.New("no response from %s", address)
 }
 
-// dial returns the node at an address, or an error after the time that a failed dial takes.
+// dial returns the node at an address. On failure it first waits as long as a failed dial takes.
 func (w *World) dial(from *Node, address string, timeout monotonic.Micros) (*Node, error) {
 	target := w.nodeAt(address)
 	if target == nil {
@@ -132,16 +132,16 @@
 		}
 		return nil, apierror.Unreachable.New("no process listens at %s", address)
 	}
-	if w.partitioned(from.Machine, target.Machine) && from.rng.Uint64N(undialedOdds) == 0 {
-		// No connection was established, and none can be now.
+	if w.partitioned(from.Machine, target.Machine) && from.rng.Uint64N(unconnectedOdds) == 0 {
+		// No connection was established before the partition, and none can be opened now.
 		w.sleep(w.current, timeout)
 		return nil, apierror.Unreachable.New("dialing %s timed out", address)
 	}
 	return target, nil
 }
 
-// receive runs a request's work as a task of the target and transmits its result. If the process dies meanwhile its connections
-// end, which the caller notices.
+// receive runs a request's work as a task of the target and transmits its result. If the task ends before that because the process
+// was killed, the caller sees that the connection ended.
 func (w *World) receive(from, target *Node, call *pendingCall, work func(node *Node) ([]byte, error)) {
 	w.spawn(target, func() {
 		finished := false
--- a/internal/simulation/world/events.go
+++ b/internal/simulation/world/events.go
@@ -7,17 +7,17 @@
 	"snowflow/internal/monotonic"
 )
 
-// event is something that happens at a time, on a node or outside all of them (node is nil).
+// event is an action that is executed at a given time, on behalf of a node or of the world itself (node is nil).
 type event struct {
 	due      monotonic.Micros
 	sequence uint64
 	action   func()
 	node     *Node
-	// incarnation is that of the node. If the node has another one when the event is due, nothing happens.
+	// incarnation is the node's when the event was created. If the node has another one when the event is due, it is discarded.
 	incarnation int
 }
 
-// eventQueue is a heap of events, which container/heap keeps in the order of their time and then of their creation.
+// eventQueue is a heap for container/heap, ordered by due time and then by sequence number.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -31,10 +31,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push appends an item for container/heap.
+// Push appends an item. It is part of heap.Interface.
 func (q *eventQueue) Push(item any) { *q = append(*q, asEvent(item)) }
 
-// Pop removes the last item for container/heap.
+// Pop removes and returns the last item. It is part of heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -50,16 +50,16 @@
 	return next
 }
 
-// At has an action run at a time outside all nodes. A time in the past means now.
+// At schedules an action that belongs to no node. A time in the past means now.
 func (w *World) At(at monotonic.Micros, action func()) { w.schedule(at, nil, 0, action) }
 
-// schedule queues an event. Those of a node happen only in the incarnation given, and wait while the node is frozen.
+// schedule queues an event. A node's event is discarded if the incarnation has ended, and postponed while the node is frozen.
 func (w *World) schedule(at monotonic.Micros, node *Node, incarnation int, action func()) {
 	w.sequence++
 	heap.Push(&w.queue, &event{due: max(at, w.now), sequence: w.sequence, action: action, node: node, incarnation: incarnation})
 }
 
-// Run lets events happen until a time, or until a task panics.
+// Run executes the events that are due up to a time, or until a task panics.
 func (w *World) Run(until monotonic.Micros) {
 	for len(w.queue) > 0 && w.queue[0].due <= until && w.Panicked == nil {
 		next := asEvent(heap.Pop(&w.queue))
--- a/internal/simulation/world/host.go
+++ b/internal/simulation/world/host.go
@@ -7,7 +7,7 @@
 	"snowflow/internal/wal"
 )
 
-// Host is what one incarnation of a node's process runs on. It implements host.Host.
+// Host is the environment of one incarnation of a node's process. It implements host.Host.
 type Host struct {
 	node        *Node
 	incarnation int
@@ -18,15 +18,15 @@
 // Node returns the host's node.
 func (h *Host) Node() *Node { return h.node }
 
-// Now returns the node's own clock, which has an offset and drifts.
+// Now returns the reading of the node's own clock, which has an offset and a drift.
 func (h *Host) Now() monotonic.Micros { return h.node.now() }
 
-// Sleep lets the calling task wait. The duration is the observer's.
+// Sleep suspends the calling task for a duration of true time.
 func (h *Host) Sleep(duration monotonic.Micros) {
 	h.node.world.sleep(h.node.world.current, duration)
 }
 
-// Go starts a task. It does nothing once this incarnation has ended.
+// Go starts a task, unless this incarnation has ended.
 func (h *Host) Go(work func()) {
 	if h.node.incarnation == h.incarnation {
 		h.node.world.spawn(h.node, work)
@@ -39,7 +39,7 @@
 // Disk returns the node's disk.
 func (h *Host) Disk() wal.Disk { return h.node.Disk }
 
-// Report passes an event on to the world's Trace.
+// Report passes an event to the world's Trace.
 func (h *Host) Report(number int, fields eventlog.Attributes) {
 	w := h.node.world
 	if w.Trace != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Stop ends the process, unless this incarnation has ended already, and calls the world's OnStop.
+// Stop ends the process and then calls the world's OnStop. It does nothing if this incarnation has already ended.
 func (h *Host) Stop(reason string) {
 	w := h.node.world
 	if h.node.incarnation != h.incarnation {
@@ -68,15 +68,15 @@
 type signal struct {
 	world  *World
 	fired  bool
-	waiter *task // nil if none waits
-	// generation rises when a wait begins or is ended by Fire, so that a timeout ends only its own wait.
+	waiter *task // the waiting task, or nil
+	// generation increases when a wait begins or Fire ends it, so that a timeout only ends the wait that it belongs to.
 	generation uint64
 }
 
-// NewSignal returns a signal that has not been fired.
+// NewSignal returns a signal that has not fired.
 func (h *Host) NewSignal() host.Signal { return &signal{world: h.node.world} }
 
-// Fire resumes the waiting task, or lets the next Wait return at once.
+// Fire resumes the waiting task. If no task waits, the next Wait returns at once.
 func (s *signal) Fire() {
 	s.fired = true
 	if s.waiter == nil {
@@ -88,8 +88,8 @@
 	s.world.resumeAt(s.world.now, waiter)
 }
 
-// Wait lets the calling task wait until the signal is fired or the timeout ends, and reports whether it was fired. A timeout of
-// monotonic.Forever never ends.
+// Wait suspends the calling task until the signal fires or the timeout expires, and reports whether it fired. A timeout of
+// monotonic.Forever never expires.
 func (s *signal) Wait(timeout monotonic.Micros) bool {
 	if s.fired {
 		s.fired = false
--- a/internal/simulation/world/network.go
+++ b/internal/simulation/world/network.go
@@ -5,19 +5,19 @@
 )
 
 const (
-	// minLatency is the least latency of a message.
+	// minLatency is the lowest latency of a message.
 	minLatency = 50 * monotonic.Micros(1)
-	// slowMessageOdds: one message in so many is slow.
+	// slowMessageOdds: one in this many messages is slow.
 	slowMessageOdds = 200
-	// maxExtraLatency bounds what a slow message takes longer.
+	// maxExtraLatency bounds the extra latency of a slow message.
 	maxExtraLatency = 100 * monotonic.Millisecond
-	// dropOdds: one message in so many is dropped when it meets a partition. The others are retransmitted.
+	// dropOdds: one in this many messages that reach a partition is dropped. The others are retransmitted.
 	dropOdds = 4
-	// retransmitInterval is how long a message that meets a partition waits before it is sent again.
+	// retransmitInterval is the time until a message that a partition has blocked is sent again.
 	retransmitInterval = 100 * monotonic.Millisecond
 )
 
-// Partition stops messages from one machine to another. It does not affect the other direction.
+// Partition blocks messages from one machine to another. It does not affect the other direction.
 func (w *World) Partition(from, to string) { w.partitions[[2]string{from, to}] = true }
 
 // HealPartition ends the partitions between two machines, in both directions.
@@ -33,12 +33,12 @@
 
 func (w *World) partitioned(from, to string) bool { return w.partitions[[2]string{from, to}] }
 
-// Delay adds to the latency of messages from one machine to another.
+// Delay sets the extra latency of messages from one machine to another.
 func (w *World) Delay(from, to string, duration monotonic.Micros) {
 	w.delays[[2]string{from, to}] = duration
 }
 
-// messageLatency draws a message's latency. Now and then one is much slower.
+// messageLatency returns a random latency for one message, which is occasionally much higher than MaxLatency.
 func (w *World) messageLatency(from *Node) monotonic.Micros {
 	latency := minLatency + monotonic.Micros(from.rng.Uint64N(uint64(w.MaxLatency)))
 	if from.rng.Uint64N(slowMessageOdds) == 0 {
@@ -47,15 +47,15 @@
 	return latency
 }
 
-// transmit brings a message from one node to another and then calls deliver. Where it meets a partition it is retransmitted or
-// dropped; a frozen node receives it once it thaws. lose is called if the target has been restarted meanwhile: its connections
-// have ended with it. A dropped message ends in neither, so the caller's timeout ends.
-func (w *World) transmit(from, to *Node, deliver, lose func()) {
+// transmit sends a message from one node to another and calls deliver when it arrives. A partition causes it to be retransmitted
+// or dropped; a frozen node receives it after the freeze. onClosed is called instead if the target's process was killed in the
+// meantime, which closed its connections. For a dropped message neither is called, so that the caller runs into its timeout.
+func (w *World) transmit(from, to *Node, deliver, onClosed func()) {
 	incarnation := to.incarnation
 	var arrive func()
 	arrive = func() {
 		if to.incarnation != incarnation {
-			lose()
+			onClosed()
 			return
 		}
 		if w.partitioned(from.Machine, to.Machine) {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// machineIsUp reports whether any process runs on the machine that an address belongs to, so that a dial is refused at once.
+// machineIsUp reports whether any process runs on the machine that an address belongs to. If so, that machine refuses a dial at once.
 func (w *World) machineIsUp(address string) bool {
 	machine := ""
 	for _, node := range w.Nodes() {
--- a/internal/simulation/world/node.go
+++ b/internal/simulation/world/node.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// maxClockOffset bounds the difference between a node's clock and the observer's at the start.
+	// maxClockOffset bounds how far a node's clock is ahead of true time when the node is added.
 	maxClockOffset = 10 * monotonic.Minute
-	// driftDivisor scales a draw from [-0.5, 0.5) to a clock drift of up to 100 parts in a million.
+	// driftDivisor scales a random number from [-0.5, 0.5) to a clock drift of up to 100 parts per million.
 	driftDivisor = 5000
-	// minBootClock is the least clock that a process starts with: as on a real machine, well above zero.
+	// minBootClock is the lowest clock reading that a process may start with. As on a real machine, it is well above zero.
 	minBootClock = monotonic.Minute
-	// adjustedBootClock is what a clock below that is set to.
+	// adjustedBootClock is the reading that a lower clock is set to.
 	adjustedBootClock = 60 * monotonic.Minute
-	// maxSyncJitter bounds what is added to each wait for the disk.
+	// maxSyncJitter bounds the random time added to each disk wait, in microseconds.
 	maxSyncJitter = 500
 )
 
-// Boot starts a process's program on its host and returns the handlers of its messages.
+// Boot starts a process's program on its host and returns its message handlers.
 type Boot func(h *Host) (host.Handlers, error)
 
 // Node is one simulated process with its disk.
 type Node struct {
 	Name string
-	// Address is where the process is called. It may be changed while the process is down.
+	// Address is where the process receives calls. It may be changed while the process is down.
 	Address string
-	// Machine is what partitions and delays refer to; several nodes may share one.
+	// Machine names the machine that the node runs on. Partitions and delays apply to machines; several nodes may share one.
 	Machine string
 	Disk    *memory.Disk
 
 	world       *World
 	boot        Boot
 	handlers    host.Handlers // nil until the program has started
-	incarnation int           // rises with each start and kill
+	incarnation int           // increases on every start and kill
 	up          bool
 	frozenUntil monotonic.Micros
-	clockOffset monotonic.Micros // of the node's clock against the observer's
-	clockDrift  float64          // the share by which the node's clock is faster
+	clockOffset monotonic.Micros // of the node's clock from true time, without the drift
+	clockDrift  float64          // how much faster the node's clock runs, as a fraction
 	rng         *rand.Rand
 	tasks       map[*task]bool
 }
 
-// Add creates a node that is down. Start runs it.
+// Add creates a node whose process is not running. Start starts it.
 func (w *World) Add(name, address, machine string, boot Boot) *Node {
 	node := &Node{
 		Name:    name,
@@ -72,15 +72,15 @@
 	return node
 }
 
-// Up reports whether the node's process runs, frozen or not.
+// Up reports whether the node's process is running, frozen or not.
 func (n *Node) Up() bool { return n.up }
 
-// now returns the node's own clock.
+// now returns the reading of the node's own clock.
 func (n *Node) now() monotonic.Micros {
 	return n.world.now + n.clockOffset + monotonic.Micros(float64(n.world.now)*n.clockDrift)
 }
 
-// Start boots the process of a node that is down. A process whose program fails to start ends itself.
+// Start starts the process of a node that is down. A process whose Boot fails stops itself.
 func (w *World) Start(node *Node) {
 	if node.up {
 		return
@@ -101,7 +101,7 @@
 	})
 }
 
-// Kill ends a node's process at once. Its disk stays as it is, with what was not synced.
+// Kill ends a node's process at once. Its disk keeps everything that was written, synced or not.
 func (w *World) Kill(node *Node) {
 	if !node.up {
 		return
@@ -122,7 +122,7 @@
 	}
 }
 
-// PowerLoss kills a node's process and drops from its disk what was not synced.
+// PowerLoss kills a node's process. Its disk loses what was not synced.
 func (w *World) PowerLoss(node *Node) {
 	w.Kill(node)
 	node.Disk.PowerLoss()
@@ -134,10 +134,10 @@
 	node.Disk.Wipe()
 }
 
-// Freeze stops a node's process for a duration: everything that it would have done happens late. Its clock goes on.
+// Freeze pauses a node's process for a duration: its events happen once the pause is over. Its clock continues to run.
 func (w *World) Freeze(node *Node, duration monotonic.Micros) { node.frozenUntil = w.now + duration }
 
-// Suspend freezes a node's process together with its clock, as a clock that does not count suspended time.
+// Suspend freezes a node's process together with its clock, as on a machine whose clock does not count suspended time.
 func (w *World) Suspend(node *Node, duration monotonic.Micros) {
 	w.Freeze(node, duration)
 	node.clockOffset -= duration
@@ -146,8 +146,8 @@
 // Thaw ends a freeze.
 func (w *World) Thaw(node *Node) { node.frozenUntil = min(node.frozenUntil, w.now) }
 
-// Frozen reports whether a node is frozen now.
+// Frozen reports whether a node is currently frozen.
 func (w *World) Frozen(node *Node) bool { return node.frozenUntil > w.now }
 
-// StepClock moves a node's clock forward, or back by a negative step.
+// StepClock moves a node's clock forward, or backward if the step is negative.
 func (w *World) StepClock(node *Node, step monotonic.Micros) { node.clockOffset += step }
--- a/internal/simulation/world/task.go
+++ b/internal/simulation/world/task.go
@@ -7,16 +7,16 @@
 	"snowflow/internal/monotonic"
 )
 
-// task is a goroutine of a node. It runs only between a receive from resume and its next yield.
+// task is a goroutine of a node. It runs only after it has received from resume, until it yields.
 type task struct {
 	node        *Node
 	incarnation int
-	number      uint64        // tasks of a killed node end in the order of their numbers
-	resume      chan struct{} // the scheduler sends here to let the task run
-	dead        bool          // the node was killed: the task ends as soon as it is resumed
+	number      uint64        // the tasks of a killed node are ended in the order of their numbers
+	resume      chan struct{} // switchTo sends here to let the task run
+	dead        bool          // the node was killed; the task ends as soon as it is resumed
 }
 
-// spawn starts a task on a node. It first runs as an event of its own.
+// spawn creates a task on a node and schedules an event at the current time that runs it.
 func (w *World) spawn(node *Node, work func()) {
 	w.sequence++
 	t := &task{node: node, incarnation: node.incarnation, resume: make(chan struct{}), number: w.sequence}
@@ -46,12 +46,12 @@
 	return string(buffer[:runtime.Stack(buffer, false)])
 }
 
-// resumeAt schedules that a task runs on.
+// resumeAt schedules an event that resumes a task.
 func (w *World) resumeAt(at monotonic.Micros, t *task) {
 	w.schedule(at, t.node, t.incarnation, func() { w.switchTo(t) })
 }
 
-// switchTo lets a task run until it yields or ends. It is called by the scheduler, or by a task that kills others.
+// switchTo runs a task until it yields or ends. Its callers are the scheduler and Kill, which may run in another task.
 func (w *World) switchTo(t *task) {
 	if !t.node.tasks[t] {
 		return
@@ -63,7 +63,7 @@
 	w.current = previous
 }
 
-// yield hands control back to the scheduler until the task is resumed. The goroutine of a dead task ends here.
+// yield returns control to the scheduler until the task is resumed. The goroutine of a dead task exits here.
 func (w *World) yield(t *task) {
 	t.exitIfDead()
 	w.current = nil
@@ -72,7 +72,7 @@
 	t.exitIfDead()
 }
 
-// sleep yields for a duration.
+// sleep suspends a task for a duration.
 func (w *World) sleep(t *task, duration monotonic.Micros) {
 	t.exitIfDead()
 	w.resumeAt(w.now+max(duration, 0), t)
--- a/internal/simulation/world/world.go
+++ b/internal/simulation/world/world.go
@@ -8,43 +8,43 @@
 	"snowflow/internal/transport/wire"
 )
 
-// World is one simulated run. It is used by one goroutine, or by the tasks that it runs.
+// World is one simulated run. It is not safe for concurrent use: only one goroutine, or the tasks that it runs, may use it.
 type World struct {
-	// MaxLatency bounds the ordinary latency of a message.
+	// MaxLatency bounds the random part of a normal message's latency.
 	MaxLatency monotonic.Micros
-	// DialTimeout is how long a dial to a machine that is down takes at the most.
+	// DialTimeout is the longest time that a dial to a machine that is down takes.
 	DialTimeout monotonic.Micros
-	// Trace is called with every event that a node reports, if set.
+	// Trace, if set, is called with every event that a node reports; number is the event's number in eventlog.Catalogue.
 	Trace func(at monotonic.Micros, node string, number int, fields map[string]any)
-	// OnStop is called when a process has ended itself, if set.
+	// OnStop, if set, is called after a process has stopped itself.
 	OnStop func(node *Node, reason string)
-	// Panicked is what a task panicked with, with its stack; nil if none did. A panic ends the run.
+	// Panicked describes the panic of a task, with its stack trace; nil if no task panicked. A panic ends the run.
 	Panicked any
-	// Events counts the events that have happened.
+	// Events counts the executed events.
 	Events uint64
-	// Calls counts the calls of each node by their kind.
+	// Calls counts the calls that each node has made, by node name and kind.
 	Calls map[string]map[wire.Kind]int
-	// Bytes sums up the sizes of each node's requests and of the responses to them.
+	// Bytes is the total size of each node's requests and of the responses to them, by node name.
 	Bytes map[string]int
 
 	now      monotonic.Micros
 	queue    eventQueue
-	sequence uint64 // of the newest event or task
+	sequence uint64 // the number of the newest event or task
 	rng      *rand.Rand
-	current  *task         // the task that runs; nil while the scheduler does
-	yielded  chan struct{} // a running task sends here when it hands control back
+	current  *task         // the running task; nil while the scheduler runs
+	yielded  chan struct{} // a task sends here to return control to whoever resumed it
 	nodes    map[string]*Node
-	// partitions are the pairs of machines, from and to, between which no messages arrive.
+	// partitions holds the pairs of machines (from, to) between which messages are blocked.
 	partitions map[[2]string]bool
-	// delays are added to the latency of messages from one machine to another.
+	// delays holds the extra latency of messages by pairs of machines (from, to).
 	delays map[[2]string]monotonic.Micros
-	// connections are keyed by the calling process and the address that it calls.
+	// connections is keyed by the calling process (node and incarnation) and the address that it calls.
 	connections map[[2]string]*connection
-	// digest mixes the time and number of each event.
+	// digest is a running hash of the due times and numbers of the executed events.
 	digest uint64
 }
 
-// New returns an empty world whose random sources are seeded by seed.
+// New returns an empty world whose random sources derive from seed.
 func New(seed uint64) *World {
 	return &World{
 		MaxLatency:  2 * monotonic.Millisecond,
@@ -61,16 +61,16 @@
 	}
 }
 
-// Now returns the observer's time, which no fault affects.
+// Now returns the simulation's true time, which no fault affects.
 func (w *World) Now() monotonic.Micros { return w.now }
 
-// Rand returns the random source for everything that a scenario leaves to chance.
+// Rand returns the random source for a scenario's random choices.
 func (w *World) Rand() *rand.Rand { return w.rng }
 
-// Digest identifies the run so far: two runs that took the same events in the same order have the same digest.
+// Digest identifies the run so far: two runs with the same events in the same order have the same digest.
 func (w *World) Digest() uint64 { return w.digest }
 
-// Nodes returns all nodes in the order of their names.
+// Nodes returns all nodes, sorted by name.
 func (w *World) Nodes() []*Node {
 	nodes := make([]*Node, 0, len(w.nodes))
 	for _, node := range w.nodes {
@@ -80,7 +80,7 @@
 	return nodes
 }
 
-// Node returns the node with a name, or nil.
+// Node returns the node with the given name, or nil.
 func (w *World) Node(name string) *Node { return w.nodes[name] }
 
 // Close kills all processes, which ends their tasks.
--- a/internal/simulation/world/world_test.go
+++ b/internal/simulation/world/world_test.go
@@ -12,12 +12,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// pair is a world of a server, which answers claims, and a client.
+// pair is a world with two nodes: a server, which grants every claim, and a client.
 type pair struct {
 	*world.World
 	server, client *world.Node
 	clientHost     *world.Host
-	served         int
+	served         int // claims that the server has handled
 }
 
 func newPair(t *testing.T, seed uint64) *pair {
@@ -68,7 +68,7 @@
 		return p.Digest()
 	}
 	if first, second, other := run(1), run(1), run(2); first != second || first == other {
-		t.Errorf("digests %x and %x of one seed, %x of another", first, second, other)
+		t.Errorf("digests %x and %x for the same seed, %x for another", first, second, other)
 	}
 }
 
@@ -76,7 +76,7 @@
 	for _, test := range []struct {
 		name     string
 		from, to string
-		served   bool // the request arrives, though its response may not
+		served   bool // the server handles the request, even if the response does not arrive
 	}{
 		{"requests", "client", "server", false},
 		{"responses", "server", "client", true},
@@ -85,14 +85,14 @@
 			p := newPair(t, 3)
 			p.Partition(test.from, test.to)
 			if took, err := p.call(t, monotonic.Second); err == nil || took > 2*monotonic.Second {
-				t.Errorf("%v after %d", err, took)
+				t.Errorf("the call ended after %d us with error %v, expected an error within 2 s", took, err)
 			}
 			if served := p.served > 0; served != test.served {
-				t.Errorf("served: %v", served)
+				t.Errorf("the server handled the request: %v, expected %v", served, test.served)
 			}
 			p.HealPartition(test.from, test.to)
 			if _, err := p.call(t, monotonic.Second); err != nil {
-				t.Errorf("once it is healed: %v", err)
+				t.Errorf("after the partition was healed: %v", err)
 			}
 		})
 	}
@@ -102,7 +102,7 @@
 	p := newPair(t, 4)
 	p.Freeze(p.server, 2*monotonic.Second)
 	if took, err := p.call(t, 5*monotonic.Second); err != nil || took < 2*monotonic.Second || took > 3*monotonic.Second {
-		t.Errorf("%v after %d", err, took)
+		t.Errorf("the call ended after %d us with error %v, expected a response after 2 to 3 s", took, err)
 	}
 }
 
@@ -110,20 +110,20 @@
 	p := newPair(t, 5)
 	p.Kill(p.server)
 	if _, err := p.call(t, monotonic.Second); !apierror.IsUnreachable(err) {
-		t.Errorf("down: %v", err)
+		t.Errorf("call to a killed node: %v, expected apierror.Unreachable", err)
 	}
 	p.Start(p.server)
 	if _, err := p.call(t, monotonic.Second); err != nil {
-		t.Errorf("restarted: %v", err)
+		t.Errorf("call to a restarted node: %v", err)
 	}
 }
 
 func TestTasksEndWithTheirIncarnation(t *testing.T) {
 	p := newPair(t, 6)
-	ticks, former := 0, p.clientHost
-	former.Go(func() {
+	ticks, killedHost := 0, p.clientHost
+	killedHost.Go(func() {
 		for {
-			former.Sleep(100 * monotonic.Millisecond)
+			killedHost.Sleep(100 * monotonic.Millisecond)
 			ticks++
 		}
 	})
@@ -131,10 +131,10 @@
 	p.Kill(p.client)
 	p.Start(p.client)
 	before := ticks
-	former.Go(func() { ticks++ })
+	killedHost.Go(func() { ticks++ })
 	p.Run(p.Now() + monotonic.Second)
 	if before < 5 || ticks != before {
-		t.Errorf("%d ticks before the kill, %d afterwards", before, ticks-before)
+		t.Errorf("%d ticks before the kill, %d after it", before, ticks-before)
 	}
 }
 
@@ -143,7 +143,7 @@
 	signal := p.clientHost.NewSignal()
 	var fired []bool
 	p.clientHost.Go(func() {
-		fired = append(fired, signal.Wait(monotonic.Second)) // nobody fires it
+		fired = append(fired, signal.Wait(monotonic.Second)) // not fired
 		signal.Fire()
 		fired = append(fired, signal.Wait(monotonic.Second)) // fired before the wait
 		p.clientHost.Go(func() {
@@ -154,7 +154,7 @@
 	})
 	p.Run(p.Now() + 5*monotonic.Second)
 	if len(fired) != 3 || fired[0] || !fired[1] || !fired[2] {
-		t.Errorf("%v", fired)
+		t.Errorf("Wait returned %v, expected [false true true]", fired)
 	}
 }
 
@@ -163,12 +163,12 @@
 	before := p.clientHost.Now()
 	p.StepClock(p.client, -30*monotonic.Second)
 	if stepped := p.clientHost.Now() - before; stepped != -30*monotonic.Second {
-		t.Errorf("stepped by %d", stepped)
+		t.Errorf("the clock was stepped by %d us, expected -30 s", stepped)
 	}
 	before = p.clientHost.Now()
 	p.Suspend(p.client, 2*monotonic.Second)
 	p.Run(p.Now() + 2*monotonic.Second)
 	if passed := p.clientHost.Now() - before; passed < -monotonic.Millisecond || passed > monotonic.Millisecond {
-		t.Errorf("%d passed while the node was suspended", passed)
+		t.Errorf("the clock advanced by %d us while the node was suspended", passed)
 	}
 }
