--- a/internal/simulation/world/world_test.go
+++ b/internal/simulation/world/world_test.go
@@ -85,10 +85,10 @@
 			p := newPair(t, 3)
 			p.Partition(test.from, test.to)
 			if took, err := p.call(t, monotonic.Second); err == nil || took > 2*monotonic.Second {
-				t.Errorf("the call ended after %d us with error %v, expected an error within 2 s", took, err)
+				t.Errorf("error %v after %d us, expected an error within 2 s", err, took)
 			}
 			if served := p.served > 0; served != test.served {
-				t.Errorf("the server handled the request: %v, expected %v", served, test.served)
+				t.Errorf("the server handled the request: %v", served)
 			}
 			p.HealPartition(test.from, test.to)
 			if _, err := p.call(t, monotonic.Second); err != nil {
@@ -102,7 +102,7 @@
 	p := newPair(t, 4)
 	p.Freeze(p.server, 2*monotonic.Second)
 	if took, err := p.call(t, 5*monotonic.Second); err != nil || took < 2*monotonic.Second || took > 3*monotonic.Second {
-		t.Errorf("the call ended after %d us with error %v, expected a response after 2 to 3 s", took, err)
+		t.Errorf("error %v after %d us, expected a response after 2 to 3 s", err, took)
 	}
 }
 
