--- a/internal/workload/kinds.go
+++ b/internal/workload/kinds.go
@@ -10,14 +10,14 @@
 	"snowflow/internal/transport/wire"
 )
 
-// routeChange is one kind of change to a family's routes. apply changes state, which it owns; routes are those of the family in
-// it, at least the general one.
+// routeChange is a kind of change to a family's routes. apply modifies state in place. routes are the family's routes in state and
+// include at least the general one.
 type routeChange struct {
 	name  string
 	apply func(c *RouteChanges, state *wire.DesiredState, family RouteFamily, routes []*wire.Route)
 }
 
-// routeChanges are the kinds of changes. Their order is part of what a seed means.
+// routeChanges lists the kinds of changes. A different order would change the result of every seed.
 var routeChanges = []routeChange{
 	{"moved", moveRoute},
 	{"weights", splitRoute},
@@ -28,14 +28,14 @@
 }
 
 const (
-	// minTimeout and timeoutRange give the time-outs of routes: at least the one, and less than both together.
+	// minTimeout and timeoutRange bound the timeouts of routes: at least minTimeout, less than minTimeout plus timeoutRange.
 	minTimeout   = 3 * time.Second
 	timeoutRange = 2 * time.Second
-	// weightRange bounds the weights of split routes.
+	// weightRange bounds the weights of split routes: 1 to 9 for the first service, 0 to 8 for the second.
 	weightRange = 9
 )
 
-// moveRoute moves a route to the family's other service.
+// moveRoute routes all of a route's requests to the other of the family's two services.
 func moveRoute(c *RouteChanges, _ *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
 	route := pick(c.rng, routes)
 	target := family.Service
@@ -45,7 +45,7 @@
 	route.Split = []*wire.Share{{Service: target, Weight: 1}}
 }
 
-// splitRoute splits a route among both services by random weights, the second of which may be zero.
+// splitRoute splits a route's requests between both services by random weights. The second weight may be zero.
 func splitRoute(c *RouteChanges, _ *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
 	route := pick(c.rng, routes)
 	first := &wire.Share{Service: family.Service, Weight: uint32(1 + c.rng.IntN(weightRange))}
@@ -53,14 +53,14 @@
 	route.Split = []*wire.Share{first, second}
 }
 
-// changeTimeout gives a route another time-out.
+// changeTimeout gives a route a new random timeout.
 func changeTimeout(c *RouteChanges, _ *wire.DesiredState, _ RouteFamily, routes []*wire.Route) {
 	route := pick(c.rng, routes)
 	extra := c.rng.Uint64N(uint64(timeoutRange.Microseconds()))
 	route.CutoffMicros = proto.Int64(minTimeout.Microseconds() + int64(extra))
 }
 
-// addRegionalRoute adds a route for a region, unless the region has one.
+// addRegionalRoute adds a route for a random region, unless that region already has one.
 func addRegionalRoute(c *RouteChanges, state *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
 	prefix := fmt.Sprintf("%s%d/", family.Prefix, c.rng.IntN(RegionsPerFamily))
 	if slices.ContainsFunc(routes, func(route *wire.Route) bool { return route.Prefix == prefix }) {
@@ -76,7 +76,7 @@
 	})
 }
 
-// removeRoute removes a route, unless it is the family's general one: its requests must keep a route.
+// removeRoute removes a random route, unless it is the family's general one, without which some requests would match no route.
 func removeRoute(c *RouteChanges, state *wire.DesiredState, family RouteFamily, routes []*wire.Route) {
 	removed := pick(c.rng, routes)
 	if removed.Prefix == family.Prefix {
--- a/internal/workload/route_changes.go
+++ b/internal/workload/route_changes.go
@@ -14,20 +14,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// RegionsPerFamily is the number of regions of a family. A region is a one-digit number that follows the family's prefix in a
-// path, and may have a route of its own.
+// RegionsPerFamily is the number of regions in a family. A region is a one-digit number that follows the family's prefix in a path
+// and may have its own route.
 const RegionsPerFamily = 10
 
-// RouteFamily is a kind of traffic whose routes change.
+// RouteFamily is a kind of traffic and describes its routes.
 type RouteFamily struct {
-	Kind   string // the name of the kind and of its general route
+	Kind   string // the name of the kind of traffic and of its general route
 	Method string
-	Prefix string // of the paths; ends with a slash
-	// Service and Alternate are the services that the routes lead to. Alternate is empty if the routes never change.
+	Prefix string // the prefix of the paths; ends with a slash
+	// Service and Alternate are the target services of the routes. Alternate is empty if the routes never change.
 	Service, Alternate string
 }
 
-// GeneralRoute returns the family's general route. Requests that may change something run at most once.
+// GeneralRoute returns the family's general route. Requests other than GET are executed at most once.
 func (f RouteFamily) GeneralRoute() *wire.Route {
 	route := &wire.Route{
 		Name:   f.Kind,
@@ -42,7 +42,7 @@
 	return route
 }
 
-// owns reports whether a route is the family's general route or one of a region.
+// owns reports whether a route is the family's general route or one of its regional routes.
 func (f RouteFamily) owns(route *wire.Route) bool {
 	if route.Method != f.Method {
 		return false
@@ -51,35 +51,35 @@
 	return route.Prefix == f.Prefix || regional
 }
 
-// RouteChanges makes desired states, each by a change of the one before.
+// RouteChanges generates desired states, each by one change to the previous one.
 type RouteChanges struct {
-	// State is the state that the next change begins with. Callers set it to the state that was submitted last, or that won a race.
-	// Each family's general route is in it.
+	// State is the state that the next change starts from. Callers set it to the state that was submitted last or, if operators
+	// submitted concurrently, to the one that was accepted. It must contain each family's general route.
 	State *wire.DesiredState
-	// Changes is the number of changes made.
+	// Changes is the number of changes made, including those that had no effect.
 	Changes int
-	// Counts are the changes made by the family's kind and the change's name, separated by a space.
+	// Counts holds the number of changes by the family's kind and the change's name, separated by a space.
 	Counts   map[string]int
 	families []RouteFamily
 	rng      *rand.Rand
 }
 
-// NewRouteChanges returns changes that begin with a state and concern the routes of some families, each with an Alternate.
+// NewRouteChanges returns a generator that starts from a state and changes the routes of families, each of which has an Alternate.
 func NewRouteChanges(state *wire.DesiredState, families []RouteFamily, rng *rand.Rand) *RouteChanges {
 	return &RouteChanges{State: state, Counts: map[string]int{}, families: families, rng: rng}
 }
 
-// KindCount returns the number of different changes: of each kind to each family.
+// KindCount returns the number of combinations of a family and a kind of change.
 func (c *RouteChanges) KindCount() int { return len(c.families) * len(routeChanges) }
 
-// Next returns the state that a random change to a random family's routes makes of State, which it leaves as it is.
+// Next returns a copy of State with a random change to a random family's routes. It does not modify State.
 func (c *RouteChanges) Next() *wire.DesiredState {
 	family := pick(c.rng, c.families)
 	return c.apply(family, pick(c.rng, routeChanges))
 }
 
-// ApplyEach makes one change of each kind to each family's routes, one after another, and calls visit with each new State. It ends
-// with the first error of visit.
+// ApplyEach makes one change of each kind to each family's routes, one after another, and calls visit with each new State. It stops
+// at the first error of visit and returns it.
 func (c *RouteChanges) ApplyEach(visit func(state *wire.DesiredState) error) error {
 	for _, family := range c.families {
 		for _, change := range routeChanges {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// apply returns the state that a change makes of State.
+// apply returns a copy of State with a change to a family's routes.
 func (c *RouteChanges) apply(family RouteFamily, change routeChange) *wire.DesiredState {
 	c.Changes++
 	state := proto.CloneOf(c.State)
@@ -108,8 +108,8 @@
 	return state
 }
 
-// EncodeState returns a state as compact JSON, always the same for the same state: protojson varies its white space. It panics if
-// the state cannot be encoded, as with names that are not UTF-8.
+// EncodeState returns a state as compact JSON. The same state always gives the same bytes; protojson alone varies its whitespace.
+// EncodeState panics if the state cannot be encoded, for example because a name is not valid UTF-8.
 func EncodeState(state *wire.DesiredState) []byte {
 	content, err := protojson.Marshal(state)
 	if err != nil {
--- a/internal/workload/route_changes_test.go
+++ b/internal/workload/route_changes_test.go
@@ -27,7 +27,7 @@
 	return workload.NewRouteChanges(state, families, rand.New(rand.NewPCG(seed, 0)))
 }
 
-// checkState checks that a state is valid and has each family's general route.
+// checkState checks that a state is a valid configuration and contains each family's general route.
 func checkState(t *testing.T, state *wire.DesiredState) {
 	t.Helper()
 	if _, faults := config.Parse(workload.EncodeState(state)); len(faults) > 0 {
@@ -47,7 +47,7 @@
 			before := workload.EncodeState(changes.State)
 			next := changes.Next()
 			if !bytes.Equal(before, workload.EncodeState(changes.State)) {
-				t.Fatalf("seed %d: Next changed the state that it began with", seed)
+				t.Fatalf("seed %d: Next modified State", seed)
 			}
 			checkState(t, next)
 			changes.State = next
@@ -63,7 +63,7 @@
 		return nil
 	})
 	if err != nil || visited != changes.KindCount() || len(changes.Counts) != changes.KindCount() {
-		t.Errorf("%d states, %d of %d kinds, %v", visited, len(changes.Counts), changes.KindCount(), err)
+		t.Errorf("%d states visited, %d of %d combinations counted, error %v", visited, len(changes.Counts), changes.KindCount(), err)
 	}
 }
 
@@ -73,6 +73,6 @@
 		first.State, second.State = first.Next(), second.Next()
 	}
 	if !bytes.Equal(workload.EncodeState(first.State), workload.EncodeState(second.State)) {
-		t.Error("the same seed gave other changes")
+		t.Error("the same seed gave different changes")
 	}
 }
