--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -11,8 +11,8 @@
 func TestConfigChangeChecks(t *testing.T) {
 	const second = monotonic.Second
 	attempt := &invariants.Attempt{ID: "a", Key: "k", Sent: 10 * second, Ended: 11 * second, RejectedByMesh: true, Status: 502}
-	request := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
-	secondRequest := invariants.BackendRequest{Attempt: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
+	request := invariants.BackendRequest{AttemptID: "a", Key: "k", Service: "forms", At: 10 * second, Executed: true}
+	secondRequest := invariants.BackendRequest{AttemptID: "a", Key: "k", Service: "forms-next", At: 90 * second, Executed: true}
 	withRequests := func(requests ...invariants.BackendRequest) *invariants.History {
 		return &invariants.History{Attempts: []*invariants.Attempt{attempt}, BackendRequests: requests}
 	}
--- a/internal/invariants/drain_rules.go
+++ b/internal/invariants/drain_rules.go
@@ -17,7 +17,7 @@
 	}
 	for _, request := range history.BackendRequests {
 		if leftAt, known := departures[request.Instance]; known && request.At > leftAt+propagationLimit {
-			findings = append(findings, ruleViolation(ruleDrainedBackends, "%s reached %s at %d, which had announced its departure at %d", request.Attempt, request.Instance, request.At, leftAt))
+			findings = append(findings, ruleViolation(ruleDrainedBackends, "%s reached %s at %d, which had announced its departure at %d", request.AttemptID, request.Instance, request.At, leftAt))
 		}
 	}
 	return findings, len(departures)
--- a/internal/invariants/execution_rules.go
+++ b/internal/invariants/execution_rules.go
@@ -15,7 +15,7 @@
 		examined++
 		if earlier, again := last[request.Key]; again && request.At-earlier.At <= idempotencyWindow {
 			findings = append(findings, ruleViolation(ruleExecutedOnce, "key %s ran at %d on %s for %s and at %d on %s for %s",
-				request.Key, earlier.At, earlier.Instance, earlier.Attempt, request.At, request.Instance, request.Attempt))
+				request.Key, earlier.At, earlier.Instance, earlier.AttemptID, request.At, request.Instance, request.AttemptID))
 		}
 		last[request.Key] = request
 	}
@@ -37,7 +37,7 @@
 		if !request.Executed {
 			continue
 		}
-		byAttempt[request.Attempt] = request
+		byAttempt[request.AttemptID] = request
 		if request.Key != "" {
 			byKey[request.Key] = append(byKey[request.Key], request)
 		}
@@ -58,7 +58,7 @@
 		for _, request := range byKey[attempt.Key] {
 			if request.At < attempt.Sent && attempt.Ended-request.At < idempotencyWindow {
 				findings = append(findings, ruleViolation(ruleNotRun, "%s was rejected as not run (cause %d) at %d, but its key ran at %d for %s",
-					attempt.ID, attempt.Cause, attempt.Ended, request.At, request.Attempt))
+					attempt.ID, attempt.Cause, attempt.Ended, request.At, request.AttemptID))
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 	executions := map[string][]BackendRequest{}
 	for _, request := range history.BackendRequests {
 		if request.Executed {
-			executions[request.Attempt] = append(executions[request.Attempt], request)
+			executions[request.AttemptID] = append(executions[request.AttemptID], request)
 		}
 	}
 	for _, attempt := range history.Attempts {
@@ -114,14 +114,14 @@
 	}
 	for _, request := range history.BackendRequests {
 		examined++
-		kind, known := kinds[request.Attempt]
+		kind, known := kinds[request.AttemptID]
 		if !known {
-			findings = append(findings, ruleViolation(ruleRouting, "%s ran on %s at %d, but no caller sent it", request.Attempt, request.Service, request.At))
+			findings = append(findings, ruleViolation(ruleRouting, "%s ran on %s at %d, but no caller sent it", request.AttemptID, request.Service, request.At))
 			continue
 		}
 		if since, allowed := history.AllowedRoutes[kind][request.Service]; !allowed || request.At < since {
 			findings = append(findings, ruleViolation(ruleRouting, "%s of kind %s ran on %s at %d, but no configuration had routed it there",
-				request.Attempt, kind, request.Service, request.At))
+				request.AttemptID, kind, request.Service, request.At))
 		}
 	}
 	return findings, examined
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -39,7 +39,7 @@
 
 // BackendRequest is one request that reached a backend, from the backend's point of view.
 type BackendRequest struct {
-	Attempt       string // the ID of the caller's attempt
+	AttemptID       string // the ID of the caller's attempt
 	AttemptNumber int    // 1 if the proxy forwards the request for the first time, higher for its retries
 	Key           string // the idempotency key; empty for reads
 	Service       string
--- a/internal/invariants/tenant_checks.go
+++ b/internal/invariants/tenant_checks.go
@@ -38,16 +38,16 @@
 		}
 	}
 	for _, request := range history.BackendRequests {
-		attempt := attempts[request.Attempt]
+		attempt := attempts[request.AttemptID]
 		if request.TenantKey != "" {
-			findings = append(findings, newFinding("%s reached a backend together with a tenant's key", request.Attempt))
+			findings = append(findings, newFinding("%s reached a backend together with a tenant's key", request.AttemptID))
 		}
 		if attempt == nil || attempt.Anonymous {
 			continue
 		}
 		examined++
 		if reason := tenantKeyViolation(periods[attempt.TenantKey], attempt, request, timeout); reason != "" {
-			findings = append(findings, newFinding("%s, sent at %d, ran at %d as tenant %q: %s", request.Attempt, attempt.Sent, request.At, request.Tenant, reason))
+			findings = append(findings, newFinding("%s, sent at %d, ran at %d as tenant %q: %s", request.AttemptID, attempt.Sent, request.At, request.Tenant, reason))
 		}
 	}
 	return findings, examined
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -165,7 +165,7 @@
 	misbehave := misbehaviors[behavior]
 	attempt, number := splitRequestID(incoming.Header.Get(request.RequestIDHeader))
 	body := b.responseBody(attempt, len(requestBody))
-	run := invariants.BackendRequest{Attempt: attempt, AttemptNumber: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
+	run := invariants.BackendRequest{AttemptID: attempt, AttemptNumber: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
 		Method: incoming.Method, Path: incoming.URL.Path, At: b.sender.clock.Now(), Executed: behavior != NotExecuted,
 		Tenant: incoming.Header.Get(request.TenantHeader), TenantKey: incoming.Header.Get(request.TenantKeyHeader)}
 	if misbehave == nil {
--- a/internal/simulation/scenario/caller_cancelled_test.go
+++ b/internal/simulation/scenario/caller_cancelled_test.go
@@ -63,7 +63,7 @@
 			mesh.runFor(5 * monotonic.Second)
 			ran := 0
 			for _, run := range mesh.History.BackendRequests {
-				if run.Attempt == req.ID {
+				if run.AttemptID == req.ID {
 					ran++
 				}
 			}
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -85,13 +85,13 @@
 			}
 			executed, again, services := map[string]int{}, 0, map[string]int{}
 			for _, run := range mesh.History.BackendRequests {
-				attempt := singles[run.Attempt]
+				attempt := singles[run.AttemptID]
 				if attempt == nil {
 					continue
 				}
 				services[run.Service]++
 				if run.Executed {
-					executed[run.Attempt]++
+					executed[run.AttemptID]++
 				}
 				if run.AttemptNumber > 1 {
 					again++
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -142,7 +142,7 @@
 func (m *Mesh) recordRun(order admission.BackendRequest, backend *simulatedBackend, present behavior, body []byte) {
 	attempt, number := splitRequestID(order.ID)
 	run := invariants.BackendRequest{
-		Attempt:       attempt,
+		AttemptID:       attempt,
 		AttemptNumber: number,
 		Key:           request.HeaderValue(order.Headers, request.IdempotencyKeyHeader),
 		Tenant:        order.Tenant,
