--- a/internal/invariants/breaker_rules.go
+++ b/internal/invariants/breaker_rules.go
@@ -33,11 +33,11 @@
 	continuous         bool               // read without gaps, and no proxy could decide by its own window
 }
 
-func newBreakerState(reading BreakerObservation, previousAt monotonic.Micros) *breakerState {
+func newBreakerState(reading BreakerObservation, previousSeenAt monotonic.Micros) *breakerState {
 	return &breakerState{
 		BreakerObservation: reading,
 		lastSeen:           reading,
-		previousSeenAt:     previousAt,
+		previousSeenAt:     previousSeenAt,
 		maxReturned:        reading.Returned,
 		continuous:         !reading.LocalDecisions,
 	}
@@ -145,17 +145,17 @@
 // checkProbeCalls checks the number of requests that reached the service's backends in a half-open state in which every proxy
 // decided by the shared record.
 func checkProbeCalls(history *History, state *breakerState) []Finding {
-	ran := 0
+	calls := 0
 	for _, request := range history.BackendRequests {
 		if request.Service == state.Service && request.At > state.At && request.At < state.lastSeen.At {
-			ran++
+			calls++
 		}
 	}
-	if ran <= state.Permitted+state.maxReturned {
+	if calls <= state.Permitted+state.maxReturned {
 		return nil
 	}
 	return []Finding{ruleViolation(ruleBreakers, "%s: %d calls reached its backends while half-open from %d to %d (permitted: %d, returned leases: %d)",
-		state.Service, ran, state.At, state.lastSeen.At, state.Permitted, state.maxReturned)}
+		state.Service, calls, state.At, state.lastSeen.At, state.Permitted, state.maxReturned)}
 }
 
 // reportedProbe replaces the time of the first reading with a probe after its violation has been reported.
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -39,7 +39,7 @@
 
 // BackendRequest is one request that reached a backend, from the backend's point of view.
 type BackendRequest struct {
-	AttemptID       string // the ID of the caller's attempt
+	AttemptID     string // the ID of the caller's attempt
 	AttemptNumber int    // 1 if the proxy forwards the request for the first time, higher for its retries
 	Key           string // the idempotency key; empty for reads
 	Service       string
@@ -94,7 +94,7 @@
 	Proxy        string
 	Incarnation  uint64 // of the proxy's process
 	Service      string
-	BreakerState string // everything whose change may start a new window, in one text
+	BreakerState string // all values whose change may start a new window, as one string
 	Calls        uint64 // all calls since the process started
 	Window       int    // the calls in the current window
 	At           monotonic.Micros
@@ -133,11 +133,11 @@
 	Granted      int              // the probe leases granted in this half-open round
 	Returned     int              // those of them that were returned unused
 	Permitted    int              // the total number of probe slots
-	EnteredAt    monotonic.Micros // in the time of the leader's clock
-	ExpiresAt    monotonic.Micros // in the time of the leader's clock
+	EnteredAt    monotonic.Micros // by the leader's clock
+	ExpiresAt    monotonic.Micros // by the leader's clock
 	Wait         monotonic.Micros // how long the breaker must stay open
 	ProbeLease   monotonic.Micros // the duration of a probe lease
-	At           monotonic.Micros // in the time of the observer's clock
+	At           monotonic.Micros // by the observer's clock
 	Source       string           // the process that the record was read from
 	// LocalDecisions is set while some proxy may decide by its own window instead of the shared record, because it is disconnected,
 	// frozen or only just started.
--- a/internal/invariants/tenant_checks_test.go
+++ b/internal/invariants/tenant_checks_test.go
@@ -41,7 +41,7 @@
 				history.RecordBackendRequest(*test.request)
 			}
 			findings, _ := invariants.RevocationTimeout(timeout).Run(history)
-			// In some cases no request reaches a backend. The finding that nothing was examined does not count.
+			// Some histories have no request to examine. The finding that says so does not count here.
 			findings = slices.DeleteFunc(findings, func(finding invariants.Finding) bool { return finding.NothingExamined })
 			if len(findings) != test.findings {
 				t.Errorf("%d findings, expected %d: %v", len(findings), test.findings, findings)
