--- a/internal/invariants/operator_calls.go
+++ b/internal/invariants/operator_calls.go
@@ -83,7 +83,7 @@
 	return findings
 }
 
-// checkReadsNotStale reports each read that returned a lower version than a write or another read that was confirmed before the read
+// checkReadsNotStale reports each read that returned a lower version than a confirmed write or another read that had ended before it
 // was sent.
 func checkReadsNotStale(confirmed, reads []OperatorCall) (findings []Finding) {
 	for _, read := range reads {
