--- a/internal/rehearse/scenario/report.go
+++ b/internal/rehearse/scenario/report.go
@@ -52,7 +52,7 @@
 // BuildReport checks the invariants and the given checks on the history, and computes the report's figures. began is when traffic
 // started. The load generator must have stopped.
 func (r *Rehearsal) BuildReport(began time.Time, checks ...invariants.Check) Report {
-	violations, observations := invariants.Inspect(r.History)
+	violations, observations := invariants.CheckRules(r.History)
 	report := Report{Layout: r.Fleet.Layout.Name, Scenario: r.Options.Scenario, Seconds: time.Since(began).Seconds(),
 		Observations: observations, RetryRatios: invariants.HighestRetryRatios(r.History)}
 	report.Findings = append([]string{}, r.findings...)
@@ -97,7 +97,7 @@
 			r.Kinds[attempt.Kind] = map[string]int{}
 		}
 		r.Kinds[attempt.Kind][describeOutcome(attempt)]++
-		if attempt.Mesh && attempt.Status >= 500 && !attempt.RetryAfterSet {
+		if attempt.RejectedByMesh && attempt.Status >= 500 && !attempt.RetryAfterSet {
 			r.RejectionsWithoutRetryAfter++
 		}
 		if attempt.Ended > 0 {
@@ -241,13 +241,13 @@
 // describeOutcome names how an attempt ended, as Kinds counts it.
 func describeOutcome(attempt *invariants.Attempt) string {
 	switch {
-	case attempt.Transport != "":
-		return "transport " + attempt.Transport
+	case attempt.TransportError != "":
+		return "transport " + attempt.TransportError
 	case attempt.Ended == 0:
 		return "open"
-	case attempt.Mesh && attempt.NotRun:
+	case attempt.RejectedByMesh && attempt.NotRun:
 		return "refused " + strconv.Itoa(attempt.Cause) + " not_run"
-	case attempt.Mesh:
+	case attempt.RejectedByMesh:
 		return "refused " + strconv.Itoa(attempt.Cause) + " may_have_run"
 	case attempt.Status >= 200 && attempt.Status < 300:
 		return outcomeServed
--- a/internal/rehearse/standin/sender.go
+++ b/internal/rehearse/standin/sender.go
@@ -67,9 +67,9 @@
 	s.history.Update(func() {
 		attempt.Ended = ended
 		if err != nil {
-			attempt.Transport = "lost"
+			attempt.TransportError = "lost"
 			// A proxy may close a connection that was used before without having read anything of the next request on it.
-			attempt.Read = wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(s.client.Timeout)
+			attempt.ReadByProxy = wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(s.client.Timeout)
 			return
 		}
 		recordResponse(attempt, response, content)
@@ -90,6 +90,6 @@
 	}
 	var rejection ingress.ErrorBody
 	if json.Unmarshal(content, &rejection) == nil && rejection.Cause > 0 {
-		attempt.Mesh, attempt.Cause, attempt.NotRun = true, int(rejection.Cause), rejection.Verdict == "not_run"
+		attempt.RejectedByMesh, attempt.Cause, attempt.NotRun = true, int(rejection.Cause), rejection.Verdict == "not_run"
 	}
 }
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -76,7 +76,7 @@
 
 // served reports whether an attempt got a response with status 200 from a backend.
 func served(attempt *invariants.Attempt) bool {
-	return attempt.Status == http.StatusOK && !attempt.Mesh
+	return attempt.Status == http.StatusOK && !attempt.RejectedByMesh
 }
 
 func (m *Mesh) newAttempt(number, retries int, keyed bool) *invariants.Attempt {
@@ -89,9 +89,9 @@
 		attempt.Method = pick(m, []string{"POST", "POST", "post"})
 		attempt.Path = fmt.Sprintf(pick(m, pathSpellings), number)
 	}
-	attempt.Caller = pick(m, m.proxyNames)
+	attempt.Proxy = pick(m, m.proxyNames)
 	if degraded := slices.Sorted(maps.Keys(m.degraded)); len(degraded) > 1 && !m.oneIn(4) {
-		attempt.Caller = pick(m, degraded) // callers in trouble retry most
+		attempt.Proxy = pick(m, degraded) // callers in trouble retry most
 	}
 	attempt.ID = fmt.Sprintf("%s-%d-%d", attempt.Kind, number, retries)
 	attempt.Sent = m.World.Now()
@@ -128,7 +128,7 @@
 // applyTo completes an attempt with the reply.
 func (r callerReply) applyTo(attempt *invariants.Attempt) {
 	attempt.Status, attempt.Version, attempt.Echo, attempt.Complete, attempt.Sum = int(r.Status), r.Version, r.Echo, r.Complete, r.Sum
-	attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = r.Mesh, int(r.Cause), r.NotRun, r.RetryAfter > 0
+	attempt.RejectedByMesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = r.Mesh, int(r.Cause), r.NotRun, r.RetryAfter > 0
 }
 
 // transportLost is the transport error of an attempt whose response did not arrive.
@@ -138,7 +138,7 @@
 func (m *Mesh) send(attempt *invariants.Attempt) (retryAfter monotonic.Micros) {
 	read := false
 	reply, err := m.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
-		if m.refusingCallers[attempt.Caller] {
+		if m.refusingCallers[attempt.Proxy] {
 			return nil, nil, apierror.Refused.New("the listener is closed")
 		}
 		read = true
@@ -153,13 +153,13 @@
 		if attempt.TenantKey != "" {
 			incoming.TenantKeys = []string{attempt.TenantKey}
 		}
-		if m.degraded[attempt.Caller] == shortDeadlines {
+		if m.degraded[attempt.Proxy] == shortDeadlines {
 			incoming.Deadline = instance.Now() + shortDeadline
 		}
 		response, fault := instance.Forwarder.Forward(incoming)
 		return response, fault, nil
 	})
-	attempt.Read = read && m.plannedStopsOnly
+	attempt.ReadByProxy = read && m.plannedStopsOnly
 	if err != nil {
 		return 0
 	}
@@ -169,8 +169,8 @@
 // transactReply runs a request in the process of the attempt's proxy and completes the attempt with its result. The error is that
 // of the transport.
 func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error)) (reply callerReply, err error) {
-	content, err := m.External.Transact(m.World.Node(attempt.Caller).Address, callerTimeout, func(*world.Node) ([]byte, error) {
-		response, fault, err := forward(m.proxies[attempt.Caller])
+	content, err := m.External.CallFunc(m.World.Node(attempt.Proxy).Address, callerTimeout, func(*world.Node) ([]byte, error) {
+		response, fault, err := forward(m.proxies[attempt.Proxy])
 		if err != nil {
 			return nil, err
 		}
@@ -181,7 +181,7 @@
 		err = json.Unmarshal(content, &reply)
 	}
 	if err != nil {
-		attempt.Transport = transportLost
+		attempt.TransportError = transportLost
 		return callerReply{}, err
 	}
 	reply.applyTo(attempt)
--- a/internal/simulation/scenario/faults_backend.go
+++ b/internal/simulation/scenario/faults_backend.go
@@ -25,10 +25,10 @@
 	failServiceMarked = fault{"make a whole service fail, with markers", func(m *Mesh) {
 		backends := m.liveBackends(pick(m, []string{formsService, householdsService}))
 		setBehavior(backends, failing)
-		m.History.RecordMarker(invariants.MarkerFailing, m.World.Now())
+		m.History.RecordMarker(invariants.MarkerServiceFailing, m.World.Now())
 		m.after(8*monotonic.Second, func() {
 			setBehavior(backends, healthy)
-			m.History.RecordMarker(invariants.MarkerRecovered, m.World.Now())
+			m.History.RecordMarker(invariants.MarkerServiceRecovered, m.World.Now())
 		})
 	}}
 	slowBackends = fault{"make half of all backends slow", func(m *Mesh) {
--- a/internal/simulation/scenario/peak_traffic.go
+++ b/internal/simulation/scenario/peak_traffic.go
@@ -61,7 +61,7 @@
 				group.Services = append(group.Services, &wire.Service{Name: name})
 			}
 		}
-		state.Routes = append(state.Routes, family.Route())
+		state.Routes = append(state.Routes, family.GeneralRoute())
 	}
 	for number := range unusedRoutes {
 		state.Routes = append(state.Routes, &wire.Route{
@@ -160,7 +160,7 @@
 			ID:     fmt.Sprintf("%s-%d-%d", family.Kind, number, retries),
 			Key:    key,
 			Kind:   family.Kind,
-			Caller: pick(m, m.proxyNames),
+			Proxy: pick(m, m.proxyNames),
 			Method: family.Method,
 			Path:   fmt.Sprintf("%s%d/%d", family.Prefix, number%workload.RegionsPerFamily, number),
 			Sent:   m.World.Now(),
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -53,7 +53,7 @@
 			}}
 			send := func(number int) {
 				caller := pick(mesh, mesh.proxyNames)
-				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Caller: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
+				attempt := &invariants.Attempt{ID: fmt.Sprintf("single-%d", number), Kind: "single", Proxy: caller, Method: "POST", Path: fmt.Sprintf("/single/%d", number), Sent: mesh.World.Now()}
 				singles[attempt.ID] = attempt
 				mesh.History.RecordAttempt(attempt)
 				_, _ = mesh.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
@@ -84,14 +84,14 @@
 				t.Error(finding)
 			}
 			executed, again, services := map[string]int{}, 0, map[string]int{}
-			for _, run := range mesh.History.Runs {
-				attempt := singles[run.Attempt]
+			for _, run := range mesh.History.BackendRequests {
+				attempt := singles[run.AttemptID]
 				if attempt == nil {
 					continue
 				}
 				services[run.Service]++
 				if run.Executed {
-					executed[run.Attempt]++
+					executed[run.AttemptID]++
 				}
 				if run.AttemptNumber > 1 {
 					again++
@@ -102,13 +102,13 @@
 				if executed[id] > 1 {
 					t.Errorf("%s was executed %d times", id, executed[id])
 				}
-				if attempt.Mesh && attempt.NotRun && executed[id] > 0 {
+				if attempt.RejectedByMesh && attempt.NotRun && executed[id] > 0 {
 					t.Errorf("%s was rejected as not run by cause %d, and was executed", id, attempt.Cause)
 				}
 				switch {
-				case attempt.Transport != "":
+				case attempt.TransportError != "":
 					counts["proxy lost"]++
-				case !attempt.Mesh:
+				case !attempt.RejectedByMesh:
 					counts["served"]++
 				case attempt.NotRun:
 					counts["not run"]++
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -141,8 +141,8 @@
 // recordRun records that a request has reached a backend. Only a healthy or slow backend sends a complete response.
 func (m *Mesh) recordRun(order admission.BackendRequest, backend *simulatedBackend, present behavior, body []byte) {
 	attempt, number := splitRequestID(order.ID)
-	run := invariants.Run{
-		Attempt:       attempt,
+	run := invariants.BackendRequest{
+		AttemptID:       attempt,
 		AttemptNumber: number,
 		Key:           request.HeaderValue(order.Headers, request.IdempotencyKeyHeader),
 		Tenant:        order.Tenant,
@@ -156,7 +156,7 @@
 	if present == healthy || present == slow {
 		run.Sum = checksum(body)
 	}
-	m.History.RecordRun(run)
+	m.History.RecordBackendRequest(run)
 }
 
 // respond returns the response of a backend that has worked on a request.
@@ -190,7 +190,7 @@
 	attempt := &invariants.Attempt{
 		ID:     fmt.Sprintf("lookup-%d", m.nextID),
 		Kind:   "lookup",
-		Caller: from.proxy,
+		Proxy: from.proxy,
 		Method: http.MethodGet,
 		Path:   fmt.Sprintf("/forms/%d", m.nextID),
 		Sent:   m.World.Now(),
