--- a/internal/simulation/scenario/observer.go
+++ b/internal/simulation/scenario/observer.go
@@ -70,13 +70,13 @@
 	instance := m.proxies[name]
 	for _, status := range instance.Breakers.Statuses() {
 		m.History.RecordCallCounts(invariants.CallCounts{
-			Proxy:       name,
-			Incarnation: instance.Incarnation(),
-			Service:     status.Service,
-			BreakerState:     fmt.Sprint(status.Shared, status.Version, status.Local, status.Control),
-			Calls:       status.Calls,
-			Window:      status.Window,
-			At:          m.World.Now(),
+			Proxy:        name,
+			Incarnation:  instance.Incarnation(),
+			Service:      status.Service,
+			BreakerState: fmt.Sprint(status.Shared, status.Version, status.Local, status.Control),
+			Calls:        status.Calls,
+			Window:       status.Window,
+			At:           m.World.Now(),
 		})
 	}
 }
--- a/internal/simulation/scenario/peak_traffic.go
+++ b/internal/simulation/scenario/peak_traffic.go
@@ -160,7 +160,7 @@
 			ID:     fmt.Sprintf("%s-%d-%d", family.Kind, number, retries),
 			Key:    key,
 			Kind:   family.Kind,
-			Proxy: pick(m, m.proxyNames),
+			Proxy:  pick(m, m.proxyNames),
 			Method: family.Method,
 			Path:   fmt.Sprintf("%s%d/%d", family.Prefix, number%workload.RegionsPerFamily, number),
 			Sent:   m.World.Now(),
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -142,7 +142,7 @@
 func (m *Mesh) recordRun(order admission.BackendRequest, backend *simulatedBackend, present behavior, body []byte) {
 	attempt, number := splitRequestID(order.ID)
 	run := invariants.BackendRequest{
-		AttemptID:       attempt,
+		AttemptID:     attempt,
 		AttemptNumber: number,
 		Key:           request.HeaderValue(order.Headers, request.IdempotencyKeyHeader),
 		Tenant:        order.Tenant,
@@ -190,7 +190,7 @@
 	attempt := &invariants.Attempt{
 		ID:     fmt.Sprintf("lookup-%d", m.nextID),
 		Kind:   "lookup",
-		Proxy: from.proxy,
+		Proxy:  from.proxy,
 		Method: http.MethodGet,
 		Path:   fmt.Sprintf("/forms/%d", m.nextID),
 		Sent:   m.World.Now(),
