--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -143,13 +143,13 @@
 		t.Run(one.name, func(t *testing.T) {
 			mesh := healthyMesh()
 			one.change(mesh)
-			unknown, objections := Safe(mesh, one.names)
+			unknown, objections := StopObjections(mesh, one.names)
 			if len(unknown) > 0 || (one.contains == "") != (len(objections) == 0) || !strings.Contains(strings.Join(objections, "; "), one.contains) {
 				t.Errorf("%v %v", unknown, objections)
 			}
 		})
 	}
-	if unknown, _ := Safe(healthyMesh(), []string{"sorter-2", "sorter-9"}); len(unknown) != 1 || unknown[0] != "sorter-9" {
+	if unknown, _ := StopObjections(healthyMesh(), []string{"sorter-2", "sorter-9"}); len(unknown) != 1 || unknown[0] != "sorter-9" {
 		t.Errorf("unknown: %v", unknown)
 	}
 }
--- a/internal/snowctl/operations.go
+++ b/internal/snowctl/operations.go
@@ -67,7 +67,7 @@
 	}
 	for deadline := time.Now().Add(wait); ; time.Sleep(500 * time.Millisecond) {
 		mesh, err := doctor.Gather(addresses, gatherTimeout)
-		unknown, objections := doctor.Safe(mesh, names)
+		unknown, objections := doctor.StopObjections(mesh, names)
 		if err == nil && len(unknown) > 0 {
 			return daemon.NewUsageError(fmt.Errorf("no control plane process is named %v", unknown))
 		}
