--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -18,13 +18,13 @@
 type Finding struct {
 	Level  string `json:"level"`
 	Check  string `json:"check"` // the check's name
-	What   string `json:"what"`
+	Message   string `json:"what"`
 	Advice string `json:"advice,omitempty"` // what to do about it; empty for a healthy result
 }
 
 // String formats a finding as a line, and its advice as another.
 func (f Finding) String() string {
-	text := fmt.Sprintf("%-5s %-10s %s", f.Level, f.Check, f.What)
+	text := fmt.Sprintf("%-5s %-10s %s", f.Level, f.Check, f.Message)
 	if f.Advice != "" {
 		text += "\n                 -> " + f.Advice
 	}
@@ -66,7 +66,7 @@
 	for _, entry := range checks {
 		found := entry.check(mesh)
 		if len(found) == 0 {
-			found = []Finding{{Level: Healthy, What: "nothing found"}}
+			found = []Finding{{Level: Healthy, Message: "nothing found"}}
 		}
 		for index := range found {
 			found[index].Check = entry.name
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -104,7 +104,7 @@
 			one.change(mesh)
 			seen := false
 			for _, finding := range Check(mesh) {
-				seen = seen || finding.Check == one.check && finding.Level == one.level && strings.Contains(finding.What, one.contains) && finding.Advice != ""
+				seen = seen || finding.Check == one.check && finding.Level == one.level && strings.Contains(finding.Message, one.contains) && finding.Advice != ""
 			}
 			if !seen {
 				t.Error("no such finding with advice")
