--- a/internal/snowctl/doctor/checks.go
+++ b/internal/snowctl/doctor/checks.go
@@ -19,7 +19,7 @@
 	stuckAfter = 30 * monotonic.Second
 )
 
-func checkSeeds(mesh Mesh) (found []Finding) {
+func checkSeeds(mesh MeshStatus) (found []Finding) {
 	for _, address := range mesh.Unreachable {
 		found = append(found, Finding{Level: Warning, Message: "the configuration store at " + address + " did not respond", Advice: "start it, or correct --addresses if it moved"})
 	}
@@ -39,7 +39,7 @@
 }
 
 // checkPartition reports which part of each group the responding configuration store sees, and whether that part has a quorum.
-func checkPartition(mesh Mesh) (found []Finding) {
+func checkPartition(mesh MeshStatus) (found []Finding) {
 	for _, view := range groupViews(mesh) {
 		if len(view.missing) == 0 {
 			continue
@@ -56,7 +56,7 @@
 	return found
 }
 
-func checkReplicas(mesh Mesh) (found []Finding) {
+func checkReplicas(mesh MeshStatus) (found []Finding) {
 	newest, primaries := map[string]replication.Status{}, map[string][]string{}
 	for _, member := range mesh.members() {
 		if member.Epoch >= newest[member.Group].Epoch {
@@ -95,7 +95,7 @@
 	return found
 }
 
-func checkReleases(mesh Mesh) (found []Finding) {
+func checkReleases(mesh MeshStatus) (found []Finding) {
 	releases := map[string][]string{}
 	for _, member := range mesh.members() {
 		releases[member.Release] = append(releases[member.Release], member.Name)
@@ -113,7 +113,7 @@
 	return found
 }
 
-func checkClocks(mesh Mesh) (found []Finding) {
+func checkClocks(mesh MeshStatus) (found []Finding) {
 	for _, member := range mesh.members() {
 		if offset := monotonic.Micros(member.Wall - mesh.QueriedAt); offset > maxClockOffset || offset < -maxClockOffset {
 			found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s's wall clock is %v from this machine's", member.Name, offset.Duration()),
@@ -123,7 +123,7 @@
 	return found
 }
 
-func checkDisks(mesh Mesh) (found []Finding) {
+func checkDisks(mesh MeshStatus) (found []Finding) {
 	for _, member := range mesh.members() {
 		if member.FreeBytes < minFreeBytes {
 			found = append(found, Finding{Level: Unhealthy, Message: fmt.Sprintf("%s has %d MiB of disk left", member.Name, member.FreeBytes>>20),
@@ -137,7 +137,7 @@
 	return found
 }
 
-func checkProxies(mesh Mesh) (found []Finding) {
+func checkProxies(mesh MeshStatus) (found []Finding) {
 	newest := uint64(0)
 	for _, store := range mesh.ConfigStores {
 		newest = max(newest, store.Version)
@@ -159,7 +159,7 @@
 }
 
 // checkLeases finds proxies that other parts of the mesh know, but that have no lease of the configuration store's primary.
-func checkLeases(mesh Mesh) (found []Finding) {
+func checkLeases(mesh MeshStatus) (found []Finding) {
 	store, known := mesh.servingConfigStore()
 	if !known || store.Version == 0 {
 		return nil // the checks of replicas and proxies say so
@@ -178,7 +178,7 @@
 	return found
 }
 
-func checkBreakers(mesh Mesh) (found []Finding) {
+func checkBreakers(mesh MeshStatus) (found []Finding) {
 	status, known := mesh.servingRegistry()
 	if !known {
 		return []Finding{{Level: Unhealthy, Message: "no registry serves as primary, so the breakers' shared states are unknown",
@@ -216,7 +216,7 @@
 	return nil
 }
 
-func checkBackends(mesh Mesh) (found []Finding) {
+func checkBackends(mesh MeshStatus) (found []Finding) {
 	healthy := map[string]int{} // by service
 	for _, session := range mesh.sessions() {
 		for _, backend := range session.Backends {
--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -55,14 +55,14 @@
 // checks are run in this order. Their names stand in findings, where programs read them.
 var checks = []struct {
 	name  string
-	check func(mesh Mesh) []Finding
+	check func(mesh MeshStatus) []Finding
 }{
 	{"seeds", checkSeeds}, {"split", checkPartition}, {"copies", checkReplicas}, {"versions", checkReleases}, {"clock", checkClocks}, {"disk", checkDisks},
 	{"carriers", checkProxies}, {"leases", checkLeases}, {"guards", checkBreakers}, {"backends", checkBackends},
 }
 
 // Check runs every check on a gathered status. A check that finds no fault gives a healthy finding.
-func Check(mesh Mesh) (findings []Finding) {
+func Check(mesh MeshStatus) (findings []Finding) {
 	for _, entry := range checks {
 		found := entry.check(mesh)
 		if len(found) == 0 {
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -12,8 +12,8 @@
 )
 
 // healthyMesh is a mesh without faults; each test changes one thing.
-func healthyMesh() Mesh {
-	mesh := Mesh{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}, QueriedAt: 1_000_000_000}
+func healthyMesh() MeshStatus {
+	mesh := MeshStatus{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}, QueriedAt: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
 		core := replication.Status{Joined: true, Epoch: 4, BackupsInSync: true, Serving: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.QueriedAt}
 		store, registry := configstore.Status{Core: core, Version: 3, Leases: []configstore.LeaseStatus{{Proxy: "carrier-1"}}}, registry.Status{Replication: core, LeaderTime: int64(monotonic.Minute)}
@@ -28,7 +28,7 @@
 	return mesh
 }
 
-func changeRegistry(mesh Mesh, name string, spoil func(*registry.Status)) {
+func changeRegistry(mesh MeshStatus, name string, spoil func(*registry.Status)) {
 	status := mesh.Registries[name]
 	spoil(&status)
 	mesh.Registries[name] = status
@@ -40,61 +40,61 @@
 	}
 	cases := []struct {
 		check, level, contains string
-		change                 func(mesh Mesh)
+		change                 func(mesh MeshStatus)
 	}{
-		{"seeds", Warning, "never heard of", func(mesh Mesh) { delete(mesh.Registries, "sorter-3") }},
-		{"split", Warning, "those seen can decide", func(mesh Mesh) { delete(mesh.Registries, "sorter-3") }},
-		{"split", Unhealthy, "[sorter-3] can be seen and [sorter-1 sorter-2] can't", func(mesh Mesh) {
+		{"seeds", Warning, "never heard of", func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
+		{"split", Warning, "those seen can decide", func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
+		{"split", Unhealthy, "[sorter-3] can be seen and [sorter-1 sorter-2] can't", func(mesh MeshStatus) {
 			delete(mesh.Registries, "sorter-1")
 			delete(mesh.Registries, "sorter-2")
 		}},
-		{"copies", Unhealthy, "0 members of the registry serve", func(mesh Mesh) {
+		{"copies", Unhealthy, "0 members of the registry serve", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Serving = false })
 		}},
-		{"copies", Unhealthy, "2 members of the registry serve", func(mesh Mesh) {
+		{"copies", Unhealthy, "2 members of the registry serve", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Serving = true })
 		}},
-		{"copies", Warning, "knows epoch 1", func(mesh Mesh) {
+		{"copies", Warning, "knows epoch 1", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Epoch = 1 })
 		}},
-		{"copies", Warning, "not joined", func(mesh Mesh) {
+		{"copies", Warning, "not joined", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Joined = false })
 		}},
-		{"versions", Warning, "release b", func(mesh Mesh) {
+		{"versions", Warning, "release b", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Release = "b" })
 		}},
-		{"clock", Warning, "wall clock", func(mesh Mesh) {
+		{"clock", Warning, "wall clock", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Wall += int64(monotonic.Minute) })
 		}},
-		{"disk", Unhealthy, "1 MiB", func(mesh Mesh) {
+		{"disk", Unhealthy, "1 MiB", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.FreeBytes = 1 << 20 })
 		}},
-		{"disk", Warning, "last write", func(mesh Mesh) {
+		{"disk", Warning, "last write", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.SyncTime = int64(monotonic.Second) })
 		}},
-		{"carriers", Warning, "version 2", func(mesh Mesh) { mesh.Registries["sorter-1"].Proxies[0].ConfigVersion = 2 }},
-		{"leases", Warning, "carrier-1 has no lease", func(mesh Mesh) {
+		{"carriers", Warning, "version 2", func(mesh MeshStatus) { mesh.Registries["sorter-1"].Proxies[0].ConfigVersion = 2 }},
+		{"leases", Warning, "carrier-1 has no lease", func(mesh MeshStatus) {
 			store := mesh.ConfigStores["postmaster-1"]
 			store.Leases = nil
 			mesh.ConfigStores["postmaster-1"] = store
 		}},
-		{"guards", Unhealthy, "forms is open", func(mesh Mesh) {
+		{"guards", Unhealthy, "forms is open", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) {
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "open"}}
 			})
 		}},
-		{"guards", Warning, "half open", func(mesh Mesh) {
+		{"guards", Warning, "half open", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) {
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "half_open"}}
 			})
 		}},
-		{"guards", Warning, "stand alone", func(mesh Mesh) {
+		{"guards", Warning, "stand alone", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) {
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
 			})
 		}},
-		{"backends", Warning, "stopped sending heartbeats", func(mesh Mesh) { mesh.Registries["sorter-1"].Proxies[0].Backends[0].Condition = "overdue" }},
-		{"backends", Warning, "single backend", func(mesh Mesh) {
+		{"backends", Warning, "stopped sending heartbeats", func(mesh MeshStatus) { mesh.Registries["sorter-1"].Proxies[0].Backends[0].Condition = "overdue" }},
+		{"backends", Warning, "single backend", func(mesh MeshStatus) {
 			mesh.Registries["sorter-1"].Proxies[0].Backends = mesh.Registries["sorter-1"].Proxies[0].Backends[:1]
 		}},
 	}
@@ -119,22 +119,22 @@
 	for _, one := range []struct {
 		name, contains string
 		names          []string
-		change         func(mesh Mesh)
+		change         func(mesh MeshStatus)
 	}{
-		{"all is well", "", machine, func(Mesh) {}},
-		{"it is stopped already, as while it moves", "", machine, func(mesh Mesh) { delete(mesh.Registries, "sorter-2") }},
-		{"two of one group", "one process of a group", []string{"sorter-1", "sorter-2"}, func(Mesh) {}},
-		{"another is down", "sorter-3 does not respond", machine, func(mesh Mesh) { delete(mesh.Registries, "sorter-3") }},
-		{"another has an empty disk", "sorter-1 has not joined", machine, func(mesh Mesh) {
+		{"all is well", "", machine, func(MeshStatus) {}},
+		{"it is stopped already, as while it moves", "", machine, func(mesh MeshStatus) { delete(mesh.Registries, "sorter-2") }},
+		{"two of one group", "one process of a group", []string{"sorter-1", "sorter-2"}, func(MeshStatus) {}},
+		{"another is down", "sorter-3 does not respond", machine, func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
+		{"another has an empty disk", "sorter-1 has not joined", machine, func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Joined = false })
 		}},
-		{"a voter without a replica is behind", "", machine, func(mesh Mesh) {
+		{"a voter without a replica is behind", "", machine, func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
-		{"the other replica is behind", "sorter-2 is behind", []string{"sorter-3"}, func(mesh Mesh) {
+		{"the other replica is behind", "sorter-2 is behind", []string{"sorter-3"}, func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
-		{"no backup in sync", "no primary serves", machine, func(mesh Mesh) {
+		{"no backup in sync", "no primary serves", machine, func(mesh MeshStatus) {
 			for name := range mesh.Registries {
 				changeRegistry(mesh, name, func(status *registry.Status) { status.Replication.BackupsInSync = false })
 			}
--- a/internal/snowctl/doctor/gather.go
+++ b/internal/snowctl/doctor/gather.go
@@ -21,8 +21,8 @@
 // errNoResponse is the error of Gather if no address responded.
 var errNoResponse = errors.New("no configuration store responded")
 
-// Mesh is the status of a mesh as one configuration store gave it.
-type Mesh struct {
+// MeshStatus is the status of a mesh as one configuration store gave it.
+type MeshStatus struct {
 	Overview     api.Overview
 	ConfigStores map[string]configstore.Status // by name
 	Registries   map[string]registry.Status    // by name
@@ -32,10 +32,10 @@
 
 // Gather requests the mesh's status from all addresses and takes that of the first one that responds. It fails if none does within
 // the timeout.
-func Gather(addresses []string, timeout time.Duration) (Mesh, error) {
+func Gather(addresses []string, timeout time.Duration) (MeshStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	mesh := Mesh{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}}
+	mesh := MeshStatus{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}}
 	reached := false
 	for _, address := range addresses {
 		var overview api.Overview
@@ -73,7 +73,7 @@
 }
 
 // decode reads the processes' own descriptions. One that cannot be read, as of another release, is left out.
-func (m *Mesh) decode() {
+func (m *MeshStatus) decode() {
 	for name, content := range m.Overview.ConfigStores {
 		var status configstore.Status
 		if json.Unmarshal(content, &status) == nil {
@@ -89,7 +89,7 @@
 }
 
 // members lists the members of both groups, configuration stores first, by name.
-func (m Mesh) members() (all []replication.Status) {
+func (m MeshStatus) members() (all []replication.Status) {
 	for _, name := range slices.Sorted(maps.Keys(m.ConfigStores)) {
 		all = append(all, m.ConfigStores[name].Core)
 	}
@@ -100,7 +100,7 @@
 }
 
 // servingConfigStore is the configuration store's primary, which alone grants leases.
-func (m Mesh) servingConfigStore() (status configstore.Status, known bool) {
+func (m MeshStatus) servingConfigStore() (status configstore.Status, known bool) {
 	for _, name := range slices.Sorted(maps.Keys(m.ConfigStores)) {
 		if status := m.ConfigStores[name]; status.Core.Serving {
 			return status, true
@@ -110,7 +110,7 @@
 }
 
 // servingRegistry is the registry's primary. Only the primary's status contains the breakers.
-func (m Mesh) servingRegistry() (status registry.Status, known bool) {
+func (m MeshStatus) servingRegistry() (status registry.Status, known bool) {
 	for _, name := range slices.Sorted(maps.Keys(m.Registries)) {
 		if status := m.Registries[name]; status.Replication.Serving {
 			return status, true
@@ -120,7 +120,7 @@
 }
 
 // sessions are the proxies' sessions as the registry's primary knows them; without a primary, as another member does.
-func (m Mesh) sessions() []*wire.Session {
+func (m MeshStatus) sessions() []*wire.Session {
 	if status, known := m.servingRegistry(); known {
 		return status.Proxies
 	}
--- a/internal/snowctl/doctor/groups.go
+++ b/internal/snowctl/doctor/groups.go
@@ -32,7 +32,7 @@
 }
 
 // groupViews sorts the members by group. Voters that no known member names are unknown.
-func groupViews(mesh Mesh) (all []groupView) {
+func groupViews(mesh MeshStatus) (all []groupView) {
 	for _, group := range groupNames {
 		view := groupView{name: group, members: map[string]replication.Status{}}
 		for _, member := range mesh.members() {
--- a/internal/snowctl/doctor/safe.go
+++ b/internal/snowctl/doctor/safe.go
@@ -7,7 +7,7 @@
 
 // StopObjections reports why control plane processes may not be stopped, moved or emptied now; there are no objections if they may. unknown
 // lists the names that are voters of no group.
-func StopObjections(mesh Mesh, names []string) (unknown, objections []string) {
+func StopObjections(mesh MeshStatus, names []string) (unknown, objections []string) {
 	known := map[string]bool{}
 	for _, view := range groupViews(mesh) {
 		for _, name := range view.voters {
