--- a/internal/docscheck/docs_test.go
+++ b/internal/docscheck/docs_test.go
@@ -84,7 +84,7 @@
 
 var link = regexp.MustCompile(`\]\(([^)#]+\.md)\)`)
 
-func TestLinksLead(t *testing.T) {
+func TestLinksResolve(t *testing.T) {
 	root := filepath.Join("..", "..", "docs")
 	_ = filepath.Walk(root, func(path string, _ os.FileInfo, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".md") {
