--- a/internal/snowctl/client.go
+++ b/internal/snowctl/client.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// configStoreTimeout bounds a request to a configuration store, which may wait for an apply's acknowledgement.
+	// configStoreTimeout bounds a request to a configuration store. An apply waits until the state is in force at the proxies.
 	configStoreTimeout = 25 * time.Second
 	// proxyTimeout bounds a request to a proxy.
 	proxyTimeout = 5 * time.Second
 )
 
-// apiClient sends requests to the admin addresses of configuration stores, in turn until one responds.
+// apiClient sends requests to the admin addresses of configuration stores, one after the other until one responds.
 type apiClient struct {
-	addresses  string // with commas between
+	addresses  string // comma-separated
 	httpClient *http.Client
 }
 
-// addressList checks and splits the addresses. Its error is the starter's.
+// addressList checks and splits the addresses. Its error is a daemon.UsageError.
 func (c *apiClient) addressList() ([]string, error) {
 	if err := settings.CheckAddresses(c.addresses); err != nil {
 		return nil, daemon.NewUsageError(fmt.Errorf("--addresses: %w", err))
@@ -34,19 +34,19 @@
 	return strings.Split(c.addresses, ","), nil
 }
 
-// response is a response's status code and complete body.
+// response holds the status code and the complete body of an HTTP response.
 type response struct {
 	code int
 	body []byte
 }
 
-// statusError describes a response that is not the expected one.
+// statusError returns an error with the response's status code and body.
 func (r response) statusError() error {
 	return fmt.Errorf("status %d: %s", r.code, strings.TrimSpace(string(r.body)))
 }
 
-// send sends a request to the addresses in turn and gives the first response other than a 503. The error joins those of all
-// addresses.
+// send sends a request to the addresses one after the other and returns the first response whose status isn't 503. If there is none,
+// it returns the joined errors of all addresses.
 func (c *apiClient) send(method, path string, body []byte) (response, error) {
 	addresses, err := c.addressList()
 	if err != nil {
@@ -54,12 +54,12 @@
 	}
 	var errs []error
 	for _, address := range addresses {
-		received, err := c.sendTo(address, method, path, body)
-		if err == nil && received.code == http.StatusServiceUnavailable {
-			err = fmt.Errorf("%s: %s", address, strings.TrimSpace(string(received.body)))
+		resp, err := c.sendTo(address, method, path, body)
+		if err == nil && resp.code == http.StatusServiceUnavailable {
+			err = fmt.Errorf("%s: %s", address, strings.TrimSpace(string(resp.body)))
 		}
 		if err == nil {
-			return received, nil
+			return resp, nil
 		}
 		errs = append(errs, err)
 	}
@@ -71,13 +71,13 @@
 	if err != nil {
 		return response{}, err
 	}
-	received, err := c.httpClient.Do(request)
+	resp, err := c.httpClient.Do(request)
 	if err != nil {
 		return response{}, err
 	}
-	content, err := io.ReadAll(received.Body)
-	_ = received.Body.Close()
-	return response{code: received.StatusCode, body: content}, err
+	content, err := io.ReadAll(resp.Body)
+	_ = resp.Body.Close()
+	return response{code: resp.StatusCode, body: content}, err
 }
 
 // sendToProxy sends a request to the admin address of one proxy and prints the response.
--- a/internal/snowctl/diff.go
+++ b/internal/snowctl/diff.go
@@ -17,11 +17,11 @@
 	"snowflow/internal/daemon"
 )
 
-// errMixedArguments is the error of a diff between a file and a version.
-var errMixedArguments = errors.New("name two files or two versions; a file against the newest version is apply --preview")
+// errMixedArguments is returned for a diff between a file and a version.
+var errMixedArguments = errors.New("give two files or two versions; to compare a file with the newest version, use apply --preview")
 
 func diffCommand(client *apiClient) *cobra.Command {
-	return &cobra.Command{Use: "diff A B", Short: "show in what B differs from A: two files, or two versions", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, arguments []string) error {
+	return &cobra.Command{Use: "diff A B", Short: "show how B differs from A; both are files, or both are versions", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, arguments []string) error {
 		base, err := readStateFile(arguments[0])
 		if err != nil {
 			return err
@@ -53,7 +53,7 @@
 	length    int // of the file, in bytes
 }
 
-// readStateFile reads a desired state from the file that an argument names. It gives nil if the argument is a version's number.
+// readStateFile reads a desired state from the file that an argument names. It returns nil if the argument is a version number.
 func readStateFile(argument string) (*stateFile, error) {
 	if _, err := strconv.ParseUint(argument, 10, 64); err == nil {
 		return nil, nil
@@ -80,29 +80,29 @@
 
 // fetchComparison requests a comparison from the configuration store.
 func fetchComparison(client *apiClient, method, path string, content []byte) (api.Comparison, error) {
-	received, err := client.send(method, path, content)
+	resp, err := client.send(method, path, content)
 	if err != nil {
 		return api.Comparison{}, err
 	}
-	if received.code != http.StatusOK {
-		return api.Comparison{}, received.statusError()
+	if resp.code != http.StatusOK {
+		return api.Comparison{}, resp.statusError()
 	}
 	var comparison api.Comparison
-	return comparison, json.Unmarshal(received.body, &comparison)
+	return comparison, json.Unmarshal(resp.body, &comparison)
 }
 
-// previewApply prints what an apply of a content would change.
+// previewApply prints what applying a desired state would change.
 func previewApply(client *apiClient, content []byte) error {
 	comparison, err := fetchComparison(client, http.MethodPost, "/changes", content)
 	if err != nil {
 		return err
 	}
 	printComparison(comparison)
-	fmt.Printf("it would follow version %d, and go to %d nodes; nothing was applied\n", comparison.From, comparison.Proxies)
+	fmt.Printf("it would replace version %d at %d nodes; nothing was applied\n", comparison.From, comparison.Proxies)
 	return nil
 }
 
-// printComparison prints a line for each resource that differs, and the totals.
+// printComparison prints a line for each resource that differs, followed by the totals.
 func printComparison(comparison api.Comparison) {
 	summary := comparison.Summary
 	printResources("+", summary.Added)
--- a/internal/snowctl/operations.go
+++ b/internal/snowctl/operations.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	// errUnsafe ends safe with exit code 1, after the objections were printed.
+	// errUnsafe makes the safe command exit with code 1, after it has printed the objections.
 	errUnsafe = errors.New("not safe to stop now")
-	// errUnhealthy ends doctor with exit code 1, after its findings were printed.
+	// errUnhealthy makes the doctor command exit with code 1, after it has printed the findings.
 	errUnhealthy = errors.New("the mesh is not healthy")
 )
 
-// gatherTimeout bounds one reading of the mesh's status.
+// gatherTimeout bounds one attempt to gather the mesh's status.
 const gatherTimeout = 5 * time.Second
 
 func statusCommand(client *apiClient) *cobra.Command {
@@ -29,7 +29,7 @@
 }
 
 func tenantsCommand(client *apiClient) *cobra.Command {
-	return &cobra.Command{Use: "tenants", Short: "list the tenants of the newest version, with the beginnings of their keys' digests", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "tenants", Short: "list the tenants of the newest version, with shortened digests of their keys", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return printResponse(client.send(http.MethodGet, "/tenants", nil))
 		}}
@@ -37,7 +37,7 @@
 
 func breakerCommand() *cobra.Command {
 	return &cobra.Command{Use: "breaker PROXY-ADDRESS SERVICE force_open|disable|metrics_only|reset", Aliases: []string{"guard"},
-		Short: "set a manual control of a service's breaker at one proxy", Args: cobra.ExactArgs(3),
+		Short: "set the manual control of a service's breaker at one proxy", Args: cobra.ExactArgs(3),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			warnFormerName(command)
 			return sendToProxy(arguments[0], http.MethodPost, "/guards/"+arguments[1]+"/"+arguments[2])
@@ -45,7 +45,7 @@
 }
 
 func drainCommand() *cobra.Command {
-	return &cobra.Command{Use: "drain PROXY-ADDRESS", Short: "have one proxy respond to the requests that it has read, and stop", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "drain PROXY-ADDRESS", Short: "shut one proxy down after it has responded to the requests that it has read", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, arguments []string) error {
 			return sendToProxy(arguments[0], http.MethodPost, "/drain")
 		}}
@@ -53,13 +53,13 @@
 
 func safeCommand(client *apiClient) *cobra.Command {
 	wait := time.Duration(0)
-	command := &cobra.Command{Use: "safe NAME...", Short: "report whether control plane processes may be stopped, moved or emptied now, or wait until they may",
+	command := &cobra.Command{Use: "safe NAME...", Short: "report whether control plane processes can safely be stopped, moved or wiped now, or wait until they can",
 		Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, names []string) error { return awaitSafe(client, names, wait) }}
 	command.Flags().DurationVar(&wait, "wait", 0, "how long to wait until it is safe")
 	return command
 }
 
-// awaitSafe waits until the processes may be stopped. After the wait it prints what is in the way.
+// awaitSafe waits until the processes can safely be stopped. If the wait ends first, it prints the objections and returns an error.
 func awaitSafe(client *apiClient, names []string, wait time.Duration) error {
 	addresses, err := client.addressList()
 	if err != nil {
@@ -86,7 +86,7 @@
 
 func doctorCommand(client *apiClient) *cobra.Command {
 	timeout, asJSON := 5*time.Second, false
-	command := &cobra.Command{Use: "doctor", Short: "look for common faults; each finding says what to do", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "doctor", Short: "look for common faults and suggest what to do about each", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		addresses, err := client.addressList()
 		if err != nil {
 			return err
@@ -96,14 +96,14 @@
 		}
 		return printFindings(doctor.Examine(addresses, timeout), asJSON)
 	}}
-	command.Flags().DurationVar(&timeout, "timeout", timeout, "how long the whole examination may take")
+	command.Flags().DurationVar(&timeout, "timeout", timeout, "how long gathering the mesh's status may take in total")
 	command.Flags().DurationVar(&timeout, "patience", timeout, "the former name of --timeout")
 	deprecateFlag(command.Flags(), "patience", "timeout")
 	command.Flags().BoolVar(&asJSON, "json", false, "print the findings as JSON")
 	return command
 }
 
-// printFindings prints the doctor's findings. It fails if any of them is not healthy.
+// printFindings prints the doctor's findings. It returns errUnhealthy if any of them is not Healthy.
 func printFindings(findings []doctor.Finding, asJSON bool) error {
 	if asJSON {
 		if err := printJSON(findings); err != nil {
--- a/internal/snowctl/rollout.go
+++ b/internal/snowctl/rollout.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	// errBehind ends rollout with exit code 1, after the nodes were printed.
-	errBehind = errors.New("not every node has the newest version")
-	// errNoPrimary ends rollout with exit code 1.
+	// errNodesBehind makes the rollout command exit with code 1, after it has printed the nodes.
+	errNodesBehind = errors.New("not every node has the newest version")
+	// errNoPrimary makes the rollout command exit with code 1.
 	errNoPrimary = errors.New("no configuration store responded as primary")
 )
 
@@ -26,26 +26,26 @@
 
 func rolloutCommand(client *apiClient) *cobra.Command {
 	options := rolloutOptions{}
-	command := &cobra.Command{Use: "rollout", Short: "show which node has which version, or wait until all have the newest", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "rollout", Short: "show which version each node has, or wait until all have the newest", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		return followRollout(client, options)
 	}}
-	command.Flags().DurationVar(&options.wait, "wait", 0, "how long to wait until all nodes have the newest version; progress is shown meanwhile")
+	command.Flags().DurationVar(&options.wait, "wait", 0, "how long to wait until all nodes have the newest version; prints the progress meanwhile")
 	command.Flags().BoolVar(&options.asJSON, "json", false, "print the nodes as JSON")
 	return command
 }
 
-// followRollout prints the progress whenever it changes, and the nodes once the roll-out is done or the wait is over.
+// followRollout prints the progress whenever it changes, and the nodes when the roll-out is complete or the wait ends.
 func followRollout(client *apiClient, options rolloutOptions) error {
 	addresses, err := client.addressList()
 	if err != nil {
 		return err
 	}
-	shown := ""
+	printed := ""
 	for deadline := time.Now().Add(options.wait); ; time.Sleep(200 * time.Millisecond) {
 		mesh, err := doctor.Gather(addresses, gatherTimeout)
 		progress, found := rollout.FromStatuses(mesh.ConfigStores)
-		if line := progress.Line(); found && line != shown && !options.asJSON {
-			shown = line
+		if line := progress.Line(); found && line != printed && !options.asJSON {
+			printed = line
 			fmt.Println(line)
 		}
 		if found && progress.Done() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// printProgress prints the nodes. It fails if some have not got the newest version.
+// printProgress prints the nodes. It returns errNodesBehind unless all have the newest version.
 func printProgress(progress rollout.Progress, asJSON bool) error {
 	if asJSON {
 		if err := printJSON(progress); err != nil {
@@ -70,7 +70,7 @@
 		fmt.Print(progress.Table())
 	}
 	if !progress.Done() {
-		return errBehind
+		return errNodesBehind
 	}
 	return nil
 }
--- a/internal/snowctl/rollout/rollout.go
+++ b/internal/snowctl/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package rollout computes how far the newest version of the desired state has rolled out, from the status of the configuration stores.
+// Package rollout computes the progress of the newest version's roll-out from the status of the configuration stores.
 package rollout
 
 import (
@@ -10,30 +10,31 @@
 	"snowflow/internal/configstore"
 )
 
-// Progress is how far the newest version has rolled out, as the primary configuration store knows it.
+// Progress is the progress of the newest version's roll-out, as the primary configuration store knows it.
 type Progress struct {
 	Primary string `json:"primary"`
 	Version uint64 `json:"version"`
-	// Nodes are the proxies that hold a lease, those furthest behind first, then those that took longest.
+	// Nodes are the proxies that have a lease, sorted by their version, lowest first, and then by adoption time, longest first.
 	Nodes    []configstore.LeaseStatus `json:"nodes"`
 	UpToDate int                       `json:"there"` // nodes that have the newest version
 }
 
-// FromStatuses finds the primary among the configuration stores' statuses, by name. It gives false if none serves as primary.
+// FromStatuses computes the progress from the statuses of configuration stores, by process name. It returns false if none of them
+// serves as primary.
 func FromStatuses(statuses map[string]configstore.Status) (Progress, bool) {
 	for name, status := range statuses {
 		if !status.Core.Serving {
 			continue
 		}
 		progress := Progress{Primary: name, Version: status.Version, Nodes: slices.Clone(status.Leases)}
-		slices.SortFunc(progress.Nodes, func(one, other configstore.LeaseStatus) int {
-			if one.AdoptedVersion != other.AdoptedVersion {
-				return compare(one.AdoptedVersion, other.AdoptedVersion)
+		slices.SortFunc(progress.Nodes, func(a, b configstore.LeaseStatus) int {
+			if a.AdoptedVersion != b.AdoptedVersion {
+				return compare(a.AdoptedVersion, b.AdoptedVersion)
 			}
-			if one.AdoptionMicros != other.AdoptionMicros {
-				return compare(other.AdoptionMicros, one.AdoptionMicros)
+			if a.AdoptionMicros != b.AdoptionMicros {
+				return compare(b.AdoptionMicros, a.AdoptionMicros)
 			}
-			return strings.Compare(one.Proxy, other.Proxy)
+			return strings.Compare(a.Proxy, b.Proxy)
 		})
 		for _, node := range progress.Nodes {
 			if node.AdoptedVersion >= progress.Version {
@@ -45,8 +46,9 @@
 	return Progress{}, false
 }
 
-func compare[Number uint64 | int64](one, other Number) int {
-	if one < other {
+// compare orders two different numbers.
+func compare[Number uint64 | int64](a, b Number) int {
+	if a < b {
 		return -1
 	}
 	return 1
@@ -55,7 +57,7 @@
 // Done reports whether every node has the newest version.
 func (p Progress) Done() bool { return p.UpToDate == len(p.Nodes) }
 
-// Line formats the progress in one line.
+// Line formats the progress as one line, with the node that is furthest behind or was slowest.
 func (p Progress) Line() string {
 	text := fmt.Sprintf("version %d: %d of %d nodes", p.Version, p.UpToDate, len(p.Nodes))
 	if len(p.Nodes) == 0 {
@@ -71,12 +73,13 @@
 	return text
 }
 
-// Table formats a line for each node: its version, how long ago it adopted that, and how long after the commit it acknowledged it.
+// Table formats a header and a line for each node: its version, how long ago it adopted the version, and how long that took from the
+// commit.
 func (p Progress) Table() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %10s %12s %12s\n", "node", "version", "ago", "took")
 	for _, node := range p.Nodes {
-		took := "-" // this primary did not see the commit
+		took := "-" // this primary did not observe both the commit and the adoption
 		if node.AdoptionMicros > 0 {
 			took = formatMicros(node.AdoptionMicros)
 		}
@@ -85,8 +88,8 @@
 	return text.String()
 }
 
-func formatMicros(count int64) string {
-	duration := time.Duration(count) * time.Microsecond
+func formatMicros(micros int64) string {
+	duration := time.Duration(micros) * time.Microsecond
 	if duration >= 10*time.Second {
 		return duration.Round(time.Second).String()
 	}
--- a/internal/snowctl/snowctl.go
+++ b/internal/snowctl/snowctl.go
@@ -1,7 +1,8 @@
-// Package snowctl is the operators' command line: desired states and their roll-out, the mesh's status and common faults, breakers'
-// manual controls, and planned stops. Each command is one request to the admin address of a configuration store or a proxy, or a few.
+// Package snowctl implements the operators' command line: desired states and their roll-out, the mesh's status and common faults,
+// manual control of breakers, and graceful shutdowns. Each command, except those that only read files, sends one or a few requests to
+// the admin address of a configuration store or a proxy.
 //
-// Exit codes: 0 for success, 1 for a negative result such as a rejected state or an unhealthy mesh, 2 for wrong usage.
+// Exit codes: 0 for success, 1 for a failure or a negative result such as a rejected state or an unhealthy mesh, 2 for wrong usage.
 package snowctl
 
 import (
@@ -17,15 +18,15 @@
 	"snowflow/internal/release"
 )
 
-// defaultAddresses is where a configuration store on the same machine listens for operators.
+// defaultAddresses is the admin address of a configuration store on the same machine.
 const defaultAddresses = "127.0.0.1:7201"
 
-// Root makes the command line.
+// Root returns the root command with all its subcommands.
 func Root() *cobra.Command {
 	client := &apiClient{httpClient: &http.Client{Timeout: configStoreTimeout}}
-	root := &cobra.Command{Use: "snowctl", Short: "the operators' command line of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
+	root := &cobra.Command{Use: "snowctl", Short: "command line for operators of snowflow", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	flags := root.PersistentFlags()
-	flags.StringVar(&client.addresses, "addresses", defaultAddresses, "admin addresses of configuration stores, with commas between")
+	flags.StringVar(&client.addresses, "addresses", defaultAddresses, "comma-separated admin addresses of configuration stores")
 	flags.StringVar(&client.addresses, "desks", defaultAddresses, "the former name of --addresses")
 	deprecateFlag(flags, "desks", "addresses")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.NewUsageError(err) })
@@ -34,16 +35,16 @@
 	return root
 }
 
-// printResponse prints a response's JSON, indented. Its parameters are the results of send.
-func printResponse(received response, err error) error {
+// printResponse prints a response's JSON, indented. It returns err, the error of send, unless that is nil.
+func printResponse(resp response, err error) error {
 	if err != nil {
 		return err
 	}
-	if received.code != http.StatusOK {
-		return received.statusError()
+	if resp.code != http.StatusOK {
+		return resp.statusError()
 	}
 	var indented bytes.Buffer
-	if err := json.Indent(&indented, received.body, "", "  "); err != nil {
+	if err := json.Indent(&indented, resp.body, "", "  "); err != nil {
 		return err
 	}
 	fmt.Println(strings.TrimSpace(indented.String()))
