--- a/internal/snowctl/doctor/doctor.go
+++ b/internal/snowctl/doctor/doctor.go
@@ -16,10 +16,10 @@
 
 // Finding is the result of one check: one fault, or none.
 type Finding struct {
-	Level  string `json:"level"`
-	Check  string `json:"check"` // the check's name
-	Message   string `json:"what"`
-	Advice string `json:"advice,omitempty"` // what to do about it; empty for a healthy result
+	Level   string `json:"level"`
+	Check   string `json:"check"` // the check's name
+	Message string `json:"what"`
+	Advice  string `json:"advice,omitempty"` // what to do about it; empty for a healthy result
 }
 
 // String formats a finding as a line, and its advice as another.
