--- a/internal/snowctl/doctor/checks.go
+++ b/internal/snowctl/doctor/checks.go
@@ -15,30 +15,32 @@
 	maxClockOffset = 5 * monotonic.Second
 	minFreeBytes   = 64 << 20
 	maxSyncTime    = 100 * monotonic.Millisecond
-	// stuckAfter is how long a breaker may be half open before that is taken for a lack of probes.
-	stuckAfter = 30 * monotonic.Second
+	// halfOpenLimit is how long a breaker may be half open before the advice points to a lack of probes.
+	halfOpenLimit = 30 * monotonic.Second
 )
 
+// checkSeeds reports configuration stores, known processes and voters that didn't respond.
 func checkSeeds(mesh MeshStatus) (found []Finding) {
 	for _, address := range mesh.Unreachable {
 		found = append(found, Finding{Level: Warning, Message: "the configuration store at " + address + " did not respond", Advice: "start it, or correct --addresses if it moved"})
 	}
 	for _, name := range slices.Sorted(maps.Keys(mesh.Overview.Missing)) {
-		found = append(found, Finding{Level: Warning, Message: name + " is known but did not respond",
-			Advice: "start it; with its disk lost, start it on an empty data folder under the same name"})
+		found = append(found, Finding{Level: Warning, Message: name + " is a known process but did not respond",
+			Advice: "start it; if its disk is lost, start it with an empty data folder under the same name"})
 	}
 	for _, view := range groupViews(mesh) {
 		for _, voter := range view.missing {
 			if mesh.Overview.Missing[view.name+" "+voter] == "" {
-				found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("voter %s of the %s was never heard of", voter, title(view.name)),
-					Advice: "start it, and check that its seeds name a running process"})
+				found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("voter %s of the %s was never heard of", voter, groupTitle(view.name)),
+					Advice: "start it, and check that its seeds include a running process"})
 			}
 		}
 	}
 	return found
 }
 
-// checkPartition reports which part of each group the responding configuration store sees, and whether that part has a quorum.
+// checkPartition reports groups of which the configuration store that responded can't reach all voters, and whether those that it
+// reaches are a quorum.
 func checkPartition(mesh MeshStatus) (found []Finding) {
 	for _, view := range groupViews(mesh) {
 		if len(view.missing) == 0 {
@@ -47,15 +49,16 @@
 		what := fmt.Sprintf("from this configuration store %v can be seen and %v can't", view.seen, view.missing)
 		if replication.HasQuorum(view.voters, view.seen) {
 			found = append(found, Finding{Level: Warning, Message: what + ": those seen can decide",
-				Advice: "bring the others back, or the network to them; until then no further process may be stopped"})
+				Advice: "restart the others, or repair the network to them; until then, stop no further process"})
 		} else {
 			found = append(found, Finding{Level: Unhealthy, Message: what + ": those seen can't decide",
-				Advice: "use a configuration store on the other side of the partition, which may serve; repair the network between them"})
+				Advice: "use a configuration store on the other side of the partition, which may still serve; repair the network between the two sides"})
 		}
 	}
 	return found
 }
 
+// checkReplicas reports groups without exactly one primary, and faults of single members.
 func checkReplicas(mesh MeshStatus) (found []Finding) {
 	newest, primaries := map[string]replication.Status{}, map[string][]string{}
 	for _, member := range mesh.members() {
@@ -68,8 +71,8 @@
 	}
 	for _, group := range groupNames {
 		if count := len(primaries[group]); count != 1 {
-			found = append(found, Finding{Level: Unhealthy, Message: fmt.Sprintf("%d members of the %s serve as primary: %v", count, title(group), primaries[group]),
-				Advice: "a quorum of the group must be up and in contact; look at its events 201 to 208"})
+			found = append(found, Finding{Level: Unhealthy, Message: fmt.Sprintf("%d members of the %s serve as primary: %v", count, groupTitle(group), primaries[group]),
+				Advice: "a quorum of the group must be running and connected; see its events 201 to 208"})
 		}
 	}
 	for _, member := range mesh.members() {
@@ -78,23 +81,24 @@
 	return found
 }
 
-// checkMember checks one member of a group against the one with the highest epoch.
+// checkMember checks one member of a group. newest is the member with the highest epoch.
 func checkMember(member, newest replication.Status) (found []Finding) {
 	if !member.Joined {
 		found = append(found, Finding{Level: Warning, Message: member.Name + " has an empty data folder and has not joined yet",
-			Advice: "it joins once enough others with their registers intact respond to it; start those"})
+			Advice: "it joins once enough other members with intact registers respond to it; start those"})
 	}
-	// A voter without a replica may be behind: a quorum decides without it, and it asks others before it decides itself.
+	// A voter without a replica may be behind: a quorum can decide without it, and it consults others before it takes part in a decision.
 	if member.Epoch+1 < newest.Epoch && slices.Contains(newest.ReplicaNames(), member.Name) {
-		found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s knows epoch %d, others %d", member.Name, member.Epoch, newest.Epoch),
+		found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s knows epoch %d, but the newest is %d", member.Name, member.Epoch, newest.Epoch),
 			Advice: "check the network between it and the other control plane hosts"})
 	}
 	if member.Serving && !member.BackupsInSync {
-		found = append(found, Finding{Level: Unhealthy, Message: member.Name + " leads without a backup in sync", Advice: "start another member of the group"})
+		found = append(found, Finding{Level: Unhealthy, Message: member.Name + " serves as primary without a backup in sync", Advice: "start another member of the group"})
 	}
 	return found
 }
 
+// checkReleases reports every release in use if there is more than one.
 func checkReleases(mesh MeshStatus) (found []Finding) {
 	releases := map[string][]string{}
 	for _, member := range mesh.members() {
@@ -107,36 +111,39 @@
 		return nil
 	}
 	for _, release := range slices.Sorted(maps.Keys(releases)) {
-		found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("release %s runs at %v", release, releases[release]),
-			Advice: "normal during a roll-out; finish it, since only adjacent wire versions understand one another"})
+		found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("release %s runs on %v", release, releases[release]),
+			Advice: "normal during an upgrade; finish it, since only adjacent wire versions are compatible"})
 	}
 	return found
 }
 
+// checkClocks compares the members' wall clocks with this machine's.
 func checkClocks(mesh MeshStatus) (found []Finding) {
 	for _, member := range mesh.members() {
 		if offset := monotonic.Micros(member.Wall - mesh.QueriedAt); offset > maxClockOffset || offset < -maxClockOffset {
-			found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s's wall clock is %v from this machine's", member.Name, offset.Duration()),
-				Advice: "no decision depends on it, but logs are hard to put in order; set the clock"})
+			found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s's wall clock differs from this machine's by %v", member.Name, offset.Duration()),
+				Advice: "no decision depends on it, but it makes logs of several machines hard to order; set the clock"})
 		}
 	}
 	return found
 }
 
+// checkDisks reports members that are short of disk space or whose disk is slow.
 func checkDisks(mesh MeshStatus) (found []Finding) {
 	for _, member := range mesh.members() {
 		if member.FreeBytes < minFreeBytes {
 			found = append(found, Finding{Level: Unhealthy, Message: fmt.Sprintf("%s has %d MiB of disk left", member.Name, member.FreeBytes>>20),
-				Advice: "free space in its data folder's file system; a primary that can't write hands over"})
+				Advice: "free space on the file system of its data folder; a primary that can't write transfers its leadership"})
 		}
 		if took := monotonic.Micros(member.SyncTime); took > maxSyncTime {
 			found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s took %v for its last write and sync", member.Name, took.Duration()),
-				Advice: "every write waits for it; find what else uses the disk, or replace it"})
+				Advice: "every write waits for the sync; find out what else uses the disk, or replace the disk"})
 		}
 	}
 	return found
 }
 
+// checkProxies reports proxies that don't have the newest configuration.
 func checkProxies(mesh MeshStatus) (found []Finding) {
 	newest := uint64(0)
 	for _, store := range mesh.ConfigStores {
@@ -147,22 +154,22 @@
 	}
 	sessions := mesh.sessions()
 	if len(sessions) == 0 {
-		return []Finding{{Level: Unhealthy, Message: "no proxy has a session", Advice: "start proxies, and check that their seeds name a running process"}}
+		return []Finding{{Level: Unhealthy, Message: "no proxy has a session", Advice: "start proxies, and check that their seeds include a running process"}}
 	}
 	for _, session := range sessions {
 		if session.ConfigVersion < newest {
-			found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s serves by version %d, the newest is %d", session.Proxy, session.ConfigVersion, newest),
+			found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s uses version %d, but the newest is %d", session.Proxy, session.ConfigVersion, newest),
 				Advice: "it rejects requests when its lease ends; check the network between it and the configuration store's primary"})
 		}
 	}
 	return found
 }
 
-// checkLeases finds proxies that other parts of the mesh know, but that have no lease of the configuration store's primary.
+// checkLeases reports proxies that have a session but no lease from the configuration stores' primary.
 func checkLeases(mesh MeshStatus) (found []Finding) {
 	store, known := mesh.servingConfigStore()
 	if !known || store.Version == 0 {
-		return nil // the checks of replicas and proxies say so
+		return nil // checkReplicas and checkProxies report it
 	}
 	leased := map[string]bool{}
 	for _, lease := range store.Leases {
@@ -170,19 +177,20 @@
 	}
 	for _, session := range mesh.sessions() {
 		if !leased[session.Proxy] {
-			found = append(found, Finding{Level: Warning, Message: session.Proxy + " has no lease on the configuration and on tenants' keys",
-				Advice: "it rejects requests, where keys may be revoked in bounded time at least those of tenants; check the network between it and the " +
-					"configuration store's primary. Right after a change of primary, ask again"})
+			found = append(found, Finding{Level: Warning, Message: session.Proxy + " has no lease on the configuration and the tenants' keys",
+				Advice: "it rejects requests, at least those of tenants if the keys have a lease; check the network between it and the " +
+					"configuration store's primary. Right after a change of primary, run this again first"})
 		}
 	}
 	return found
 }
 
+// checkBreakers reports services whose breaker is not closed at all proxies.
 func checkBreakers(mesh MeshStatus) (found []Finding) {
 	status, known := mesh.servingRegistry()
 	if !known {
-		return []Finding{{Level: Unhealthy, Message: "no registry serves as primary, so the breakers' shared states are unknown",
-			Advice: "proxies judge by their own windows meanwhile; see the copies check"}}
+		return []Finding{{Level: Unhealthy, Message: "no registry serves as primary, so the shared states of the breakers are unknown",
+			Advice: "meanwhile each proxy decides from its own sliding window; see the copies check"}}
 	}
 	for _, record := range status.Breakers {
 		found = append(found, checkBreaker(record, monotonic.Micros(status.LeaderTime-record.EnteredAt))...)
@@ -190,18 +198,18 @@
 	return found
 }
 
-// checkBreaker checks one record that has been in its state for this long.
-func checkBreaker(record *wire.BreakerRecord, since monotonic.Micros) []Finding {
+// checkBreaker checks the breaker of one service, which has been in its state for the given duration.
+func checkBreaker(record *wire.BreakerRecord, duration monotonic.Micros) []Finding {
 	switch record.State {
 	case breakerstore.Open:
-		return []Finding{{Level: Unhealthy, Message: fmt.Sprintf("the breaker of %s is open, for %v", record.Service, since.Duration()),
-			Advice: "look at that service's backends; it is probed again by itself"}}
+		return []Finding{{Level: Unhealthy, Message: fmt.Sprintf("the breaker of %s is open, for %v", record.Service, duration.Duration()),
+			Advice: "check the backends of that service; probes resume automatically"}}
 	case breakerstore.HalfOpen:
-		advice := "it is being probed; nothing to do unless this lasts"
-		if since > stuckAfter {
-			advice = fmt.Sprintf("%d probes in flight, %d counted, %d left: if nobody calls the service, nothing probes it", len(record.ProbeLeases), len(record.ProbeResults), record.Budget)
+		advice := "it is being probed; nothing to do unless this persists"
+		if duration > halfOpenLimit {
+			advice = fmt.Sprintf("%d probes in flight, %d completed, %d left: without requests to the service there are no probes", len(record.ProbeLeases), len(record.ProbeResults), record.Budget)
 		}
-		return []Finding{{Level: Warning, Message: fmt.Sprintf("the breaker of %s is half open, for %v", record.Service, since.Duration()), Advice: advice}}
+		return []Finding{{Level: Warning, Message: fmt.Sprintf("the breaker of %s is half open, for %v", record.Service, duration.Duration()), Advice: advice}}
 	case breakerstore.Closed:
 		if len(record.Reports) == 0 {
 			return nil
@@ -210,20 +218,21 @@
 		for _, report := range record.Reports {
 			reporters = append(reporters, report.Proxy)
 		}
-		return []Finding{{Level: Warning, Message: fmt.Sprintf("%v tripped on %s and stand alone in that", reporters, record.Service),
-			Advice: "look at those machines' network first: most callers are served"}}
+		return []Finding{{Level: Warning, Message: fmt.Sprintf("%v tripped on %s, but too few proxies agree to open its breaker", reporters, record.Service),
+			Advice: "check the network of those machines first, since the service responds to most callers"}}
 	}
 	return nil
 }
 
+// checkBackends reports backends without heartbeats and services with a single backend.
 func checkBackends(mesh MeshStatus) (found []Finding) {
-	healthy := map[string]int{} // by service
+	healthy := map[string]int{} // backends by service
 	for _, session := range mesh.sessions() {
 		for _, backend := range session.Backends {
 			switch backend.Condition {
 			case "overdue":
 				found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s of %s at %s has stopped sending heartbeats", backend.Instance, backend.Service, backend.Address),
-					Advice: "restart it, or have it deregister; no requests are sent to it meanwhile"})
+					Advice: "restart or deregister it; it gets no requests meanwhile"})
 			case "alive", "working":
 				healthy[backend.Service]++
 			}
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// healthyMesh is a mesh without faults; each test changes one thing.
+// healthyMesh returns the status of a mesh without faults. Each test case changes one thing in it.
 func healthyMesh() MeshStatus {
 	mesh := MeshStatus{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}, QueriedAt: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
@@ -28,15 +28,17 @@
 	return mesh
 }
 
-func changeRegistry(mesh MeshStatus, name string, spoil func(*registry.Status)) {
+// changeRegistry applies a change to the status of one registry process.
+func changeRegistry(mesh MeshStatus, name string, change func(*registry.Status)) {
 	status := mesh.Registries[name]
-	spoil(&status)
+	change(&status)
 	mesh.Registries[name] = status
 }
 
+// TestChecksFindFaults checks that a healthy mesh has no findings, and that each fault is found at its level, with advice.
 func TestChecksFindFaults(t *testing.T) {
 	if findings := Check(healthyMesh()); MostSevere(findings) != Healthy {
-		t.Fatalf("a healthy mesh: %v", findings)
+		t.Fatalf("findings for a healthy mesh: %v", findings)
 	}
 	cases := []struct {
 		check, level, contains string
@@ -88,7 +90,7 @@
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "half_open"}}
 			})
 		}},
-		{"guards", Warning, "stand alone", func(mesh MeshStatus) {
+		{"guards", Warning, "too few proxies agree", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) {
 				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
 			})
@@ -98,58 +100,58 @@
 			mesh.Registries["sorter-1"].Proxies[0].Backends = mesh.Registries["sorter-1"].Proxies[0].Backends[:1]
 		}},
 	}
-	for _, one := range cases {
-		t.Run(one.check+": "+one.contains, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.check+": "+test.contains, func(t *testing.T) {
 			mesh := healthyMesh()
-			one.change(mesh)
-			seen := false
+			test.change(mesh)
+			found := false
 			for _, finding := range Check(mesh) {
-				seen = seen || finding.Check == one.check && finding.Level == one.level && strings.Contains(finding.Message, one.contains) && finding.Advice != ""
+				found = found || finding.Check == test.check && finding.Level == test.level && strings.Contains(finding.Message, test.contains) && finding.Advice != ""
 			}
-			if !seen {
+			if !found {
 				t.Error("no such finding with advice")
 			}
 		})
 	}
 }
 
-// TestSafeToMove: the next host may be stopped once both replicas and every other voter are there, and not before.
+// TestSafeToMove checks that a host can be stopped only if both replicas are in sync and every other voter responds.
 func TestSafeToMove(t *testing.T) {
-	machine := []string{"sorter-2", "postmaster-2"}
-	for _, one := range []struct {
+	hostProcesses := []string{"sorter-2", "postmaster-2"}
+	for _, test := range []struct {
 		name, contains string
 		names          []string
 		change         func(mesh MeshStatus)
 	}{
-		{"all is well", "", machine, func(MeshStatus) {}},
-		{"it is stopped already, as while it moves", "", machine, func(mesh MeshStatus) { delete(mesh.Registries, "sorter-2") }},
-		{"two of one group", "one process of a group", []string{"sorter-1", "sorter-2"}, func(MeshStatus) {}},
-		{"another is down", "sorter-3 does not respond", machine, func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
-		{"another has an empty disk", "sorter-1 has not joined", machine, func(mesh MeshStatus) {
+		{"healthy mesh", "", hostProcesses, func(MeshStatus) {}},
+		{"already stopped, as during a move", "", hostProcesses, func(mesh MeshStatus) { delete(mesh.Registries, "sorter-2") }},
+		{"two processes of one group", "one process of a group", []string{"sorter-1", "sorter-2"}, func(MeshStatus) {}},
+		{"another process is down", "sorter-3 does not respond", hostProcesses, func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
+		{"another process has an empty disk", "sorter-1 has not joined", hostProcesses, func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.Joined = false })
 		}},
-		{"a voter without a replica is behind", "", machine, func(mesh MeshStatus) {
+		{"a voter without a replica is behind", "", hostProcesses, func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-3", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
 		{"the other replica is behind", "sorter-2 is behind", []string{"sorter-3"}, func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-2", func(status *registry.Status) { status.Replication.Epoch = 3 })
 		}},
-		{"no backup in sync", "no primary serves", machine, func(mesh MeshStatus) {
+		{"no backup in sync", "no primary serves", hostProcesses, func(mesh MeshStatus) {
 			for name := range mesh.Registries {
 				changeRegistry(mesh, name, func(status *registry.Status) { status.Replication.BackupsInSync = false })
 			}
 		}},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			mesh := healthyMesh()
-			one.change(mesh)
-			unknown, objections := StopObjections(mesh, one.names)
-			if len(unknown) > 0 || (one.contains == "") != (len(objections) == 0) || !strings.Contains(strings.Join(objections, "; "), one.contains) {
-				t.Errorf("%v %v", unknown, objections)
+			test.change(mesh)
+			unknown, objections := StopObjections(mesh, test.names)
+			if len(unknown) > 0 || (test.contains == "") != (len(objections) == 0) || !strings.Contains(strings.Join(objections, "; "), test.contains) {
+				t.Errorf("got unknown names %v and objections %v", unknown, objections)
 			}
 		})
 	}
 	if unknown, _ := StopObjections(healthyMesh(), []string{"sorter-2", "sorter-9"}); len(unknown) != 1 || unknown[0] != "sorter-9" {
-		t.Errorf("unknown: %v", unknown)
+		t.Errorf("got unknown names %v, want sorter-9 only", unknown)
 	}
 }
--- a/internal/snowctl/doctor/gather.go
+++ b/internal/snowctl/doctor/gather.go
@@ -18,20 +18,20 @@
 	"snowflow/internal/transport/wire"
 )
 
-// errNoResponse is the error of Gather if no address responded.
+// errNoResponse is returned by Gather if no address responded.
 var errNoResponse = errors.New("no configuration store responded")
 
-// MeshStatus is the status of a mesh as one configuration store gave it.
+// MeshStatus is the status of a mesh as reported by one configuration store.
 type MeshStatus struct {
 	Overview     api.Overview
 	ConfigStores map[string]configstore.Status // by name
 	Registries   map[string]registry.Status    // by name
 	Unreachable  []string                      // addresses that did not respond, with the reason
-	QueriedAt    int64                         // this machine's wall clock at the last request, in microseconds since 1970
+	QueriedAt    int64                         // this machine's wall clock before the last request, in microseconds since 1970
 }
 
-// Gather requests the mesh's status from all addresses and takes that of the first one that responds. It fails if none does within
-// the timeout.
+// Gather requests the mesh's status from all addresses and returns that of the first one that responds. It returns an error if none
+// responds within the timeout.
 func Gather(addresses []string, timeout time.Duration) (MeshStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	return json.Unmarshal(content, into)
 }
 
-// decode reads the processes' own descriptions. One that cannot be read, as of another release, is left out.
+// decode decodes the processes' status documents. It omits those that it can't decode, such as those of another release.
 func (m *MeshStatus) decode() {
 	for name, content := range m.Overview.ConfigStores {
 		var status configstore.Status
@@ -88,7 +88,7 @@
 	}
 }
 
-// members lists the members of both groups, configuration stores first, by name.
+// members returns the status of the members of both groups, sorted by name, configuration stores first.
 func (m MeshStatus) members() (all []replication.Status) {
 	for _, name := range slices.Sorted(maps.Keys(m.ConfigStores)) {
 		all = append(all, m.ConfigStores[name].Core)
@@ -99,7 +99,7 @@
 	return all
 }
 
-// servingConfigStore is the configuration store's primary, which alone grants leases.
+// servingConfigStore returns the status of the configuration stores' primary, the only one that grants leases.
 func (m MeshStatus) servingConfigStore() (status configstore.Status, known bool) {
 	for _, name := range slices.Sorted(maps.Keys(m.ConfigStores)) {
 		if status := m.ConfigStores[name]; status.Core.Serving {
@@ -109,7 +109,7 @@
 	return configstore.Status{}, false
 }
 
-// servingRegistry is the registry's primary. Only the primary's status contains the breakers.
+// servingRegistry returns the status of the registry's primary, the only one whose status contains the breakers.
 func (m MeshStatus) servingRegistry() (status registry.Status, known bool) {
 	for _, name := range slices.Sorted(maps.Keys(m.Registries)) {
 		if status := m.Registries[name]; status.Replication.Serving {
@@ -119,7 +119,7 @@
 	return registry.Status{}, false
 }
 
-// sessions are the proxies' sessions as the registry's primary knows them; without a primary, as another member does.
+// sessions returns the proxies' sessions as known to the registry's primary or, if there is none, to the first member by name.
 func (m MeshStatus) sessions() []*wire.Session {
 	if status, known := m.servingRegistry(); known {
 		return status.Proxies
--- a/internal/snowctl/doctor/groups.go
+++ b/internal/snowctl/doctor/groups.go
@@ -8,20 +8,20 @@
 	"snowflow/internal/replication"
 )
 
-// groupNames are the control plane's groups, in the order of findings.
+// groupNames are the control plane's replication groups, in the order in which findings mention them.
 var groupNames = []string{configstore.Group, registry.Group}
 
-// groupView is what the configuration store that responded sees of one group.
+// groupView is what the configuration store that responded knows about one group.
 type groupView struct {
 	name    string
 	voters  []string
-	seen    []string // voters whose status is known
-	missing []string // the others
-	members map[string]replication.Status
+	seen    []string                      // voters that reported their status
+	missing []string                      // the other voters
+	members map[string]replication.Status // by name
 }
 
-// title names a group in findings.
-func title(group string) string {
+// groupTitle returns the name that findings use for a group.
+func groupTitle(group string) string {
 	switch group {
 	case configstore.Group:
 		return "configuration store"
@@ -31,7 +31,7 @@
 	return group
 }
 
-// groupViews sorts the members by group. Voters that no known member names are unknown.
+// groupViews returns a view of each group. The voters are those that a member's status lists; they are unknown without one.
 func groupViews(mesh MeshStatus) (all []groupView) {
 	for _, group := range groupNames {
 		view := groupView{name: group, members: map[string]replication.Status{}}
@@ -53,7 +53,7 @@
 	return all
 }
 
-// newest is the seen member with the highest epoch, the one that serves if several have it.
+// newest returns the status of the seen voter with the highest epoch; if several have it, of the one that serves as primary.
 func (v groupView) newest() (newest replication.Status) {
 	for _, name := range v.seen {
 		if member := v.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
@@ -63,7 +63,7 @@
 	return newest
 }
 
-// serving counts the seen members that serve as primary.
+// serving counts the seen voters that serve as primary.
 func (v groupView) serving() (count int) {
 	for _, name := range v.seen {
 		if v.members[name].Serving {
@@ -73,7 +73,7 @@
 	return count
 }
 
-// countOf counts the voters among names.
+// countOf counts the voters that are in names.
 func (v groupView) countOf(names []string) (count int) {
 	for _, name := range v.voters {
 		if slices.Contains(names, name) {
--- a/internal/snowctl/doctor/safe.go
+++ b/internal/snowctl/doctor/safe.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// StopObjections reports why control plane processes may not be stopped, moved or emptied now; there are no objections if they may. unknown
-// lists the names that are voters of no group.
+// StopObjections returns the reasons why control plane processes can't safely be stopped, moved or wiped now. unknown lists the names
+// that aren't voters of any group.
 func StopObjections(mesh MeshStatus, names []string) (unknown, objections []string) {
 	known := map[string]bool{}
 	for _, view := range groupViews(mesh) {
@@ -14,7 +14,7 @@
 			known[name] = true
 		}
 		for _, objection := range view.objections(names) {
-			objections = append(objections, title(view.name)+": "+objection)
+			objections = append(objections, groupTitle(view.name)+": "+objection)
 		}
 	}
 	for _, name := range names {
@@ -25,8 +25,8 @@
 	return unknown, objections
 }
 
-// objections tells why those of a group's voters that are among names may not be stopped. Every other voter must be there, and both
-// replicas must be in sync, so that the group tolerates the loss.
+// objections returns the reasons why the group's voters in names can't safely be stopped. For the group to tolerate the loss, every
+// other voter must respond, and the replicas must be in sync.
 func (v groupView) objections(names []string) (objections []string) {
 	stopping := v.countOf(names)
 	if stopping == 0 {
@@ -43,11 +43,11 @@
 		}
 		member := v.members[name]
 		if !member.Joined {
-			objections = append(objections, name+" has not joined again yet")
+			objections = append(objections, name+" has not joined the group again yet")
 		}
-		// A voter without a replica may be behind: whoever decides also asks others.
+		// A voter without a replica may be behind, because every decision also involves other voters.
 		if slices.Contains(replicas, name) && member.Epoch != newest.Epoch {
-			objections = append(objections, fmt.Sprintf("%s is behind, at epoch %d of %d", name, member.Epoch, newest.Epoch))
+			objections = append(objections, fmt.Sprintf("%s is behind, at epoch %d instead of %d", name, member.Epoch, newest.Epoch))
 		}
 	}
 	for _, name := range v.missing {
@@ -60,7 +60,7 @@
 	}
 	for _, name := range replicas {
 		if _, seen := v.members[name]; !seen && !slices.Contains(names, name) {
-			objections = append(objections, fmt.Sprintf("the replica at %q cannot be seen", name))
+			objections = append(objections, fmt.Sprintf("the replica %q does not respond", name))
 		}
 	}
 	return objections
