--- a/cmd/configstore/main.go
+++ b/cmd/configstore/main.go
@@ -1,5 +1,5 @@
-// Configstore runs one process of the configuration store: the accepted configurations and their history, and the operators' HTTP
-// API.
+// Configstore runs one process of the configuration store, which stores the accepted configurations with their history and serves the
+// operators' HTTP API.
 package main
 
 import (
@@ -20,14 +20,14 @@
 	daemon.Main(daemon.Command("configstore", "the store of configurations and the operators' HTTP API", settings.ControlPlaneFields(), configstore.Group, build))
 }
 
-// archiveFolder is the Git repository of accepted configurations within the data folder.
+// archiveFolder is the folder, within the data folder, of the Git repository of accepted configurations.
 const archiveFolder = "desired.git"
 
 // build opens the configuration store from its settings, and adds its request handlers, metrics and HTTP API to the program.
 func build(program *daemon.Daemon) error {
 	name, voters := program.Settings["name"], program.Settings.List("voters")
 	// The archive is best effort: the replicated log is authoritative, and a lost or outdated archive is rewritten from it.
-	objects := archive.Open(filepath.Join(program.Settings["data"], archiveFolder), func(err error) {
+	repository := archive.Open(filepath.Join(program.Settings["data"], archiveFolder), func(err error) {
 		program.Host.Report(eventlog.ObjectStoreFailed, eventlog.Attributes{"error": err.Error()})
 	})
 	store, err := configstore.Open(configstore.Options{
@@ -36,7 +36,7 @@
 		Name:       name,
 		Voters:     voters,
 		Bootstrap:  slices.Contains(voters, name),
-		OnAccepted: objects.Enqueue,
+		OnAccepted: repository.Enqueue,
 		OnAdopted:  program.AdoptionObserver(),
 	})
 	if err != nil {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Proxy runs the sidecar beside each caller and each server. It forwards callers' requests and admits requests to its own backends.
+// Proxy runs the sidecar proxy beside each caller and each server. It forwards the requests of its callers, and admits requests to the
+// backends on its machine.
 package main
 
 import (
@@ -14,10 +15,10 @@
 )
 
 func main() {
-	daemon.Main(daemon.Command("proxy", "the proxy beside each caller and each server", settings.ProxyFields(), "", build))
+	daemon.Main(daemon.Command("proxy", "the sidecar proxy beside each caller and each server", settings.ProxyFields(), "", build))
 }
 
-// build assembles the proxy from its settings, and adds its request handlers, metrics and HTTP listeners to the program.
+// build creates the proxy from its settings, and adds its request handlers, metrics and HTTP listeners to the program.
 func build(program *daemon.Daemon) error {
 	metrics := daemon.NewRequestCounters(program.MetricsRegistry)
 	sidecar := proxy.New(proxy.Options{
@@ -45,14 +46,15 @@
 	}
 	sidecar.Start()
 	program.Drain = func() {
-		// Shutdown closes the listener at once. Its wait for idle connections goes on beside Drain, which waits for the requests itself.
+		// Shutdown closes the listener at once, and then waits for connections to become idle. That wait runs in the background, since
+		// Drain itself waits for the requests.
 		closeCallers := func() { go func() { _ = callers.Shutdown(context.Background()) }() }
 		sidecar.Drain(program.Settings.Duration("grace"), closeCallers)
 	}
 	return nil
 }
 
-// gauges returns the proxy's own gauges. Operators' queries depend on the names, which therefore keep former terms.
+// gauges returns the proxy's own gauges. Their names keep former terms because operators' queries depend on them.
 func gauges(sidecar *proxy.Proxy) []daemon.Gauge {
 	return []daemon.Gauge{
 		{Name: "snowflow_requests_running", Help: "Callers' requests in flight.",
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,5 +1,5 @@
-// Registry runs one process of the service registry: sessions of proxies and their backends, breaker records, claims of idempotency
-// keys, and singleton leases.
+// Registry runs one process of the service registry, which stores the sessions of proxies with their backends, breaker records, claims
+// of idempotency keys, and singleton leases.
 package main
 
 import (
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,12 +1,12 @@
-// Package examples contains desired states to start from. Rehearsals apply them too.
+// Package examples contains example desired states. Rehearsals apply them too.
 package examples
 
 import "embed"
 
-// Files holds the examples by file name.
+// Files contains the example files.
 //
 //go:embed *.json
 var Files embed.FS
 
-// Desired gives the content of an example by its name without the ending.
+// Desired returns the desired state in an example file, given its name without the extension.
 func Desired(name string) ([]byte, error) { return Files.ReadFile(name + ".json") }
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -1,5 +1,5 @@
-// Package release names this build.
+// Package release defines the version of this build.
 package release
 
-// Version is this build's version.
+// Version is the release version that processes report.
 const Version = "0.1.0"
