--- a/internal/knownred/ci/main.go
+++ b/internal/knownred/ci/main.go
@@ -1,4 +1,5 @@
-// Ci runs go test with its arguments and judges the run by KNOWN-RED.txt. It ends with 1 if the run doesn't pass, with 2 if it couldn't be judged.
+// Ci runs go test with its arguments and decides by KNOWN-RED.txt whether the run passes. The exit code is 1 if it doesn't pass, and 2 if
+// that can't be determined.
 package main
 
 import (
@@ -38,12 +39,12 @@
 	if err := command.Start(); err != nil {
 		return false, err
 	}
-	seen, err := knownred.Read("snowflow", stream)
+	recorded, err := knownred.Read("snowflow", stream)
 	if err != nil {
 		_ = command.Process.Kill()
 		return false, err
 	}
-	verdict := knownred.Judge(entries, seen, command.Wait() != nil)
+	verdict := knownred.Judge(entries, recorded, command.Wait() != nil)
 	fmt.Print(verdict.Text)
 	return verdict.Passed, nil
 }
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -7,25 +7,28 @@
 	"strings"
 )
 
-// Verdict says whether a run passes, with a report. Invariant: the same list and the same outcomes give the same text.
+// Verdict says whether a run passes.
+//
+// Invariant: the same list and the same outcomes give the same Text.
 type Verdict struct {
 	Passed bool
-	Text   string
+	Text   string // the report
 }
 
-// Judge passes a run whose only failures are of listed tests. failed means that the go command itself ended with a failure.
+// Judge returns the verdict on a run, which passes if all its failures are of listed tests. failed is whether the go command exited with
+// an error; if no package explains that, the run doesn't pass.
 func Judge(entries []Entry, run *Run, failed bool) Verdict {
-	verdict, report, red := Verdict{Passed: true}, &strings.Builder{}, map[string]bool{}
-	for _, line := range run.stray {
+	verdict, report, knownFailures := Verdict{Passed: true}, &strings.Builder{}, map[string]bool{}
+	for _, line := range run.other {
 		fmt.Fprintln(report, line)
 	}
 	explained := false
 	for _, name := range slices.Sorted(maps.Keys(run.packages)) {
 		tests := run.packages[name]
-		failures := run.unlistedFailures(entries, name, tests, red)
+		failures := run.unlistedFailures(entries, name, tests, knownFailures)
 		for _, test := range slices.Sorted(maps.Keys(tests)) {
-			if present := tests[test]; test == "" || present.action == "fail" {
-				report.WriteString(strings.Join(present.output, ""))
+			if result := tests[test]; test == "" || result.action == "fail" {
+				report.WriteString(strings.Join(result.output, ""))
 			}
 		}
 		for _, failure := range failures {
@@ -39,83 +42,86 @@
 		verdict.Passed = false
 	}
 	for _, entry := range entries {
-		run.reportEntry(report, entry, red)
+		run.reportEntry(report, entry, knownFailures)
 	}
 	verdict.Text = report.String()
 	return verdict
 }
 
-// unlistedFailures returns what failed in a package and isn't listed, and marks the listed tests that failed in red.
-func (run *Run) unlistedFailures(entries []Entry, name string, tests map[string]*outcome, red map[string]bool) []string {
+// unlistedFailures returns the failures in a package that aren't of listed tests, and adds the listed tests that failed to
+// knownFailures.
+func (run *Run) unlistedFailures(entries []Entry, name string, tests map[string]*outcome, knownFailures map[string]bool) []string {
 	folder, names := strings.TrimPrefix(name, run.module+"/"), slices.Sorted(maps.Keys(tests))
 	covered, failing := map[string]bool{}, 0
-	var unended, failures []string
+	var unfinished, failures []string
 	for _, test := range names {
-		switch present := tests[test]; {
+		switch result := tests[test]; {
 		case test == "":
-		case present.action == "fail":
+		case result.action == "fail":
 			failing++
-			covered[test] = markListed(entries, folder, test, red)
-		case present.action == "" || present.action == "run":
-			unended = append(unended, folder+"."+test+" did not end")
+			covered[test] = markListed(entries, folder, test, knownFailures)
+		case result.action == "" || result.action == "run":
+			unfinished = append(unfinished, folder+"."+test+" did not end")
 		}
 	}
 	for _, test := range names {
-		if test != "" && tests[test].action == "fail" && !covered[test] && !onlyBelow(test, tests, covered) {
+		if test != "" && tests[test].action == "fail" && !covered[test] && !failedOnlyInListedSubtests(test, tests, covered) {
 			failures = append(failures, folder+"."+test)
 		}
 	}
-	failures = append(unended, failures...)
-	if why := packageFailure(tests[""], failing); why != "" {
-		failures = append(failures, folder+why)
+	failures = append(unfinished, failures...)
+	if failure := packageFailure(tests[""], failing); failure != "" {
+		failures = append(failures, folder+failure)
 	}
 	return failures
 }
 
-// markListed reports whether a failed test, or one above it, is listed, and marks the entry in red.
-func markListed(entries []Entry, folder, test string, red map[string]bool) (listed bool) {
+// markListed reports whether a failed test or one of its parents is listed. If so, it adds the test of the entry to knownFailures.
+func markListed(entries []Entry, folder, test string, knownFailures map[string]bool) (listed bool) {
 	for _, entry := range entries {
 		entryFolder, name, isGoTest := entry.goTest()
 		if isGoTest && entryFolder == folder && (name == test || strings.HasPrefix(test, name+"/")) {
-			listed, red[entry.Test] = true, true
+			listed, knownFailures[entry.Test] = true, true
 		}
 	}
 	return listed
 }
 
-// packageFailure returns what is wrong with a package beyond its failing tests, or nothing.
-func packageFailure(present *outcome, failing int) string {
+// packageFailure describes the failure of a package that its failing tests, whose number it gets, don't explain. It returns an empty
+// string if there is none.
+func packageFailure(result *outcome, failing int) string {
 	switch {
-	case present != nil && present.action == "fail" && (failing == 0 || !present.ended):
+	case result != nil && result.action == "fail" && (failing == 0 || !result.ended):
 		return " failed otherwise than by a test"
-	case present == nil || present.action != "fail" && present.action != "pass" && present.action != "skip":
+	case result == nil || result.action != "fail" && result.action != "pass" && result.action != "skip":
 		return " did not end"
 	}
 	return ""
 }
 
-// onlyBelow reports whether a test failed only because of listed subtests: it has no output of its own.
-func onlyBelow(test string, tests map[string]*outcome, covered map[string]bool) bool {
-	below := false
-	for other, present := range tests {
-		if strings.HasPrefix(other, test+"/") && present.action == "fail" {
-			if !covered[other] && !onlyBelow(other, tests, covered) {
+// failedOnlyInListedSubtests reports whether a test failed only because listed subtests did. A test with output of its own may have
+// failed for another reason.
+func failedOnlyInListedSubtests(test string, tests map[string]*outcome, covered map[string]bool) bool {
+	inSubtests := false
+	for other, result := range tests {
+		if strings.HasPrefix(other, test+"/") && result.action == "fail" {
+			if !covered[other] && !failedOnlyInListedSubtests(other, tests, covered) {
 				return false
 			}
-			below = true
+			inSubtests = true
 		}
 	}
-	return below && !tests[test].ownOutput
+	return inSubtests && !tests[test].ownOutput
 }
 
-// reportEntry writes how an entry's test did, if its package was run. An entry that names no Go test is known and no more.
-func (run *Run) reportEntry(report *strings.Builder, entry Entry, red map[string]bool) {
+// reportEntry reports the result of an entry's test if its package was run. An entry that isn't a Go test is only printed.
+func (run *Run) reportEntry(report *strings.Builder, entry Entry, knownFailures map[string]bool) {
 	folder, test, isGoTest := entry.goTest()
 	if !isGoTest {
 		fmt.Fprintf(report, "known, not a Go test: %s\n", entry)
 		return
 	}
-	if red[entry.Test] {
+	if knownFailures[entry.Test] {
 		fmt.Fprintf(report, "known red: %s\n", entry)
 		return
 	}
@@ -123,12 +129,12 @@
 	if tests == nil {
 		return
 	}
-	how := "was not run"
-	if present := tests[test]; present != nil {
-		how = map[string]string{"pass": "passes now; take it off the list", "skip": "was skipped"}[present.action]
-		if how == "" {
-			how = "did not end"
+	status := "was not run"
+	if result := tests[test]; result != nil {
+		status = map[string]string{"pass": "passes now; take it off the list", "skip": "was skipped"}[result.action]
+		if status == "" {
+			status = "did not end"
 		}
 	}
-	fmt.Fprintf(report, "listed as red: %s %s\n", entry.Test, how)
+	fmt.Fprintf(report, "listed as red: %s %s\n", entry.Test, status)
 }
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -13,7 +13,9 @@
 	"snowflow/internal/knownred"
 )
 
-// TestJudge approves verdicts. A line is a package, a test (- for the package itself), and its result: an action, or text that it printed.
+// TestJudge compares verdicts with the expected ones. Each input line is a package, a test (- for the package itself) and an event: an
+// action, or "says" and the text that was printed. A line with fewer words isn't an event. The verdict must not depend on map order, so
+// each case is repeated.
 func TestJudge(t *testing.T) {
 	entries := []knownred.Entry(nil)
 	datadriven.RunTest(t, "testdata/verdicts", func(t *testing.T, data *datadriven.TestData) string {
@@ -46,14 +48,14 @@
 			fmt.Fprintf(stream, "{\"Action\":%q,\"Package\":\"snowflow/%s\",\"Test\":%q}\n", words[2], words[0], words[1])
 		}
 		first := ""
-		for turn := range 5 {
+		for attempt := range 5 {
 			run, err := knownred.Read("snowflow", strings.NewReader(stream.String()))
 			if err != nil {
 				t.Fatal(err)
 			}
 			verdict := knownred.Judge(entries, run, failed)
-			if text := fmt.Sprintf("pass %v\n%s", verdict.Passed, verdict.Text); turn > 0 && text != first {
-				t.Errorf("another verdict on the same run: %s", text)
+			if text := fmt.Sprintf("pass %v\n%s", verdict.Passed, verdict.Text); attempt > 0 && text != first {
+				t.Errorf("a different verdict on the same run: %s", text)
 			} else {
 				first = text
 			}
@@ -62,25 +64,27 @@
 	})
 }
 
+// module is the go.mod of the module under test.
 const module = "module snowflow\n\ngo 1.26\n"
 
+// tests is a test file with tests that pass and tests that fail.
 const tests = `package one
 
 import "testing"
 
 func TestGood(t *testing.T) {}
-func TestBad(t *testing.T) { t.Error("as ever") }
+func TestBad(t *testing.T) { t.Error("always fails") }
 func TestTree(t *testing.T) {
 	t.Run("good", func(t *testing.T) {})
-	t.Run("bad", func(t *testing.T) { t.Error("as ever") })
+	t.Run("bad", func(t *testing.T) { t.Error("always fails") })
 }
 `
 
-// exportedGo is a shell function named go in the environment, as the .ci/run that runs these tests exports one. It must not reach
-// the .ci/run under test.
+// exportedGo is an environment variable that defines a shell function named go, like the one that the .ci/run that runs these tests
+// exports. It must not affect the .ci/run under test.
 const exportedGo = "BASH_FUNC_go%%=() { echo 'the go function of another .ci/run'; return 1; }"
 
-// checkout is a small module with the project's own .ci/run, the package that judges, and tests that pass and fail.
+// checkout is a small module with the project's own .ci/run, package knownred, and tests that pass and fail.
 type checkout struct {
 	t    *testing.T
 	root string
@@ -126,7 +130,7 @@
 	}
 }
 
-// ci runs .ci/run with a list, or without one if it is empty.
+// ci runs .ci/run with the given KNOWN-RED.txt, or without one if list is empty.
 func (c *checkout) ci(list string) (passed bool, output string) {
 	c.t.Helper()
 	_ = os.Remove(filepath.Join(c.root, "KNOWN-RED.txt"))
@@ -139,39 +143,39 @@
 	return err == nil, string(content)
 }
 
-// TestWithGo runs tests by the go command itself, through the project's own .ci/run. The steps build on each other.
+// TestWithGo runs tests with the real go command through the project's own .ci/run. Each step keeps the files of the steps before it.
 func TestWithGo(t *testing.T) {
 	checkout := newCheckout(t)
-	bad, tree := "one.TestBad | go test ./one | it was never good | 7\n", "one.TestTree/bad | go test ./one | nor was this | 8\n"
+	bad, tree := "one.TestBad | go test ./one | it always fails | 7\n", "one.TestTree/bad | go test ./one | this one too | 8\n"
 	script := "one/TestBad.sh | one/TestBad.sh, seed 1 | a script | 9\n"
-	same := func() {}
+	noChange := func() {}
 	panics := func() {
 		checkout.write("one/two_test.go", "package one\n\nimport \"testing\"\n\nfunc TestPanic(t *testing.T) { panic(1) }\n")
 	}
 	doesNotBuild := func() { checkout.write("one/two_test.go", "package one\n\nimport \"nothing\"\n") }
 	for _, step := range []struct {
-		what, list string
+		name, list string
 		change     func()
 		passed     bool
-		expected   []string
+		want       []string
 	}{
-		{"without a list", "", same, false, []string{"--- FAIL: TestBad"}},
-		{"all are listed", bad + tree, same, true, []string{"known red: " + bad, "known red: " + tree, "snowflow/two"}},
-		{"one isn't listed", bad, same, false, []string{"not known: one.TestTree", "known red: one.TestBad"}},
-		{"a script of that name doesn't list it", script + tree, same, false, []string{"not known: one.TestBad", "known, not a Go test: " + script}},
-		{"one passes", bad + tree + "two.TestGood | go test ./two | it was bad | 9\n", same, true, []string{"listed as red: two.TestGood passes now"}},
-		{"a list that can't be read", bad + "\none.TestTree\n", same, false, []string{"KNOWN-RED.txt: line 3: must be"}},
-		{"a panic hides the tests behind it", bad + tree + "one.TestPanic | go test ./one | it panics | 9\n", panics, false, []string{"one failed otherwise than by a test"}},
-		{"what doesn't build", bad + tree, doesNotBuild, false, nil},
+		{"no list", "", noChange, false, []string{"--- FAIL: TestBad"}},
+		{"all failures are listed", bad + tree, noChange, true, []string{"known red: " + bad, "known red: " + tree, "snowflow/two"}},
+		{"one failure isn't listed", bad, noChange, false, []string{"not known: one.TestTree", "known red: one.TestBad"}},
+		{"an entry for a script of the same name doesn't list the test", script + tree, noChange, false, []string{"not known: one.TestBad", "known, not a Go test: " + script}},
+		{"a listed test passes", bad + tree + "two.TestGood | go test ./two | it was bad | 9\n", noChange, true, []string{"listed as red: two.TestGood passes now"}},
+		{"invalid list", bad + "\none.TestTree\n", noChange, false, []string{"KNOWN-RED.txt: line 3: must be"}},
+		{"a panic keeps later tests from running", bad + tree + "one.TestPanic | go test ./one | it panics | 9\n", panics, false, []string{"one failed otherwise than by a test"}},
+		{"a package doesn't build", bad + tree, doesNotBuild, false, nil},
 	} {
 		step.change()
 		passed, output := checkout.ci(step.list)
 		if passed != step.passed {
-			t.Errorf("%s: pass %v\n%s", step.what, passed, output)
+			t.Errorf("%s: passed is %v\n%s", step.name, passed, output)
 		}
-		for _, expected := range step.expected {
-			if !strings.Contains(output, expected) {
-				t.Errorf("%s: %q isn't told\n%s", step.what, expected, output)
+		for _, want := range step.want {
+			if !strings.Contains(output, want) {
+				t.Errorf("%s: the output doesn't contain %q\n%s", step.name, want, output)
 			}
 		}
 	}
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -8,9 +8,10 @@
 	"strings"
 )
 
-// Entry is one line of the list. No field is empty.
+// Entry is one line of the list of tests that are known to fail. No field is empty.
 type Entry struct {
-	// Test is a Go test, as the package's folder, a dot and the test's name, or another check: the path of a script or a day.
+	// Test is a Go test, written as the package's folder, a dot and the test's name, or another check: the path of a script or of a
+	// rehearsal day.
 	Test    string
 	Command string // how to run it, with the seed
 	Seen    string // what was seen
@@ -20,17 +21,17 @@
 const (
 	// entryFields is the number of fields of an entry.
 	entryFields = 4
-	// fieldSeparator stands between them.
+	// fieldSeparator separates the fields.
 	fieldSeparator = " | "
 )
 
-// goTest matches the name of a Go test. Its groups are the folder and the test's own name.
-var goTest = regexp.MustCompile(`^(\S+?)\.((?:Test|Fuzz|Example)\S*)$`)
+// goTestPattern matches Entry.Test of a Go test. Its groups are the folder and the name of the test.
+var goTestPattern = regexp.MustCompile(`^(\S+?)\.((?:Test|Fuzz|Example)\S*)$`)
 
-// ErrBadLine is the error of a line that is no entry.
+// ErrBadLine is returned by Parse for a line that isn't an entry.
 var ErrBadLine = errors.New("must be a test, a command with its seed, what was seen and an issue, separated by \"" + fieldSeparator + "\"")
 
-// Parse reads the list, an entry on each line. Empty lines are skipped. The error names the first bad line.
+// Parse parses the list, which has one entry per line. It skips empty lines. The error names the first invalid line.
 func Parse(content string) (entries []Entry, err error) {
 	seen := map[string]bool{}
 	for number, line := range strings.Split(content, "\n") {
@@ -42,7 +43,7 @@
 			return nil, fmt.Errorf("line %d: %w", number+1, err)
 		}
 		if seen[entry.Test] {
-			return nil, fmt.Errorf("line %d: %s is there twice", number+1, entry.Test)
+			return nil, fmt.Errorf("line %d: %s is listed twice", number+1, entry.Test)
 		}
 		seen[entry.Test] = true
 		entries = append(entries, entry)
@@ -65,16 +66,16 @@
 	return entry, nil
 }
 
-// goTest returns the folder and the name of the Go test that an entry names, if it names one.
+// goTest returns the folder and the name of the entry's Go test. isGoTest is false for another check.
 func (e Entry) goTest() (folder, name string, isGoTest bool) {
-	groups := goTest.FindStringSubmatch(e.Test)
+	groups := goTestPattern.FindStringSubmatch(e.Test)
 	if groups == nil {
 		return "", "", false
 	}
 	return groups[1], groups[2], true
 }
 
-// String returns the entry as it stands in the list.
+// String formats the entry as a line of the list.
 func (e Entry) String() string {
 	return strings.Join([]string{e.Test, e.Command, e.Seen, e.Issue}, fieldSeparator)
 }
--- a/internal/knownred/run.go
+++ b/internal/knownred/run.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// event is one line of the go command's -json output.
+// event is one line of the output of go test -json.
 type event struct {
 	Action  string
 	Package string
@@ -15,61 +15,62 @@
 	Output  string
 }
 
-// outcome is the result of one test or package.
+// outcome is the result and the output of one test or package.
 type outcome struct {
-	action    string
+	action    string // the last action other than output, such as run, pass, fail or skip; empty if there was none
 	output    []string
-	ownOutput bool // it printed something itself, apart from the go command's own lines
-	ended     bool // the test binary ended in order with a failure, so every test has run
+	ownOutput bool // there is output other than the lines that package testing adds
+	ended     bool // the test binary printed FAIL at its regular end, so every test has run
 }
 
-// Run is the recorded output of one run.
+// Run is the recorded output of one test run.
 type Run struct {
 	module   string
 	packages map[string]map[string]*outcome // by package, then by test; the package itself is under ""
-	stray    []string
+	other    []string                       // lines that don't belong to a package
 }
 
-// Read reads the go command's -json output. Lines that aren't its events are kept and printed with the verdict.
+// Read reads the output of go test -json. module is the path of the module under test. Lines that aren't events are recorded, and printed
+// with the verdict.
 func Read(module string, stream io.Reader) (*Run, error) {
 	run := &Run{module: module, packages: map[string]map[string]*outcome{}}
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, 64<<10), 64<<20)
 	for lines.Scan() {
-		seen := event{}
-		if err := json.Unmarshal(lines.Bytes(), &seen); err != nil || seen.Action == "" {
-			run.stray = append(run.stray, lines.Text())
+		ev := event{}
+		if err := json.Unmarshal(lines.Bytes(), &ev); err != nil || ev.Action == "" {
+			run.other = append(run.other, lines.Text())
 			continue
 		}
-		run.record(seen)
+		run.record(ev)
 	}
 	return run, lines.Err()
 }
 
-// record adds one event.
-func (run *Run) record(seen event) {
-	if seen.Package == "" { // a build's output
-		if seen.Output != "" {
-			run.stray = append(run.stray, strings.TrimSuffix(seen.Output, "\n"))
+// record records one event.
+func (run *Run) record(ev event) {
+	if ev.Package == "" { // output of the build
+		if ev.Output != "" {
+			run.other = append(run.other, strings.TrimSuffix(ev.Output, "\n"))
 		}
 		return
 	}
-	tests := run.packages[seen.Package]
+	tests := run.packages[ev.Package]
 	if tests == nil {
 		tests = map[string]*outcome{}
-		run.packages[seen.Package] = tests
+		run.packages[ev.Package] = tests
 	}
-	present := tests[seen.Test]
-	if present == nil {
-		present = &outcome{}
-		tests[seen.Test] = present
+	result := tests[ev.Test]
+	if result == nil {
+		result = &outcome{}
+		tests[ev.Test] = result
 	}
-	if seen.Action != "output" {
-		present.action = seen.Action
+	if ev.Action != "output" {
+		result.action = ev.Action
 		return
 	}
-	present.output = append(present.output, seen.Output)
-	present.ended = present.ended || seen.Output == "FAIL\n"
-	line := strings.TrimSpace(seen.Output)
-	present.ownOutput = present.ownOutput || line != "" && !strings.HasPrefix(line, "=== ") && !strings.HasPrefix(line, "--- ")
+	result.output = append(result.output, ev.Output)
+	result.ended = result.ended || ev.Output == "FAIL\n"
+	text := strings.TrimSpace(ev.Output)
+	result.ownOutput = result.ownOutput || text != "" && !strings.HasPrefix(text, "=== ") && !strings.HasPrefix(text, "--- ")
 }
