--- a/internal/compatibility/approved_test.go
+++ b/internal/compatibility/approved_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the approved files anew; refused where CI is set")
+var update = flag.Bool("update", false, "rewrite the approved files; fails if CI is set")
 
-// requireApproved compares a text with an approved file, and names the first line that differs.
+// requireApproved fails the test unless a text equals an approved file. It reports the first line that differs.
 func requireApproved(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -30,14 +30,15 @@
 	if string(content) == text {
 		return
 	}
-	approved, present := strings.Split(string(content), "\n"), strings.Split(text, "\n")
-	for index := range max(len(approved), len(present)) {
-		if want, have := lineAt(approved, index), lineAt(present, index); want != have {
-			t.Fatalf("%s:%d differs from what was approved:\napproved %q\npresent  %q", path, index+1, want, have)
+	approvedLines, gotLines := strings.Split(string(content), "\n"), strings.Split(text, "\n")
+	for index := range max(len(approvedLines), len(gotLines)) {
+		if want, got := lineAt(approvedLines, index), lineAt(gotLines, index); want != got {
+			t.Fatalf("%s:%d differs from the approved line:\napproved %q\ngot      %q", path, index+1, want, got)
 		}
 	}
 }
 
+// lineAt returns a line, or a placeholder beyond the last one.
 func lineAt(lines []string, index int) string {
 	if index < len(lines) {
 		return lines[index]
@@ -45,7 +46,7 @@
 	return "(no line)"
 }
 
-// requireOneApproved compares a text with several approved files, one of which it must equal. It never writes them.
+// requireOneApproved reports an error unless a text equals one of several approved files. It never writes them.
 func requireOneApproved(t *testing.T, names []string, text string) {
 	t.Helper()
 	for _, name := range names {
@@ -57,5 +58,5 @@
 			return
 		}
 	}
-	t.Errorf("neither of %v is\n%s", names, text)
+	t.Errorf("none of %v equals\n%s", names, text)
 }
--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -15,18 +15,18 @@
 	"snowflow/internal/transport/wire"
 )
 
-// storedArchive is the stored archive of configurations.
+// storedArchive is the path of the archive of configurations that an earlier build wrote.
 var storedArchive = filepath.Join("testdata", "folders", "archive")
 
-// archivedStates are the accepted configurations in the archive, without the last so many.
-func archivedStates(without int) (states []*wire.StoredConfig) {
-	for _, version := range acceptedVersions[:len(acceptedVersions)-without] {
+// archivedStates returns the accepted configurations, except the last omitted ones.
+func archivedStates(omitted int) (states []*wire.StoredConfig) {
+	for _, version := range acceptedVersions[:len(acceptedVersions)-omitted] {
 		states = append(states, &wire.StoredConfig{Version: version, Content: configurationOf(version), Digest: config.Digest(configurationOf(version)), Request: requestOf(version)})
 	}
 	return states
 }
 
-// archived lists the contents in an archive, newest first, with the hashes of their commits.
+// archived returns the contents in an archive, newest first, and the hashes of their commits.
 func archived(t *testing.T, path string) (contents, hashes []string) {
 	t.Helper()
 	repository, err := git.PlainOpen(path)
@@ -58,7 +58,7 @@
 	}
 }
 
-// archiveAll has an archive written and gives its contents, newest first, with the hashes of their commits.
+// archiveAll writes versions to an archive and returns its contents, newest first, and the hashes of their commits.
 func archiveAll(t *testing.T, path string, versions []*wire.StoredConfig) (contents, hashes []string) {
 	t.Helper()
 	if err := archive.Write(path, versions); err != nil {
@@ -66,7 +66,7 @@
 	}
 	contents, hashes = archived(t, path)
 	if len(contents) != len(versions) {
-		t.Fatalf("%d of %d versions are archived", len(contents), len(versions))
+		t.Fatalf("%d contents are in the archive, want %d", len(contents), len(versions))
 	}
 	return contents, hashes
 }
@@ -86,41 +86,42 @@
 	archiveAll(t, storedArchive, archivedStates(1))
 }
 
-// TestStoredArchive: the present code goes on with an archive that an earlier build wrote, in place of writing it anew, and the same states make the same commits.
+// TestStoredArchive checks that the current code appends to an archive that an earlier build wrote, instead of rewriting it, and that it
+// creates the same commits for the same configurations.
 func TestStoredArchive(t *testing.T) {
 	contents, hashes := archived(t, storedArchive)
 	slices.Reverse(contents)
 	slices.Reverse(hashes)
 	if len(contents) != len(acceptedVersions)-1 {
-		t.Fatalf("%d commits are stored", len(contents))
+		t.Fatalf("the stored archive has %d commits", len(contents))
 	}
 	for index, state := range archivedStates(1) {
 		if contents[index] != "desired-state.json "+string(state.Content) {
-			t.Errorf("commit %d holds %q", index, contents[index])
+			t.Errorf("commit %d contains %q", index, contents[index])
 		}
 	}
 	requireApproved(t, "archive", strings.Join(hashes, "\n")+"\n")
-	continued, anew := filepath.Join(t.TempDir(), "continued"), filepath.Join(t.TempDir(), "anew")
-	copyFolder(t, storedArchive, continued)
-	// What is in the folder and isn't the archive's own goes when it's written anew.
-	witness := filepath.Join(continued, "witness")
-	if err := os.WriteFile(witness, nil, 0o644); err != nil {
+	appended, rewritten := filepath.Join(t.TempDir(), "appended"), filepath.Join(t.TempDir(), "rewritten")
+	copyFolder(t, storedArchive, appended)
+	// Rewriting the archive removes the whole folder, including this file.
+	marker := filepath.Join(appended, "marker")
+	if err := os.WriteFile(marker, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	_, grown := archiveAll(t, continued, archivedStates(0))
-	if _, err := os.Stat(witness); err != nil {
-		t.Errorf("the archive was written anew: %v", err)
+	_, newHashes := archiveAll(t, appended, archivedStates(0))
+	if _, err := os.Stat(marker); err != nil {
+		t.Errorf("the archive was rewritten: %v", err)
 	}
-	if slices.Reverse(grown); !slices.Equal(grown[:len(hashes)], hashes) {
-		t.Errorf("%v does not continue %v", grown, hashes)
+	if slices.Reverse(newHashes); !slices.Equal(newHashes[:len(hashes)], hashes) {
+		t.Errorf("commits %v do not begin with the stored ones, %v", newHashes, hashes)
 	}
-	_, fresh := archiveAll(t, anew, archivedStates(1))
-	if slices.Reverse(fresh); !slices.Equal(fresh, hashes) {
-		t.Errorf("the same states make other commits: %v, not %v", fresh, hashes)
+	_, rewrittenHashes := archiveAll(t, rewritten, archivedStates(1))
+	if slices.Reverse(rewrittenHashes); !slices.Equal(rewrittenHashes, hashes) {
+		t.Errorf("the same configurations have the commits %v, want %v", rewrittenHashes, hashes)
 	}
 }
 
-// TestStoredFoldersAreSmall: what is committed stays small enough to be looked at.
+// TestStoredFoldersAreSmall checks that the committed data folders stay small enough to review.
 func TestStoredFoldersAreSmall(t *testing.T) {
 	total := int64(0)
 	err := filepath.WalkDir(filepath.Join("testdata", "folders"), func(_ string, entry fs.DirEntry, err error) error {
@@ -134,6 +135,6 @@
 		return err
 	})
 	if err != nil || total == 0 || total > 256<<10 {
-		t.Errorf("%d bytes, %v", total, err)
+		t.Errorf("the data folders have %d bytes; %v", total, err)
 	}
 }
--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -17,57 +17,57 @@
 	"snowflow/internal/wal"
 )
 
-// The members of a group are called so in the stored registers.
+// memberNames are the names of a group's members in the stored registers.
 var memberNames = []string{"member-1", "member-2", "member-3"}
 
-// A folder holds a member's files by name. The reserve, a megabyte without content, is not among them.
+// folder contains a member's files by name, except the reserve file, which is a megabyte without content.
 type folder map[string][]byte
 
-// storedGroup is a core group: its files, and how its processes are opened.
+// storedGroup describes a control plane group: its files, and how to open a process of it.
 type storedGroup struct {
-	title       string // of the approved files
-	name        string // by which the processes find one another
-	files       []string
-	compactFrom int64 // while the folders are written, so that they hold a snapshot and entries behind it
-	open        func(process *process, config openConfig) (*replication.Member, error)
+	title               string // in the names of approved files and folders
+	name                string // the group's name in discovery
+	files               []string
+	compactionThreshold int64 // while the folders are written, so that they contain a snapshot and entries after it
+	open                func(process *process, config openConfig) (*replication.Member, error)
 }
 
-// openConfig is what the programs of both groups are opened with.
+// openConfig contains what opening a process needs in both groups.
 type openConfig struct {
-	node     host.Host
-	resolver *discovery.Resolver
-	table    host.Handlers
-	name     string
-	adjust   func(*replication.Config)
+	node                 host.Host
+	resolver             *discovery.Resolver
+	handlers             host.Handlers
+	name                 string
+	configureReplication func(*replication.Config)
 }
 
-var registryGroup = storedGroup{title: "registry", name: registry.Group, files: []string{"sorter.register", "sorter.journal", "addresses"}, compactFrom: 1500, open: openRegistry}
+var registryGroup = storedGroup{title: "registry", name: registry.Group, files: []string{"sorter.register", "sorter.journal", "addresses"}, compactionThreshold: 1500, open: openRegistry}
 
-var configStoreGroup = storedGroup{title: "configstore", name: configstore.Group, files: []string{"postmaster.register", "postmaster.journal", "addresses"}, compactFrom: 900, open: openConfigStore}
+var configStoreGroup = storedGroup{title: "configstore", name: configstore.Group, files: []string{"postmaster.register", "postmaster.journal", "addresses"}, compactionThreshold: 900, open: openConfigStore}
 
 func openRegistry(process *process, config openConfig) (*replication.Member, error) {
-	opened, err := registry.Open(registry.Config{Host: config.node, Resolver: config.resolver, Name: config.name, Voters: memberNames, Bootstrap: true, ConfigureReplication: config.adjust})
+	opened, err := registry.Open(registry.Config{Host: config.node, Resolver: config.resolver, Name: config.name, Voters: memberNames, Bootstrap: true, ConfigureReplication: config.configureReplication})
 	if err != nil {
 		return nil, err
 	}
 	process.registry = opened
-	opened.Register(config.table)
+	opened.Register(config.handlers)
 	opened.Start()
 	return opened.Member, nil
 }
 
 func openConfigStore(process *process, config openConfig) (*replication.Member, error) {
-	opened, err := configstore.Open(configstore.Options{Host: config.node, Resolver: config.resolver, Name: config.name, Voters: memberNames, Bootstrap: true, AdjustReplication: config.adjust})
+	opened, err := configstore.Open(configstore.Options{Host: config.node, Resolver: config.resolver, Name: config.name, Voters: memberNames, Bootstrap: true, AdjustReplication: config.configureReplication})
 	if err != nil {
 		return nil, err
 	}
 	process.configStore = opened
-	opened.Register(config.table)
+	opened.Register(config.handlers)
 	opened.Start()
 	return opened.Member, nil
 }
 
-// process is one member's process; registry or configStore is nil.
+// process is the process of one member. Depending on the group, registry or configStore is nil.
 type process struct {
 	node        *world.Node
 	nodeHost    *world.Host
@@ -76,38 +76,42 @@
 	configStore *configstore.Server
 }
 
-// cluster is a group's three members in a simulated world, which is at the mercy of the test alone.
+// cluster is a group's three members in a simulated world, whose time advances only when the test runs it.
 type cluster struct {
 	world     *world.World
 	processes []*process
-	stopped   []string // why processes ended by themselves
+	stopped   []string // processes that stopped themselves, with the reason
 }
 
-// startCluster starts a group's members on copies of folders, or on empty disks for nil.
-func startCluster(t *testing.T, group storedGroup, folders []folder, compactFrom int64) *cluster {
+// startCluster starts a group's members on copies of folders, or on empty disks if folders is nil.
+func startCluster(t *testing.T, group storedGroup, folders []folder, compactionThreshold int64) *cluster {
 	t.Helper()
 	started := &cluster{world: world.New(1)}
-	started.world.OnStop = func(node *world.Node, why string) { started.stopped = append(started.stopped, node.Name+": "+why) }
+	started.world.OnStop = func(node *world.Node, reason string) {
+		started.stopped = append(started.stopped, node.Name+": "+reason)
+	}
 	for index, name := range memberNames {
-		one := &process{}
-		one.node = started.world.Add(name, name+":"+group.name, name, func(nodeHost *world.Host) (host.Handlers, error) {
-			config := openConfig{node: nodeHost, name: name, table: host.Handlers{}, adjust: func(env *replication.Config) { env.CompactionThreshold = compactFrom }}
-			one.nodeHost = nodeHost
+		member := &process{}
+		member.node = started.world.Add(name, name+":"+group.name, name, func(nodeHost *world.Host) (host.Handlers, error) {
+			config := openConfig{node: nodeHost, name: name, handlers: host.Handlers{}, configureReplication: func(replicationConfig *replication.Config) {
+				replicationConfig.CompactionThreshold = compactionThreshold
+			}}
+			member.nodeHost = nodeHost
 			config.resolver = discovery.New(nodeHost, &wire.PeerAddress{Name: name, Address: nodeHost.Node().Address, Group: group.name}, seedAddresses(group))
 			config.resolver.Persist(nodeHost.Disk())
-			config.resolver.Register(config.table)
+			config.resolver.Register(config.handlers)
 			nodeHost.Go(func() { config.resolver.Run(monotonic.Second) })
-			member, err := group.open(one, config)
-			one.member = member
-			return config.table, err
+			opened, err := group.open(member, config)
+			member.member = opened
+			return config.handlers, err
 		})
 		if folders != nil {
-			fillDisk(t, one.node.Disk, folders[index])
+			fillDisk(t, member.node.Disk, folders[index])
 		}
-		started.processes = append(started.processes, one)
+		started.processes = append(started.processes, member)
 	}
-	for _, one := range started.processes {
-		started.world.Start(one.node)
+	for _, member := range started.processes {
+		started.world.Start(member.node)
 	}
 	t.Cleanup(started.world.Close)
 	return started
@@ -133,7 +137,7 @@
 	}
 }
 
-// readDisk gives the group's files of a member's disk.
+// readDisk returns the group's files on a member's disk.
 func readDisk(t *testing.T, group storedGroup, disk wal.Disk) folder {
 	t.Helper()
 	files := folder{}
@@ -151,15 +155,15 @@
 	return files
 }
 
-// pass lets simulated time pass.
+// advance runs the world for a duration of simulated time.
 func (cluster *cluster) advance(duration monotonic.Micros) {
 	cluster.world.Run(cluster.world.Now() + duration)
 }
 
-// leader gives the process that answers as its group's leader, or nil.
+// leader returns the process that serves as its group's leader, or nil if none does.
 func (cluster *cluster) leader() *process {
-	index := slices.IndexFunc(cluster.processes, func(one *process) bool {
-		return one.node.Up() && one.member != nil && one.member.Serving()
+	index := slices.IndexFunc(cluster.processes, func(process *process) bool {
+		return process.node.Up() && process.member != nil && process.member.Serving()
 	})
 	if index < 0 {
 		return nil
@@ -168,26 +172,26 @@
 }
 
 const (
-	// leaderWithin bounds how long a group may take to have a leader that answers.
-	leaderWithin = 30 * monotonic.Second
-	// workWithin bounds how long a task on the leader may take.
-	workWithin = 30 * monotonic.Second
+	// electionTimeout is how long a group may take until it has a leader that serves.
+	electionTimeout = 30 * monotonic.Second
+	// taskTimeout is how long a task on the leader may take.
+	taskTimeout = 30 * monotonic.Second
 )
 
-// onLeader runs a task on the leader, in simulated time, and stops the world within a millisecond after it ended.
-func (cluster *cluster) onLeader(t *testing.T, work func(leader *process) error) {
+// onLeader waits for a leader and runs a task on it, in simulated time. The world stops within a millisecond after the task's end.
+func (cluster *cluster) onLeader(t *testing.T, task func(leader *process) error) {
 	t.Helper()
 	for waited := monotonic.Micros(0); cluster.leader() == nil; waited += 50 * monotonic.Millisecond {
-		if waited > leaderWithin {
-			t.Fatalf("no leader answers; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
+		if waited > electionTimeout {
+			t.Fatalf("no leader serves; panic: %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
 		cluster.advance(50 * monotonic.Millisecond)
 	}
 	leader, err, ended := cluster.leader(), error(nil), false
-	leader.nodeHost.Go(func() { err, ended = work(leader), true })
+	leader.nodeHost.Go(func() { err, ended = task(leader), true })
 	for began := cluster.world.Now(); !ended; cluster.advance(monotonic.Millisecond) {
-		if cluster.world.Now()-began > workWithin || cluster.world.Panicked != nil {
-			t.Fatalf("the task does not end; %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
+		if cluster.world.Now()-began > taskTimeout || cluster.world.Panicked != nil {
+			t.Fatalf("the task does not end; panic: %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
 	}
 	if err != nil {
--- a/internal/compatibility/messages_test.go
+++ b/internal/compatibility/messages_test.go
@@ -12,7 +12,7 @@
 	_ "snowflow/internal/transport/wire" // registers the messages
 )
 
-// projectFiles lists the project's own protobuf files by path. They are all files that are registered and aren't protobuf's own.
+// projectFiles returns the project's protobuf files, sorted by path: all registered files except those of protobuf itself.
 func projectFiles() (files []protoreflect.FileDescriptor) {
 	protoregistry.GlobalFiles.RangeFiles(func(file protoreflect.FileDescriptor) bool {
 		if !strings.HasPrefix(file.Path(), "google/protobuf/") {
@@ -24,13 +24,14 @@
 	return files
 }
 
-// position names a message or an enumeration by where it is declared: the file's index, then the indices of the declarations that enclose it.
+// position identifies a message or an enumeration by where it is declared: the file's index, then the indices of the enclosing
+// declarations and its own.
 func position(files []protoreflect.FileDescriptor, declared protoreflect.Descriptor) string {
 	var indices []string
 	for {
 		parent := declared.Parent()
 		if file, top := parent.(protoreflect.FileDescriptor); top {
-			index := slices.IndexFunc(files, func(one protoreflect.FileDescriptor) bool { return one.Path() == file.Path() })
+			index := slices.IndexFunc(files, func(other protoreflect.FileDescriptor) bool { return other.Path() == file.Path() })
 			return fmt.Sprintf("%d/%d", index, declared.Index()) + strings.Join(indices, "")
 		}
 		indices = append([]string{fmt.Sprintf(".%d", declared.Index())}, indices...)
@@ -38,7 +39,7 @@
 	}
 }
 
-// shape describes a field by what is encoded: its number, kind and cardinality, and the position of the message or enumeration that it holds.
+// shape describes how a field is encoded: its number, kind and cardinality, and the position of its message or enumeration type.
 func shape(files []protoreflect.FileDescriptor, field protoreflect.FieldDescriptor) string {
 	text := fmt.Sprintf("%d %s %s", field.Number(), field.Cardinality(), field.Kind())
 	if field.HasOptionalKeyword() {
@@ -67,23 +68,23 @@
 	return fields
 }
 
-// declarations is what files and messages have in common.
+// declarations is implemented by the descriptors of files and messages, both of which can declare messages and enumerations.
 type declarations interface {
 	Messages() protoreflect.MessageDescriptors
 	Enums() protoreflect.EnumDescriptors
 }
 
 // describe writes the shapes of all messages and enumerations declared in a file or message.
-func describe(text *strings.Builder, files []protoreflect.FileDescriptor, within declarations) {
-	for index := range within.Enums().Len() {
-		enumeration := within.Enums().Get(index)
+func describe(text *strings.Builder, files []protoreflect.FileDescriptor, scope declarations) {
+	for index := range scope.Enums().Len() {
+		enumeration := scope.Enums().Get(index)
 		fmt.Fprintf(text, "enum %s\n", position(files, enumeration))
 		for _, value := range enumNumbers(enumeration) {
 			fmt.Fprintf(text, "  %d\n", value)
 		}
 	}
-	for index := range within.Messages().Len() {
-		message := within.Messages().Get(index)
+	for index := range scope.Messages().Len() {
+		message := scope.Messages().Get(index)
 		fmt.Fprintf(text, "message %s\n", position(files, message))
 		for _, field := range sortedFields(message) {
 			fmt.Fprintf(text, "  %s\n", shape(files, field))
@@ -104,11 +105,11 @@
 	return numbers
 }
 
-// TestMessageShapes: numbers, kinds and cardinalities of all messages are as approved, whatever messages and fields are called.
+// TestMessageShapes checks that the numbers, kinds and cardinalities of the fields of all messages are as approved. Names don't matter.
 func TestMessageShapes(t *testing.T) {
 	files, text := projectFiles(), &strings.Builder{}
 	if len(files) != 2 {
-		t.Fatalf("%d files with messages, not the two that were approved", len(files))
+		t.Fatalf("%d files declare messages, but two are approved", len(files))
 	}
 	for _, file := range files {
 		describe(text, files, file)
@@ -116,8 +117,8 @@
 	requireApproved(t, "messages", text.String())
 }
 
-// TestConfigurationNames: operators write configurations as JSON, so the names of their fields and of their enumerations' values are approved too, for the
-// first message of the first file and all that it contains.
+// TestConfigurationNames checks that the names of fields and enumeration values in configurations are as approved, since operators write
+// configurations as JSON. It covers the first message of the first file and all messages that it contains.
 func TestConfigurationNames(t *testing.T) {
 	files, text := projectFiles(), &strings.Builder{}
 	pending, seen := []protoreflect.MessageDescriptor{files[0].Messages().Get(0)}, map[string]bool{}
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -19,10 +19,10 @@
 	"snowflow/internal/wal/memory"
 )
 
-var writeFolders = flag.Bool("write-data-folders", false, "write new data folders by this build, in place of the stored ones")
+var writeFolders = flag.Bool("write-data-folders", false, "replace the stored data folders by new ones that this build writes")
 
-// TestWriteDataFolders writes the data folders that the other tests open. They were written by the build before names changed and stay as they are:
-// it only runs by hand, with -write-data-folders, and is refused where CI is set.
+// TestWriteDataFolders writes the data folders that the other tests open. The stored ones stay as the build before names changed wrote
+// them, so this test runs only by hand, with -write-data-folders, and fails if CI is set.
 func TestWriteDataFolders(t *testing.T) {
 	if !*writeFolders {
 		t.Skip("data folders are only written by hand, with -write-data-folders")
@@ -30,19 +30,19 @@
 	if os.Getenv("CI") != "" {
 		t.Fatal("data folders are not written in CI")
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		group storedGroup
 		write func(t *testing.T, started *cluster)
 	}{{registryGroup, writeRegistry}, {configStoreGroup, writeConfigurations}} {
-		started := startCluster(t, one.group, nil, one.group.compactFrom)
-		one.write(t, started)
+		started := startCluster(t, test.group, nil, test.group.compactionThreshold)
+		test.write(t, started)
 		started.world.Close()
 		for _, process := range started.processes {
-			path := filepath.Join("testdata", "folders", one.group.title, process.node.Name)
+			path := filepath.Join("testdata", "folders", test.group.title, process.node.Name)
 			if err := os.MkdirAll(path, 0o755); err != nil {
 				t.Fatal(err)
 			}
-			for name, content := range readDisk(t, one.group, process.node.Disk) {
+			for name, content := range readDisk(t, test.group, process.node.Disk) {
 				if err := os.WriteFile(filepath.Join(path, name), content, 0o644); err != nil {
 					t.Fatal(err)
 				}
@@ -52,7 +52,7 @@
 	writeArchive(t)
 }
 
-// storedFolders reads the stored folders of a group's members.
+// storedFolders returns the stored folders of a group's members.
 func storedFolders(t *testing.T, group storedGroup) (folders []folder) {
 	t.Helper()
 	for _, member := range memberNames {
@@ -69,24 +69,24 @@
 	return folders
 }
 
-// cutFiles cuts bytes off the ends of files.
+// cutFiles returns a folder whose files in names are truncated by a number of bytes.
 func cutFiles(files folder, names []string, bytes int) folder {
-	cut := folder{}
+	truncated := folder{}
 	for name, content := range files {
-		cut[name] = content
+		truncated[name] = content
 	}
 	for _, name := range names {
-		cut[name] = cut[name][:len(cut[name])-bytes]
+		truncated[name] = truncated[name][:len(truncated[name])-bytes]
 	}
-	return cut
+	return truncated
 }
 
-// journalOf is the name of the group's journal among its files.
+// journalOf returns the name of the group's journal, the second of its files.
 func journalOf(group storedGroup) []string { return group.files[1:2] }
 
-// ---- what is stored ----
+// ---- writing the data folders ----
 
-// The registry's stored commands. Each answer but the last came before a change of leader or a snapshot.
+// submitAll submits commands to the leader of the registry, one after the other.
 func submitAll(leader *process, commands ...*wire.RegistryCommand) error {
 	for _, command := range commands {
 		if err := leader.member.Submit(command, &wire.RegistryResult{}); err != nil {
@@ -96,6 +96,7 @@
 	return nil
 }
 
+// claimOf returns the claim of an idempotency key by an attempt of a proxy.
 func claimOf(key, attempt, proxy string) *wire.RegistryCommand {
 	return &wire.RegistryCommand{Claim: &wire.ClaimRequest{Scope: key, Digest: []byte("digest of " + key), Attempt: attempt, Proxy: proxy, Incarnation: 7,
 		ReadAt: &wire.LeaderTimestamp{Epoch: 1 << 40, Time: 1 << 50}}}
@@ -108,6 +109,8 @@
 	return &wire.RegistryCommand{Breaker: &wire.BreakerWriteRequest{Service: service, Verb: "trip", ExpectedVersion: 1, Proxy: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Settings: breakerSettings}}
 }
 
+// writeRegistry submits the commands that the stored folders of the registry contain, with a change of leader in between. Every command
+// except the last is acknowledged before a change of leader or a snapshot.
 func writeRegistry(t *testing.T, started *cluster) {
 	started.onLeader(t, func(leader *process) error {
 		err := submitAll(leader, claimOf("order-1", "attempt-1", "proxy-1"), claimOf("order-2", "attempt-1", "proxy-2"),
@@ -133,7 +136,7 @@
 	})
 }
 
-// registryQueries are asked of the opened copies; the last one is about the last command alone.
+// registryQueries are commands whose results show the state of an opened copy. The last one depends only on the last stored command.
 var registryQueries = []*wire.RegistryCommand{
 	claimOf("order-1", "attempt-2", "proxy-9"), claimOf("order-2", "attempt-1", "proxy-9"), claimOf("order-3", "attempt-1", "proxy-9"),
 	{Void: &wire.VoidClaimRequest{Scope: "order-1"}},
@@ -144,7 +147,7 @@
 	claimOf("last", "attempt-2", "proxy-9"),
 }
 
-// encoded shows a message as its bytes, which bear no names.
+// encoded formats a message as its encoded bytes, which contain no names of fields.
 func encoded(message proto.Message) string {
 	content, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -153,34 +156,36 @@
 	return fmt.Sprintf("%s %q", hex.EncodeToString(content), content)
 }
 
-// readRegistry asks opened copies of the registry's folders for all that was acknowledged.
+// readRegistry returns the state of opened copies of the registry's folders: the breakers and the results of registryQueries. last is the
+// result of the last query.
 func readRegistry(t *testing.T, started *cluster) (acknowledged, last string) {
 	t.Helper()
-	var answers []string
+	var results []string
 	started.onLeader(t, func(leader *process) error {
 		for _, record := range leader.registry.Breakers() {
-			answers = append(answers, "breaker "+encoded(record))
+			results = append(results, "breaker "+encoded(record))
 		}
 		for _, query := range registryQueries {
 			result := &wire.RegistryResult{}
 			if err := leader.member.Submit(query, result); err != nil {
 				return err
 			}
-			answers = append(answers, encoded(result))
+			results = append(results, encoded(result))
 		}
 		return nil
 	})
-	return strings.Join(answers[:len(answers)-1], "\n") + "\n", answers[len(answers)-1] + "\n"
+	return strings.Join(results[:len(results)-1], "\n") + "\n", results[len(results)-1] + "\n"
 }
 
-// configuration is a content that operators might write.
+// configuration returns a configuration as operators might write it.
 func configuration(note string) []byte {
 	return []byte(fmt.Sprintf(`{"note":%q,"groups":[{"name":"orders","limits":{"cutoffMicros":4000000},"services":[
 {"name":"orders","paths":[{"method":"GET","prefix":"/orders","class":"read"},{"method":"POST","prefix":"/orders","class":"once"}]},
 {"name":"invoices","paths":[{"method":"GET","prefix":"/invoices","class":"read"}]}]}]}`, note))
 }
 
-// acceptedVersions are the versions that the stored configuration stores acknowledged. The last one is the journal's last record.
+// acceptedVersions are the versions that the configuration stores acknowledged when the folders were written. The last one is in the
+// last record of the journal.
 var acceptedVersions = []uint64{3, 4, 7, 8, 9, 12, 13}
 
 func configurationOf(version uint64) []byte { return configuration(fmt.Sprintf("version %d", version)) }
@@ -195,6 +200,7 @@
 	return err
 }
 
+// writeConfigurations applies acceptedVersions, one of them as a delta, with a change of leader in between.
 func writeConfigurations(t *testing.T, started *cluster) {
 	started.advance(10 * monotonic.Second)
 	for index, version := range acceptedVersions[:len(acceptedVersions)-1] {
@@ -222,17 +228,18 @@
 	})
 }
 
-// readConfigurations reads all versions back from opened copies of the configuration stores' folders.
+// readConfigurations reads all versions from opened copies of the configuration stores' folders. last is the response for the last
+// version.
 func readConfigurations(t *testing.T, started *cluster) (acknowledged, last string) {
 	t.Helper()
-	var answers []string
+	var results []string
 	started.onLeader(t, func(leader *process) error {
 		for _, version := range acceptedVersions {
 			response, err := leader.configStore.ReadVersions(&wire.ConfigReadRequest{Version: version})
 			if err != nil {
 				return err
 			}
-			answers = append(answers, fmt.Sprintf("version %d: %s", version, encoded(response)))
+			results = append(results, fmt.Sprintf("version %d: %s", version, encoded(response)))
 			if len(response.Versions) == 1 && string(response.Versions[0].Content) != string(configurationOf(version)) {
 				return fmt.Errorf("version %d has the content %q", version, response.Versions[0].Content)
 			}
@@ -244,54 +251,56 @@
 		if listed := len(list.Versions); listed != len(acceptedVersions) && listed != len(acceptedVersions)-1 {
 			return fmt.Errorf("%d versions are listed", listed)
 		}
-		// A number that was acknowledged stands for one content, also after a restart.
+		// The number of an acknowledged version can't be reused for another content, even after a restart.
 		response, err := leader.configStore.Apply(&wire.ConfigApplyRequest{Content: configuration("another"), Version: acceptedVersions[0]})
 		if err != nil {
 			return err
 		}
-		answers[0] += fmt.Sprintf("\nversion %d with another content: %s", acceptedVersions[0], response.Outcome)
+		results[0] += fmt.Sprintf("\nversion %d with another content: %s", acceptedVersions[0], response.Outcome)
 		return nil
 	})
-	return strings.Join(answers[:len(answers)-1], "\n") + "\n", answers[len(answers)-1] + "\n"
+	return strings.Join(results[:len(results)-1], "\n") + "\n", results[len(results)-1] + "\n"
 }
 
-// ---- what is read back ----
+// ---- reading the data folders ----
 
-// TestStoredFolders opens copies of the stored folders with the present code: whole, with the last record of each file of one member cut short, and with
-// the last record of all journals cut short. All that was acknowledged is read back. Where a journal was cut the last command may be missing, though never
-// in part: a disk that tears a record that was synced is outside what the replication bears.
+// TestStoredFolders opens copies of the stored folders with the current code: intact, with all files of one member truncated within the
+// last record, and with the journals of all members truncated within the last record. All acknowledged data must be read back. If a
+// journal was truncated, the last command may be missing, but never partly applied: replication doesn't tolerate a disk that loses part
+// of a synced record.
 func TestStoredFolders(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		group storedGroup
 		read  func(t *testing.T, started *cluster) (acknowledged, last string)
 	}{{registryGroup, readRegistry}, {configStoreGroup, readConfigurations}} {
-		stored := storedFolders(t, one.group)
-		t.Run(one.group.title+"/whole", func(t *testing.T) {
-			acknowledged, last := one.read(t, startCluster(t, one.group, stored, 0))
-			requireApproved(t, "read-"+one.group.title, acknowledged+last)
+		stored := storedFolders(t, test.group)
+		t.Run(test.group.title+"/whole", func(t *testing.T) {
+			acknowledged, last := test.read(t, startCluster(t, test.group, stored, 0))
+			requireApproved(t, "read-"+test.group.title, acknowledged+last)
 		})
 		for index, name := range memberNames {
 			for _, bytes := range []int{1, 20} {
-				t.Run(fmt.Sprintf("%s/%s cut by %d", one.group.title, name, bytes), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/%s cut by %d", test.group.title, name, bytes), func(t *testing.T) {
 					folders := append([]folder(nil), stored...)
-					folders[index] = cutFiles(stored[index], one.group.files, bytes)
-					acknowledged, last := one.read(t, startCluster(t, one.group, folders, 0))
-					requireOneApproved(t, []string{"read-" + one.group.title, "read-cut-" + one.group.title}, acknowledged+last)
+					folders[index] = cutFiles(stored[index], test.group.files, bytes)
+					acknowledged, last := test.read(t, startCluster(t, test.group, folders, 0))
+					requireOneApproved(t, []string{"read-" + test.group.title, "read-cut-" + test.group.title}, acknowledged+last)
 				})
 			}
 		}
-		t.Run(one.group.title+"/all journals cut", func(t *testing.T) {
+		t.Run(test.group.title+"/all journals cut", func(t *testing.T) {
 			folders := make([]folder, 0, len(stored))
 			for _, files := range stored {
-				folders = append(folders, cutFiles(files, journalOf(one.group), 3))
+				folders = append(folders, cutFiles(files, journalOf(test.group), 3))
 			}
-			acknowledged, last := one.read(t, startCluster(t, one.group, folders, 0))
-			requireApproved(t, "read-cut-"+one.group.title, acknowledged+last)
+			acknowledged, last := test.read(t, startCluster(t, test.group, folders, 0))
+			requireApproved(t, "read-cut-"+test.group.title, acknowledged+last)
 		})
 	}
 }
 
-// TestStoredRecords opens each stored file as a log, whole and cut at every byte of its last record: the records before are read, and the tail is cut.
+// TestStoredRecords opens each stored file as a log, intact and truncated at every byte of its last record. Opening a truncated file must
+// return the records before the last one and cut off the rest.
 func TestStoredRecords(t *testing.T) {
 	text := &strings.Builder{}
 	for _, group := range []storedGroup{registryGroup, configStoreGroup} {
@@ -299,20 +308,20 @@
 			for _, name := range group.files {
 				allRecords, cut := readRecords(t, files[name])
 				if cut != 0 {
-					t.Errorf("%s: %d bytes cut of a whole file", name, cut)
+					t.Errorf("%s: %d bytes of an intact file were cut off", name, cut)
 				}
 				fmt.Fprintf(text, "%s %s %s: %d bytes, %d records\n", group.title, memberNames[index], name, len(files[name]), len(allRecords))
 				before := 0
 				for number, record := range allRecords {
 					fmt.Fprintf(text, "  %s\n", hex.EncodeToString([]byte(record)))
 					if number < len(allRecords)-1 {
-						before += recordHeader + len(record)
+						before += recordHeaderSize + len(record)
 					}
 				}
 				for length := before; length < len(files[name]); length++ {
 					records, cut := readRecords(t, files[name][:length])
 					if len(records) != len(allRecords)-1 || cut != int64(length-before) {
-						t.Fatalf("%s cut to %d bytes: %d records of %d, %d bytes cut, not %d", name, length, len(records), len(allRecords), cut, length-before)
+						t.Fatalf("%s truncated to %d bytes: %d records of %d, %d bytes cut off, want %d", name, length, len(records), len(allRecords), cut, length-before)
 					}
 				}
 			}
@@ -321,9 +330,10 @@
 	requireApproved(t, "records", text.String())
 }
 
-// recordHeader is the length in bytes of what goes before a record's content.
-const recordHeader = 32
+// recordHeaderSize is the length in bytes of the header before a record's content.
+const recordHeaderSize = 32
 
+// readRecords opens a file's content as a log and returns its records and the number of bytes that were cut off.
 func readRecords(t *testing.T, content []byte) (records []string, cut int64) {
 	t.Helper()
 	disk := memory.New()
--- a/internal/compatibility/values_test.go
+++ b/internal/compatibility/values_test.go
@@ -22,14 +22,15 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Labels in this file are part of the approved files and stay as they are, whatever the constants beside them are called.
+// The labels in this file are part of the approved files. They don't change when the constants beside them are renamed.
 
+// labelled is a value with its label in an approved file.
 type labelled[T any] struct {
 	label string
 	value T
 }
 
-// strings that are stored, sent to another process, or taken from one.
+// sentStrings are strings that are stored or exchanged between processes.
 var sentStrings = []labelled[string]{
 	{"group of configuration stores", configstore.Group},
 	{"group of registries", registry.Group},
@@ -69,7 +70,7 @@
 	{"finding ill", doctor.Unhealthy},
 }
 
-// kinds of messages between processes.
+// messageKinds are the kinds of messages between processes.
 var messageKinds = []labelled[wire.Kind]{
 	{"kind unset", wire.Kind_kind_unset},
 	{"whois", wire.Kind_discover},
@@ -101,8 +102,8 @@
 	{"pass cancel", wire.Kind_forward_cancel},
 }
 
-// causes of refusals, which callers are told.
-var refusalCauses = []labelled[apierror.Cause]{
+// rejectionCauses are the causes of rejections, which responses to callers contain.
+var rejectionCauses = []labelled[apierror.Cause]{
 	{"no key", apierror.MissingKey},
 	{"unknown path", apierror.UnknownPath},
 	{"body too large", apierror.BodyTooLarge},
@@ -142,7 +143,7 @@
 	{"caller left", apierror.ClientClosed},
 }
 
-// numbers of events, which operators' alarms and queries of logs go by.
+// eventNumbers are the numbers of events, which operators' alarms and log queries depend on.
 var eventNumbers = []labelled[int]{
 	{"process started", eventlog.ProcessStarted},
 	{"process stopped", eventlog.ProcessStopped},
@@ -201,49 +202,49 @@
 	{"object store trouble", eventlog.ObjectStoreFailed},
 }
 
-// TestSentStrings: strings and flags that are stored or sent are as approved.
+// TestSentStrings checks that strings and flags that are stored or sent are as approved.
 func TestSentStrings(t *testing.T) {
 	text := &strings.Builder{}
-	for _, one := range sentStrings {
-		fmt.Fprintf(text, "%s = %q\n", one.label, one.value)
+	for _, item := range sentStrings {
+		fmt.Fprintf(text, "%s = %q\n", item.label, item.value)
 	}
 	fmt.Fprintf(text, "frame flag reply = %d\nframe flag fault = %d\n", frame.Reply, frame.Fault)
 	requireApproved(t, "strings", text.String())
 }
 
-// TestMessageKinds: the numbers of the kinds of messages are as approved, and each kind is listed.
+// TestMessageKinds checks that the numbers of message kinds are as approved, and that every kind is listed.
 func TestMessageKinds(t *testing.T) {
 	text := &strings.Builder{}
-	for _, one := range messageKinds {
-		fmt.Fprintf(text, "%s = %d\n", one.label, one.value)
+	for _, item := range messageKinds {
+		fmt.Fprintf(text, "%s = %d\n", item.label, item.value)
 	}
 	if declared := wire.Kind(0).Descriptor().Values().Len(); declared != len(messageKinds) {
-		t.Errorf("%d kinds are declared and %d listed", declared, len(messageKinds))
+		t.Errorf("%d kinds are declared, but %d are listed", declared, len(messageKinds))
 	}
 	requireApproved(t, "kinds", text.String())
 }
 
-// TestRefusalCauses: number, name, status and time to come back of each cause are as approved, and each cause is listed.
+// TestRefusalCauses checks that the number, name, status and retry time of each cause are as approved, and that every cause is listed.
 func TestRefusalCauses(t *testing.T) {
 	text := &strings.Builder{}
-	for _, one := range refusalCauses {
-		fault := apierror.New(one.value, apierror.NotRun, "")
-		fmt.Fprintf(text, "%s = %d %s status %d, retry after %d us, backend's %v\n", one.label, one.value, one.value.Name(), fault.Status(), fault.RetryAfter, fault.Backend)
+	for _, item := range rejectionCauses {
+		fault := apierror.New(item.value, apierror.NotRun, "")
+		fmt.Fprintf(text, "%s = %d %s status %d, retry after %d us, backend's %v\n", item.label, item.value, item.value.Name(), fault.Status(), fault.RetryAfter, fault.Backend)
 	}
-	if declared := len(apierror.Causes()); declared != len(refusalCauses) {
-		t.Errorf("%d causes are declared and %d listed", declared, len(refusalCauses))
+	if declared := len(apierror.Causes()); declared != len(rejectionCauses) {
+		t.Errorf("%d causes are declared, but %d are listed", declared, len(rejectionCauses))
 	}
 	requireApproved(t, "causes", text.String())
 }
 
-// TestEventNumbers: number and level of each event are as approved, and each event is listed. Texts may change.
+// TestEventNumbers checks that the number and level of each event are as approved, and that every event is listed. Texts may change.
 func TestEventNumbers(t *testing.T) {
 	text := &strings.Builder{}
-	for _, one := range eventNumbers {
-		fmt.Fprintf(text, "%s = %d %s\n", one.label, one.value, eventlog.Catalogue[one.value].Level)
+	for _, item := range eventNumbers {
+		fmt.Fprintf(text, "%s = %d %s\n", item.label, item.value, eventlog.Catalogue[item.value].Level)
 	}
 	if declared := len(eventlog.Catalogue); declared != len(eventNumbers) {
-		t.Errorf("%d events are declared and %d listed", declared, len(eventNumbers))
+		t.Errorf("%d events are declared, but %d are listed", declared, len(eventNumbers))
 	}
 	requireApproved(t, "events", text.String())
 }
