--- a/internal/compatibility/values_test.go
+++ b/internal/compatibility/values_test.go
@@ -224,8 +224,8 @@
 	requireApproved(t, "kinds", text.String())
 }
 
-// TestRefusalCauses checks that the number, name, status and retry time of each cause are as approved, and that every cause is listed.
-func TestRefusalCauses(t *testing.T) {
+// TestRejectionCauses checks that the number, name, status and retry time of each cause are as approved, and that every cause is listed.
+func TestRejectionCauses(t *testing.T) {
 	text := &strings.Builder{}
 	for _, item := range rejectionCauses {
 		fault := apierror.New(item.value, apierror.NotRun, "")
