--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -91,27 +91,27 @@
 		started.stopped = append(started.stopped, node.Name+": "+reason)
 	}
 	for index, name := range memberNames {
-		member := &process{}
-		member.node = started.world.Add(name, name+":"+group.name, name, func(nodeHost *world.Host) (host.Handlers, error) {
+		proc := &process{}
+		proc.node = started.world.Add(name, name+":"+group.name, name, func(nodeHost *world.Host) (host.Handlers, error) {
 			config := openConfig{node: nodeHost, name: name, handlers: host.Handlers{}, configureReplication: func(replicationConfig *replication.Config) {
 				replicationConfig.CompactionThreshold = compactionThreshold
 			}}
-			member.nodeHost = nodeHost
+			proc.nodeHost = nodeHost
 			config.resolver = discovery.New(nodeHost, &wire.PeerAddress{Name: name, Address: nodeHost.Node().Address, Group: group.name}, seedAddresses(group))
 			config.resolver.Persist(nodeHost.Disk())
 			config.resolver.Register(config.handlers)
 			nodeHost.Go(func() { config.resolver.Run(monotonic.Second) })
-			opened, err := group.open(member, config)
-			member.member = opened
+			opened, err := group.open(proc, config)
+			proc.member = opened
 			return config.handlers, err
 		})
 		if folders != nil {
-			fillDisk(t, member.node.Disk, folders[index])
+			fillDisk(t, proc.node.Disk, folders[index])
 		}
-		started.processes = append(started.processes, member)
+		started.processes = append(started.processes, proc)
 	}
-	for _, member := range started.processes {
-		started.world.Start(member.node)
+	for _, proc := range started.processes {
+		started.world.Start(proc.node)
 	}
 	t.Cleanup(started.world.Close)
 	return started
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -69,7 +69,7 @@
 	return folders
 }
 
-// cutFiles returns a folder whose files in names are truncated by a number of bytes.
+// cutFiles returns a copy of files in which those in names are truncated by a number of bytes.
 func cutFiles(files folder, names []string, bytes int) folder {
 	truncated := folder{}
 	for name, content := range files {
--- a/internal/docscheck/commands_test.go
+++ b/internal/docscheck/commands_test.go
@@ -24,12 +24,12 @@
 	eventNumber = regexp.MustCompile(`\b[1-7]\d\d\b`)
 )
 
-// TestOperatorCommandsExist: each command and flag that the pages for operators show is one that snowctl takes.
+// TestOperatorCommandsExist checks that snowctl has each command and flag that the pages for operators show.
 func TestOperatorCommandsExist(t *testing.T) {
-	root, looked := snowctl.Root(), 0
+	root, checked := snowctl.Root(), 0
 	for _, name := range []string{"operators.md", "notes/route-changes.md", "notes/roll-out.md", "../README.md"} {
 		for _, call := range snowctlCall.FindAllStringSubmatch(read(t, name), -1) {
-			looked++
+			checked++
 			command := findCommand(root, call[1])
 			if command == nil {
 				t.Errorf("%s: snowctl has no command %s", name, call[1])
@@ -42,11 +42,12 @@
 			}
 		}
 	}
-	if looked < 20 {
-		t.Errorf("only %d commands are shown", looked)
+	if checked < 20 {
+		t.Errorf("only %d commands are shown", checked)
 	}
 }
 
+// findCommand returns the command with a name or alias, or nil.
 func findCommand(root *cobra.Command, name string) *cobra.Command {
 	for _, command := range root.Commands() {
 		if command.Name() == name || command.HasAlias(name) {
@@ -56,13 +57,13 @@
 	return nil
 }
 
-// TestOperatorMetricsExist: each metric that the operators' page names is one that some program shows.
+// TestOperatorMetricsExist checks that some program exports each metric that the page for operators names.
 func TestOperatorMetricsExist(t *testing.T) {
-	shown := metricsInSources(t)
+	exported := metricsInSources(t)
 	named := metricName.FindAllString(read(t, "operators.md"), -1)
 	for _, name := range named {
-		if !shown[name] {
-			t.Errorf("no program shows the metric %s", name)
+		if !exported[name] {
+			t.Errorf("no program exports the metric %s", name)
 		}
 	}
 	if len(named) < 10 {
@@ -70,7 +71,7 @@
 	}
 }
 
-// metricsInSources lists the strings in the sources that are names of metrics.
+// metricsInSources returns the string literals in the sources that contain names of metrics.
 func metricsInSources(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -84,7 +85,7 @@
 				return err
 			}
 			ast.Inspect(file, func(node ast.Node) bool {
-				if literal, is := node.(*ast.BasicLit); is && literal.Kind == token.STRING {
+				if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 					if value, err := strconv.Unquote(literal.Value); err == nil && metricName.MatchString(value) {
 						names[value] = true
 					}
@@ -100,12 +101,12 @@
 	return names
 }
 
-// TestOperatorEventsExist: each number in the operators' sections on alarms and troubles that follows "event" is an event's.
+// TestOperatorEventsExist checks that each number after "event" or "events" on the page for operators is the number of an event.
 func TestOperatorEventsExist(t *testing.T) {
-	looked := 0
+	checked := 0
 	for _, phrase := range regexp.MustCompile(`[Ee]vents? [1-7]\d\d(?:(?:, | and | or | to )[1-7]\d\d)*`).FindAllString(read(t, "operators.md"), -1) {
 		for _, digits := range eventNumber.FindAllString(phrase, -1) {
-			looked++
+			checked++
 			number, err := strconv.Atoi(digits)
 			if err != nil {
 				t.Fatal(err)
@@ -115,7 +116,7 @@
 			}
 		}
 	}
-	if looked < 10 {
-		t.Errorf("only %d events are named", looked)
+	if checked < 10 {
+		t.Errorf("only %d events are named", checked)
 	}
 }
--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,3 +1,3 @@
-// Package docscheck holds tests alone. They keep the documents in step with the code that they describe, and hold rules of the whole
-// source tree: declared names, names of the users' platform, and who may read the wall clock.
+// Package docscheck contains only tests. They check that the documents agree with the code that they describe, and that the whole source
+// tree follows rules on declared names, on names of the users' platform, and on who may read the wall clock.
 package docscheck
--- a/internal/docscheck/names_test.go
+++ b/internal/docscheck/names_test.go
@@ -13,13 +13,14 @@
 	"testing"
 )
 
-// declarations are the names that the project's sources declare: "Name" and "Type.Member" by package name, and test functions.
+// declarations are the names that the project's sources declare: "Name" and "Type.Member" by package name, and the names of test
+// functions.
 type declarations struct {
 	packages map[string]map[string]bool
 	tests    map[string]bool
 }
 
-// parseDeclarations reads all sources of the project.
+// parseDeclarations returns the declarations in all sources of the project.
 func parseDeclarations(t *testing.T) declarations {
 	t.Helper()
 	found := declarations{packages: map[string]map[string]bool{}, tests: map[string]bool{}}
@@ -41,6 +42,7 @@
 	return found
 }
 
+// add adds the declarations of a file.
 func (d declarations) add(file *ast.File, isTest bool) {
 	names := d.packages[file.Name.Name]
 	if names == nil {
@@ -63,25 +65,25 @@
 	}
 }
 
-// receiver is the name of a method's type with a dot, or nothing for a function.
+// receiver returns the name of a method's receiver type, followed by a dot, or an empty string for a function.
 func receiver(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
 	}
 	expression := function.Recv.List[0].Type
-	if pointer, is := expression.(*ast.StarExpr); is {
+	if pointer, ok := expression.(*ast.StarExpr); ok {
 		expression = pointer.X
 	}
-	if generic, is := expression.(*ast.IndexExpr); is {
+	if generic, ok := expression.(*ast.IndexExpr); ok {
 		expression = generic.X
 	}
-	if named, is := expression.(*ast.Ident); is {
+	if named, ok := expression.(*ast.Ident); ok {
 		return named.Name + "."
 	}
 	return ""
 }
 
-// addSpecs adds types with the fields and methods that they list, constants and variables.
+// addSpecs adds constants, variables, and types with their fields and interface methods.
 func addSpecs(names map[string]bool, specs []ast.Spec) {
 	for _, spec := range specs {
 		switch declared := spec.(type) {
@@ -100,6 +102,7 @@
 	}
 }
 
+// members returns the fields of a struct type or the methods of an interface type.
 func members(expression ast.Expr) []*ast.Field {
 	switch declared := expression.(type) {
 	case *ast.StructType:
@@ -116,15 +119,15 @@
 	packagePath   = regexp.MustCompile(`^(?:internal|platform|cmd)(?:/[a-z]+)*$`)
 	testName      = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
 	goFile        = regexp.MustCompile(`^[\w/]+\.go$`)
-	// fileName matches names of files, which look like members of a package.
+	// fileName matches names of files, which qualifiedName matches too.
 	fileName = regexp.MustCompile(`\.(go|md|git|json|proto|toml|svg|sum|mod)$`)
 )
 
-// formerNames begins the part of the glossary that lists names which aren't in use any more.
+// formerNames is the heading of the part of the glossary that lists names that are no longer in use.
 const formerNames = "## Former names"
 
-// TestNamedFunctionsExist: each exported `package.Name` and `package.Type.Member` on any page is declared in the sources, and each Go file exists. On the
-// architecture's page that holds for unexported names and package paths too.
+// TestNamedFunctionsExist checks that each exported `package.Name` and `package.Type.Member` that a page names is declared in the sources,
+// and that each Go file that it names exists. On the architecture page it also checks unexported names and package paths.
 func TestNamedFunctionsExist(t *testing.T) {
 	declared, files := parseDeclarations(t), goFiles(t)
 	for _, path := range pages(t) {
@@ -154,7 +157,7 @@
 	}
 }
 
-// pages lists all pages below docs.
+// pages returns the paths of all pages below docs.
 func pages(t *testing.T) (paths []string) {
 	t.Helper()
 	err := filepath.WalkDir(filepath.Join("..", "..", "docs"), func(path string, _ fs.DirEntry, err error) error {
@@ -164,12 +167,12 @@
 		return err
 	})
 	if err != nil || len(paths) < 20 {
-		t.Fatalf("%d pages; %v", len(paths), err)
+		t.Fatalf("found %d pages; %v", len(paths), err)
 	}
 	return paths
 }
 
-// readPage reads a page up to the names that aren't in use any more.
+// readPage returns a page without the part that lists names that are no longer in use.
 func readPage(t *testing.T, path string) string {
 	t.Helper()
 	content, err := os.ReadFile(path)
@@ -180,7 +183,7 @@
 	return page
 }
 
-// goFiles lists all Go files of the project, with slashes.
+// goFiles returns the slash-separated paths of all Go files of the project.
 func goFiles(t *testing.T) (paths []string) {
 	t.Helper()
 	for _, folder := range []string{"cmd", "internal", "platform"} {
@@ -197,17 +200,17 @@
 	return paths
 }
 
-// TestNamedTestsExist: each test that a page names as a proof is there.
+// TestNamedTestsExist checks that each test that a page names exists.
 func TestNamedTestsExist(t *testing.T) {
-	declared, looked := parseDeclarations(t), 0
+	declared, checked := parseDeclarations(t), 0
 	for _, path := range pages(t) {
 		for _, name := range testName.FindAllString(readPage(t, path), -1) {
-			if looked++; !declared.tests[name] {
-				t.Errorf("%s names %s, which is no test", path, name)
+			if checked++; !declared.tests[name] {
+				t.Errorf("%s names %s, which is not a test", path, name)
 			}
 		}
 	}
-	if looked < 50 {
-		t.Errorf("only %d tests are named", looked)
+	if checked < 50 {
+		t.Errorf("only %d tests are named", checked)
 	}
 }
--- a/internal/docscheck/vocabulary_test.go
+++ b/internal/docscheck/vocabulary_test.go
@@ -13,8 +13,8 @@
 	"unicode"
 )
 
-// withdrawnWords are the words of an earlier house style, and plain words for which the field has a term. docs/glossary.md has the terms.
-// "trip" of a circuit breaker is such a term and isn't among them.
+// withdrawnWords are words that names must not contain: those of an earlier naming style, and everyday words for which the field has a
+// term. docs/glossary.md lists the terms. "trip" isn't among the words, since it is the term for a circuit breaker.
 const withdrawnWords = `carrier sorter postmaster clerk depot countersign strongbox parcel bulletin franking gazetteer office
 postmark postcode seal seals house mailround inspector friday wicket pigeonhole counterfoil rack purse passage desk hutch rota
 restante backdoor errand errands courier lastpost vigil letter tenure serial ask asks asked tell tells told beat beats ailing
@@ -22,7 +22,7 @@
 patience place whole held kept keeper news door doors mover tally sight sights sighting sightings seat seats
 genesis worst stint lot moment span hold holds pass passes later look attend doubt blind master masters`
 
-// allowedNames bear a withdrawn word that is right where it stands.
+// allowedNames are names that may contain a withdrawn word, with the reason.
 var allowedNames = map[string]string{
 	"aim_micros":          "a key of the configurations that operators write",
 	"probe_tenure_micros": "a key of the configurations that operators write",
@@ -33,33 +33,34 @@
 	"withdrawnWords":      "this check's own",
 }
 
-// TestVocabulary holds declared names, and names of packages and files, to the terms of the field.
+// TestVocabulary checks that declared names and names of packages and files contain no withdrawn word.
 func TestVocabulary(t *testing.T) {
 	withdrawn := map[string]bool{}
 	for _, word := range strings.Fields(withdrawnWords) {
 		withdrawn[word] = true
 	}
-	looked := 0
+	checked := 0
 	for _, declared := range declaredNames(t, filepath.Join("..", "..")) {
-		looked++
+		checked++
 		if _, allowed := allowedNames[declared.name]; allowed {
 			continue
 		}
 		for _, word := range wordsOf(declared.name) {
 			if withdrawn[word] {
-				t.Errorf("%s: %s bears the withdrawn word %q", declared.position, declared.name, word)
+				t.Errorf("%s: %s contains the withdrawn word %q", declared.position, declared.name, word)
 				break
 			}
 		}
 	}
-	if looked < 5000 {
-		t.Fatalf("only %d names were looked at", looked)
+	if checked < 5000 {
+		t.Fatalf("only %d names were checked", checked)
 	}
 }
 
 // declaredName is a name and where it is declared.
 type declaredName struct{ name, position string }
 
+// declaredNames returns the names of folders and source files below root, and the names that Go and protobuf files declare.
 func declaredNames(t *testing.T, root string) (names []declaredName) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -87,6 +88,7 @@
 	return names
 }
 
+// goNames returns the names that a Go file declares.
 func goNames(t *testing.T, path string) (names []declaredName) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -111,7 +113,7 @@
 			add(node.Names...)
 		case *ast.AssignStmt:
 			for _, left := range node.Lhs {
-				if identifier, is := left.(*ast.Ident); is && node.Tok == token.DEFINE {
+				if identifier, ok := left.(*ast.Ident); ok && node.Tok == token.DEFINE {
 					add(identifier)
 				}
 			}
@@ -121,8 +123,10 @@
 	return names
 }
 
+// protoName matches the declaration of a message, an enumeration, a field or an enumeration value.
 var protoName = regexp.MustCompile(`(?:message|enum)\s+(\w+)|[\w.]+\s+(\w+)\s*=\s*\d+`)
 
+// protoNames returns the names that a protobuf file declares.
 func protoNames(t *testing.T, path string) (names []declaredName) {
 	t.Helper()
 	content, err := os.ReadFile(path)
