--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -162,8 +162,8 @@
 
 // leader returns the process that serves as its group's leader, or nil if none does.
 func (cluster *cluster) leader() *process {
-	index := slices.IndexFunc(cluster.processes, func(process *process) bool {
-		return process.node.Up() && process.member != nil && process.member.Serving()
+	index := slices.IndexFunc(cluster.processes, func(proc *process) bool {
+		return proc.node.Up() && proc.member != nil && proc.member.Serving()
 	})
 	if index < 0 {
 		return nil
--- a/internal/snowctl/doctor/checks.go
+++ b/internal/snowctl/doctor/checks.go
@@ -39,19 +39,19 @@
 	return found
 }
 
-// checkPartition reports groups of which the configuration store that responded can't reach all voters, and whether those that it
-// reaches are a quorum.
+// checkPartition reports groups of which the configuration store that responded can't reach all voters, and whether it reaches a
+// quorum.
 func checkPartition(mesh MeshStatus) (found []Finding) {
 	for _, view := range groupViews(mesh) {
 		if len(view.missing) == 0 {
 			continue
 		}
-		what := fmt.Sprintf("from this configuration store %v can be seen and %v can't", view.seen, view.missing)
-		if replication.HasQuorum(view.voters, view.seen) {
-			found = append(found, Finding{Level: Warning, Message: what + ": those seen can decide",
+		reachability := fmt.Sprintf("this configuration store can reach %v but not %v", view.responding, view.missing)
+		if replication.HasQuorum(view.voters, view.responding) {
+			found = append(found, Finding{Level: Warning, Message: reachability + ": a quorum is reachable",
 				Advice: "restart the others, or repair the network to them; until then, stop no further process"})
 		} else {
-			found = append(found, Finding{Level: Unhealthy, Message: what + ": those seen can't decide",
+			found = append(found, Finding{Level: Unhealthy, Message: reachability + ": no quorum is reachable",
 				Advice: "use a configuration store on the other side of the partition, which may still serve; repair the network between the two sides"})
 		}
 	}
@@ -87,7 +87,7 @@
 		found = append(found, Finding{Level: Warning, Message: member.Name + " has an empty data folder and has not joined yet",
 			Advice: "it joins once enough other members with intact registers respond to it; start those"})
 	}
-	// A voter without a replica may be behind: a quorum can decide without it, and it consults others before it takes part in a decision.
+	// A voter without a replica may be behind: a quorum can decide without it, and it consults the others before it decides anything itself.
 	if member.Epoch+1 < newest.Epoch && slices.Contains(newest.ReplicaNames(), member.Name) {
 		found = append(found, Finding{Level: Warning, Message: fmt.Sprintf("%s knows epoch %d, but the newest is %d", member.Name, member.Epoch, newest.Epoch),
 			Advice: "check the network between it and the other control plane hosts"})
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -45,8 +45,8 @@
 		change                 func(mesh MeshStatus)
 	}{
 		{"seeds", Warning, "never heard of", func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
-		{"split", Warning, "those seen can decide", func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
-		{"split", Unhealthy, "[sorter-3] can be seen and [sorter-1 sorter-2] can't", func(mesh MeshStatus) {
+		{"split", Warning, ": a quorum is reachable", func(mesh MeshStatus) { delete(mesh.Registries, "sorter-3") }},
+		{"split", Unhealthy, "can reach [sorter-3] but not [sorter-1 sorter-2]: no quorum", func(mesh MeshStatus) {
 			delete(mesh.Registries, "sorter-1")
 			delete(mesh.Registries, "sorter-2")
 		}},
--- a/internal/snowctl/doctor/groups.go
+++ b/internal/snowctl/doctor/groups.go
@@ -13,11 +13,11 @@
 
 // groupView is what the configuration store that responded knows about one group.
 type groupView struct {
-	name    string
-	voters  []string
-	seen    []string                      // voters that reported their status
-	missing []string                      // the other voters
-	members map[string]replication.Status // by name
+	name       string
+	voters     []string
+	responding []string                      // voters whose status is known
+	missing    []string                      // the other voters
+	members    map[string]replication.Status // by name
 }
 
 // groupTitle returns the name that findings use for a group.
@@ -43,7 +43,7 @@
 		}
 		for _, name := range view.voters {
 			if _, known := view.members[name]; known {
-				view.seen = append(view.seen, name)
+				view.responding = append(view.responding, name)
 			} else {
 				view.missing = append(view.missing, name)
 			}
@@ -53,9 +53,9 @@
 	return all
 }
 
-// newest returns the status of the seen voter with the highest epoch; if several have it, of the one that serves as primary.
+// newest returns the status of the responding voter with the highest epoch; if several have it, of the one that serves as primary.
 func (v groupView) newest() (newest replication.Status) {
-	for _, name := range v.seen {
+	for _, name := range v.responding {
 		if member := v.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
 			newest = member
 		}
@@ -63,9 +63,9 @@
 	return newest
 }
 
-// serving counts the seen voters that serve as primary.
+// serving counts the responding voters that serve as primary.
 func (v groupView) serving() (count int) {
-	for _, name := range v.seen {
+	for _, name := range v.responding {
 		if v.members[name].Serving {
 			count++
 		}
--- a/internal/snowctl/doctor/safe.go
+++ b/internal/snowctl/doctor/safe.go
@@ -37,7 +37,7 @@
 	}
 	newest := v.newest()
 	replicas := newest.ReplicaNames()
-	for _, name := range v.seen {
+	for _, name := range v.responding {
 		if slices.Contains(names, name) {
 			continue
 		}
