--- a/internal/snowctl/doctor/groups.go
+++ b/internal/snowctl/doctor/groups.go
@@ -8,20 +8,20 @@
 	"snowflow/internal/replication"
 )
 
-// groupNames are the control plane's groups, in the order of findings.
+// groupNames are the control plane's replication groups, in the order in which findings mention them.
 var groupNames = []string{configstore.Group, registry.Group}
 
-// groupView is what the configuration store that responded sees of one group.
+// groupView is what the configuration store that responded knows about one group.
 type groupView struct {
-	name    string
-	voters  []string
-	seen    []string // voters whose status is known
-	missing []string // the others
-	members map[string]replication.Status
+	name       string
+	voters     []string
+	responding []string                      // voters whose status is known
+	missing    []string                      // the other voters
+	members    map[string]replication.Status // by name
 }
 
-// title names a group in findings.
-func title(group string) string {
+// groupTitle returns the name that findings use for a group.
+func groupTitle(group string) string {
 	switch group {
 	case configstore.Group:
 		return "configuration store"
@@ -31,8 +31,8 @@
 	return group
 }
 
-// groupViews sorts the members by group. Voters that no known member names are unknown.
-func groupViews(mesh Mesh) (all []groupView) {
+// groupViews returns a view of each group. The voters are those that a member's status lists; they are unknown without one.
+func groupViews(mesh MeshStatus) (all []groupView) {
 	for _, group := range groupNames {
 		view := groupView{name: group, members: map[string]replication.Status{}}
 		for _, member := range mesh.members() {
@@ -43,7 +43,7 @@
 		}
 		for _, name := range view.voters {
 			if _, known := view.members[name]; known {
-				view.seen = append(view.seen, name)
+				view.responding = append(view.responding, name)
 			} else {
 				view.missing = append(view.missing, name)
 			}
@@ -53,9 +53,9 @@
 	return all
 }
 
-// newest is the seen member with the highest epoch, the one that serves if several have it.
+// newest returns the status of the responding voter with the highest epoch; if several have it, of the one that serves as primary.
 func (v groupView) newest() (newest replication.Status) {
-	for _, name := range v.seen {
+	for _, name := range v.responding {
 		if member := v.members[name]; member.Epoch > newest.Epoch || member.Epoch == newest.Epoch && member.Serving {
 			newest = member
 		}
@@ -63,9 +63,9 @@
 	return newest
 }
 
-// serving counts the seen members that serve as primary.
+// serving counts the responding voters that serve as primary.
 func (v groupView) serving() (count int) {
-	for _, name := range v.seen {
+	for _, name := range v.responding {
 		if v.members[name].Serving {
 			count++
 		}
@@ -73,7 +73,7 @@
 	return count
 }
 
-// countOf counts the voters among names.
+// countOf counts the voters that are in names.
 func (v groupView) countOf(names []string) (count int) {
 	for _, name := range v.voters {
 		if slices.Contains(names, name) {
