--- a/internal/simulation/scenario/core.go
+++ b/internal/simulation/scenario/core.go
@@ -80,7 +80,7 @@
 		config.LeaveAtOnce = m.defects.KeepVoterOnStop
 		config.Replicas = m.topology.Replicas
 		config.VoterCount = m.topology.Voters
-		config.VoterTimeout = m.topology.RemoveAfter
+		config.VoterTimeout = m.topology.VoterTimeout
 		if len(m.topology.Domains) > 0 {
 			config.Zone = resolver.Domain
 		}
--- a/internal/simulation/scenario/member_replacement_test.go
+++ b/internal/simulation/scenario/member_replacement_test.go
@@ -15,7 +15,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			topology := discoveredTopology
-			topology.Replicas, topology.RemoveAfter, topology.Domains = 2, catchUpAllowance/2, []string{"a", "a", "b", "c"}
+			topology.Replicas, topology.VoterTimeout, topology.Domains = 2, catchUpAllowance/2, []string{"a", "a", "b", "c"}
 			mesh := Build(seed, topology, Defects{})
 			t.Cleanup(mesh.World.Close)
 			mesh.runFor(8 * monotonic.Second)
@@ -52,7 +52,7 @@
 			t.Run(fmt.Sprintf("%d/%d", test.cores, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := discoveredTopology
-				topology.Cores, topology.Replicas, topology.RemoveAfter = test.cores, test.replicas, catchUpAllowance/2
+				topology.Cores, topology.Replicas, topology.VoterTimeout = test.cores, test.replicas, catchUpAllowance/2
 				mesh, _ := runMesh(t, Scenario{Name: "replacement then loss", Topology: topology, Duration: 90 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: []fault{plannedReplacement, permanentLoss, plannedReplacement, permanentLoss}, Faults: []fault{permanentLoss, applyConfig}}, seed)
 				for group, voters := range mesh.voters(t) {
--- a/internal/simulation/scenario/membership_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -73,7 +73,7 @@
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := smallTopology
-				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, test.expected
+				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.expected
 				// Three intervals between faults may take 72 s: a shorter run might end before the third.
 				exchange := replaceCoreMachine(test.ahead, test.after)
 				mesh, _ := runMesh(t, Scenario{Name: "replacement", Topology: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
@@ -173,7 +173,7 @@
 				t.Parallel()
 				died := map[string]int{}
 				topology := smallTopology
-				topology.RemoveAfter, topology.Voters = 4*monotonic.Second, test.expected
+				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.expected
 				mesh, _ := runMesh(t, Scenario{Name: "halfway", Topology: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: test.changes, Faults: []fault{applyConfig}, Prepare: func(mesh *Mesh) {
 						trace := mesh.World.Trace
--- a/internal/simulation/scenario/replacement_series_test.go
+++ b/internal/simulation/scenario/replacement_series_test.go
@@ -59,7 +59,7 @@
 func newReplacementSeries(t *testing.T, cores int, seed uint64) *replacementSeries {
 	t.Helper()
 	topology := discoveredTopology
-	topology.Cores, topology.Replicas, topology.RemoveAfter = cores, (cores+1)/2, seriesVoterTimeout
+	topology.Cores, topology.Replicas, topology.VoterTimeout = cores, (cores+1)/2, seriesVoterTimeout
 	mesh := Build(seed, topology, Defects{})
 	t.Cleanup(mesh.World.Close)
 	mesh.World.DialTimeout = 300 * monotonic.Millisecond
--- a/internal/simulation/scenario/scenarios.go
+++ b/internal/simulation/scenario/scenarios.go
@@ -318,7 +318,7 @@
 		Backends:         1,
 		DiscoverVoters:   true,
 		Replicas:         replicas,
-		RemoveAfter:      catchUpAllowance / 2,
+		VoterTimeout:      catchUpAllowance / 2,
 		RetainedVersions: 3,
 		Timeouts:         configstore.Timeouts{ServeStale: true},
 	}
--- a/internal/simulation/scenario/tenants.go
+++ b/internal/simulation/scenario/tenants.go
@@ -212,7 +212,7 @@
 			Name:    name,
 			Summary: "tenants' keys are taken away while proxies are cut off, frozen or restarted, and the core is cut, halved or replaced",
 			Topology: Topology{Cores: cores, Proxies: 5, Zones: 2, Backends: 4, Services: []string{"records"}, DiscoverVoters: true,
-				Timeouts: configstore.Timeouts{ServeStale: true}, KeyLease: simulatedKeyLease, RemoveAfter: 3 * monotonic.Second},
+				Timeouts: configstore.Timeouts{ServeStale: true}, KeyLease: simulatedKeyLease, VoterTimeout: 3 * monotonic.Second},
 			Duration:        tenantTrafficDuration,
 			Rate:            60,
 			FaultInterval:   2 * monotonic.Second,
--- a/internal/simulation/scenario/topology.go
+++ b/internal/simulation/scenario/topology.go
@@ -27,8 +27,8 @@
 	Replicas int
 	// Voters is the wanted number of voters; zero for the default.
 	Voters int
-	// RemoveAfter is how long a voter may be away before it is replaced; zero for the default.
-	RemoveAfter monotonic.Micros
+	// VoterTimeout is how long a voter may be away before it is replaced; zero for the default.
+	VoterTimeout monotonic.Micros
 	// Domains are the core machines' failure domains in the order of the machines; empty if unknown.
 	Domains []string
 	// RetainedVersions is how many configurations the store retains; zero for all of them.
