--- a/internal/simulation/scenario/proxies.go
+++ b/internal/simulation/scenario/proxies.go
@@ -66,7 +66,7 @@
 	instance.Admission.ClaimPerService(d.ClaimPerService)
 	instance.ConfigClient.IgnoreLease(d.NoServingLease)
 	instance.Session.SkipDigestChecks(d.UncheckedDirectoryDelta)
-	instance.Singleton.IgnoreExpiry(d.IgnoreDutyExpiry)
+	instance.Singleton.IgnoreExpiry(d.IgnoreSingletonExpiry)
 	instance.RetryBudget.SetUnlimited(d.NoRetryBudget)
 	instance.Breakers.SkipProbeLeases(d.NoProbeLease)
 	instance.TrustClock(d.TrustClock)
--- a/internal/simulation/scenario/singleton_test.go
+++ b/internal/simulation/scenario/singleton_test.go
@@ -96,7 +96,7 @@
 	t.Run("owners that ignore the end of their lease are detected", func(t *testing.T) {
 		t.Parallel()
 		for seed := uint64(1); seed <= 12; seed++ {
-			if beliefs, _ := runDuties("core", seed, Defects{IgnoreDutyExpiry: true}); overlappingHolders(beliefs) != "" {
+			if beliefs, _ := runDuties("core", seed, Defects{IgnoreSingletonExpiry: true}); overlappingHolders(beliefs) != "" {
 				return
 			}
 		}
--- a/internal/simulation/scenario/topology.go
+++ b/internal/simulation/scenario/topology.go
@@ -62,7 +62,7 @@
 	NoDrain                 bool   // a planned stop of a proxy ends it at once
 	NoRecovery              bool   // two core machines stay down at the end
 	ClockStopsWhileFrozen   bool   // a process's clock stands still while it is frozen
-	IgnoreDutyExpiry        bool   // the owner of a singleton role keeps it beyond its lease
+	IgnoreSingletonExpiry        bool   // the owner of a singleton role keeps it beyond its lease
 	ResetCounters           bool   // a new configuration version resets the breakers' counters
 	WrongBase               bool   // differences between configurations are applied onto whatever a proxy has
 	UncheckedDirectoryDelta bool   // differences between directories are applied onto whatever a proxy has
