--- a/internal/simulation/scenario/core.go
+++ b/internal/simulation/scenario/core.go
@@ -98,7 +98,7 @@
 		Voters:               process.voters,
 		Bootstrap:            slices.Contains(process.voters, process.name),
 		ConfigureReplication: m.replicationConfig(process.resolver),
-		ConfigureState:       func(state *statemachine.Machine) { state.Breakers.InjectedFault = m.defects.Breakers },
+		ConfigureState:       func(state *statemachine.Machine) { state.Breakers.InjectedFault = m.defects.BreakerFault },
 	})
 	if err != nil {
 		return err
--- a/internal/simulation/scenario/topology.go
+++ b/internal/simulation/scenario/topology.go
@@ -57,7 +57,7 @@
 	NoServingLease          bool   // proxies serve without a live configuration lease
 	NoSync                  bool   // syncs of disks do nothing
 	AcceptTruncated         bool   // truncated responses are forwarded as if they were complete
-	Breakers                string // what is wrong with the shared breaker records: one of package breakerstore's fault names
+	BreakerFault                string // what is wrong with the shared breaker records: one of package breakerstore's fault names
 	NoRetryBudget           bool   // retries are unlimited
 	NoDrain                 bool   // a planned stop of a proxy ends it at once
 	NoRecovery              bool   // two core machines stay down at the end
