--- a/internal/simulation/scenario/helpers_test.go
+++ b/internal/simulation/scenario/helpers_test.go
@@ -41,7 +41,7 @@
 			for _, finding := range result.Findings {
 				t.Errorf("seed %d: %s", seed, finding)
 			}
-			t.Logf("served %d of %d, %d events, seen %v", result.Served, result.Sent, result.Events, result.Seen)
+			t.Logf("served %d of %d, %d events, seen %v", result.Served, result.Sent, result.Events, result.Examined)
 			if t.Failed() && os.Getenv("SNOWFLOW_LOG") != "" {
 				t.Log(strings.Join(result.Log, "\n"))
 			}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -61,8 +61,8 @@
 	Scenario string
 	// Findings are the violations, and the rules and checks that examined nothing though they should.
 	Findings []invariants.Finding
-	// Seen is how many observations each rule examined, by its number.
-	Seen map[int]int
+	// Examined is how many observations each rule examined, by its number.
+	Examined map[int]int
 	// Sent is the number of attempts, Served of those that a backend responded to with status 200.
 	Served int
 	Sent   int
@@ -185,7 +185,7 @@
 		Log:       m.log,
 		Panicked:  m.World.Panicked,
 	}
-	result.Findings, result.Seen = m.check(scenario)
+	result.Findings, result.Examined = m.check(scenario)
 	for _, attempt := range m.History.Attempts {
 		result.Sent++
 		if served(attempt) {
