--- a/internal/simulation/scenario/desired_state.go
+++ b/internal/simulation/scenario/desired_state.go
@@ -30,8 +30,8 @@
 // retryAllowance is the retry allowance of Desired, with what may be granted at the edges of the invariant's window.
 const retryAllowance = 10 + 2
 
-// desiredWithSlowRate returns a desired state in which slow calls trip a breaker too.
-func desiredWithSlowRate(variant int) []byte {
+// desiredWithSlowCallRate returns a desired state in which slow calls trip a breaker too.
+func desiredWithSlowCallRate(variant int) []byte {
 	return bytes.Replace(Desired(variant), []byte(`"failureRate"`), []byte(`"slowRate":0.5,"slowMicros":700000,"failureRate"`), 1)
 }
 
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -84,8 +84,8 @@
 // lossAllowed reports whether another disk may be lost now.
 func (m *Mesh) lossAllowed() bool { return m.World.Now() >= m.nextLossAt }
 
-// lossTolerated reports whether another disk may be lost now and both groups have a primary.
-func (m *Mesh) lossTolerated() bool {
+// lossAllowedWithPrimaries reports whether another disk may be lost now and both groups have a primary.
+func (m *Mesh) lossAllowedWithPrimaries() bool {
 	return m.primary(registry.Group) != nil && m.primary(configstore.Group) != nil && m.lossAllowed()
 }
 
--- a/internal/simulation/scenario/faults_backend.go
+++ b/internal/simulation/scenario/faults_backend.go
@@ -21,8 +21,8 @@
 		setBehavior(backends, misbehavior)
 		m.after(m.randomDuration(7*monotonic.Second, 10*monotonic.Second), func() { setBehavior(backends, healthy) })
 	}}
-	// failServiceMarked marks the failure and its end for the rule that one caller's trouble stays its own.
-	failServiceMarked = fault{"make a whole service fail, with markers", func(m *Mesh) {
+	// failServiceWithMarkers marks the failure and its end for the rule that one caller's trouble stays its own.
+	failServiceWithMarkers = fault{"make a whole service fail, with markers", func(m *Mesh) {
 		backends := m.liveBackends(pick(m, []string{formsService, householdsService}))
 		setBehavior(backends, failing)
 		m.History.RecordMarker(invariants.MarkerFailing, m.World.Now())
@@ -68,7 +68,7 @@
 
 // trafficSurge has ten times the traffic come for a while, in the usual shares of reads and submissions.
 var trafficSurge = fault{"a surge of traffic", func(m *Mesh) {
-	m.surges++
+	m.surgeCount++
 	until := m.World.Now() + 4*monotonic.Second
-	m.sendAtRate(m.surges*1_000_000, 300, func() bool { return m.serving && m.World.Now() < until })
+	m.sendAtRate(m.surgeCount*1_000_000, 300, func() bool { return m.serving && m.World.Now() < until })
 }}
--- a/internal/simulation/scenario/faults_disk.go
+++ b/internal/simulation/scenario/faults_disk.go
@@ -27,14 +27,14 @@
 	}}
 	failSync = fault{"fail a sync", func(m *Mesh) { pick(m, m.allCoreNodes()).Disk.FailSyncs = 1 }}
 	loseDisk = fault{"lose a core machine's disk", func(m *Mesh) {
-		if !m.lossTolerated() {
+		if !m.lossAllowedWithPrimaries() {
 			return
 		}
 		m.nextLossAt = m.World.Now() + lossInterval
 		m.restartMachine(pick(m, m.coreMachines), m.randomDuration(200*monotonic.Millisecond, 5*monotonic.Second), m.World.LoseDisk)
 	}}
 	damageDisk = fault{"damage a record file of a core machine", func(m *Mesh) {
-		if !m.lossTolerated() {
+		if !m.lossAllowedWithPrimaries() {
 			return
 		}
 		m.nextLossAt = m.World.Now() + lossInterval
@@ -50,7 +50,7 @@
 	loseDiskAtAcknowledgement = fault{"lose the disk of the configuration store's primary at an acknowledgement", func(m *Mesh) {
 		m.atAcknowledgement(func() {
 			node := m.primary(configstore.Group)
-			if node == nil || !m.lossTolerated() {
+			if node == nil || !m.lossAllowedWithPrimaries() {
 				return
 			}
 			m.nextLossAt = m.World.Now() + lossInterval
--- a/internal/simulation/scenario/faults_network.go
+++ b/internal/simulation/scenario/faults_network.go
@@ -29,8 +29,8 @@
 		victim, duration := pick(m, m.proxyNames), m.randomDuration(3*monotonic.Second, 9*monotonic.Second)
 		m.partitionFromAll(victim, m.coreMachines, duration)
 	}}
-	// partitionTroubledProxy concerns the proxy that degradeNetworks begins with.
-	partitionTroubledProxy = fault{"partition the degraded proxy from another, one way or both", func(m *Mesh) {
+	// partitionDegradedProxy concerns the proxy that degradeNetworks begins with.
+	partitionDegradedProxy = fault{"partition the degraded proxy from another, one way or both", func(m *Mesh) {
 		m.partitionFor(m.proxyNames[0], pick(m, m.proxyNames), m.oneIn(2), m.randomDuration(500*monotonic.Millisecond, 6*monotonic.Second))
 	}}
 )
--- a/internal/simulation/scenario/faults_process.go
+++ b/internal/simulation/scenario/faults_process.go
@@ -15,8 +15,8 @@
 		node := m.World.Node(pick(m, m.proxyNames))
 		m.restartAfter([]*world.Node{node}, m.randomDuration(100*monotonic.Millisecond, 5*monotonic.Second), m.World.Kill)
 	}}
-	// killMarkedProxy marks the kill for the check that no idempotency key is lost.
-	killMarkedProxy = fault{"kill a proxy, with a marker", func(m *Mesh) {
+	// killProxyWithMarker marks the kill for the check that no idempotency key is lost.
+	killProxyWithMarker = fault{"kill a proxy, with a marker", func(m *Mesh) {
 		name := pick(m, m.proxyNames)
 		m.History.RecordMarker(invariants.ProxyKilledMarker+name, m.World.Now())
 		m.restartAfter([]*world.Node{m.World.Node(name)}, m.randomDuration(100*monotonic.Millisecond, 2*monotonic.Second), m.World.Kill)
@@ -69,8 +69,8 @@
 	}}
 )
 
-// platformGraces are the times after which the platform kills a process that it has asked to stop.
-var platformGraces = []monotonic.Micros{3, 4, 5}
+// platformGracePeriods are the times after which the platform kills a process that it has asked to stop.
+var platformGracePeriods = []monotonic.Micros{3, 4, 5}
 
 // Planned stops.
 var (
@@ -82,7 +82,7 @@
 		}
 		m.draining[name] = true
 		end := m.endPlannedStop(name)
-		m.after(pick(m, platformGraces)*monotonic.Second, end)
+		m.after(pick(m, platformGracePeriods)*monotonic.Second, end)
 		instance := m.proxies[name]
 		m.External.Go(func() {
 			_ = m.transactAt(node.Address, 20*monotonic.Second, func() {
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -69,7 +69,7 @@
 	nextID           int    // numbers backends and lookups
 	latestVersion    uint64 // the newest version that an operator's change was acknowledged under
 	serving          bool   // callers send requests
-	surges           int
+	surgeCount           int
 	honorRetryAfter  bool // callers retry when the response says, until they succeed
 	plannedStopsOnly bool // proxies are ended by planned stops only in this run
 
--- a/internal/simulation/scenario/peak_traffic.go
+++ b/internal/simulation/scenario/peak_traffic.go
@@ -32,18 +32,18 @@
 // routeWorkload is a day of route changes in a mesh.
 type routeWorkload struct {
 	*workload.RouteChanges
-	// exclusiveUntil is the time before which no proxy is cut off and no primary dies. A proxy that misses a version because it is cut
+	// reservedUntil is the time before which no proxy is cut off and no primary dies. A proxy that misses a version because it is cut
 	// off, and then finds the primary dead, is out of touch, and only proxies in touch must adopt a version within 2 s.
-	exclusiveUntil monotonic.Micros
+	reservedUntil monotonic.Micros
 }
 
 // tryReserve reports whether a fault may cut proxies off or kill a primary now. If so it keeps other such faults away for a
 // duration.
 func (w *routeWorkload) tryReserve(now, duration monotonic.Micros) bool {
-	if now < w.exclusiveUntil {
+	if now < w.reservedUntil {
 		return false
 	}
-	w.exclusiveUntil = now + duration
+	w.reservedUntil = now + duration
 	return true
 }
 
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -42,8 +42,8 @@
 	defaultSyncDuration = 200 * monotonic.Micros(1)
 	// warmUp is the time from the start of the mesh to that of the traffic.
 	warmUp = 8 * monotonic.Second
-	// lastFault is how long before the end of the duration the last fault is injected.
-	lastFault = 5 * monotonic.Second
+	// faultFreePeriod is how long before the end of the duration the last fault is injected.
+	faultFreePeriod = 5 * monotonic.Second
 	// recoveryPeriod is how long the traffic goes on after all faults have ended.
 	recoveryPeriod = 18 * monotonic.Second
 	// quietPeriod is how long requests in flight, and then the reading of the stored configurations, may take at the end.
@@ -85,7 +85,7 @@
 	defer m.World.Close()
 	m.start(scenario)
 	end := m.World.Now() + scenario.Duration
-	injector := faultInjector{mesh: m, scenario: scenario, pending: scenario.InitialFaults, end: end - lastFault}
+	injector := faultInjector{mesh: m, scenario: scenario, pending: scenario.InitialFaults, end: end - faultFreePeriod}
 	injector.scheduleNext()
 	m.World.Run(end)
 	m.heal()
--- a/internal/simulation/scenario/scenarios.go
+++ b/internal/simulation/scenario/scenarios.go
@@ -224,7 +224,7 @@
 			FaultInterval: 4 * monotonic.Second,
 			Rules:         []int{1, 3, 11},
 			Prepare:       degradeNetworks(0, shortDeadlines),
-			Faults:        []fault{partitionTroubledProxy, applyConfig},
+			Faults:        []fault{partitionDegradedProxy, applyConfig},
 		},
 		{
 			Name:          "trials",
@@ -235,9 +235,9 @@
 			FaultInterval: 12 * monotonic.Second,
 			Rules:         []int{1, 3, 8, 10, 11},
 			Prepare:       degradeNetworks(6, slowNetwork, slowNetwork),
-			DesiredState:  desiredWithSlowRate,
-			InitialFaults: []fault{failServiceMarked, noFault, noFault},
-			Faults:        []fault{failServiceMarked, noFault},
+			DesiredState:  desiredWithSlowCallRate,
+			InitialFaults: []fault{failServiceWithMarkers, noFault, noFault},
+			Faults:        []fault{failServiceWithMarkers, noFault},
 		},
 		{
 			Name:          "rush",
@@ -270,8 +270,8 @@
 		Prepare:         preparePeakTraffic,
 		DesiredState:    func(int) []byte { return workload.EncodeState(peakDesiredState()) },
 		GenerateTraffic: generatePeakTraffic,
-		InitialFaults:   append(slices.Clone(routeFaults[:4]), killConfigPrimaryDuringBurst, killMarkedProxy, drainProxy),
-		Faults:          append(slices.Clone(routeFaults), changeRoute, killMarkedProxy, drainProxy, killConfigPrimaryDuringBurst),
+		InitialFaults:   append(slices.Clone(routeFaults[:4]), killConfigPrimaryDuringBurst, killProxyWithMarker, drainProxy),
+		Faults:          append(slices.Clone(routeFaults), changeRoute, killProxyWithMarker, drainProxy, killConfigPrimaryDuringBurst),
 	}
 }
 
--- a/internal/simulation/scenario/tenants.go
+++ b/internal/simulation/scenario/tenants.go
@@ -15,8 +15,8 @@
 	revocationTimeout = 5 * monotonic.Second
 	// simulatedKeyLease leaves a margin for clocks that run at different speeds.
 	simulatedKeyLease = revocationTimeout * 95 / 100
-	// tenantCount is the number of tenants, and keysPerTenant that of each one's keys that come and go.
-	tenantCount, keysPerTenant = 4, 3
+	// tenantCount is the number of tenants, and temporaryKeysPerTenant that of each one's keys that come and go.
+	tenantCount, temporaryKeysPerTenant = 4, 3
 	// keyChangeInterval is the mean time between two changes of the keys.
 	keyChangeInterval = 1500 * monotonic.Millisecond
 	// tenantTrafficDuration is how long faults are injected, and requests are sent with keys that may not be in force.
@@ -31,11 +31,11 @@
 	owners map[string]int
 	// periods are those of the keys that are in force.
 	periods map[string]*invariants.KeyPeriod
-	// keys are all that were ever in force, in the order in which they came.
-	keys []string
+	// temporaryKeys are all that were ever in force, in the order in which they came.
+	temporaryKeys []string
 	// version is that of the newest configuration, and until when requests are sent with any key.
 	version uint64
-	until   monotonic.Micros
+	anyKeyUntil   monotonic.Micros
 }
 
 func permanentKey(tenant int) string { return fmt.Sprintf("key-of-tenant-%d", tenant) }
@@ -47,7 +47,7 @@
 	var tenants []string
 	for number := range tenantCount {
 		keys := []string{fmt.Sprintf("%q", permanentKey(number))}
-		for _, key := range w.keys {
+		for _, key := range w.temporaryKeys {
 			if owner, present := w.owners[key]; present && owner == number {
 				keys = append(keys, fmt.Sprintf("%q", key))
 			}
@@ -68,7 +68,7 @@
 // startTenantTraffic starts the operator who changes the keys, and callers that bear them.
 func startTenantTraffic(m *Mesh, perSecond int) {
 	w := &tenantWorkload{mesh: m, owners: map[string]int{}, periods: map[string]*invariants.KeyPeriod{}, version: firstOperatorVersion}
-	w.until = m.World.Now() + tenantTrafficDuration
+	w.anyKeyUntil = m.World.Now() + tenantTrafficDuration
 	for number := range tenantCount {
 		m.History.RecordKeyPeriod(&invariants.KeyPeriod{Key: permanentKey(number), Tenant: tenantNameOf(number), Permanent: true})
 	}
@@ -85,19 +85,19 @@
 func (w *tenantWorkload) changeKeys() {
 	for w.mesh.serving {
 		w.mesh.External.Sleep(w.mesh.randomDuration(keyChangeInterval/2, keyChangeInterval*3/2))
-		w.changeOne()
+		w.changeOneKey()
 	}
 }
 
-// changeOne adds a key, takes one away, or gives one to another tenant, and waits for the acknowledgement.
-func (w *tenantWorkload) changeOne() {
+// changeOneKey adds a key, takes one away, or gives one to another tenant, and waits for the acknowledgement.
+func (w *tenantWorkload) changeOneKey() {
 	w.version++
 	var ended []*invariants.KeyPeriod
-	present := w.presentKeys()
-	if len(present) < tenantCount || len(present) < tenantCount*keysPerTenant && w.mesh.oneIn(2) {
-		key := fmt.Sprintf("key-%d", len(w.keys))
-		w.keys = append(w.keys, key)
-		w.give(key, w.mesh.World.Rand().IntN(tenantCount))
+	present := w.currentKeys()
+	if len(present) < tenantCount || len(present) < tenantCount*temporaryKeysPerTenant && w.mesh.oneIn(2) {
+		key := fmt.Sprintf("key-%d", len(w.temporaryKeys))
+		w.temporaryKeys = append(w.temporaryKeys, key)
+		w.assignKey(key, w.mesh.World.Rand().IntN(tenantCount))
 	} else {
 		key := pick(w.mesh, present)
 		ended = append(ended, w.periods[key])
@@ -105,7 +105,7 @@
 		delete(w.periods, key)
 		delete(w.owners, key)
 		if w.mesh.oneIn(3) {
-			w.give(key, (former+1)%tenantCount)
+			w.assignKey(key, (former+1)%tenantCount)
 		}
 	}
 	if !w.apply() {
@@ -131,16 +131,16 @@
 	return false
 }
 
-// give makes a key one of a tenant from now on.
-func (w *tenantWorkload) give(key string, tenant int) {
+// assignKey makes a key one of a tenant from now on.
+func (w *tenantWorkload) assignKey(key string, tenant int) {
 	period := &invariants.KeyPeriod{Key: key, Tenant: tenantNameOf(tenant), From: w.mesh.World.Now()}
 	w.owners[key], w.periods[key] = tenant, period
 	w.mesh.History.RecordKeyPeriod(period)
 }
 
-// presentKeys are the keys that the newest configuration has, the oldest first.
-func (w *tenantWorkload) presentKeys() (present []string) {
-	for _, key := range w.keys {
+// currentKeys are the keys that the newest configuration has, the oldest first.
+func (w *tenantWorkload) currentKeys() (present []string) {
+	for _, key := range w.temporaryKeys {
 		if _, is := w.owners[key]; is {
 			present = append(present, key)
 		}
@@ -156,7 +156,7 @@
 		attempt.Kind, attempt.Method, attempt.Path, attempt.Key = "submission", http.MethodPost, fmt.Sprintf("/households/%d", number), fmt.Sprintf("key-%d", number)
 	}
 	choice := m.World.Rand().IntN(10)
-	if m.World.Now() >= w.until {
+	if m.World.Now() >= w.anyKeyUntil {
 		choice = 4 // what is sent after the faults must be served
 	}
 	switch {
@@ -165,11 +165,11 @@
 	case choice == 1:
 		attempt.Kind, attempt.Method, attempt.Path, attempt.Key, attempt.Anonymous = "form", http.MethodGet, "/open/1", "", true
 	case choice == 2:
-	case choice < 5 || len(w.keys) == 0:
+	case choice < 5 || len(w.temporaryKeys) == 0:
 		attempt.TenantKey = permanentKey(m.World.Rand().IntN(tenantCount))
 	default:
 		// The newest keys are those that are taken away.
-		attempt.TenantKey = w.keys[max(0, len(w.keys)-1-m.World.Rand().IntN(2*tenantCount*keysPerTenant))]
+		attempt.TenantKey = w.temporaryKeys[max(0, len(w.temporaryKeys)-1-m.World.Rand().IntN(2*tenantCount*temporaryKeysPerTenant))]
 	}
 	attempt.Sent = m.World.Now()
 	m.History.RecordAttempt(attempt)
@@ -202,8 +202,8 @@
 // maxCoreAbsence is the longest time for which one of the core's faults in these scenarios takes machines away.
 const maxCoreAbsence = 9 * monotonic.Second
 
-// tolerated makes a fault of the core count as a loss for as long as it may last, so that no disk is lost while another machine is away.
-func tolerated(f fault) fault { return lossFault(f.name, maxCoreAbsence, f.inject) }
+// countAsLoss makes a fault of the core count as a loss for as long as it may last, so that no disk is lost while another machine is away.
+func countAsLoss(f fault) fault { return lossFault(f.name, maxCoreAbsence, f.inject) }
 
 // tenantScenarios have tenants whose keys come and go.
 func tenantScenarios() []Scenario {
@@ -220,9 +220,9 @@
 			Checks:          []invariants.Check{invariants.RevocationTimeout(revocationTimeout)},
 			DesiredState:    firstTenantState,
 			GenerateTraffic: startTenantTraffic,
-			InitialFaults:   []fault{isolateProxyLong, freezeProxyLong, tolerated(isolatePrimary)},
-			Faults: []fault{isolateProxyLong, isolateProxyLong, freezeProxyLong, freezeProxy, killProxy, tolerated(isolatePrimary), tolerated(freezePrimary),
-				tolerated(killPrimary), tolerated(halveCore), tolerated(partitionCore), stepProxyClock, tolerated(stepPrimaryClock), tolerated(powerOffEverything),
+			InitialFaults:   []fault{isolateProxyLong, freezeProxyLong, countAsLoss(isolatePrimary)},
+			Faults: []fault{isolateProxyLong, isolateProxyLong, freezeProxyLong, freezeProxy, killProxy, countAsLoss(isolatePrimary), countAsLoss(freezePrimary),
+				countAsLoss(killPrimary), countAsLoss(halveCore), countAsLoss(partitionCore), stepProxyClock, countAsLoss(stepPrimaryClock), countAsLoss(powerOffEverything),
 				plannedReplacement, permanentLoss, slowDisk},
 		}
 	}
--- a/internal/simulation/scenario/wrong_base.go
+++ b/internal/simulation/scenario/wrong_base.go
@@ -12,9 +12,9 @@
 	"snowflow/internal/workload"
 )
 
-// wrongBase is a defect: proxies are sent what the newest version changes in the version before it, applied onto whatever they
+// wrongBaseDefect is a defect: proxies are sent what the newest version changes in the version before it, applied onto whatever they
 // have.
-type wrongBase struct {
+type wrongBaseDefect struct {
 	contents map[string]*wire.DesiredState // what operators submitted, by its digest
 	previous map[string]string             // the digest that was submitted before, by that of a content
 	last     string                        // the digest that was submitted last
@@ -24,7 +24,7 @@
 func (m *Mesh) applyToWrongBase() {
 	first := peakDesiredState()
 	digest := config.Digest(workload.EncodeState(first))
-	wrong := &wrongBase{contents: map[string]*wire.DesiredState{digest: first}, previous: map[string]string{}, last: digest}
+	wrong := &wrongBaseDefect{contents: map[string]*wire.DesiredState{digest: first}, previous: map[string]string{}, last: digest}
 	m.onSubmit = wrong.submit
 	m.onDesiredPoll = func(request *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 		snapshot, _ := m.proxies[request.Proxy].ConfigClient.Current()
@@ -32,7 +32,7 @@
 	}
 }
 
-func (w *wrongBase) submit(content []byte) {
+func (w *wrongBaseDefect) submit(content []byte) {
 	digest := config.Digest(content)
 	w.contents[digest], _ = config.ParseAccepted(content)
 	w.previous[digest], w.last = w.last, digest
@@ -40,7 +40,7 @@
 
 // replaceDifference replaces the difference in a response to a proxy that has the content with a digest. It leaves a response
 // alone that has no difference, or to which the defect cannot be applied.
-func (w *wrongBase) replaceDifference(digest string, response *wire.ConfigPollResponse) {
+func (w *wrongBaseDefect) replaceDifference(digest string, response *wire.ConfigPollResponse) {
 	difference := &wire.Difference{}
 	if len(response.Difference) == 0 || proto.Unmarshal(response.Difference, difference) != nil {
 		return
