--- a/internal/simulation/scenario/backends.go
+++ b/internal/simulation/scenario/backends.go
@@ -18,37 +18,37 @@
 	losing       behavior = "losing"       // executes and loses the response
 	truncating   behavior = "short"        // executes and truncates the response
 	notExecuting behavior = "not_executed" // responds that it did not execute the request
-	slow         behavior = "slow"         // works longer than any deadline
-	mixed        behavior = "mixed"        // one of the above at random for each request, or healthy
+	slow         behavior = "slow"         // takes longer than any deadline
+	mixed        behavior = "mixed"        // draws another behavior for each request, see drawBehavior
 )
 
 const (
 	heartbeatInterval = 2 * monotonic.Second
 	registerInterval  = 200 * monotonic.Millisecond
-	// drainPeriod is how long a backend that has announced its draining still accepts requests.
+	// drainPeriod is how long a backend still accepts requests after it has announced that it is draining.
 	drainPeriod = 5 * monotonic.Second
 )
 
-// simulatedBackend is an instance of a service beside a proxy.
+// simulatedBackend is an instance of a service that registers at its local proxy.
 type simulatedBackend struct {
 	service     string
 	instance    string
 	address     string
-	proxy       string // the name of the proxy beside it
+	proxy       string // the name of its local proxy
 	up          bool
 	behavior    behavior
 	draining    bool
 	startDelay  monotonic.Micros // how long it listens before it registers
 	reportCount uint64
-	inFlight    int // requests that it works on
-	maxInFlight int // the most that it ever worked on at once
+	inFlight    int // requests that it is processing
+	maxInFlight int // the highest value that inFlight has had
 }
 
 func (b *simulatedBackend) identity() localbackends.Backend {
 	return localbackends.Backend{Service: b.service, Instance: b.instance, Address: b.address}
 }
 
-// startBackend starts a new backend that registers at a proxy once startDelay has passed.
+// startBackend starts a new backend that registers at a proxy after startDelay.
 func (m *Mesh) startBackend(service, proxyName, address string, startDelay monotonic.Micros) {
 	m.nextID++
 	backend := &simulatedBackend{
@@ -63,12 +63,12 @@
 	m.External.Go(func() { m.runHeartbeats(backend) })
 }
 
-// startReplacement starts a backend of a service beside any proxy, under an address that is new.
+// startReplacement starts a backend of the same service at a random proxy, with a new address.
 func (m *Mesh) startReplacement(replaced *simulatedBackend) {
 	m.startBackend(replaced.service, pick(m, m.proxyNames), fmt.Sprintf("%s:%d", replaced.proxy, 9000+m.nextID), 0)
 }
 
-// runHeartbeats registers a backend at its proxy and sends heartbeats until it ends.
+// runHeartbeats registers a backend at its proxy and sends heartbeats until the backend ends.
 func (m *Mesh) runHeartbeats(backend *simulatedBackend) {
 	registered := false
 	m.External.Sleep(backend.startDelay)
@@ -86,24 +86,24 @@
 	}
 }
 
-// sendHeartbeat registers a backend, or reports its condition, at the proxy beside it. It runs in the proxy's process.
+// sendHeartbeat registers a backend at its local proxy or reports its condition there. It runs in the proxy's process.
 func (m *Mesh) sendHeartbeat(backend *simulatedBackend, registered bool) error {
-	local := m.proxies[backend.proxy]
+	localProxy := m.proxies[backend.proxy]
 	condition := localbackends.Working
 	if backend.draining && !m.defects.IgnoreDraining {
 		condition = localbackends.Leaving
 	}
 	if m.topology.Slots > 0 {
 		backend.reportCount++
-		return local.ApplyReport(localbackends.Report{Backend: backend.identity(), Slots: m.topology.Slots, Condition: condition, Sequence: backend.reportCount})
+		return localProxy.ApplyReport(localbackends.Report{Backend: backend.identity(), Slots: m.topology.Slots, Condition: condition, Sequence: backend.reportCount})
 	}
 	if !registered {
-		return local.RegisterBackend(backend.identity(), condition)
+		return localProxy.RegisterBackend(backend.identity(), condition)
 	}
-	return local.Heartbeat(backend.instance, condition)
+	return localProxy.Heartbeat(backend.instance, condition)
 }
 
-// drainBackend has a backend announce that it is draining, and end a while later.
+// drainBackend has a backend announce that it is draining, and ends it after drainPeriod.
 func (m *Mesh) drainBackend(backend *simulatedBackend) {
 	m.External.Go(func() {
 		backend.draining = true
@@ -132,7 +132,7 @@
 	return live
 }
 
-// misbehaveFor gives a backend a behavior until a duration has passed.
+// misbehaveFor gives a backend a behavior for a duration.
 func (m *Mesh) misbehaveFor(backend *simulatedBackend, misbehavior behavior, duration monotonic.Micros) {
 	backend.behavior = misbehavior
 	m.after(duration, func() { backend.behavior = healthy })
--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// maxAttempts is how often a caller sends a submission that does not succeed.
+	// maxAttempts is how many times a caller sends a submission that does not succeed.
 	maxAttempts = 4
 	// callerTimeout is how long callers wait for a response.
 	callerTimeout = 8 * monotonic.Second
-	// shortDeadline is the deadline of requests at a proxy with shortDeadlines.
+	// shortDeadline is the time until the deadline of requests at a proxy whose network problem is shortDeadlines.
 	shortDeadline = 3 * monotonic.Millisecond
 )
 
-// startTraffic has callers send requests at a rate until serving is turned off.
+// startTraffic starts callers that send requests at a mean rate until serving is set to false.
 func (m *Mesh) startTraffic(perSecond int) {
 	m.serving = true
 	m.sendAtRate(0, perSecond, func() bool { return m.serving })
 }
 
-// sendAtRate sends requests with numbers from first on, at a mean rate, while a condition holds. Every other request is a
-// submission with an idempotency key, the others are reads.
+// sendAtRate sends requests at a mean rate while a condition holds. It numbers them from first on. Those with even numbers are
+// submissions with an idempotency key, the others are reads.
 func (m *Mesh) sendAtRate(first, perSecond int, condition func() bool) {
 	m.External.Go(func() {
 		for number := first; condition(); number++ {
@@ -42,7 +42,7 @@
 	})
 }
 
-// sleepBetweenRequests waits for a random time whose mean gives the rate.
+// sleepBetweenRequests waits for a random time whose mean results in the rate.
 func (m *Mesh) sleepBetweenRequests(perSecond int) {
 	m.External.Sleep(monotonic.Micros(m.World.Rand().Uint64N(uint64(2 * int(monotonic.Second) / perSecond))))
 }
@@ -52,18 +52,19 @@
 	m.External.Sleep(monotonic.Second + monotonic.Micros(m.World.Rand().Uint64N(uint64(monotonic.Second))))
 }
 
-// pathSpellings are ways to write a submission's path, all of which name the same resource.
+// pathSpellings are equivalent forms of a submission's path: all of them name the same resource.
 var pathSpellings = []string{"/households/%d", "/households/%d", "//households/%d", "/households//%d", "/households/./%d", "/%%68ouseholds/%d", "/forms/../households/%d",
 	"/households/%d/"}
 
-// sendUntilServed sends a read once, or a submission until it is served or has been sent often enough, through any proxy.
+// sendUntilServed sends a read once, or a submission up to maxAttempts times until it is served. Each attempt goes through a
+// random proxy. With honorRetryAfter there are more attempts, and the response's Retry-After determines when the next one is made.
 func (m *Mesh) sendUntilServed(number int, keyed bool) {
 	for retries := 0; retries < maxAttempts || m.honorRetryAfter && m.serving; retries++ {
 		attempt := m.newAttempt(number, retries, keyed)
 		m.History.RecordAttempt(attempt)
 		retryAfter := m.send(attempt)
 		if m.honorRetryAfter && retryAfter > 0 {
-			// The header has whole seconds.
+			// The Retry-After header has whole seconds.
 			m.External.Sleep((retryAfter + monotonic.Second - 1) / monotonic.Second * monotonic.Second)
 			continue
 		}
@@ -85,20 +86,20 @@
 		attempt.Kind, attempt.Method, attempt.Path, attempt.Key = "submission", http.MethodPost, fmt.Sprintf("/households/%d", number), fmt.Sprintf("key-%d", number)
 	}
 	if keyed && retries > 0 {
-		// A retry may be spelled otherwise: it is the same submission.
+		// A retry may write the method and the path differently. It is still the same submission.
 		attempt.Method = pick(m, []string{"POST", "POST", "post"})
 		attempt.Path = fmt.Sprintf(pick(m, pathSpellings), number)
 	}
 	attempt.Caller = pick(m, m.proxyNames)
 	if degraded := slices.Sorted(maps.Keys(m.degraded)); len(degraded) > 1 && !m.oneIn(4) {
-		attempt.Caller = pick(m, degraded) // callers in trouble retry most
+		attempt.Caller = pick(m, degraded) // callers with a degraded network retry most
 	}
 	attempt.ID = fmt.Sprintf("%s-%d-%d", attempt.Kind, number, retries)
 	attempt.Sent = m.World.Now()
 	return attempt
 }
 
-// callerReply is what a caller sees of a response. It is encoded for the way from the proxy's process to the external host.
+// callerReply is what a caller sees of a response. It is passed as JSON from the proxy's process to the external host.
 type callerReply struct {
 	Status     uint32
 	Version    uint64
@@ -111,9 +112,9 @@
 	RetryAfter monotonic.Micros
 }
 
-func newCallerReply(response *request.Response, fault *apierror.Error) callerReply {
-	if fault != nil {
-		return callerReply{Status: uint32(fault.Status()), Mesh: true, Cause: uint32(fault.Cause), NotRun: fault.NotRun(), RetryAfter: fault.RetryAfter}
+func newCallerReply(response *request.Response, apiErr *apierror.Error) callerReply {
+	if apiErr != nil {
+		return callerReply{Status: uint32(apiErr.Status()), Mesh: true, Cause: uint32(apiErr.Cause), NotRun: apiErr.NotRun(), RetryAfter: apiErr.RetryAfter}
 	}
 	sum := checksum(response.Body)
 	return callerReply{
@@ -125,16 +126,17 @@
 	}
 }
 
-// applyTo completes an attempt with the reply.
+// applyTo records the reply in an attempt.
 func (r callerReply) applyTo(attempt *invariants.Attempt) {
 	attempt.Status, attempt.Version, attempt.Echo, attempt.Complete, attempt.Sum = int(r.Status), r.Version, r.Echo, r.Complete, r.Sum
 	attempt.Mesh, attempt.Cause, attempt.NotRun, attempt.RetryAfterSet = r.Mesh, int(r.Cause), r.NotRun, r.RetryAfter > 0
 }
 
-// transportLost is the transport error of an attempt whose response did not arrive.
+// transportLost is the transport error that is recorded for an attempt whose response did not arrive.
 const transportLost = "lost"
 
-// send sends one attempt through its proxy and completes it. It returns the Retry-After of the response, zero if it has none.
+// send sends an attempt through its proxy and records the outcome in it. It returns the response's Retry-After, or zero if there
+// is none.
 func (m *Mesh) send(attempt *invariants.Attempt) (retryAfter monotonic.Micros) {
 	read := false
 	reply, err := m.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
@@ -156,8 +158,8 @@
 		if m.degraded[attempt.Caller] == shortDeadlines {
 			incoming.Deadline = instance.Now() + shortDeadline
 		}
-		response, fault := instance.Forwarder.Forward(incoming)
-		return response, fault, nil
+		response, apiErr := instance.Forwarder.Forward(incoming)
+		return response, apiErr, nil
 	})
 	attempt.Read = read && m.plannedStopsOnly
 	if err != nil {
@@ -166,15 +168,15 @@
 	return reply.RetryAfter
 }
 
-// transactReply runs a request in the process of the attempt's proxy and completes the attempt with its result. The error is that
-// of the transport.
+// transactReply calls forward in the process of the attempt's proxy and records the outcome in the attempt. It returns an error
+// if no reply arrived.
 func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error)) (reply callerReply, err error) {
 	content, err := m.External.Transact(m.World.Node(attempt.Caller).Address, callerTimeout, func(*world.Node) ([]byte, error) {
-		response, fault, err := forward(m.proxies[attempt.Caller])
+		response, apiErr, err := forward(m.proxies[attempt.Caller])
 		if err != nil {
 			return nil, err
 		}
-		return json.Marshal(newCallerReply(response, fault))
+		return json.Marshal(newCallerReply(response, apiErr))
 	})
 	attempt.Ended = m.World.Now()
 	if err == nil {
--- a/internal/simulation/scenario/control_plane_faults.go
+++ b/internal/simulation/scenario/control_plane_faults.go
@@ -6,7 +6,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// longPartition is how long a core machine is cut off in these faults.
+// longPartition is how long a core machine is cut off in the faults below.
 const longPartition = 20 * monotonic.Second
 
 // Long partitions of the core.
@@ -32,8 +32,8 @@
 			}
 		})
 	})
-	// staleMemberAfterPartition: of the machines that did not miss the changes, one loses its disk and the others are down when the
-	// partition ends.
+	// staleMemberAfterPartition cuts a machine off so that it misses changes. Of the machines that did not miss them, one loses its
+	// disk, and all are down when the partition ends.
 	staleMemberAfterPartition = lossFault("a core machine misses changes, and the others are down as it comes back", 16*monotonic.Second, func(m *Mesh) {
 		const outage = 10 * monotonic.Second
 		victim := m.primaryMachineOrRandom()
@@ -62,8 +62,8 @@
 // Replacements of core machines.
 var (
 	plannedReplacement = lossFault("replace a core machine as planned", 8*monotonic.Second, func(m *Mesh) { m.replacePlanned() })
-	// lossDuringReplacement: the successor has caught up before the old machine ends, so nothing counts as lost when the other disk
-	// is lost, at that very moment.
+	// lossDuringReplacement loses another machine's disk at the moment at which the old machine ends. The successor has caught up by
+	// then, so nothing else counts as lost.
 	lossDuringReplacement = lossFault("replace a core machine as planned, and lose another's disk as the old one ends", 2*catchUpAllowance+4*monotonic.Second, func(m *Mesh) {
 		oldest := m.coreMachines[0]
 		m.startNewMachine()
@@ -74,7 +74,7 @@
 			})
 		})
 	})
-	// permanentLoss ends a core machine for good; an empty successor starts a second later.
+	// permanentLoss removes a core machine permanently. Its successor starts a second later with empty disks.
 	permanentLoss = lossFault("lose a core machine for good", monotonic.Second, func(m *Mesh) {
 		m.retire(pick(m, m.coreMachines))
 		m.after(monotonic.Second, m.startNewMachine)
@@ -85,14 +85,15 @@
 	})
 )
 
-// replacePlanned starts a new core machine, and stops the oldest one as planned some seconds later, for good.
+// replacePlanned starts a new core machine and, some seconds later, removes the oldest one by a planned stop.
 func (m *Mesh) replacePlanned() {
 	oldest := m.coreMachines[0]
 	m.startNewMachine()
 	m.after(m.randomDuration(monotonic.Second, 5*monotonic.Second), func() { m.removePlanned(oldest, func() {}) })
 }
 
-// removePlanned stops a core machine's processes as planned, retires the machine once they have ended, and then calls a function.
+// removePlanned stops a core machine's processes as planned, retires the machine when the last of them has ended, and then calls
+// the function then.
 func (m *Mesh) removePlanned(machine string, then func()) {
 	running := len(m.coreNodes(machine))
 	for _, node := range m.coreNodes(machine) {
--- a/internal/simulation/scenario/core.go
+++ b/internal/simulation/scenario/core.go
@@ -17,15 +17,15 @@
 	"snowflow/internal/transport/wire"
 )
 
-// coreGroups are the replication groups that each core machine has a process of.
+// coreGroups are the replication groups. Each core machine runs a process of each group.
 var coreGroups = []string{registry.Group, configstore.Group}
 
-// simulatedCompactionThreshold makes logs compact often within the short time of a run.
+// simulatedCompactionThreshold is low so that journals are compacted often within the short time of a run.
 const simulatedCompactionThreshold = 8 << 10
 
 func coreNodeName(group string, index int) string { return fmt.Sprintf("%s-%d", group, index+1) }
 
-// addMachine adds a core machine that was never there before, with its processes, and returns its name.
+// addMachine adds a core machine with a name that was never used before, and its processes. It returns the name.
 func (m *Mesh) addMachine(seeds []string) string {
 	index := len(m.coreMachines) + len(m.retired)
 	machine := fmt.Sprintf("core-%d", index+1)
@@ -36,7 +36,7 @@
 	return machine
 }
 
-// coreProcess is what an incarnation of a core process starts with.
+// coreProcess holds what an incarnation of a core process is started with.
 type coreProcess struct {
 	host     *world.Host
 	name     string
@@ -70,7 +70,7 @@
 	node.Disk.IgnoreSyncs = m.defects.NoSync
 }
 
-// replicationConfig returns what sets a process's replication up as the topology and the defects say.
+// replicationConfig returns a function that configures a process's replication by the topology and the defects.
 func (m *Mesh) replicationConfig(resolver *discovery.Resolver) func(*replication.Config) {
 	return func(config *replication.Config) {
 		config.CompactionThreshold = simulatedCompactionThreshold
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// currentSeeds returns the seed addresses for a process that starts now. A seed on a machine that is gone for good is replaced
-// by an address of one that is in use.
+// currentSeeds returns the seed addresses for a process that starts now. A seed address on a retired machine is replaced by an
+// address on a machine in use.
 func (m *Mesh) currentSeeds(initial []string) (seeds []string) {
 	for index, seed := range initial {
 		machine, _, _ := strings.Cut(seed, ":")
@@ -151,7 +151,7 @@
 	return seeds
 }
 
-// startNewMachine adds and starts a core machine that was never there before.
+// startNewMachine adds a new core machine and starts its processes.
 func (m *Mesh) startNewMachine() {
 	var seeds []string
 	for _, node := range m.allCoreNodes() {
@@ -165,7 +165,7 @@
 	}
 }
 
-// retire ends a core machine for good.
+// retire removes a core machine permanently, with its disks.
 func (m *Mesh) retire(machine string) {
 	m.retired[machine] = true
 	m.coreMachines = slices.DeleteFunc(m.coreMachines, func(name string) bool { return name == machine })
@@ -184,7 +184,7 @@
 	return nodes
 }
 
-// allCoreNodes returns the processes of all core machines that are in use.
+// allCoreNodes returns the processes of all core machines in use.
 func (m *Mesh) allCoreNodes() (nodes []*world.Node) {
 	for _, machine := range m.coreMachines {
 		nodes = append(nodes, m.coreNodes(machine)...)
@@ -192,7 +192,7 @@
 	return nodes
 }
 
-// replicationMember returns a core process's member of its replication group.
+// replicationMember returns the replication member that a core process runs.
 func (m *Mesh) replicationMember(name string) *replication.Member {
 	if service := m.registries[name]; service != nil {
 		return service.Member
@@ -200,7 +200,7 @@
 	return m.configStores[name].Member
 }
 
-// primary returns the process of a replication group that serves now, or nil.
+// primary returns the process that serves as a replication group's primary now, or nil.
 func (m *Mesh) primary(group string) *world.Node {
 	for _, node := range m.World.Nodes() {
 		if !node.Up() {
@@ -219,7 +219,8 @@
 // randomPrimary draws a replication group and returns its primary, or nil.
 func (m *Mesh) randomPrimary() *world.Node { return m.primary(pick(m, coreGroups)) }
 
-// primaryMachineOrRandom returns the machine of the configuration store's primary two times in three, or else any core machine.
+// primaryMachineOrRandom returns the machine of the configuration store's primary in two of three calls, otherwise a random core
+// machine.
 func (m *Mesh) primaryMachineOrRandom() string {
 	if node := m.primary(configstore.Group); node != nil && !m.oneIn(3) {
 		return node.Machine
--- a/internal/simulation/scenario/desired_state.go
+++ b/internal/simulation/scenario/desired_state.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Desired returns the desired state of a simulated mesh; the variant makes contents differ. Some variants classify submissions
-// as reads and some route them to the other service: neither may make an idempotency key run twice.
+// Desired returns a desired state of a simulated mesh. Variants differ in content: some classify submissions as reads, and some
+// route them to the other service. Neither may cause an idempotency key to be executed twice.
 func Desired(variant int) []byte {
 	class, forms, households := "once", "", `{"method":"GET","prefix":"/nothing","class":"read"}`
 	if variant%5 == 4 {
@@ -27,15 +27,15 @@
 {"name":"households","paths":[%s]}]}]}`, variant, forms, households))
 }
 
-// retryAllowance is the retry allowance of Desired, with what may be granted at the edges of the invariant's window.
+// retryAllowance is the retry allowance of Desired plus the retries that may be granted at the edges of the rule's window.
 const retryAllowance = 10 + 2
 
-// desiredWithSlowCallRate returns a desired state in which slow calls trip a breaker too.
+// desiredWithSlowCallRate returns a desired state by which slow calls trip a breaker too.
 func desiredWithSlowCallRate(variant int) []byte {
 	return bytes.Replace(Desired(variant), []byte(`"failureRate"`), []byte(`"slowRate":0.5,"slowMicros":700000,"failureRate"`), 1)
 }
 
-// desiredWithFewSlots returns a desired state by which backends accept few requests at once.
+// desiredWithFewSlots returns a desired state that limits the concurrent requests per backend to a few.
 func desiredWithFewSlots(variant int) []byte {
 	return bytes.Replace(Desired(variant), []byte(`"limits":{`), []byte(`"limits":{"inFlightPerBackend":8,`), 1)
 }
--- a/internal/simulation/scenario/fault.go
+++ b/internal/simulation/scenario/fault.go
@@ -9,20 +9,20 @@
 	"snowflow/internal/simulation/world"
 )
 
-// fault is one kind of failure, or of change, that a scenario may inject. inject draws the details and arranges for the end of
-// the fault; whatever has not ended by then ends with Mesh.heal.
+// fault is a kind of failure or change that a scenario may inject. inject draws the details and schedules the end of the fault.
+// Mesh.heal ends the faults that are still in effect when the injection phase is over.
 type fault struct {
 	name   string
 	inject func(m *Mesh)
 }
 
-// noFault lets a scenario go on without another fault.
+// noFault does nothing, so that a scenario continues without another fault.
 var noFault = fault{"no further fault", func(*Mesh) {}}
 
-// catchUpAllowance is how long after its return or start a core machine still counts as lost, since it has to catch up.
+// catchUpAllowance is how long a core machine still counts as lost after its return or start, since it has to catch up.
 const catchUpAllowance = 4 * monotonic.Second
 
-// restartAfter ends the nodes that are up, each by the function stop, and starts them again after a downtime.
+// restartAfter calls stop for each node that is up, and starts these nodes again after a downtime.
 func (m *Mesh) restartAfter(nodes []*world.Node, downtime monotonic.Micros, stop func(*world.Node)) {
 	for _, node := range nodes {
 		if !node.Up() {
@@ -33,12 +33,12 @@
 	}
 }
 
-// restartMachine does the same with the processes of a core machine.
+// restartMachine stops the processes of a core machine and starts them again after a downtime, see restartAfter.
 func (m *Mesh) restartMachine(machine string, downtime monotonic.Micros, stop func(*world.Node)) {
 	m.restartAfter(m.coreNodes(machine), downtime, stop)
 }
 
-// freezeNode freezes a node for a duration, its clock too if the defects say so.
+// freezeNode freezes a node for a duration. The defect ClockStopsWhileFrozen freezes its clock too.
 func (m *Mesh) freezeNode(node *world.Node, duration monotonic.Micros) {
 	if m.defects.ClockStopsWhileFrozen {
 		m.World.Suspend(node, duration)
@@ -47,7 +47,7 @@
 	m.World.Freeze(node, duration)
 }
 
-// partitionFor partitions two machines for a duration, from the first to the second or in both directions.
+// partitionFor partitions two machines for a duration, either from the first to the second only or in both directions.
 func (m *Mesh) partitionFor(from, to string, bothWays bool, duration monotonic.Micros) {
 	if from == to {
 		return
@@ -59,14 +59,15 @@
 	m.after(duration, func() { m.World.HealPartition(from, to) })
 }
 
-// partitionFromAll partitions a machine from others in both directions.
+// partitionFromAll partitions a machine from others in both directions for a duration.
 func (m *Mesh) partitionFromAll(machine string, others []string, duration monotonic.Micros) {
 	for _, other := range others {
 		m.partitionFor(machine, other, true, duration)
 	}
 }
 
-// partitionFrom partitions a core machine from others, to them, from them or both ways as is drawn once.
+// partitionFrom partitions a core machine from others for a duration. The direction (to them, from them or both) is drawn once
+// for all of them.
 func (m *Mesh) partitionFrom(machine string, others []string, duration monotonic.Micros) {
 	direction := m.World.Rand().IntN(3)
 	for _, other := range others {
@@ -89,12 +90,12 @@
 	return m.primary(registry.Group) != nil && m.primary(configstore.Group) != nil && m.lossAllowed()
 }
 
-// delayNextLoss forbids further losses until one that lasts for a duration no longer counts.
+// delayNextLoss forbids further losses until a loss of the given duration, and the catch-up after it, are over.
 func (m *Mesh) delayNextLoss(duration monotonic.Micros) {
 	m.nextLossAt = max(m.nextLossAt, m.World.Now()+duration+catchUpAllowance)
 }
 
-// lossFault is a fault that is injected only while a loss is allowed, and counts as one for a duration.
+// lossFault returns a fault that is injected only while a loss is allowed, and that counts as a loss for a duration.
 func lossFault(name string, duration monotonic.Micros, inject func(m *Mesh)) fault {
 	return fault{name, func(m *Mesh) {
 		if !m.lossAllowed() {
@@ -105,7 +106,7 @@
 	}}
 }
 
-// powerOffEverythingWith injects other faults at the moment in which all machines lose power.
+// powerOffEverythingWith returns a fault that injects other faults at the moment at which all machines lose power.
 func powerOffEverythingWith(others ...fault) fault {
 	name := powerOffEverything.name
 	for _, other := range others {
@@ -119,7 +120,7 @@
 	}}
 }
 
-// others returns the names without one.
+// othersOf returns the names without the given one.
 func othersOf(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
 }
--- a/internal/simulation/scenario/faults_backend.go
+++ b/internal/simulation/scenario/faults_backend.go
@@ -5,7 +5,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// Faults of backends, and changes among them.
+// Faults and replacements of backends.
 var (
 	misbehaveBackend = fault{"make a backend misbehave", func(m *Mesh) {
 		if live := m.liveBackends(""); len(live) > 0 {
@@ -21,7 +21,8 @@
 		setBehavior(backends, misbehavior)
 		m.after(m.randomDuration(7*monotonic.Second, 10*monotonic.Second), func() { setBehavior(backends, healthy) })
 	}}
-	// failServiceWithMarkers marks the failure and its end for the rule that one caller's trouble stays its own.
+	// failServiceWithMarkers marks the start and the end of the failure for the rule that a caller's degraded network must not affect
+	// other callers.
 	failServiceWithMarkers = fault{"make a whole service fail, with markers", func(m *Mesh) {
 		backends := m.liveBackends(pick(m, []string{formsService, householdsService}))
 		setBehavior(backends, failing)
@@ -60,13 +61,13 @@
 	}}
 )
 
-func setBehavior(backends []*simulatedBackend, present behavior) {
+func setBehavior(backends []*simulatedBackend, newBehavior behavior) {
 	for _, backend := range backends {
-		backend.behavior = present
+		backend.behavior = newBehavior
 	}
 }
 
-// trafficSurge has ten times the traffic come for a while, in the usual shares of reads and submissions.
+// trafficSurge adds ten times the usual traffic for a while, with the usual mix of reads and submissions.
 var trafficSurge = fault{"a surge of traffic", func(m *Mesh) {
 	m.surgeCount++
 	until := m.World.Now() + 4*monotonic.Second
--- a/internal/simulation/scenario/faults_clock.go
+++ b/internal/simulation/scenario/faults_clock.go
@@ -6,7 +6,7 @@
 	"snowflow/internal/simulation/world"
 )
 
-// clockSteps are how far a clock may be stepped, forward or back.
+// clockSteps are the amounts by which a clock may be stepped, forward or back.
 var clockSteps = []monotonic.Micros{1500 * monotonic.Millisecond, 5 * monotonic.Second, 30 * monotonic.Second, 10 * monotonic.Minute, 60 * monotonic.Minute}
 
 func (m *Mesh) stepClock(node *world.Node) {
@@ -27,8 +27,8 @@
 		}
 	}}
 	stepProxyClock = fault{"step a proxy's clock", func(m *Mesh) { m.stepClock(m.World.Node(pick(m, m.proxyNames))) }}
-	// stepPrimaryClockDuringPartition steps the clock of the configuration store's primary ahead, while a proxy that holds a lease
-	// cannot be reached, and applies a desired state.
+	// stepPrimaryClockDuringPartition steps the clock of the configuration store's primary ahead while a proxy that holds a lease is
+	// unreachable, and then applies a desired state.
 	stepPrimaryClockDuringPartition = fault{"step the configuration store primary's clock while a proxy is cut off", func(m *Mesh) {
 		isolateProxyFromCore.inject(m)
 		if node := m.primary(configstore.Group); node != nil {
--- a/internal/simulation/scenario/faults_config.go
+++ b/internal/simulation/scenario/faults_config.go
@@ -6,7 +6,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// operatorTimeout is how long operators retry a change in these faults.
+// operatorTimeout is how long operators retry a change in the faults below.
 const operatorTimeout = 30 * monotonic.Second
 
 // Changes of the configuration.
@@ -32,7 +32,7 @@
 	}}
 )
 
-// atAcknowledgement applies a desired state and runs an action at the moment in which its operator is notified.
+// atAcknowledgement applies a desired state and runs an action at the moment at which the operator receives the acknowledgement.
 func (m *Mesh) atAcknowledgement(action func()) {
 	variant := m.randomVariant()
 	m.External.Go(func() {
--- a/internal/simulation/scenario/faults_disk.go
+++ b/internal/simulation/scenario/faults_disk.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// lossInterval is the least time between two losses of disks: until then both groups have all their replicas again.
+// lossInterval is the minimum time between two losses of disks. Within it both groups restore all their replicas.
 const lossInterval = 20 * monotonic.Second
 
 // Faults of disks.
@@ -33,7 +33,7 @@
 		m.nextLossAt = m.World.Now() + lossInterval
 		m.restartMachine(pick(m, m.coreMachines), m.randomDuration(200*monotonic.Millisecond, 5*monotonic.Second), m.World.LoseDisk)
 	}}
-	damageDisk = fault{"damage a record file of a core machine", func(m *Mesh) {
+	damageDisk = fault{"corrupt a journal of a core machine", func(m *Mesh) {
 		if !m.lossAllowedWithPrimaries() {
 			return
 		}
@@ -45,7 +45,7 @@
 	}}
 )
 
-// Losses of disks at the moment in which an operator is notified of a commit.
+// Losses of disks at the moment at which an operator receives the acknowledgement of a change.
 var (
 	loseDiskAtAcknowledgement = fault{"lose the disk of the configuration store's primary at an acknowledgement", func(m *Mesh) {
 		m.atAcknowledgement(func() {
@@ -57,7 +57,7 @@
 			m.restartMachine(node.Machine, m.randomDuration(200*monotonic.Millisecond, 5*monotonic.Second), m.World.LoseDisk)
 		})
 	}}
-	// loseTwoDisksAtAcknowledgement needs three replicas in both groups.
+	// loseTwoDisksAtAcknowledgement does nothing unless both groups have three replicas.
 	loseTwoDisksAtAcknowledgement = fault{"lose the disks of the configuration store's primary and of a backup at an acknowledgement", func(m *Mesh) {
 		m.atAcknowledgement(func() {
 			configPrimary, registryPrimary := m.primary(configstore.Group), m.primary(registry.Group)
@@ -77,8 +77,8 @@
 	}}
 )
 
-// faultAfterWrites has a registry process that has just acknowledged a write lose its machine's power or its disk, or the whole
-// core its power, within the milliseconds in which the response is in transit. Each kind of write has its turn.
+// faultAfterWrites makes the machine of a registry process that has just acknowledged a write lose its power or its disk, or the
+// whole core lose power, within the milliseconds in which the response is in transit. The kinds of writes take turns.
 func faultAfterWrites(m *Mesh) {
 	kinds := []wire.Kind{wire.Kind_claim, wire.Kind_breaker_write, wire.Kind_claim, wire.Kind_probe_lease, wire.Kind_void_claim}
 	turn := 0
@@ -100,10 +100,10 @@
 	}
 }
 
-// Faults of membership.
+// Changes of the core's membership.
 var (
 	addCoreMachine = fault{"add a core machine", func(m *Mesh) { m.startNewMachine() }}
-	// replaceCoreMachine ends a core machine for good, and starts an empty one with another name and address before or after.
+	// replaceCoreMachine removes a core machine permanently. An empty one with another name and address starts earlier or later.
 	replaceCoreMachine = func(retireAfter, startAfter monotonic.Micros) fault {
 		return fault{"replace a core machine", func(m *Mesh) {
 			oldest := m.coreMachines[0]
--- a/internal/simulation/scenario/faults_network.go
+++ b/internal/simulation/scenario/faults_network.go
@@ -29,16 +29,17 @@
 		victim, duration := pick(m, m.proxyNames), m.randomDuration(3*monotonic.Second, 9*monotonic.Second)
 		m.partitionFromAll(victim, m.coreMachines, duration)
 	}}
-	// partitionDegradedProxy concerns the proxy that degradeNetworks begins with.
+	// partitionDegradedProxy partitions the first proxy, whose network degradeNetworks(0, ...) has degraded.
 	partitionDegradedProxy = fault{"partition the degraded proxy from another, one way or both", func(m *Mesh) {
 		m.partitionFor(m.proxyNames[0], pick(m, m.proxyNames), m.oneIn(2), m.randomDuration(500*monotonic.Millisecond, 6*monotonic.Second))
 	}}
 )
 
-// slowNetworkDelay is added to each message between a proxy with a slow network and another proxy.
+// slowNetworkDelay is added to the latency of each message between a proxy with a slow network and another proxy.
 const slowNetworkDelay = 500 * monotonic.Millisecond
 
-// degradeNetworks degrades the networks of some proxies from the given one on, each by one of the problems.
+// degradeNetworks returns a function that degrades the networks of consecutive proxies, from the one with the index first on. Each
+// gets one of the problems.
 func degradeNetworks(first int, problems ...networkProblem) func(m *Mesh) {
 	return func(m *Mesh) {
 		for index, problem := range problems {
--- a/internal/simulation/scenario/faults_process.go
+++ b/internal/simulation/scenario/faults_process.go
@@ -9,13 +9,13 @@
 	"snowflow/internal/simulation/world"
 )
 
-// Faults that end or freeze processes.
+// Faults that end processes.
 var (
 	killProxy = fault{"kill a proxy", func(m *Mesh) {
 		node := m.World.Node(pick(m, m.proxyNames))
 		m.restartAfter([]*world.Node{node}, m.randomDuration(100*monotonic.Millisecond, 5*monotonic.Second), m.World.Kill)
 	}}
-	// killProxyWithMarker marks the kill for the check that no idempotency key is lost.
+	// killProxyWithMarker marks the kill for the check that no idempotency key is lost: a kill in mid-request excuses a loss.
 	killProxyWithMarker = fault{"kill a proxy, with a marker", func(m *Mesh) {
 		name := pick(m, m.proxyNames)
 		m.History.RecordMarker(invariants.ProxyKilledMarker+name, m.World.Now())
@@ -49,6 +49,7 @@
 	}}
 )
 
+// Faults that freeze processes.
 var (
 	freezeCore = fault{"freeze a core process", func(m *Mesh) {
 		m.freezeNode(pick(m, m.allCoreNodes()), m.randomDuration(300*monotonic.Millisecond, 6*monotonic.Second))
@@ -61,15 +62,15 @@
 	freezeProxy = fault{"freeze a proxy", func(m *Mesh) {
 		m.freezeNode(m.World.Node(pick(m, m.proxyNames)), m.randomDuration(300*monotonic.Millisecond, 8*monotonic.Second))
 	}}
-	// freezeAndApply: when the proxy thaws it goes on with the requests that were in flight, and its configuration lease has
-	// expired long ago.
+	// freezeAndApply applies a desired state during a long freeze. After it the proxy continues with the requests that were in flight,
+	// although its configuration lease has long expired.
 	freezeAndApply = fault{"freeze a proxy for long and apply a desired state", func(m *Mesh) {
 		m.freezeNode(m.World.Node(pick(m, m.proxyNames)), 8*monotonic.Second)
 		m.after(500*monotonic.Millisecond, func() { applyConfig.inject(m) })
 	}}
 )
 
-// platformGracePeriods are the times after which the platform kills a process that it has asked to stop.
+// platformGracePeriods are the times, in seconds, after which the platform kills a process that it has asked to stop.
 var platformGracePeriods = []monotonic.Micros{3, 4, 5}
 
 // Planned stops.
@@ -110,8 +111,8 @@
 	}}
 )
 
-// endPlannedStop begins the record of a proxy's planned stop. The function that it returns ends the proxy and starts it again; it
-// does so once, however often it is called.
+// endPlannedStop records the start of a proxy's planned stop. It returns a function that ends the proxy and starts it again. Only
+// the function's first call has an effect.
 func (m *Mesh) endPlannedStop(name string) func() {
 	node, end := m.World.Node(name), m.History.BeginPlannedChange("planned stop of "+name, m.World.Now())
 	ended := false
@@ -129,7 +130,8 @@
 	}
 }
 
-// moveCoreMachine moves the first or second core machine: the third stays, so that one of the three seeds is always right.
+// moveCoreMachine gives the first or second core machine other addresses. The third keeps its own, so that one of the three seed
+// addresses is always correct.
 var moveCoreMachine = fault{"move a core machine to other addresses", func(m *Mesh) {
 	for _, node := range m.coreNodes(pick(m, m.coreMachines[:2])) {
 		if !node.Up() {
@@ -141,7 +143,7 @@
 	}
 }}
 
-// killConfigPrimaryDuringBurst kills the configuration store's primary while routes change in a burst.
+// killConfigPrimaryDuringBurst kills the configuration store's primary during a burst of route changes.
 var killConfigPrimaryDuringBurst = fault{"kill the configuration store's primary in a burst of route changes", func(m *Mesh) {
 	changeRoutesInBurst.inject(m)
 	if !m.routeWorkload.tryReserve(m.World.Now(), 8*monotonic.Second) {
--- a/internal/simulation/scenario/interceptors.go
+++ b/internal/simulation/scenario/interceptors.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// interceptWrites has afterWrite called for each write that a registry acknowledges, at the moment of its response.
+// interceptWrites makes a registry process call afterWrite at the moment at which it responds to an acknowledged write.
 func (m *Mesh) interceptWrites(node *world.Node, handlers host.Handlers) {
 	for _, kind := range []wire.Kind{wire.Kind_claim, wire.Kind_void_claim, wire.Kind_probe_lease, wire.Kind_breaker_write, wire.Kind_singleton_lease} {
 		handle := handlers[kind]
@@ -23,12 +23,12 @@
 	}
 }
 
-// interceptDesiredPolls has onDesiredPoll called with each response of a configuration store to a proxy.
+// interceptDesiredPolls makes a configuration store process call onDesiredPoll with each poll of a proxy and its response.
 func (m *Mesh) interceptDesiredPolls(handlers host.Handlers) {
 	intercept(handlers, wire.Kind_config_poll, func() func(*wire.ConfigPollRequest, *wire.ConfigPollResponse) { return m.onDesiredPoll })
 }
 
-// interceptRegistryPolls has onRegistryPoll called with each response of a registry to a proxy.
+// interceptRegistryPolls makes a registry process call onRegistryPoll with each poll of a proxy and its response.
 func (m *Mesh) interceptRegistryPolls(registryName string, handlers host.Handlers) {
 	intercept(handlers, wire.Kind_registry_poll, func() func(*wire.RegistryPollRequest, *wire.RegistryPollResponse) {
 		if m.onRegistryPoll == nil {
@@ -40,10 +40,10 @@
 	})
 }
 
-// errMissedAccept is what a proposer gets from a process that misses accept requests.
+// errMissedAccept is the error that a proposer gets from a process that misses accept requests.
 var errMissedAccept = apierror.Lost.New("the request was lost")
 
-// interceptAccepts loses the accept requests to the processes that missesAccepts names.
+// interceptAccepts drops the accept requests to a process while missesAccepts reports that it misses them.
 func (m *Mesh) interceptAccepts(name string, handlers host.Handlers) {
 	handle := handlers[wire.Kind_accept]
 	handlers[wire.Kind_accept] = func(content []byte) (proto.Message, error) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// intercept wraps the handler of a kind. Each request and its response are passed to the present hook, unless that is nil. The
-// hook may change the response.
+// intercept wraps the handler of a kind of message. It calls hook for each request and passes the request and its response to the
+// function that hook returns, unless that is nil. That function may change the response.
 func intercept[Request any, RequestPointer interface {
 	*Request
 	proto.Message
@@ -63,9 +63,9 @@
 	handle := handlers[kind]
 	handlers[kind] = func(content []byte) (proto.Message, error) {
 		reply, err := handle(content)
-		response, expected := reply.(Response)
+		response, ok := reply.(Response)
 		call := hook()
-		if err != nil || !expected || call == nil {
+		if err != nil || !ok || call == nil {
 			return reply, err
 		}
 		request := RequestPointer(new(Request))
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -19,87 +19,94 @@
 	"snowflow/internal/transport/wire"
 )
 
-// externalName is the name, the address and the machine of the external host.
+// externalName is the name, the address and the machine name of the external host.
 const externalName = "outside"
 
-// The services of a mesh whose topology names none.
+// The services of a mesh whose topology lists no services.
 const (
 	formsService      = "forms"
 	householdsService = "households"
 )
 
-// Mesh is a simulated mesh with everything that is outside of it.
+// Mesh is a simulated mesh together with its callers, backends and operators.
 type Mesh struct {
 	World   *world.World
 	History *invariants.History
-	// External is the host from which callers, backends and operators act.
+	// External is the host on which callers, backends and operators run.
 	External *world.Host
 
 	topology Topology
 	defects  Defects
-	log      []string // the nodes' events and the faults, as text
+	log      []string // the events that nodes reported, and the faults, as text
 
 	// The core.
-	coreMachines  []string                       // the machines that are in use, the oldest first
-	retired       map[string]bool                // core machines that are gone for good
+	coreMachines  []string                       // the machines in use, oldest first
+	retired       map[string]bool                // core machines that were removed permanently
 	initialVoters map[string][]string            // by replication group
-	startedBefore map[string]bool                // core processes that have been up
+	startedBefore map[string]bool                // core processes that were started before
 	registries    map[string]*registry.Registry  // the newest incarnation of each process, by node
 	configStores  map[string]*configstore.Server // the newest incarnation of each process, by node
-	operatorAPIs  map[string]api.Store           // the operators' API on each configuration store process
-	resolvers     map[string]*discovery.Resolver // of the newest incarnation of each core process
+	operatorAPIs  map[string]api.Store           // the operators' API of each configuration store process
+	resolvers     map[string]*discovery.Resolver // the resolver of the newest incarnation of each core process
 	syncDuration  monotonic.Micros               // how long a sync of a core disk takes without faults
-	// nextLossAt is the earliest time at which the next disk may be lost, so that at most as many replicas are lost together as
-	// the core tolerates.
+	// nextLossAt is the earliest time at which the next disk may be lost. It ensures that no more replicas are lost together than the
+	// core tolerates.
 	nextLossAt monotonic.Micros
 
 	// The proxies.
 	proxyNames      []string
 	proxies         map[string]*proxy.Proxy     // the newest incarnation of each
-	startedAt       map[string]monotonic.Micros // of the newest incarnation, by its own clock
+	startedAt       map[string]monotonic.Micros // when the newest incarnation was started, by its own clock
 	draining        map[string]bool             // proxies in a planned stop
-	refusingCallers map[string]bool             // proxies that accept no requests any more
+	refusingCallers map[string]bool             // proxies that no longer accept requests
 	degraded        map[string]networkProblem   // proxies whose own network is degraded
 	drainTimeout    monotonic.Micros            // how long a planned stop may take
 
 	// Backends, callers and operators.
 	backends         []*simulatedBackend
-	workDuration     monotonic.Micros // how long a backend works on a request
+	workDuration     monotonic.Micros // how long a backend takes for a request
 	resolver         *discovery.Resolver
 	nextID           int    // numbers backends and lookups
-	latestVersion    uint64 // the newest version that an operator's change was acknowledged under
+	latestVersion    uint64 // the newest version under which an operator's change was acknowledged
 	serving          bool   // callers send requests
-	surgeCount           int
-	honorRetryAfter  bool // callers retry when the response says, until they succeed
-	plannedStopsOnly bool // proxies are ended by planned stops only in this run
+	surgeCount       int    // keeps the request numbers of traffic surges apart
+	honorRetryAfter  bool   // callers wait for a response's Retry-After and retry until they succeed
+	plannedStopsOnly bool   // in this run, proxies are ended by planned stops only
 
-	// What is observed.
-	samples          []routeSample               // requests of each kind, to see where a desired state routes them
-	contentSums      map[*config.Snapshot]string // of the snapshots that were observed
+	// Observation.
+	samples          []routeSample               // requests of each kind, used to find out where a desired state routes them
+	contentSums      map[*config.Snapshot]string // the fingerprints of the snapshots that were observed
 	recordCallCounts bool                        // the breakers' counters are recorded
 
 	// Hooks, nil if unused.
-	missesAccepts     func(name string) bool         // whether a core process loses the accept requests that it is sent
-	waitForReplies    func(timeout monotonic.Micros) // called by a stopping proxy, see proxy.Options
+
+	// missesAccepts reports whether accept requests to a core process are dropped.
+	missesAccepts func(name string) bool
+	// waitForReplies is called by a proxy that stops, see proxy.Options.
+	waitForReplies    func(timeout monotonic.Micros)
 	adjustReplication func(*replication.Config)
-	afterWrite        func(node *world.Node, kind wire.Kind)                                                            // called for each write that a registry acknowledges
-	onDesiredPoll     func(request *wire.ConfigPollRequest, response *wire.ConfigPollResponse)                          // may change the response to a proxy
-	onRegistryPoll    func(registryName string, request *wire.RegistryPollRequest, response *wire.RegistryPollResponse) // may change the response to a proxy
-	onConfirmedWrite  func()                                                                                            // called once, at the next write that an operator is notified of
-	onSubmit          func(content []byte)                                                                              // called with each content that an operator submits
+	// afterWrite is called for each write that a registry acknowledges.
+	afterWrite func(node *world.Node, kind wire.Kind)
+	// onDesiredPoll and onRegistryPoll may change the response to a proxy.
+	onDesiredPoll  func(request *wire.ConfigPollRequest, response *wire.ConfigPollResponse)
+	onRegistryPoll func(registryName string, request *wire.RegistryPollRequest, response *wire.RegistryPollResponse)
+	// onConfirmedWrite is called once, when an operator next receives the confirmation of a write.
+	onConfirmedWrite func()
+	// onSubmit is called with each desired state that an operator submits.
+	onSubmit func(content []byte)
 
 	routeWorkload *routeWorkload // nil unless the scenario changes routes
 }
 
-// routeSample is a request of a kind of traffic.
+// routeSample is a sample request of a kind of traffic.
 type routeSample struct{ kind, method, path string }
 
 var defaultSamples = []routeSample{{"form", "GET", "/forms/1"}, {"lookup", "GET", "/forms/1"}, {"submission", "POST", "/households/1"}}
 
-// restartDelay is how long the platform takes to start a process that has ended itself.
+// restartDelay is how long the platform takes to restart a process that has ended itself.
 const restartDelay = monotonic.Second
 
-// Build makes a mesh and starts its nodes and backends.
+// Build creates a mesh and starts its nodes and backends.
 func Build(seed uint64, topology Topology, defects Defects) *Mesh {
 	m := newMesh(seed, topology, defects)
 	m.World.Trace = m.trace
@@ -172,7 +179,7 @@
 	})
 }
 
-// trace logs the nodes' events but for rejected requests, of which there are too many.
+// trace logs the events that nodes report, except rejected requests, of which there are too many.
 func (m *Mesh) trace(at monotonic.Micros, node string, number int, fields map[string]any) {
 	if number == eventlog.RequestRejected {
 		return
@@ -184,17 +191,17 @@
 	m.log = append(m.log, fmt.Sprintf("%d %s %d %s", at, node, number, content))
 }
 
-// logf adds a line to the log, with the time.
+// logf adds a line with the current time to the log.
 func (m *Mesh) logf(format string, arguments ...any) {
 	m.log = append(m.log, fmt.Sprintf("%d ", m.World.Now())+fmt.Sprintf(format, arguments...))
 }
 
-// pick draws one of several items.
+// pick draws one of the items.
 func pick[Item any](m *Mesh, items []Item) Item {
 	return items[m.World.Rand().IntN(len(items))]
 }
 
-// randomDuration draws a duration within [low, high).
+// randomDuration draws a duration from [low, high).
 func (m *Mesh) randomDuration(low, high monotonic.Micros) monotonic.Micros {
 	return low + monotonic.Micros(m.World.Rand().Uint64N(uint64(high-low)))
 }
@@ -202,7 +209,7 @@
 // randomVariant draws a variant of Desired.
 func (m *Mesh) randomVariant() int { return m.World.Rand().IntN(1 << 20) }
 
-// oneIn is true with a probability of one in so many.
+// oneIn returns true with a probability of 1/count.
 func (m *Mesh) oneIn(count int) bool { return m.World.Rand().IntN(count) == 0 }
 
 // after runs an action once a delay has passed.
@@ -210,10 +217,10 @@
 	m.World.At(m.World.Now()+delay, action)
 }
 
-// now runs an action as the next event at the present time, outside all nodes.
+// now runs an action as an event of its own at the current time, outside all nodes.
 func (m *Mesh) now(action func()) { m.World.At(m.World.Now(), action) }
 
-// transactAt runs work in the process at an address. Only whether it failed is of interest: not even that if the caller ignores it.
+// transactAt runs work in the process at an address, and returns an error if the call failed.
 func (m *Mesh) transactAt(address string, timeout monotonic.Micros, work func()) error {
 	_, err := m.External.Transact(address, timeout, func(*world.Node) ([]byte, error) {
 		work()
--- a/internal/simulation/scenario/observer.go
+++ b/internal/simulation/scenario/observer.go
@@ -12,11 +12,11 @@
 
 const (
 	observationInterval = 100 * monotonic.Millisecond
-	// startupPeriod is how long after its start a proxy may not have read the shared breaker records yet.
+	// startupPeriod is how long a proxy that has started may take to read the shared breaker records.
 	startupPeriod = 5 * monotonic.Second
 )
 
-// startObserver records the shared breaker records and what the proxies serve by, at intervals until the end of the run.
+// startObserver records the shared breaker records and the proxies' configurations at intervals until the end of the run.
 func (m *Mesh) startObserver() {
 	m.External.Go(func() {
 		for {
@@ -27,7 +27,7 @@
 	})
 }
 
-// observeBreakers records the shared breaker records as each registry that serves holds them.
+// observeBreakers records the shared breaker records of each registry process that serves as primary.
 func (m *Mesh) observeBreakers() {
 	for _, name := range slices.Sorted(maps.Keys(m.registries)) {
 		if !m.World.Node(name).Up() || !m.registries[name].Member.Serving() {
@@ -39,7 +39,7 @@
 	}
 }
 
-// observeProxies records the configuration that each proxy serves by, and what its breakers have counted.
+// observeProxies records the configuration that each proxy serves with, and the counters of its breakers.
 func (m *Mesh) observeProxies() {
 	for _, name := range m.proxyNames {
 		snapshot, live := m.proxies[name].ConfigClient.Current()
@@ -81,7 +81,7 @@
 	}
 }
 
-// localVerdictPossible reports whether some proxy may go by its own window in place of the shared record.
+// localVerdictPossible reports whether a breaker of some proxy may decide by the proxy's own window instead of the shared record.
 func (m *Mesh) localVerdictPossible() bool {
 	return slices.ContainsFunc(m.proxyNames, func(name string) bool {
 		node, instance := m.World.Node(name), m.proxies[name]
--- a/internal/simulation/scenario/operator_workload.go
+++ b/internal/simulation/scenario/operator_workload.go
@@ -14,23 +14,23 @@
 	"snowflow/internal/transport/wire"
 )
 
-// firstOperatorVersion is above all versions that a run's first desired state may have.
+// firstOperatorVersion is higher than any version that the first desired state of a run may get.
 const firstOperatorVersion = 1000
 
-// configWrite is a content that an operator wrote under a version of its own, and may write again.
+// configWrite is a desired state that an operator writes under a version of the operator's choice, possibly more than once.
 type configWrite struct {
 	version uint64
 	content []byte
 }
 
-// operatorState is what the operators of a run share.
+// operatorState is shared by the operators of a run.
 type operatorState struct {
 	nextVersion uint64
-	// sent are the writes so far. New ones have rising versions; one that was sent again stands here again.
+	// sent are the writes so far, in order. The versions of new writes increase. A write that was sent again is listed again.
 	sent []configWrite
 }
 
-// startOperators has some operators read and write, each on any core machine, until the callers stop too.
+// startOperators starts operators that read and write on random core machines until the traffic ends.
 func (m *Mesh) startOperators(count int, pause monotonic.Micros) {
 	shared := &operatorState{nextVersion: firstOperatorVersion}
 	for range count {
@@ -43,7 +43,8 @@
 	}
 }
 
-// operatorStep makes one call: a read, a new write, another content under the newest version, or a write that was sent before.
+// operatorStep makes one call: a read, a write under a new version, a write of another content under the newest version, or a
+// repetition of an earlier write.
 func (m *Mesh) operatorStep(shared *operatorState) {
 	choice := m.World.Rand().IntN(10)
 	switch {
@@ -60,7 +61,7 @@
 	}
 	write := shared.sent[len(shared.sent)-1]
 	m.recordRouting(write.content)
-	// A write whose outcome is unknown is repeated unchanged on any machine.
+	// A write whose outcome is unknown is repeated unchanged on a random machine.
 	for range 4 {
 		if m.writeAt(pick(m, m.coreMachines), write) != invariants.Unknown {
 			return
@@ -129,7 +130,8 @@
 	m.History.RecordOperatorCall(read)
 }
 
-// replicaMachines returns the core machines, those with a replica of the configurations first, the primary's foremost.
+// replicaMachines returns all core machines: first that of the configuration store's primary, then those of its backups, then the
+// others.
 func (m *Mesh) replicaMachines() (machines []string) {
 	add := func(machine string) {
 		if !slices.Contains(machines, machine) {
@@ -148,7 +150,7 @@
 	return machines
 }
 
-// Losses at the moment in which an operator is notified of a write.
+// Losses at the moment at which an operator receives the confirmation of a write.
 var (
 	loseDiskAtWrite = fault{"lose the disk of the configuration store's primary at a confirmed write", func(m *Mesh) {
 		m.onConfirmedWrite = func() {
@@ -158,7 +160,7 @@
 			}
 		}
 	}}
-	// loseDisksAndPowerAtWrite loses as many disks as there are replicas but one: the primary's, and any others', those of replicas first.
+	// loseDisksAndPowerAtWrite loses one disk fewer than there are replicas, but at least one, in the order of replicaMachines.
 	loseDisksAndPowerAtWrite = fault{"lose as many disks as are tolerated at a confirmed write, and the power of all others", func(m *Mesh) {
 		m.onConfirmedWrite = func() {
 			if !m.lossAllowed() {
--- a/internal/simulation/scenario/operators.go
+++ b/internal/simulation/scenario/operators.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// applyAttemptTimeout bounds one attempt of an operator to apply a content.
+	// applyAttemptTimeout is the timeout of an operator's single attempt to apply a desired state.
 	applyAttemptTimeout = 20 * monotonic.Second
 	applyRetryInterval  = 200 * monotonic.Millisecond
 
@@ -21,25 +21,25 @@
 	readBackRetryInterval = 300 * monotonic.Millisecond
 )
 
-// applyDesired has an operator apply a content, on any version or on the expected one, and retry until the outcome is certain or
-// the timeout ends. Then it returns nil.
+// applyDesired applies a desired state as an operator does, over any stored version or only over the expected one. It retries until
+// the outcome is known, and returns nil if that is not the case within the timeout.
 func (m *Mesh) applyDesired(content []byte, anyVersion bool, expected uint64, timeout monotonic.Micros) *wire.ConfigApplyResponse {
 	if m.onSubmit != nil {
 		m.onSubmit(content)
 	}
-	sum, faults := m.recordRouting(content)
+	sum, fieldErrors := m.recordRouting(content)
 	request := &wire.ConfigApplyRequest{Content: content, AnyVersion: anyVersion, ExpectedVersion: expected, Request: fmt.Sprintf("apply-%x", m.External.Random())}
 	end := m.History.BeginPlannedChange("a change of the desired state", m.World.Now())
 	defer func() { end(m.World.Now()) }()
 	deadline := m.World.Now() + timeout
 	for m.World.Now() < deadline {
-		leader := m.resolver.PrimaryName(configstore.Group)
+		primary := m.resolver.PrimaryName(configstore.Group)
 		response := &wire.ConfigApplyResponse{}
-		if leader != "" && m.resolver.Call(leader, wire.Kind_config_apply, request, response, applyAttemptTimeout) == nil {
+		if primary != "" && m.resolver.Call(primary, wire.Kind_config_apply, request, response, applyAttemptTimeout) == nil {
 			m.History.RecordApply(invariants.AppliedConfig{
 				Version: response.Version,
 				Digest:  response.Digest,
-				Valid:   len(faults) == 0,
+				Valid:   len(fieldErrors) == 0,
 				Outcome: response.Outcome,
 				At:      m.World.Now(),
 				Sum:     sum,
@@ -53,22 +53,22 @@
 	return nil
 }
 
-// startApply has an operator apply a content over whatever is stored.
+// startApply starts an operator that applies a desired state over any stored version.
 func (m *Mesh) startApply(content []byte, timeout monotonic.Micros) {
 	m.External.Go(func() { m.applyDesired(content, true, 0, timeout) })
 }
 
-// accepted reports whether an operator's change was acknowledged. A nil response was not.
+// accepted reports whether an operator's change was acknowledged. A nil response means that it was not.
 func accepted(response *wire.ConfigApplyResponse) bool {
 	return response != nil && response.Outcome == versions.Accepted
 }
 
-// recordRouting records where a content routes each kind of traffic, and returns the checksum of the compiled content. For an
-// invalid one it records nothing and returns what is wrong with it.
-func (m *Mesh) recordRouting(content []byte) (sum string, faults []config.FieldError) {
-	state, faults := config.Parse(content)
-	if state == nil || len(faults) > 0 {
-		return "", faults
+// recordRouting records where a desired state routes each kind of traffic, and returns the fingerprint of the compiled state. If the
+// desired state is invalid, it records nothing and returns the errors.
+func (m *Mesh) recordRouting(content []byte) (sum string, fieldErrors []config.FieldError) {
+	state, fieldErrors := config.Parse(content)
+	if state == nil || len(fieldErrors) > 0 {
+		return "", fieldErrors
 	}
 	snapshot := config.Compile(state, 0, "")
 	for _, sample := range m.samples {
@@ -86,8 +86,8 @@
 func (m *Mesh) readBackVersions() {
 	for range readBackAttempts {
 		response := &wire.ConfigReadResponse{}
-		leader := m.resolver.PrimaryName(configstore.Group)
-		if leader != "" && m.resolver.Call(leader, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, response, readBackTimeout) == nil {
+		primary := m.resolver.PrimaryName(configstore.Group)
+		if primary != "" && m.resolver.Call(primary, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, response, readBackTimeout) == nil {
 			for _, stored := range response.Versions {
 				m.History.ReadBack = append(m.History.ReadBack, invariants.ReadBack{Version: stored.Version, Digest: stored.Digest})
 			}
--- a/internal/simulation/scenario/peak_traffic.go
+++ b/internal/simulation/scenario/peak_traffic.go
@@ -20,25 +20,25 @@
 	{Kind: "batch", Method: "GET", Prefix: "/batches/", Service: "batches", Alternate: "batches-next"},
 }
 
-// lookupFamilies are the kinds of traffic whose routes nobody changes.
+// lookupFamilies are the kinds of traffic whose routes never change.
 var lookupFamilies = []workload.RouteFamily{
 	{Kind: "assignment", Method: "GET", Prefix: "/assignments/", Service: "assignment"},
 	{Kind: "eligibility", Method: "GET", Prefix: "/eligibility/", Service: "eligibility"},
 }
 
-// unusedRoutes is the number of routes besides those of the families, which no request takes.
+// unusedRoutes is the number of additional routes that no request matches.
 const unusedRoutes = 200
 
-// routeWorkload is a day of route changes in a mesh.
+// routeWorkload generates the route changes of a run and keeps faults apart that must not overlap.
 type routeWorkload struct {
 	*workload.RouteChanges
-	// reservedUntil is the time before which no proxy is cut off and no primary dies. A proxy that misses a version because it is cut
-	// off, and then finds the primary dead, is out of touch, and only proxies in touch must adopt a version within 2 s.
+	// reservedUntil is the time before which no further proxy is cut off and no primary is killed. A proxy that misses a version
+	// because it is cut off, and then finds the primary dead, is disconnected, and only connected proxies must adopt a version
+	// within 2 s.
 	reservedUntil monotonic.Micros
 }
 
-// tryReserve reports whether a fault may cut proxies off or kill a primary now. If so it keeps other such faults away for a
-// duration.
+// tryReserve reports whether a fault may cut proxies off or kill a primary now. If so, it blocks other such faults for a duration.
 func (w *routeWorkload) tryReserve(now, duration monotonic.Micros) bool {
 	if now < w.reservedUntil {
 		return false
@@ -47,7 +47,7 @@
 	return true
 }
 
-// peakDesiredState returns the first desired state: a route for each family, and many that no request takes.
+// peakDesiredState returns the first desired state: a route for each family, and many that no request matches.
 func peakDesiredState() *wire.DesiredState {
 	group := &wire.Group{
 		Name:   "field",
@@ -86,7 +86,7 @@
 const (
 	// routeChangeTimeout is how long operators retry a change of a route.
 	routeChangeTimeout = 20 * monotonic.Second
-	// burstLength and burstInterval are the number of changes in a burst and the time between two of them.
+	// burstLength is the number of changes in a burst, and burstInterval the time between two of them.
 	burstLength   = 8
 	burstInterval = 60 * monotonic.Millisecond
 )
@@ -96,7 +96,7 @@
 	changeRoute = fault{"change a route", func(m *Mesh) {
 		m.startApply(m.nextRoutes(), routeChangeTimeout)
 	}}
-	// changeRoutesInBurst: each change builds on the one before, as an operator's script would have it.
+	// changeRoutesInBurst applies changes in quick succession, each based on the one before, as an operator's script would.
 	changeRoutesInBurst = fault{"a burst of route changes", func(m *Mesh) {
 		m.External.Go(func() {
 			for range burstLength {
@@ -115,7 +115,7 @@
 			})
 		}
 	}}
-	// changeRoutesDuringPartition: a proxy that misses some versions of a burst adopts several at once.
+	// changeRoutesDuringPartition cuts proxies off during a burst, so that a proxy adopts several versions at once.
 	changeRoutesDuringPartition = fault{"a burst of route changes that some proxies miss at first", func(m *Mesh) {
 		for range 3 {
 			if !m.routeWorkload.tryReserve(m.World.Now(), 0) {
@@ -128,13 +128,14 @@
 	}}
 )
 
-// nextRoutes changes a route of the present state and returns the new state's content.
+// nextRoutes changes a route of the current desired state and returns the encoded new state.
 func (m *Mesh) nextRoutes() []byte {
 	m.routeWorkload.State = m.routeWorkload.Next()
 	return workload.EncodeState(m.routeWorkload.State)
 }
 
-// generatePeakTraffic has callers send requests of all families. A request with an idempotency key is repeated until it is served.
+// generatePeakTraffic starts callers that send requests of all families. Requests with an idempotency key are repeated until they
+// are served, at most maxKeyedAttempts times.
 func generatePeakTraffic(m *Mesh, perSecond int) {
 	submissions, corrections, batches := changingFamilies[0], changingFamilies[1], changingFamilies[2]
 	assignments, eligibility := lookupFamilies[0], lookupFamilies[1]
@@ -147,7 +148,7 @@
 	})
 }
 
-// maxKeyedAttempts is how often a caller sends a request with an idempotency key.
+// maxKeyedAttempts is how many times a caller sends a request with an idempotency key that is not served.
 const maxKeyedAttempts = 15
 
 func (m *Mesh) sendPeakRequest(family workload.RouteFamily, number int) {
@@ -174,7 +175,7 @@
 	}
 }
 
-// preparePeakTraffic sets the mesh up to observe where the families' requests are routed and what the breakers count.
+// preparePeakTraffic makes the mesh record where the families' requests are routed and what the breakers count.
 func preparePeakTraffic(m *Mesh) {
 	m.recordCallCounts = true
 	m.routeWorkload = &routeWorkload{RouteChanges: workload.NewRouteChanges(peakDesiredState(), changingFamilies, m.World.Rand())}
--- a/internal/simulation/scenario/proxies.go
+++ b/internal/simulation/scenario/proxies.go
@@ -10,17 +10,17 @@
 	"snowflow/internal/simulation/world"
 )
 
-// networkProblem is what is wrong with a proxy's own network. The empty value means nothing.
+// networkProblem is a problem of a proxy's own network. The empty value means none.
 type networkProblem string
 
 const (
-	// shortDeadlines: requests end before any response can arrive.
+	// shortDeadlines means that requests time out before any response can arrive.
 	shortDeadlines networkProblem = "late"
-	// slowNetwork: every response arrives late, as over a line that delays.
+	// slowNetwork means that every response arrives late because the network delays messages.
 	slowNetwork networkProblem = "slow"
 )
 
-// proxyNodePrefix begins the names of the proxies' nodes.
+// proxyNodePrefix is the prefix of the names of the proxies' nodes.
 const proxyNodePrefix = "carrier-"
 
 func (m *Mesh) addProxy(index int, seeds []string) {
@@ -60,7 +60,7 @@
 	})
 }
 
-// applyTo turns the parts of a proxy off that the defects name.
+// applyTo disables the parts of a proxy that the defects name.
 func (d Defects) applyTo(instance *proxy.Proxy) {
 	instance.Admission.SkipClaims(d.NoClaims)
 	instance.Admission.ClaimPerService(d.ClaimPerService)
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -8,78 +8,78 @@
 	"snowflow/internal/monotonic"
 )
 
-// Scenario is one kind of simulated run.
+// Scenario defines a kind of simulated run: its mesh, its traffic and its faults.
 type Scenario struct {
 	Name    string
 	Summary string
-	// Topology is the mesh's.
+	// Topology is the size and configuration of the mesh.
 	Topology Topology
-	// Duration is how long faults are injected and traffic is measured, before the recovery.
+	// Duration is how long faults are injected and traffic is measured. The recovery follows.
 	Duration monotonic.Micros
-	// Rate is the mean number of requests in a second.
+	// Rate is the mean number of requests per second.
 	Rate int
-	// FaultInterval is the mean time between two faults.
+	// FaultInterval is the mean interval between faults.
 	FaultInterval monotonic.Micros
-	// InitialFaults are injected in their order, before any others are drawn, so that every rule has something to examine.
+	// InitialFaults are injected first, in this order, so that every rule has something to examine.
 	InitialFaults []fault
-	// Faults are those that the later ones are drawn from. One that stands twice is drawn twice as often.
+	// Faults are the faults that all later ones are drawn from. A fault that is listed twice is drawn twice as often.
 	Faults []fault
-	// Rules are the numbers of the rules that must examine something.
+	// Rules are the numbers of the rules that must find something to examine.
 	Rules []int
-	// Checks are made besides the rules.
+	// Checks are run in addition to the rules.
 	Checks []invariants.Check
-	// Prepare sets the mesh up further before the traffic starts; nil if nothing is needed.
+	// Prepare completes the setup of the mesh before the traffic starts. It may be nil.
 	Prepare func(m *Mesh)
-	// DesiredState makes the first desired state; Desired if nil.
+	// DesiredState returns the first desired state. The default is Desired.
 	DesiredState func(variant int) []byte
-	// GenerateTraffic starts callers that send requests at a rate while the mesh is serving; Mesh.startTraffic if nil.
+	// GenerateTraffic starts callers that send requests at a mean rate while Mesh.serving is true. The default is Mesh.startTraffic.
 	GenerateTraffic func(m *Mesh, perSecond int)
-	// SyncDuration is how long a sync of a core disk takes; defaultSyncDuration if zero.
+	// SyncDuration is how long a sync of a core disk takes, at least defaultSyncDuration.
 	SyncDuration monotonic.Micros
 }
 
 const (
 	defaultSyncDuration = 200 * monotonic.Micros(1)
-	// warmUp is the time from the start of the mesh to that of the traffic.
+	// warmUp is the time between the start of the mesh and the start of the traffic.
 	warmUp = 8 * monotonic.Second
-	// faultFreePeriod is how long before the end of the duration the last fault is injected.
+	// faultFreePeriod is the last part of the duration, in which no more faults are injected.
 	faultFreePeriod = 5 * monotonic.Second
-	// recoveryPeriod is how long the traffic goes on after all faults have ended.
+	// recoveryPeriod is how long the traffic continues after all faults have ended.
 	recoveryPeriod = 18 * monotonic.Second
-	// quietPeriod is how long requests in flight, and then the reading of the stored configurations, may take at the end.
+	// quietPeriod is how long, at the end, requests in flight may take, and after them the reading of the stored configurations.
 	quietPeriod = 20 * monotonic.Second
 )
 
-// Scenarios are all scenarios by their names.
+// Scenarios holds all scenarios by name.
 var Scenarios = map[string]Scenario{}
 
 func register(scenario Scenario) { Scenarios[scenario.Name] = scenario }
 
-// Result is how a run ended.
+// Result is the outcome of a run.
 type Result struct {
 	Seed     uint64
 	Scenario string
-	// Findings are the violations, and the rules and checks that examined nothing though they should.
+	// Findings are the violations, and the rules and checks that had nothing to examine although they should have.
 	Findings []invariants.Finding
-	// Examined is how many observations each rule examined, by its number.
+	// Examined is the number of observations that each rule examined, by the rule's number.
 	Examined map[int]int
-	// Sent is the number of attempts, Served of those that a backend responded to with status 200.
+	// Served is the number of attempts that a backend answered with status 200, and Sent the number of all attempts.
 	Served int
 	Sent   int
-	// Faults are the faults that were injected, with their times.
+	// Faults are the injected faults with their times.
 	Faults []string
-	// Digest identifies the run, and Events counts its events.
+	// Digest identifies the run's sequence of events, and Events is their number.
 	Digest uint64
 	Events uint64
-	// Latencies are those of the served attempts, by the kind of traffic, in ascending order.
+	// Latencies are the latencies of the served attempts by the kind of traffic, in ascending order.
 	Latencies map[string][]monotonic.Micros
-	// Log holds the nodes' events and the faults.
+	// Log holds the events that nodes reported, and the faults, as text.
 	Log []string
-	// Panicked is what a task panicked with, nil if none did.
+	// Panicked is the value that a task panicked with, or nil.
 	Panicked any
 }
 
-// Run plays a scenario with a seed.
+// Run executes a scenario with a seed.
 func Run(scenario Scenario, seed uint64, defects Defects) Result {
 	m := Build(seed, scenario.Topology, defects)
 	defer m.World.Close()
@@ -124,12 +124,12 @@
 	m.startObserver()
 }
 
-// faultInjector injects a scenario's faults, one after another.
+// faultInjector injects a scenario's faults one after another.
 type faultInjector struct {
 	mesh     *Mesh
 	scenario Scenario
-	pending  []fault          // the initial faults that are left
-	end      monotonic.Micros // no fault is injected from then on
+	pending  []fault          // the initial faults that are not injected yet
+	end      monotonic.Micros // no fault is injected from this time on
 	injected []string
 }
 
@@ -143,7 +143,7 @@
 	if i.mesh.World.Now() >= i.end {
 		return
 	}
-	// A fault is drawn even if an initial one takes its place.
+	// A fault is drawn even if an initial fault is injected in its place.
 	next := pick(i.mesh, i.scenario.Faults)
 	if len(i.pending) > 0 {
 		next, i.pending = i.pending[0], i.pending[1:]
@@ -154,7 +154,7 @@
 	i.scheduleNext()
 }
 
-// heal ends every fault and starts all nodes. From this moment on the machines count as returned.
+// heal ends every fault and starts the nodes of all machines in use. The markers tell the checkers that recovery begins now.
 func (m *Mesh) heal() {
 	m.World.HealNetwork()
 	for _, node := range m.World.Nodes() {
@@ -175,7 +175,7 @@
 	m.History.RecordMarker(invariants.MarkerReturned, m.World.Now())
 }
 
-// result checks the history of a run that has ended.
+// result checks the history of a finished run and returns the run's result.
 func (m *Mesh) result(scenario Scenario) Result {
 	result := Result{
 		Scenario:  scenario.Name,
@@ -199,12 +199,12 @@
 	return result
 }
 
-// check returns the findings of all rules and of the scenario's checks, among them what examined nothing, and how many
-// observations each rule examined.
-func (m *Mesh) check(scenario Scenario) (findings []invariants.Finding, seen map[int]int) {
-	findings, seen = invariants.Inspect(m.History)
+// check returns the findings of all rules and of the scenario's checks, and how many observations each rule examined. A rule or
+// check that had nothing to examine although it should have is a finding too.
+func (m *Mesh) check(scenario Scenario) (findings []invariants.Finding, examined map[int]int) {
+	findings, examined = invariants.Inspect(m.History)
 	for _, rule := range scenario.Rules {
-		if seen[rule] == 0 {
+		if examined[rule] == 0 {
 			findings = append(findings, invariants.Finding{Rule: rule, Text: "there was nothing to examine", NothingExamined: true})
 		}
 	}
@@ -218,5 +218,5 @@
 	if m.World.Panicked != nil {
 		findings = append(findings, invariants.Finding{Text: fmt.Sprint(m.World.Panicked)})
 	}
-	return findings, seen
+	return findings, examined
 }
--- a/internal/simulation/scenario/scenarios.go
+++ b/internal/simulation/scenario/scenarios.go
@@ -10,12 +10,12 @@
 	"snowflow/internal/workload"
 )
 
-// allFaults are what the scenarios with all failures together draw from.
+// allFaults are the faults of the scenarios that combine all failures.
 var allFaults = []fault{killProxy, killCoreProcess, killPrimary, powerOffCore, powerOffCoreMachine, freezeCore, freezePrimary, freezeProxy, partitionCore, isolateMachine,
 	partitionProxyFromCore, partitionProxies, slowDisk, fillDisk, failSync, misbehaveBackend, failService, replaceBackend, reuseAddress, applyConfig, applyConfigRace,
 	applyConfigBurst, powerOffEverything, moveCoreMachine}
 
-// allInitialFaults are what these scenarios begin with.
+// allInitialFaults are the initial faults of the scenarios that combine all failures.
 var allInitialFaults = []fault{failService, replaceBackend, applyConfig, reuseAddress}
 
 func init() {
@@ -25,12 +25,12 @@
 	register(peakTrafficScenario())
 }
 
-// combinedScenarios have no failures, or all of them together.
+// combinedScenarios returns the scenarios with no failures or with all of them together.
 func combinedScenarios() []Scenario {
 	atDeployment := func(name string, topology Topology) Scenario {
 		return Scenario{
 			Name:          name,
-			Summary:       "all failures together, several at a time, at a deployment's shape",
+			Summary:       "all failures together, several at a time, in the topology of a deployment",
 			Topology:      topology,
 			Duration:      40 * monotonic.Second,
 			Rate:          60,
@@ -78,7 +78,7 @@
 	}
 }
 
-// coreScenarios have failures of the core.
+// coreScenarios returns the scenarios with failures of the core.
 func coreScenarios() []Scenario {
 	return []Scenario{
 		{
@@ -106,7 +106,7 @@
 		},
 		{
 			Name:          "written",
-			Summary:       "a registry's machine, its disk, or the whole core's power lost right after the acknowledgement of a claim, a void, a probe lease or a breaker write",
+			Summary:       "a registry's machine, its disk, or the whole core's power lost right after the acknowledgement of a claim, a voided claim, a probe lease or a breaker write",
 			Topology:      smallTopology,
 			Duration:      70 * monotonic.Second,
 			Rate:          40,
@@ -119,7 +119,7 @@
 	}
 }
 
-// outageScenarios have power lost everywhere, or clocks stepped.
+// outageScenarios returns the scenarios in which all machines lose power or clocks are stepped.
 func outageScenarios() []Scenario {
 	return []Scenario{
 		{
@@ -160,7 +160,7 @@
 	}
 }
 
-// proxyScenarios have failures and planned stops of proxies, and of backends beside them.
+// proxyScenarios returns the scenarios with failures and planned stops of proxies, and failures of their local backends.
 func proxyScenarios() []Scenario {
 	return []Scenario{
 		{
@@ -200,7 +200,7 @@
 		},
 		{
 			Name:          "guards",
-			Summary:       "services fail and recover while callers and the breaker records' leader die",
+			Summary:       "services fail and recover while proxies and the primary that holds the breaker records are killed or frozen",
 			Topology:      smallTopology,
 			Duration:      50 * monotonic.Second,
 			Rate:          40,
@@ -212,7 +212,7 @@
 	}
 }
 
-// callerScenarios have trouble at some callers, or a surge of requests.
+// callerScenarios returns the scenarios in which some callers' networks are degraded or requests surge.
 func callerScenarios() []Scenario {
 	return []Scenario{
 		{
@@ -241,7 +241,7 @@
 		},
 		{
 			Name:          "rush",
-			Summary:       "ten times the traffic at backends with few slots, while backends misbehave, proxies and primaries end and the core loses power",
+			Summary:       "ten times the traffic at backends with few slots, while backends misbehave, proxies and primaries are killed and the core loses power",
 			Topology:      smallTopology,
 			Duration:      40 * monotonic.Second,
 			Rate:          30,
@@ -255,7 +255,7 @@
 	}
 }
 
-// peakTrafficScenario changes the routes of a busy day.
+// peakTrafficScenario returns the scenario that changes routes under the traffic of a busy day.
 func peakTrafficScenario() Scenario {
 	routeFaults := []fault{changeRoute, changeRoute, changeRoutesInBurst, changeRoutesConcurrently, changeRoutesDuringPartition}
 	return Scenario{
@@ -275,7 +275,8 @@
 	}
 }
 
-// controlPlaneScenarios have faults of the control plane alone, while operators read and write at every core machine.
+// controlPlaneScenarios returns the scenarios with faults of the control plane alone, while operators read and write on all core
+// machines.
 func controlPlaneScenarios() (scenarios []Scenario) {
 	for _, size := range []struct{ cores, replicas int }{{3, 2}, {4, 2}, {5, 3}} {
 		add := func(name, summary string, faults ...fault) {
@@ -296,20 +297,20 @@
 				Checks:        []invariants.Check{invariants.OperatorCallsLinearizable},
 			})
 		}
-		add("cut-off", "core machines cut off for twenty seconds, restarted meanwhile, and what comes as they return",
+		add("cut-off", "core machines cut off for twenty seconds, restarted meanwhile, or followed by other failures on their return",
 			longCorePartition, restartDuringPartition, killOthersAfterPartition, longFullPartition, staleMemberAfterPartition, splitCore, freezePrimary, killPrimary, powerOffCore)
-		add("exchanges", "core machines replaced as planned and lost for good, right after one another",
+		add("exchanges", "core machines replaced as planned and lost permanently, in quick succession",
 			lossDuringReplacement, plannedReplacement, permanentLoss, lossDuringReplacement, loseDiskThenReplace, loseDiskAtWrite, powerOffCore, loseDiskAndPowerAtWrite, slowSingleDisk, longCorePartition)
-		add("closing-losses", "as many disks as are tolerated are lost at a confirmed write, those of replicas, while all else loses power",
+		add("closing-losses", "as many replicas' disks as tolerated are lost at a confirmed write, while everything else loses power",
 			loseDisksAndPowerAtWrite, loseDisksAndPowerAtWrite, loseDisksAndPowerAtWrite, powerOffEverything, killPrimary)
-		add("many-changes", "hundreds of changes, members that restart behind, lose their disks or find them damaged",
+		add("many-changes", "hundreds of changes, while members restart with an outdated state, or with a lost or corrupted disk",
 			loseDiskAtWrite, killPrimary, staleMemberAfterPartition, loseDiskAndPowerAtWrite, killCoreProcess, powerOffCoreMachine, loseDisk, damageDisk, fillDisk, failSync, powerOffCore)
 	}
 	return scenarios
 }
 
-// controlPlaneTopology is a core as the platform has it: its voters are known at the first start only, it retains a few
-// configurations, and its proxies serve on without it.
+// controlPlaneTopology returns a topology like that of the platform: core processes know the initial voters at their first start
+// only, the store retains few configurations, and proxies continue to serve without the core.
 func controlPlaneTopology(cores, replicas int) Topology {
 	return Topology{
 		Cores:            cores,
@@ -318,7 +319,7 @@
 		Backends:         1,
 		DiscoverVoters:   true,
 		Replicas:         replicas,
-		VoterTimeout:      catchUpAllowance / 2,
+		VoterTimeout:     catchUpAllowance / 2,
 		RetainedVersions: 3,
 		Timeouts:         configstore.Timeouts{ServeStale: true},
 	}
--- a/internal/simulation/scenario/tenants.go
+++ b/internal/simulation/scenario/tenants.go
@@ -11,44 +11,45 @@
 )
 
 const (
-	// revocationTimeout is how long after the acknowledgement of its removal a tenant's key may still be used.
+	// revocationTimeout is how long a tenant's key may still be accepted after its removal has been acknowledged.
 	revocationTimeout = 5 * monotonic.Second
 	// simulatedKeyLease leaves a margin for clocks that run at different speeds.
 	simulatedKeyLease = revocationTimeout * 95 / 100
-	// tenantCount is the number of tenants, and temporaryKeysPerTenant that of each one's keys that come and go.
+	// tenantCount is the number of tenants. temporaryKeysPerTenant times tenantCount is the maximum number of temporary keys.
 	tenantCount, temporaryKeysPerTenant = 4, 3
-	// keyChangeInterval is the mean time between two changes of the keys.
+	// keyChangeInterval is the mean interval between changes of the keys.
 	keyChangeInterval = 1500 * monotonic.Millisecond
-	// tenantTrafficDuration is how long faults are injected, and requests are sent with keys that may not be in force.
+	// tenantTrafficDuration is how long faults are injected and requests are sent with keys that may be invalid.
 	tenantTrafficDuration = 60 * monotonic.Second
 )
 
-// tenantWorkload is the tenants of a run, as their operator changes them. Each tenant has a key that stays, and keys that come, go and
-// pass to another tenant.
+// tenantWorkload changes the keys of a run's tenants and sends requests with them. Each tenant has a permanent key, and temporary keys
+// that are added, removed and moved to another tenant.
 type tenantWorkload struct {
 	mesh *Mesh
-	// owners are the tenants' numbers by key, for the keys that are in the newest configuration.
+	// owners maps each temporary key in the newest configuration to the number of its tenant.
 	owners map[string]int
-	// periods are those of the keys that are in force.
+	// periods holds the current period of each of these keys.
 	periods map[string]*invariants.KeyPeriod
-	// temporaryKeys are all that were ever in force, in the order in which they came.
+	// temporaryKeys are all temporary keys that were ever added, in the order in which they were added.
 	temporaryKeys []string
-	// version is that of the newest configuration, and until when requests are sent with any key.
+	// version is the version of the newest configuration.
 	version uint64
-	anyKeyUntil   monotonic.Micros
+	// anyKeyUntil is the time until which requests are sent with any key. Later ones have permanent keys only.
+	anyKeyUntil monotonic.Micros
 }
 
 func permanentKey(tenant int) string { return fmt.Sprintf("key-of-tenant-%d", tenant) }
 
 func tenantNameOf(tenant int) string { return fmt.Sprintf("tenant-%d", tenant) }
 
-// content returns the configuration with the tenants' present keys.
+// content returns the configuration with the tenants' current keys.
 func (w *tenantWorkload) content() []byte {
 	var tenants []string
 	for number := range tenantCount {
 		keys := []string{fmt.Sprintf("%q", permanentKey(number))}
 		for _, key := range w.temporaryKeys {
-			if owner, present := w.owners[key]; present && owner == number {
+			if owner, found := w.owners[key]; found && owner == number {
 				keys = append(keys, fmt.Sprintf("%q", key))
 			}
 		}
@@ -62,10 +63,10 @@
 "tenants":[%s]}`, w.version, strings.Join(tenants, ","))
 }
 
-// firstTenantState is the first configuration of a run with tenants: each has its permanent key alone.
+// firstTenantState returns the first configuration of a run with tenants, in which each has only its permanent key.
 func firstTenantState(int) []byte { return (&tenantWorkload{}).content() }
 
-// startTenantTraffic starts the operator who changes the keys, and callers that bear them.
+// startTenantTraffic starts an operator that changes the keys, and callers that use them.
 func startTenantTraffic(m *Mesh, perSecond int) {
 	w := &tenantWorkload{mesh: m, owners: map[string]int{}, periods: map[string]*invariants.KeyPeriod{}, version: firstOperatorVersion}
 	w.anyKeyUntil = m.World.Now() + tenantTrafficDuration
@@ -81,7 +82,7 @@
 	})
 }
 
-// changeKeys changes the keys until the traffic ends, one change after another.
+// changeKeys makes one change of the keys after another until the traffic ends.
 func (w *tenantWorkload) changeKeys() {
 	for w.mesh.serving {
 		w.mesh.External.Sleep(w.mesh.randomDuration(keyChangeInterval/2, keyChangeInterval*3/2))
@@ -89,27 +90,27 @@
 	}
 }
 
-// changeOneKey adds a key, takes one away, or gives one to another tenant, and waits for the acknowledgement.
+// changeOneKey adds a key, removes one, or moves one to another tenant, and waits for the acknowledgement.
 func (w *tenantWorkload) changeOneKey() {
 	w.version++
 	var ended []*invariants.KeyPeriod
-	present := w.currentKeys()
-	if len(present) < tenantCount || len(present) < tenantCount*temporaryKeysPerTenant && w.mesh.oneIn(2) {
+	current := w.currentKeys()
+	if len(current) < tenantCount || len(current) < tenantCount*temporaryKeysPerTenant && w.mesh.oneIn(2) {
 		key := fmt.Sprintf("key-%d", len(w.temporaryKeys))
 		w.temporaryKeys = append(w.temporaryKeys, key)
 		w.assignKey(key, w.mesh.World.Rand().IntN(tenantCount))
 	} else {
-		key := pick(w.mesh, present)
+		key := pick(w.mesh, current)
 		ended = append(ended, w.periods[key])
-		former := w.owners[key]
+		previousOwner := w.owners[key]
 		delete(w.periods, key)
 		delete(w.owners, key)
 		if w.mesh.oneIn(3) {
-			w.assignKey(key, (former+1)%tenantCount)
+			w.assignKey(key, (previousOwner+1)%tenantCount)
 		}
 	}
 	if !w.apply() {
-		return // the keys may be in force or not
+		return // whether the change is in effect is unknown
 	}
 	w.mesh.History.Update(func() {
 		for _, period := range ended {
@@ -118,7 +119,8 @@
 	})
 }
 
-// apply writes the present keys, on any core machine, until the write is acknowledged, and reports whether it was before the traffic ended.
+// apply writes the current keys on a random core machine, and repeats that until the write is acknowledged or the traffic ends. It
+// reports whether the write was acknowledged.
 func (w *tenantWorkload) apply() bool {
 	write := configWrite{version: w.version, content: w.content()}
 	w.mesh.recordRouting(write.content)
@@ -131,24 +133,25 @@
 	return false
 }
 
-// assignKey makes a key one of a tenant from now on.
+// assignKey assigns a key to a tenant from now on.
 func (w *tenantWorkload) assignKey(key string, tenant int) {
 	period := &invariants.KeyPeriod{Key: key, Tenant: tenantNameOf(tenant), From: w.mesh.World.Now()}
 	w.owners[key], w.periods[key] = tenant, period
 	w.mesh.History.RecordKeyPeriod(period)
 }
 
-// currentKeys are the keys that the newest configuration has, the oldest first.
-func (w *tenantWorkload) currentKeys() (present []string) {
+// currentKeys returns the temporary keys in the newest configuration, oldest first.
+func (w *tenantWorkload) currentKeys() (current []string) {
 	for _, key := range w.temporaryKeys {
-		if _, is := w.owners[key]; is {
-			present = append(present, key)
+		if _, found := w.owners[key]; found {
+			current = append(current, key)
 		}
 	}
-	return present
+	return current
 }
 
-// sendRequest sends a request with a permanent key, one that was ever in force, one that never was, or none.
+// sendRequest sends a request with a permanent key, with a temporary key that may have been removed, with an unknown key, or
+// without a key.
 func (w *tenantWorkload) sendRequest(number int) {
 	m := w.mesh
 	attempt := &invariants.Attempt{ID: fmt.Sprintf("tenant-%d", number), Kind: "form", Method: http.MethodGet, Path: fmt.Sprintf("/forms/%d", number), Caller: pick(m, m.proxyNames)}
@@ -157,7 +160,7 @@
 	}
 	choice := m.World.Rand().IntN(10)
 	if m.World.Now() >= w.anyKeyUntil {
-		choice = 4 // what is sent after the faults must be served
+		choice = 4 // a permanent key: requests after the faults must be served
 	}
 	switch {
 	case choice == 0:
@@ -168,7 +171,7 @@
 	case choice < 5 || len(w.temporaryKeys) == 0:
 		attempt.TenantKey = permanentKey(m.World.Rand().IntN(tenantCount))
 	default:
-		// The newest keys are those that are taken away.
+		// Recent keys are used, since those are the ones that get removed.
 		attempt.TenantKey = w.temporaryKeys[max(0, len(w.temporaryKeys)-1-m.World.Rand().IntN(2*tenantCount*temporaryKeysPerTenant))]
 	}
 	attempt.Sent = m.World.Now()
@@ -176,7 +179,7 @@
 	m.send(attempt)
 }
 
-// Faults under which a key that was taken away may be relied on for too long.
+// Faults during which a removed key may be accepted for too long.
 var (
 	isolateProxyLong = fault{"partition a proxy from the whole core for longer than a key's revocation takes", func(m *Mesh) {
 		victim, duration := pick(m, m.proxyNames), m.randomDuration(6*monotonic.Second, 15*monotonic.Second)
@@ -190,7 +193,7 @@
 			m.partitionFromAll(node.Machine, m.coreMachines, m.randomDuration(2*monotonic.Second, 9*monotonic.Second))
 		}
 	}}
-	halveCore = fault{"cut the core machines into halves", func(m *Mesh) {
+	halveCore = fault{"partition the core machines into two halves", func(m *Mesh) {
 		duration := m.randomDuration(3*monotonic.Second, 9*monotonic.Second)
 		half := len(m.coreMachines) / 2
 		for _, machine := range m.coreMachines[:half] {
@@ -199,18 +202,19 @@
 	}}
 )
 
-// maxCoreAbsence is the longest time for which one of the core's faults in these scenarios takes machines away.
+// maxCoreAbsence is the longest time for which a fault of the core in these scenarios makes machines unavailable.
 const maxCoreAbsence = 9 * monotonic.Second
 
-// countAsLoss makes a fault of the core count as a loss for as long as it may last, so that no disk is lost while another machine is away.
+// countAsLoss makes a fault of the core count as a loss for as long as it may last, so that no disk is lost while another machine
+// is unavailable.
 func countAsLoss(f fault) fault { return lossFault(f.name, maxCoreAbsence, f.inject) }
 
-// tenantScenarios have tenants whose keys come and go.
+// tenantScenarios returns the scenarios with tenants whose keys change.
 func tenantScenarios() []Scenario {
 	revocations := func(name string, cores int) Scenario {
 		return Scenario{
 			Name:    name,
-			Summary: "tenants' keys are taken away while proxies are cut off, frozen or restarted, and the core is cut, halved or replaced",
+			Summary: "tenants' keys are removed while proxies are cut off, frozen or restarted, and core machines are isolated, split into halves or replaced",
 			Topology: Topology{Cores: cores, Proxies: 5, Zones: 2, Backends: 4, Services: []string{"records"}, DiscoverVoters: true,
 				Timeouts: configstore.Timeouts{ServeStale: true}, KeyLease: simulatedKeyLease, VoterTimeout: 3 * monotonic.Second},
 			Duration:        tenantTrafficDuration,
--- a/internal/simulation/scenario/topology.go
+++ b/internal/simulation/scenario/topology.go
@@ -17,59 +17,59 @@
 	Backends int
 	// Services are the names of the services; forms and households if empty.
 	Services []string
-	// Slots is how many requests each backend reports to run at once; zero if it reports none.
+	// Slots is the number of concurrent requests that each backend reports as its capacity; zero if backends don't report it.
 	Slots uint32
-	// Timeouts are the configuration store's, with the choice whether proxies serve on without a lease.
+	// Timeouts are the configuration store's timeouts. They include whether proxies continue to serve without a lease.
 	Timeouts configstore.Timeouts
-	// DiscoverVoters lets core processes know the initial voters at their first start only, as where nobody configures them.
+	// DiscoverVoters gives core processes the initial voters at their first start only, as in a deployment that doesn't configure them.
 	DiscoverVoters bool
 	// Replicas is the number of replicas of a write; zero for the default.
 	Replicas int
-	// Voters is the wanted number of voters; zero for the default.
+	// Voters is the number of voters wanted; zero for the default.
 	Voters int
-	// VoterTimeout is how long a voter may be away before it is replaced; zero for the default.
+	// VoterTimeout is how long a voter may be unresponsive before it is replaced; zero for the default.
 	VoterTimeout monotonic.Micros
 	// Domains are the core machines' failure domains in the order of the machines; empty if unknown.
 	Domains []string
 	// RetainedVersions is how many configurations the store retains; zero for all of them.
 	RetainedVersions int
-	// DrainLinger is how long a proxy that stops as planned goes on accepting requests.
+	// DrainLinger is how long a proxy in a planned stop continues to accept requests.
 	DrainLinger monotonic.Micros
-	// KeyLease is how long proxies rely on tenants' keys without contact; zero for good.
+	// KeyLease is how long proxies accept tenants' keys without contact to the core; zero for no limit.
 	KeyLease monotonic.Micros
 }
 
 var (
 	smallTopology = Topology{Cores: 3, Proxies: 4, Zones: 2, Backends: 3}
-	// discoveredTopology is a small mesh whose core processes know their voters at the first start only.
+	// discoveredTopology is smallTopology with core processes that know the initial voters at their first start only.
 	discoveredTopology = Topology{Cores: 3, Proxies: 4, Zones: 2, Backends: 3, DiscoverVoters: true}
 	fourZoneTopology   = Topology{Cores: 4, Proxies: 4, Zones: 4, Backends: 3}
 )
 
-// Defects turn parts of the mesh off, to show that the checkers detect it. The zero value turns off nothing.
+// Defects disable parts of the mesh, to show that the checkers detect it. The zero value disables nothing.
 type Defects struct {
 	NoProbeLease            bool   // proxies forward requests through a half-open breaker without leasing a probe
 	TrustClock              bool   // the leader's clock is trusted although it may have been stepped
-	SameRetryAfter          bool   // rejections name the same Retry-After to all callers
+	SameRetryAfter          bool   // rejections have the same Retry-After for all callers
 	NoClaims                bool   // idempotency keys are not claimed
-	IgnoreDraining          bool   // backends' announcements that they are draining are ignored
+	IgnoreDraining          bool   // a backend's announcement that it is draining is ignored
 	NoIdentityCheck         bool   // backends are not asked for their identity
 	NoServingLease          bool   // proxies serve without a live configuration lease
 	NoSync                  bool   // syncs of disks do nothing
 	AcceptTruncated         bool   // truncated responses are forwarded as if they were complete
-	BreakerFault                string // what is wrong with the shared breaker records: one of package breakerstore's fault names
+	BreakerFault            string // the fault of the shared breaker records: one of package breakerstore's Fault constants
 	NoRetryBudget           bool   // retries are unlimited
 	NoDrain                 bool   // a planned stop of a proxy ends it at once
 	NoRecovery              bool   // two core machines stay down at the end
 	ClockStopsWhileFrozen   bool   // a process's clock stands still while it is frozen
-	IgnoreSingletonExpiry        bool   // the owner of a singleton role keeps it beyond its lease
+	IgnoreSingletonExpiry   bool   // the owner of a singleton role keeps it beyond its lease
 	ResetCounters           bool   // a new configuration version resets the breakers' counters
-	WrongBase               bool   // differences between configurations are applied onto whatever a proxy has
-	UncheckedDirectoryDelta bool   // differences between directories are applied onto whatever a proxy has
-	NoPrimaryLease          bool   // a core primary answers without the lease of a majority
-	AnySuccessor            bool   // any voter may become primary, whatever its replica holds
+	WrongBase               bool   // differences between configurations are applied to whichever version a proxy has
+	UncheckedDirectoryDelta bool   // differences between directories are applied to whichever version a proxy has
+	NoPrimaryLease          bool   // a core primary answers without a lease from a majority
+	AnySuccessor            bool   // any voter may become primary, whatever the state of its replica
 	KeepVoterOnStop         bool   // a core process that stops as planned leaves its replica and its vote behind
-	AllowContentConflicts   bool   // a configuration version may stand for several contents
-	NoKeyLease              bool   // tenants' keys are relied on without contact to the core
-	ClaimPerService         bool   // idempotency keys are claimed for one service only
+	AllowContentConflicts   bool   // a configuration version may have several contents
+	NoKeyLease              bool   // tenants' keys are accepted indefinitely without contact to the core
+	ClaimPerService         bool   // an idempotency key is claimed for each service separately
 }
--- a/internal/simulation/scenario/wrong_base.go
+++ b/internal/simulation/scenario/wrong_base.go
@@ -12,40 +12,40 @@
 	"snowflow/internal/workload"
 )
 
-// wrongBaseDefect is a defect: proxies are sent what the newest version changes in the version before it, applied onto whatever they
-// have.
+// wrongBaseDefect implements the defect WrongBase: the configuration store sends a proxy the changes between the two newest versions,
+// applied to whichever version the proxy has.
 type wrongBaseDefect struct {
-	contents map[string]*wire.DesiredState // what operators submitted, by its digest
-	previous map[string]string             // the digest that was submitted before, by that of a content
+	contents map[string]*wire.DesiredState // the submitted desired states by digest
+	previous map[string]string             // maps a digest to the one that was submitted before it
 	last     string                        // the digest that was submitted last
 }
 
-// applyToWrongBase turns the defect on.
+// applyToWrongBase enables the defect WrongBase.
 func (m *Mesh) applyToWrongBase() {
 	first := peakDesiredState()
 	digest := config.Digest(workload.EncodeState(first))
-	wrong := &wrongBaseDefect{contents: map[string]*wire.DesiredState{digest: first}, previous: map[string]string{}, last: digest}
-	m.onSubmit = wrong.submit
+	defect := &wrongBaseDefect{contents: map[string]*wire.DesiredState{digest: first}, previous: map[string]string{}, last: digest}
+	m.onSubmit = defect.submit
 	m.onDesiredPoll = func(request *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 		snapshot, _ := m.proxies[request.Proxy].ConfigClient.Current()
-		wrong.replaceDifference(snapshot.Digest, response)
+		defect.replaceDifference(snapshot.Digest, response)
 	}
 }
 
-func (w *wrongBaseDefect) submit(content []byte) {
+func (d *wrongBaseDefect) submit(content []byte) {
 	digest := config.Digest(content)
-	w.contents[digest], _ = config.ParseAccepted(content)
-	w.previous[digest], w.last = w.last, digest
+	d.contents[digest], _ = config.ParseAccepted(content)
+	d.previous[digest], d.last = d.last, digest
 }
 
-// replaceDifference replaces the difference in a response to a proxy that has the content with a digest. It leaves a response
-// alone that has no difference, or to which the defect cannot be applied.
-func (w *wrongBaseDefect) replaceDifference(digest string, response *wire.ConfigPollResponse) {
+// replaceDifference replaces the difference in a response to a proxy whose content has the given digest. It leaves the response
+// unchanged if it has no difference or if the defect can't be applied to it.
+func (d *wrongBaseDefect) replaceDifference(digest string, response *wire.ConfigPollResponse) {
 	difference := &wire.Difference{}
 	if len(response.Difference) == 0 || proto.Unmarshal(response.Difference, difference) != nil {
 		return
 	}
-	base, previous, newest := w.contents[digest], w.contents[w.previous[difference.ContentDigest]], w.contents[difference.ContentDigest]
+	base, previous, newest := d.contents[digest], d.contents[d.previous[difference.ContentDigest]], d.contents[difference.ContentDigest]
 	if base == nil || previous == nil || newest == nil {
 		return
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// differenceToWrongBase returns the difference from a base to what the step between two other states makes of it. It fails if
-// that is no valid state.
+// differenceToWrongBase applies the changes between two other states to a base, and returns the encoded difference between the base
+// and the result. It fails if the result is no valid state.
 func differenceToWrongBase(base, previous, newest *wire.DesiredState, difference *wire.Difference) ([]byte, error) {
 	sets := make([]*changes.Set, 3)
 	for index, state := range []*wire.DesiredState{base, previous, newest} {
@@ -64,25 +64,25 @@
 			return nil, err
 		}
 	}
-	wrong, err := applyStep(base, changes.Diff(sets[1], sets[2]))
+	result, err := applyRouteChanges(base, changes.Diff(sets[1], sets[2]))
 	if err != nil {
 		return nil, err
 	}
-	set, err := changes.NewSet(wrong)
+	resultSet, err := changes.NewSet(result)
 	if err != nil {
 		return nil, err
 	}
-	return changes.Encode(changes.Diff(sets[0], set), difference.Version, difference.ContentDigest)
+	return changes.Encode(changes.Diff(sets[0], resultSet), difference.Version, difference.ContentDigest)
 }
 
-// applyStep returns a state with the routes that a step adds, changes and removes.
-func applyStep(base *wire.DesiredState, step *changes.Difference) (*wire.DesiredState, error) {
+// applyRouteChanges returns the base state with its routes changed by a difference.
+func applyRouteChanges(base *wire.DesiredState, difference *changes.Difference) (*wire.DesiredState, error) {
 	replaced := map[string]bool{}
-	for _, change := range slices.Concat(step.Added, step.Changed, step.Removed) {
+	for _, change := range slices.Concat(difference.Added, difference.Changed, difference.Removed) {
 		replaced[change.Key] = true
 	}
 	state := &wire.DesiredState{Groups: base.Groups}
-	for _, change := range slices.Concat(step.Added, step.Changed) {
+	for _, change := range slices.Concat(difference.Added, difference.Changed) {
 		route, ok := change.Message.(*wire.Route)
 		if !ok {
 			return nil, fmt.Errorf("%s is a %T, not a route", change.Key, change.Message)
