--- a/internal/simulation/scenario/control_plane_faults.go
+++ b/internal/simulation/scenario/control_plane_faults.go
@@ -103,7 +103,7 @@
 			})
 			running--
 			if running == 0 {
-				m.now(func() {
+				m.runNow(func() {
 					m.retire(machine)
 					then()
 				})
--- a/internal/simulation/scenario/faults_config.go
+++ b/internal/simulation/scenario/faults_config.go
@@ -37,7 +37,7 @@
 	variant := m.randomVariant()
 	m.External.Go(func() {
 		if accepted(m.applyDesired(Desired(variant), true, 0, 8*monotonic.Second)) {
-			m.now(action)
+			m.runNow(action)
 		}
 	})
 }
--- a/internal/simulation/scenario/faults_process.go
+++ b/internal/simulation/scenario/faults_process.go
@@ -91,7 +91,7 @@
 					instance.Drain(m.drainTimeout, func() { m.refusingCallers[name] = true })
 				}
 			})
-			m.now(end)
+			m.runNow(end)
 		})
 	}}
 	stopPrimary = fault{"stop a primary as planned", func(m *Mesh) {
@@ -102,7 +102,7 @@
 		end := m.History.BeginPlannedChange("planned stop of "+node.Name, m.World.Now())
 		m.External.Go(func() {
 			_ = m.transactAt(node.Address, 5*monotonic.Second, func() { m.replicationMember(node.Name).TransferLeadership("planned") })
-			m.now(func() {
+			m.runNow(func() {
 				m.World.Kill(node)
 				end(m.World.Now())
 				m.after(300*monotonic.Millisecond, func() { m.World.Start(node) })
--- a/internal/simulation/scenario/mesh.go
+++ b/internal/simulation/scenario/mesh.go
@@ -217,8 +217,8 @@
 	m.World.At(m.World.Now()+delay, action)
 }
 
-// now runs an action as an event of its own at the current time, outside all nodes.
-func (m *Mesh) now(action func()) { m.World.At(m.World.Now(), action) }
+// runNow runs an action as an event of its own at the current time, outside all nodes.
+func (m *Mesh) runNow(action func()) { m.World.At(m.World.Now(), action) }
 
 // transactAt runs work in the process at an address, and returns an error if the call failed.
 func (m *Mesh) transactAt(address string, timeout monotonic.Micros, work func()) error {
--- a/internal/simulation/scenario/operator_workload.go
+++ b/internal/simulation/scenario/operator_workload.go
@@ -89,7 +89,7 @@
 	outcome := writeOutcome(response, err)
 	if action := m.onConfirmedWrite; outcome == invariants.Confirmed && action != nil {
 		m.onConfirmedWrite = nil
-		m.now(action)
+		m.runNow(action)
 	}
 	m.History.RecordOperatorCall(invariants.OperatorCall{
 		Endpoint: node.Name,
--- a/internal/simulation/scenario/planned_stop_test.go
+++ b/internal/simulation/scenario/planned_stop_test.go
@@ -19,7 +19,7 @@
 			node := mesh.primary(configstore.Group)
 			mesh.External.Go(func() {
 				_ = mesh.transactAt(node.Address, 5*monotonic.Second, func() { mesh.configStores[node.Name].Member.TransferLeadership("planned") })
-				mesh.now(func() { mesh.World.Kill(node) })
+				mesh.runNow(func() { mesh.World.Kill(node) })
 			})
 		}}, false},
 		"a killed proxy":               {killProxy, true},
