--- a/internal/simulation/scenario/faults_backend.go
+++ b/internal/simulation/scenario/faults_backend.go
@@ -5,7 +5,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// Faults of backends, and changes among them.
+// Faults and replacements of backends.
 var (
 	misbehaveBackend = fault{"make a backend misbehave", func(m *Mesh) {
 		if live := m.liveBackends(""); len(live) > 0 {
@@ -21,8 +21,9 @@
 		setBehavior(backends, misbehavior)
 		m.after(m.randomDuration(7*monotonic.Second, 10*monotonic.Second), func() { setBehavior(backends, healthy) })
 	}}
-	// failServiceMarked marks the failure and its end for the rule that one caller's trouble stays its own.
-	failServiceMarked = fault{"make a whole service fail, with markers", func(m *Mesh) {
+	// failServiceWithMarkers marks the start and the end of the failure for the rule that a caller's degraded network must not affect
+	// other callers.
+	failServiceWithMarkers = fault{"make a whole service fail, with markers", func(m *Mesh) {
 		backends := m.liveBackends(pick(m, []string{formsService, householdsService}))
 		setBehavior(backends, failing)
 		m.History.RecordMarker(invariants.MarkerServiceFailing, m.World.Now())
@@ -60,15 +61,15 @@
 	}}
 )
 
-func setBehavior(backends []*simulatedBackend, present behavior) {
+func setBehavior(backends []*simulatedBackend, newBehavior behavior) {
 	for _, backend := range backends {
-		backend.behavior = present
+		backend.behavior = newBehavior
 	}
 }
 
-// trafficSurge has ten times the traffic come for a while, in the usual shares of reads and submissions.
+// trafficSurge adds ten times the usual traffic for a while, with the usual mix of reads and submissions.
 var trafficSurge = fault{"a surge of traffic", func(m *Mesh) {
-	m.surges++
+	m.surgeCount++
 	until := m.World.Now() + 4*monotonic.Second
-	m.sendAtRate(m.surges*1_000_000, 300, func() bool { return m.serving && m.World.Now() < until })
+	m.sendAtRate(m.surgeCount*1_000_000, 300, func() bool { return m.serving && m.World.Now() < until })
 }}
--- a/internal/simulation/scenario/faults_config.go
+++ b/internal/simulation/scenario/faults_config.go
@@ -6,7 +6,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// operatorTimeout is how long operators retry a change in these faults.
+// operatorTimeout is how long operators retry a change in the faults below.
 const operatorTimeout = 30 * monotonic.Second
 
 // Changes of the configuration.
@@ -32,12 +32,12 @@
 	}}
 )
 
-// atAcknowledgement applies a desired state and runs an action at the moment in which its operator is notified.
+// atAcknowledgement applies a desired state and runs an action at the moment at which the operator receives the acknowledgement.
 func (m *Mesh) atAcknowledgement(action func()) {
 	variant := m.randomVariant()
 	m.External.Go(func() {
 		if accepted(m.applyDesired(Desired(variant), true, 0, 8*monotonic.Second)) {
-			m.now(action)
+			m.runNow(action)
 		}
 	})
 }
