--- a/internal/simulation/scenario/callers.go
+++ b/internal/simulation/scenario/callers.go
@@ -92,7 +92,7 @@
 	}
 	attempt.Proxy = pick(m, m.proxyNames)
 	if degraded := slices.Sorted(maps.Keys(m.degraded)); len(degraded) > 1 && !m.oneIn(4) {
-		attempt.Caller = pick(m, degraded) // callers with a degraded network retry most
+		attempt.Proxy = pick(m, degraded) // callers with a degraded network retry most
 	}
 	attempt.ID = fmt.Sprintf("%s-%d-%d", attempt.Kind, number, retries)
 	attempt.Sent = m.World.Now()
@@ -171,8 +171,8 @@
 // transactReply calls forward in the process of the attempt's proxy and records the outcome in the attempt. It returns an error
 // if no reply arrived.
 func (m *Mesh) transactReply(attempt *invariants.Attempt, forward func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error)) (reply callerReply, err error) {
-	content, err := m.External.Transact(m.World.Node(attempt.Caller).Address, callerTimeout, func(*world.Node) ([]byte, error) {
-		response, apiErr, err := forward(m.proxies[attempt.Caller])
+	content, err := m.External.CallFunc(m.World.Node(attempt.Proxy).Address, callerTimeout, func(*world.Node) ([]byte, error) {
+		response, apiErr, err := forward(m.proxies[attempt.Proxy])
 		if err != nil {
 			return nil, err
 		}
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -202,7 +202,7 @@
 // check returns the findings of all rules and of the scenario's checks, and how many observations each rule examined. A rule or
 // check that had nothing to examine although it should have is a finding too.
 func (m *Mesh) check(scenario Scenario) (findings []invariants.Finding, examined map[int]int) {
-	findings, examined = invariants.Inspect(m.History)
+	findings, examined = invariants.CheckRules(m.History)
 	for _, rule := range scenario.Rules {
 		if examined[rule] == 0 {
 			findings = append(findings, invariants.Finding{Rule: rule, Text: "there was nothing to examine", NothingExamined: true})
--- a/internal/simulation/scenario/upstream.go
+++ b/internal/simulation/scenario/upstream.go
@@ -141,8 +141,8 @@
 // recordRun records that a request has reached a backend. Only a healthy or slow backend sends a complete response.
 func (m *Mesh) recordRun(req admission.BackendRequest, backend *simulatedBackend, chosen behavior, body []byte) {
 	attempt, number := splitRequestID(req.ID)
-	run := invariants.Run{
-		Attempt:       attempt,
+	run := invariants.BackendRequest{
+		AttemptID:     attempt,
 		AttemptNumber: number,
 		Key:           request.HeaderValue(req.Headers, request.IdempotencyKeyHeader),
 		Tenant:        req.Tenant,
