--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -48,7 +48,7 @@
 }
 
 func runSweep(options sweepOptions) error {
-	bounds, err := sweep.Half()
+	bounds, err := sweep.MachineBounds()
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -113,8 +113,8 @@
 	Files  uint64 // open files of this process
 }
 
-// Half returns this machine's bounds: half its memory, and the number of files that a process may open.
-func Half() (Bounds, error) {
+// MachineBounds returns this machine's bounds: half its memory, and the number of files that a process may open.
+func MachineBounds() (Bounds, error) {
 	content, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return Bounds{}, err
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -148,7 +148,7 @@
 	if _, err := Find("weather"); err == nil {
 		t.Error("an unknown dimension is found")
 	}
-	if own, err := Half(); err != nil || own.Memory == 0 || own.Files == 0 {
+	if own, err := MachineBounds(); err != nil || own.Memory == 0 || own.Files == 0 {
 		t.Errorf("this machine's bounds are %+v, %v", own, err)
 	}
 }
