--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -144,7 +144,7 @@
 		granted, other := 0, 0
 		var medians, p99s []float64
 		for _, run := range point.Runs {
-			takeUp = append(takeUp, run.TakeUp...)
+			takeUp = append(takeUp, run.AdoptionSeconds...)
 			granted, other = granted+run.Claims.Granted, other+run.Claims.Other
 			medians, p99s = append(medians, run.Claims.P50), append(p99s, run.Claims.P99)
 		}
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -198,7 +198,7 @@
 	Breakers     int             `json:"guards_records"`       // breaker records at the window's start
 	JoinSeconds  float64         `json:"joined_seconds"`       // from the first proxy's start until each knows all others
 	Roles        map[string]Role `json:"roles"`                // by role name, such as "sorter primary"
-	TakeUp       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
+	AdoptionSeconds       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
 	Acknowledged []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
 	Claims       Claims          `json:"claims"`
 	Failures     *Failures       `json:"failures,omitempty"`
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -66,8 +66,8 @@
 	if run.Size != size || run.Seconds <= 0 || run.ConfigBytes == 0 || run.Breakers != size.Services {
 		t.Errorf("the record is %+v", run)
 	}
-	if len(run.TakeUp) != size.Changes || len(run.Acknowledged) != size.Changes {
-		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.TakeUp), len(run.Acknowledged))
+	if len(run.AdoptionSeconds) != size.Changes || len(run.Acknowledged) != size.Changes {
+		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.AdoptionSeconds), len(run.Acknowledged))
 	}
 	if expected := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
 		t.Errorf("of %d claims %+v", expected, run.Claims)
@@ -103,13 +103,13 @@
 		if size.Proxies == 60 && number == 2 {
 			return Run{}, interrupted
 		}
-		return Run{Size: size, Number: number, Seconds: 1, TakeUp: []float64{0.5}}, nil
+		return Run{Size: size, Number: number, Seconds: 1, AdoptionSeconds: []float64{0.5}}, nil
 	}, func(string, ...any) { reports++ })
 	if !errors.Is(err, interrupted) || reports != 3 {
 		t.Errorf("ended with %v after %d runs", err, reports)
 	}
 	points, err := Results(plan.Results)
-	if err != nil || len(points) != 1 || points[0].Value != 50 || len(points[0].Runs) != 2 || points[0].Runs[1].Number != 2 || !reflect.DeepEqual(points[0].Runs[0].TakeUp, []float64{0.5}) {
+	if err != nil || len(points) != 1 || points[0].Value != 50 || len(points[0].Runs) != 2 || points[0].Runs[1].Number != 2 || !reflect.DeepEqual(points[0].Runs[0].AdoptionSeconds, []float64{0.5}) {
 		t.Errorf("recorded are %+v, %v", points, err)
 	}
 	if names, err := os.ReadDir(plan.Results); err != nil || len(names) != 1 {
--- a/internal/rehearse/sweep/window.go
+++ b/internal/rehearse/sweep/window.go
@@ -72,7 +72,7 @@
 		}); !reached {
 			return fmt.Errorf("change %d was not adopted by all proxies after %v", version, m.options.Timeout)
 		}
-		m.run.TakeUp = append(m.run.TakeUp, last.Sub(began).Seconds())
+		m.run.AdoptionSeconds = append(m.run.AdoptionSeconds, last.Sub(began).Seconds())
 		m.run.Acknowledged = append(m.run.Acknowledged, took)
 		return nil
 	})
