--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -199,7 +199,7 @@
 	JoinSeconds  float64         `json:"joined_seconds"`       // from the first proxy's start until each knows all others
 	Roles        map[string]Role `json:"roles"`                // by role name, such as "sorter primary"
 	AdoptionSeconds       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
-	Acknowledged []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
+	AcknowledgementSeconds []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
 	Claims       Claims          `json:"claims"`
 	Failures     *Failures       `json:"failures,omitempty"`
 }
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -162,7 +162,7 @@
 	return append(metrics,
 		Metric{"desired state", "B", func(run Run) (float64, bool) { return float64(run.ConfigBytes), run.ConfigBytes > 0 }},
 		Metric{"take-up, slowest carrier", "s", func(run Run) (float64, bool) { return highest(run.AdoptionSeconds) }},
-		Metric{"acknowledgement", "s", func(run Run) (float64, bool) { return highest(run.Acknowledged) }},
+		Metric{"acknowledgement", "s", func(run Run) (float64, bool) { return highest(run.AcknowledgementSeconds) }},
 		Metric{"claim, p99", "s", func(run Run) (float64, bool) { return run.Claims.P99, run.Claims.Granted > 0 }},
 		Metric{"until claims again", "s", failures(func(failures *Failures) *float64 { return failures.Claims })},
 		Metric{"until reads again", "s", failures(func(failures *Failures) *float64 { return failures.Reads })},
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -66,8 +66,8 @@
 	if run.Size != size || run.Seconds <= 0 || run.ConfigBytes == 0 || run.Breakers != size.Services {
 		t.Errorf("the record is %+v", run)
 	}
-	if len(run.AdoptionSeconds) != size.Changes || len(run.Acknowledged) != size.Changes {
-		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.AdoptionSeconds), len(run.Acknowledged))
+	if len(run.AdoptionSeconds) != size.Changes || len(run.AcknowledgementSeconds) != size.Changes {
+		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.AdoptionSeconds), len(run.AcknowledgementSeconds))
 	}
 	if expected := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
 		t.Errorf("of %d claims %+v", expected, run.Claims)
--- a/internal/rehearse/sweep/window.go
+++ b/internal/rehearse/sweep/window.go
@@ -73,7 +73,7 @@
 			return fmt.Errorf("change %d was not adopted by all proxies after %v", version, m.options.Timeout)
 		}
 		m.run.AdoptionSeconds = append(m.run.AdoptionSeconds, last.Sub(began).Seconds())
-		m.run.Acknowledged = append(m.run.Acknowledged, took)
+		m.run.AcknowledgementSeconds = append(m.run.AcknowledgementSeconds, took)
 		return nil
 	})
 }
