--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -96,7 +96,7 @@
 func newRun(proxies int) sweep.Run {
 	size := sweep.Base
 	size.Proxies = proxies
-	return sweep.Run{Size: size, Number: 1, Seconds: 10, Roles: map[string]sweep.Role{
+	return sweep.Run{Size: size, Number: 1, Seconds: 10, Roles: map[string]sweep.RoleUsage{
 		"carrier": {Processes: proxies, Kinds: map[string]sweep.Traffic{"sorter_poll": {SentBytes: 100, ReceivedBytes: float64(2 * proxies)}}}}}
 }
 
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -158,8 +158,8 @@
 	ReceivedBytes float64 `json:"received_bytes"`
 }
 
-// Role is what one process of a role used within the window, as the mean over its processes.
-type Role struct {
+// RoleUsage is what one process of a role used within the window, as the mean over its processes.
+type RoleUsage struct {
 	Processes     int                `json:"processes"`
 	CPUMicros     float64            `json:"processor"`     // CPU microseconds per second
 	ResidentBytes float64            `json:"resident_peak"` // peak resident set size
@@ -167,7 +167,7 @@
 }
 
 // Total sums the traffic of all kinds. The order of summation is fixed, so that results are reproducible to the last bit.
-func (r Role) Total() (total Traffic) {
+func (r RoleUsage) Total() (total Traffic) {
 	for _, name := range slices.Sorted(maps.Keys(r.Kinds)) {
 		traffic := r.Kinds[name]
 		total.Sent, total.SentBytes = total.Sent+traffic.Sent, total.SentBytes+traffic.SentBytes
@@ -197,7 +197,7 @@
 	ConfigBytes  int             `json:"desired_bytes"`        // size of the last configuration
 	Breakers     int             `json:"guards_records"`       // breaker records at the window's start
 	JoinSeconds  float64         `json:"joined_seconds"`       // from the first proxy's start until each knows all others
-	Roles        map[string]Role `json:"roles"`                // by role name, such as "sorter primary"
+	Roles        map[string]RoleUsage `json:"roles"`                // by role name, such as "sorter primary"
 	AdoptionSeconds       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
 	AcknowledgementSeconds []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
 	Claims       Claims          `json:"claims"`
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -133,17 +133,17 @@
 // Metrics lists all metrics that lines are fitted to: CPU time, memory, messages and bytes of each role, then durations.
 func Metrics() (metrics []Metric) {
 	for _, name := range roleNames {
-		ofRole := func(read func(role Role) float64) func(run Run) (float64, bool) {
+		ofRole := func(read func(role RoleUsage) float64) func(run Run) (float64, bool) {
 			return func(run Run) (float64, bool) {
 				role, known := run.Roles[name]
 				return read(role), known
 			}
 		}
 		metrics = append(metrics,
-			Metric{name + " processor", "µs/s", ofRole(func(role Role) float64 { return role.CPUMicros })},
-			Metric{name + " memory", "KB", ofRole(func(role Role) float64 { return role.ResidentBytes / 1024 })},
-			Metric{name + " messages", "1/s", ofRole(func(role Role) float64 { all := role.Total(); return all.Sent + all.Received })},
-			Metric{name + " bytes", "B/s", ofRole(func(role Role) float64 { all := role.Total(); return all.SentBytes + all.ReceivedBytes })})
+			Metric{name + " processor", "µs/s", ofRole(func(role RoleUsage) float64 { return role.CPUMicros })},
+			Metric{name + " memory", "KB", ofRole(func(role RoleUsage) float64 { return role.ResidentBytes / 1024 })},
+			Metric{name + " messages", "1/s", ofRole(func(role RoleUsage) float64 { all := role.Total(); return all.Sent + all.Received })},
+			Metric{name + " bytes", "B/s", ofRole(func(role RoleUsage) float64 { all := role.Total(); return all.SentBytes + all.ReceivedBytes })})
 	}
 	failures := func(read func(failures *Failures) *float64) func(run Run) (float64, bool) {
 		return func(run Run) (float64, bool) {
--- a/internal/rehearse/sweep/usage.go
+++ b/internal/rehearse/sweep/usage.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	proxies, seconds := float64(m.size.Proxies), m.run.Seconds
-	m.run.Roles[proxyRole] = Role{Processes: m.size.Proxies, CPUMicros: (after.cpuMicros[proxyRole] - before.cpuMicros[proxyRole]) / seconds / proxies,
+	m.run.Roles[proxyRole] = RoleUsage{Processes: m.size.Proxies, CPUMicros: (after.cpuMicros[proxyRole] - before.cpuMicros[proxyRole]) / seconds / proxies,
 		ResidentBytes: (peak - m.baselineResident) / proxies, Kinds: perSecond(before.messageCounts[proxyRole], after.messageCounts[proxyRole], seconds*proxies)}
 	statuses, err := m.awaitPrimaries()
 	if err != nil {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		m.run.Roles[roleName(process, core)] = Role{Processes: 1, CPUMicros: (after.cpuMicros[process.Name] - before.cpuMicros[process.Name]) / seconds,
+		m.run.Roles[roleName(process, core)] = RoleUsage{Processes: 1, CPUMicros: (after.cpuMicros[process.Name] - before.cpuMicros[process.Name]) / seconds,
 			ResidentBytes: peak, Kinds: perSecond(before.messageCounts[process.Name], after.messageCounts[process.Name], seconds)}
 	}
 	return nil
