--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -20,12 +20,12 @@
 	Services int `json:"services"`
 	Routes   int `json:"routes"`
 	Changes  int `json:"changes"`  // configurations applied within the window
-	Calls    int `json:"calls"`    // claims a second
+	ClaimRate    int `json:"calls"`    // claims a second
 	Restarts int `json:"restarts"` // proxies restarted within the window
 }
 
 // Base is the size from which each sweep moves one dimension.
-var Base = Size{Proxies: 50, Services: 10, Routes: 10, Changes: 4, Calls: 10}
+var Base = Size{Proxies: 50, Services: 10, Routes: 10, Changes: 4, ClaimRate: 10}
 
 // Dimension is a field of Size that can be swept.
 type Dimension struct {
@@ -46,7 +46,7 @@
 	{Name: "services", Unit: "service", Sizes: []int{580}, Field: func(size *Size) *int { return &size.Services }},
 	{Name: "routes", Unit: "route", Sizes: []int{10000}, Field: func(size *Size) *int { return &size.Routes }},
 	{Name: "changes", Unit: "change a second", Sizes: []int{40}, Field: func(size *Size) *int { return &size.Changes }, PerWindow: true},
-	{Name: "calls", Unit: "claim a second", Sizes: []int{400}, Field: func(size *Size) *int { return &size.Calls }},
+	{Name: "calls", Unit: "claim a second", Sizes: []int{400}, Field: func(size *Size) *int { return &size.ClaimRate }},
 	{Name: "restarts", Unit: "restart a second", Sizes: []int{10}, Field: func(size *Size) *int { return &size.Restarts }, PerWindow: true},
 }
 
@@ -137,7 +137,7 @@
 			return fmt.Errorf("%s must be one at least", name)
 		}
 	}
-	if size.Proxies < 2 || size.Routes < 0 || size.Changes < 0 || size.Calls < 0 || size.Restarts < 0 {
+	if size.Proxies < 2 || size.Routes < 0 || size.Changes < 0 || size.ClaimRate < 0 || size.Restarts < 0 {
 		return fmt.Errorf("%+v: there must be two carriers, and no figure below zero", size)
 	}
 	if estimate := size.EstimateMemory(); estimate > b.Memory {
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -28,7 +28,7 @@
 // how long anything took. The run with failures has to wait for leases to expire, so both cases run in parallel.
 func TestTinySweep(t *testing.T) {
 	binaries := buildDaemons(t)
-	calm := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, Calls: 20}
+	calm := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, ClaimRate: 20}
 	withRestarts := calm
 	withRestarts.Restarts = 1
 	for name, testCase := range map[string]struct {
@@ -69,7 +69,7 @@
 	if len(run.AdoptionSeconds) != size.Changes || len(run.AcknowledgementSeconds) != size.Changes {
 		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.AdoptionSeconds), len(run.AcknowledgementSeconds))
 	}
-	if expected := size.Calls * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
+	if expected := size.ClaimRate * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
 		t.Errorf("of %d claims %+v", expected, run.Claims)
 	}
 	for _, name := range roleNames {
@@ -135,7 +135,7 @@
 		"files":       {Size{Proxies: 2850, Services: 1}, "open files"},
 		"no carriers": {Size{Services: 1}, "carriers must be one at least"},
 		"no services": {Size{Proxies: 5}, "services must be one at least"},
-		"below zero":  {Size{Proxies: 5, Services: 1, Calls: -1}, "no figure below zero"},
+		"below zero":  {Size{Proxies: 5, Services: 1, ClaimRate: -1}, "no figure below zero"},
 	} {
 		bounds := bounds
 		if name == "files" {
--- a/internal/rehearse/sweep/window.go
+++ b/internal/rehearse/sweep/window.go
@@ -84,7 +84,7 @@
 	var lock sync.Mutex // guards took and m.run.Claims
 	var work sync.WaitGroup
 	var took []float64
-	count := int(float64(m.size.Calls) * m.options.Window.Seconds())
+	count := int(float64(m.size.ClaimRate) * m.options.Window.Seconds())
 	err := m.spreadOverWindow(count, func(index int) error {
 		work.Add(1)
 		go func() {
