--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -158,16 +158,16 @@
 			}
 			values := collect(point.Runs, metric.Measure)
 			cell := medianAndRange(values)
-			if measured := collect(point.Runs, func(run sweep.Run) (float64, bool) { return 0, run.Failures != nil }); len(values) < len(measured) {
+			if measured := collect(point.Runs, func(run sweep.Run) (float64, bool) { return 0, run.Recovery != nil }); len(values) < len(measured) {
 				cell += fmt.Sprintf("; not reached in %d", len(measured)-len(values))
 			}
 			cells = append(cells, cell)
 		}
 		cells = append(cells, medianAndRange(collect(point.Runs, func(run sweep.Run) (float64, bool) {
-			if run.Failures == nil {
+			if run.Recovery == nil {
 				return 0, false
 			}
-			return run.Failures.Bytes / 1000, true
+			return run.Recovery.Bytes / 1000, true
 		})))
 		writeRow(text, cells...)
 	}
--- a/internal/rehearse/sweep/failures.go
+++ b/internal/rehearse/sweep/failures.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	result := &Failures{TimeoutSeconds: m.options.Timeout.Seconds()}
-	m.run.Failures = result
+	m.run.Recovery = result
 	killed, err := m.killPrimaries()
 	if err != nil {
 		return err
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -201,7 +201,7 @@
 	AdoptionSeconds       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
 	AcknowledgementSeconds []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
 	Claims       Claims          `json:"claims"`
-	Failures     *Failures       `json:"failures,omitempty"`
+	Recovery     *Failures       `json:"failures,omitempty"`
 }
 
 // Claims summarizes the claims of idempotency keys within the window. Percentiles are of granted claims, in seconds.
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -147,10 +147,10 @@
 	}
 	failures := func(read func(failures *Failures) *float64) func(run Run) (float64, bool) {
 		return func(run Run) (float64, bool) {
-			if run.Failures == nil || read(run.Failures) == nil {
+			if run.Recovery == nil || read(run.Recovery) == nil {
 				return 0, false
 			}
-			return *read(run.Failures), true
+			return *read(run.Recovery), true
 		}
 	}
 	highest := func(values []float64) (float64, bool) {
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -44,7 +44,7 @@
 				t.Fatal(err)
 			}
 			checkRun(t, run, testCase.size)
-			failures := run.Failures
+			failures := run.Recovery
 			if (failures != nil) != testCase.failures {
 				t.Fatalf("failures: %+v", failures)
 			}
