--- a/internal/rehearse/sweep/failures.go
+++ b/internal/rehearse/sweep/failures.go
@@ -19,7 +19,7 @@
 	if !m.options.Failures {
 		return nil
 	}
-	result := &Failures{TimeoutSeconds: m.options.Timeout.Seconds()}
+	result := &RecoveryTimes{TimeoutSeconds: m.options.Timeout.Seconds()}
 	m.run.Recovery = result
 	killed, err := m.killPrimaries()
 	if err != nil {
@@ -58,7 +58,7 @@
 
 // measureOutage records how long it takes until a claim, a read and a change succeed again. What fails for all of the timeout is
 // left out.
-func (m *measurement) measureOutage(result *Failures) {
+func (m *measurement) measureOutage(result *RecoveryTimes) {
 	began := time.Now()
 	var work sync.WaitGroup
 	for into, request := range map[**float64]func() error{&result.Claims: m.claimOnce, &result.Reads: m.readOnce, &result.Applies: m.applyOnce} {
@@ -92,7 +92,7 @@
 
 // measureMassRestart starts all proxies at once, and records how long it takes until they are ready and know all others and how many
 // bytes each exchanges until then.
-func (m *measurement) measureMassRestart(result *Failures) error {
+func (m *measurement) measureMassRestart(result *RecoveryTimes) error {
 	bytes := func() (total float64) {
 		for _, counted := range m.pool.MessageCounts() {
 			total += float64(counted.SentBytes + counted.ReceivedBytes)
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -176,9 +176,9 @@
 	return total
 }
 
-// Failures holds the recovery times, in seconds, after both primaries were killed at once and after all proxies were restarted at
+// RecoveryTimes holds the recovery times, in seconds, after both primaries were killed at once and after all proxies were restarted at
 // once. Nil means that the state was not reached before the timeout.
-type Failures struct {
+type RecoveryTimes struct {
 	Claims         *float64 `json:"until_claims,omitempty"`  // until a claim was granted again
 	Reads          *float64 `json:"until_reads,omitempty"`   // until a configuration store answered a read again
 	Applies        *float64 `json:"until_applies,omitempty"` // until a change was acknowledged again
@@ -201,7 +201,7 @@
 	AdoptionSeconds       []float64       `json:"take_up_seconds"`      // of each change, until the last proxy had adopted it
 	AcknowledgementSeconds []float64       `json:"acknowledged_seconds"` // of each change, until it was acknowledged
 	Claims       Claims          `json:"claims"`
-	Recovery     *Failures       `json:"failures,omitempty"`
+	Recovery     *RecoveryTimes       `json:"failures,omitempty"`
 }
 
 // Claims summarizes the claims of idempotency keys within the window. Percentiles are of granted claims, in seconds.
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -145,7 +145,7 @@
 			Metric{name + " messages", "1/s", ofRole(func(role RoleUsage) float64 { all := role.Total(); return all.Sent + all.Received })},
 			Metric{name + " bytes", "B/s", ofRole(func(role RoleUsage) float64 { all := role.Total(); return all.SentBytes + all.ReceivedBytes })})
 	}
-	failures := func(read func(failures *Failures) *float64) func(run Run) (float64, bool) {
+	failures := func(read func(failures *RecoveryTimes) *float64) func(run Run) (float64, bool) {
 		return func(run Run) (float64, bool) {
 			if run.Recovery == nil || read(run.Recovery) == nil {
 				return 0, false
@@ -164,11 +164,11 @@
 		Metric{"take-up, slowest carrier", "s", func(run Run) (float64, bool) { return highest(run.AdoptionSeconds) }},
 		Metric{"acknowledgement", "s", func(run Run) (float64, bool) { return highest(run.AcknowledgementSeconds) }},
 		Metric{"claim, p99", "s", func(run Run) (float64, bool) { return run.Claims.P99, run.Claims.Granted > 0 }},
-		Metric{"until claims again", "s", failures(func(failures *Failures) *float64 { return failures.Claims })},
-		Metric{"until reads again", "s", failures(func(failures *Failures) *float64 { return failures.Reads })},
-		Metric{"until changes again", "s", failures(func(failures *Failures) *float64 { return failures.Applies })},
-		Metric{"until all are ready", "s", failures(func(failures *Failures) *float64 { return failures.Ready })},
-		Metric{"until all see all", "s", failures(func(failures *Failures) *float64 { return failures.Complete })})
+		Metric{"until claims again", "s", failures(func(failures *RecoveryTimes) *float64 { return failures.Claims })},
+		Metric{"until reads again", "s", failures(func(failures *RecoveryTimes) *float64 { return failures.Reads })},
+		Metric{"until changes again", "s", failures(func(failures *RecoveryTimes) *float64 { return failures.Applies })},
+		Metric{"until all are ready", "s", failures(func(failures *RecoveryTimes) *float64 { return failures.Ready })},
+		Metric{"until all see all", "s", failures(func(failures *RecoveryTimes) *float64 { return failures.Complete })})
 }
 
 // KindBytes returns the metric of the bytes that a role exchanges in messages of one kind.
