--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -92,7 +92,7 @@
 	}
 	plans := []sweep.Plan{}
 	for _, name := range o.dimensions {
-		dimension, err := sweep.Find(name)
+		dimension, err := sweep.FindDimension(name)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -54,7 +54,7 @@
 func TestEveryDimensionIsRecorded(t *testing.T) {
 	points := map[string][]int{}
 	for _, point := range recordedPoints(t) {
-		dimension, err := sweep.Find(point.Dimension)
+		dimension, err := sweep.FindDimension(point.Dimension)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -135,7 +135,7 @@
 // error if a name is unknown or too few runs are recorded.
 func (r Requirement) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
 	for index, term := range r.Terms {
-		dimension, err := sweep.Find(term.Dimension)
+		dimension, err := sweep.FindDimension(term.Dimension)
 		if err != nil {
 			return nil, 0, err
 		}
--- a/internal/rehearse/capacity/plot.go
+++ b/internal/rehearse/capacity/plot.go
@@ -29,7 +29,7 @@
 // Plots writes a plot of each metric in PlottedMetrics, with its runs and the fitted line, into a folder.
 func Plots(points []sweep.Point, folder string) error {
 	for name, metrics := range PlottedMetrics {
-		dimension, err := sweep.Find(name)
+		dimension, err := sweep.FindDimension(name)
 		if err != nil {
 			return err
 		}
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -50,8 +50,8 @@
 	{Name: "restarts", Unit: "restart a second", Sizes: []int{10}, Field: func(size *Size) *int { return &size.Restarts }, PerWindow: true},
 }
 
-// Find returns the dimension with a name, or an error that lists the known names.
-func Find(name string) (Dimension, error) {
+// FindDimension returns the dimension with a name, or an error that lists the known names.
+func FindDimension(name string) (Dimension, error) {
 	for _, dimension := range Dimensions {
 		if dimension.Name == name {
 			return dimension, nil
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -85,7 +85,7 @@
 		if err := json.Unmarshal(content, &point); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		if _, err := Find(point.Dimension); err != nil {
+		if _, err := FindDimension(point.Dimension); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		points = append(points, point)
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -93,7 +93,7 @@
 
 // TestSweepCutOff checks that an interrupted sweep keeps the sizes that were complete and nothing of the interrupted one.
 func TestSweepCutOff(t *testing.T) {
-	dimension, err := Find("carriers")
+	dimension, err := FindDimension("carriers")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Find("weather"); err == nil {
+	if _, err := FindDimension("weather"); err == nil {
 		t.Error("an unknown dimension is found")
 	}
 	if own, err := MachineBounds(); err != nil || own.Memory == 0 || own.Files == 0 {
