--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -32,7 +32,7 @@
 		return runSweep(options)
 	}}
 	flags := command.Flags()
-	flags.StringSliceVar(&options.dimensions, "dimensions", sweep.Names(), "what is swept")
+	flags.StringSliceVar(&options.dimensions, "dimensions", sweep.DimensionNames(), "what is swept")
 	flags.IntSliceVar(&options.plan.Sizes, "sizes", nil, "of the one dimension given; its own if left out")
 	flags.IntVar(&options.plan.Runs, "runs", 3, "of each size")
 	flags.DurationVar(&options.plan.Window, "window", 10*time.Second, "of steady state that is measured in each run")
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -57,11 +57,11 @@
 			return dimension, nil
 		}
 	}
-	return Dimension{}, fmt.Errorf("no dimension %q; there are %v", name, Names())
+	return Dimension{}, fmt.Errorf("no dimension %q; there are %v", name, DimensionNames())
 }
 
-// Names lists the dimensions' names in their order.
-func Names() (names []string) {
+// DimensionNames lists the dimensions' names in their order.
+func DimensionNames() (names []string) {
 	for _, dimension := range Dimensions {
 		names = append(names, dimension.Name)
 	}
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -90,7 +90,7 @@
 		}
 		points = append(points, point)
 	}
-	order := func(point Point) int { return slices.Index(Names(), point.Dimension) }
+	order := func(point Point) int { return slices.Index(DimensionNames(), point.Dimension) }
 	slices.SortFunc(points, func(one, other Point) int {
 		return 1000000000*(order(one)-order(other)) + one.Value - other.Value
 	})
