--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -15,7 +15,7 @@
 func capacityCommand() *cobra.Command {
 	results, page := "", ""
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		points, err := sweep.Results(results)
+		points, err := sweep.ReadPoints(results)
 		if err != nil {
 			return daemon.NewUsageError(err)
 		}
--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -15,7 +15,7 @@
 
 func recordedPoints(t *testing.T) []sweep.Point {
 	t.Helper()
-	points, err := sweep.Results(filepath.Join(docsFolder, "capacity"))
+	points, err := sweep.ReadPoints(filepath.Join(docsFolder, "capacity"))
 	if err != nil || len(points) == 0 {
 		t.Fatalf("%d points are recorded: %v", len(points), err)
 	}
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -69,8 +69,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// Results reads all points recorded in a folder, ordered by dimension and value.
-func Results(folder string) ([]Point, error) {
+// ReadPoints reads all points recorded in a folder, ordered by dimension and value.
+func ReadPoints(folder string) ([]Point, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
 		return nil, err
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -108,7 +108,7 @@
 	if !errors.Is(err, interrupted) || reports != 3 {
 		t.Errorf("ended with %v after %d runs", err, reports)
 	}
-	points, err := Results(plan.Results)
+	points, err := ReadPoints(plan.Results)
 	if err != nil || len(points) != 1 || points[0].Value != 50 || len(points[0].Runs) != 2 || points[0].Runs[1].Number != 2 || !reflect.DeepEqual(points[0].Runs[0].AdoptionSeconds, []float64{0.5}) {
 		t.Errorf("recorded are %+v, %v", points, err)
 	}
