--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -46,15 +46,15 @@
 			point.Runs = append(point.Runs, run)
 			logf("%s %d (size %d of %d), run %d of %d: %.1f s, load %.1f", plan.Dimension.Name, value, position+1, len(plan.Sizes), number, plan.Runs, time.Since(began).Seconds(), run.LoadAverage)
 		}
-		if err := Record(plan.Results, point); err != nil {
+		if err := WritePoint(plan.Results, point); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Record writes a point into its file in folder, atomically.
-func Record(folder string, point Point) error {
+// WritePoint writes a point into its file in folder, atomically.
+func WritePoint(folder string, point Point) error {
 	content, err := json.MarshalIndent(point, "", " ")
 	if err != nil {
 		return err
