--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -49,7 +49,7 @@
 
 // TestEveryServiceIsCalledByTwo checks that each service has at least two different callers if there are enough calls for that.
 func TestEveryServiceIsCalledByTwo(t *testing.T) {
-	for _, size := range []Options{{Proxies: 5, Services: 7, Calls: 4}, {Proxies: 50, Services: 10, Calls: 4}, {Proxies: 50, Services: 580, Calls: 24}, {Proxies: 800, Services: 10, Calls: 4}} {
+	for _, size := range []Options{{Proxies: 5, Services: 7, CalledServices: 4}, {Proxies: 50, Services: 10, CalledServices: 4}, {Proxies: 50, Services: 580, CalledServices: 24}, {Proxies: 800, Services: 10, CalledServices: 4}} {
 		callers := map[int]int{}
 		for index := range size.Proxies {
 			for _, service := range NewPool(size).CalledServices(index) {
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -20,7 +20,7 @@
 type Options struct {
 	Proxies  int
 	Services int
-	Calls    int      // number of services that each proxy reports as called with each poll
+	CalledServices    int      // number of services that each proxy reports as called with each poll
 	Zones    []string // failure domains, which proxies are in by turns
 	Seeds    []string // addresses of control plane processes, for discovery
 }
@@ -119,8 +119,8 @@
 // CalledServices lists the indexes of the services that a proxy calls. Consecutive proxies call consecutive services, so that calls
 // spread evenly.
 func (p *Pool) CalledServices(index int) (services []int) {
-	for offset := range min(p.options.Calls, p.options.Services) {
-		services = append(services, (index*p.options.Calls+offset)%p.options.Services)
+	for offset := range min(p.options.CalledServices, p.options.Services) {
+		services = append(services, (index*p.options.CalledServices+offset)%p.options.Services)
 	}
 	return services
 }
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -69,7 +69,7 @@
 	m.resolver = discovery.New(m.host, nil, seeds)
 	// Each service gets at least two callers, as the registry defers a fault report of the only one.
 	calls := max(4, (2*size.Services+size.Proxies-1)/size.Proxies)
-	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, Calls: calls, Zones: coreFleet.Layout.Zones, Seeds: seeds[1:4]})
+	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, CalledServices: calls, Zones: coreFleet.Layout.Zones, Seeds: seeds[1:4]})
 	defer m.pool.StopAll()
 	for _, step := range []func() error{m.joinProxies, m.tripBreakers, m.measure, m.measureFailures} {
 		if err := step(); err != nil {
