--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -135,8 +135,8 @@
 	return count
 }
 
-// CompleteCount returns the number of proxies whose directory has every other proxy.
-func (p *Pool) CompleteCount() (count int) {
+// CompleteDirectoryCount returns the number of proxies whose directory has every other proxy.
+func (p *Pool) CompleteDirectoryCount() (count int) {
 	for _, current := range p.currentMembers() {
 		if current.proxy.Session.Directory().Live == p.options.Proxies {
 			count++
--- a/internal/rehearse/sweep/failures.go
+++ b/internal/rehearse/sweep/failures.go
@@ -106,7 +106,7 @@
 	for _, target := range []struct {
 		into  **float64
 		count func() int
-	}{{&result.Ready, m.pool.ReadyCount}, {&result.Complete, m.pool.CompleteCount}} {
+	}{{&result.Ready, m.pool.ReadyCount}, {&result.Complete, m.pool.CompleteDirectoryCount}} {
 		if reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
 			took := time.Since(began).Seconds()
 			*target.into = &took
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -113,7 +113,7 @@
 	for _, step := range []struct {
 		what  string
 		count func() int
-	}{{"ready", m.pool.ReadyCount}, {"aware of all others", m.pool.CompleteCount}} {
+	}{{"ready", m.pool.ReadyCount}, {"aware of all others", m.pool.CompleteDirectoryCount}} {
 		if reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
 			return fmt.Errorf("only %d of %d proxies are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
 		}
