--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -65,7 +65,7 @@
 	if options.UseRelays {
 		f.Relays = relay.NewHub()
 	}
-	for index := range chosen.CoreHosts {
+	for index := range chosen.ControlPlaneHosts {
 		f.Registries = append(f.Registries, f.newProcess(RegistryProgram, index, firstControlPlaneHost+index, registryPort))
 		f.ConfigStores = append(f.ConfigStores, f.newProcess(ConfigStoreProgram, index, firstControlPlaneHost+index, configStorePort))
 	}
--- a/internal/rehearse/layout/layout.go
+++ b/internal/rehearse/layout/layout.go
@@ -38,7 +38,7 @@
 	// CallerProxies, unless zero, separates the two sides of a proxy so that each can be measured: this many proxies take all callers,
 	// the others have all backends.
 	CallerProxies int
-	CoreHosts     int // hosts of the control plane, each with a registry and a configuration store
+	ControlPlaneHosts     int // hosts of the control plane, each with a registry and a configuration store
 	Services      []Service
 	Kinds         []Kind
 	DesiredState  string // the example that is applied first
@@ -47,7 +47,7 @@
 // All holds the deployments by name.
 var All = map[string]Layout{
 	"association": {
-		Name: "association", Zones: []string{"north", "middle", "south"}, Proxies: 16, CoreHosts: 3, DesiredState: "association",
+		Name: "association", Zones: []string{"north", "middle", "south"}, Proxies: 16, ControlPlaneHosts: 3, DesiredState: "association",
 		Services: []Service{
 			{Name: "templates", Backends: 6, LookupPath: "/municipalities", LookupEvery: 5, ResponseBytes: 3000, WorkMicros: 2000},
 			{Name: "submissions", Backends: 5, LookupPath: "/municipalities", LookupEvery: 2, ResponseBytes: 300, WorkMicros: 5000},
@@ -62,7 +62,7 @@
 		},
 	},
 	"raahbar": {
-		Name: "raahbar", Zones: []string{"east", "west", "hill", "coast"}, Proxies: 12, CoreHosts: 4, DesiredState: "raahbar",
+		Name: "raahbar", Zones: []string{"east", "west", "hill", "coast"}, Proxies: 12, ControlPlaneHosts: 4, DesiredState: "raahbar",
 		Services: []Service{
 			{Name: "forms", Backends: 4, ResponseBytes: 2500, WorkMicros: 1500},
 			{Name: "households", Backends: 4, LookupPath: "/assignments", LookupEvery: 2, ResponseBytes: 300, WorkMicros: 4000},
@@ -76,7 +76,7 @@
 		},
 	},
 	"hops": {
-		Name: "hops", Zones: []string{"left"}, Proxies: 2, CallerProxies: 1, CoreHosts: 3, DesiredState: "small",
+		Name: "hops", Zones: []string{"left"}, Proxies: 2, CallerProxies: 1, ControlPlaneHosts: 3, DesiredState: "small",
 		Services: []Service{{Name: "forms", Backends: 4, ResponseBytes: 2500}, {Name: "households", Backends: 4, ResponseBytes: 300}},
 		Kinds: []Kind{
 			{Name: "form", Method: "GET", Path: "/forms/", Rate: 200, Service: "forms"},
@@ -84,7 +84,7 @@
 		},
 	},
 	"small": {
-		Name: "small", Zones: []string{"left", "right"}, Proxies: 4, CoreHosts: 3, DesiredState: "small",
+		Name: "small", Zones: []string{"left", "right"}, Proxies: 4, ControlPlaneHosts: 3, DesiredState: "small",
 		Services: []Service{
 			{Name: "forms", Backends: 3, ResponseBytes: 1000, WorkMicros: 1000},
 			{Name: "households", Backends: 3, LookupPath: "/assignments", LookupEvery: 2, ResponseBytes: 300, WorkMicros: 2000},
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -48,7 +48,7 @@
 // traffic, within this process. The result bears number, the run's place among those of its size.
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]RoleUsage{}}
-	coreFleet, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, CoreHosts: 3},
+	coreFleet, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, ControlPlaneHosts: 3},
 		fleet.Options{Dir: options.Folder, BinaryDir: options.Binaries, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
 	if err != nil {
 		return run, err
