--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -116,10 +116,10 @@
 }
 
 // All lists every process, the control plane first.
-func (f *Fleet) All() []*Process { return append(f.Core(), f.Proxies...) }
+func (f *Fleet) All() []*Process { return append(f.ControlPlane(), f.Proxies...) }
 
-// Core lists the control plane's processes.
-func (f *Fleet) Core() []*Process { return slices.Concat(f.ConfigStores, f.Registries) }
+// ControlPlane lists the control plane's processes.
+func (f *Fleet) ControlPlane() []*Process { return slices.Concat(f.ConfigStores, f.Registries) }
 
 // GroupOf lists the members of a control plane process's group; nil for a proxy.
 func (f *Fleet) GroupOf(process *Process) []*Process {
--- a/internal/rehearse/scenario/breakers.go
+++ b/internal/rehearse/scenario/breakers.go
@@ -116,7 +116,7 @@
 		victim.Signal(syscall.SIGCONT)
 	}},
 	{"the whole control plane is killed and started again", func(r *Rehearsal, _ *wire.BreakerRecord) {
-		core := r.Fleet.Core()
+		core := r.Fleet.ControlPlane()
 		for _, process := range core {
 			process.Kill()
 		}
--- a/internal/rehearse/scenario/rehearsal.go
+++ b/internal/rehearse/scenario/rehearsal.go
@@ -145,7 +145,7 @@
 			return func() { end(r.Clock.Now()) }
 		}
 	}
-	for _, process := range r.Fleet.Core() {
+	for _, process := range r.Fleet.ControlPlane() {
 		if err := r.Fleet.SetSyncDelay(process, r.Options.SyncDelay); err != nil {
 			return err
 		}
@@ -162,7 +162,7 @@
 	}
 	r.Operator = standin.NewOperator(r.Fleet, r.Clock, r.History)
 	r.Load = standin.NewLoadGenerator(r.Fleet, r.Clock, r.History)
-	return fleet.AwaitReady(r.Fleet.Core(), readyTimeout)
+	return fleet.AwaitReady(r.Fleet.ControlPlane(), readyTimeout)
 }
 
 func (r *Rehearsal) startBackends() error {
--- a/internal/rehearse/sweep/failures.go
+++ b/internal/rehearse/sweep/failures.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, process := range m.fleet.Core() {
+	for _, process := range m.fleet.ControlPlane() {
 		if statuses[process.Program].Primary == process.Name {
 			killed = append(killed, process)
 		}
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -59,11 +59,11 @@
 	if err := coreFleet.StartAll(); err != nil {
 		return run, err
 	}
-	if err := fleet.AwaitReady(coreFleet.Core(), options.Timeout); err != nil {
+	if err := fleet.AwaitReady(coreFleet.ControlPlane(), options.Timeout); err != nil {
 		return run, err
 	}
 	seeds := []string{}
-	for _, process := range coreFleet.Core() {
+	for _, process := range coreFleet.ControlPlane() {
 		seeds = append(seeds, process.PeerAddress)
 	}
 	m.resolver = discovery.New(m.host, nil, seeds)
--- a/internal/rehearse/sweep/usage.go
+++ b/internal/rehearse/sweep/usage.go
@@ -19,7 +19,7 @@
 // readUsage reads the counters of this process and of all control plane processes.
 func (m *measurement) readUsage() (usageReading, error) {
 	taken := usageReading{at: time.Now(), cpuMicros: map[string]float64{proxyRole: ownCPUMicros()}, messageCounts: map[string]map[string]machine.MessageCount{proxyRole: labelCounts(m.pool.MessageCounts())}}
-	for _, process := range m.fleet.Core() {
+	for _, process := range m.fleet.ControlPlane() {
 		taken.cpuMicros[process.Name] = float64(process.CPUTime())
 		counted, err := fetchMessageCounts(process)
 		if err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	for _, process := range m.fleet.Core() {
+	for _, process := range m.fleet.ControlPlane() {
 		core := statuses[process.Program]
 		peak, err := residentBytes(strconv.Itoa(process.PID()), "VmHWM")
 		if err != nil {
@@ -60,7 +60,7 @@
 func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
 	statuses := map[string]replication.Status{}
 	reached := pollUntil(m.options.Timeout, func() bool {
-		for _, process := range m.fleet.Core() {
+		for _, process := range m.fleet.ControlPlane() {
 			core, err := fetchStatus(process)
 			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
 				statuses[process.Program] = core
