--- a/internal/rehearse/capacity/capacity_test.go
+++ b/internal/rehearse/capacity/capacity_test.go
@@ -104,8 +104,8 @@
 // service above the base along "services".
 func TestRequirements(t *testing.T) {
 	points := []sweep.Point{{Dimension: "carriers", Runs: []sweep.Run{newRun(50), newRun(200), newRun(800)}}}
-	requirement := Requirement{Terms: []Term{{"carriers", "carrier bytes", Nodes, 0}}}
-	if _, sum, err := requirement.Parts(points); err != nil || math.Abs(sum-(100+2*Nodes)) > 1e-6 {
+	requirement := Requirement{Terms: []Term{{"carriers", "carrier bytes", Proxies, 0}}}
+	if _, sum, err := requirement.Parts(points); err != nil || math.Abs(sum-(100+2*Proxies)) > 1e-6 {
 		t.Errorf("%v, %v", sum, err)
 	}
 	moved := newRun(50)
@@ -113,7 +113,7 @@
 	moved.Roles["carrier"].Kinds["sorter_poll"] = sweep.Traffic{SentBytes: 100, ReceivedBytes: 100 + 300}
 	points = append(points, sweep.Point{Dimension: "services", Runs: []sweep.Run{moved, moved}})
 	requirement.Terms = append(requirement.Terms, Term{"services", "carrier bytes", 10, 1})
-	if parts, sum, err := requirement.Parts(points); err != nil || math.Abs(parts[1].Value-3*10*Nodes/50.0) > 1e-6 || math.Abs(sum-parts[0].Value-parts[1].Value) > 1e-6 {
+	if parts, sum, err := requirement.Parts(points); err != nil || math.Abs(parts[1].Value-3*10*Proxies/50.0) > 1e-6 || math.Abs(sum-parts[0].Value-parts[1].Value) > 1e-6 {
 		t.Errorf("%+v, %v, %v", parts, sum, err)
 	}
 	if _, _, err := (Requirement{Terms: []Term{{"calls", "carrier bytes", 1, 0}}}).Parts(points); err == nil {
--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -9,7 +9,7 @@
 // The size to design for. Calls, Changes, Restarts and Claims are per second. Routes and Claims, the calls that claim an idempotency
 // key, are assumptions.
 const (
-	Nodes         = 7700
+	Proxies         = 7700
 	Services      = 580
 	Calls         = 930000
 	SecondsPerDay = 86400
@@ -55,7 +55,7 @@
 		power = 1
 	}
 	return []Term{
-		{"carriers", metric, Nodes, 0},
+		{"carriers", metric, Proxies, 0},
 		{"services", metric, Services - 10, power},
 		{"routes", metric, (Routes - 10) * changesOverBase, power},
 		{"calls", metric, perProxy(shared), 0},
@@ -71,7 +71,7 @@
 	if shared {
 		power = 1
 	}
-	terms = []Term{{"carriers", role + " bytes", Nodes, 0}}
+	terms = []Term{{"carriers", role + " bytes", Proxies, 0}}
 	byKind := map[string][]Term{
 		"sorter_poll":  {{"services", role + " bytes of sorter_poll", Services - 10, power}, {"restarts", role + " bytes of sorter_poll", Restarts, power + 1}},
 		"desired_poll": {{"services", role + " bytes of desired_poll", (Services - 10) * changesOverBase, power}, {"routes", role + " bytes of desired_poll", (Routes - 10) * changesOverBase, power}},
@@ -89,38 +89,38 @@
 	if shared {
 		return Claims
 	}
-	return Claims / Nodes * float64(sweep.Base.Proxies)
+	return Claims / Proxies * float64(sweep.Base.Proxies)
 }
 
 // Requirements lists the rows of the page's table, in its order. Roles, metrics and mechanisms bear the names of the records and the page.
 var Requirements = []Requirement{
-	{"carrier", "control traffic, calm", "B/s", []Term{{"carriers", "carrier bytes", Nodes, 0}}, 7000, "`carrier/roll`, `carrier/desk` (shared-state, roll-out)"},
+	{"carrier", "control traffic, calm", "B/s", []Term{{"carriers", "carrier bytes", Proxies, 0}}, 7000, "`carrier/roll`, `carrier/desk` (shared-state, roll-out)"},
 	{"carrier", "control traffic, all", "B/s", trafficTerms("carrier", false, "sorter_poll", "desired_poll", "claim"), 7000, "as above, and `sorter/directory`, `sorter/breakerstore` (membership, failure-detection)"},
-	{"carrier", "processor for control, calm", "µs/s", []Term{{"carriers", "carrier processor", Nodes, 0}}, 19000, "`carrier/roll`, `carrier/desk`, `house` governor (processor)"},
+	{"carrier", "processor for control, calm", "µs/s", []Term{{"carriers", "carrier processor", Proxies, 0}}, 19000, "`carrier/roll`, `carrier/desk`, `house` governor (processor)"},
 	{"carrier", "processor for control, all", "µs/s", allTerms("carrier processor", false), 19000, "as above"},
-	{"carrier", "memory", "KB", []Term{{"carriers", "carrier memory", Nodes, 0}, {"services", "carrier memory", Services - 10, 0}, {"routes", "carrier memory", Routes - 10, 0}}, 128000, "`carrier/roll` directory, `franking` view (membership, roll-out)"},
-	{"sorter", "primary: messages, calm", "1/s", []Term{{"carriers", "sorter primary messages", Nodes, 0}}, 0, "`sorter` polls (shared-state)"},
+	{"carrier", "memory", "KB", []Term{{"carriers", "carrier memory", Proxies, 0}, {"services", "carrier memory", Services - 10, 0}, {"routes", "carrier memory", Routes - 10, 0}}, 128000, "`carrier/roll` directory, `franking` view (membership, roll-out)"},
+	{"sorter", "primary: messages, calm", "1/s", []Term{{"carriers", "sorter primary messages", Proxies, 0}}, 0, "`sorter` polls (shared-state)"},
 	{"sorter", "primary: traffic, all", "B/s", trafficTerms("sorter primary", true, "sorter_poll", "claim"), 125e6, "`sorter/directory`, `sorter/breakerstore` (membership, shared-state)"},
-	{"sorter", "primary: processor, calm", "µs/s", []Term{{"carriers", "sorter primary processor", Nodes, 0}}, 8e6, "`sorter` polls, `sorter/directory` (membership)"},
+	{"sorter", "primary: processor, calm", "µs/s", []Term{{"carriers", "sorter primary processor", Proxies, 0}}, 8e6, "`sorter` polls, `sorter/directory` (membership)"},
 	{"sorter", "primary: processor for guards' records", "µs/s", []Term{{"services", "sorter primary processor", Services - 10, 1}}, 8e6, "`sorter/breakerstore`, whole with each poll (shared-state)"},
 	{"sorter", "primary: processor for claims", "µs/s", []Term{{"calls", "sorter primary processor", Claims, 0}}, 8e6, "`sorter/claims`, `replication` group commit (run-once)"},
-	{"sorter", "primary: memory, calm", "KB", []Term{{"carriers", "sorter primary memory", Nodes, 0}}, 0, "`sorter/directory`, connections (membership)"},
-	{"sorter", "backup: traffic, calm", "B/s", []Term{{"carriers", "sorter backup bytes", Nodes, 0}}, 125e6, "`sorter` sessions told, `replication` (recovery)"},
-	{"sorter", "backup: processor, calm", "µs/s", []Term{{"carriers", "sorter backup processor", Nodes, 0}}, 8e6, "as above"},
-	{"sorter", "claims answered again after the primary's death", "s", []Term{{"carriers", "until claims again", Nodes, 0}}, 0, "`replication` (election)"},
-	{"postmaster", "primary: messages, calm", "1/s", []Term{{"carriers", "postmaster primary messages", Nodes, 0}}, 0, "`postmaster` held polls (roll-out)"},
+	{"sorter", "primary: memory, calm", "KB", []Term{{"carriers", "sorter primary memory", Proxies, 0}}, 0, "`sorter/directory`, connections (membership)"},
+	{"sorter", "backup: traffic, calm", "B/s", []Term{{"carriers", "sorter backup bytes", Proxies, 0}}, 125e6, "`sorter` sessions told, `replication` (recovery)"},
+	{"sorter", "backup: processor, calm", "µs/s", []Term{{"carriers", "sorter backup processor", Proxies, 0}}, 8e6, "as above"},
+	{"sorter", "claims answered again after the primary's death", "s", []Term{{"carriers", "until claims again", Proxies, 0}}, 0, "`replication` (election)"},
+	{"postmaster", "primary: messages, calm", "1/s", []Term{{"carriers", "postmaster primary messages", Proxies, 0}}, 0, "`postmaster` held polls (roll-out)"},
 	{"postmaster", "primary: traffic, mean of a day", "B/s", trafficTerms("postmaster primary", true, "desired_poll"), 125e6, "`postmaster` held polls, whole states (roll-out)"},
-	{"postmaster", "primary: processor, calm", "µs/s", []Term{{"carriers", "postmaster primary processor", Nodes, 0}}, 8e6, "as above"},
-	{"postmaster", "primary: memory, calm", "KB", []Term{{"carriers", "postmaster primary memory", Nodes, 0}}, 0, "`postmaster` holders, `postmaster/ledger` (roll-out)"},
-	{"postmaster", "one desired state", "B", []Term{{"carriers", "desired state", Nodes, 0}, {"services", "desired state", Services - 10, 0}, {"routes", "desired state", Routes - 10, 0}}, 0, "`postmaster/ledger`, `franking` (roll-out)"},
+	{"postmaster", "primary: processor, calm", "µs/s", []Term{{"carriers", "postmaster primary processor", Proxies, 0}}, 8e6, "as above"},
+	{"postmaster", "primary: memory, calm", "KB", []Term{{"carriers", "postmaster primary memory", Proxies, 0}}, 0, "`postmaster` holders, `postmaster/ledger` (roll-out)"},
+	{"postmaster", "one desired state", "B", []Term{{"carriers", "desired state", Proxies, 0}, {"services", "desired state", Services - 10, 0}, {"routes", "desired state", Routes - 10, 0}}, 0, "`postmaster/ledger`, `franking` (roll-out)"},
 	{"postmaster", "primary: sending a change to all within 9 s", "B", []Term{{"services", "postmaster primary bytes of desired_poll", (Services - 10) / baseChanges, 1}, {"routes", "postmaster primary bytes of desired_poll", (Routes - 10) / baseChanges, 1}}, 9 * 125e6, "`postmaster` held polls, whole states (roll-out)"},
 	{"postmaster", "primary: processor for sending it", "µs", []Term{{"services", "postmaster primary processor", (Services - 10) / baseChanges, 1}, {"routes", "postmaster primary processor", (Routes - 10) / baseChanges, 1}}, 9 * 8e6, "as above"},
-	{"postmaster", "a change of a small state (2 KB) in force at the slowest carrier", "s", []Term{{"carriers", "take-up, slowest carrier", Nodes, 0}}, 9, "`postmaster` news and words, `carrier/desk` (roll-out)"},
-	{"postmaster", "a change acknowledged after the primary's death", "s", []Term{{"carriers", "until changes again", Nodes, 0}}, 9, "`postmaster` leases (roll-out, election)"},
-	{"witness", "sorter: processor, calm", "µs/s", []Term{{"carriers", "sorter witness processor", Nodes, 0}}, 8e6, "`sorter` sessions told, `replication` register (election)"},
-	{"witness", "sorter: memory, calm", "KB", []Term{{"carriers", "sorter witness memory", Nodes, 0}}, 0, "`sorter/directory` (membership)"},
-	{"witness", "postmaster: processor, calm", "µs/s", []Term{{"carriers", "postmaster witness processor", Nodes, 0}}, 8e6, "`discovery` answers, `replication` register (election)"},
-	{"witness", "postmaster: memory, calm", "KB", []Term{{"carriers", "postmaster witness memory", Nodes, 0}}, 0, "connections of `host/machine` (election)"},
+	{"postmaster", "a change of a small state (2 KB) in force at the slowest carrier", "s", []Term{{"carriers", "take-up, slowest carrier", Proxies, 0}}, 9, "`postmaster` news and words, `carrier/desk` (roll-out)"},
+	{"postmaster", "a change acknowledged after the primary's death", "s", []Term{{"carriers", "until changes again", Proxies, 0}}, 9, "`postmaster` leases (roll-out, election)"},
+	{"witness", "sorter: processor, calm", "µs/s", []Term{{"carriers", "sorter witness processor", Proxies, 0}}, 8e6, "`sorter` sessions told, `replication` register (election)"},
+	{"witness", "sorter: memory, calm", "KB", []Term{{"carriers", "sorter witness memory", Proxies, 0}}, 0, "`sorter/directory` (membership)"},
+	{"witness", "postmaster: processor, calm", "µs/s", []Term{{"carriers", "postmaster witness processor", Proxies, 0}}, 8e6, "`discovery` answers, `replication` register (election)"},
+	{"witness", "postmaster: memory, calm", "KB", []Term{{"carriers", "postmaster witness memory", Proxies, 0}}, 0, "connections of `host/machine` (election)"},
 }
 
 // Part is the value of one term and the line that it was computed from.
@@ -157,7 +157,7 @@
 			value = line.Slope * term.Amount
 		}
 		for range term.Power {
-			value *= float64(Nodes) / float64(sweep.Base.Proxies)
+			value *= float64(Proxies) / float64(sweep.Base.Proxies)
 		}
 		parts, sum = append(parts, Part{term, line, value}), sum+value
 	}
