--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			return daemon.NewUsageError(err)
 		}
-		if err := capacity.Plots(points, filepath.Clean(results)); err != nil {
+		if err := capacity.WritePlots(points, filepath.Clean(results)); err != nil {
 			return err
 		}
 		return os.WriteFile(page, []byte(text), 0o644)
--- a/internal/rehearse/capacity/plot.go
+++ b/internal/rehearse/capacity/plot.go
@@ -26,8 +26,8 @@
 	return strings.NewReplacer(" ", "-", ",", "").Replace(dimension+"-"+metric) + ".svg"
 }
 
-// Plots writes a plot of each metric in PlottedMetrics, with its runs and the fitted line, into a folder.
-func Plots(points []sweep.Point, folder string) error {
+// WritePlots writes a plot of each metric in PlottedMetrics, with its runs and the fitted line, into a folder.
+func WritePlots(points []sweep.Point, folder string) error {
 	for name, metrics := range PlottedMetrics {
 		dimension, err := sweep.FindDimension(name)
 		if err != nil {
