--- a/internal/rehearse/capacity/fit.go
+++ b/internal/rehearse/capacity/fit.go
@@ -1,5 +1,5 @@
-// Package capacity extrapolates recorded sweeps to the size to design for, and writes the generated tables and plots of
-// docs/CAPACITY.md. It fits a straight line to each metric along each dimension and compares what the lines give with the bounds.
+// Package capacity extrapolates recorded sweeps to the target size of the design and generates the tables and plots of
+// docs/CAPACITY.md. It fits a straight line to each metric along each dimension and compares the extrapolated values with their bounds.
 package capacity
 
 import (
@@ -28,7 +28,8 @@
 // Increasing reports whether the slope is significant and positive.
 func (l Line) Increasing() bool { return l.Significant() && l.Slope > 0 }
 
-// Fit fits a line to measured over values. It reports false unless there are at least three points at two different values.
+// Fit fits a line to the points with x in values and y in measured. It reports false unless there are at least three points and two
+// different x values.
 func Fit(values, measured []float64) (Line, bool) {
 	if len(values) < 3 || slices.Min(values) == slices.Max(values) {
 		return Line{}, false
@@ -46,14 +47,14 @@
 	return Line{Intercept: intercept, Slope: slope, SlopeError: math.Sqrt(residualSquares / float64(len(values)-2) / deviationSquares), Points: len(values), MaxX: slices.Max(values)}, true
 }
 
-// FitAlong fits a line to a metric along a dimension. It reports false if the records have too few runs for one.
+// FitAlong fits a line to a metric along a dimension. It reports false if too few runs are recorded.
 func FitAlong(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (Line, bool) {
 	values, measured := Samples(points, dimension, metric)
 	return Fit(values, measured)
 }
 
-// Samples returns the points that a metric's line is fitted to. There are none if all runs are of one size: along a dimension counted
-// per window they would differ only by the windows' lengths, which says nothing about a slope.
+// Samples returns the points to which a metric's line is fitted, as x values and measured values. It returns none if all runs have the
+// same size: along a dimension counted per window, their x values differ only by the windows' lengths and determine no slope.
 func Samples(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric) (values, measured []float64) {
 	sizes := map[sweep.Size]bool{}
 	for _, run := range sweep.RunsAlong(points, dimension) {
--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -6,10 +6,10 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// The size to design for. Calls, Changes, Restarts and Claims are per second. Routes and Claims, the calls that claim an idempotency
-// key, are assumptions.
+// The target size of the design. Calls, Changes, Restarts and Claims are per second. Claims are the calls that claim an idempotency
+// key. Routes and Claims are assumptions.
 const (
-	Proxies         = 7700
+	Proxies       = 7700
 	Services      = 580
 	Calls         = 930000
 	SecondsPerDay = 86400
@@ -19,11 +19,11 @@
 	Routes = 10 * Services
 	Claims = Calls / 100.0
 
-	windowSeconds = 10 // length of the recorded runs' window, which the base's changes are spread over
+	windowSeconds = 10 // length of the recorded runs' window, over which the changes of the base size are spread
 )
 
-// Term is one summand of a requirement: the slope of Metric along Dimension, times Amount, the target's distance from the base, times
-// the ratio of the target's proxies to the base's to the power of Power, for a cost that also grows with the proxies.
+// Term is one summand of a requirement: the slope of Metric along Dimension, times Amount, the distance of the target from the base
+// size. A cost that also grows with the number of proxies is multiplied Power times by the ratio of the target's proxies to the base's.
 type Term struct {
 	Dimension string
 	Metric    string
@@ -31,24 +31,24 @@
 	Power     int
 }
 
-// Requirement is one resource that a role requires at the target size, a row of the page's table.
+// Requirement is the amount of one resource that a role needs at the target size. Each is a row of a table on the page.
 type Requirement struct {
 	Role        string
 	Description string
 	Unit        string
 	Terms       []Term
 	Bound       float64 // 0 if none is given
-	Mechanism   string  // the packages and notes that account for it
+	Mechanism   string  // the packages that account for it and, in parentheses, the notes about them
 }
 
-// baseChanges is the base's rate of changes per second, at which slopes along services and routes were measured.
+// baseChanges is the rate of changes per second of the base size, at which slopes along services and routes were measured.
 const baseChanges = 4.0 / windowSeconds
 
 // changesOverBase is the ratio of the target's rate of changes to the base's.
 const changesOverBase = Changes / baseChanges
 
-// allTerms returns a metric's terms along all dimensions but changes. shared says that the metric is of a process that serves all
-// proxies, so that what services, routes and restarts add is multiplied by the number of proxies.
+// allTerms returns a metric's terms along all dimensions except changes. If shared, the metric belongs to a process that serves all
+// proxies, so that the cost of services, routes and restarts is multiplied by the number of proxies.
 func allTerms(metric string, shared bool) []Term {
 	power := 0
 	if shared {
@@ -58,14 +58,14 @@
 		{"carriers", metric, Proxies, 0},
 		{"services", metric, Services - 10, power},
 		{"routes", metric, (Routes - 10) * changesOverBase, power},
-		{"calls", metric, perProxy(shared), 0},
+		{"calls", metric, targetClaimRate(shared), 0},
 		{"restarts", metric, Restarts, power + 1},
 	}
 }
 
-// trafficTerms returns the terms of a role's bytes per second: all bytes along proxies, and along other dimensions those of the given
-// message kinds. What services add to polls of the registry is sent with each poll; what services and routes add to a configuration
-// is sent with each change, and so scaled to the target's rate of changes.
+// trafficTerms returns the terms of a role's bytes per second: all bytes along proxies, and along the other dimensions only the bytes
+// of the given message kinds. Bytes that services add to registry polls are sent with each poll. Bytes that services and routes add to
+// a configuration are sent with each change, so they are scaled to the target's rate of changes.
 func trafficTerms(role string, shared bool, kinds ...string) (terms []Term) {
 	power := 0
 	if shared {
@@ -75,7 +75,7 @@
 	byKind := map[string][]Term{
 		"sorter_poll":  {{"services", role + " bytes of sorter_poll", Services - 10, power}, {"restarts", role + " bytes of sorter_poll", Restarts, power + 1}},
 		"desired_poll": {{"services", role + " bytes of desired_poll", (Services - 10) * changesOverBase, power}, {"routes", role + " bytes of desired_poll", (Routes - 10) * changesOverBase, power}},
-		"claim":        {{"calls", role + " bytes of claim", perProxy(shared), 0}},
+		"claim":        {{"calls", role + " bytes of claim", targetClaimRate(shared), 0}},
 	}
 	for _, kind := range kinds {
 		terms = append(terms, byKind[kind]...)
@@ -83,16 +83,17 @@
 	return terms
 }
 
-// perProxy returns the claims per second to extrapolate to: the target's for a shared process, otherwise the rate at which a proxy of
-// the base claims as often as one of the target.
-func perProxy(shared bool) float64 {
+// targetClaimRate returns the claims per second to extrapolate to: the target's for a shared process, otherwise the rate at which each
+// proxy of the base size claims as often as a proxy of the target.
+func targetClaimRate(shared bool) float64 {
 	if shared {
 		return Claims
 	}
 	return Claims / Proxies * float64(sweep.Base.Proxies)
 }
 
-// Requirements lists the rows of the page's table, in its order. Roles, metrics and mechanisms bear the names of the records and the page.
+// Requirements lists the rows of the page's table, in order. Roles, metrics and mechanisms have the names that the records and the page
+// use.
 var Requirements = []Requirement{
 	{"carrier", "control traffic, calm", "B/s", []Term{{"carriers", "carrier bytes", Proxies, 0}}, 7000, "`carrier/roll`, `carrier/desk` (shared-state, roll-out)"},
 	{"carrier", "control traffic, all", "B/s", trafficTerms("carrier", false, "sorter_poll", "desired_poll", "claim"), 7000, "as above, and `sorter/directory`, `sorter/breakerstore` (membership, failure-detection)"},
@@ -123,16 +124,16 @@
 	{"witness", "postmaster: memory, calm", "KB", []Term{{"carriers", "postmaster witness memory", Proxies, 0}}, 0, "connections of `host/machine` (election)"},
 }
 
-// Part is the value of one term and the line that it was computed from.
+// Part is the value of one term and the line from which it was computed.
 type Part struct {
 	Term  Term
 	Line  Line
 	Value float64
 }
 
-// Parts computes a requirement's terms and their sum. A first term along carriers is the line's value at Amount, or at the largest
-// measured size if the line is not increasing. The others are a slope times Amount, or 0 if the line is not increasing. It returns an
-// error if a name is unknown or too few runs are recorded.
+// Parts computes a requirement's terms and their sum. If the first term is along carriers, its value is that of the line at Amount, or
+// at the largest measured size if the line is not increasing. Any other term is the slope times Amount, or 0 if the line is not
+// increasing. Parts returns an error if a name is unknown or too few runs are recorded.
 func (r Requirement) Parts(points []sweep.Point) (parts []Part, sum float64, err error) {
 	for index, term := range r.Terms {
 		dimension, err := sweep.FindDimension(term.Dimension)
--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -9,17 +9,18 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// tables renders the page's generated sections, by the name in their marks.
+// tables maps the name of each generated section of the page, as its markers have it, to the function that renders it.
 var tables = map[string]func(points []sweep.Point) (string, error){"played": measuredTable, "spans": durationsTable, "slopes": slopesTable, "needs": requirementsTable}
 
-// Render returns the page with each marked section rendered from points. It returns an error unless each section is marked exactly once.
+// Render returns the page with the text between each section's markers replaced by one rendered from points. It returns an error unless
+// each section is marked exactly once.
 func Render(page string, points []sweep.Point) (string, error) {
 	for name, write := range tables {
 		begin, end := "<!-- "+name+" -->\n", "<!-- end of "+name+" -->"
 		before, rest, found := strings.Cut(page, begin)
 		_, after, ended := strings.Cut(rest, end)
 		if !found || !ended || strings.Contains(after, begin) {
-			return "", fmt.Errorf("the page must mark the part %q once: %s...%s", name, strings.TrimSpace(begin), end)
+			return "", fmt.Errorf("the page must mark the section %q exactly once: %s...%s", name, strings.TrimSpace(begin), end)
 		}
 		text, err := write(points)
 		if err != nil {
@@ -42,7 +43,7 @@
 	return fmt.Sprintf("%.3g", value)
 }
 
-// unitScales lists, by unit, the larger units for values of at least minimum, in descending order.
+// unitScales lists, by unit, the larger units that replace it for values of at least minimum, in descending order.
 var unitScales = map[string][]struct {
 	minimum, divisor float64
 	unit             string
@@ -54,7 +55,7 @@
 	"µs/s": {{1e6, 1e6, "processors"}, {1e3, 1e4, "% of a processor"}},
 }
 
-// FormatValue formats a value with its unit, or a larger one that suits it.
+// FormatValue formats a value with its unit, or with a larger unit if unitScales has one for it.
 func FormatValue(value float64, unit string) string {
 	for _, scale := range unitScales[unit] {
 		if math.Abs(value) >= scale.minimum {
@@ -64,7 +65,7 @@
 	return FormatNumber(value) + " " + unit
 }
 
-// median returns the upper median; 0 if there are no values.
+// median returns the median, the higher one of an even number of values. It returns 0 if there are none.
 func median(values []float64) float64 {
 	ordered := slices.Sorted(slices.Values(values))
 	if len(ordered) == 0 {
@@ -81,17 +82,17 @@
 	return fmt.Sprintf("%s (%s to %s)", FormatNumber(median(values)), FormatNumber(slices.Min(values)), FormatNumber(slices.Max(values)))
 }
 
-// collect reads a metric from the runs that have it.
-func collect(runs []sweep.Run, of func(run sweep.Run) (float64, bool)) (values []float64) {
+// collect returns the values that measure reads from runs, without the runs that have none.
+func collect(runs []sweep.Run, measure func(run sweep.Run) (float64, bool)) (values []float64) {
 	for _, run := range runs {
-		if value, known := of(run); known {
+		if value, known := measure(run); known {
 			values = append(values, value)
 		}
 	}
 	return values
 }
 
-// newTable starts a Markdown table.
+// newTable starts a Markdown table with a header row.
 func newTable(header ...string) *strings.Builder {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "| %s |\n|%s\n", strings.Join(header, " | "), strings.Repeat("---|", len(header)))
@@ -103,16 +104,16 @@
 	fmt.Fprintf(text, "| %s |\n", strings.Join(cells, " | "))
 }
 
-// measuredTable lists the recorded sizes with the conditions of their runs.
+// measuredTable lists the recorded sizes and the conditions under which their runs were measured.
 func measuredTable(points []sweep.Point) (string, error) {
 	text := newTable("swept", "size", "runs", "window, s", "desired state, KB", "guards' records", "load average before", "runs in which an epoch changed: sorters, postmasters")
 	for _, point := range points {
-		of := func(read func(run sweep.Run) float64) []float64 {
+		valuesOf := func(read func(run sweep.Run) float64) []float64 {
 			return collect(point.Runs, func(run sweep.Run) (float64, bool) { return read(run), true })
 		}
-		writeRow(text, point.Dimension, fmt.Sprint(point.Value), fmt.Sprint(len(point.Runs)), medianAndRange(of(func(run sweep.Run) float64 { return run.Seconds })),
-			FormatNumber(median(of(func(run sweep.Run) float64 { return float64(run.ConfigBytes) / 1000 }))), FormatNumber(median(of(func(run sweep.Run) float64 { return float64(run.Breakers) }))),
-			medianAndRange(of(func(run sweep.Run) float64 { return run.LoadAverage })), fmt.Sprintf("%d, %d", countEpochChanges(point, "sorter"), countEpochChanges(point, "postmaster")))
+		writeRow(text, point.Dimension, fmt.Sprint(point.Value), fmt.Sprint(len(point.Runs)), medianAndRange(valuesOf(func(run sweep.Run) float64 { return run.Seconds })),
+			FormatNumber(median(valuesOf(func(run sweep.Run) float64 { return float64(run.ConfigBytes) / 1000 }))), FormatNumber(median(valuesOf(func(run sweep.Run) float64 { return float64(run.Breakers) }))),
+			medianAndRange(valuesOf(func(run sweep.Run) float64 { return run.LoadAverage })), fmt.Sprintf("%d, %d", countEpochChanges(point, "sorter"), countEpochChanges(point, "postmaster")))
 	}
 	return text.String(), nil
 }
@@ -127,7 +128,7 @@
 	return count
 }
 
-// quantile returns the value below which a fraction of the values lie; 0 if there are none.
+// quantile returns the value below which the given fraction of the values lies. It returns 0 if there are none.
 func quantile(values []float64, fraction float64) float64 {
 	ordered := slices.Sorted(slices.Values(values))
 	if len(ordered) == 0 {
@@ -136,20 +137,20 @@
 	return ordered[min(len(ordered)-1, int(float64(len(ordered))*fraction))]
 }
 
-// durationsTable lists, for each size, how long changes, claims and recoveries took.
+// durationsTable lists how long changes, claims and recoveries took at each size.
 func durationsTable(points []sweep.Point) (string, error) {
 	text := newTable("swept", "size", "take-up at the slowest carrier: changes, p50, p99, most", "claim: granted, other, p50, p99", "claims again", "reads again", "changes again", "all ready", "all see all", "KB for each carrier until then")
 	for _, point := range points {
-		var takeUp []float64
+		var adoptions []float64
 		granted, other := 0, 0
 		var medians, p99s []float64
 		for _, run := range point.Runs {
-			takeUp = append(takeUp, run.AdoptionSeconds...)
+			adoptions = append(adoptions, run.AdoptionSeconds...)
 			granted, other = granted+run.Claims.Granted, other+run.Claims.Other
 			medians, p99s = append(medians, run.Claims.P50), append(p99s, run.Claims.P99)
 		}
 		cells := []string{point.Dimension, fmt.Sprint(point.Value),
-			fmt.Sprintf("%d, %s, %s, %s", len(takeUp), FormatNumber(quantile(takeUp, 0.5)), FormatNumber(quantile(takeUp, 0.99)), FormatNumber(quantile(takeUp, 1))),
+			fmt.Sprintf("%d, %s, %s, %s", len(adoptions), FormatNumber(quantile(adoptions, 0.5)), FormatNumber(quantile(adoptions, 0.99)), FormatNumber(quantile(adoptions, 1))),
 			fmt.Sprintf("%d, %d, %s, %s", granted, other, FormatNumber(median(medians)), FormatNumber(median(p99s)))}
 		for _, name := range []string{"until claims again", "until reads again", "until changes again", "until all are ready", "until all see all"} {
 			metric, err := sweep.FindMetric(name)
@@ -174,7 +175,7 @@
 	return text.String(), nil
 }
 
-// slopesTable lists all significant slopes, and counts the others.
+// slopesTable lists the significant slopes along each dimension, and the number of the others.
 func slopesTable(points []sweep.Point) (string, error) {
 	text := newTable("along", "of", "at the base", "slope", "standard error", "runs")
 	for _, dimension := range sweep.Dimensions {
@@ -188,7 +189,7 @@
 				insignificant++
 				continue
 			}
-			base, _ := baseValue(points, dimension)
+			base, _ := baseCoordinate(points, dimension)
 			writeRow(text, dimension.Name, metric.Name, FormatNumber(line.At(base))+" "+metric.Unit, FormatNumber(line.Slope)+" "+metric.Unit+" for a "+dimension.Unit, FormatNumber(line.SlopeError), fmt.Sprint(line.Points))
 		}
 		if insignificant > 0 {
@@ -198,8 +199,8 @@
 	return text.String(), nil
 }
 
-// baseValue returns the median coordinate of the base's runs along a dimension, and whether there are any.
-func baseValue(points []sweep.Point, dimension sweep.Dimension) (float64, bool) {
+// baseCoordinate returns the median coordinate along a dimension of the runs with the base size, and whether there are any.
+func baseCoordinate(points []sweep.Point, dimension sweep.Dimension) (float64, bool) {
 	values := []float64{}
 	for _, point := range points {
 		for _, run := range point.Runs {
--- a/internal/rehearse/capacity/plot.go
+++ b/internal/rehearse/capacity/plot.go
@@ -21,12 +21,12 @@
 	"restarts": {"carrier bytes"},
 }
 
-// PlotFile returns the file name of a metric's plot along a dimension.
+// PlotFile returns the name of the file with a metric's plot along a dimension.
 func PlotFile(dimension, metric string) string {
 	return strings.NewReplacer(" ", "-", ",", "").Replace(dimension+"-"+metric) + ".svg"
 }
 
-// WritePlots writes a plot of each metric in PlottedMetrics, with its runs and the fitted line, into a folder.
+// WritePlots plots each metric of PlottedMetrics, with its runs and the fitted line, into files in a folder.
 func WritePlots(points []sweep.Point, folder string) error {
 	for name, metrics := range PlottedMetrics {
 		dimension, err := sweep.FindDimension(name)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// drawPlot writes one plot as an SVG file.
+// drawPlot writes a metric's plot along a dimension as an SVG file.
 func drawPlot(points []sweep.Point, dimension sweep.Dimension, metric sweep.Metric, path string) error {
 	values, measured := Samples(points, dimension, metric)
 	line, fitted := Fit(values, measured)
--- a/internal/rehearse/layout/layout.go
+++ b/internal/rehearse/layout/layout.go
@@ -1,4 +1,4 @@
-// Package layout describes the fleets that a rehearsal can bring up: hosts, zones, services and the traffic that callers send.
+// Package layout defines the deployments that a rehearsal can start: hosts, zones, services and the requests that callers send.
 package layout
 
 import (
@@ -8,43 +8,43 @@
 	"slices"
 )
 
-// Kind is one kind of traffic that callers send.
+// Kind is one kind of request that callers send.
 type Kind struct {
 	Name       string
 	Method     string
-	Path       string  // a request's number is appended
-	Rate       float64 // requests a second over the whole fleet
+	Path       string  // prefix to which each request's number is appended
+	Rate       float64 // requests per second over the whole fleet
 	Idempotent bool    // whether requests have an idempotency key and are retried
-	BodyBytes  int     // of a request
-	Service    string  // that serves it
+	BodyBytes  int     // size of a request's body
+	Service    string  // name of the service that serves the requests
 }
 
-// Service is one stand-in service.
+// Service is a simulated service.
 type Service struct {
 	Name     string
-	Backends int // instances at the start
-	// LookupPath is what each backend reads from another service on every LookupEvery-th of its requests; empty for nothing.
+	Backends int // number of instances at the start
+	// LookupPath is a path of another service that each backend requests while it serves every LookupEvery-th request. Empty for none.
 	LookupPath    string
 	LookupEvery   int
 	ResponseBytes int
-	WorkMicros    int // mean time that a request takes, in microseconds
+	WorkMicros    int // mean processing time of a request, in microseconds
 }
 
-// Layout is one deployment.
+// Layout is the composition of one deployment.
 type Layout struct {
 	Name    string
-	Zones   []string // hosts are in them in turn
+	Zones   []string // failure domains, to which hosts are assigned in turn
 	Proxies int
-	// CallerProxies, unless zero, separates the two sides of a proxy so that each can be measured: this many proxies take all callers,
-	// the others have all backends.
-	CallerProxies int
-	ControlPlaneHosts     int // hosts of the control plane, each with a registry and a configuration store
-	Services      []Service
-	Kinds         []Kind
-	DesiredState  string // the example that is applied first
+	// CallerProxies, unless zero, is the number of proxies that receive all callers' requests; the others have all backends. The
+	// callers' side of a proxy and the backends' side can then be measured separately.
+	CallerProxies     int
+	ControlPlaneHosts int // each runs a registry and a configuration store
+	Services          []Service
+	Kinds             []Kind
+	DesiredState      string // name of the example configuration that is applied first
 }
 
-// All holds the deployments by name.
+// All holds the layouts by name.
 var All = map[string]Layout{
 	"association": {
 		Name: "association", Zones: []string{"north", "middle", "south"}, Proxies: 16, ControlPlaneHosts: 3, DesiredState: "association",
@@ -96,27 +96,28 @@
 	},
 }
 
-// Find gives a layout by name. An unknown name is an error that lists the known ones.
+// Find returns the layout with a name, or an error that lists the known names.
 func Find(name string) (Layout, error) {
-	found, known := All[name]
+	layout, known := All[name]
 	if !known {
-		return Layout{}, fmt.Errorf("no layout %q; there are %v", name, slices.Sorted(maps.Keys(All)))
+		return Layout{}, fmt.Errorf("no layout %q; known layouts are %v", name, slices.Sorted(maps.Keys(All)))
 	}
-	return found, nil
+	return layout, nil
 }
 
-// indexStep is prime, which keeps the services' backends from piling up on the same hosts.
+// indexStep is the distance between the hosts of a service's consecutive backends. It is prime, so that backends do not gather on a
+// few hosts.
 const indexStep = 5
 
-// ProxyIndex is the index of the proxy on whose host a service's backend with this index starts.
+// ProxyIndex returns the index of the proxy on whose host a service's backend with the given index starts.
 func (l Layout) ProxyIndex(service Service, index int) int {
 	return l.CallerProxies + (index*indexStep+len(service.Name))%(l.Proxies-l.CallerProxies)
 }
 
-// Zone is the zone of the host with this index.
+// Zone returns the zone of the host with an index.
 func (l Layout) Zone(index int) string { return l.Zones[index%len(l.Zones)] }
 
-// lookupServices are the services that serve the lookups, by path.
+// lookupServices maps each lookup path to the service that serves it.
 var lookupServices = map[string]string{
 	"/municipalities": "submissions",
 	"/scan-index":     "batches",
@@ -125,7 +126,7 @@
 	"/eligibility":    "packs",
 }
 
-// LookupKinds gives the lookups that backends send as kinds of traffic, for the invariants.
+// LookupKinds returns the lookups that backends send as request kinds, so that invariants and reports cover them too.
 func (l Layout) LookupKinds() (kinds []Kind) {
 	seen := map[string]bool{}
 	for _, service := range l.Services {
