--- a/internal/rehearse/fleet/faults.go
+++ b/internal/rehearse/fleet/faults.go
@@ -13,14 +13,14 @@
 )
 
 var (
-	// errNotRunning is the error of faults that need a running process.
-	errNotRunning = errors.New("the process does not run")
-	// errNoRecords is the error of CorruptRecords on a process that has not written any.
+	// errNotRunning is returned by faults that need a running process.
+	errNotRunning = errors.New("the process is not running")
+	// errNoRecords is returned by CorruptRecords if the process has not written any records.
 	errNoRecords = errors.New("the process has no record file")
 )
 
-// StepClock sets by how much a running process's clock differs from the real one. AllowClockSteps must have been called before
-// its start.
+// StepClock sets the difference between a running process's clock and the real one. AllowClockSteps must have been called before the
+// process started.
 func (p *Process) StepClock(step time.Duration) error {
 	if err := os.WriteFile(p.clockFile(), []byte(strconv.FormatInt(step.Microseconds(), 10)), 0o644); err != nil {
 		return err
@@ -29,12 +29,12 @@
 	return nil
 }
 
-// LimitFileSize bounds the length of the files that a running process may write, so that writes fail as on a full disk.
+// LimitFileSize limits the size of the files that a running process may write, so that writes fail as on a full disk.
 func (p *Process) LimitFileSize(maxBytes uint64) error {
 	return p.changeFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = maxBytes })
 }
 
-// LiftFileSizeLimit undoes LimitFileSize.
+// LiftFileSizeLimit removes the limit that LimitFileSize set.
 func (p *Process) LiftFileSizeLimit() error {
 	return p.changeFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = limit.Max })
 }
@@ -53,7 +53,7 @@
 	return unix.Prlimit(p.command.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// CorruptRecords flips bits of a byte in the middle of a process's record file, as a bad sector would. The process must be down.
+// CorruptRecords flips bits of a byte in the middle of a process's record file, as a bad sector would. The process must not be running.
 func (p *Process) CorruptRecords() error {
 	names, err := filepath.Glob(filepath.Join(p.DataDir(), "*.journal"))
 	if err != nil {
--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet starts, stops, kills and freezes the real processes of a rehearsal, each host on a loopback address of its own.
+// Package fleet starts and stops the processes of a rehearsal and injects faults into them. Each host has a loopback address of its own.
 package fleet
 
 import (
@@ -23,16 +23,18 @@
 	ConfigStoreProgram = "configstore"
 )
 
-// formerPrograms are the programs' names in builds from before they were renamed. Rehearsals of mixed versions start those too.
+// formerPrograms maps the programs to their names in builds from before they were renamed, which rehearsals of mixed versions also
+// start.
 var formerPrograms = map[string]string{ProxyProgram: "carrier", RegistryProgram: "sorter", ConfigStoreProgram: "postmaster"}
 
-// Hosts are numbered within the fleet's subnet: proxies from 1 on, control plane hosts from 100 on.
+// Host numbers, the last octet of a host's address: proxies' hosts count from 1, control plane hosts from 100.
 const (
 	firstProxyHost        = 1
 	firstControlPlaneHost = 100
 )
 
-// Ports of each program: its own for the mesh's other processes, the next one for administration, the one after for callers.
+// Ports on which each program listens for other processes of the mesh. The next port is for administration, and that of a proxy after
+// it for callers.
 const (
 	registryPort    = 7100
 	configStorePort = 7200
@@ -41,15 +43,15 @@
 
 // Options are the settings of a fleet.
 type Options struct {
-	Dir           string // where each process gets a folder for its settings, data and log
-	BinaryDir     string // where the programs are
-	Subnet        int    // second part of the loopback addresses, from 1 to 254, so that fleets do not meet
-	UseRelays     bool   // connect the processes through relays
+	Dir           string // has a subfolder for each process, with its settings, data and log
+	BinaryDir     string // folder of the programs
+	Subnet        int    // second octet of the loopback addresses, from 1 to 254; different for fleets that run at the same time
+	UseRelays     bool   // connect the processes through relays, which can inject network faults
 	LoadBalancing string // how proxies choose backends: near or uniform
-	LogLevel      string // least level that the processes log
+	LogLevel      string // lowest level that the processes log
 }
 
-// Fleet is the processes of one rehearsal.
+// Fleet holds the processes of one rehearsal.
 type Fleet struct {
 	Options
 	Layout       layout.Layout
@@ -59,17 +61,17 @@
 	Relays       *relay.Hub // nil without relays
 }
 
-// New lays out a fleet and writes the settings of its processes. It starts the relays but no process.
-func New(chosen layout.Layout, options Options) (*Fleet, error) {
-	f := &Fleet{Options: options, Layout: chosen}
+// New creates a fleet and writes the settings of its processes. It starts the relays but no process.
+func New(deployment layout.Layout, options Options) (*Fleet, error) {
+	f := &Fleet{Options: options, Layout: deployment}
 	if options.UseRelays {
 		f.Relays = relay.NewHub()
 	}
-	for index := range chosen.ControlPlaneHosts {
+	for index := range deployment.ControlPlaneHosts {
 		f.Registries = append(f.Registries, f.newProcess(RegistryProgram, index, firstControlPlaneHost+index, registryPort))
 		f.ConfigStores = append(f.ConfigStores, f.newProcess(ConfigStoreProgram, index, firstControlPlaneHost+index, configStorePort))
 	}
-	for index := range chosen.Proxies {
+	for index := range deployment.Proxies {
 		f.Proxies = append(f.Proxies, f.newProcess(ProxyProgram, index, firstProxyHost+index, proxyPort))
 	}
 	for _, process := range f.All() {
@@ -87,7 +89,7 @@
 	return f, nil
 }
 
-// HostAddress is the loopback address of a host, by its number.
+// HostAddress returns the loopback address of the host with a number.
 func (f *Fleet) HostAddress(host int) string { return fmt.Sprintf("127.%d.0.%d", f.Subnet, host) }
 
 func (f *Fleet) newProcess(program string, index, hostNumber, port int) *Process {
@@ -102,7 +104,7 @@
 	return process
 }
 
-// addRelay puts a relay before a process's listener, if the fleet has relays.
+// addRelay starts a relay in front of a process's listener and makes it the address for its peers, if the fleet has relays.
 func (f *Fleet) addRelay(process *Process) error {
 	if f.Relays == nil {
 		return nil
@@ -115,13 +117,13 @@
 	return f.Relays.Add(process.Host, process.PeerAddress, process.ListenAddress)
 }
 
-// All lists every process, the control plane first.
+// All lists all processes, those of the control plane first.
 func (f *Fleet) All() []*Process { return append(f.ControlPlane(), f.Proxies...) }
 
-// ControlPlane lists the control plane's processes.
+// ControlPlane lists the processes of the control plane.
 func (f *Fleet) ControlPlane() []*Process { return slices.Concat(f.ConfigStores, f.Registries) }
 
-// GroupOf lists the members of a control plane process's group; nil for a proxy.
+// GroupOf lists the members of a control plane process's replication group. It returns nil for a proxy.
 func (f *Fleet) GroupOf(process *Process) []*Process {
 	switch process.Program {
 	case RegistryProgram:
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// CallerProxies lists the proxies that callers send to.
+// CallerProxies lists the proxies to which callers send requests.
 func (f *Fleet) CallerProxies() []*Process {
 	if f.Layout.CallerProxies > 0 {
 		return f.Proxies[:f.Layout.CallerProxies]
@@ -140,7 +142,8 @@
 	return f.Proxies
 }
 
-// Move gives a process that is down the address of another host. The seeds of all processes stay as they were.
+// Move assigns the address of another host to a process that is not running. The seed addresses in the other processes' settings stay as
+// they were.
 func (f *Fleet) Move(process *Process, hostNumber int) error {
 	host := f.HostAddress(hostNumber)
 	_, port, err := net.SplitHostPort(process.ListenAddress)
@@ -159,19 +162,19 @@
 	return f.writeSettings(process)
 }
 
-// SetSyncDelay makes each sync of a process's disk take longer, from its next start on. Zero makes it normal.
+// SetSyncDelay adds a delay to each disk sync of a process, from its next start on. Zero removes it.
 func (f *Fleet) SetSyncDelay(process *Process, delay time.Duration) error {
 	process.syncDelay = delay
 	return f.writeSettings(process)
 }
 
-// AllowClockSteps lets StepClock move a process's clock, from its next start on.
+// AllowClockSteps lets StepClock change a process's clock, from its next start on.
 func (f *Fleet) AllowClockSteps(process *Process) error {
 	process.clockSteppable = true
 	return f.writeSettings(process)
 }
 
-// Start starts a process from a folder of programs; empty for the fleet's own.
+// Start starts a process with its program in binaryDir, or in the fleet's BinaryDir if binaryDir is empty.
 func (f *Fleet) Start(process *Process, binaryDir string) error {
 	if binaryDir == "" {
 		binaryDir = f.BinaryDir
@@ -184,7 +187,7 @@
 	}
 	command := exec.Command(programPath(binaryDir, process.Program), "--env", process.settingsFile())
 	command.Stderr, command.Stdout = logFile, logFile
-	// A fleet must not outlive the rehearsal.
+	// The fleet's processes must not outlive the rehearsal.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		_ = logFile.Close()
@@ -200,7 +203,7 @@
 	return nil
 }
 
-// programPath is the path of a program in a folder, under its present name or, where only that is there, its former one.
+// programPath returns the path of a program in a folder: under its present name, or under its former one if only that exists.
 func programPath(binaryDir, program string) string {
 	path := filepath.Join(binaryDir, program)
 	if _, err := os.Stat(path); err == nil {
@@ -217,7 +220,7 @@
 	return err == nil && info.Mode().IsRegular()
 }
 
-// StartAll starts all processes, without waiting until they are ready.
+// StartAll starts all processes without waiting until they are ready.
 func (f *Fleet) StartAll() error {
 	for _, process := range f.All() {
 		if err := f.Start(process, ""); err != nil {
@@ -227,7 +230,7 @@
 	return nil
 }
 
-// Close kills all processes and ends the relays.
+// Close kills all processes and closes the relays.
 func (f *Fleet) Close() {
 	var kills sync.WaitGroup
 	for _, process := range f.All() {
--- a/internal/rehearse/fleet/fleet_test.go
+++ b/internal/rehearse/fleet/fleet_test.go
@@ -9,9 +9,9 @@
 	"snowflow/internal/rehearse/layout"
 )
 
-// TestProgramPath: a program is started under its present name, and under its former one where a build has only that.
+// TestProgramPath checks that a program is started under its present name, and under its former one if a build has only that.
 func TestProgramPath(t *testing.T) {
-	for _, one := range []struct {
+	for _, testCase := range []struct {
 		name, want string
 		files      []string
 	}{
@@ -20,21 +20,21 @@
 		{"both", "proxy", []string{"carrier", "proxy"}},
 		{"none", "proxy", nil},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			dir := t.TempDir()
-			for _, file := range one.files {
+			for _, file := range testCase.files {
 				if err := os.WriteFile(filepath.Join(dir, file), nil, 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if path := programPath(dir, ProxyProgram); path != filepath.Join(dir, one.want) {
-				t.Errorf("starts %s", path)
+			if path := programPath(dir, ProxyProgram); path != filepath.Join(dir, testCase.want) {
+				t.Errorf("the path is %s instead of %s in %s", path, testCase.want, dir)
 			}
 		})
 	}
 }
 
-// TestSettingsOfFormerBuilds: settings files have the names and values that builds of all releases read.
+// TestSettingsOfFormerBuilds checks that settings files have names and values that builds of all releases can read.
 func TestSettingsOfFormerBuilds(t *testing.T) {
 	for balance, want := range map[string]string{"near": "", "uniform": `"choice": "blind"`, "blind": `"choice": "blind"`} {
 		t.Run(balance, func(t *testing.T) {
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			if !strings.Contains(string(content), want) || strings.Contains(string(content), "choice") != (want != "") || !strings.Contains(string(content), `"desk": "127.7.0.1:7301"`) {
-				t.Errorf("the settings are %s", content)
+				t.Errorf("load balancing %q gives the settings %s", balance, content)
 			}
 		})
 	}
--- a/internal/rehearse/fleet/process.go
+++ b/internal/rehearse/fleet/process.go
@@ -12,34 +12,35 @@
 	"time"
 )
 
-// killTimeout bounds the wait for the end of a process after it was killed.
+// killTimeout limits the wait for a killed process to exit.
 const killTimeout = 10 * time.Second
 
-// Process is one process of the fleet. It may be started and ended many times.
+// Process is one process of a fleet. It may be started and stopped repeatedly.
 type Process struct {
 	Program       string
 	Name          string
 	Zone          string
-	Host          string // its loopback address
+	Host          string // loopback address
 	ListenAddress string
-	PeerAddress   string // where other processes reach it: its relay, or ListenAddress without relays
+	PeerAddress   string // address at which other processes reach it: that of its relay, or ListenAddress without relays
 	AdminAddress  string
 	CallerAddress string // empty for a control plane process
-	Dir           string // its settings, data and log
-	// OnPlannedStop is called with a description when a planned stop begins, and what it returns when that ends. Nil for nothing.
+	Dir           string // holds its settings, data and log
+	// OnPlannedStop, unless nil, is called with a description when a planned stop begins. The function it returns is called when the
+	// stop ends.
 	OnPlannedStop func(what string) (end func())
 
-	clockSteppable bool          // whether StepClock works, from the next start on
-	syncDelay      time.Duration // how much longer its disk takes for a sync, from the next start on
+	clockSteppable bool          // whether StepClock has an effect, from the next start on
+	syncDelay      time.Duration // added to each disk sync, from the next start on
 
-	mu      sync.Mutex // guards all below
-	command *exec.Cmd  // nil before the first start
-	ended   chan struct{}
-	killed  bool // whether it was killed since its last start
+	mu      sync.Mutex    // guards the fields below
+	command *exec.Cmd     // nil before the first start
+	ended   chan struct{} // closed when the process has exited; nil before the first start
+	killed  bool          // whether it was killed since its last start
 	started time.Time
 }
 
-// Signal sends a signal to this process alone. After SIGKILL it counts as killed.
+// Signal sends a signal to this process. SIGKILL marks it as killed.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	p.killed = p.killed || signal == syscall.SIGKILL
@@ -51,25 +52,25 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.command != nil && p.command.Process != nil {
-		_ = p.command.Process.Signal(signal) // one that has ended needs none
+		_ = p.command.Process.Signal(signal) // fails only if the process has exited, and then it needs no signal
 	}
 }
 
-// Kill ends the process at once, without a planned stop, and waits for its end.
+// Kill kills the process, without a planned stop, and waits until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.terminate()
 }
 
-// terminate ends the process, also one that is frozen, without counting it as killed.
+// terminate kills the process without marking it as killed, resumes it in case it is frozen, and waits until it has exited.
 func (p *Process) terminate() {
 	p.sendSignal(syscall.SIGCONT)
 	p.sendSignal(syscall.SIGKILL)
 	p.Wait(killTimeout)
 }
 
-// Stop begins a planned stop and waits for the process's end. After the timeout it ends the process and gives false; requests that
-// this drops were dropped by a planned stop.
+// Stop begins a planned stop and waits until the process has exited. After the timeout it kills the process and returns false. The
+// process does not count as killed then: requests that it drops are attributed to the planned stop.
 func (p *Process) Stop(timeout time.Duration) bool {
 	if p.OnPlannedStop != nil {
 		end := p.OnPlannedStop("planned stop of " + p.Name)
@@ -90,14 +91,14 @@
 	return p.killed
 }
 
-// endedChannel is closed once the process has ended; nil before its first start.
+// endedChannel returns the channel that is closed when the process has exited. It is nil before the first start.
 func (p *Process) endedChannel() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// Wait waits for the process's end, and gives false if the timeout comes first.
+// Wait waits until the process has exited. It returns false if the timeout passes first.
 func (p *Process) Wait(timeout time.Duration) bool {
 	ended := p.endedChannel()
 	if ended == nil {
@@ -111,7 +112,7 @@
 	}
 }
 
-// Running reports whether the process was started and has not ended. A frozen one is running.
+// Running reports whether the process was started and has not exited. A frozen process is running.
 func (p *Process) Running() bool {
 	ended := p.endedChannel()
 	if ended == nil {
@@ -125,14 +126,14 @@
 	}
 }
 
-// Uptime is the time since the last start.
+// Uptime returns the time since the last start.
 func (p *Process) Uptime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Since(p.started)
 }
 
-// PID is the process's number in the operating system; zero before its first start.
+// PID returns the process ID, or zero before the first start.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,15 +143,15 @@
 	return p.command.Process.Pid
 }
 
-// Fields of /proc/PID/stat, counted from behind the program's name.
+// Indexes of the fields of /proc/PID/stat that follow the program's name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
-	// microsPerTick is the length of the ticks that these fields count.
+	// microsPerTick is the length of the clock ticks that these fields count.
 	microsPerTick = 10_000
 )
 
-// CPUTime is the CPU time that the process has used since its last start, in microseconds; zero if it does not run.
+// CPUTime returns the CPU time that the process has used since its last start, in microseconds, or zero if it is not running.
 func (p *Process) CPUTime() int64 {
 	pid := p.PID()
 	if pid == 0 {
@@ -160,9 +161,9 @@
 	if err != nil {
 		return 0
 	}
-	// The program's name stands in parentheses and may contain spaces.
-	_, behindName, _ := strings.Cut(string(content), ") ")
-	fields := strings.Fields(behindName)
+	// The program's name is in parentheses and may contain spaces.
+	_, afterName, _ := strings.Cut(string(content), ") ")
+	fields := strings.Fields(afterName)
 	if len(fields) <= statSystemTime {
 		return 0
 	}
@@ -172,10 +173,10 @@
 	return (user + system) * microsPerTick
 }
 
-// healthClient requests health pages.
+// healthClient requests health endpoints.
 var healthClient = &http.Client{Timeout: time.Second}
 
-// Ready reports whether the process responds that it is ready; a registry, that it is live.
+// Ready reports whether the process responds that it is ready, or, if it is a registry, that it is live.
 func (p *Process) Ready() bool {
 	path := "/ready"
 	if p.Program == RegistryProgram {
@@ -189,14 +190,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// AwaitReady waits until all given processes are ready. It fails once one of them has ended, or at the timeout.
+// AwaitReady waits until all given processes are ready. It returns an error if one of them exits or the timeout passes.
 func AwaitReady(processes []*Process, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, process := range processes {
 		for !process.Ready() {
 			logFile := filepath.Join(process.Dir, "log")
 			if !process.Running() {
-				return fmt.Errorf("%s ended; see %s", process.Name, logFile)
+				return fmt.Errorf("%s has exited; see %s", process.Name, logFile)
 			}
 			if time.Now().After(deadline) {
 				return fmt.Errorf("%s is not ready after %v; see %s", process.Name, timeout, logFile)
--- a/internal/rehearse/fleet/settings.go
+++ b/internal/rehearse/fleet/settings.go
@@ -6,18 +6,18 @@
 	"path/filepath"
 )
 
-// How proxies choose backends: the programs' own default, and the other value with its former name.
+// Values of the proxies' load balancing setting: the programs' default, the other one, and the former name of the other one.
 const (
 	loadBalancingNear          = "near"
 	loadBalancingUniform       = "uniform"
 	formerLoadBalancingUniform = "blind"
 )
 
-// seedCount is how many seeds each process gets.
+// seedCount is the maximum number of seed addresses in a process's settings.
 const seedCount = 3
 
-// processSettings is the content of a process's settings file. Builds of several releases read it, so that it has the oldest names
-// of the settings, and leaves out what an earlier build may not know where that is possible.
+// processSettings is the content of a process's settings file. Because builds of several releases read it, it has the oldest names of
+// the settings, and leaves out settings that an earlier build may not know wherever possible.
 type processSettings struct {
 	Name      string   `json:"name"`
 	Domain    string   `json:"domain"`
@@ -27,16 +27,16 @@
 	Admin     string   `json:"desk"`
 	LogLevel  string   `json:"log"`
 	ClockFile string   `json:"rehearse-clock,omitempty"`
-	// Of a proxy.
+	// Settings of a proxy.
 	Callers       string `json:"callers,omitempty"`
 	LoadBalancing string `json:"choice,omitempty"`
-	// Of a control plane process.
+	// Settings of a control plane process.
 	Voters    []string `json:"voters,omitempty"`
 	Data      string   `json:"data,omitempty"`
 	SyncDelay string   `json:"rehearse-sync,omitempty"`
 }
 
-// writeSettings writes a process's settings file, which the process reads at its next start.
+// writeSettings writes the settings file that a process reads at its next start.
 func (f *Fleet) writeSettings(process *Process) error {
 	settings := processSettings{Name: process.Name, Domain: process.Zone, Listen: process.ListenAddress, Advertise: process.PeerAddress,
 		Seeds: f.seeds(), Admin: process.AdminAddress, LogLevel: f.LogLevel}
@@ -65,7 +65,7 @@
 	return os.WriteFile(process.settingsFile(), content, 0o644)
 }
 
-// formerLoadBalancing is a value of the setting under the name that all builds read; empty for the default.
+// formerLoadBalancing returns the name of a load balancing value that all builds read, which is empty for the default.
 func formerLoadBalancing(value string) string {
 	switch value {
 	case loadBalancingNear:
@@ -76,7 +76,7 @@
 	return value
 }
 
-// seeds are addresses of control plane processes on different hosts, of the registry and the configuration store in turn.
+// seeds returns the seed addresses: control plane processes on different hosts, alternately of the registry and the configuration store.
 func (f *Fleet) seeds() []string {
 	seeds := []string{}
 	for index := 0; index < seedCount && index < len(f.Registries); index++ {
@@ -89,10 +89,11 @@
 	return seeds
 }
 
+// settingsFile returns the path of the settings file.
 func (p *Process) settingsFile() string { return filepath.Join(p.Dir, "env.json") }
 
-// clockFile is where a process reads, in microseconds, by how much its clock was stepped.
+// clockFile returns the path of the file that holds the difference of the process's clock from the real one, in microseconds.
 func (p *Process) clockFile() string { return filepath.Join(p.Dir, "clock") }
 
-// DataDir is where a control plane process keeps its data.
+// DataDir returns the folder in which a control plane process stores its data.
 func (p *Process) DataDir() string { return filepath.Join(p.Dir, "data") }
