--- a/internal/rehearse/hollow/hollow_test.go
+++ b/internal/rehearse/hollow/hollow_test.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestIncarnationEnds checks that goroutines of an ended incarnation exit at their next sleep, wait or call, and run their deferred
+// TestIncarnationEnds checks that goroutines of an ended incarnation exit at their next sleep, wait or call and run their deferred
 // functions.
 func TestIncarnationEnds(t *testing.T) {
 	incarnationHost := newIncarnation()
@@ -28,13 +28,13 @@
 		incarnationHost.Go(func() {
 			defer done.Done()
 			wait()
-			t.Errorf("a goroutine continued after its %s", name)
+			t.Errorf("the goroutine continued after its %s", name)
 		})
 		done.Wait()
 	}
 }
 
-// TestAdoptionsAreRecorded checks that only events of adopted configurations set the time of a version's adoption.
+// TestAdoptionsAreRecorded checks that a version's adoption time is recorded from configuration adoption events and from no others.
 func TestAdoptionsAreRecorded(t *testing.T) {
 	incarnationHost := newIncarnation()
 	incarnationHost.Report(eventlog.ConfigAdopted, eventlog.Attributes{"serial": uint64(3)})
@@ -43,11 +43,11 @@
 		t.Error("the adoption was not recorded")
 	}
 	if _, known := incarnationHost.adoptedAt(4); known {
-		t.Error("another event was recorded as an adoption")
+		t.Error("an event of another kind was recorded as an adoption")
 	}
 }
 
-// TestEveryServiceIsCalledByTwo checks that each service has at least two different callers if there are enough calls for that.
+// TestEveryServiceIsCalledByTwo checks that each service is called by at least two proxies if there are enough calls.
 func TestEveryServiceIsCalledByTwo(t *testing.T) {
 	for _, size := range []Options{{Proxies: 5, Services: 7, CalledServices: 4}, {Proxies: 50, Services: 10, CalledServices: 4}, {Proxies: 50, Services: 580, CalledServices: 24}, {Proxies: 800, Services: 10, CalledServices: 4}} {
 		callers := map[int]int{}
@@ -58,7 +58,7 @@
 		}
 		for service := range size.Services {
 			if callers[service] < 2 {
-				t.Errorf("%+v: service %d has %d callers", size, service, callers[service])
+				t.Errorf("%+v: service %d is called by only %d proxies", size, service, callers[service])
 			}
 		}
 	}
--- a/internal/rehearse/hollow/incarnation.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -1,5 +1,5 @@
-// Package hollow runs many proxies in one process, to load the control plane without their data traffic. Each proxy runs the
-// production code with a host, a session and connections of its own; no requests pass through it.
+// Package hollow runs many proxies in one process to load the control plane. Each proxy runs the production code with its own host,
+// session and connections, but no callers' requests pass through it.
 package hollow
 
 import (
@@ -17,28 +17,27 @@
 	"snowflow/internal/transport/wire"
 )
 
-// incarnation is the host of one proxy from its start to its end.
-// Invariant: once ended is set, each of its goroutines exits at its next wait. The proxy's code holds no lock while it waits, so no
-// lock stays held.
+// incarnation is the host on which a proxy runs from one start to the next stop. Once ended is set, each of its goroutines exits at its
+// next wait. The proxy's code holds no lock while it waits, so that no lock remains held.
 type incarnation struct {
 	*machine.Machine
 	ended   atomic.Bool
 	lock    sync.Mutex           // guards adopted
-	adopted map[uint64]time.Time // when a configuration was adopted, by version
+	adopted map[uint64]time.Time // when each configuration was adopted, by version
 }
 
 func newIncarnation() *incarnation {
 	return &incarnation{Machine: machine.New(nil, nil, nil), adopted: map[uint64]time.Time{}}
 }
 
-// exitIfEnded exits the calling goroutine, running its deferred functions, if the incarnation has ended.
+// exitIfEnded exits the calling goroutine, after its deferred functions have run, if the incarnation has ended.
 func (i *incarnation) exitIfEnded() {
 	if i.ended.Load() {
 		runtime.Goexit()
 	}
 }
 
-// Sleep waits, and exits the goroutine if the incarnation has ended.
+// Sleep sleeps, and exits the goroutine if the incarnation has ended.
 func (i *incarnation) Sleep(duration monotonic.Micros) {
 	i.Machine.Sleep(duration)
 	i.exitIfEnded()
@@ -52,7 +51,7 @@
 	return err
 }
 
-// signal is a host's signal whose Wait exits the goroutine if the incarnation has ended.
+// signal is a host.Signal whose Wait exits the goroutine if the incarnation has ended.
 type signal struct {
 	host.Signal
 	incarnation *incarnation
@@ -70,7 +69,7 @@
 	return &signal{Signal: i.Machine.NewSignal(), incarnation: i}
 }
 
-// Report records the time at which a configuration was adopted. Other events are dropped, as thousands of proxies would share one log.
+// Report records the time at which a configuration was adopted. It drops other events, as thousands of proxies would share one log.
 func (i *incarnation) Report(number int, fields eventlog.Attributes) {
 	if number != eventlog.ConfigAdopted {
 		return
@@ -81,7 +80,7 @@
 	i.adopted[version] = time.Now()
 }
 
-// Stop ends the incarnation, as it ends the process on a real host.
+// Stop ends the incarnation. On a real host, it ends the process.
 func (i *incarnation) Stop(string) { i.end() }
 
 // end closes all connections and makes the incarnation's goroutines exit. It may be called more than once.
@@ -91,7 +90,7 @@
 	}
 }
 
-// adoptedAt returns the time at which a version was adopted, if it was.
+// adoptedAt returns the time at which a version was adopted, and whether it was.
 func (i *incarnation) adoptedAt(version uint64) (at time.Time, known bool) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -18,26 +18,26 @@
 
 // Options configures a pool.
 type Options struct {
-	Proxies  int
-	Services int
-	CalledServices    int      // number of services that each proxy reports as called with each poll
-	Zones    []string // failure domains, which proxies are in by turns
-	Seeds    []string // addresses of control plane processes, for discovery
+	Proxies        int
+	Services       int
+	CalledServices int      // number of services that each proxy calls, according to its polls
+	Zones          []string // failure domains, to which proxies are assigned in turn
+	Seeds          []string // addresses of control plane processes, for discovery
 }
 
-// ServiceName returns the name of the service with an index.
+// ServiceName returns the name of the service with the given index.
 func ServiceName(index int) string { return fmt.Sprintf("service-%04d", index) }
 
-// Pool holds all proxies of this process.
-// Invariant: the proxy of an index has one backend, of the service with that index modulo Services, in each incarnation.
+// Pool holds the proxies of this process, numbered from 0. Each proxy has one backend, of the service whose index is the proxy's modulo
+// Options.Services. It is the same service in all incarnations of the proxy.
 type Pool struct {
 	options     Options
 	lock        sync.Mutex                         // guards members and endedCounts
-	members     []*member                          // replaced, never written to, as currentMembers hands it out
-	endedCounts map[wire.Kind]machine.MessageCount // messages of incarnations that have ended
+	members     []*member                          // replaced and never modified, as currentMembers returns it to callers
+	endedCounts map[wire.Kind]machine.MessageCount // messages of ended incarnations
 }
 
-// member is one proxy of a pool in its present incarnation.
+// member is one proxy of a pool, in its current incarnation.
 type member struct {
 	incarnation *incarnation
 	name        string
@@ -45,20 +45,21 @@
 	resolver    *discovery.Resolver
 }
 
-// NewPool returns a pool whose proxies have not started.
+// NewPool returns a pool whose proxies have not been started.
 func NewPool(options Options) *Pool {
 	return &Pool{options: options, endedCounts: map[wire.Kind]machine.MessageCount{}}
 }
 
-// StartAll starts all proxies, interval apart; an interval of 0 starts them all at once. It must not be called while they run.
+// StartAll starts all proxies and waits for interval after each start; 0 starts them all at once. It must not be called while proxies
+// are running.
 func (p *Pool) StartAll(interval time.Duration) error {
 	for index := range p.options.Proxies {
-		current, err := p.start(index)
+		proxyMember, err := p.start(index)
 		if err != nil {
 			return err
 		}
 		p.lock.Lock()
-		p.members = append(slices.Clip(p.members), current)
+		p.members = append(slices.Clip(p.members), proxyMember)
 		p.lock.Unlock()
 		time.Sleep(interval)
 	}
@@ -67,8 +68,8 @@
 
 // StopAll ends all proxies at once without a graceful shutdown.
 func (p *Pool) StopAll() {
-	for _, current := range p.currentMembers() {
-		current.incarnation.end()
+	for _, proxyMember := range p.currentMembers() {
+		proxyMember.incarnation.end()
 	}
 	totals := p.MessageCounts()
 	p.lock.Lock()
@@ -83,11 +84,11 @@
 	return p.members
 }
 
-// start starts a new incarnation of the proxy with an index, and registers its backend.
+// start starts a new incarnation of the proxy with the given index, and registers its backend.
 func (p *Pool) start(index int) (*member, error) {
 	incarnationHost := newIncarnation()
 	name := fmt.Sprintf("hollow-%05d", index)
-	// No requests are forwarded to these proxies, so nothing listens at the address. It only has to be unique.
+	// No requests are forwarded to these proxies, so nothing listens on the address. It only has to be unique.
 	address := fmt.Sprintf("10.%d.%d.%d:7300", index>>16, index>>8&255, index&255)
 	resolver := discovery.New(incarnationHost, nil, p.options.Seeds)
 	hollowProxy := proxy.New(proxy.Options{Host: incarnationHost, Resolver: resolver, Name: name, Domain: p.options.Zones[index%len(p.options.Zones)], Address: address})
@@ -101,7 +102,7 @@
 	incarnationHost.Go(func() {
 		for {
 			incarnationHost.Sleep(localbackends.HeartbeatInterval)
-			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working) // can't fail, as the backend stays registered as long as its proxy runs
+			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working) // does not fail, as the backend stays registered while its proxy runs
 		}
 	})
 	hollowProxy.Start()
@@ -116,8 +117,8 @@
 	return called
 }
 
-// CalledServices lists the indexes of the services that a proxy calls. Consecutive proxies call consecutive services, so that calls
-// spread evenly.
+// CalledServices lists the indexes of the services that a proxy calls. Each proxy's services follow those of the proxy before it, so
+// that calls are spread evenly over all services.
 func (p *Pool) CalledServices(index int) (services []int) {
 	for offset := range min(p.options.CalledServices, p.options.Services) {
 		services = append(services, (index*p.options.CalledServices+offset)%p.options.Services)
@@ -125,30 +126,30 @@
 	return services
 }
 
-// ReadyCount returns the number of proxies that are ready for callers' requests.
+// ReadyCount returns the number of proxies that are ready to accept callers' requests.
 func (p *Pool) ReadyCount() (count int) {
-	for _, current := range p.currentMembers() {
-		if ready, _ := current.proxy.Ready(); ready {
+	for _, proxyMember := range p.currentMembers() {
+		if ready, _ := proxyMember.proxy.Ready(); ready {
 			count++
 		}
 	}
 	return count
 }
 
-// CompleteDirectoryCount returns the number of proxies whose directory has every other proxy.
+// CompleteDirectoryCount returns the number of proxies whose directory contains all proxies.
 func (p *Pool) CompleteDirectoryCount() (count int) {
-	for _, current := range p.currentMembers() {
-		if current.proxy.Session.Directory().Live == p.options.Proxies {
+	for _, proxyMember := range p.currentMembers() {
+		if proxyMember.proxy.Session.Directory().Live == p.options.Proxies {
 			count++
 		}
 	}
 	return count
 }
 
-// LastAdoption returns when the last proxy adopted a version, and how many have not adopted it.
+// LastAdoption returns the latest time at which a proxy adopted a version, and the number of proxies that have not adopted it.
 func (p *Pool) LastAdoption(version uint64) (last time.Time, missing int) {
-	for _, current := range p.currentMembers() {
-		at, known := current.incarnation.adoptedAt(version)
+	for _, proxyMember := range p.currentMembers() {
+		at, known := proxyMember.incarnation.adoptedAt(version)
 		if !known {
 			missing++
 		} else if at.After(last) {
@@ -158,31 +159,32 @@
 	return last, missing
 }
 
-// MessageCounts returns what all proxies have sent and received by message kind, over all their incarnations.
+// MessageCounts returns the messages that all incarnations of all proxies have sent and received, by message kind.
 func (p *Pool) MessageCounts() map[wire.Kind]machine.MessageCount {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	totals := maps.Clone(p.endedCounts)
-	for _, current := range p.members {
-		addCounts(totals, current.incarnation.MessageCounts())
+	for _, proxyMember := range p.members {
+		addCounts(totals, proxyMember.incarnation.MessageCounts())
 	}
 	return totals
 }
 
-// Claim claims an idempotency key at the registry's leader, as a proxy does before it forwards a request to its backend.
+// Claim claims an idempotency key at the registry's leader on behalf of a proxy, as each proxy does before it forwards a request to its
+// backend.
 func (p *Pool) Claim(index int, scope string, timeout monotonic.Micros) (granted bool, err error) {
-	current := p.currentMembers()[index]
+	proxyMember := p.currentMembers()[index]
 	response := &wire.ClaimResponse{}
-	request := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: current.name, Incarnation: current.proxy.Incarnation(), ReadAt: current.proxy.LeaderClock()}
-	err = current.proxy.Session.CallLeader(wire.Kind_claim, request, response, timeout)
+	request := &wire.ClaimRequest{Scope: scope, Digest: make([]byte, 32), Attempt: scope + "/1", Proxy: proxyMember.name, Incarnation: proxyMember.proxy.Incarnation(), ReadAt: proxyMember.proxy.LeaderClock()}
+	err = proxyMember.proxy.Session.CallLeader(wire.Kind_claim, request, response, timeout)
 	return response.Outcome == "granted", err
 }
 
-// TripBreaker reports a fault of a service on behalf of a proxy, after which the service's breaker has a shared record.
+// TripBreaker reports a fault of a service on behalf of a proxy, for which the registry creates a shared record of the service's breaker.
 func (p *Pool) TripBreaker(index, service int) error {
-	current := p.currentMembers()[index]
-	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: current.name, Incarnation: current.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerSettings()}
-	return current.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
+	proxyMember := p.currentMembers()[index]
+	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: proxyMember.name, Incarnation: proxyMember.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerSettings()}
+	return proxyMember.proxy.Session.CallLeader(wire.Kind_breaker_write, request, &wire.BreakerWriteResponse{}, 5*monotonic.Second)
 }
 
 // BreakerCount returns the number of breaker records that a proxy has received.
@@ -190,20 +192,20 @@
 	return len(p.currentMembers()[index].proxy.Breakers.Statuses())
 }
 
-// Restart ends one proxy without a graceful shutdown and starts its next incarnation at once.
+// Restart ends a proxy without a graceful shutdown and immediately starts its next incarnation.
 func (p *Pool) Restart(index int) error {
-	old := p.currentMembers()[index]
-	old.incarnation.end()
-	totals := old.incarnation.MessageCounts()
-	fresh, err := p.start(index)
+	previous := p.currentMembers()[index]
+	previous.incarnation.end()
+	counts := previous.incarnation.MessageCounts()
+	next, err := p.start(index)
 	if err != nil {
 		return err
 	}
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.members = slices.Clone(p.members)
-	p.members[index] = fresh
-	addCounts(p.endedCounts, totals)
+	p.members[index] = next
+	addCounts(p.endedCounts, counts)
 	return nil
 }
 
--- a/internal/rehearse/relay/relay.go
+++ b/internal/rehearse/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay stands between the processes of a rehearsal, so that the network between two hosts can be partitioned in either
-// direction, slowed or made to corrupt bytes, and so that the bytes between them are counted.
+// Package relay forwards the connections between the processes of a rehearsal. In each direction between two hosts it can block bytes,
+// delay them or corrupt them, and it counts them.
 package relay
 
 import (
@@ -14,7 +14,7 @@
 	bufferSize  = 64 << 10
 )
 
-// Direction is the way from one host to another. Hosts are known by their loopback addresses.
+// Direction is one direction of the traffic between two hosts, which are identified by their loopback addresses.
 type Direction struct {
 	From string
 	To   string
@@ -22,21 +22,21 @@
 
 func (d Direction) reverse() Direction { return Direction{From: d.To, To: d.From} }
 
-// Hub holds the relays of one fleet.
-// Invariant: no byte passes in a blocked direction. What was sent is held back until the direction is unblocked, as by a network
-// that loses packets, and not refused.
+// Hub holds the relays of one fleet and the faults that they inject.
+// Invariant: no byte passes in a blocked direction. Bytes are not refused but held back until the direction is unblocked, as TCP does
+// on a network that loses packets.
 type Hub struct {
-	mu         sync.Mutex // guards all below
-	changed    *sync.Cond // on mu, when any of them changes
+	mu         sync.Mutex // guards the fields below
+	changed    *sync.Cond // uses mu; broadcast when a fault or closed changes
 	listeners  []net.Listener
 	blocked    map[Direction]bool
 	delays     map[Direction]time.Duration
-	corrupted  map[Direction]bool // one byte of each chunk arrives as another
+	corrupted  map[Direction]bool // one byte of each chunk is changed
 	byteCounts map[Direction]uint64
 	closed     bool
 }
 
-// NewHub makes a hub without relays.
+// NewHub returns a hub without relays.
 func NewHub() *Hub {
 	h := &Hub{byteCounts: map[Direction]uint64{}}
 	h.changed = sync.NewCond(&h.mu)
@@ -44,7 +44,7 @@
 	return h
 }
 
-// Add listens at an address of a host and relays each connection to the target, where a process of that host listens.
+// Add starts a relay that listens on an address of a host and forwards each connection to target, where a process on that host listens.
 func (h *Hub) Add(host, address, target string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,7 +57,7 @@
 		for {
 			incoming, err := listener.Accept()
 			if err != nil {
-				return // closed
+				return // the listener was closed
 			}
 			go h.forward(incoming, host, target)
 		}
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// forward relays one connection until either side closes it.
+// forward forwards one connection until either side closes it.
 func (h *Hub) forward(incoming net.Conn, host, target string) {
 	defer closeQuietly(incoming)
 	from, _, err := net.SplitHostPort(incoming.RemoteAddr().String())
@@ -74,15 +74,15 @@
 	}
 	inward := Direction{From: from, To: host}
 	if h.isBlocked(inward) || h.isBlocked(inward.reverse()) {
-		// No connection is established across a partition: it stays open without response, as after a lost SYN, and is closed when
-		// the partition ends.
+		// No connection to the target is opened across a partition. The incoming one stays open without a response, as after a lost SYN,
+		// until both directions are unblocked.
 		if !h.awaitUnblocked(inward) || !h.awaitUnblocked(inward.reverse()) {
 			return
 		}
 	}
 	outgoing, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		// Nothing listens there: reset the connection, so that the dialer's first use of it fails.
+		// Nothing listens on the target: reset the connection, so that the client's first use of it fails.
 		if connection, isTCP := incoming.(*net.TCPConn); isTCP {
 			_ = connection.SetLinger(0)
 		}
@@ -97,7 +97,7 @@
 
 func closeQuietly(connection net.Conn) { _ = connection.Close() }
 
-// copyBytes relays one direction of a connection until it ends, and then sends to done.
+// copyBytes forwards one direction of a connection until it is closed, and then sends to done.
 func (h *Hub) copyBytes(source, sink net.Conn, direction Direction, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, bufferSize)
@@ -112,7 +112,7 @@
 	}
 }
 
-// deliver writes a chunk with the faults of its direction. It gives false if the connection or the hub was closed.
+// deliver applies the faults of a direction to a chunk and writes it to sink. It returns false if the connection or the hub was closed.
 func (h *Hub) deliver(sink net.Conn, direction Direction, chunk []byte) bool {
 	h.mu.Lock()
 	h.byteCounts[direction] += uint64(len(chunk))
@@ -137,7 +137,7 @@
 	return h.blocked[direction]
 }
 
-// awaitUnblocked waits while a direction is blocked, and gives false if the hub is closed.
+// awaitUnblocked waits until a direction is not blocked. It returns false if the hub is closed.
 func (h *Hub) awaitUnblocked(direction Direction) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -152,20 +152,20 @@
 	h.update(func() { h.blocked[Direction{from, to}] = true })
 }
 
-// Corrupt changes a byte of each chunk from one host to another.
+// Corrupt changes one byte of each chunk from one host to another.
 func (h *Hub) Corrupt(from, to string) {
 	h.update(func() { h.corrupted[Direction{from, to}] = true })
 }
 
-// Delay holds back each chunk from one host to another for this long.
+// Delay delays each chunk from one host to another.
 func (h *Hub) Delay(from, to string, delay time.Duration) {
 	h.update(func() { h.delays[Direction{from, to}] = delay })
 }
 
-// Heal ends all blocks, delays and corruption.
+// Heal removes all blocks, delays and corruption.
 func (h *Hub) Heal() { h.update(h.clearFaults) }
 
-// clearFaults must be called with mu held, or before the hub is shared.
+// clearFaults removes all faults. It must be called with mu held, or before other goroutines use the hub.
 func (h *Hub) clearFaults() {
 	h.blocked, h.delays, h.corrupted = map[Direction]bool{}, map[Direction]time.Duration{}, map[Direction]bool{}
 }
@@ -177,14 +177,14 @@
 	h.changed.Broadcast()
 }
 
-// Bytes gives how many bytes were sent in each direction so far.
+// Bytes returns the number of bytes that have been sent in each direction.
 func (h *Hub) Bytes() map[Direction]uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return maps.Clone(h.byteCounts)
 }
 
-// Close closes all listeners and lets all connections end.
+// Close closes all listeners and ends the waits of blocked connections.
 func (h *Hub) Close() {
 	h.update(func() { h.closed = true })
 	for _, listener := range h.listeners {
