--- a/internal/rehearse/sweep/core.go
+++ b/internal/rehearse/sweep/core.go
@@ -18,7 +18,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// adminClient reads the admin endpoints of control plane processes.
+// adminClient requests the admin endpoints of control plane processes.
 var adminClient = &http.Client{Timeout: 10 * time.Second}
 
 // fetchStatus reads the replication status that a control plane process reports at its admin address.
@@ -34,18 +34,18 @@
 	return report.Core, json.NewDecoder(response.Body).Decode(&report)
 }
 
-// roleName gives the name under which a process's usage is recorded: its program and its part in the replication group.
-func roleName(process *fleet.Process, core replication.Status) string {
+// roleName returns the name under which a process's usage is recorded: its program and its role in the replication group.
+func roleName(process *fleet.Process, status replication.Status) string {
 	switch process.Name {
-	case core.Primary:
+	case status.Primary:
 		return recordedPrograms[process.Program] + " primary"
-	case core.Backup:
+	case status.Backup:
 		return recordedPrograms[process.Program] + " backup"
 	}
 	return recordedPrograms[process.Program] + " witness"
 }
 
-// fetchMessageCounts reads a process's message counters from its metrics endpoint, by the message kind's label.
+// fetchMessageCounts reads a control plane process's message counters from its metrics endpoint, by the message kind's label.
 func fetchMessageCounts(process *fleet.Process) (map[string]machine.MessageCount, error) {
 	response, err := adminClient.Get("http://" + process.AdminAddress + "/metrics")
 	if err != nil {
@@ -68,7 +68,7 @@
 	} {
 		family := families[name]
 		if family == nil {
-			return nil, fmt.Errorf("%s exports no metric %s", process.Name, name)
+			return nil, fmt.Errorf("%s does not export the metric %s", process.Name, name)
 		}
 		for _, metric := range family.Metric {
 			labels := map[string]string{}
@@ -84,17 +84,17 @@
 	return totals, nil
 }
 
-// labelCounts replaces message kinds by their metric labels, the form in which counts of other processes are read.
-func labelCounts(counted map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
+// labelCounts returns counts with message kinds replaced by their metric labels, as in the counts that fetchMessageCounts returns.
+func labelCounts(counts map[wire.Kind]machine.MessageCount) map[string]machine.MessageCount {
 	totals := map[string]machine.MessageCount{}
-	for kind, count := range counted {
+	for kind, count := range counts {
 		totals[machine.KindLabel(kind)] = count
 	}
 	return totals
 }
 
-// perSecond divides the increase between two readings by divisor, the product of seconds and processes. Kinds without traffic
-// in between are left out.
+// perSecond divides the increase between two readings by divisor, the product of the seconds and the number of processes. It leaves out
+// message kinds without traffic between the readings.
 func perSecond(before, after map[string]machine.MessageCount, divisor float64) map[string]Traffic {
 	traffic := map[string]Traffic{}
 	for kind, later := range after {
@@ -120,10 +120,10 @@
 			return kilobytes * 1024, err
 		}
 	}
-	return 0, fmt.Errorf("process %s has no %s", pid, field)
+	return 0, fmt.Errorf("the status of process %s has no field %s", pid, field)
 }
 
-// ownCPUMicros gives the CPU time that this process has used since its start, in microseconds; 0 if it can't be read.
+// ownCPUMicros returns the CPU time that this process has used since its start, in microseconds, or 0 if it cannot be read.
 func ownCPUMicros() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -132,7 +132,7 @@
 	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1000
 }
 
-// loadAverage gives the machine's load average over the last minute; 0 if it can't be read.
+// loadAverage returns the machine's load average over the last minute, or 0 if it cannot be read.
 func loadAverage() (average float64) {
 	content, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
--- a/internal/rehearse/sweep/failures.go
+++ b/internal/rehearse/sweep/failures.go
@@ -10,12 +10,12 @@
 	"snowflow/internal/transport/wire"
 )
 
-// readAttemptTimeout bounds one read of the configurations while the primary may be gone.
+// readAttemptTimeout limits one attempt to read the configurations, as the primary may have been killed.
 const readAttemptTimeout = 300 * monotonic.Millisecond
 
-// measureFailures kills both primaries at once and records how long claims, reads and changes fail. Then it stops all proxies, waits
-// for their sessions to expire and starts them again at once. It does nothing unless the options ask for failures.
-func (m *measurement) measureFailures() error {
+// measureRecovery kills both primaries at once and records how long claims, reads and changes fail. Then it stops all proxies, waits
+// until their sessions have expired and restarts all proxies at once. It does nothing unless options.Failures is set.
+func (m *measurement) measureRecovery() error {
 	if !m.options.Failures {
 		return nil
 	}
@@ -35,11 +35,11 @@
 		return err
 	}
 	m.pool.StopAll()
-	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // all sessions expire
+	time.Sleep(directory.SessionTimeout.Duration() + time.Second) // until all sessions have expired
 	return m.measureMassRestart(result)
 }
 
-// killPrimaries kills the primaries of both groups at once, and returns their processes.
+// killPrimaries kills the primaries of both replication groups at once and returns their processes.
 func (m *measurement) killPrimaries() (killed []*fleet.Process, err error) {
 	statuses, err := m.awaitPrimaries()
 	if err != nil {
@@ -56,62 +56,65 @@
 	return killed, nil
 }
 
-// measureOutage records how long it takes until a claim, a read and a change succeed again. What fails for all of the timeout is
-// left out.
+// measureOutage records how long it takes until a claim, a read and a change succeed again. Of those that fail until the timeout it
+// records nothing.
 func (m *measurement) measureOutage(result *RecoveryTimes) {
-	began := time.Now()
+	started := time.Now()
 	var work sync.WaitGroup
-	for into, request := range map[**float64]func() error{&result.Claims: m.claimOnce, &result.Reads: m.readOnce, &result.Applies: m.applyOnce} {
+	for seconds, request := range map[**float64]func() error{&result.Claims: m.claimOnce, &result.Reads: m.readOnce, &result.Applies: m.applyOnce} {
 		work.Add(1)
 		go func() {
 			defer work.Done()
 			if request() == nil {
-				took := time.Since(began).Seconds()
-				*into = &took
+				elapsed := time.Since(started).Seconds()
+				*seconds = &elapsed
 			}
 		}()
 	}
 	work.Wait()
 }
 
+// claimOnce claims an idempotency key, with retries until the timeout.
 func (m *measurement) claimOnce() error {
 	_, err := m.pool.Claim(0, "service/after", monotonic.FromDuration(m.options.Timeout))
 	return err
 }
 
+// readOnce lists the configurations, with retries until the timeout.
 func (m *measurement) readOnce() error {
-	return m.callPrimary(configStoreGroup, m.options.Timeout, func(name string, left monotonic.Micros) error {
-		return m.resolver.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(left, readAttemptTimeout))
+	return m.callPrimary(configStoreGroup, m.options.Timeout, func(name string, timeLeft monotonic.Micros) error {
+		return m.resolver.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(timeLeft, readAttemptTimeout))
 	})
 }
 
+// applyOnce applies a configuration, with retries until the timeout.
 func (m *measurement) applyOnce() error {
 	_, _, err := m.apply(m.options.Timeout)
 	return err
 }
 
-// measureMassRestart starts all proxies at once, and records how long it takes until they are ready and know all others and how many
-// bytes each exchanges until then.
+// measureMassRestart starts all proxies at once. It records how long it takes until all are ready and until each knows all others, and
+// how many bytes each proxy exchanges meanwhile.
 func (m *measurement) measureMassRestart(result *RecoveryTimes) error {
-	bytes := func() (total float64) {
-		for _, counted := range m.pool.MessageCounts() {
-			total += float64(counted.SentBytes + counted.ReceivedBytes)
+	exchangedBytes := func() (total float64) {
+		for _, count := range m.pool.MessageCounts() {
+			total += float64(count.SentBytes + count.ReceivedBytes)
 		}
 		return total
 	}
-	before, began := bytes(), time.Now()
+	before, started := exchangedBytes(), time.Now()
 	if err := m.pool.StartAll(0); err != nil {
 		return err
 	}
 	for _, target := range []struct {
-		into  **float64
-		count func() int
+		seconds **float64
+		count   func() int
 	}{{&result.Ready, m.pool.ReadyCount}, {&result.Complete, m.pool.CompleteDirectoryCount}} {
-		if reached := pollUntil(m.options.Timeout-time.Since(began), m.countsAllProxies(target.count)); reached {
-			took := time.Since(began).Seconds()
-			*target.into = &took
+		if reached := pollUntil(m.options.Timeout-time.Since(started), m.countsAllProxies(target.count)); reached {
+			elapsed := time.Since(started).Seconds()
+			*target.seconds = &elapsed
 		}
 	}
-	result.Bytes = (bytes() - before) / float64(m.size.Proxies)
+	result.Bytes = (exchangedBytes() - before) / float64(m.size.Proxies)
 	return nil
 }
--- a/internal/rehearse/sweep/operator.go
+++ b/internal/rehearse/sweep/operator.go
@@ -13,8 +13,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// nextConfig writes the next configuration as JSON. Each differs from the one before in its note and, if there are routes, in the
-// timeout of one of them.
+// nextConfig returns the next configuration as JSON. It differs from the previous one in its note and, if there are routes, in which
+// route has a timeout and in the timeout's value.
 func (m *measurement) nextConfig() ([]byte, error) {
 	m.version++
 	state := &wire.DesiredState{Note: fmt.Sprintf("change %d", m.version), Groups: []*wire.Group{{Name: "all"}}}
@@ -36,9 +36,9 @@
 	return content, err
 }
 
-// callPrimary sends a request to a group's primary and retries every 10 ms until it succeeds or timeout has passed. It returns the
-// last error.
-func (m *measurement) callPrimary(group string, timeout time.Duration, request func(name string, left monotonic.Micros) error) error {
+// callPrimary sends a request to the primary of a replication group and retries every 10 ms until it succeeds or timeout has passed. It
+// returns the last error.
+func (m *measurement) callPrimary(group string, timeout time.Duration, request func(name string, timeLeft monotonic.Micros) error) error {
 	deadline, err := time.Now().Add(timeout), errors.New("no primary is known")
 	for time.Now().Before(deadline) {
 		if name := m.resolver.PrimaryName(group); name != "" {
@@ -52,20 +52,20 @@
 	return err
 }
 
-// apply applies the next configuration. It returns the accepted version and the seconds until it was acknowledged.
-func (m *measurement) apply(timeout time.Duration) (version uint64, took float64, err error) {
+// apply applies the next configuration. It returns the accepted version and the seconds until the change was acknowledged.
+func (m *measurement) apply(timeout time.Duration) (version uint64, seconds float64, err error) {
 	content, err := m.nextConfig()
 	if err != nil {
 		return 0, 0, err
 	}
-	began := time.Now()
+	started := time.Now()
 	request := &wire.ConfigApplyRequest{Content: content, AnyVersion: true, Request: strconv.Itoa(m.version)}
 	response := &wire.ConfigApplyResponse{}
-	err = m.callPrimary(configStoreGroup, timeout, func(name string, left monotonic.Micros) error {
-		return m.resolver.Call(name, wire.Kind_config_apply, request, response, left)
+	err = m.callPrimary(configStoreGroup, timeout, func(name string, timeLeft monotonic.Micros) error {
+		return m.resolver.Call(name, wire.Kind_config_apply, request, response, timeLeft)
 	})
 	if err == nil && response.Outcome != "accepted" {
-		err = fmt.Errorf("a change was not accepted: %s %v", response.Outcome, response.Errors)
+		err = fmt.Errorf("the configuration was not accepted: %s %v", response.Outcome, response.Errors)
 	}
-	return response.Version, time.Since(began).Seconds(), err
+	return response.Version, time.Since(started).Seconds(), err
 }
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -14,18 +14,18 @@
 
 // Options configures how one run is measured.
 type Options struct {
-	Window   time.Duration // length of the steady state that is measured
-	Timeout  time.Duration // for each wait outside the window's schedule, such as until all proxies are ready
-	Failures bool          // whether failures of the primaries and a restart of all proxies are measured after the window
-	Folder   string        // working directory of the control plane's processes
-	Binaries string        // directory of the programs
+	Window   time.Duration // duration of the measured steady state
+	Timeout  time.Duration // limits each wait for a state, such as until all proxies are ready
+	Failures bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
+	Folder   string        // folder for the settings, data and logs of the control plane processes
+	Binaries string        // folder of the programs
 	Base     int           // second octet of the fleet's loopback addresses
 }
 
-// startInterval is the time between the starts of two proxies before the window. After the window they are restarted all at once.
+// startInterval is the time between the starts of two proxies before the window. The restart after the window is of all at once.
 const startInterval = 10 * time.Millisecond
 
-// Names in recorded runs and of replication groups, unchanged since the programs were renamed.
+// Name of the configuration store's replication group, and the proxies' role in records. Both date from before the programs were renamed.
 const (
 	configStoreGroup = "postmaster"
 	proxyRole        = "carrier"
@@ -37,41 +37,41 @@
 	options          Options
 	fleet            *fleet.Fleet
 	pool             *hollow.Pool
-	host             *machine.Machine // of the operator, who applies configurations
+	host             *machine.Machine // host of the operator that applies configurations
 	resolver         *discovery.Resolver
 	run              *Run
-	version          int     // counts the configurations written, so that each differs from the one before
-	baselineResident float64 // resident bytes of this process before the proxies started
+	version          int     // number of configurations generated, so that each differs from the one before
+	baselineResident float64 // resident bytes of this process before the proxies were started
 }
 
-// RunSize measures one run of a size. It starts the control plane as processes of their own and the proxies, which carry no
-// traffic, within this process. The result bears number, the run's place among those of its size.
+// RunSize measures one run of a size. It starts the control plane as separate processes, and within this process the proxies, which
+// forward no requests. number is the position of the run among those of its size.
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]RoleUsage{}}
-	coreFleet, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, ControlPlaneHosts: 3},
+	controlPlane, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, ControlPlaneHosts: 3},
 		fleet.Options{Dir: options.Folder, BinaryDir: options.Binaries, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
 	if err != nil {
 		return run, err
 	}
-	defer coreFleet.Close()
-	m := &measurement{size: size, options: options, fleet: coreFleet, run: &run, host: machine.New(nil, nil, nil)}
+	defer controlPlane.Close()
+	m := &measurement{size: size, options: options, fleet: controlPlane, run: &run, host: machine.New(nil, nil, nil)}
 	defer m.host.CloseConnections()
-	if err := coreFleet.StartAll(); err != nil {
+	if err := controlPlane.StartAll(); err != nil {
 		return run, err
 	}
-	if err := fleet.AwaitReady(coreFleet.ControlPlane(), options.Timeout); err != nil {
+	if err := fleet.AwaitReady(controlPlane.ControlPlane(), options.Timeout); err != nil {
 		return run, err
 	}
 	seeds := []string{}
-	for _, process := range coreFleet.ControlPlane() {
+	for _, process := range controlPlane.ControlPlane() {
 		seeds = append(seeds, process.PeerAddress)
 	}
 	m.resolver = discovery.New(m.host, nil, seeds)
-	// Each service gets at least two callers, as the registry defers a fault report of the only one.
+	// At least two proxies call each service, because the registry defers the fault report of a service's only caller.
 	calls := max(4, (2*size.Services+size.Proxies-1)/size.Proxies)
-	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, CalledServices: calls, Zones: coreFleet.Layout.Zones, Seeds: seeds[1:4]})
+	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, CalledServices: calls, Zones: controlPlane.Layout.Zones, Seeds: seeds[1:4]})
 	defer m.pool.StopAll()
-	for _, step := range []func() error{m.joinProxies, m.tripBreakers, m.measure, m.measureFailures} {
+	for _, step := range []func() error{m.joinProxies, m.tripBreakers, m.measureSteadyState, m.measureRecovery} {
 		if err := step(); err != nil {
 			return run, err
 		}
@@ -91,7 +91,7 @@
 	return true
 }
 
-// countsAllProxies gives the condition that count has reached the number of proxies.
+// countsAllProxies returns a condition that holds when count returns the number of all proxies.
 func (m *measurement) countsAllProxies(count func() int) func() bool {
 	return func() bool { return count() == m.size.Proxies }
 }
@@ -106,56 +106,56 @@
 		return err
 	}
 	m.baselineResident = baseline
-	began := time.Now()
+	started := time.Now()
 	if err := m.pool.StartAll(startInterval); err != nil {
 		return err
 	}
 	for _, step := range []struct {
-		what  string
+		state string
 		count func() int
 	}{{"ready", m.pool.ReadyCount}, {"aware of all others", m.pool.CompleteDirectoryCount}} {
 		if reached := pollUntil(m.options.Timeout, m.countsAllProxies(step.count)); !reached {
-			return fmt.Errorf("only %d of %d proxies are %s after %v", step.count(), m.size.Proxies, step.what, m.options.Timeout)
+			return fmt.Errorf("only %d of %d proxies are %s after %v", step.count(), m.size.Proxies, step.state, m.options.Timeout)
 		}
 	}
-	m.run.JoinSeconds = time.Since(began).Seconds()
+	m.run.JoinSeconds = time.Since(started).Seconds()
 	return nil
 }
 
-// tripBreakers creates a shared breaker record for each service, by a fault report from one proxy that calls it, and waits until
-// the first proxy has received all of them.
+// tripBreakers makes the registry create a shared breaker record for each service, by a fault report of one proxy that calls it, and
+// waits until the proxy with index 0 has received all records.
 func (m *measurement) tripBreakers() error {
-	first := map[int]int{}
+	callers := map[int]int{}
 	for index := range m.size.Proxies {
 		for _, service := range m.pool.CalledServices(index) {
-			if _, known := first[service]; !known {
-				first[service] = index
+			if _, known := callers[service]; !known {
+				callers[service] = index
 			}
 		}
 	}
 	var reports sync.WaitGroup
-	faults := make(chan error, len(first))
+	errs := make(chan error, len(callers))
 	slots := make(chan struct{}, 32)
-	for service, index := range first {
+	for service, index := range callers {
 		reports.Add(1)
 		go func() {
 			defer reports.Done()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			faults <- m.pool.TripBreaker(index, service)
+			errs <- m.pool.TripBreaker(index, service)
 		}()
 	}
 	reports.Wait()
-	close(faults)
-	for err := range faults {
+	close(errs)
+	for err := range errs {
 		if err != nil {
 			return err
 		}
 	}
-	complete := func() bool { return m.pool.BreakerCount(0) == len(first) }
+	complete := func() bool { return m.pool.BreakerCount(0) == len(callers) }
 	if reached := pollUntil(m.options.Timeout, complete); !reached {
-		return fmt.Errorf("a proxy has received %d of %d breaker records after %v", m.pool.BreakerCount(0), len(first), m.options.Timeout)
+		return fmt.Errorf("the first proxy has received only %d of %d breaker records after %v", m.pool.BreakerCount(0), len(callers), m.options.Timeout)
 	}
-	m.run.Breakers = len(first)
+	m.run.Breakers = len(callers)
 	return nil
 }
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -21,61 +21,62 @@
 	return folder
 }
 
-// tinyWindow is long enough for each proxy to send a poll and a leader discovery request, at most 1 s and 1.25 s apart.
-const tinyWindow = 2 * time.Second
+// testWindow is long enough for each proxy to send a poll and a leader discovery request. Polls are at most 1 s apart, leader discovery
+// requests 1.25 s.
+const testWindow = 2 * time.Second
 
-// TestTinySweep measures runs of five proxies without traffic against real control plane processes. It checks what is recorded, not
-// how long anything took. The run with failures has to wait for leases to expire, so both cases run in parallel.
+// TestTinySweep measures runs of five proxies without traffic against real control plane processes. It checks which values are recorded,
+// but no durations. The run with failures waits for leases to expire, so both cases run in parallel.
 func TestTinySweep(t *testing.T) {
 	binaries := buildDaemons(t)
-	calm := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, ClaimRate: 20}
-	withRestarts := calm
+	withoutRestarts := Size{Proxies: 5, Services: 7, Routes: 3, Changes: 2, ClaimRate: 20}
+	withRestarts := withoutRestarts
 	withRestarts.Restarts = 1
 	for name, testCase := range map[string]struct {
 		size     Size
 		failures bool
-		base     int
-	}{"calm": {calm, false, 243}, "failures": {withRestarts, true, 244}} {
+		subnet   int
+	}{"calm": {withoutRestarts, false, 243}, "failures": {withRestarts, true, 244}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			options := Options{Window: tinyWindow, Timeout: time.Minute, Failures: testCase.failures, Folder: t.TempDir(), Binaries: binaries, Base: testCase.base}
+			options := Options{Window: testWindow, Timeout: time.Minute, Failures: testCase.failures, Folder: t.TempDir(), Binaries: binaries, Base: testCase.subnet}
 			run, err := RunSize(testCase.size, options, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			checkRun(t, run, testCase.size)
-			failures := run.Recovery
-			if (failures != nil) != testCase.failures {
-				t.Fatalf("failures: %+v", failures)
+			recovery := run.Recovery
+			if (recovery != nil) != testCase.failures {
+				t.Fatalf("the recovery times are %+v", recovery)
 			}
-			if failures != nil && (failures.Claims == nil || failures.Reads == nil || failures.Applies == nil || failures.Ready == nil || failures.Complete == nil || failures.Bytes <= 0) {
-				t.Errorf("failures: %+v", failures)
+			if recovery != nil && (recovery.Claims == nil || recovery.Reads == nil || recovery.Applies == nil || recovery.Ready == nil || recovery.Complete == nil || recovery.Bytes <= 0) {
+				t.Errorf("some recovery times are missing: %+v", recovery)
 			}
 			for _, metric := range Metrics() {
 				if _, known := metric.Measure(run); !known && (testCase.failures || !strings.HasPrefix(metric.Name, "until ")) {
-					t.Errorf("the run has no %s", metric.Name)
+					t.Errorf("the run has no value of the metric %q", metric.Name)
 				}
 			}
 		})
 	}
 }
 
-// checkRun checks what every run records.
+// checkRun checks the values that every run records.
 func checkRun(t *testing.T, run Run, size Size) {
 	t.Helper()
 	if run.Size != size || run.Seconds <= 0 || run.ConfigBytes == 0 || run.Breakers != size.Services {
-		t.Errorf("the record is %+v", run)
+		t.Errorf("the run is recorded as %+v", run)
 	}
 	if len(run.AdoptionSeconds) != size.Changes || len(run.AcknowledgementSeconds) != size.Changes {
-		t.Errorf("of %d changes, %d were timed at the proxies and %d at the operator", size.Changes, len(run.AdoptionSeconds), len(run.AcknowledgementSeconds))
+		t.Errorf("of %d changes, %d have an adoption time and %d an acknowledgement time", size.Changes, len(run.AdoptionSeconds), len(run.AcknowledgementSeconds))
 	}
-	if expected := size.ClaimRate * int(tinyWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
-		t.Errorf("of %d claims %+v", expected, run.Claims)
+	if expected := size.ClaimRate * int(testWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
+		t.Errorf("%+v are recorded of %d claims", run.Claims, expected)
 	}
 	for _, name := range roleNames {
 		role, known := run.Roles[name]
 		if !known || role.ResidentBytes <= 0 || role.Total().SentBytes <= 0 || role.Total().Received <= 0 {
-			t.Errorf("%s: %+v", name, role)
+			t.Errorf("the usage of %s is %+v", name, role)
 		}
 	}
 	if len(run.Roles) != len(roleNames) || run.Roles["carrier"].Processes != size.Proxies {
@@ -85,20 +86,20 @@
 		"postmaster primary": {"desired_poll", "desired_apply", "replicate"}} {
 		for _, kind := range kinds {
 			if run.Roles[role].Kinds[kind].SentBytes == 0 {
-				t.Errorf("%s sent nothing of %s", role, kind)
+				t.Errorf("%s sent no messages of kind %s", role, kind)
 			}
 		}
 	}
 }
 
-// TestSweepCutOff checks that an interrupted sweep keeps the sizes that were complete and nothing of the interrupted one.
+// TestSweepCutOff checks that an interrupted sweep keeps the records of completed sizes and records nothing of the interrupted size.
 func TestSweepCutOff(t *testing.T) {
 	dimension, err := FindDimension("carriers")
 	if err != nil {
 		t.Fatal(err)
 	}
 	plan := Plan{Dimension: dimension, Sizes: []int{50, 60, 70}, Runs: 2, Window: time.Second, Results: filepath.Join(t.TempDir(), "results")}
-	interrupted, reports := errors.New("cut off"), 0
+	interrupted, reports := errors.New("interrupted"), 0
 	err = Sweep(plan, func(size Size, number int) (Run, error) {
 		if size.Proxies == 60 && number == 2 {
 			return Run{}, interrupted
@@ -106,18 +107,18 @@
 		return Run{Size: size, Number: number, Seconds: 1, AdoptionSeconds: []float64{0.5}}, nil
 	}, func(string, ...any) { reports++ })
 	if !errors.Is(err, interrupted) || reports != 3 {
-		t.Errorf("ended with %v after %d runs", err, reports)
+		t.Errorf("the sweep returned %v after %d reports", err, reports)
 	}
 	points, err := ReadPoints(plan.Results)
 	if err != nil || len(points) != 1 || points[0].Value != 50 || len(points[0].Runs) != 2 || points[0].Runs[1].Number != 2 || !reflect.DeepEqual(points[0].Runs[0].AdoptionSeconds, []float64{0.5}) {
-		t.Errorf("recorded are %+v, %v", points, err)
+		t.Errorf("the recorded points are %+v, error %v", points, err)
 	}
 	if names, err := os.ReadDir(plan.Results); err != nil || len(names) != 1 {
-		t.Errorf("the folder holds %v, %v", names, err)
+		t.Errorf("the folder contains %v, error %v", names, err)
 	}
 }
 
-// TestBoundsRefuse checks that sizes that exceed the bounds are rejected with the estimate, and so are invalid sizes.
+// TestBoundsRefuse checks that invalid sizes and sizes that exceed the bounds are rejected, the latter with the estimate.
 func TestBoundsRefuse(t *testing.T) {
 	bounds := Bounds{Memory: 4 << 30, Files: 20000}
 	for _, dimension := range Dimensions {
@@ -133,9 +134,9 @@
 	}{
 		"memory":      {Size{Proxies: 3200, Services: 1}, "half of this machine's memory is 4096 MB"},
 		"files":       {Size{Proxies: 2850, Services: 1}, "open files"},
-		"no carriers": {Size{Services: 1}, "carriers must be one at least"},
-		"no services": {Size{Proxies: 5}, "services must be one at least"},
-		"below zero":  {Size{Proxies: 5, Services: 1, ClaimRate: -1}, "no figure below zero"},
+		"no carriers": {Size{Services: 1}, "carriers must be at least one"},
+		"no services": {Size{Proxies: 5}, "services must be at least one"},
+		"below zero":  {Size{Proxies: 5, Services: 1, ClaimRate: -1}, "no negative number"},
 	} {
 		bounds := bounds
 		if name == "files" {
@@ -146,24 +147,25 @@
 		}
 	}
 	if _, err := FindDimension("weather"); err == nil {
-		t.Error("an unknown dimension is found")
+		t.Error("an unknown dimension was found")
 	}
 	if own, err := MachineBounds(); err != nil || own.Memory == 0 || own.Files == 0 {
-		t.Errorf("this machine's bounds are %+v, %v", own, err)
+		t.Errorf("this machine's bounds are %+v, error %v", own, err)
 	}
 }
 
-// TestDimensionIncludes checks that a dimension includes the base and sizes moved along itself, but none moved along another.
+// TestDimensionIncludes checks that a dimension includes the base size and sizes that differ from it in this dimension, but none that
+// differ in another.
 func TestDimensionIncludes(t *testing.T) {
 	for _, dimension := range Dimensions {
-		moved := dimension.SizeAt(77)
+		varied := dimension.SizeAt(77)
 		for _, other := range Dimensions {
-			if on := other.Includes(moved); on != (other.Name == dimension.Name) {
-				t.Errorf("a size moved along %s is included by %s: %v", dimension.Name, other.Name, on)
+			if included := other.Includes(varied); included != (other.Name == dimension.Name) {
+				t.Errorf("%s includes a size that differs in %s: %v", other.Name, dimension.Name, included)
 			}
 		}
 		if !dimension.Includes(Base) {
-			t.Errorf("the base isn't included by %s", dimension.Name)
+			t.Errorf("%s does not include the base size", dimension.Name)
 		}
 	}
 }
--- a/internal/rehearse/sweep/usage.go
+++ b/internal/rehearse/sweep/usage.go
@@ -9,29 +9,29 @@
 	"snowflow/internal/replication"
 )
 
-// usageReading is what all processes have used and exchanged up to one time.
+// usageReading is the CPU time that each process has used and the messages that it has exchanged up to one time.
 type usageReading struct {
 	at            time.Time
-	cpuMicros     map[string]float64                         // by process name; the proxies together under proxyRole
-	messageCounts map[string]map[string]machine.MessageCount // by process name as above, then by kind
+	cpuMicros     map[string]float64                         // by process name; the sum of the proxies under proxyRole
+	messageCounts map[string]map[string]machine.MessageCount // by process name as above, then by the message kind's label
 }
 
 // readUsage reads the counters of this process and of all control plane processes.
 func (m *measurement) readUsage() (usageReading, error) {
-	taken := usageReading{at: time.Now(), cpuMicros: map[string]float64{proxyRole: ownCPUMicros()}, messageCounts: map[string]map[string]machine.MessageCount{proxyRole: labelCounts(m.pool.MessageCounts())}}
+	reading := usageReading{at: time.Now(), cpuMicros: map[string]float64{proxyRole: ownCPUMicros()}, messageCounts: map[string]map[string]machine.MessageCount{proxyRole: labelCounts(m.pool.MessageCounts())}}
 	for _, process := range m.fleet.ControlPlane() {
-		taken.cpuMicros[process.Name] = float64(process.CPUTime())
-		counted, err := fetchMessageCounts(process)
+		reading.cpuMicros[process.Name] = float64(process.CPUTime())
+		counts, err := fetchMessageCounts(process)
 		if err != nil {
-			return taken, err
+			return reading, err
 		}
-		taken.messageCounts[process.Name] = counted
+		reading.messageCounts[process.Name] = counts
 	}
-	return taken, nil
+	return reading, nil
 }
 
-// recordUsage records each role's CPU time, memory and traffic between two readings. A control plane process is recorded under the
-// role that it has at the window's end.
+// recordUsage records each role's peak memory, and its CPU time and traffic between two readings. A control plane process is recorded
+// under the role that it has at the end of the window.
 func (m *measurement) recordUsage(before, after usageReading) error {
 	peak, err := residentBytes("self", "VmHWM")
 	if err != nil {
@@ -45,25 +45,26 @@
 		return err
 	}
 	for _, process := range m.fleet.ControlPlane() {
-		core := statuses[process.Program]
+		status := statuses[process.Program]
 		peak, err := residentBytes(strconv.Itoa(process.PID()), "VmHWM")
 		if err != nil {
 			return err
 		}
-		m.run.Roles[roleName(process, core)] = RoleUsage{Processes: 1, CPUMicros: (after.cpuMicros[process.Name] - before.cpuMicros[process.Name]) / seconds,
+		m.run.Roles[roleName(process, status)] = RoleUsage{Processes: 1, CPUMicros: (after.cpuMicros[process.Name] - before.cpuMicros[process.Name]) / seconds,
 			ResidentBytes: peak, Kinds: perSecond(before.messageCounts[process.Name], after.messageCounts[process.Name], seconds)}
 	}
 	return nil
 }
 
-// awaitPrimaries waits until both groups have a serving primary with a backup, and returns the primaries' statuses by program.
+// awaitPrimaries waits until both replication groups have a serving primary with a backup. It returns the primaries' statuses by
+// program.
 func (m *measurement) awaitPrimaries() (map[string]replication.Status, error) {
 	statuses := map[string]replication.Status{}
 	reached := pollUntil(m.options.Timeout, func() bool {
 		for _, process := range m.fleet.ControlPlane() {
-			core, err := fetchStatus(process)
-			if err == nil && core.Serving && core.Primary == process.Name && core.Backup != "" {
-				statuses[process.Program] = core
+			status, err := fetchStatus(process)
+			if err == nil && status.Serving && status.Primary == process.Name && status.Backup != "" {
+				statuses[process.Program] = status
 			}
 		}
 		return len(statuses) == 2
--- a/internal/rehearse/sweep/window.go
+++ b/internal/rehearse/sweep/window.go
@@ -9,11 +9,11 @@
 	"snowflow/internal/monotonic"
 )
 
-// spreadOverWindow calls do count times, one after another, evenly spread over the window. It stops at the first error.
+// spreadOverWindow calls do count times in succession, evenly spread over the window. It stops at the first error.
 func (m *measurement) spreadOverWindow(count int, do func(index int) error) error {
-	began := time.Now()
+	started := time.Now()
 	for index := range count {
-		due := began.Add(m.options.Window * time.Duration(2*index+1) / time.Duration(2*count))
+		due := started.Add(m.options.Window * time.Duration(2*index+1) / time.Duration(2*count))
 		time.Sleep(time.Until(due))
 		if err := do(index); err != nil {
 			return err
@@ -22,21 +22,21 @@
 	return nil
 }
 
-// measure applies changes, claims keys and restarts proxies at the size's rates for the window, and records what each role used
-// meanwhile.
-func (m *measurement) measure() error {
+// measureSteadyState applies changes, claims keys and restarts proxies for the length of the window, at the rates of the size. It
+// records the resources that each role used meanwhile.
+func (m *measurement) measureSteadyState() error {
 	before, err := m.readUsage()
 	if err != nil {
 		return err
 	}
 	var work sync.WaitGroup
-	faults := make(chan error, 3)
+	errs := make(chan error, 3)
 	for _, task := range []func() error{m.applyChanges, m.claimKeys, m.restartProxies} {
 		work.Add(1)
 		go func() {
 			defer work.Done()
 			if err := task(); err != nil {
-				faults <- err
+				errs <- err
 			}
 		}()
 	}
@@ -47,7 +47,7 @@
 		return err
 	}
 	select {
-	case err := <-faults:
+	case err := <-errs:
 		return err
 	default:
 	}
@@ -55,41 +55,41 @@
 	return m.recordUsage(before, after)
 }
 
-// applyChanges applies the size's changes and records, for each, how long its acknowledgement and its adoption by all proxies took.
+// applyChanges applies the size's number of changes. For each it records the seconds until it was acknowledged and until all proxies had
+// adopted it.
 func (m *measurement) applyChanges() error {
 	return m.spreadOverWindow(m.size.Changes, func(int) error {
-		began := time.Now()
-		version, took, err := m.apply(m.options.Timeout)
+		started := time.Now()
+		version, acknowledged, err := m.apply(m.options.Timeout)
 		if err != nil {
 			return err
 		}
-		// A proxy skips a version that a newer one has replaced, so no other change may be applied during this wait.
+		// A proxy skips a version that a newer one has replaced, so the next change is applied only after this wait.
 		var last time.Time
 		if reached := pollUntil(m.options.Timeout, func() bool {
-			adopted, missing := m.pool.LastAdoption(version)
-			last = adopted
+			latest, missing := m.pool.LastAdoption(version)
+			last = latest
 			return missing == 0
 		}); !reached {
 			return fmt.Errorf("change %d was not adopted by all proxies after %v", version, m.options.Timeout)
 		}
-		m.run.AdoptionSeconds = append(m.run.AdoptionSeconds, last.Sub(began).Seconds())
-		m.run.AcknowledgementSeconds = append(m.run.AcknowledgementSeconds, took)
+		m.run.AdoptionSeconds = append(m.run.AdoptionSeconds, last.Sub(started).Seconds())
+		m.run.AcknowledgementSeconds = append(m.run.AcknowledgementSeconds, acknowledged)
 		return nil
 	})
 }
 
-// claimKeys claims idempotency keys at a steady rate. Each claim has a goroutine of its own, so that a slow one does not delay the
-// next.
+// claimKeys claims idempotency keys at a constant rate. Each claim runs in its own goroutine, so that a slow one does not delay the next.
 func (m *measurement) claimKeys() error {
-	var lock sync.Mutex // guards took and m.run.Claims
+	var lock sync.Mutex // guards durations and m.run.Claims
 	var work sync.WaitGroup
-	var took []float64
+	var durations []float64
 	count := int(float64(m.size.ClaimRate) * m.options.Window.Seconds())
 	err := m.spreadOverWindow(count, func(index int) error {
 		work.Add(1)
 		go func() {
 			defer work.Done()
-			began := time.Now()
+			started := time.Now()
 			granted, err := m.pool.Claim(index%m.size.Proxies, fmt.Sprintf("service/key/%d", index), 5*monotonic.Second)
 			lock.Lock()
 			defer lock.Unlock()
@@ -97,15 +97,15 @@
 				m.run.Claims.Other++
 				return
 			}
-			took = append(took, time.Since(began).Seconds())
+			durations = append(durations, time.Since(started).Seconds())
 		}()
 		return nil
 	})
 	work.Wait()
-	slices.Sort(took)
-	m.run.Claims.Granted = len(took)
-	if len(took) > 0 {
-		m.run.Claims.P50, m.run.Claims.P99 = took[len(took)/2], took[len(took)*99/100]
+	slices.Sort(durations)
+	m.run.Claims.Granted = len(durations)
+	if len(durations) > 0 {
+		m.run.Claims.P50, m.run.Claims.P99 = durations[len(durations)/2], durations[len(durations)*99/100]
 	}
 	return err
 }
