--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// capacityCommand writes the tables and plots of the capacity page anew from the records.
+// capacityCommand regenerates the tables and plots of the capacity page from the records.
 func capacityCommand() *cobra.Command {
 	results, page := "", ""
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
@@ -32,7 +32,7 @@
 		}
 		return os.WriteFile(page, []byte(text), 0o644)
 	}}
-	command.Flags().StringVar(&results, "results", "docs/capacity", "folder of the records; the plots go there too")
-	command.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page, with its parts marked")
+	command.Flags().StringVar(&results, "results", "docs/capacity", "folder of the records, where the plots are written too")
+	command.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page, with marked sections for the tables")
 	return command
 }
--- a/cmd/rehearse/compare.go
+++ b/cmd/rehearse/compare.go
@@ -12,15 +12,15 @@
 	"snowflow/internal/rehearse/scenario"
 )
 
-// errSignificantlyWorse ends compare with exit code 1, after the comparisons were printed.
-var errSignificantlyWorse = errors.New("lookups are served worse with changes than the noise explains")
+// errSignificantlyWorse makes compare exit with code 1 after it has printed the comparisons.
+var errSignificantlyWorse = errors.New("lookups are significantly worse with changes than without")
 
-// compareCommand compares runs with route changes with runs without.
+// compareCommand compares the lookups in runs with route changes to those in runs without.
 func compareCommand() *cobra.Command {
 	var baseline, changed []string
-	command := &cobra.Command{Use: "compare", Short: "compare lookups in runs with changes with those in runs without, by their reports", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "compare", Short: "compare lookups in reports of runs with and without changes", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		if len(baseline) == 0 || len(baseline) != len(changed) {
-			return daemon.NewUsageError(errors.New("name as many reports without changes as with, one at least"))
+			return daemon.NewUsageError(errors.New("give the same number of reports with and without changes, at least one of each"))
 		}
 		without, err := readReports(baseline)
 		if err != nil {
@@ -31,21 +31,22 @@
 			return daemon.NewUsageError(err)
 		}
 		worse := false
-		for _, compared := range scenario.Compare(without, with, scenario.IsLookup) {
-			worse = worse || compared.Significant()
-			fmt.Println(compared.Summary())
+		for _, comparison := range scenario.Compare(without, with, scenario.IsLookup) {
+			worse = worse || comparison.Significant()
+			fmt.Println(comparison.Summary())
 		}
 		if worse {
 			return errSignificantlyWorse
 		}
 		return nil
 	}}
-	command.Flags().StringSliceVar(&baseline, "quiet", nil, "reports of runs without changes, by rehearse run --json")
-	command.Flags().StringSliceVar(&changed, "busy", nil, "reports of runs with changes")
+	command.Flags().StringSliceVar(&baseline, "quiet", nil, "reports of runs without changes, as printed by rehearse run --json")
+	command.Flags().StringSliceVar(&changed, "busy", nil, "reports of runs with changes, as printed by rehearse run --json")
 	return command
 }
 
-func readReports(files []string) (read []scenario.Report, err error) {
+// readReports reads reports from JSON files.
+func readReports(files []string) (reports []scenario.Report, err error) {
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err != nil {
@@ -55,7 +56,7 @@
 		if err := json.Unmarshal(content, &report); err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
-		read = append(read, report)
+		reports = append(reports, report)
 	}
-	return read, nil
+	return reports, nil
 }
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,5 +1,5 @@
-// Rehearse starts a fleet of real processes on loopback addresses, plays callers, backends and operators, injects faults, and reports
-// which invariants held.
+// Rehearse starts a fleet of the mesh's real programs on loopback addresses, simulates callers, backends and operators, injects faults
+// and reports which invariants held.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "rehearse", Short: "rehearsals: a fleet on loopback, stand-ins around it, faults and checkers", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
+	root := &cobra.Command{Use: "rehearse", Short: "test a fleet on loopback addresses under simulated traffic and faults", SilenceUsage: true, SilenceErrors: true, Version: release.Version}
 	root.AddCommand(runCommand(), listCommand(), sweepCommand(), sweepRunCommand(), capacityCommand(), compareCommand())
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return daemon.NewUsageError(err) })
 	daemon.Main(root)
@@ -30,12 +30,12 @@
 	}}
 }
 
-// logf writes a line with the time to standard error.
+// logf prints a message with the time to standard error.
 func logf(format string, arguments ...any) {
 	fmt.Fprintf(os.Stderr, time.Now().Format("15:04:05 ")+format+"\n", arguments...)
 }
 
-// ownBinaryDir is the folder of this program, where the others are too unless another folder is named.
+// ownBinaryDir returns the folder of this program, the default folder of the others.
 func ownBinaryDir() (string, error) {
 	own, err := os.Executable()
 	if err != nil {
@@ -44,5 +44,5 @@
 	return filepath.Dir(own), nil
 }
 
-// isSubnet reports whether a number can be the second part of a fleet's loopback addresses.
+// isSubnet reports whether a number is valid as the second octet of a fleet's loopback addresses.
 func isSubnet(number int) bool { return number >= 1 && number <= 254 }
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -14,19 +14,19 @@
 	"snowflow/internal/rehearse/scenario"
 )
 
-// errOutOfRange is the error of flags outside their ranges.
-var errOutOfRange = errors.New("length and factor must be above zero, sync-delay not below, subnet from 1 to 254")
+// errOutOfRange is returned if the value of a flag is out of range.
+var errOutOfRange = errors.New("length and factor must be positive, sync-delay must not be negative, subnet must be from 1 to 254")
 
 func runCommand() *cobra.Command {
 	options := scenario.Options{}
 	asJSON := false
-	command := &cobra.Command{Use: "run", Short: "run one scenario on a fresh fleet", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "run", Short: "run one scenario on a new fleet", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		if err := completeOptions(&options); err != nil {
 			return err
 		}
 		report, err := scenario.Run(options, logf)
 		if err != nil && !errors.Is(err, scenario.ErrFindings) {
-			return daemon.NewUsageError(err) // the fleet could not be started or the scenario not be carried out: no verdict
+			return daemon.NewUsageError(err) // the fleet failed to start or the scenario to run, so there is no result
 		}
 		if asJSON {
 			fmt.Println(report.JSON())
@@ -40,7 +40,7 @@
 	return command
 }
 
-// completeOptions checks the options, and fills in the folders that were left out.
+// completeOptions validates the options and sets the default folders.
 func completeOptions(options *scenario.Options) error {
 	if _, err := layout.Find(options.Layout); err != nil {
 		return daemon.NewUsageError(err)
@@ -64,33 +64,33 @@
 }
 
 func addRunFlags(flags *pflag.FlagSet, options *scenario.Options) {
-	flags.StringVar(&options.Layout, "layout", "small", "small, hops, association or raahbar")
-	flags.StringVar(&options.Scenario, "scenario", "steady", "see rehearse list")
-	flags.DurationVar(&options.Duration, "length", 20*time.Second, "about how long the traffic goes on")
-	flags.Float64Var(&options.LoadFactor, "factor", 1, "multiplies the callers' rates")
-	flags.Float64Var(&options.OverloadFactor, "rush", 20, "what the rush scenario multiplies the rates by")
-	flags.IntVar(&options.BackendLimit, "limit", 0, "overrides the small layout's limit of requests in flight per backend")
-	flags.StringVar(&options.Dir, "folder", "", "where the fleet's settings, data and logs go; a temporary folder if left out")
-	flags.StringVar(&options.BinaryDir, "binaries", "", "folder of the programs; that of rehearse itself if left out")
+	flags.StringVar(&options.Layout, "layout", "small", "deployment to start: small, hops, association or raahbar")
+	flags.StringVar(&options.Scenario, "scenario", "steady", "scenario to run, see rehearse list")
+	flags.DurationVar(&options.Duration, "length", 20*time.Second, "approximate duration of the traffic")
+	flags.Float64Var(&options.LoadFactor, "factor", 1, "factor by which the callers' request rates are multiplied")
+	flags.Float64Var(&options.OverloadFactor, "rush", 20, "factor by which the rush scenario multiplies the rates")
+	flags.IntVar(&options.BackendLimit, "limit", 0, "override for the small layout's limit of concurrent requests per backend")
+	flags.StringVar(&options.Dir, "folder", "", "folder for the fleet's settings, data and logs; a temporary folder if empty")
+	flags.StringVar(&options.BinaryDir, "binaries", "", "folder of the programs; that of rehearse itself if empty")
 	flags.StringVar(&options.PreviousBinaryDir, "older", "", "folder of an earlier build's programs, for the versions scenario")
-	flags.BoolVar(&options.UseRelays, "relays", true, "connect the processes through relays, which partitions, delays and byte counts need")
-	flags.StringVar(&options.LogLevel, "log", "info", "least level of events that the programs log")
+	flags.BoolVar(&options.UseRelays, "relays", true, "connect the processes through relays, which are required for partitions, delays and byte counts")
+	flags.StringVar(&options.LogLevel, "log", "info", "lowest level of events that the programs log")
 	addRenamed(flags, "subnet", "base", func(name string) {
-		flags.IntVar(&options.Subnet, name, 77, "second part of the fleet's loopback addresses")
+		flags.IntVar(&options.Subnet, name, 77, "second octet of the fleet's loopback addresses, from 1 to 254")
 	})
 	addRenamed(flags, "sync-delay", "linger", func(name string) {
-		flags.DurationVar(&options.SyncDelay, name, 0, "how much longer each control plane disk takes for a sync")
+		flags.DurationVar(&options.SyncDelay, name, 0, "delay added to each disk sync of a control plane process")
 	})
 	addRenamed(flags, "balance", "choice", func(name string) {
 		flags.StringVar(&options.LoadBalancing, name, "near", "how proxies choose backends: near or uniform; blind is the former name of uniform")
 	})
 }
 
-// addRenamed adds a flag under its name, and under its former one, which is marked deprecated.
+// addRenamed adds a flag under its name and under its former name, which is marked as deprecated.
 func addRenamed(flags *pflag.FlagSet, name, former string, add func(name string)) {
 	add(name)
 	add(former)
 	if err := flags.MarkDeprecated(former, "use --"+name); err != nil {
-		panic(err) // no such flag: a mistake in this package
+		panic(err) // add did not define the flag: a bug in this package
 	}
 }
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -16,33 +16,33 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// sweepOptions are the flags of sweep.
+// sweepOptions holds the values of the sweep command's flags.
 type sweepOptions struct {
-	plan       sweep.Plan // what all dimensions have in common
+	plan       sweep.Plan // the part that the plans of all dimensions share
 	dimensions []string
 	binaryDir  string
 	subnet     int
 	timeout    time.Duration
 }
 
-// sweepCommand measures sizes, each run in a process of its own, so that no run inherits another's memory.
+// sweepCommand runs sweeps along the given dimensions. Each run is a separate process, so that no run inherits the memory of another.
 func sweepCommand() *cobra.Command {
 	options := sweepOptions{}
-	command := &cobra.Command{Use: "sweep", Short: "measure what the control plane needs as a mesh grows, with proxies that have no traffic", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "sweep", Short: "measure the resources that the control plane needs as a mesh grows, with proxies without traffic", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		return runSweep(options)
 	}}
 	flags := command.Flags()
-	flags.StringSliceVar(&options.dimensions, "dimensions", sweep.DimensionNames(), "what is swept")
-	flags.IntSliceVar(&options.plan.Sizes, "sizes", nil, "of the one dimension given; its own if left out")
-	flags.IntVar(&options.plan.Runs, "runs", 3, "of each size")
-	flags.DurationVar(&options.plan.Window, "window", 10*time.Second, "of steady state that is measured in each run")
-	flags.StringVar(&options.plan.Results, "results", "docs/capacity", "folder of the records; a size's file is written when all its runs are done")
-	flags.StringVar(&options.binaryDir, "binaries", "", "folder of the programs; that of rehearse itself if left out")
+	flags.StringSliceVar(&options.dimensions, "dimensions", sweep.DimensionNames(), "dimensions to sweep")
+	flags.IntSliceVar(&options.plan.Sizes, "sizes", nil, "sizes to measure, for exactly one dimension; its default sizes if empty")
+	flags.IntVar(&options.plan.Runs, "runs", 3, "number of runs of each size")
+	flags.DurationVar(&options.plan.Window, "window", 10*time.Second, "duration of the steady state that each run measures")
+	flags.StringVar(&options.plan.Results, "results", "docs/capacity", "folder of the records; the file of a size is written after all its runs")
+	flags.StringVar(&options.binaryDir, "binaries", "", "folder of the programs; that of rehearse itself if empty")
 	addRenamed(flags, "timeout", "patience", func(name string) {
-		flags.DurationVar(&options.timeout, name, 30*time.Second, "for what is waited for outside the window, such as the return of all proxies")
+		flags.DurationVar(&options.timeout, name, 30*time.Second, "limit of each wait outside the window, such as until all proxies have restarted")
 	})
 	addRenamed(flags, "subnet", "base", func(name string) {
-		flags.IntVar(&options.subnet, name, 97, "second part of the control plane's loopback addresses")
+		flags.IntVar(&options.subnet, name, 97, "second octet of the control plane's loopback addresses, from 1 to 254")
 	})
 	return command
 }
@@ -79,16 +79,16 @@
 	return nil
 }
 
-// plans checks the options and gives a plan for each dimension. All its errors are the starter's.
+// plans validates the options and returns a plan for each dimension. All errors that it returns are usage errors.
 func (o sweepOptions) plans(bounds sweep.Bounds) ([]sweep.Plan, error) {
 	if !isSubnet(o.subnet) {
 		return nil, errors.New("subnet must be from 1 to 254")
 	}
 	if o.timeout <= 0 {
-		return nil, errors.New("timeout must be above zero")
+		return nil, errors.New("timeout must be positive")
 	}
 	if len(o.plan.Sizes) > 0 && len(o.dimensions) != 1 {
-		return nil, errors.New("sizes need one dimension that they are of")
+		return nil, errors.New("sizes must be given with exactly one dimension")
 	}
 	plans := []sweep.Plan{}
 	for _, name := range o.dimensions {
@@ -109,14 +109,14 @@
 	return plans, nil
 }
 
-// sweepRunRequest is what sweep passes to the process of one run, as JSON.
+// sweepRunRequest is the argument that sweep passes to the process of one run, as JSON.
 type sweepRunRequest struct {
 	Size    sweep.Size
 	Options sweep.Options
 	Number  int
 }
 
-// runInSubprocess measures one run in a process of its own, which ends with this one.
+// runInSubprocess measures one run in a separate process, which is killed if this one exits.
 func runInSubprocess(ctx context.Context, own string, request sweepRunRequest) (run sweep.Run, err error) {
 	if request.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
 		return run, err
@@ -136,7 +136,7 @@
 	return run, json.Unmarshal(output, &run)
 }
 
-// sweepRunCommand measures one run. It is for sweep alone.
+// sweepRunCommand measures one run. Only the sweep command uses it.
 func sweepRunCommand() *cobra.Command {
 	return &cobra.Command{Use: "hollow RUN", Short: "measure one run of a sweep", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, arguments []string) error {
 		request := sweepRunRequest{}
--- a/cmd/rehearse/sweep_test.go
+++ b/cmd/rehearse/sweep_test.go
@@ -11,28 +11,28 @@
 	"snowflow/internal/daemon"
 )
 
-// TestSweepMisused: what can't be swept is the starter's fault, which ends with exit code 2, and nothing is started.
+// TestSweepMisused checks that invalid options of sweep are usage errors, for which the program exits with code 2.
 func TestSweepMisused(t *testing.T) {
-	for name, course := range map[string]struct{ arguments, want, warning string }{
+	for name, testCase := range map[string]struct{ arguments, want, warning string }{
 		"dimension":              {"--dimensions weather", `no dimension "weather"`, ""},
 		"memory":                 {"--dimensions carriers --sizes 2000000", "half of this machine's memory", ""},
 		"no runs":                {"--runs 0", "a run", ""},
-		"sizes":                  {"--sizes 5", "one dimension", ""},
+		"sizes":                  {"--sizes 5", "exactly one dimension", ""},
 		"subnet":                 {"--subnet 0", "subnet", ""},
 		"former name of subnet":  {"--base 0", "subnet", "Flag --base has been deprecated, use --subnet"},
 		"timeout":                {"--timeout 0s", "timeout", ""},
 		"former name of timeout": {"--patience 0s", "timeout", "Flag --patience has been deprecated, use --timeout"},
-		"few":                    {"--dimensions carriers --sizes 1", "two carriers", ""},
+		"few":                    {"--dimensions carriers --sizes 1", "at least two carriers", ""},
 		"no windows":             {"--window 0s", "window", ""},
 	} {
-		t.Run(name, func(t *testing.T) { checkMisuse(t, sweepCommand(), course.arguments, course.want, course.warning) })
+		t.Run(name, func(t *testing.T) { checkMisuse(t, sweepCommand(), testCase.arguments, testCase.want, testCase.warning) })
 	}
 }
 
-// TestRunMisused: what can't be rehearsed is the starter's fault too, under present names of flags and former ones.
+// TestRunMisused checks that invalid options of run are usage errors too, under the present and the former names of flags.
 func TestRunMisused(t *testing.T) {
-	const outOfRange = "length and factor must be above zero, sync-delay not below, subnet from 1 to 254"
-	for name, course := range map[string]struct{ arguments, want, warning string }{
+	const outOfRange = "length and factor must be positive, sync-delay must not be negative, subnet must be from 1 to 254"
+	for name, testCase := range map[string]struct{ arguments, want, warning string }{
 		"layout":                    {"--layout moon", `no layout "moon"`, ""},
 		"scenario":                  {"--scenario flood", `no scenario "flood"`, ""},
 		"length":                    {"--length -3s", outOfRange, ""},
@@ -43,11 +43,12 @@
 		"former name of sync delay": {"--linger -1ms", outOfRange, "Flag --linger has been deprecated, use --sync-delay"},
 		"former name of balance":    {"--choice blind --length 0s", outOfRange, "Flag --choice has been deprecated, use --balance"},
 	} {
-		t.Run(name, func(t *testing.T) { checkMisuse(t, runCommand(), course.arguments, course.want, course.warning) })
+		t.Run(name, func(t *testing.T) { checkMisuse(t, runCommand(), testCase.arguments, testCase.want, testCase.warning) })
 	}
 }
 
-// checkMisuse runs a command that must fail with a usage error, and checks what it warns of on the way.
+// checkMisuse runs a command and checks that it fails with the wanted usage error and prints the wanted warning, or nothing if warning
+// is empty.
 func checkMisuse(t *testing.T, command *cobra.Command, arguments, want, warning string) {
 	t.Helper()
 	var printed bytes.Buffer
@@ -57,9 +58,9 @@
 	command.SetArgs(strings.Fields(arguments))
 	err := command.Execute()
 	if usage := new(daemon.UsageError); !errors.As(err, &usage) || !strings.Contains(err.Error(), want) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the command returned %v instead of a usage error with %q", err, want)
 	}
 	if warning == "" && printed.Len() > 0 || !strings.Contains(printed.String(), warning) {
-		t.Errorf("printed %q instead of %q", printed.String(), warning)
+		t.Errorf("the command printed %q instead of %q", printed.String(), warning)
 	}
 }
