--- a/cmd/rehearse/sweep_test.go
+++ b/cmd/rehearse/sweep_test.go
@@ -25,7 +25,9 @@
 		"few":                    {"--dimensions carriers --sizes 1", "at least two carriers", ""},
 		"no windows":             {"--window 0s", "window", ""},
 	} {
-		t.Run(name, func(t *testing.T) { checkMisuse(t, sweepCommand(), testCase.arguments, testCase.want, testCase.warning) })
+		t.Run(name, func(t *testing.T) {
+			checkMisuse(t, sweepCommand(), testCase.arguments, testCase.want, testCase.warning)
+		})
 	}
 }
 
@@ -58,7 +60,7 @@
 	command.SetArgs(strings.Fields(arguments))
 	err := command.Execute()
 	if usage := new(daemon.UsageError); !errors.As(err, &usage) || !strings.Contains(err.Error(), want) {
-		t.Errorf("the command returned %v instead of a usage error with %q", err, want)
+		t.Errorf("the command returned %v", err)
 	}
 	if warning == "" && printed.Len() > 0 || !strings.Contains(printed.String(), warning) {
 		t.Errorf("the command printed %q instead of %q", printed.String(), warning)
--- a/internal/rehearse/fleet/fleet_test.go
+++ b/internal/rehearse/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 				}
 			}
 			if path := programPath(dir, ProxyProgram); path != filepath.Join(dir, testCase.want) {
-				t.Errorf("the path is %s instead of %s in %s", path, testCase.want, dir)
+				t.Errorf("the path is %s", path)
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			if !strings.Contains(string(content), want) || strings.Contains(string(content), "choice") != (want != "") || !strings.Contains(string(content), `"desk": "127.7.0.1:7301"`) {
-				t.Errorf("load balancing %q gives the settings %s", balance, content)
+				t.Errorf("the settings are %s", content)
 			}
 		})
 	}
--- a/internal/rehearse/sweep/failures.go
+++ b/internal/rehearse/sweep/failures.go
@@ -56,12 +56,12 @@
 	return killed, nil
 }
 
-// measureOutage records how long it takes until a claim, a read and a change succeed again. Of those that fail until the timeout it
-// records nothing.
+// measureOutage records how long it takes until a claim, a read and a change succeed again. It records nothing for those that have not
+// succeeded by the timeout.
 func (m *measurement) measureOutage(result *RecoveryTimes) {
 	started := time.Now()
 	var work sync.WaitGroup
-	for seconds, request := range map[**float64]func() error{&result.Claims: m.claimOnce, &result.Reads: m.readOnce, &result.Applies: m.applyOnce} {
+	for seconds, request := range map[**float64]func() error{&result.Claims: m.awaitClaim, &result.Reads: m.awaitRead, &result.Applies: m.awaitApply} {
 		work.Add(1)
 		go func() {
 			defer work.Done()
@@ -74,21 +74,21 @@
 	work.Wait()
 }
 
-// claimOnce claims an idempotency key, with retries until the timeout.
-func (m *measurement) claimOnce() error {
+// awaitClaim claims an idempotency key and retries until the registry responds or the timeout has passed.
+func (m *measurement) awaitClaim() error {
 	_, err := m.pool.Claim(0, "service/after", monotonic.FromDuration(m.options.Timeout))
 	return err
 }
 
-// readOnce lists the configurations, with retries until the timeout.
-func (m *measurement) readOnce() error {
+// awaitRead lists the configurations and retries until that succeeds or the timeout has passed.
+func (m *measurement) awaitRead() error {
 	return m.callPrimary(configStoreGroup, m.options.Timeout, func(name string, timeLeft monotonic.Micros) error {
 		return m.resolver.Call(name, wire.Kind_config_read, &wire.ConfigReadRequest{List: true}, &wire.ConfigReadResponse{}, min(timeLeft, readAttemptTimeout))
 	})
 }
 
-// applyOnce applies a configuration, with retries until the timeout.
-func (m *measurement) applyOnce() error {
+// awaitApply applies a configuration and retries until that succeeds or the timeout has passed.
+func (m *measurement) awaitApply() error {
 	_, _, err := m.apply(m.options.Timeout)
 	return err
 }
@@ -97,8 +97,8 @@
 // how many bytes each proxy exchanges meanwhile.
 func (m *measurement) measureMassRestart(result *RecoveryTimes) error {
 	exchangedBytes := func() (total float64) {
-		for _, count := range m.pool.MessageCounts() {
-			total += float64(count.SentBytes + count.ReceivedBytes)
+		for _, messages := range m.pool.MessageCounts() {
+			total += float64(messages.SentBytes + messages.ReceivedBytes)
 		}
 		return total
 	}
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -71,7 +71,7 @@
 		t.Errorf("of %d changes, %d have an adoption time and %d an acknowledgement time", size.Changes, len(run.AdoptionSeconds), len(run.AcknowledgementSeconds))
 	}
 	if expected := size.ClaimRate * int(testWindow/time.Second); run.Claims.Granted+run.Claims.Other != expected || run.Claims.Granted == 0 {
-		t.Errorf("%+v are recorded of %d claims", run.Claims, expected)
+		t.Errorf("of %d claims, the record has %+v", expected, run.Claims)
 	}
 	for _, name := range roleNames {
 		role, known := run.Roles[name]
@@ -161,7 +161,7 @@
 		varied := dimension.SizeAt(77)
 		for _, other := range Dimensions {
 			if included := other.Includes(varied); included != (other.Name == dimension.Name) {
-				t.Errorf("%s includes a size that differs in %s: %v", other.Name, dimension.Name, included)
+				t.Errorf("a size that differs in %s is included by %s: %v", dimension.Name, other.Name, included)
 			}
 		}
 		if !dimension.Includes(Base) {
