--- a/cmd/rehearse/sweep_test.go
+++ b/cmd/rehearse/sweep_test.go
@@ -11,7 +11,8 @@
 	"snowflow/internal/daemon"
 )
 
-// TestSweepMisused checks that invalid options of sweep are usage errors, for which the program exits with code 2.
+// TestSweepMisused checks that invalid options of sweep are usage errors, for which the program exits with code 2 without having started
+// anything.
 func TestSweepMisused(t *testing.T) {
 	for name, testCase := range map[string]struct{ arguments, want, warning string }{
 		"dimension":              {"--dimensions weather", `no dimension "weather"`, ""},
--- a/internal/rehearse/capacity/page.go
+++ b/internal/rehearse/capacity/page.go
@@ -65,7 +65,7 @@
 	return FormatNumber(value) + " " + unit
 }
 
-// median returns the median, the higher one of an even number of values. It returns 0 if there are none.
+// median returns the median, of an even number of values the higher of the middle two. It returns 0 if there are none.
 func median(values []float64) float64 {
 	ordered := slices.Sorted(slices.Values(values))
 	if len(ordered) == 0 {
--- a/internal/rehearse/fleet/fleet.go
+++ b/internal/rehearse/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet starts and stops the processes of a rehearsal and injects faults into them. Each host has a loopback address of its own.
+// Package fleet starts, stops, kills and freezes the real processes of a rehearsal and injects faults into them. Each host has its own
+// loopback address.
 package fleet
 
 import (
@@ -33,8 +34,8 @@
 	firstControlPlaneHost = 100
 )
 
-// Ports on which each program listens for other processes of the mesh. The next port is for administration, and that of a proxy after
-// it for callers.
+// Ports on which each program listens for other processes of the mesh. The next higher port is for administration, and a proxy's port
+// after that is for callers.
 const (
 	registryPort    = 7100
 	configStorePort = 7200
@@ -89,7 +90,7 @@
 	return f, nil
 }
 
-// HostAddress returns the loopback address of the host with a number.
+// HostAddress returns the loopback address of the host with the given number.
 func (f *Fleet) HostAddress(host int) string { return fmt.Sprintf("127.%d.0.%d", f.Subnet, host) }
 
 func (f *Fleet) newProcess(program string, index, hostNumber, port int) *Process {
--- a/internal/rehearse/fleet/settings.go
+++ b/internal/rehearse/fleet/settings.go
@@ -65,7 +65,7 @@
 	return os.WriteFile(process.settingsFile(), content, 0o644)
 }
 
-// formerLoadBalancing returns the name of a load balancing value that all builds read, which is empty for the default.
+// formerLoadBalancing returns the name under which all builds read a load balancing value. It is empty for the default.
 func formerLoadBalancing(value string) string {
 	switch value {
 	case loadBalancingNear:
--- a/internal/rehearse/relay/relay.go
+++ b/internal/rehearse/relay/relay.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// forward forwards one connection until either side closes it.
+// forward relays one connection until either side closes it.
 func (h *Hub) forward(incoming net.Conn, host, target string) {
 	defer closeQuietly(incoming)
 	from, _, err := net.SplitHostPort(incoming.RemoteAddr().String())
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -22,10 +22,11 @@
 	Base     int           // second octet of the fleet's loopback addresses
 }
 
-// startInterval is the time between the starts of two proxies before the window. The restart after the window is of all at once.
+// startInterval is the time between the starts of two proxies before the window. After the window, all proxies are restarted at once.
 const startInterval = 10 * time.Millisecond
 
-// Name of the configuration store's replication group, and the proxies' role in records. Both date from before the programs were renamed.
+// The name of the configuration store's replication group and the proxies' role in records. Both date from before the programs were
+// renamed.
 const (
 	configStoreGroup = "postmaster"
 	proxyRole        = "carrier"
--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -97,7 +97,7 @@
 	return points, nil
 }
 
-// RunsAlong returns the runs whose size the dimension includes, which are also those of the base size.
+// RunsAlong returns the runs whose size equals the base size in all other dimensions, including the runs of the base size.
 func RunsAlong(points []Point, dimension Dimension) (runs []Run) {
 	for _, point := range points {
 		for _, run := range point.Runs {
