--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -11,11 +11,11 @@
 	"snowflow/internal/rehearse/sweep"
 )
 
-// capacityCommand writes the tables and plots of the capacity page anew from the records.
+// capacityCommand regenerates the tables and plots of the capacity page from the records.
 func capacityCommand() *cobra.Command {
 	results, page := "", ""
 	command := &cobra.Command{Use: "capacity", Short: "write the capacity page's tables and plots from recorded sweeps", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		points, err := sweep.Results(results)
+		points, err := sweep.ReadPoints(results)
 		if err != nil {
 			return daemon.NewUsageError(err)
 		}
@@ -27,12 +27,12 @@
 		if err != nil {
 			return daemon.NewUsageError(err)
 		}
-		if err := capacity.Plots(points, filepath.Clean(results)); err != nil {
+		if err := capacity.WritePlots(points, filepath.Clean(results)); err != nil {
 			return err
 		}
 		return os.WriteFile(page, []byte(text), 0o644)
 	}}
-	command.Flags().StringVar(&results, "results", "docs/capacity", "folder of the records; the plots go there too")
-	command.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page, with its parts marked")
+	command.Flags().StringVar(&results, "results", "docs/capacity", "folder of the records, where the plots are written too")
+	command.Flags().StringVar(&page, "page", "docs/CAPACITY.md", "the page, with marked sections for the tables")
 	return command
 }
