--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -42,7 +42,7 @@
 	Instance string
 	Address  string
 	Behavior atomic.String // one of the behaviors; may be changed at any time
-	Served   atomic.Int64  // requests read so far
+	RequestCount   atomic.Int64  // requests read so far
 
 	proxy      *fleet.Process // where it is registered and sends lookups to
 	sender     sender
@@ -172,7 +172,7 @@
 		run.Sum = Checksum(body)
 	}
 	b.sender.history.RecordBackendRequest(run)
-	served := b.Served.Inc()
+	served := b.RequestCount.Inc()
 	if misbehave != nil {
 		misbehave(writer, attempt)
 		return
