--- a/internal/rehearse/scenario/breakers.go
+++ b/internal/rehearse/scenario/breakers.go
@@ -55,7 +55,7 @@
 		if work > 0 {
 			micros = int(work.Microseconds())
 		}
-		backend.SetWork(micros)
+		backend.SetWorkTime(micros)
 		backend.Behavior.Store(behavior)
 	}
 }
--- a/internal/rehearse/scenario/planned_stops.go
+++ b/internal/rehearse/scenario/planned_stops.go
@@ -37,7 +37,7 @@
 
 func killDrainingProxies(r *Rehearsal) error {
 	for _, backend := range r.Backends {
-		backend.SetWork(2_500_000)
+		backend.SetWorkTime(2_500_000)
 	}
 	r.Wait(r.partOfLength(0.2))
 	for turn, limit := range []time.Duration{3 * time.Second, 4 * time.Second, 5 * time.Second} {
@@ -54,7 +54,7 @@
 		}
 	}
 	for _, backend := range r.Backends {
-		backend.SetWork(backend.Service.WorkMicros)
+		backend.SetWorkTime(backend.Service.WorkMicros)
 	}
 	r.markRecovered()
 	return nil
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -73,12 +73,12 @@
 
 // LimitWorkers bounds the requests worked on at once, and sets the time that each takes. It must be called before traffic starts.
 func (b *Backend) LimitWorkers(limit, microseconds int) {
-	b.SetWork(microseconds)
+	b.SetWorkTime(microseconds)
 	b.workers = make(chan struct{}, limit)
 }
 
-// SetWork sets the mean time that a request takes.
-func (b *Backend) SetWork(microseconds int) { b.workMicros.Store(int64(microseconds)) }
+// SetWorkTime sets the mean time that a request takes.
+func (b *Backend) SetWorkTime(microseconds int) { b.workMicros.Store(int64(microseconds)) }
 
 // sendHeartbeats registers the instance and sends heartbeats until Close. It registers again when the proxy does not know it any more.
 func (b *Backend) sendHeartbeats() {
