--- a/internal/rehearse/scenario/comparison.go
+++ b/internal/rehearse/scenario/comparison.go
@@ -10,7 +10,7 @@
 // Comparison is one metric of one kind of traffic in runs with changes and in runs without.
 type Comparison struct {
 	Kind     string    `json:"kind"`
-	Figure   string    `json:"figure"` // the metric's name
+	Metric   string    `json:"figure"` // the metric's name
 	Baseline []float64 `json:"quiet"`  // values of the runs without changes
 	Changed  []float64 `json:"busy"`   // values of the runs with changes
 	// Noise is the wider of the two ranges from the lowest to the highest value. With a single pair of runs it is zero.
@@ -58,7 +58,7 @@
 }
 
 func (m metric) compare(baseline, changed []Report, kind string) Comparison {
-	c := Comparison{Kind: kind, Figure: m.name, Baseline: m.values(baseline, kind), Changed: m.values(changed, kind)}
+	c := Comparison{Kind: kind, Metric: m.name, Baseline: m.values(baseline, kind), Changed: m.values(changed, kind)}
 	c.Difference = mean(c.Changed) - mean(c.Baseline)
 	c.Noise = max(valueRange(c.Baseline), valueRange(c.Changed))
 	return c
@@ -85,7 +85,7 @@
 
 // Summary formats the comparison in one line.
 func (c Comparison) Summary() string {
-	text := fmt.Sprintf("%-24s %-18s without changes %s, with %s, worse by %.4g, noise %.4g", c.Kind, c.Figure, formatValues(c.Baseline), formatValues(c.Changed), c.Difference, c.Noise)
+	text := fmt.Sprintf("%-24s %-18s without changes %s, with %s, worse by %.4g, noise %.4g", c.Kind, c.Metric, formatValues(c.Baseline), formatValues(c.Changed), c.Difference, c.Noise)
 	if c.Significant() {
 		text += ": BEYOND THE NOISE"
 	}
