--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -1,5 +1,5 @@
-// Package standin plays everything outside the mesh in a rehearsal: backends, callers and operators. All of them record what they
-// send, execute and receive in the history that the invariants are checked on.
+// Package standin simulates everything outside the mesh in a rehearsal: backends, callers and operators. They record what they send,
+// execute and receive in the history that the invariants are checked against.
 package standin
 
 import (
@@ -25,37 +25,37 @@
 )
 
 const (
-	backendTimeout     = 4 * time.Second // of a backend's own requests
-	heartbeatInterval  = 2 * time.Second
-	registrationPause  = 200 * time.Millisecond // between attempts to register
-	slowTime           = 5 * time.Second
-	identityPath       = "/.snowflow/identity"
-	conditionWorking   = "working"
-	conditionLeaving   = "leaving"
-	lookupKindPrefix   = "lookup"
-	minResponsePadding = 20 // bytes beyond the attempt's id that a body has at least
+	backendTimeout            = 4 * time.Second // for the requests that a backend sends
+	heartbeatInterval         = 2 * time.Second
+	registrationRetryInterval = 200 * time.Millisecond // between attempts to register
+	slowDelay                 = 5 * time.Second
+	identityPath              = "/.snowflow/identity"
+	conditionWorking          = "working"
+	conditionLeaving          = "leaving"
+	lookupKindPrefix          = "lookup"
+	minResponsePadding        = 20 // a response body is at least this many bytes longer than the attempt's ID
 )
 
-// Backend is one instance of a stand-in service.
+// Backend is one instance of a simulated service.
 type Backend struct {
-	Service  layout.Service
-	Instance string
-	Address  string
-	Behavior atomic.String // one of the behaviors; may be changed at any time
-	RequestCount   atomic.Int64  // requests read so far
+	Service      layout.Service
+	Instance     string
+	Address      string
+	Behavior     atomic.String // one of the behavior constants; may be changed at any time
+	RequestCount atomic.Int64  // requests read so far
 
-	proxy      *fleet.Process // where it is registered and sends lookups to
+	proxy      *fleet.Process // the proxy that it registers with and sends lookups to
 	sender     sender
 	server     *http.Server
 	closing    chan struct{} // closed by Close
 	closeOnce  sync.Once
 	workMicros atomic.Int64
 	draining   atomic.Bool
-	// workers bounds how many requests are worked on at once; others wait, as in a backend's own queue. Nil for no bound.
+	// workers is a semaphore that bounds the number of requests processed at once; others wait for a free slot. Nil for no bound.
 	workers chan struct{}
 }
 
-// NewBackend starts an instance at an address, registered at a proxy.
+// NewBackend starts a backend instance that listens on an address and registers with a proxy.
 func NewBackend(service layout.Service, address string, proxy *fleet.Process, clock monotonic.Clock, history *invariants.History) (*Backend, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -66,21 +66,23 @@
 		proxy: proxy, sender: sender{client: client, history: history, clock: clock}, closing: make(chan struct{})}
 	b.workMicros.Store(int64(service.WorkMicros))
 	b.server = &http.Server{Handler: b, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = b.server.Serve(listener) }() // ends with Close
+	go func() { _ = b.server.Serve(listener) }() // returns after Close
 	go b.sendHeartbeats()
 	return b, nil
 }
 
-// LimitWorkers bounds the requests worked on at once, and sets the time that each takes. It must be called before traffic starts.
+// LimitWorkers bounds the number of requests processed at once, and sets the mean processing time of a request. It must be called
+// before traffic starts.
 func (b *Backend) LimitWorkers(limit, microseconds int) {
 	b.SetWorkTime(microseconds)
 	b.workers = make(chan struct{}, limit)
 }
 
-// SetWorkTime sets the mean time that a request takes.
+// SetWorkTime sets the mean processing time of a request.
 func (b *Backend) SetWorkTime(microseconds int) { b.workMicros.Store(int64(microseconds)) }
 
-// sendHeartbeats registers the instance and sends heartbeats until Close. It registers again when the proxy does not know it any more.
+// sendHeartbeats registers the instance and sends heartbeats until Close. It registers again when the proxy no longer knows the
+// instance.
 func (b *Backend) sendHeartbeats() {
 	registered := false
 	for {
@@ -92,7 +94,7 @@
 		}
 		pause := heartbeatInterval
 		if !registered {
-			pause = registrationPause
+			pause = registrationRetryInterval
 		}
 		select {
 		case <-b.closing:
@@ -117,7 +119,7 @@
 	return conditionWorking
 }
 
-// post sends JSON to the proxy's admin address and gives the response's status; zero without a response.
+// post sends JSON to the proxy's admin address and returns the response's status; zero without a response.
 func (b *Backend) post(path string, content map[string]string) int {
 	body, err := json.Marshal(content)
 	if err != nil {
@@ -132,8 +134,8 @@
 	return response.StatusCode
 }
 
-// Drain tells the proxy that this instance is leaving, and reports whether the proxy acknowledged that. The instance goes on to
-// respond to requests that still arrive.
+// Drain tells the proxy that this instance is leaving, and reports whether the proxy acknowledged that. The instance still responds
+// to requests that arrive afterwards.
 func (b *Backend) Drain() bool {
 	b.draining.Store(true)
 	acknowledged := b.post("/backends/"+b.Instance+"/leave", map[string]string{}) == http.StatusOK
@@ -151,7 +153,7 @@
 	})
 }
 
-// ServeHTTP executes a request and responds as the behavior wants.
+// ServeHTTP processes a request according to the backend's behavior and records it.
 func (b *Backend) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
 	if incoming.URL.Path == identityPath {
 		b.writeIdentity(writer)
@@ -162,26 +164,26 @@
 		return
 	}
 	behavior := b.chooseBehavior()
-	misbehave := misbehaviors[behavior]
+	sendFaulty := faultyResponses[behavior]
 	attempt, number := splitRequestID(incoming.Header.Get(request.RequestIDHeader))
 	body := b.responseBody(attempt, len(requestBody))
-	run := invariants.BackendRequest{AttemptID: attempt, AttemptNumber: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
+	received := invariants.BackendRequest{AttemptID: attempt, AttemptNumber: number, Key: incoming.Header.Get(request.IdempotencyKeyHeader), Service: b.Service.Name, Instance: b.Instance,
 		Method: incoming.Method, Path: incoming.URL.Path, At: b.sender.clock.Now(), Executed: behavior != NotExecuted,
 		Tenant: incoming.Header.Get(request.TenantHeader), TenantKey: incoming.Header.Get(request.TenantKeyHeader)}
-	if misbehave == nil {
-		run.Sum = Checksum(body)
+	if sendFaulty == nil {
+		received.Sum = Checksum(body)
 	}
-	b.sender.history.RecordBackendRequest(run)
-	served := b.RequestCount.Inc()
-	if misbehave != nil {
-		misbehave(writer, attempt)
+	b.sender.history.RecordBackendRequest(received)
+	requestNumber := b.RequestCount.Inc()
+	if sendFaulty != nil {
+		sendFaulty(writer, attempt)
 		return
 	}
 	if behavior == Slow {
-		time.Sleep(slowTime)
+		time.Sleep(slowDelay)
 	}
-	if b.sendsLookup(served, incoming.URL.Path) {
-		b.sendLookup(attempt, served)
+	if b.triggersLookup(requestNumber, incoming.URL.Path) {
+		b.sendLookup(attempt, requestNumber)
 	}
 	b.work()
 	b.setHeaders(writer.Header(), attempt, body)
@@ -189,13 +191,13 @@
 	_, _ = writer.Write(body)
 }
 
-// writeIdentity responds to the proxy's question which instance listens here.
+// writeIdentity responds to the proxy's check of which instance listens on this address.
 func (b *Backend) writeIdentity(writer http.ResponseWriter) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(map[string]string{"service": b.Service.Name, "instance": b.Instance})
 }
 
-// work takes between half and one and a half times the mean time, once a worker is free.
+// work waits for a free worker, then sleeps for between half and one and a half times the mean processing time.
 func (b *Backend) work() {
 	micros := int(b.workMicros.Load())
 	if b.workers != nil {
@@ -205,19 +207,20 @@
 	time.Sleep(time.Duration(micros/2+rand.IntN(micros+1)) * time.Microsecond)
 }
 
-// sendsLookup reports whether a request causes a lookup: each LookupEvery-th does, unless it is one itself.
-func (b *Backend) sendsLookup(served int64, path string) bool {
-	return b.Service.LookupPath != "" && served%int64(b.Service.LookupEvery) == 0 && !strings.HasPrefix(path, b.Service.LookupPath)
+// triggersLookup reports whether the backend sends a lookup for a request: for each LookupEvery-th, unless the request is itself a
+// lookup.
+func (b *Backend) triggersLookup(requestNumber int64, path string) bool {
+	return b.Service.LookupPath != "" && requestNumber%int64(b.Service.LookupEvery) == 0 && !strings.HasPrefix(path, b.Service.LookupPath)
 }
 
-// sendLookup sends a read to another service through the instance's proxy.
-func (b *Backend) sendLookup(attempt string, number int64) {
-	lookup := &invariants.Attempt{ID: fmt.Sprintf("%s-look-%d-%d", attempt, number, rand.Uint32()), Kind: lookupKindPrefix + b.Service.LookupPath, Proxy: b.proxy.Name,
-		Method: http.MethodGet, Path: fmt.Sprintf("%s/%d", b.Service.LookupPath, number), Anonymous: true, Sent: b.sender.clock.Now()}
+// sendLookup sends a read request to another service through the instance's proxy.
+func (b *Backend) sendLookup(attempt string, requestNumber int64) {
+	lookup := &invariants.Attempt{ID: fmt.Sprintf("%s-look-%d-%d", attempt, requestNumber, rand.Uint32()), Kind: lookupKindPrefix + b.Service.LookupPath, Proxy: b.proxy.Name,
+		Method: http.MethodGet, Path: fmt.Sprintf("%s/%d", b.Service.LookupPath, requestNumber), Anonymous: true, Sent: b.sender.clock.Now()}
 	b.sender.send(b.proxy, lookup, nil)
 }
 
-// responseBody has the service's length and differs between attempts.
+// responseBody returns a body of the service's response size, which differs between attempts.
 func (b *Backend) responseBody(attempt string, requestBytes int) []byte {
 	const filler = "snow"
 	body := bytes.Repeat([]byte(filler), b.Service.ResponseBytes/len(filler)+1)
@@ -232,7 +235,8 @@
 	headers.Set("Content-Type", "application/octet-stream")
 }
 
-// splitRequestID splits the attempt's number off a request id; it is 1 if there is none.
+// splitRequestID splits a request ID into the caller's attempt ID and the number of the proxy's attempt, which the proxy appends
+// after a dot. Without one the number is 1.
 func splitRequestID(id string) (attempt string, number int) {
 	position := strings.LastIndexByte(id, '.')
 	if position < 0 {
--- a/internal/rehearse/standin/behavior.go
+++ b/internal/rehearse/standin/behavior.go
@@ -7,23 +7,23 @@
 	"snowflow/internal/proxy/request"
 )
 
-// Behaviors of a backend. Tests and transcripts name them by these values.
+// Behaviors of a backend. Tests and transcripts use these values.
 const (
 	Normal         = ""
 	Failing        = "failing"      // responds with status 500
-	NoResponse     = "losing"       // executes the request, then closes without a response
-	ShortBody      = "short"        // announces more than it sends
-	LongBody       = "long"         // sends more than it announces
-	NotHTTP        = "garbled"      // sends bytes that are no HTTP
-	CloseDelimited = "close_ended"  // sends a body that only the connection's end delimits
+	NoResponse     = "losing"       // executes the request, then closes the connection without a response
+	ShortBody      = "short"        // sends a body that is shorter than its Content-Length
+	LongBody       = "long"         // sends a body that is longer than its Content-Length
+	NotHTTP        = "garbled"      // sends bytes that are not HTTP
+	CloseDelimited = "close_ended"  // sends a body without Content-Length, delimited only by the end of the connection
 	NotExecuted    = "not_executed" // responds that it did not execute the request
-	Slow           = "slow"         // takes slowTime longer
-	Mixed          = "mixed"        // any of mixedBehaviors, for each request anew
+	Slow           = "slow"         // delays the response by slowDelay
+	Mixed          = "mixed"        // picks one of mixedBehaviors at random for each request
 )
 
 var mixedBehaviors = []string{Normal, Normal, Normal, Failing, NoResponse, ShortBody, LongBody, NotHTTP, CloseDelimited, NotExecuted}
 
-// chooseBehavior is the backend's behavior for one request.
+// chooseBehavior returns the backend's behavior for one request.
 func (b *Backend) chooseBehavior() string {
 	behavior := b.Behavior.Load()
 	if behavior == Mixed {
@@ -32,8 +32,8 @@
 	return behavior
 }
 
-// misbehaviors send the responses of those behaviors that do not respond normally in the end.
-var misbehaviors = map[string]func(writer http.ResponseWriter, attempt string){
+// faultyResponses contains the functions that send the faulty response of a behavior. Other behaviors end in a normal response.
+var faultyResponses = map[string]func(writer http.ResponseWriter, attempt string){
 	Failing: func(writer http.ResponseWriter, _ string) {
 		http.Error(writer, "failing", http.StatusInternalServerError)
 	},
@@ -56,7 +56,7 @@
 	},
 }
 
-// writeRaw writes bytes to the connection itself and closes it. A caller that has gone away already is none of its concern.
+// writeRaw writes bytes directly to the connection and closes it. It ignores errors, since the peer may have disconnected.
 func writeRaw(writer http.ResponseWriter, content string) {
 	hijacker, supported := writer.(http.Hijacker)
 	if !supported {
--- a/internal/rehearse/standin/load_generator.go
+++ b/internal/rehearse/standin/load_generator.go
@@ -17,83 +17,84 @@
 )
 
 const (
-	callerTimeout     = 12 * time.Second // of one attempt
+	callerTimeout     = 12 * time.Second // for one attempt
 	readinessInterval = 300 * time.Millisecond
 	generateInterval  = 10 * time.Millisecond
 	defaultMaxRetries = 3
 )
 
-// LoadGenerator plays the callers. It sends each kind of traffic at its rate, to proxies that are ready, and retries requests with an
-// idempotency key until they are served.
+// LoadGenerator simulates the callers. It sends each kind of traffic at its rate to the proxies that are ready, and retries requests
+// with an idempotency key until they are served.
 type LoadGenerator struct {
-	// RequestPath gives a request's path. Nil for the kind's own path with the number behind it.
+	// RequestPath returns a request's path. If it is nil, the path is the kind's path followed by the request's number.
 	RequestPath func(kind layout.Kind, number int64) string
-	// TenantKey gives the tenant's key that a request bears with all its retries, empty for none. Nil for no keys at all.
+	// TenantKey returns the tenant key that a request and all its retries carry; empty for none. If it is nil, no request has one.
 	TenantKey func() string
-	// RetryTimeout is for how long after the first attempt a key is retried; zero for no limit.
+	// RetryTimeout limits how long after its first attempt a request may still be retried; zero for no limit.
 	RetryTimeout time.Duration
-	// MaxRetries is how often a key is retried at most.
+	// MaxRetries is the maximum number of retries of a request.
 	MaxRetries int
 
 	fleet         *fleet.Fleet
 	sender        sender
-	idPrefix      string // distinguishes the requests from those of other generators
+	idPrefix      string // distinguishes the requests from those of other load generators
 	lastNumber    atomic.Int64
 	stop          chan struct{} // closed by Stop
-	noNewRequests chan struct{} // closed by FinishRetries
+	noNewRequests chan struct{} // closed by FinishRetries; no requests are started afterwards
 	tasks         sync.WaitGroup
-	requests      sync.WaitGroup // of the tasks, the requests and those that start them
+	requestTasks  sync.WaitGroup // the tasks that send requests or start new ones, which FinishRetries waits for
 
 	mu           sync.Mutex       // guards all below
 	readyProxies []*fleet.Process // at the last check
-	preferred    []*fleet.Process // get three quarters of all requests, if there are any
+	preferred    []*fleet.Process // receive three quarters of all requests; may be empty
 }
 
-// NewLoadGenerator makes a load generator that sends nothing yet.
+// NewLoadGenerator returns a load generator that sends nothing before Start.
 func NewLoadGenerator(target *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *LoadGenerator {
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: 2048}}
 	return &LoadGenerator{MaxRetries: defaultMaxRetries, fleet: target, sender: sender{client: client, history: history, clock: clock},
 		idPrefix: fmt.Sprintf("%04x-", rand.Uint32()&0xffff), stop: make(chan struct{}), noNewRequests: make(chan struct{})}
 }
 
-// Start begins to send. factor multiplies the rates.
+// Start starts sending requests. factor multiplies the rates.
 func (g *LoadGenerator) Start(factor float64) {
 	g.refreshReadyProxies()
 	g.tasks.Add(1)
 	go func() {
 		defer g.tasks.Done()
-		for g.sleep(readinessInterval) {
+		for g.sleepUnlessStopped(readinessInterval) {
 			g.refreshReadyProxies()
 		}
 	}()
 	for _, kind := range g.fleet.Layout.Kinds {
-		g.goRequest(func() { g.generate(kind, kind.Rate*factor) })
+		g.startRequestTask(func() { g.generate(kind, kind.Rate*factor) })
 	}
 }
 
-// goRequest runs a task that FinishRetries waits for.
-func (g *LoadGenerator) goRequest(task func()) {
+// startRequestTask runs a task in a goroutine that FinishRetries waits for.
+func (g *LoadGenerator) startRequestTask(task func()) {
 	g.tasks.Add(1)
-	g.requests.Add(1)
+	g.requestTasks.Add(1)
 	go func() {
 		defer g.tasks.Done()
-		defer g.requests.Done()
+		defer g.requestTasks.Done()
 		task()
 	}()
 }
 
-// generate starts requests at a rate per second. Each is a task of its own, so that slow responses do not slow the rate.
+// generate starts requests of a kind at a rate per second. Each request has its own goroutine, so that slow responses do not reduce
+// the rate.
 func (g *LoadGenerator) generate(kind layout.Kind, rate float64) {
 	began, sent := time.Now(), 0.0
-	for g.sleep(generateInterval) && !g.isFinishing() {
+	for g.sleepUnlessStopped(generateInterval) && !g.isFinishing() {
 		for due := time.Since(began).Seconds() * rate; sent < due; sent++ {
-			g.goRequest(func() { g.sendWithRetries(kind) })
+			g.startRequestTask(func() { g.sendWithRetries(kind) })
 		}
 	}
 }
 
-// sleep gives false if Stop was called meanwhile.
-func (g *LoadGenerator) sleep(duration time.Duration) bool {
+// sleepUnlessStopped sleeps for a duration. It returns false as soon as Stop is called.
+func (g *LoadGenerator) sleepUnlessStopped(duration time.Duration) bool {
 	select {
 	case <-g.stop:
 		return false
@@ -102,7 +103,7 @@
 	}
 }
 
-// refreshReadyProxies checks which proxies are ready, as the platform does.
+// refreshReadyProxies checks which proxies are ready, as the platform's readiness checks do.
 func (g *LoadGenerator) refreshReadyProxies() {
 	var mu sync.Mutex // guards ready
 	var ready []*fleet.Process
@@ -124,7 +125,7 @@
 	g.readyProxies = ready
 }
 
-// PreferProxies sends three quarters of all requests from now on to these proxies.
+// PreferProxies makes the load generator send three quarters of all further requests to these proxies.
 func (g *LoadGenerator) PreferProxies(proxies []*fleet.Process) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,8 +145,8 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-// sendWithRetries sends one request. With a key it retries it after one to two seconds until it is served or has been retried often
-// or long enough.
+// sendWithRetries sends one request. If it has an idempotency key, it is retried, one to two seconds after each attempt, until it is
+// served or MaxRetries or RetryTimeout is reached.
 func (g *LoadGenerator) sendWithRetries(kind layout.Kind) {
 	number := g.lastNumber.Inc()
 	key, body := "", []byte(nil)
@@ -164,7 +165,7 @@
 		if !kind.Idempotent || isServed(attempt) || retries >= g.MaxRetries || g.RetryTimeout > 0 && time.Since(began) > g.RetryTimeout {
 			return
 		}
-		if !g.sleep(time.Duration(1000+rand.IntN(1000)) * time.Millisecond) {
+		if !g.sleepUnlessStopped(time.Duration(1000+rand.IntN(1000)) * time.Millisecond) {
 			return
 		}
 	}
@@ -188,10 +189,10 @@
 	return attempt.Status >= 200 && attempt.Status < 300 && !attempt.RejectedByMesh
 }
 
-// FinishRetries starts no new requests, and waits until each that was started is served or given up.
+// FinishRetries stops starting new requests, and waits until each request in progress is served or given up.
 func (g *LoadGenerator) FinishRetries() {
 	close(g.noNewRequests)
-	g.requests.Wait()
+	g.requestTasks.Wait()
 }
 
 func (g *LoadGenerator) isFinishing() bool {
@@ -203,7 +204,7 @@
 	}
 }
 
-// Stop sends and retries nothing more, and waits for the attempts in flight.
+// Stop sends no further requests or retries, and waits for the attempts in flight.
 func (g *LoadGenerator) Stop() {
 	close(g.stop)
 	g.tasks.Wait()
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	operatorTimeout  = 25 * time.Second // of one request
+	operatorTimeout  = 25 * time.Second // for one request
 	applyRetryPause  = 200 * time.Millisecond
 	readBackAttempts = 40
 	readBackPause    = 500 * time.Millisecond
 )
 
-// errUnknownOutcome is the error of an apply whose outcome is unknown after its timeout.
-var errUnknownOutcome = errors.New("the outcome is unknown")
+// errUnknownOutcome is returned for an apply whose outcome is still unknown after its timeout.
+var errUnknownOutcome = errors.New("the outcome of the apply is unknown")
 
-// Operator plays the operators: it applies desired states, and repeats an apply while its outcome is unknown.
+// Operator simulates the mesh's operators. It applies desired states, and repeats an apply while its outcome is unknown.
 type Operator struct {
 	Fleet   *fleet.Fleet
 	Clock   monotonic.Clock
@@ -40,18 +40,19 @@
 	Client  *http.Client
 }
 
-// NewOperator makes an operator that records in the history.
+// NewOperator returns an operator that records its requests in the history.
 func NewOperator(target *fleet.Fleet, clock monotonic.Clock, history *invariants.History) *Operator {
 	return &Operator{Fleet: target, Clock: clock, History: history, Client: &http.Client{Timeout: operatorTimeout}}
 }
 
-// Apply applies a content on top of an expected version, or of "any", and records the outcome. It begins at a random configuration
-// store and repeats the request at the next one until the outcome is known. A rejection is an outcome and no error.
+// Apply applies a desired state on the condition that the current version is the expected one, or on any version if expected is "any",
+// and records the outcome. It sends the request to a random configuration store and repeats it at the next one until the outcome is
+// known. A rejection is an outcome, not an error.
 func (o *Operator) Apply(content []byte, expected string, timeout time.Duration) (api.ApplyResult, error) {
 	state, fieldErrors := config.Parse(content)
 	valid := len(fieldErrors) == 0
 	if state != nil && valid {
-		o.allowRoutes(state)
+		o.recordAllowedRoutes(state)
 	}
 	end := o.History.BeginPlannedChange("a change of the desired state", o.Clock.Now())
 	defer func() { end(o.Clock.Now()) }()
@@ -72,7 +73,7 @@
 	}
 }
 
-// resourceDigest is the digest of a state's resources, as proxies report it of what they have in force; empty for no state.
+// resourceDigest returns the digest of a state's resources, which proxies report for their active configuration; empty for no state.
 func resourceDigest(state *wire.DesiredState) string {
 	if state == nil {
 		return ""
@@ -84,8 +85,8 @@
 	return hex.EncodeToString(set.Digest())
 }
 
-// allowRoutes records which services the state sends which kinds of traffic to.
-func (o *Operator) allowRoutes(state *wire.DesiredState) {
+// recordAllowedRoutes records, for each kind of traffic, the service that the state routes it to.
+func (o *Operator) recordAllowedRoutes(state *wire.DesiredState) {
 	compiled := config.Compile(state, 0, "")
 	for _, kind := range slices.Concat(o.Fleet.Layout.Kinds, o.Fleet.Layout.LookupKinds()) {
 		if path, found := compiled.Resolve("", kind.Method, strings.TrimSuffix(kind.Path, "/")+"/1"); found {
@@ -108,7 +109,7 @@
 	return applied, json.NewDecoder(response.Body).Decode(&applied)
 }
 
-// ReadBack reads all accepted versions and records them.
+// ReadBack reads all accepted versions from a configuration store and records them, to be compared with the acknowledged ones.
 func (o *Operator) ReadBack() error {
 	var last error
 	for turn := range readBackAttempts {
@@ -128,7 +129,7 @@
 	return last
 }
 
-// ReadJSON reads a page at a process's admin address into a value. A status other than 200 is an error.
+// ReadJSON requests a path at a process's admin address and decodes the response into a value. A status other than 200 is an error.
 func (o *Operator) ReadJSON(process *fleet.Process, path string, into any) error {
 	response, err := o.Client.Get("http://" + process.AdminAddress + path)
 	if err != nil {
--- a/internal/rehearse/standin/sender.go
+++ b/internal/rehearse/standin/sender.go
@@ -18,26 +18,26 @@
 	"snowflow/internal/rehearse/fleet"
 )
 
-// Headers that backends set on their responses, and callers check.
+// Headers that backends set on their responses and callers check.
 const (
-	EchoHeader     = "X-Standin-Attempt"  // the attempt that is responded to
-	ChecksumHeader = "X-Standin-Sum"      // of the body
-	InstanceHeader = "X-Standin-Instance" // of the backend
+	EchoHeader     = "X-Standin-Attempt"  // the ID of the attempt that the response belongs to
+	ChecksumHeader = "X-Standin-Sum"      // the checksum of the body
+	InstanceHeader = "X-Standin-Instance" // the backend's instance
 )
 
-// Checksum is the value of ChecksumHeader for a body.
+// Checksum returns the value of ChecksumHeader for a body.
 func Checksum(content []byte) string {
 	return strconv.FormatUint(uint64(crc32.ChecksumIEEE(content)), 16)
 }
 
-// sender sends requests to proxies and records how they end.
+// sender sends requests to proxies and records their results.
 type sender struct {
 	client  *http.Client
 	history *invariants.History
 	clock   monotonic.Clock
 }
 
-// send makes one attempt at a proxy and fills in how it ended.
+// send sends one attempt to a proxy, waits for the response, and records the result in the attempt.
 func (s *sender) send(process *fleet.Process, attempt *invariants.Attempt, body []byte) {
 	s.history.RecordAttempt(attempt)
 	req, err := http.NewRequest(attempt.Method, "http://"+process.CallerAddress+attempt.Path, bytes.NewReader(body))
@@ -68,7 +68,7 @@
 		attempt.Ended = ended
 		if err != nil {
 			attempt.TransportError = "lost"
-			// A proxy may close a connection that was used before without having read anything of the next request on it.
+			// A proxy may close a reused connection before it has read anything of the next request.
 			attempt.ReadByProxy = wrote.Load() && !reused.Load() && !killed && ended-attempt.Sent < monotonic.FromDuration(s.client.Timeout)
 			return
 		}
@@ -76,7 +76,7 @@
 	})
 }
 
-// recordResponse fills in what a response says. One without EchoHeader comes from the mesh itself.
+// recordResponse records a response in its attempt. A response without EchoHeader comes from the mesh itself.
 func recordResponse(attempt *invariants.Attempt, response *http.Response, content []byte) {
 	attempt.Status = response.StatusCode
 	attempt.RetryAfterSet = response.Header.Get("Retry-After") != ""
