--- a/internal/rehearse/scenario/backends.go
+++ b/internal/rehearse/scenario/backends.go
@@ -20,7 +20,7 @@
 
 // replaceBackend starts an instance of a backend's service on another host, then drains the old one and ends it.
 func (r *Rehearsal) replaceBackend(old *standin.Backend, drainTime time.Duration) error {
-	if err := r.addElsewhere(old); err != nil {
+	if err := r.addOnNextHost(old); err != nil {
 		return err
 	}
 	old.Drain()
@@ -30,17 +30,17 @@
 	return nil
 }
 
-// addElsewhere starts another instance of a backend's service on the next host.
-func (r *Rehearsal) addElsewhere(old *standin.Backend) error {
+// addOnNextHost starts another instance of a backend's service on the next host.
+func (r *Rehearsal) addOnNextHost(old *standin.Backend) error {
 	_, err := r.AddBackend(old.Service, (r.ProxyIndexOf(old)+1)%len(r.Fleet.Proxies))
 	return err
 }
 
 func reuseAddresses(r *Rehearsal) error {
 	services := r.Fleet.Layout.Services
-	for turn, began := 0, time.Now(); r.running(began); turn++ {
+	for turn, began := 0, time.Now(); r.withinDuration(began); turn++ {
 		old := randomItem(r.BackendsOf(services[turn%len(services)].Name))
-		if err := r.addElsewhere(old); err != nil {
+		if err := r.addOnNextHost(old); err != nil {
 			return err
 		}
 		old.Close()
@@ -55,7 +55,7 @@
 }
 
 func malformResponses(r *Rehearsal) error {
-	for began := time.Now(); r.running(began); {
+	for began := time.Now(); r.withinDuration(began); {
 		var chosen []*standin.Backend
 		for _, service := range r.Fleet.Layout.Services {
 			backend := randomItem(r.BackendsOf(service.Name))
@@ -74,14 +74,14 @@
 	for _, backend := range r.Backends {
 		backend.LimitWorkers(4, 40000)
 	}
-	r.Wait(r.partOfLength(0.2))
+	r.Wait(r.fractionOfDuration(0.2))
 	extra := standin.NewLoadGenerator(r.Fleet, r.Clock, r.History)
 	extra.MaxRetries = 0
 	r.History.RecordMarker(markerOverload, r.Clock.Now())
 	extra.Start(r.Options.OverloadFactor)
-	r.Wait(r.partOfLength(0.6))
+	r.Wait(r.fractionOfDuration(0.6))
 	r.History.RecordMarker(markerOverloadEnded, r.Clock.Now())
 	extra.Stop()
-	r.Wait(r.partOfLength(0.2))
+	r.Wait(r.fractionOfDuration(0.2))
 	return nil
 }
--- a/internal/rehearse/scenario/breakers.go
+++ b/internal/rehearse/scenario/breakers.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// proberOf gives the proxy that holds the first probe lease of a record.
-func (r *Rehearsal) proberOf(record *wire.BreakerRecord) *fleet.Process {
+// probingProxy gives the proxy that holds the first probe lease of a record.
+func (r *Rehearsal) probingProxy(record *wire.BreakerRecord) *fleet.Process {
 	for _, process := range r.Fleet.Proxies {
 		if process.Name == record.ProbeLeases[0].Proxy {
 			return process
@@ -72,11 +72,11 @@
 
 func failService(r *Rehearsal) error {
 	service := r.Fleet.Layout.Services[0].Name
-	r.Wait(r.partOfLength(0.2))
+	r.Wait(r.fractionOfDuration(0.2))
 	for _, backend := range r.BackendsOf(service) {
 		backend.Behavior.Store(standin.Failing)
 	}
-	r.Wait(r.partOfLength(0.4))
+	r.Wait(r.fractionOfDuration(0.4))
 	// A proxy is killed that may have a probe in flight, and so is the leader that keeps the record.
 	victim := randomItem(r.Fleet.Proxies)
 	victim.Kill()
@@ -88,7 +88,7 @@
 	}
 	r.restartAfter(victim, 0)
 	r.restartAfter(leader, 0)
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -105,12 +105,12 @@
 		r.restartAfter(victim, 2*time.Second)
 	}},
 	{"a probing proxy is killed", func(r *Rehearsal, record *wire.BreakerRecord) {
-		victim := r.proberOf(record)
+		victim := r.probingProxy(record)
 		victim.Kill()
 		r.restartAfter(victim, 2*time.Second)
 	}},
 	{"a probing proxy is frozen beyond its probe lease", func(r *Rehearsal, record *wire.BreakerRecord) {
-		victim := r.proberOf(record)
+		victim := r.probingProxy(record)
 		victim.Signal(syscall.SIGSTOP)
 		r.Wait(8 * time.Second)
 		victim.Signal(syscall.SIGCONT)
@@ -136,17 +136,17 @@
 func interruptProbes(r *Rehearsal) error {
 	service := r.Fleet.Layout.Services[0].Name
 	for _, fault := range probeFaults {
-		if !r.interruptProbe(service, fault) {
+		if !r.runProbeFault(service, fault) {
 			break
 		}
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
-// interruptProbe makes a service fail until its breaker opens, injects a fault while probes are in flight, and waits until the
+// runProbeFault makes a service fail until its breaker opens, injects a fault while probes are in flight, and waits until the
 // breaker is closed. It gives false if the breaker opened too late or no probe was sent.
-func (r *Rehearsal) interruptProbe(service string, fault probeFault) bool {
+func (r *Rehearsal) runProbeFault(service string, fault probeFault) bool {
 	r.setBehavior(service, standin.Failing, 0)
 	if r.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open)) == nil {
 		return false
@@ -187,7 +187,7 @@
 		return fmt.Errorf("the scenario needs two proxies without backends, which %s does not have", r.Fleet.Layout.Name)
 	}
 	for _, victim := range victims {
-		r.History.RecordMarker(markerImpaired+victim.Name, r.Clock.Now())
+		r.History.RecordMarker(markerNetworkDegraded+victim.Name, r.Clock.Now())
 		for _, other := range r.Fleet.Proxies {
 			if other != victim {
 				r.delay(victim.Host, other.Host, 500*time.Millisecond)
@@ -196,7 +196,7 @@
 	}
 	r.Load.PreferProxies(victims)
 	for range 2 {
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 		r.History.RecordMarker(markerServiceFailing, r.Clock.Now())
 		r.setBehavior(service, standin.Failing, 0)
 		r.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open))
@@ -206,7 +206,7 @@
 		r.Wait(18 * time.Second)
 	}
 	r.Fleet.Relays.Heal()
-	r.History.RecordMarker(markerUnimpaired, r.Clock.Now())
+	r.History.RecordMarker(markerNetworkRestored, r.Clock.Now())
 	return nil
 }
 
--- a/internal/rehearse/scenario/configurations.go
+++ b/internal/rehearse/scenario/configurations.go
@@ -9,7 +9,7 @@
 
 func applyConfigurationBursts(r *Rehearsal) error {
 	number := 100
-	for began := time.Now(); r.running(began); {
+	for began := time.Now(); r.withinDuration(began); {
 		victim := randomItem(r.Fleet.Proxies)
 		victim.Signal(syscall.SIGSTOP)
 		next, outcomes := r.startConfigurationBurst(number)
@@ -25,9 +25,9 @@
 	return nil
 }
 
-// startConfigurationBurst applies six variants 100 ms apart, every third of them invalid, then two at once that expect versions of
-// their own, as operators do who race. Variants are numbered from behind the given number; the last is returned. Each apply sends
-// one value to outcomes.
+// startConfigurationBurst applies six variants 100 ms apart, every third of them invalid, then two concurrently that each expect a
+// specific version, as racing operators do. It numbers the variants starting after number, and returns the last number. Each apply
+// sends its error or nil to outcomes.
 func (r *Rehearsal) startConfigurationBurst(number int) (last int, outcomes chan error) {
 	outcomes = make(chan error, 8)
 	apply := func(content []byte, expected string) {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// measureAcknowledgement logs how long an operator waited for the acknowledgement of a variant.
+// measureAcknowledgement applies a variant and logs how long its acknowledgement took.
 func (r *Rehearsal) measureAcknowledgement(circumstances string, variant int) error {
 	began := time.Now()
 	if err := r.applyVariant(variant); err != nil {
--- a/internal/rehearse/scenario/crashes.go
+++ b/internal/rehearse/scenario/crashes.go
@@ -10,26 +10,26 @@
 )
 
 func killProxies(r *Rehearsal) error {
-	for began := time.Now(); r.running(began); {
+	for began := time.Now(); r.withinDuration(began); {
 		victim := randomItem(r.Fleet.Proxies)
 		r.Logf("killing %s", victim.Name)
 		victim.Kill()
 		r.restartAfter(victim, 2*time.Second)
 		r.Wait(3 * time.Second)
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
 func killPrimaries(r *Rehearsal) error {
 	groups := [][]*fleet.Process{r.Fleet.Registries, r.Fleet.ConfigStores}
-	for turn, began := 0, time.Now(); r.running(began); turn++ {
+	for turn, began := 0, time.Now(); r.withinDuration(began); turn++ {
 		if err := r.killPrimary(groups[turn%len(groups)], turn); err != nil {
 			return err
 		}
 		r.Wait(4 * time.Second)
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -46,7 +46,7 @@
 }
 
 func killControlPlane(r *Rehearsal) error {
-	r.Wait(r.partOfLength(0.4))
+	r.Wait(r.fractionOfDuration(0.4))
 	core := r.Fleet.Core()
 	for _, process := range core {
 		process.Kill()
@@ -55,13 +55,13 @@
 	for _, process := range core {
 		r.restartAfter(process, 0)
 	}
-	r.markRecovered()
-	r.Wait(r.partOfLength(0.2))
+	r.awaitRecovery()
+	r.Wait(r.fractionOfDuration(0.2))
 	return nil
 }
 
 func killAllProcesses(r *Rehearsal) error {
-	r.Wait(r.partOfLength(0.5))
+	r.Wait(r.fractionOfDuration(0.5))
 	for _, process := range r.Fleet.All() {
 		process.Signal(syscall.SIGKILL)
 	}
@@ -70,13 +70,13 @@
 		process.Wait(5 * time.Second)
 		r.restartAfter(process, 0)
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
 func freezeProcesses(r *Rehearsal) error {
 	pauses := []time.Duration{4 * time.Second, 8 * time.Second} // below and beyond the deadlines that others set for it
-	for turn, began := 0, time.Now(); r.running(began); turn++ {
+	for turn, began := 0, time.Now(); r.withinDuration(began); turn++ {
 		victim := r.Fleet.Proxies[turn%len(r.Fleet.Proxies)]
 		switch turn % 3 {
 		case 1:
@@ -90,7 +90,7 @@
 		victim.Signal(syscall.SIGCONT)
 		r.Wait(3 * time.Second)
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -108,9 +108,9 @@
 		if turn == 1 {
 			r.setBehavior(service, standin.Normal, 0)
 		}
-		r.Wait(r.partOfLength(0.05))
+		r.Wait(r.fractionOfDuration(0.05))
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
--- a/internal/rehearse/scenario/disks.go
+++ b/internal/rehearse/scenario/disks.go
@@ -10,7 +10,7 @@
 )
 
 func loseDisks(r *Rehearsal) error {
-	r.Wait(r.partOfLength(0.3))
+	r.Wait(r.fractionOfDuration(0.3))
 	for _, group := range [][]*fleet.Process{r.Fleet.Registries, r.Fleet.ConfigStores} {
 		victim := r.AwaitPrimary(group)
 		r.Logf("%s loses its disk", victim.Name)
@@ -19,15 +19,15 @@
 			return err
 		}
 		r.restartAfter(victim, 3*time.Second)
-		r.Wait(r.partOfLength(0.3))
+		r.Wait(r.fractionOfDuration(0.3))
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
 func corruptDisks(r *Rehearsal) error {
 	for turn, group := range [][]*fleet.Process{r.Fleet.Registries, r.Fleet.ConfigStores} {
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 		if err := r.applyVariant(turn); err != nil {
 			return err
 		}
@@ -38,7 +38,7 @@
 		}
 		r.Logf("a byte of the log of %s is corrupted", victim.Name)
 		r.restartAfter(victim, 2*time.Second)
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 		logged, err := r.hasLogged(victim, eventlog.DiskCorrupted)
 		if err != nil {
 			return fmt.Errorf("reading the log of %s: %w", victim.Name, err)
@@ -47,7 +47,7 @@
 			return fmt.Errorf("%s did not report that it discarded its corrupted replica", victim.Name)
 		}
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -62,7 +62,7 @@
 	if err := r.fillDisk(r.Fleet.Registries[host], r.Fleet.ConfigStores[host]); err != nil {
 		return err
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -77,7 +77,7 @@
 	if err := r.applyVariant(time.Now().Nanosecond()); err != nil {
 		return err
 	}
-	r.Wait(r.partOfLength(0.25))
+	r.Wait(r.fractionOfDuration(0.25))
 	for _, process := range processes {
 		if r.AwaitPrimary(r.Fleet.GroupOf(process)) == process {
 			return fmt.Errorf("%s leads with a full disk", process.Name)
@@ -90,7 +90,7 @@
 			return err
 		}
 	}
-	r.Wait(r.partOfLength(0.1))
+	r.Wait(r.fractionOfDuration(0.1))
 	return nil
 }
 
@@ -109,12 +109,12 @@
 			return err
 		}
 		r.Logf("acknowledged after %d ms", time.Since(began).Milliseconds())
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 	}
 	if err := r.restartWithSyncDelay(slow, 0); err != nil {
 		return err
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
--- a/internal/rehearse/scenario/fleet_test.go
+++ b/internal/rehearse/scenario/fleet_test.go
@@ -13,8 +13,8 @@
 // raceDetector is whether the tests run with the race detector; then the programs do too.
 var raceDetector bool
 
-// binaries builds the programs once for all tests of this package, and gives their folder.
-func binaries(t *testing.T) string {
+// buildBinaries builds the programs once for all tests of this package, and gives their folder.
+func buildBinaries(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(os.TempDir(), fmt.Sprintf("snowflow-binaries-%d", os.Getpid()))
 	if _, err := os.Stat(folder); err == nil {
@@ -36,7 +36,7 @@
 // options are those of a short run on the small layout. Each test needs a subnet of its own, among the tests of all packages.
 func options(t *testing.T, name string, subnet int) Options {
 	t.Helper()
-	return Options{Layout: "small", Scenario: name, Duration: 4 * time.Second, LoadFactor: 1, Dir: t.TempDir(), BinaryDir: binaries(t), Subnet: subnet, UseRelays: true, LoadBalancing: "near"}
+	return Options{Layout: "small", Scenario: name, Duration: 4 * time.Second, LoadFactor: 1, Dir: t.TempDir(), BinaryDir: buildBinaries(t), Subnet: subnet, UseRelays: true, LoadBalancing: "near"}
 }
 
 // runScenario runs a scenario, which must end without findings. No program may have detected a data race.
@@ -86,7 +86,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if _, after, found := strings.Cut(string(content), keyMark); found {
+		if _, after, found := strings.Cut(string(content), keyMarker); found {
 			t.Errorf("%s has a tenant's key: %.300s", path, after)
 		}
 	}
--- a/internal/rehearse/scenario/markers.go
+++ b/internal/rehearse/scenario/markers.go
@@ -1,12 +1,12 @@
 package scenario
 
-// Markers in the history. The invariants read them by these values.
+// Markers in the history. The invariants evaluate them by these values.
 const (
-	markerRecovered        = "returned"  // the last fault is over; from here on service must come back
-	markerOverload         = "rush"      // the extra load begins
-	markerOverloadEnded    = "rushed"    // the extra load ends
-	markerImpaired         = "troubled " // followed by the name of the proxy whose network is impaired from here on
-	markerUnimpaired       = "untroubled"
-	markerServiceFailing   = "failing"
-	markerServiceRecovered = "recovered"
+	markerFaultsEnded      = "returned"   // all faults have ended; service must recover from here on
+	markerOverload         = "rush"       // the extra load begins
+	markerOverloadEnded    = "rushed"     // the extra load ends
+	markerNetworkDegraded  = "troubled "  // followed by the name of a proxy whose network is impaired from here on
+	markerNetworkRestored  = "untroubled" // all proxies' networks work normally again
+	markerServiceFailing   = "failing"    // a service starts to fail
+	markerServiceRecovered = "recovered"  // the service works again
 )
--- a/internal/rehearse/scenario/network.go
+++ b/internal/rehearse/scenario/network.go
@@ -23,7 +23,7 @@
 	if r.Fleet.Relays == nil {
 		return errRelaysRequired
 	}
-	for turn, began := 0, time.Now(); r.running(began); turn++ {
+	for turn, began := 0, time.Now(); r.withinDuration(began); turn++ {
 		victim := randomItem(r.Fleet.Proxies)
 		if turn%2 == 1 {
 			victim = r.AwaitPrimary(r.Fleet.Registries)
@@ -34,7 +34,7 @@
 		r.Fleet.Relays.Heal()
 		r.Wait(4 * time.Second)
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -55,21 +55,21 @@
 	if r.Fleet.Relays == nil {
 		return errRelaysRequired
 	}
-	r.Wait(r.partOfLength(0.2))
+	r.Wait(r.fractionOfDuration(0.2))
 	first := r.Fleet.Registries[0].Host
 	for _, other := range r.Fleet.Registries[1:] {
 		r.partition(first, other.Host)
 	}
-	r.Wait(r.partOfLength(0.3))
+	r.Wait(r.fractionOfDuration(0.3))
 	r.Fleet.Relays.Heal()
 	for _, process := range r.Fleet.Proxies {
 		for _, core := range r.Fleet.Registries {
 			r.partition(process.Host, core.Host)
 		}
 	}
-	r.Wait(r.partOfLength(0.3))
+	r.Wait(r.fractionOfDuration(0.3))
 	r.Fleet.Relays.Heal()
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -80,7 +80,7 @@
 	if len(r.Fleet.Registries) != 4 {
 		return fmt.Errorf("halves needs a control plane of four hosts, which %s does not have", r.Fleet.Layout.Name)
 	}
-	r.Wait(r.partOfLength(0.2))
+	r.Wait(r.fractionOfDuration(0.2))
 	for _, one := range r.Fleet.Registries[:2] {
 		for _, other := range r.Fleet.Registries[2:] {
 			r.partition(one.Host, other.Host)
@@ -91,9 +91,9 @@
 		r.AddFinding("rule 12: no configuration was accepted in the half that has the quorum: %v", err)
 	}
 	r.Logf("a configuration was acknowledged %d ms after the partition began", time.Since(began).Milliseconds())
-	r.Wait(r.partOfLength(0.8))
+	r.Wait(r.fractionOfDuration(0.8))
 	r.Fleet.Relays.Heal()
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -102,8 +102,8 @@
 		return errRelaysRequired
 	}
 	victim, relays := r.Fleet.Proxies[1].Host, r.Fleet.Relays
-	r.Wait(r.partOfLength(0.2))
-	r.History.RecordMarker(markerImpaired+r.Fleet.Proxies[1].Name, r.Clock.Now())
+	r.Wait(r.fractionOfDuration(0.2))
+	r.History.RecordMarker(markerNetworkDegraded+r.Fleet.Proxies[1].Name, r.Clock.Now())
 	for _, impair := range []func(other string){
 		func(other string) { relays.Delay(victim, other, 700*time.Millisecond) },
 		func(other string) { relays.Corrupt(victim, other); relays.Corrupt(other, victim) },
@@ -114,10 +114,10 @@
 				impair(other.Host)
 			}
 		}
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 		relays.Heal()
 	}
-	r.History.RecordMarker(markerUnimpaired, r.Clock.Now())
-	r.Wait(r.partOfLength(0.2))
+	r.History.RecordMarker(markerNetworkRestored, r.Clock.Now())
+	r.Wait(r.fractionOfDuration(0.2))
 	return nil
 }
--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -101,14 +101,14 @@
 		return fmt.Errorf("the example %s is invalid: %v", chosen.DesiredState, faults)
 	}
 	families := routeFamilies(chosen)
-	r.peak = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	r.routeChanges = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.Load.RequestPath, r.Load.MaxRetries, r.Load.RetryTimeout = regionPath, math.MaxInt, keyRetryTimeout
 	for _, family := range families {
 		if err := r.startAlternate(family); err != nil {
 			return err
 		}
 	}
-	applied, err := r.applyState(r.peak.State, "any")
+	applied, err := r.applyState(r.routeChanges.State, "any")
 	if err != nil || applied.Outcome != "accepted" {
 		return fmt.Errorf("the initial state was not accepted: %v %w", applied, err)
 	}
@@ -157,16 +157,16 @@
 var peakActions = []action{changeOneRoute, changeBurst, killProxy, operatorRace, changeOneRoute, restartProxy, changeBurst, changeOneRoute}
 
 func (r *Rehearsal) changeRoute() error {
-	r.peak.State = r.peak.Next()
-	_, err := r.applyState(r.peak.State, "any")
+	r.routeChanges.State = r.routeChanges.Next()
+	_, err := r.applyState(r.routeChanges.State, "any")
 	return err
 }
 
 func (r *Rehearsal) changeRoutesInBurst() error {
 	outcomes := make(chan error, burstSize)
 	for range burstSize {
-		r.peak.State = r.peak.Next()
-		state := r.peak.State
+		r.routeChanges.State = r.routeChanges.Next()
+		state := r.routeChanges.State
 		go func() {
 			_, err := r.applyState(state, "any")
 			outcomes <- err
@@ -182,8 +182,8 @@
 
 // raceOperators has two operators apply different states on top of the same version. Exactly one of them must win.
 func (r *Rehearsal) raceOperators() error {
-	r.peak.State = r.peak.Next()
-	first, err := r.applyState(r.peak.State, "any")
+	r.routeChanges.State = r.routeChanges.Next()
+	first, err := r.applyState(r.routeChanges.State, "any")
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	}
 	results := make(chan result, 2)
 	for range cap(results) {
-		state := r.peak.Next()
+		state := r.routeChanges.Next()
 		go func() {
 			applied, err := r.applyState(state, strconv.FormatUint(first.Version, 10))
 			results <- result{state, applied.Outcome, err}
@@ -205,7 +205,7 @@
 		one := <-results
 		err = errors.Join(err, one.err)
 		if one.outcome == "accepted" {
-			r.peak.State = one.state
+			r.routeChanges.State = one.state
 			accepted++
 		}
 	}
@@ -243,9 +243,9 @@
 func runPeakTraffic(changes bool) func(r *Rehearsal) error {
 	return func(r *Rehearsal) error {
 		began := time.Now()
-		for turn := 0; r.running(began); turn++ {
+		for turn := 0; r.withinDuration(began); turn++ {
 			next := time.Now().Add(actionInterval)
-			if err := r.act(peakActions[turn%len(peakActions)], changes); err != nil {
+			if err := r.perform(peakActions[turn%len(peakActions)], changes); err != nil {
 				return err
 			}
 			if turn%len(peakActions) == len(peakActions)-1 {
@@ -258,14 +258,14 @@
 		r.Logf("no new requests; keys that were not served yet are retried")
 		r.Load.FinishRetries()
 		if changes {
-			r.Logf("changes: %v", r.peak.Counts)
+			r.Logf("changes: %v", r.routeChanges.Counts)
 		}
 		return nil
 	}
 }
 
-// act carries out an action, unless it changes routes and that is not wanted.
-func (r *Rehearsal) act(one action, changes bool) error {
+// perform carries out an action, unless it changes routes and that is not wanted.
+func (r *Rehearsal) perform(one action, changes bool) error {
 	if one.changesRoutes && !changes {
 		return nil
 	}
@@ -275,8 +275,8 @@
 
 func (r *Rehearsal) killPrimaryDuringBurst(changes bool) error {
 	burst := make(chan error, 1)
-	go func() { burst <- r.act(changeBurst, changes) }()
-	return errors.Join(r.act(killConfigStorePrimary, changes), <-burst)
+	go func() { burst <- r.perform(changeBurst, changes) }()
+	return errors.Join(r.perform(killConfigStorePrimary, changes), <-burst)
 }
 
 // IsLookup reports whether a kind of traffic is one of the lookups that backends send to one another.
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -108,7 +108,7 @@
 	}
 	meanwhile := map[int]action{2: restartProxy, 4: killConfigStorePrimary}
 	turn := 0
-	err = rehearsal.peak.ApplyEach(func(state *wire.DesiredState) error {
+	err = rehearsal.routeChanges.ApplyEach(func(state *wire.DesiredState) error {
 		turn++
 		ended := make(chan error, 1)
 		if also, is := meanwhile[turn]; is {
@@ -154,7 +154,7 @@
 		t.Error(found)
 	}
 	report := rehearsal.BuildReport(time.Now())
-	t.Log(report.Kinds, seen, rehearsal.peak.Counts)
+	t.Log(report.Kinds, seen, rehearsal.routeChanges.Counts)
 	if report.Kinds["lookup/assignments"]["served"] == 0 || report.Kinds["submission"]["served"] == 0 || seen[1] == 0 || seen[3] == 0 {
 		t.Errorf("%v, seen %v", report.Kinds, seen)
 	}
@@ -171,7 +171,7 @@
 		}
 		return output
 	}
-	state := rehearsal.peak.State
+	state := rehearsal.routeChanges.State
 	route := state.Routes[slices.IndexFunc(state.Routes, func(route *wire.Route) bool { return route.Name == "archive-7" })]
 	deadline := int64(1234567)
 	route.CutoffMicros = &deadline
--- a/internal/rehearse/scenario/planned_stops.go
+++ b/internal/rehearse/scenario/planned_stops.go
@@ -16,19 +16,19 @@
 func restartEachProcess(r *Rehearsal) error {
 	for _, process := range r.Fleet.All() {
 		r.Logf("stopping %s", process.Name)
-		if err := stop(process); err != nil {
+		if err := stopProcess(process); err != nil {
 			return err
 		}
 		if err := r.restartAndAwait(process); err != nil {
 			return err
 		}
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
-// stop begins a planned stop and fails if the process does not end by itself within plannedStopTimeout.
-func stop(process *fleet.Process) error {
+// stopProcess begins a planned stopProcess and fails if the process does not end by itself within plannedStopTimeout.
+func stopProcess(process *fleet.Process) error {
 	if !process.Stop(plannedStopTimeout) {
 		return fmt.Errorf("%s did not stop by itself", process.Name)
 	}
@@ -39,7 +39,7 @@
 	for _, backend := range r.Backends {
 		backend.SetWorkTime(2_500_000)
 	}
-	r.Wait(r.partOfLength(0.2))
+	r.Wait(r.fractionOfDuration(0.2))
 	for turn, limit := range []time.Duration{3 * time.Second, 4 * time.Second, 5 * time.Second} {
 		victim := r.Fleet.Proxies[turn%len(r.Fleet.Proxies)]
 		began := time.Now()
@@ -56,7 +56,7 @@
 	for _, backend := range r.Backends {
 		backend.SetWorkTime(backend.Service.WorkMicros)
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	}
 	for _, binaryDir := range []string{r.Options.PreviousBinaryDir, r.Fleet.BinaryDir} {
 		for _, process := range r.Fleet.All() {
-			if err := stop(process); err != nil {
+			if err := stopProcess(process); err != nil {
 				return err
 			}
 			if err := r.Fleet.Start(process, binaryDir); err != nil {
@@ -81,13 +81,13 @@
 			return err
 		}
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
 func moveSeeds(r *Rehearsal) error {
 	for index := range 2 {
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 		if !r.awaitSafeToStop(index) {
 			break
 		}
@@ -95,14 +95,14 @@
 		if err := r.moveControlPlaneHost(index); err != nil {
 			return err
 		}
-		r.Wait(r.partOfLength(0.2))
+		r.Wait(r.fractionOfDuration(0.2))
 	}
 	victim := randomItem(r.Fleet.Proxies)
 	victim.Kill()
 	if err := r.restartAndAwait(victim); err != nil {
 		return err
 	}
-	r.markRecovered()
+	r.awaitRecovery()
 	return nil
 }
 
--- a/internal/rehearse/scenario/programs_test.go
+++ b/internal/rehearse/scenario/programs_test.go
@@ -17,8 +17,8 @@
 	"snowflow/internal/eventlog"
 )
 
-// exitCode is the exit code that an error of a command tells; -1 if the command did not run to its end.
-func exitCode(err error) int {
+// exitCodeOf is the exit code that an error of a command tells; -1 if the command did not run to its end.
+func exitCodeOf(err error) int {
 	if err == nil {
 		return 0
 	}
@@ -30,7 +30,7 @@
 
 // TestBadStarts starts programs with invalid settings: all errors are reported at once, and the exit code is 2.
 func TestBadStarts(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	settings := filepath.Join(t.TempDir(), "env.json")
 	if err := os.WriteFile(settings, []byte(`{"name":"Core 1","listen":"localhost:70000","seeds":["127.0.0.1:1","here"],"voters":["a","a"],"colour":"blue"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	for _, program := range []string{"registry", "configstore", "proxy"} {
 		t.Run(program, func(t *testing.T) {
 			output, err := exec.Command(filepath.Join(folder, program), "--env", settings, "--log", "loud").CombinedOutput()
-			if exitCode(err) != 2 {
+			if exitCodeOf(err) != 2 {
 				t.Errorf("%v\n%s", err, output)
 			}
 			if program != "proxy" && !strings.Contains(string(output), "voters: 2 voters; there must be three at least") {
@@ -55,20 +55,20 @@
 
 // TestBadRehearsals: what cannot be rehearsed ends with exit code 2 and the reason.
 func TestBadRehearsals(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	for _, arguments := range [][]string{{"run", "--scenario", "flood"}, {"run", "--layout", "moon"}, {"run", "--length", "soon"}, {"run", "--length", "-3s"},
 		{"run", "--binaries", "/nowhere"}, {"run", "--scenario", "versions", "--folder", t.TempDir(), "--subnet", "221", "--length", "1s"}} {
 		t.Run(strings.Join(arguments, " "), func(t *testing.T) {
 			output, err := exec.Command(filepath.Join(folder, "rehearse"), arguments...).CombinedOutput()
-			if exitCode(err) != 2 || len(output) == 0 {
+			if exitCodeOf(err) != 2 || len(output) == 0 {
 				t.Errorf("%v\n%s", err, output)
 			}
 		})
 	}
 }
 
-// start starts a program and kills it at the test's end, unless the test has waited for its end before.
-func start(t *testing.T, command *exec.Cmd) {
+// startProcess starts a program and kills it at the test's end, unless the test has waited for its end before.
+func startProcess(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 
 // TestStopTwice: a second signal changes nothing, and a successor that starts too early is told so and does not disturb the first.
 func TestStopTwice(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	arguments := []string{"--name", "proxy-1", "--domain", "north", "--listen", "127.232.0.1:7300", "--http", "127.232.0.1:7301", "--callers", "127.232.0.1:7302",
 		"--seeds", "127.232.0.1:7100,127.232.0.2:7100,127.232.0.3:7100"}
 	first := exec.Command(filepath.Join(folder, "proxy"), arguments...)
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start(t, first)
+	startProcess(t, first)
 	lines := bufio.NewScanner(stderr)
 	awaitEvent := func(event int) {
 		t.Helper()
@@ -106,7 +106,7 @@
 	}
 	awaitEvent(eventlog.ProcessDraining)
 	output, err := exec.Command(filepath.Join(folder, "proxy"), arguments...).CombinedOutput()
-	if exitCode(err) != 1 || !strings.Contains(string(output), "address already in use") {
+	if exitCodeOf(err) != 1 || !strings.Contains(string(output), "address already in use") {
 		t.Errorf("the successor: %v\n%s", err, output)
 	}
 	awaitEvent(eventlog.ProcessDrained)
@@ -121,12 +121,12 @@
 // TestIsolatedConfigStore: a configuration store that reaches no other rejects applies as certainly not executed, and invalid ones
 // for what is wrong with them.
 func TestIsolatedConfigStore(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	isolated := exec.Command(filepath.Join(folder, "configstore"), "--name", "configstore-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--http", "127.233.0.1:7201",
 		"--seeds", "127.233.0.1:7200,127.233.0.2:7200,127.233.0.3:7200", "--voters", "configstore-1,configstore-2,configstore-3", "--data", filepath.Join(t.TempDir(), "data"))
 	var log bytes.Buffer
 	isolated.Stderr = &log
-	start(t, isolated)
+	startProcess(t, isolated)
 	awaitPage(t, "http://127.233.0.1:7201/live", &log)
 	valid := `{"groups":[{"name":"field","services":[{"name":"one","paths":[{"method":"GET","prefix":"/a","class":"read"}]}]}]}`
 	for _, one := range []struct{ name, body, want string }{
@@ -180,7 +180,7 @@
 	first := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.1")...)
 	var log bytes.Buffer
 	first.Stderr = &log
-	start(t, first)
+	startProcess(t, first)
 	awaitPage(t, "http://127.231.0.1:7101/live", &log) // it holds the folder's lock once its pages respond
 	output, err := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.2")...).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "in use by another process") {
--- a/internal/rehearse/scenario/rehearsal.go
+++ b/internal/rehearse/scenario/rehearsal.go
@@ -1,5 +1,5 @@
-// Package scenario runs rehearsals: it brings up a fleet of real processes with stand-ins for everything outside the mesh, injects
-// faults under traffic, and has the invariants checked on the history of what was sent, executed and answered.
+// Package scenario runs rehearsals: it starts a fleet of real processes, simulates everything outside the mesh, injects faults under
+// traffic, and checks the invariants on the recorded history of requests, executions and responses.
 package scenario
 
 import (
@@ -21,28 +21,28 @@
 	"snowflow/internal/workload"
 )
 
-// ErrFindings is the error of a rehearsal that ran to its end and whose checkers found something, or examined nothing.
+// ErrFindings is returned for a rehearsal that ran to its end and whose checkers found violations or examined nothing.
 var ErrFindings = errors.New("the rehearsal failed")
 
 // Options are the settings of one rehearsal.
 type Options struct {
 	Layout            string        // name of a layout
-	Scenario          string        // name of a scenario, present or deprecated
+	Scenario          string        // name of a scenario, current or deprecated
 	Duration          time.Duration // about how long traffic goes on
 	LoadFactor        float64       // multiplies the layout's request rates
-	OverloadFactor    float64       // what the rush scenario multiplies the rates by
-	BackendLimit      int           // overrides every service's limit of requests in flight per backend, for comparisons; zero for the layout's own
-	Dir               string        // where the processes' settings, data and logs go
-	BinaryDir         string        // where the programs are
-	PreviousBinaryDir string        // where an earlier build's programs are, for rolling versions
+	OverloadFactor    float64       // multiplies the rates of the extra load in the rush scenario
+	BackendLimit      int           // overrides the limit of requests in flight per backend, for comparisons; zero for the layout's limit
+	Dir               string        // folder for the processes' settings, data and logs
+	BinaryDir         string        // folder of the programs
+	PreviousBinaryDir string        // folder of an earlier build's programs, for the versions scenario
 	Subnet            int           // second part of the fleet's loopback addresses, from 1 to 254
 	UseRelays         bool          // connect the processes through relays, which partitions, delays and byte counts need
-	LogLevel          string        // least level that the processes log; empty for info
-	LoadBalancing     string        // near or uniform
-	SyncDelay         time.Duration // how much longer each control plane disk takes for a sync
+	LogLevel          string        // minimum level that the processes log; empty for info
+	LoadBalancing     string        // how proxies choose backends: near or uniform
+	SyncDelay         time.Duration // added to each sync of the control plane's disks
 }
 
-// Rehearsal is a running fleet with its stand-ins and the history of one scenario.
+// Rehearsal is one run of a scenario: a running fleet, its simulated callers, backends and operators, and the recorded history.
 type Rehearsal struct {
 	Fleet    *fleet.Fleet
 	Clock    *monotonic.SystemClock
@@ -54,18 +54,18 @@
 
 	mu       sync.Mutex // guards Backends and ports
 	Backends []*standin.Backend
-	ports    map[string]int // how many backend ports were given out, by host
+	ports    map[string]int // number of backend ports allocated so far, by host
 
-	cpuTimes map[string]int64       // CPU time in microseconds by process name, as of RecordCPUTimes
-	cleanups []func()               // run by Close, last first
-	findings []string               // what the scenario itself found wrong
-	peak     *workload.RouteChanges // the route changes of peak traffic; nil in other scenarios
-	tenants  *tenants               // whose keys are replaced; nil in scenarios without tenants
-	watcher  watcher
+	cpuTimes     map[string]int64       // CPU time in microseconds by process name, as of RecordCPUTimes
+	cleanups     []func()               // run by Close in reverse order
+	findings     []string               // violations that the scenario itself detected
+	routeChanges *workload.RouteChanges // generates the changes of the peak traffic scenarios; nil in others
+	tenants      *tenants               // nil in scenarios without tenants
+	watcher      watcher
 }
 
-// Run runs one scenario on a fresh fleet. The report is valid if the error is nil or ErrFindings; any other error means that the
-// fleet could not be started or the scenario not be carried out, and gives no verdict.
+// Run runs one scenario on a new fleet. The report is valid if the error is nil or ErrFindings. Any other error means that the fleet
+// could not be started or the scenario could not be carried out, so that there is no result.
 func Run(options Options, logf func(format string, arguments ...any)) (Report, error) {
 	chosen, err := Find(options.Scenario)
 	if err != nil {
@@ -105,8 +105,8 @@
 	return report, nil
 }
 
-// Open starts the fleet and its backends, and applies the layout's desired state. The caller must call Close on the rehearsal if
-// it is not nil, also after an error.
+// Open starts the fleet and its backends, and applies the layout's desired state. The caller must call Close on the rehearsal if it is
+// not nil, even after an error.
 func Open(options Options, logf func(format string, arguments ...any)) (*Rehearsal, error) {
 	chosen, err := layout.Find(options.Layout)
 	if err != nil {
@@ -129,11 +129,11 @@
 	if err := r.applyFirstState(); err != nil {
 		return r, err
 	}
-	r.History.RetryAllowance = 20 // as the examples grant each service
+	r.History.RetryAllowance = 20 // the allowance that the example desired states grant each service
 	if err := fleet.AwaitReady(r.Fleet.Proxies, readyTimeout); err != nil {
 		return r, err
 	}
-	time.Sleep(2 * time.Second) // the backends' registrations reach every proxy with the next polls
+	time.Sleep(2 * time.Second) // until every proxy has learned of the registered backends by polling
 	return r, nil
 }
 
@@ -150,7 +150,7 @@
 			return err
 		}
 	}
-	if r.Options.Scenario == "clocks" { // an earlier build does not know the setting, so that it is written for no other scenario
+	if r.Options.Scenario == "clocks" { // not in others, since the earlier builds in the versions scenario do not know the setting
 		for _, process := range r.Fleet.All() {
 			if err := r.Fleet.AllowClockSteps(process); err != nil {
 				return err
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// applyFirstState applies the layout's desired state, with BackendLimit if it is set.
+// applyFirstState applies the layout's desired state, with Options.BackendLimit if it is set.
 func (r *Rehearsal) applyFirstState() error {
 	content, err := examples.Desired(r.Fleet.Layout.DesiredState)
 	if err != nil {
@@ -192,12 +192,12 @@
 	return nil
 }
 
-// AddFinding records something that the scenario itself found wrong.
+// AddFinding records a violation that the scenario itself detected.
 func (r *Rehearsal) AddFinding(format string, arguments ...any) {
 	r.findings = append(r.findings, fmt.Sprintf(format, arguments...))
 }
 
-// AddBackend starts an instance of a service on the host of the proxy with this index, at a port that was not used before.
+// AddBackend starts an instance of a service on the host of the proxy with this index, on a port that no backend has used before.
 func (r *Rehearsal) AddBackend(service layout.Service, proxyIndex int) (*standin.Backend, error) {
 	process := r.Fleet.Proxies[proxyIndex]
 	r.mu.Lock()
@@ -207,7 +207,7 @@
 	return r.AddBackendAt(service, process, address)
 }
 
-// AddBackendAt starts an instance of a service at an address, registered at the given proxy.
+// AddBackendAt starts an instance of a service at an address and registers it with the given proxy.
 func (r *Rehearsal) AddBackendAt(service layout.Service, process *fleet.Process, address string) (*standin.Backend, error) {
 	backend, err := standin.NewBackend(service, address, process, r.Clock, r.History)
 	if err != nil {
@@ -219,7 +219,7 @@
 	return backend, nil
 }
 
-// ProxyIndexOf gives the index of the proxy on a backend's host.
+// ProxyIndexOf returns the index of the proxy on a backend's host; zero if there is none.
 func (r *Rehearsal) ProxyIndexOf(backend *standin.Backend) int {
 	for index, process := range r.Fleet.Proxies {
 		if strings.HasPrefix(backend.Address, process.Host+":") {
@@ -229,7 +229,7 @@
 	return 0
 }
 
-// RemoveBackend removes a backend that has ended from Backends.
+// RemoveBackend removes a closed backend from Backends.
 func (r *Rehearsal) RemoveBackend(backend *standin.Backend) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,7 +241,7 @@
 	}
 }
 
-// BackendsOf lists a service's backends.
+// BackendsOf returns a service's backends.
 func (r *Rehearsal) BackendsOf(service string) (backends []*standin.Backend) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -253,8 +253,8 @@
 	return backends
 }
 
-// AwaitPrimary waits until a member of a group reports that it serves as primary, and gives that member. If none does within
-// 100 turns of 100 ms it gives the group's first member.
+// AwaitPrimary waits until a member of a group reports that it serves as primary, and returns that member. If none does in 100 polls,
+// 100 ms apart, it returns the group's first member.
 func (r *Rehearsal) AwaitPrimary(group []*fleet.Process) *fleet.Process {
 	for range 100 {
 		for _, process := range group {
@@ -272,17 +272,17 @@
 	return group[0]
 }
 
-// Wait lets the traffic go on for a while.
+// Wait lets the traffic continue for a duration.
 func (r *Rehearsal) Wait(duration time.Duration) { time.Sleep(duration) }
 
-// RecordCPUTimes notes the CPU time that each process has used so far; the report gives what it used from then on.
+// RecordCPUTimes records the CPU time that each process has used so far. The report contains the CPU time used after that.
 func (r *Rehearsal) RecordCPUTimes() {
 	for _, process := range r.Fleet.All() {
 		r.cpuTimes[process.Name] = process.CPUTime()
 	}
 }
 
-// Close ends the watcher, the backends and the fleet.
+// Close stops the watcher, the backends and the fleet.
 func (r *Rehearsal) Close() {
 	r.mu.Lock()
 	backends := append([]*standin.Backend(nil), r.Backends...)
@@ -294,7 +294,7 @@
 	for index := len(r.cleanups) - 1; index >= 0; index-- {
 		r.cleanups[index]()
 	}
-	r.watcher.done.Wait() // last, since its requests to frozen processes end with these
+	r.watcher.done.Wait() // last, because its requests to frozen processes return only once the processes have ended
 }
 
 func randomItem[Item any](items []Item) Item { return items[rand.IntN(len(items))] }
--- a/internal/rehearse/scenario/report.go
+++ b/internal/rehearse/scenario/report.go
@@ -15,41 +15,41 @@
 	"snowflow/internal/rehearse/fleet"
 )
 
-// outcomeServed is the outcome of requests that got a successful response.
+// outcomeServed is the outcome of attempts with a successful response.
 const outcomeServed = "served"
 
-// Report is the result of a rehearsal. Its JSON keys are read back by the compare command and stay as they are.
+// Report is the result of a rehearsal. Its JSON keys must not change, since the compare command reads stored reports.
 type Report struct {
 	Layout   string  `json:"layout"`
 	Scenario string  `json:"scenario"`
 	Seconds  float64 `json:"seconds"`
 	// Kinds counts attempts by kind of traffic and outcome.
 	Kinds map[string]map[string]int `json:"kinds"`
-	// Latency is the median, 99th percentile and maximum of each kind's attempts that were answered, in microseconds.
+	// Latency is the median, 99th percentile and maximum latency of each kind's finished attempts, in microseconds.
 	Latency map[string][3]int64 `json:"latency_micros_p50_p99_max"`
-	// Observations counts, by invariant, what its checker examined.
+	// Observations is the number of observations that each rule's checker examined.
 	Observations map[int]int `json:"seen_by_rule"`
 	Findings     []string    `json:"findings"`
-	// RetryRatios is each service's highest number of retries per first attempt in any 10 s.
+	// RetryRatios is each service's highest ratio of retries to first attempts in any 10 s.
 	RetryRatios map[string]string `json:"worst_further_per_first_in_10s"`
-	// CPUTimes is the CPU time since RecordCPUTimes by program, in microseconds; CPUTimePerRequest that of all proxies for each
-	// attempt, and CPUTimePerHop the same for the callers' and the backends' side, on layouts that separate them.
+	// CPUTimes is each program's CPU time since RecordCPUTimes, in microseconds. CPUTimePerRequest is that of all proxies per attempt.
+	// CPUTimePerHop splits it into the caller's and the server's side, on layouts that separate them.
 	CPUTimes          map[string]int64 `json:"processor_micros_by_program"`
 	CPUTimePerRequest int64            `json:"processor_micros_per_request"`
 	CPUTimePerHop     map[string]int64 `json:"processor_micros_per_request_by_hop,omitempty"`
-	// RelayedBytes counts bytes within zones and between them. Empty without relays.
+	// RelayedBytes is the number of bytes sent within zones and between them. Empty without relays.
 	RelayedBytes map[string]uint64 `json:"bytes_between,omitempty"`
-	// RejectionsWithoutRetryAfter counts the mesh's own 5xx responses that gave no time to retry after.
+	// RejectionsWithoutRetryAfter counts the mesh's own 5xx responses without a Retry-After header.
 	RejectionsWithoutRetryAfter int `json:"refusals_without_retry_after"`
-	// RecoveryTimes is how long after the last fault each kind had its first success, in microseconds.
+	// RecoveryTimes is the time from the end of the last fault to each kind's first success, in microseconds.
 	RecoveryTimes map[string]int64 `json:"micros_from_return_to_first_success,omitempty"`
-	// OverloadRates is each kind's successes a second before the overload and in its second half, when queues have grown.
+	// OverloadRates is each kind's successes per second before the overload, and in its second half, when queues have grown.
 	OverloadRates map[string][2]float64 `json:"served_per_second_before_and_in_rush,omitempty"`
-	// ServedShares is the share of each kind's first attempts that were served, until the last fault was over and after it.
+	// ServedShares is the share of each kind's first attempts that were served, until the end of the last fault and after it.
 	ServedShares map[string][2]float64 `json:"served_of_first_asks_until_and_after_the_return"`
 }
 
-// BuildReport checks the invariants and the given checks on the history, and computes the report's figures. began is when traffic
+// BuildReport checks the history against all rules and the given checks, and computes the report's metrics. began is when traffic
 // started. The load generator must have stopped.
 func (r *Rehearsal) BuildReport(began time.Time, checks ...invariants.Check) Report {
 	violations, observations := invariants.CheckRules(r.History)
@@ -76,15 +76,15 @@
 	}
 }
 
-// requireObservations adds a finding for each of these invariants whose checker examined nothing, and if no request was served.
+// requireObservations adds a finding for each of these rules whose checker examined nothing, and one if no request was served.
 func (r *Report) requireObservations(rules []int) {
 	for _, rule := range rules {
 		if r.Observations[rule] == 0 {
-			r.Findings = append(r.Findings, fmt.Sprintf("rule %d: its checker saw nothing", rule))
+			r.Findings = append(r.Findings, fmt.Sprintf("rule %d: its checker examined nothing", rule))
 		}
 	}
 	if r.Served() == 0 {
-		r.Findings = append(r.Findings, "nothing was served")
+		r.Findings = append(r.Findings, "no request was served")
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// measureCPUTimes fills in the report's CPU times. attempts is the number of attempts that they are divided by.
+// measureCPUTimes fills in the report's CPU times. The times per request are divided by attempts.
 func (r *Rehearsal) measureCPUTimes(report *Report, attempts int) {
 	attempts = max(1, attempts)
 	callerProxies := r.Fleet.Layout.CallerProxies
@@ -133,7 +133,7 @@
 	}
 }
 
-// relayedBytes sums the relays' byte counts by whether the two hosts are in one zone.
+// relayedBytes sums the relays' byte counts, separately for pairs of hosts in the same zone and in different zones.
 func (r *Rehearsal) relayedBytes() map[string]uint64 {
 	totals := map[string]uint64{}
 	if r.Fleet.Relays == nil {
@@ -153,7 +153,7 @@
 	return totals
 }
 
-// markerTime is when a marker was recorded last; zero if it was not.
+// markerTime returns when a marker was last recorded; zero if it was not.
 func (r *Rehearsal) markerTime(name string) (at monotonic.Micros) {
 	for _, marker := range r.History.Markers {
 		if marker.What == name {
@@ -163,14 +163,14 @@
 	return at
 }
 
-// shareCount counts first attempts, and those that were served, before the last fault was over and after it.
+// shareCount counts the first attempts that were sent and served, until the end of the last fault and after it.
 type shareCount struct {
 	sent, served [2]float64
 }
 
-// servedShares computes ServedShares. Retries with a key are left out: they would weigh a rejection by how often it was retried.
+// servedShares computes ServedShares. It excludes retries, since they would count a rejection once per retry.
 func (r *Rehearsal) servedShares() map[string][2]float64 {
-	recovered := r.markerTime(markerRecovered)
+	recovered := r.markerTime(markerFaultsEnded)
 	counts, sent := map[string]*shareCount{}, map[string]bool{}
 	for _, attempt := range r.History.Attempts {
 		if attempt.Key != "" && sent[attempt.Key] {
@@ -219,11 +219,11 @@
 	return rates
 }
 
-// recoveryTimes computes RecoveryTimes, the shortest where several faults were over.
+// recoveryTimes computes RecoveryTimes. If the history has several recoveries, it returns each kind's shortest time.
 func (r *Rehearsal) recoveryTimes() map[string]int64 {
 	first := map[string]int64{}
 	for _, marker := range r.History.Markers {
-		if marker.What != markerRecovered {
+		if marker.What != markerFaultsEnded {
 			continue
 		}
 		for _, attempt := range r.History.Attempts {
@@ -238,7 +238,7 @@
 	return first
 }
 
-// describeOutcome names how an attempt ended, as Kinds counts it.
+// describeOutcome returns an attempt's outcome, the key by which Kinds counts attempts.
 func describeOutcome(attempt *invariants.Attempt) string {
 	switch {
 	case attempt.TransportError != "":
@@ -255,7 +255,7 @@
 	return "status " + strconv.Itoa(attempt.Status)
 }
 
-// Served counts the attempts of all kinds that were served.
+// Served returns the number of served attempts of all kinds.
 func (r Report) Served() (served int) {
 	for _, outcomes := range r.Kinds {
 		served += outcomes[outcomeServed]
@@ -263,10 +263,10 @@
 	return served
 }
 
-// maxListedFindings bounds how many findings Text prints.
+// maxListedFindings limits the number of findings that Text lists.
 const maxListedFindings = 20
 
-// Text formats the report for people.
+// Text formats the report as human-readable text.
 func (r Report) Text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s, scenario %s, %.0f s\n", r.Layout, r.Scenario, r.Seconds)
@@ -282,12 +282,12 @@
 		fmt.Fprintf(&text, "  microseconds from the end of the last fault to the first success: %v\n", r.RecoveryTimes)
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.ServedShares)) {
-		fmt.Fprintf(&text, "  %s served of first attempts: %.3f until the last fault was over, %.3f after\n", kind, r.ServedShares[kind][0], r.ServedShares[kind][1])
+		fmt.Fprintf(&text, "  %s share of first attempts served: %.3f until the end of the last fault, %.3f after\n", kind, r.ServedShares[kind][0], r.ServedShares[kind][1])
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.OverloadRates)) {
-		fmt.Fprintf(&text, "  %s served a second: %.0f before the overload, %.0f in it\n", kind, r.OverloadRates[kind][0], r.OverloadRates[kind][1])
+		fmt.Fprintf(&text, "  %s served per second: %.0f before the overload, %.0f during its second half\n", kind, r.OverloadRates[kind][0], r.OverloadRates[kind][1])
 	}
-	fmt.Fprintf(&text, "  most retries per first attempt in any 10 s: %v\n", r.RetryRatios)
+	fmt.Fprintf(&text, "  highest ratio of retries to first attempts in any 10 s: %v\n", r.RetryRatios)
 	fmt.Fprintf(&text, "  observations by rule: %v\n", r.Observations)
 	r.writeFindings(&text)
 	return text.String()
@@ -315,7 +315,7 @@
 	}
 }
 
-// JSON formats the report for programs.
+// JSON formats the report as JSON.
 func (r Report) JSON() string {
 	content, _ := json.MarshalIndent(r, "", "  ")
 	return string(content)
--- a/internal/rehearse/scenario/tenants.go
+++ b/internal/rehearse/scenario/tenants.go
@@ -22,10 +22,10 @@
 	rotationInterval = 500 * time.Millisecond
 	// tenantFreezeTime is longer than a proxy's lease on the configuration.
 	tenantFreezeTime = 6 * time.Second
-	// unknownKeyShare and noKeyShare are one in how many requests that bear a key which no tenant has, or none.
-	unknownKeyShare, noKeyShare = 20, 20
-	// keyMark is part of each tenant's key, and of nothing else.
-	keyMark = "marked-key"
+	// requestsPerUnknownKey and requestsPerMissingKey are one in how many requests that bear a key which no tenant has, or none.
+	requestsPerUnknownKey, requestsPerMissingKey = 20, 20
+	// keyMarker is part of each tenant's key, and of nothing else.
+	keyMarker = "marked-key"
 )
 
 // keySearchPaths are the pages in which no tenant's key may be found.
@@ -36,13 +36,13 @@
 	mu            sync.Mutex // guards all below
 	variant       int
 	rotating      [tenantCount]*invariants.KeyPeriod // the key of each tenant that is replaced next
-	former        []string                           // keys that were taken away
+	revokedKeys   []string                           // keys that were taken away
 	onlyPermanent bool                               // set once only keys that stay are sent
 }
 
 func tenantName(tenant int) string { return fmt.Sprintf("tenant-%d", tenant) }
 
-func permanentKey(tenant int) string { return fmt.Sprintf("%s-%d", keyMark, tenant) }
+func permanentKey(tenant int) string { return fmt.Sprintf("%s-%d", keyMarker, tenant) }
 
 // prepareTenants gives the layout's desired state tenants, whose keys callers bear from then on.
 func prepareTenants(r *Rehearsal) error {
@@ -58,7 +58,7 @@
 
 // newKey makes a key that a tenant has from the next configuration on.
 func (r *Rehearsal) newKey(tenant int) *invariants.KeyPeriod {
-	period := &invariants.KeyPeriod{Key: fmt.Sprintf("%s-%d-%08x", keyMark, tenant, rand.Uint32()), Tenant: tenantName(tenant), From: r.Clock.Now()}
+	period := &invariants.KeyPeriod{Key: fmt.Sprintf("%s-%d-%08x", keyMarker, tenant, rand.Uint32()), Tenant: tenantName(tenant), From: r.Clock.Now()}
 	r.History.RecordKeyPeriod(period)
 	return period
 }
@@ -108,12 +108,12 @@
 	switch {
 	case t.onlyPermanent:
 		return permanentKey(tenant)
-	case rand.IntN(noKeyShare) == 0:
+	case rand.IntN(requestsPerMissingKey) == 0:
 		return ""
-	case rand.IntN(unknownKeyShare) == 0:
-		return keyMark + "-of-nobody"
-	case len(t.former) > 0 && rand.IntN(4) == 0:
-		return t.former[max(0, len(t.former)-1-rand.IntN(2*tenantCount))]
+	case rand.IntN(requestsPerUnknownKey) == 0:
+		return keyMarker + "-of-nobody"
+	case len(t.revokedKeys) > 0 && rand.IntN(4) == 0:
+		return t.revokedKeys[max(0, len(t.revokedKeys)-1-rand.IntN(2*tenantCount))]
 	case rand.IntN(2) == 0:
 		return t.rotating[tenant].Key
 	default:
@@ -127,7 +127,7 @@
 	r.tenants.mu.Lock()
 	former := r.tenants.rotating[tenant]
 	r.tenants.rotating[tenant] = replacement
-	r.tenants.former = append(r.tenants.former, former.Key)
+	r.tenants.revokedKeys = append(r.tenants.revokedKeys, former.Key)
 	r.tenants.mu.Unlock()
 	if err := r.applyTenants(); err != nil {
 		return err
@@ -139,12 +139,12 @@
 
 // revokeKeys replaces keys while proxies are killed and frozen, and looks for keys where none may be.
 func revokeKeys(r *Rehearsal) error {
-	for began, turn := time.Now(), 0; r.running(began); turn++ {
+	for began, turn := time.Now(), 0; r.withinDuration(began); turn++ {
 		victim := randomItem(r.Fleet.Proxies)
 		disturbed := make(chan struct{})
 		go func() {
 			defer close(disturbed)
-			r.disturb(victim, turn%2 == 0)
+			r.disruptProxy(victim, turn%2 == 0)
 		}()
 		for tenant := range tenantCount {
 			r.Wait(rotationInterval)
@@ -160,13 +160,13 @@
 	r.tenants.mu.Lock()
 	r.tenants.onlyPermanent = true
 	r.tenants.mu.Unlock()
-	r.markRecovered()
+	r.awaitRecovery()
 	r.searchPagesForKeys()
 	return nil
 }
 
-// disturb freezes a proxy until its lease has ended, or kills it and starts it again.
-func (r *Rehearsal) disturb(victim *fleet.Process, freeze bool) {
+// disruptProxy freezes a proxy until its lease has ended, or kills it and starts it again.
+func (r *Rehearsal) disruptProxy(victim *fleet.Process, freeze bool) {
 	if freeze {
 		victim.Signal(syscall.SIGSTOP)
 		r.Wait(tenantFreezeTime)
@@ -188,7 +188,7 @@
 				continue
 			}
 			searched += len(content)
-			if bytes.Contains(content, []byte(keyMark)) {
+			if bytes.Contains(content, []byte(keyMarker)) {
 				r.AddFinding("%s shows a tenant's key at %s", process.Name, path)
 			}
 		}
--- a/internal/rehearse/scenario/watch.go
+++ b/internal/rehearse/scenario/watch.go
@@ -10,22 +10,22 @@
 	"snowflow/internal/proxy"
 )
 
-// watchInterval is the pause between two readings of all processes' status.
+// watchInterval is the pause between two readings of the processes' status.
 const watchInterval = 200 * time.Millisecond
 
-// watcher is the goroutine that Watch starts. Only that goroutine uses unsettled.
+// watcher is the state of the goroutine that Watch starts. Only that goroutine uses localDecisions.
 type watcher struct {
 	stop     chan struct{}
 	stopOnce sync.Once
 	done     sync.WaitGroup
-	// unsettled is whether, at the last reading, some proxy was down, not ready, or judged services by its own windows alone.
-	unsettled bool
+	// localDecisions is whether, at the last reading, some proxy was down, not ready, or had breakers that only use local counts.
+	localDecisions bool
 }
 
 func (w *watcher) requestStop() { w.stopOnce.Do(func() { close(w.stop) }) }
 
-// Watch begins to record the breaker records of the registry's primary, for rule 10, and the configurations that proxies serve by,
-// for rule 6. Close ends it.
+// Watch starts recording the breaker records of the registry's primary, for rule 10, and the proxies' active configurations, for
+// rule 6. Close stops it.
 func (r *Rehearsal) Watch() {
 	r.watcher.done.Add(1)
 	go func() {
@@ -37,7 +37,7 @@
 			case <-time.After(watchInterval):
 			}
 			r.observeBreakers()
-			r.watcher.unsettled = r.observeProxies()
+			r.watcher.localDecisions = r.observeProxies()
 		}
 	}()
 }
@@ -49,26 +49,27 @@
 			continue
 		}
 		for _, record := range status.Breakers {
-			r.History.RecordBreaker(invariants.ObserveBreaker(record, r.Clock.Now(), process.Name, r.watcher.unsettled))
+			r.History.RecordBreaker(invariants.ObserveBreaker(record, r.Clock.Now(), process.Name, r.watcher.localDecisions))
 		}
 	}
 }
 
-// observeProxies records what every proxy serves by, and reports whether some proxy is down or judges services by its own windows.
-func (r *Rehearsal) observeProxies() (unsettled bool) {
+// observeProxies records every proxy's status, and reports whether some proxy is down, not ready, or has breakers that only use local
+// counts.
+func (r *Rehearsal) observeProxies() (localDecisions bool) {
 	for _, process := range r.Fleet.Proxies {
 		var status proxy.Status
 		if !process.Running() || process.Uptime() < 5*time.Second || r.Operator.ReadJSON(process, "/status", &status) != nil {
-			unsettled = true
+			localDecisions = true
 			continue
 		}
 		r.observeProxy(process.Name, status, r.Clock.Now())
-		unsettled = unsettled || !status.Ready || status.BreakersDegraded
+		localDecisions = localDecisions || !status.Ready || status.BreakersDegraded
 	}
-	return unsettled
+	return localDecisions
 }
 
-// observeProxy records the configuration that a proxy serves by, and the calls that its breakers have counted.
+// observeProxy records a proxy's active configuration and the call counts of its breakers.
 func (r *Rehearsal) observeProxy(name string, status proxy.Status, now monotonic.Micros) {
 	if status.Ready {
 		r.History.RecordActiveConfig(invariants.ActiveConfig{Proxy: name, Version: status.ConfigVersion, At: now, Sum: status.ConfigDigest})
