--- a/internal/rehearse/scenario/backends.go
+++ b/internal/rehearse/scenario/backends.go
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// replaceBackend starts an instance of a backend's service on another host, then drains the old one and ends it.
+// replaceBackend starts another instance of a backend's service on the next host, then drains and closes the old one.
 func (r *Rehearsal) replaceBackend(old *standin.Backend, drainTime time.Duration) error {
 	if err := r.addOnNextHost(old); err != nil {
 		return err
--- a/internal/rehearse/scenario/breakers.go
+++ b/internal/rehearse/scenario/breakers.go
@@ -13,10 +13,10 @@
 	"snowflow/internal/transport/wire"
 )
 
-// breakerTimeout bounds how long a breaker may take to reach the state that a scenario waits for.
+// breakerTimeout limits how long a breaker may take to reach the state that a scenario waits for.
 const breakerTimeout = 40 * time.Second
 
-// servingStatus reads the status of a registry member. It gives false if the member does not respond or does not serve as primary.
+// servingStatus reads the status of a registry member. serving is false if the member does not respond or is not serving as primary.
 func (r *Rehearsal) servingStatus(process *fleet.Process) (status registry.Status, serving bool) {
 	if !process.Running() || r.Operator.ReadJSON(process, "/local", &status) != nil {
 		return status, false
@@ -24,9 +24,9 @@
 	return status, status.Replication.Serving
 }
 
-// awaitBreaker waits until the registry's record of a service's breaker fits, and gives that record. It adds a finding and gives nil
-// if that takes longer than breakerTimeout.
-func (r *Rehearsal) awaitBreaker(service, wanted string, fits func(record *wire.BreakerRecord) bool) *wire.BreakerRecord {
+// awaitBreaker waits until the registry's record of a service's breaker matches, and returns that record. After breakerTimeout it adds
+// a finding, which describes the wanted state, and returns nil.
+func (r *Rehearsal) awaitBreaker(service, wanted string, matches func(record *wire.BreakerRecord) bool) *wire.BreakerRecord {
 	for deadline := time.Now().Add(breakerTimeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		for _, process := range r.Fleet.Registries {
 			status, serving := r.servingStatus(process)
@@ -34,7 +34,7 @@
 				continue
 			}
 			for _, record := range status.Breakers {
-				if record.Service == service && fits(record) {
+				if record.Service == service && matches(record) {
 					return record
 				}
 			}
@@ -48,7 +48,7 @@
 	return func(record *wire.BreakerRecord) bool { return record.State == wanted }
 }
 
-// setBehavior makes all backends of a service behave in a way and work this long on each request; zero for the layout's own time.
+// setBehavior sets the behavior and the mean processing time of all backends of a service; zero work selects the layout's time.
 func (r *Rehearsal) setBehavior(service, behavior string, work time.Duration) {
 	for _, backend := range r.BackendsOf(service) {
 		micros := backend.Service.WorkMicros
@@ -60,7 +60,7 @@
 	}
 }
 
-// probingProxy gives the proxy that holds the first probe lease of a record.
+// probingProxy returns the proxy that holds the first probe lease of a record.
 func (r *Rehearsal) probingProxy(record *wire.BreakerRecord) *fleet.Process {
 	for _, process := range r.Fleet.Proxies {
 		if process.Name == record.ProbeLeases[0].Proxy {
@@ -77,29 +77,29 @@
 		backend.Behavior.Store(standin.Failing)
 	}
 	r.Wait(r.fractionOfDuration(0.4))
-	// A proxy is killed that may have a probe in flight, and so is the leader that keeps the record.
+	// Kill a proxy that may have a probe in flight, and the registry's primary, which holds the breaker's record.
 	victim := randomItem(r.Fleet.Proxies)
 	victim.Kill()
-	leader := r.AwaitPrimary(r.Fleet.Registries)
-	leader.Kill()
+	primary := r.AwaitPrimary(r.Fleet.Registries)
+	primary.Kill()
 	r.Wait(2 * time.Second)
 	for _, backend := range r.BackendsOf(service) {
 		backend.Behavior.Store(standin.Normal)
 	}
 	r.restartAfter(victim, 0)
-	r.restartAfter(leader, 0)
+	r.restartAfter(primary, 0)
 	r.awaitRecovery()
 	return nil
 }
 
-// probeFault is a fault that happens while a breaker is half open and its probes are in flight.
+// probeFault is a fault to inject while a breaker is half open and its probes are in flight.
 type probeFault struct {
 	name   string
 	inject func(r *Rehearsal, record *wire.BreakerRecord)
 }
 
 var probeFaults = []probeFault{
-	{"the registry's leader is killed", func(r *Rehearsal, _ *wire.BreakerRecord) {
+	{"the registry's primary is killed", func(r *Rehearsal, _ *wire.BreakerRecord) {
 		victim := r.AwaitPrimary(r.Fleet.Registries)
 		victim.Kill()
 		r.restartAfter(victim, 2*time.Second)
@@ -124,7 +124,7 @@
 			r.restartAfter(process, 0)
 		}
 	}},
-	{"the leader is killed, and its successor as soon as it serves", func(r *Rehearsal, _ *wire.BreakerRecord) {
+	{"the primary is killed, and its successor as soon as it serves", func(r *Rehearsal, _ *wire.BreakerRecord) {
 		for range 2 {
 			victim := r.AwaitPrimary(r.Fleet.Registries)
 			victim.Kill()
@@ -144,14 +144,14 @@
 	return nil
 }
 
-// runProbeFault makes a service fail until its breaker opens, injects a fault while probes are in flight, and waits until the
-// breaker is closed. It gives false if the breaker opened too late or no probe was sent.
+// runProbeFault makes a service fail until its breaker opens, injects a fault while probes are in flight, and waits until the breaker
+// is closed. It returns false if the breaker did not open or no probe was sent in time.
 func (r *Rehearsal) runProbeFault(service string, fault probeFault) bool {
 	r.setBehavior(service, standin.Failing, 0)
 	if r.awaitBreaker(service, breakerstore.Open, inState(breakerstore.Open)) == nil {
 		return false
 	}
-	r.setBehavior(service, standin.Normal, 3*time.Second) // so that probes stay in flight for a while
+	r.setBehavior(service, standin.Normal, 3*time.Second) // keeps probes in flight for a while
 	record := r.awaitBreaker(service, "half open with probes in flight", func(record *wire.BreakerRecord) bool {
 		return record.State == breakerstore.HalfOpen && len(record.ProbeLeases) > 0
 	})
@@ -169,7 +169,7 @@
 	return true
 }
 
-// addSlowCallRule makes slow calls count in every breaker of a desired state.
+// addSlowCallRule makes every breaker of a desired state also count slow calls.
 func addSlowCallRule(content []byte) []byte {
 	return bytes.ReplaceAll(content, []byte(`"guard": {`), []byte(`"guard": {"slowRate": 0.5, "slowMicros": 700000, `))
 }
@@ -184,7 +184,7 @@
 	service := r.Fleet.Layout.Services[0].Name
 	victims := r.proxiesWithoutBackends(2)
 	if len(victims) < 2 {
-		return fmt.Errorf("the scenario needs two proxies without backends, which %s does not have", r.Fleet.Layout.Name)
+		return fmt.Errorf("the scenario requires two proxies without backends, which layout %s does not have", r.Fleet.Layout.Name)
 	}
 	for _, victim := range victims {
 		r.History.RecordMarker(markerNetworkDegraded+victim.Name, r.Clock.Now())
@@ -210,7 +210,8 @@
 	return nil
 }
 
-// proxiesWithoutBackends lists up to number proxies that have no backend on their host: only their own callers notice their network.
+// proxiesWithoutBackends returns up to number proxies without backends on their hosts, so that a slow network affects only their own
+// callers.
 func (r *Rehearsal) proxiesWithoutBackends(number int) (proxies []*fleet.Process) {
 	hosting := map[int]bool{}
 	for _, backend := range r.Backends {
--- a/internal/rehearse/scenario/comparison.go
+++ b/internal/rehearse/scenario/comparison.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Comparison is one metric of one kind of traffic in runs with changes and in runs without.
+// Comparison compares one metric of one kind of traffic between runs with changes and runs without.
 type Comparison struct {
 	Kind     string    `json:"kind"`
 	Metric   string    `json:"figure"` // the metric's name
 	Baseline []float64 `json:"quiet"`  // values of the runs without changes
 	Changed  []float64 `json:"busy"`   // values of the runs with changes
-	// Noise is the wider of the two ranges from the lowest to the highest value. With a single pair of runs it is zero.
+	// Noise is the wider of the two ranges from the lowest to the highest value. It is zero with a single pair of runs.
 	Noise float64 `json:"noise"`
-	// Difference is by how much the mean with changes is worse than the mean without.
+	// Difference is the mean with changes minus the mean without.
 	Difference float64 `json:"worse"`
 }
 
-// metric is a figure that a report gives of a kind of traffic. Higher values are worse.
+// metric computes a value for a kind of traffic from a report. Higher values are worse.
 type metric struct {
 	name  string
 	value func(report Report, kind string) float64
@@ -30,7 +30,7 @@
 	{"p99, ms", func(report Report, kind string) float64 { return float64(report.Latency[kind][1]) / 1000 }},
 }
 
-// notServedShare is the share of a kind's attempts that were not served. It is 1 for a kind without attempts.
+// notServedShare returns the share of a kind's attempts that were not served; 1 for a kind without attempts.
 func notServedShare(report Report, kind string) float64 {
 	all := 0
 	for _, count := range report.Kinds[kind] {
@@ -39,7 +39,7 @@
 	return 1 - float64(report.Kinds[kind][outcomeServed])/float64(max(1, all))
 }
 
-// Compare compares runs with changes with runs without, by the kinds of traffic that chosen accepts.
+// Compare compares runs with changes to runs without, for the kinds of traffic that chosen accepts.
 func Compare(baseline, changed []Report, chosen func(kind string) bool) (comparisons []Comparison) {
 	kinds := map[string]bool{}
 	for _, report := range slices.Concat(baseline, changed) {
@@ -80,10 +80,10 @@
 
 func valueRange(values []float64) float64 { return slices.Max(values) - slices.Min(values) }
 
-// Significant reports whether the difference is greater than the noise.
+// Significant reports whether the runs with changes are worse by more than the noise.
 func (c Comparison) Significant() bool { return c.Difference > c.Noise }
 
-// Summary formats the comparison in one line.
+// Summary formats the comparison as one line.
 func (c Comparison) Summary() string {
 	text := fmt.Sprintf("%-24s %-18s without changes %s, with %s, worse by %.4g, noise %.4g", c.Kind, c.Metric, formatValues(c.Baseline), formatValues(c.Changed), c.Difference, c.Noise)
 	if c.Significant() {
--- a/internal/rehearse/scenario/crashes.go
+++ b/internal/rehearse/scenario/crashes.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// killPrimary kills the primary of a group, waits for its successor, and applies a configuration under it.
+// killPrimary kills the primary of a group, waits for its successor, restarts the killed process, and applies a configuration.
 func (r *Rehearsal) killPrimary(group []*fleet.Process, variant int) error {
 	victim := r.AwaitPrimary(group)
 	r.Logf("killing the primary %s", victim.Name)
@@ -75,7 +75,7 @@
 }
 
 func freezeProcesses(r *Rehearsal) error {
-	pauses := []time.Duration{4 * time.Second, 8 * time.Second} // below and beyond the deadlines that others set for it
+	pauses := []time.Duration{4 * time.Second, 8 * time.Second} // shorter and longer than the deadlines that other processes set for a frozen one
 	for turn, began := 0, time.Now(); r.withinDuration(began); turn++ {
 		victim := r.Fleet.Proxies[turn%len(r.Fleet.Proxies)]
 		switch turn % 3 {
@@ -114,10 +114,10 @@
 	return nil
 }
 
-// stepClock moves a process's clock and applies a configuration. A process whose clock stepped back must end by itself; it is
-// started again, as its platform would.
+// stepClock steps a process's clock and applies a configuration. A process whose clock stepped back must exit by itself; it is then
+// restarted, as the platform would do.
 func (r *Rehearsal) stepClock(victim *fleet.Process, step time.Duration, variant int) error {
-	r.Logf("%s steps by %v", victim.Name, step)
+	r.Logf("stepping the clock of %s by %v", victim.Name, step)
 	if err := victim.StepClock(step); err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		return nil
 	}
 	if !victim.Wait(5 * time.Second) {
-		r.AddFinding("%s goes on though its clock stepped back", victim.Name)
+		r.AddFinding("%s still runs although its clock stepped back", victim.Name)
 		return nil
 	}
 	r.restartAfter(victim, 0)
--- a/internal/rehearse/scenario/disks.go
+++ b/internal/rehearse/scenario/disks.go
@@ -13,7 +13,7 @@
 	r.Wait(r.fractionOfDuration(0.3))
 	for _, group := range [][]*fleet.Process{r.Fleet.Registries, r.Fleet.ConfigStores} {
 		victim := r.AwaitPrimary(group)
-		r.Logf("%s loses its disk", victim.Name)
+		r.Logf("killing %s and deleting its data", victim.Name)
 		victim.Kill()
 		if err := os.RemoveAll(victim.DataDir()); err != nil {
 			return err
@@ -36,7 +36,7 @@
 		if err := victim.CorruptRecords(); err != nil {
 			return err
 		}
-		r.Logf("a byte of the log of %s is corrupted", victim.Name)
+		r.Logf("corrupted a byte of the log of %s", victim.Name)
 		r.restartAfter(victim, 2*time.Second)
 		r.Wait(r.fractionOfDuration(0.2))
 		logged, err := r.hasLogged(victim, eventlog.DiskCorrupted)
@@ -44,7 +44,7 @@
 			return fmt.Errorf("reading the log of %s: %w", victim.Name, err)
 		}
 		if !logged {
-			return fmt.Errorf("%s did not report that it discarded its corrupted replica", victim.Name)
+			return fmt.Errorf("%s did not log that it discarded its corrupted replica", victim.Name)
 		}
 	}
 	r.awaitRecovery()
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// fillDisk makes processes find their disks full, checks that another member leads each group meanwhile, and empties the disks.
+// fillDisk simulates full disks for processes, checks that another member is primary of each group meanwhile, and ends the fault.
 func (r *Rehearsal) fillDisk(processes ...*fleet.Process) error {
 	for _, process := range processes {
-		r.Logf("%s finds its disk full", process.Name)
+		r.Logf("simulating a full disk for %s", process.Name)
 		if err := process.LimitFileSize(256); err != nil {
 			return err
 		}
@@ -80,7 +80,7 @@
 	r.Wait(r.fractionOfDuration(0.25))
 	for _, process := range processes {
 		if r.AwaitPrimary(r.Fleet.GroupOf(process)) == process {
-			return fmt.Errorf("%s leads with a full disk", process.Name)
+			return fmt.Errorf("%s is primary although its disk is full", process.Name)
 		}
 		if !process.Running() {
 			r.restartAfter(process, 0)
@@ -118,19 +118,19 @@
 	return nil
 }
 
-// killPrimaryUnless kills the primary of a group, so that another member leads, unless it is the one that should lead.
+// killPrimaryUnless kills the primary of a group, so that another member takes over, unless it is the wanted primary.
 func (r *Rehearsal) killPrimaryUnless(wanted *fleet.Process, group []*fleet.Process) {
 	victim := r.AwaitPrimary(group)
 	if victim == wanted {
-		r.Logf("%s leads", victim.Name)
+		r.Logf("%s is primary", victim.Name)
 		return
 	}
 	victim.Kill()
-	r.Logf("%s was killed, %s leads", victim.Name, r.AwaitPrimary(group).Name)
+	r.Logf("%s was killed, %s is primary", victim.Name, r.AwaitPrimary(group).Name)
 	r.restartAfter(victim, 0)
 }
 
-// restartWithSyncDelay restarts processes whose disks take longer for each sync from then on.
+// restartWithSyncDelay restarts processes with a delay added to each sync of their disks.
 func (r *Rehearsal) restartWithSyncDelay(processes []*fleet.Process, delay time.Duration) error {
 	for _, process := range processes {
 		process.Stop(plannedStopTimeout)
--- a/internal/rehearse/scenario/network.go
+++ b/internal/rehearse/scenario/network.go
@@ -7,13 +7,13 @@
 	"snowflow/internal/rehearse/fleet"
 )
 
-// partition blocks two hosts from each other in both directions.
+// partition blocks the network between two hosts in both directions.
 func (r *Rehearsal) partition(one, other string) {
 	r.Fleet.Relays.Block(one, other)
 	r.Fleet.Relays.Block(other, one)
 }
 
-// delay slows the network between two hosts in both directions.
+// delay adds latency to the network between two hosts in both directions.
 func (r *Rehearsal) delay(one, other string, duration time.Duration) {
 	r.Fleet.Relays.Delay(one, other, duration)
 	r.Fleet.Relays.Delay(other, one, duration)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// isolate blocks a host's bytes to all other hosts, and theirs to it if both directions are wanted.
+// isolate blocks a host's traffic to all other hosts and, if bothDirections is set, theirs to it.
 func (r *Rehearsal) isolate(victim *fleet.Process, bothDirections bool) {
 	for _, other := range r.Fleet.All() {
 		if other.Host == victim.Host {
@@ -78,7 +78,7 @@
 		return errRelaysRequired
 	}
 	if len(r.Fleet.Registries) != 4 {
-		return fmt.Errorf("halves needs a control plane of four hosts, which %s does not have", r.Fleet.Layout.Name)
+		return fmt.Errorf("the halves scenario requires a control plane of four hosts, which layout %s does not have", r.Fleet.Layout.Name)
 	}
 	r.Wait(r.fractionOfDuration(0.2))
 	for _, one := range r.Fleet.Registries[:2] {
@@ -88,7 +88,7 @@
 	}
 	began := time.Now()
 	if err := r.applyVariant(1); err != nil {
-		r.AddFinding("rule 12: no configuration was accepted in the half that has the quorum: %v", err)
+		r.AddFinding("rule 12: no configuration was accepted in the half with the quorum: %v", err)
 	}
 	r.Logf("a configuration was acknowledged %d ms after the partition began", time.Since(began).Milliseconds())
 	r.Wait(r.fractionOfDuration(0.8))
--- a/internal/rehearse/scenario/planned_stops.go
+++ b/internal/rehearse/scenario/planned_stops.go
@@ -10,8 +10,8 @@
 	"snowflow/internal/snowctl/doctor"
 )
 
-// errPreviousBuildRequired is the error of the versions scenario without an earlier build to roll from.
-var errPreviousBuildRequired = errors.New("the versions scenario needs --older, a folder of an earlier build's programs")
+// errPreviousBuildRequired is returned by the versions scenario if no folder of an earlier build is set.
+var errPreviousBuildRequired = errors.New("the versions scenario requires --older, a folder of an earlier build's programs")
 
 func restartEachProcess(r *Rehearsal) error {
 	for _, process := range r.Fleet.All() {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// stopProcess begins a planned stopProcess and fails if the process does not end by itself within plannedStopTimeout.
+// stopProcess begins a planned stop, and returns an error if the process does not exit by itself within plannedStopTimeout.
 func stopProcess(process *fleet.Process) error {
 	if !process.Stop(plannedStopTimeout) {
 		return fmt.Errorf("%s did not stop by itself", process.Name)
@@ -45,10 +45,10 @@
 		began := time.Now()
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			victim.Signal(syscall.SIGTERM) // a second signal must change nothing
+			victim.Signal(syscall.SIGTERM) // a second signal must have no effect
 		}()
 		ended := victim.Stop(limit)
-		r.Logf("%s was asked to stop, and ended by itself: %v, after %d ms", victim.Name, ended, time.Since(began).Milliseconds())
+		r.Logf("%s was signaled to stop; exited by itself: %v, after %d ms", victim.Name, ended, time.Since(began).Milliseconds())
 		if err := r.restartAndAwait(victim); err != nil {
 			return err
 		}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// moveControlPlaneHost kills a control plane host's processes and starts them at another address. The seeds of all other
-// processes stay as they are.
+// moveControlPlaneHost kills a control plane host's processes and starts them at another address. It does not update the seeds of the
+// other processes.
 func (r *Rehearsal) moveControlPlaneHost(index int) error {
 	for _, process := range []*fleet.Process{r.Fleet.Registries[index], r.Fleet.ConfigStores[index]} {
 		process.Kill()
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// awaitSafeToStop waits until the doctor reports that a control plane host may be stopped. It adds a finding and gives false
-// if that takes more than 30 s.
+// awaitSafeToStop waits until snowctl's doctor reports that a control plane host can be stopped safely. If that takes more than 30 s, it
+// adds a finding and returns false.
 func (r *Rehearsal) awaitSafeToStop(index int) bool {
 	names := []string{r.Fleet.Registries[index].Name, r.Fleet.ConfigStores[index].Name}
 	var addresses []string
@@ -134,10 +134,10 @@
 	for ; time.Since(began) < 30*time.Second; time.Sleep(100 * time.Millisecond) {
 		mesh, err := doctor.Gather(addresses, 5*time.Second)
 		if _, objections = doctor.Safe(mesh, names); err == nil && len(objections) == 0 {
-			r.Logf("%v may stop, after %d ms", names, time.Since(began).Milliseconds())
+			r.Logf("%v can be stopped safely after %d ms", names, time.Since(began).Milliseconds())
 			return true
 		}
 	}
-	r.AddFinding("rule 12: %v may not stop after 30 s: %v", names, objections)
+	r.AddFinding("rule 12: %v cannot be stopped safely after 30 s: %v", names, objections)
 	return false
 }
--- a/internal/rehearse/scenario/tenants.go
+++ b/internal/rehearse/scenario/tenants.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// tenantCount is the number of tenants. Each has a key that stays, and one that is replaced again and again.
+	// tenantCount is the number of tenants. Each has a permanent key and one that is replaced again and again.
 	tenantCount = 3
 	// rotationInterval is the pause between two replacements of a key.
 	rotationInterval = 500 * time.Millisecond
 	// tenantFreezeTime is longer than a proxy's lease on the configuration.
 	tenantFreezeTime = 6 * time.Second
-	// requestsPerUnknownKey and requestsPerMissingKey are one in how many requests that bear a key which no tenant has, or none.
+	// One in requestsPerUnknownKey requests has a key that no tenant has, and one in requestsPerMissingKey has none.
 	requestsPerUnknownKey, requestsPerMissingKey = 20, 20
-	// keyMarker is part of each tenant's key, and of nothing else.
+	// keyMarker is a part of every key and occurs nowhere else, so that output can be searched for keys.
 	keyMarker = "marked-key"
 )
 
-// keySearchPaths are the pages in which no tenant's key may be found.
+// keySearchPaths are the admin pages that must not contain any tenant's key.
 var keySearchPaths = []string{"/local", "/metrics", "/status", "/tenants"}
 
-// tenants are those of a run, as their operator changes them.
+// tenants holds the tenants' keys, which the scenario's operator replaces.
 type tenants struct {
 	mu            sync.Mutex // guards all below
 	variant       int
-	rotating      [tenantCount]*invariants.KeyPeriod // the key of each tenant that is replaced next
-	revokedKeys   []string                           // keys that were taken away
-	onlyPermanent bool                               // set once only keys that stay are sent
+	rotating      [tenantCount]*invariants.KeyPeriod // each tenant's current key that is not permanent
+	revokedKeys   []string                           // in the order of revocation
+	onlyPermanent bool                               // whether callers only send permanent keys
 }
 
 func tenantName(tenant int) string { return fmt.Sprintf("tenant-%d", tenant) }
 
 func permanentKey(tenant int) string { return fmt.Sprintf("%s-%d", keyMarker, tenant) }
 
-// prepareTenants gives the layout's desired state tenants, whose keys callers bear from then on.
+// prepareTenants adds tenants to the layout's desired state, and makes callers send their keys.
 func prepareTenants(r *Rehearsal) error {
 	present := &tenants{}
 	r.tenants = present
@@ -56,14 +56,14 @@
 	return r.applyTenants()
 }
 
-// newKey makes a key that a tenant has from the next configuration on.
+// newKey returns a new key of a tenant, valid from the next configuration, and records its period.
 func (r *Rehearsal) newKey(tenant int) *invariants.KeyPeriod {
 	period := &invariants.KeyPeriod{Key: fmt.Sprintf("%s-%d-%08x", keyMarker, tenant, rand.Uint32()), Tenant: tenantName(tenant), From: r.Clock.Now()}
 	r.History.RecordKeyPeriod(period)
 	return period
 }
 
-// content returns a desired state with the tenants' present keys. Requests that backends send need none.
+// content returns a desired state with the tenants' current keys. The routes of the backends' lookups require no key.
 func (t *tenants) content(r *Rehearsal) ([]byte, error) {
 	content, err := examples.Desired(r.Fleet.Layout.DesiredState)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return bytes.Replace(content, []byte(`"note": "`), fmt.Appendf(nil, `"note": "keys %d. `, t.variant), 1), nil
 }
 
-// applyTenants applies the tenants' present keys.
+// applyTenants applies a desired state with the tenants' current keys.
 func (r *Rehearsal) applyTenants() error {
 	content, err := r.tenants.content(r)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// pickKey gives the key that a request bears, empty for none.
+// pickKey returns the key to send with a request; empty for none.
 func (t *tenants) pickKey() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 }
 
-// rotateKey replaces a tenant's key by a new one, and records when the former was taken away for good.
+// rotateKey replaces a tenant's key by a new one, and records when the revocation of the old one was acknowledged.
 func (r *Rehearsal) rotateKey(tenant int) error {
 	replacement := r.newKey(tenant)
 	r.tenants.mu.Lock()
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// revokeKeys replaces keys while proxies are killed and frozen, and looks for keys where none may be.
+// revokeKeys replaces keys while proxies are killed and frozen, and then searches the processes' admin pages for keys.
 func revokeKeys(r *Rehearsal) error {
 	for began, turn := time.Now(), 0; r.withinDuration(began); turn++ {
 		victim := randomItem(r.Fleet.Proxies)
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// disruptProxy freezes a proxy until its lease has ended, or kills it and starts it again.
+// disruptProxy freezes a proxy for longer than its lease, or kills and restarts it.
 func (r *Rehearsal) disruptProxy(victim *fleet.Process, freeze bool) {
 	if freeze {
 		victim.Signal(syscall.SIGSTOP)
@@ -177,7 +177,7 @@
 	r.restartAfter(victim, time.Second)
 }
 
-// searchPagesForKeys adds a finding for each page of a process that shows a tenant's key.
+// searchPagesForKeys adds a finding for each admin page that contains a tenant's key.
 func (r *Rehearsal) searchPagesForKeys() {
 	searched := 0
 	for _, process := range r.Fleet.All() {
@@ -189,12 +189,12 @@
 			}
 			searched += len(content)
 			if bytes.Contains(content, []byte(keyMarker)) {
-				r.AddFinding("%s shows a tenant's key at %s", process.Name, path)
+				r.AddFinding("%s discloses a tenant's key at %s", process.Name, path)
 			}
 		}
 	}
 	if searched == 0 {
-		r.AddFinding("no page could be searched for keys")
+		r.AddFinding("no page could be read to search it for keys")
 	}
 }
 
