--- a/internal/rehearse/scenario/catalog_test.go
+++ b/internal/rehearse/scenario/catalog_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestDeprecatedNames: a name of an earlier release still finds its scenario, and is not listed any more.
+// TestDeprecatedNames checks that Find accepts the names of earlier releases, and that Names does not list them.
 func TestDeprecatedNames(t *testing.T) {
 	for deprecated, present := range deprecatedNames {
 		t.Run(deprecated, func(t *testing.T) {
 			found, err := Find(deprecated)
 			if err != nil || found.Name != present {
-				t.Errorf("found %q, %v, instead of %q", found.Name, err, present)
+				t.Errorf("got %q, %v, want %q", found.Name, err, present)
 			}
 			if slices.Contains(Names(), deprecated) {
 				t.Error("the deprecated name is listed")
@@ -19,6 +19,6 @@
 		})
 	}
 	if _, err := Find("flood"); err == nil {
-		t.Error("an unknown scenario is found")
+		t.Error("an unknown scenario was found")
 	}
 }
--- a/internal/rehearse/scenario/comparison_test.go
+++ b/internal/rehearse/scenario/comparison_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestCompare: lookups that are served less often, or more slowly, than the noise explains are significant, and no others.
+// TestCompare checks that a comparison is significant only if lookups are served less often, or more slowly, than the noise explains.
 func TestCompare(t *testing.T) {
 	run := func(served, refused int, p99 int64) Report {
 		return Report{Kinds: map[string]map[string]int{"lookup/a": {"served": served, "refused 304 not_run": refused}, "form": {"served": 1}},
--- a/internal/rehearse/scenario/exchanges_test.go
+++ b/internal/rehearse/scenario/exchanges_test.go
@@ -15,7 +15,7 @@
 	"snowflow/internal/rehearse/standin"
 )
 
-// variableParts are what differs from run to run in responses, and what stands for it in transcripts.
+// variableParts are the parts of responses that differ between runs, with their replacements in transcripts.
 var variableParts = []struct {
 	pattern     *regexp.Regexp
 	replacement string
@@ -29,10 +29,10 @@
 	{regexp.MustCompile(`proxy-[0-9]`), `proxy`},
 }
 
-// approvedHeaders are the headers that transcripts contain.
+// approvedHeaders are the response headers that transcripts contain.
 var approvedHeaders = []string{"Retry-After", "X-Snowflow-Not-Executed", "X-Snowflow-Serial"}
 
-// TestExchanges compares exchanges with a running mesh with approved transcripts.
+// TestExchanges sends requests to a running mesh and compares the responses with approved transcripts.
 func TestExchanges(t *testing.T) {
 	rehearsal, err := Open(options(t, "steady", 211), t.Logf)
 	if rehearsal != nil {
@@ -46,7 +46,7 @@
 		"backend": rehearsal.Fleet.Proxies[0].AdminAddress, "operator": rehearsal.Fleet.ConfigStores[0].AdminAddress}
 	datadriven.RunTest(t, "testdata/exchanges", func(t *testing.T, data *datadriven.TestData) string {
 		behavior := ""
-		if data.MaybeScanArgs(t, "manner", &behavior); data.Cmd == "backends" {
+		if data.MaybeScanArgs(t, "behavior", &behavior); data.Cmd == "backends" {
 			for _, backend := range rehearsal.Backends {
 				backend.Behavior.Store(strings.TrimPrefix(behavior, "normal"))
 			}
@@ -60,7 +60,7 @@
 	})
 }
 
-// exchange sends the request that a transcript's command describes.
+// exchange sends the request that a transcript's command describes, and returns the response in the transcripts' format.
 func exchange(t *testing.T, client *http.Client, address string, data *datadriven.TestData) string {
 	t.Helper()
 	method, path, key, big := "GET", "/", "", 0
@@ -91,7 +91,8 @@
 	return formatResponse(response, content)
 }
 
-// formatResponse gives a response as transcripts have it: complete if it is the mesh's own, else whether the backend's arrived complete.
+// formatResponse formats a response for transcripts. It contains the whole body of the mesh's own responses, but of a backend's response
+// only whether the body arrived complete.
 func formatResponse(response *http.Response, content []byte) string {
 	text := response.Status + "\n"
 	for _, name := range approvedHeaders {
@@ -103,7 +104,7 @@
 		}
 	}
 	if response.Header.Get(standin.EchoHeader) != "" {
-		return text + fmt.Sprintf("the backend's own answer, whole: %v\n", response.Header.Get(standin.ChecksumHeader) == standin.Checksum(content))
+		return text + fmt.Sprintf("response of a backend, complete: %v\n", response.Header.Get(standin.ChecksumHeader) == standin.Checksum(content))
 	}
 	body := string(content)
 	for _, part := range variableParts {
--- a/internal/rehearse/scenario/fleet_test.go
+++ b/internal/rehearse/scenario/fleet_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// raceDetector is whether the tests run with the race detector; then the programs do too.
+// raceDetector is whether the tests, and therefore the programs, are built with the race detector.
 var raceDetector bool
 
-// buildBinaries builds the programs once for all tests of this package, and gives their folder.
+// buildBinaries builds the programs once for all tests of this package, and returns their folder.
 func buildBinaries(t *testing.T) string {
 	t.Helper()
 	folder := filepath.Join(os.TempDir(), fmt.Sprintf("snowflow-binaries-%d", os.Getpid()))
@@ -33,13 +33,14 @@
 	os.Exit(code)
 }
 
-// options are those of a short run on the small layout. Each test needs a subnet of its own, among the tests of all packages.
+// options returns the options of a short run on the small layout. Each test needs its own subnet, also among the tests of other
+// packages.
 func options(t *testing.T, name string, subnet int) Options {
 	t.Helper()
 	return Options{Layout: "small", Scenario: name, Duration: 4 * time.Second, LoadFactor: 1, Dir: t.TempDir(), BinaryDir: buildBinaries(t), Subnet: subnet, UseRelays: true, LoadBalancing: "near"}
 }
 
-// runScenario runs a scenario, which must end without findings. No program may have detected a data race.
+// runScenario runs a scenario, which must end without findings and without data races in the programs' logs.
 func runScenario(t *testing.T, chosen Options) {
 	t.Helper()
 	report, err := Run(chosen, t.Logf)
@@ -58,7 +59,7 @@
 	}
 }
 
-// logFiles are the processes' logs below a folder.
+// logFiles returns the paths of the processes' logs below a folder.
 func logFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "*", "log"))
@@ -68,7 +69,7 @@
 	return logs
 }
 
-// TestFleetSurvives runs short scenarios with real processes. Only the checkers judge; nothing depends on how fast this machine is.
+// TestFleetSurvives runs short scenarios with real processes. Its result depends only on the checkers, not on the machine's speed.
 func TestFleetSurvives(t *testing.T) {
 	for index, name := range []string{"kill-primaries", "closing"} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// TestTenantKeysRotate replaces tenants' keys under traffic. No key may be found in a log.
+// TestTenantKeysRotate replaces tenants' keys under traffic. No log may contain a key.
 func TestTenantKeysRotate(t *testing.T) {
 	chosen := options(t, "revocations", 221)
 	runScenario(t, chosen)
@@ -87,16 +88,16 @@
 			t.Error(err)
 		}
 		if _, after, found := strings.Cut(string(content), keyMarker); found {
-			t.Errorf("%s has a tenant's key: %.300s", path, after)
+			t.Errorf("%s contains a tenant's key: %.300s", path, after)
 		}
 	}
 }
 
-// formerNamesCommit is the last commit whose programs, folders and settings have their former names.
+// formerNamesCommit is the last commit before the programs, folders and settings were renamed.
 const formerNamesCommit = "ce067a0c79580d2c076c4b0c8de3fd9d522b407b"
 
-// TestVersions rolls a fleet to an earlier build and back to this one, under traffic: to the project's previous commit, and to the
-// last one before the programs were renamed.
+// TestVersions rolls a fleet to an earlier build and back to this one, under traffic. The earlier builds are the previous commit and
+// the last one before the programs were renamed.
 func TestVersions(t *testing.T) {
 	for index, one := range []struct{ name, commit string }{{"previous commit", "HEAD~1"}, {"former names", formerNamesCommit}} {
 		t.Run(one.name, func(t *testing.T) {
@@ -107,8 +108,8 @@
 	}
 }
 
-// earlierBinaries builds the programs of an earlier commit, under whatever names they have there. It skips the test where the
-// checkout does not have that commit.
+// earlierBinaries builds the programs of an earlier commit, under the names that they have there, and returns their folder. It skips
+// the test if the checkout does not contain the commit.
 func earlierBinaries(t *testing.T, commit string) string {
 	t.Helper()
 	top, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// archivedRoutes is the number of routes without traffic, so that a change must leave many routes alone.
+	// archivedRoutes is the number of routes without traffic, so that a change must leave many other routes unchanged.
 	archivedRoutes = 200
-	// keyRetryTimeout is for how long a key is retried until it is served. It is below the minute within which the mesh executes a
-	// key at most once.
+	// keyRetryTimeout limits how long a request with an idempotency key is retried. It is less than the minute within which the mesh
+	// executes a key at most once.
 	keyRetryTimeout = 45 * time.Second
-	// actionInterval is from the start of one action to the start of the next, if the first has ended by then.
+	// actionInterval is the time between the starts of two actions; more if the first takes longer.
 	actionInterval = 900 * time.Millisecond
-	// burstSize and burstInterval are the changes of one burst and the pause between them.
+	// A burst has burstSize changes, burstInterval apart.
 	burstSize     = 8
 	burstInterval = 60 * time.Millisecond
 )
@@ -38,10 +38,10 @@
 // reroutedKinds are the kinds of traffic whose routes change during peak traffic.
 var reroutedKinds = []string{"submission", "correction", "batch", "pack"}
 
-// peakTrafficChecks run besides the invariants.
+// peakTrafficChecks run in addition to the rules.
 var peakTrafficChecks = []invariants.Check{invariants.KeysExecutedOnce, invariants.VersionsAdopted, invariants.BreakerCountersMonotonic}
 
-// routeFamilies gives a layout's kinds of traffic whose routes change. Each may also go to an alternate service of its own.
+// routeFamilies returns the route families of a layout's kinds of traffic whose routes change. Each has its own alternate service.
 func routeFamilies(chosen layout.Layout) (families []workload.RouteFamily) {
 	for _, kind := range chosen.Kinds {
 		if slices.Contains(reroutedKinds, kind.Name) {
@@ -51,8 +51,8 @@
 	return families
 }
 
-// initialState is the state before the first change: the layout's own with a route for each family in place of its service's path,
-// with the alternate services, and with the archived routes.
+// initialState returns the desired state before the first change: the given one with a route for each family in place of its service's
+// path, with the alternate services, and with the archived routes.
 func initialState(state *wire.DesiredState, families []workload.RouteFamily) *wire.DesiredState {
 	state = proto.CloneOf(state)
 	for _, family := range families {
@@ -68,7 +68,7 @@
 	return state
 }
 
-// addAlternate takes a family's path from its service and adds its alternate service, if the group has the family's service.
+// addAlternate removes a family's path from its service and adds its alternate service, if the group contains the family's service.
 func addAlternate(group *wire.Group, family workload.RouteFamily) {
 	index := slices.IndexFunc(group.Services, func(service *wire.Service) bool { return service.Name == family.Service })
 	if index < 0 {
@@ -81,7 +81,8 @@
 	group.Services = append(group.Services, alternate)
 }
 
-// regionPath is a request's path, which names one of the regions of its family that may have routes of their own.
+// regionPath returns a request's path. If the kind's routes change, it contains one of the family's regions, which may have their own
+// routes.
 func regionPath(kind layout.Kind, number int64) string {
 	if !slices.Contains(reroutedKinds, kind.Name) {
 		return fmt.Sprint(kind.Path, number)
@@ -115,7 +116,7 @@
 	return fleet.AwaitReady(r.Fleet.Proxies, readyTimeout)
 }
 
-// startAlternate starts as many backends of a family's alternate service as its own service has.
+// startAlternate starts the backends of a family's alternate service, as many as the family's service has.
 func (r *Rehearsal) startAlternate(family workload.RouteFamily) error {
 	services := r.Fleet.Layout.Services
 	index := slices.IndexFunc(services, func(service layout.Service) bool { return service.Name == family.Service })
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// applyState applies a state on top of an expected version, or of "any".
+// applyState applies a state on top of an expected version, or of any version if expected is "any".
 func (r *Rehearsal) applyState(state *wire.DesiredState, expected string) (api.ApplyResult, error) {
 	return r.Operator.Apply(workload.EncodeState(state), expected, applyTimeout)
 }
@@ -139,7 +140,7 @@
 // action is one step of peak traffic.
 type action struct {
 	name          string
-	changesRoutes bool // left out of a quiet run
+	changesRoutes bool // skipped in runs without changes
 	run           func(r *Rehearsal) error
 }
 
@@ -152,8 +153,8 @@
 	killConfigStorePrimary = action{"the configuration store's primary is killed", false, (*Rehearsal).killConfigStorePrimary}
 )
 
-// peakActions repeat until the scenario's length has passed. After the last of them the configuration store's primary is killed
-// during a burst.
+// peakActions are repeated for the scenario's duration. After the last of them the configuration store's primary is killed during a
+// burst.
 var peakActions = []action{changeOneRoute, changeBurst, killProxy, operatorRace, changeOneRoute, restartProxy, changeBurst, changeOneRoute}
 
 func (r *Rehearsal) changeRoute() error {
@@ -180,7 +181,7 @@
 	return errors.Join(errs...)
 }
 
-// raceOperators has two operators apply different states on top of the same version. Exactly one of them must win.
+// raceOperators makes two operators apply different states on top of the same version. Exactly one of them must be accepted.
 func (r *Rehearsal) raceOperators() error {
 	r.routeChanges.State = r.routeChanges.Next()
 	first, err := r.applyState(r.routeChanges.State, "any")
@@ -210,12 +211,13 @@
 		}
 	}
 	if err == nil && accepted != 1 {
-		r.AddFinding("%d of two operators that raced won", accepted)
+		r.AddFinding("%d of two racing operators were accepted instead of one", accepted)
 	}
 	return err
 }
 
-// killOneProxy kills a proxy and starts it again. Requests that were in flight there are excused by the markers around its end.
+// killOneProxy kills and restarts a proxy. The markers before and after the kill tell KeysExecutedOnce which attempts it may have
+// interrupted.
 func (r *Rehearsal) killOneProxy() error {
 	victim := randomItem(r.Fleet.Proxies)
 	r.History.RecordMarker(invariants.MarkerProxyKilled+victim.Name, r.Clock.Now())
@@ -239,7 +241,8 @@
 	return nil
 }
 
-// runPeakTraffic gives the scenario's course with its route changes, or a quiet one that pauses instead, at the same intervals.
+// runPeakTraffic returns the Run function of the peak traffic scenarios, with route changes or, for comparison, with the same intervals
+// but without them.
 func runPeakTraffic(changes bool) func(r *Rehearsal) error {
 	return func(r *Rehearsal) error {
 		began := time.Now()
@@ -255,7 +258,7 @@
 			}
 			time.Sleep(time.Until(next))
 		}
-		r.Logf("no new requests; keys that were not served yet are retried")
+		r.Logf("no new requests; retrying those that were not served yet")
 		r.Load.FinishRetries()
 		if changes {
 			r.Logf("changes: %v", r.routeChanges.Counts)
@@ -264,7 +267,7 @@
 	}
 }
 
-// perform carries out an action, unless it changes routes and that is not wanted.
+// perform runs an action, unless it changes routes and changes is false.
 func (r *Rehearsal) perform(one action, changes bool) error {
 	if one.changesRoutes && !changes {
 		return nil
@@ -279,5 +282,5 @@
 	return errors.Join(r.perform(killConfigStorePrimary, changes), <-burst)
 }
 
-// IsLookup reports whether a kind of traffic is one of the lookups that backends send to one another.
+// IsLookup reports whether a kind of traffic is a lookup, which a backend sends to another service.
 func IsLookup(kind string) bool { return strings.HasPrefix(kind, "lookup") }
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -28,7 +28,8 @@
 	"snowflow/internal/workload"
 )
 
-// TestPeakTrafficStates: each layout has route families, and its initial state and all states that follow are valid.
+// TestPeakTrafficStates checks, for each layout, the number of route families and that the initial state and all states after changes are
+// valid.
 func TestPeakTrafficStates(t *testing.T) {
 	for name, familyCount := range map[string]int{"association": 3, "raahbar": 2, "small": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// snowctl runs the operators' command line against a rehearsal's configuration stores.
+// snowctl runs the command line tool of operators against a rehearsal's configuration stores.
 func (r *Rehearsal) snowctl(arguments ...string) (output string, code int, err error) {
 	addresses := []string{}
 	for _, process := range r.Fleet.ConfigStores {
@@ -81,8 +82,9 @@
 	return string(content), 0, err
 }
 
-// TestPeakTrafficRoutes runs a small peak with real processes: a change of each kind, a burst and a race, while a proxy restarts and a
-// primary is killed. It goes from event to event, however long each takes; callers retry their keys until they are served.
+// TestPeakTrafficRoutes runs a short peak traffic scenario with real processes: a route change of each kind, a burst and a race, while a
+// proxy restarts and a primary is killed. It waits for each step however long it takes, and callers retry until they are served, so that
+// the result does not depend on timing.
 func TestPeakTrafficRoutes(t *testing.T) {
 	chosen := options(t, "peak-routes", 245)
 	chosen.UseRelays = false
@@ -103,16 +105,16 @@
 		t.Helper()
 		output, code, err := rehearsal.snowctl("rollout", "--wait", "300s")
 		if err != nil || code != 0 {
-			t.Errorf("not every node has the version: %v, exit code %d\n%s", err, code, output)
+			t.Errorf("the version did not reach all nodes: %v, exit code %d\n%s", err, code, output)
 		}
 	}
-	meanwhile := map[int]action{2: restartProxy, 4: killConfigStorePrimary}
+	faults := map[int]action{2: restartProxy, 4: killConfigStorePrimary}
 	turn := 0
 	err = rehearsal.routeChanges.ApplyEach(func(state *wire.DesiredState) error {
 		turn++
 		ended := make(chan error, 1)
-		if also, is := meanwhile[turn]; is {
-			go func() { ended <- also.run(rehearsal) }()
+		if fault, ok := faults[turn]; ok {
+			go func() { ended <- fault.run(rehearsal) }()
 		} else {
 			ended <- nil
 		}
@@ -141,7 +143,7 @@
 	if err := rehearsal.Operator.ReadBack(); err != nil {
 		t.Fatal(err)
 	}
-	findings, seen := invariants.CheckRules(rehearsal.History, 1, 2, 3, 5, 7)
+	findings, observations := invariants.CheckRules(rehearsal.History, 1, 2, 3, 5, 7)
 	for _, check := range []invariants.Check{invariants.KeysExecutedOnce, invariants.ContentMatchesVersion, invariants.BreakerCountersMonotonic} {
 		found, observed := check.Run(rehearsal.History)
 		findings = append(findings, found...)
@@ -154,13 +156,13 @@
 		t.Error(found)
 	}
 	report := rehearsal.BuildReport(time.Now())
-	t.Log(report.Kinds, seen, rehearsal.routeChanges.Counts)
-	if report.Kinds["lookup/assignments"]["served"] == 0 || report.Kinds["submission"]["served"] == 0 || seen[1] == 0 || seen[3] == 0 {
-		t.Errorf("%v, seen %v", report.Kinds, seen)
+	t.Log(report.Kinds, observations, rehearsal.routeChanges.Counts)
+	if report.Kinds["lookup/assignments"]["served"] == 0 || report.Kinds["submission"]["served"] == 0 || observations[1] == 0 || observations[3] == 0 {
+		t.Errorf("%v, observations %v", report.Kinds, observations)
 	}
 }
 
-// checkSnowctl compares versions, previews what a content would change, and follows its roll-out.
+// checkSnowctl tests snowctl's preview of a desired state, its rollout and the comparison of versions.
 func checkSnowctl(t *testing.T, rehearsal *Rehearsal) {
 	t.Helper()
 	runSnowctl := func(wantedCode int, arguments ...string) string {
@@ -201,7 +203,7 @@
 		t.Fatal(err)
 	}
 	if output, code, err := rehearsal.snowctl("apply", file, "--preview"); err != nil || code == 0 {
-		t.Errorf("an invalid content was previewed: %v\n%s", err, output)
+		t.Errorf("an invalid desired state was previewed: %v\n%s", err, output)
 	}
 	output = runSnowctl(0, "rollout", "--json")
 	if begin := strings.Index(output, "{"); begin < 0 || !json.Valid([]byte(output[begin:])) {
@@ -217,8 +219,8 @@
 	return number
 }
 
-// TestWatcherObservesFaults has the watcher read the status of a proxy with one defect at a time. The check for that defect must find it
-// in the history, and no check may find anything for a proxy without defects.
+// TestWatcherObservesFaults makes the watcher read the status of a proxy with one defect at a time. The check for that defect must find
+// it in the history, and no check may find anything for a proxy without defects.
 func TestWatcherObservesFaults(t *testing.T) {
 	statusOf := func(version uint64, calls uint64) proxy.Status {
 		return proxy.Status{Name: "proxy-1", Incarnation: 7, Ready: true, ConfigVersion: version, ConfigDigest: fmt.Sprint("version ", version),
--- a/internal/rehearse/scenario/programs_test.go
+++ b/internal/rehearse/scenario/programs_test.go
@@ -17,7 +17,7 @@
 	"snowflow/internal/eventlog"
 )
 
-// exitCodeOf is the exit code that an error of a command tells; -1 if the command did not run to its end.
+// exitCodeOf returns the exit code of a command that ended with this error; -1 if the command did not run to its end.
 func exitCodeOf(err error) int {
 	if err == nil {
 		return 0
@@ -28,7 +28,7 @@
 	return -1
 }
 
-// TestBadStarts starts programs with invalid settings: all errors are reported at once, and the exit code is 2.
+// TestBadStarts starts programs with invalid settings. They must report all errors at once and end with exit code 2.
 func TestBadStarts(t *testing.T) {
 	folder := buildBinaries(t)
 	settings := filepath.Join(t.TempDir(), "env.json")
@@ -42,18 +42,18 @@
 				t.Errorf("%v\n%s", err, output)
 			}
 			if program != "proxy" && !strings.Contains(string(output), "voters: 2 voters; there must be three at least") {
-				t.Errorf("it accepts two voters\n%s", output)
+				t.Errorf("two voters are accepted\n%s", output)
 			}
 			for _, setting := range []string{"name:", "domain:", "listen:", "seeds:", "log:", "colour:"} {
 				if !strings.Contains(string(output), setting) {
-					t.Errorf("it does not report what is wrong with %s\n%s", setting, output)
+					t.Errorf("the error in setting %s is not reported\n%s", setting, output)
 				}
 			}
 		})
 	}
 }
 
-// TestBadRehearsals: what cannot be rehearsed ends with exit code 2 and the reason.
+// TestBadRehearsals runs rehearse with invalid options. It must end with exit code 2 and print the reason.
 func TestBadRehearsals(t *testing.T) {
 	folder := buildBinaries(t)
 	for _, arguments := range [][]string{{"run", "--scenario", "flood"}, {"run", "--layout", "moon"}, {"run", "--length", "soon"}, {"run", "--length", "-3s"},
@@ -67,7 +67,7 @@
 	}
 }
 
-// startProcess starts a program and kills it at the test's end, unless the test has waited for its end before.
+// startProcess starts a program and kills it at the end of the test if it still runs.
 func startProcess(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	if err := command.Start(); err != nil {
@@ -79,7 +79,8 @@
 	})
 }
 
-// TestStopTwice: a second signal changes nothing, and a successor that starts too early is told so and does not disturb the first.
+// TestStopTwice signals a draining proxy a second time and starts another process on its addresses. The signal must have no effect, and
+// the other process must fail with "address already in use" without disturbing the first.
 func TestStopTwice(t *testing.T) {
 	folder := buildBinaries(t)
 	arguments := []string{"--name", "proxy-1", "--domain", "north", "--listen", "127.232.0.1:7300", "--http", "127.232.0.1:7301", "--callers", "127.232.0.1:7302",
@@ -98,7 +99,7 @@
 				return
 			}
 		}
-		t.Fatalf("event %d never came: %v", event, lines.Err())
+		t.Fatalf("event %d was not logged: %v", event, lines.Err())
 	}
 	awaitEvent(eventlog.ProcessStarted)
 	for range 2 {
@@ -107,19 +108,19 @@
 	awaitEvent(eventlog.ProcessDraining)
 	output, err := exec.Command(filepath.Join(folder, "proxy"), arguments...).CombinedOutput()
 	if exitCodeOf(err) != 1 || !strings.Contains(string(output), "address already in use") {
-		t.Errorf("the successor: %v\n%s", err, output)
+		t.Errorf("the second process: %v\n%s", err, output)
 	}
 	awaitEvent(eventlog.ProcessDrained)
 	for lines.Scan() {
 		continue
 	}
 	if err := first.Wait(); err != nil {
-		t.Errorf("the first one ended with %v", err)
+		t.Errorf("the first process ended with %v", err)
 	}
 }
 
-// TestIsolatedConfigStore: a configuration store that reaches no other rejects applies as certainly not executed, and invalid ones
-// for what is wrong with them.
+// TestIsolatedConfigStore applies desired states to a configuration store that cannot reach the others. It must reject a valid one as
+// certainly not applied, and invalid ones with their errors.
 func TestIsolatedConfigStore(t *testing.T) {
 	folder := buildBinaries(t)
 	isolated := exec.Command(filepath.Join(folder, "configstore"), "--name", "configstore-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--http", "127.233.0.1:7201",
@@ -155,7 +156,7 @@
 	}
 }
 
-// awaitPage waits until a page responds.
+// awaitPage waits until a URL responds.
 func awaitPage(t *testing.T, page string, log *bytes.Buffer) {
 	t.Helper()
 	for turn := 0; ; turn++ {
@@ -169,7 +170,7 @@
 	}
 }
 
-// TestSecondProcessIsRejected: a data folder belongs to one process.
+// TestSecondProcessIsRejected starts a second process on a data folder that is in use. It must fail.
 func TestSecondProcessIsRejected(t *testing.T) {
 	chosen := options(t, "steady", 231)
 	dataDir := filepath.Join(chosen.Dir, "data")
@@ -181,7 +182,7 @@
 	var log bytes.Buffer
 	first.Stderr = &log
 	startProcess(t, first)
-	awaitPage(t, "http://127.231.0.1:7101/live", &log) // it holds the folder's lock once its pages respond
+	awaitPage(t, "http://127.231.0.1:7101/live", &log) // once this responds, the process holds the folder's lock
 	output, err := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.2")...).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "in use by another process") {
 		t.Fatalf("%v\n%s", err, output)
