--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -30,7 +30,7 @@
 	keyRetryTimeout = 45 * time.Second
 	// actionInterval is the time between the starts of two actions; more if the first takes longer.
 	actionInterval = 900 * time.Millisecond
-	// A burst has burstSize changes, burstInterval apart.
+	// burstSize and burstInterval are the number of changes in a burst and the pause between them.
 	burstSize     = 8
 	burstInterval = 60 * time.Millisecond
 )
--- a/internal/rehearse/scenario/tenants.go
+++ b/internal/rehearse/scenario/tenants.go
@@ -22,7 +22,7 @@
 	rotationInterval = 500 * time.Millisecond
 	// tenantFreezeTime is longer than a proxy's lease on the configuration.
 	tenantFreezeTime = 6 * time.Second
-	// One in requestsPerUnknownKey requests has a key that no tenant has, and one in requestsPerMissingKey has none.
+	// requestsPerUnknownKey and requestsPerMissingKey: one in this many requests has a key that no tenant has, or has no key.
 	requestsPerUnknownKey, requestsPerMissingKey = 20, 20
 	// keyMarker is a part of every key and occurs nowhere else, so that output can be searched for keys.
 	keyMarker = "marked-key"
