--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -97,9 +97,9 @@
 	if err != nil {
 		return err
 	}
-	state, faults := config.Parse(content)
-	if len(faults) > 0 {
-		return fmt.Errorf("the example %s is invalid: %v", chosen.DesiredState, faults)
+	state, fieldErrors := config.Parse(content)
+	if len(fieldErrors) > 0 {
+		return fmt.Errorf("the example %s is invalid: %v", chosen.DesiredState, fieldErrors)
 	}
 	families := routeFamilies(chosen)
 	r.routeChanges = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -38,16 +38,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			state, faults := config.Parse(content)
+			state, fieldErrors := config.Parse(content)
 			families := routeFamilies(chosen)
-			if len(faults) > 0 || len(families) != familyCount {
-				t.Fatal(faults, families)
+			if len(fieldErrors) > 0 || len(families) != familyCount {
+				t.Fatal(fieldErrors, families)
 			}
 			routeChanges := workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(1, 2)))
 			valid := 0
 			checkValid := func(state *wire.DesiredState) error {
-				if _, faults := config.Parse(workload.EncodeState(state)); len(faults) > 0 {
-					return fmt.Errorf("%s: %v", state.Note, faults)
+				if _, fieldErrors := config.Parse(workload.EncodeState(state)); len(fieldErrors) > 0 {
+					return fmt.Errorf("%s: %v", state.Note, fieldErrors)
 				}
 				valid++
 				return nil
