--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// archivedRoutes is the number of routes without traffic, so that a change must leave many routes alone.
+	// archivedRoutes is the number of routes without traffic, so that a change must leave many other routes unchanged.
 	archivedRoutes = 200
-	// keyRetryTimeout is for how long a key is retried until it is served. It is below the minute within which the mesh executes a
-	// key at most once.
+	// keyRetryTimeout limits how long a request with an idempotency key is retried. It is less than the minute within which the mesh
+	// executes a key at most once.
 	keyRetryTimeout = 45 * time.Second
-	// actionInterval is from the start of one action to the start of the next, if the first has ended by then.
+	// actionInterval is the time between the starts of two actions; more if the first takes longer.
 	actionInterval = 900 * time.Millisecond
-	// burstSize and burstInterval are the changes of one burst and the pause between them.
+	// burstSize and burstInterval are the number of changes in a burst and the pause between them.
 	burstSize     = 8
 	burstInterval = 60 * time.Millisecond
 )
@@ -38,10 +38,10 @@
 // reroutedKinds are the kinds of traffic whose routes change during peak traffic.
 var reroutedKinds = []string{"submission", "correction", "batch", "pack"}
 
-// peakTrafficChecks run besides the invariants.
+// peakTrafficChecks run in addition to the rules.
 var peakTrafficChecks = []invariants.Check{invariants.KeysExecutedOnce, invariants.VersionsAdopted, invariants.BreakerCountersMonotonic}
 
-// routeFamilies gives a layout's kinds of traffic whose routes change. Each may also go to an alternate service of its own.
+// routeFamilies returns the route families of a layout's kinds of traffic whose routes change. Each has its own alternate service.
 func routeFamilies(chosen layout.Layout) (families []workload.RouteFamily) {
 	for _, kind := range chosen.Kinds {
 		if slices.Contains(reroutedKinds, kind.Name) {
@@ -51,8 +51,8 @@
 	return families
 }
 
-// initialState is the state before the first change: the layout's own with a route for each family in place of its service's path,
-// with the alternate services, and with the archived routes.
+// initialState returns the desired state before the first change: the given one with a route for each family in place of its service's
+// path, with the alternate services, and with the archived routes.
 func initialState(state *wire.DesiredState, families []workload.RouteFamily) *wire.DesiredState {
 	state = proto.CloneOf(state)
 	for _, family := range families {
@@ -68,7 +68,7 @@
 	return state
 }
 
-// addAlternate takes a family's path from its service and adds its alternate service, if the group has the family's service.
+// addAlternate removes a family's path from its service and adds its alternate service, if the group contains the family's service.
 func addAlternate(group *wire.Group, family workload.RouteFamily) {
 	index := slices.IndexFunc(group.Services, func(service *wire.Service) bool { return service.Name == family.Service })
 	if index < 0 {
@@ -81,7 +81,8 @@
 	group.Services = append(group.Services, alternate)
 }
 
-// regionPath is a request's path, which names one of the regions of its family that may have routes of their own.
+// regionPath returns a request's path. If the kind's routes change, it contains one of the family's regions, which may have their own
+// routes.
 func regionPath(kind layout.Kind, number int64) string {
 	if !slices.Contains(reroutedKinds, kind.Name) {
 		return fmt.Sprint(kind.Path, number)
@@ -96,26 +97,26 @@
 	if err != nil {
 		return err
 	}
-	state, faults := config.Parse(content)
-	if len(faults) > 0 {
-		return fmt.Errorf("the example %s is invalid: %v", chosen.DesiredState, faults)
+	state, fieldErrors := config.Parse(content)
+	if len(fieldErrors) > 0 {
+		return fmt.Errorf("the example %s is invalid: %v", chosen.DesiredState, fieldErrors)
 	}
 	families := routeFamilies(chosen)
-	r.peak = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	r.routeChanges = workload.NewRouteChanges(initialState(state, families), families, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.Load.RequestPath, r.Load.MaxRetries, r.Load.RetryTimeout = regionPath, math.MaxInt, keyRetryTimeout
 	for _, family := range families {
 		if err := r.startAlternate(family); err != nil {
 			return err
 		}
 	}
-	applied, err := r.applyState(r.peak.State, "any")
+	applied, err := r.applyState(r.routeChanges.State, "any")
 	if err != nil || applied.Outcome != "accepted" {
 		return fmt.Errorf("the initial state was not accepted: %v %w", applied, err)
 	}
 	return fleet.AwaitReady(r.Fleet.Proxies, readyTimeout)
 }
 
-// startAlternate starts as many backends of a family's alternate service as its own service has.
+// startAlternate starts the backends of a family's alternate service, as many as the family's service has.
 func (r *Rehearsal) startAlternate(family workload.RouteFamily) error {
 	services := r.Fleet.Layout.Services
 	index := slices.IndexFunc(services, func(service layout.Service) bool { return service.Name == family.Service })
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// applyState applies a state on top of an expected version, or of "any".
+// applyState applies a state on top of an expected version, or of any version if expected is "any".
 func (r *Rehearsal) applyState(state *wire.DesiredState, expected string) (api.ApplyResult, error) {
 	return r.Operator.Apply(workload.EncodeState(state), expected, applyTimeout)
 }
@@ -139,7 +140,7 @@
 // action is one step of peak traffic.
 type action struct {
 	name          string
-	changesRoutes bool // left out of a quiet run
+	changesRoutes bool // skipped in runs without changes
 	run           func(r *Rehearsal) error
 }
 
@@ -152,21 +153,21 @@
 	killConfigStorePrimary = action{"the configuration store's primary is killed", false, (*Rehearsal).killConfigStorePrimary}
 )
 
-// peakActions repeat until the scenario's length has passed. After the last of them the configuration store's primary is killed
-// during a burst.
+// peakActions are repeated for the scenario's duration. After the last of them the configuration store's primary is killed during a
+// burst.
 var peakActions = []action{changeOneRoute, changeBurst, killProxy, operatorRace, changeOneRoute, restartProxy, changeBurst, changeOneRoute}
 
 func (r *Rehearsal) changeRoute() error {
-	r.peak.State = r.peak.Next()
-	_, err := r.applyState(r.peak.State, "any")
+	r.routeChanges.State = r.routeChanges.Next()
+	_, err := r.applyState(r.routeChanges.State, "any")
 	return err
 }
 
 func (r *Rehearsal) changeRoutesInBurst() error {
 	outcomes := make(chan error, burstSize)
 	for range burstSize {
-		r.peak.State = r.peak.Next()
-		state := r.peak.State
+		r.routeChanges.State = r.routeChanges.Next()
+		state := r.routeChanges.State
 		go func() {
 			_, err := r.applyState(state, "any")
 			outcomes <- err
@@ -180,10 +181,10 @@
 	return errors.Join(errs...)
 }
 
-// raceOperators has two operators apply different states on top of the same version. Exactly one of them must win.
+// raceOperators makes two operators apply different states on top of the same version. Exactly one of them must be accepted.
 func (r *Rehearsal) raceOperators() error {
-	r.peak.State = r.peak.Next()
-	first, err := r.applyState(r.peak.State, "any")
+	r.routeChanges.State = r.routeChanges.Next()
+	first, err := r.applyState(r.routeChanges.State, "any")
 	if err != nil {
 		return err
 	}
@@ -194,7 +195,7 @@
 	}
 	results := make(chan result, 2)
 	for range cap(results) {
-		state := r.peak.Next()
+		state := r.routeChanges.Next()
 		go func() {
 			applied, err := r.applyState(state, strconv.FormatUint(first.Version, 10))
 			results <- result{state, applied.Outcome, err}
@@ -205,17 +206,18 @@
 		one := <-results
 		err = errors.Join(err, one.err)
 		if one.outcome == "accepted" {
-			r.peak.State = one.state
+			r.routeChanges.State = one.state
 			accepted++
 		}
 	}
 	if err == nil && accepted != 1 {
-		r.AddFinding("%d of two operators that raced won", accepted)
+		r.AddFinding("%d of two racing operators were accepted instead of one", accepted)
 	}
 	return err
 }
 
-// killOneProxy kills a proxy and starts it again. Requests that were in flight there are excused by the markers around its end.
+// killOneProxy kills and restarts a proxy. The markers before and after the kill tell KeysExecutedOnce which attempts it may have
+// interrupted.
 func (r *Rehearsal) killOneProxy() error {
 	victim := randomItem(r.Fleet.Proxies)
 	r.History.RecordMarker(invariants.MarkerProxyKilled+victim.Name, r.Clock.Now())
@@ -239,13 +241,14 @@
 	return nil
 }
 
-// runPeakTraffic gives the scenario's course with its route changes, or a quiet one that pauses instead, at the same intervals.
+// runPeakTraffic returns the Run function of the peak traffic scenarios, with route changes or, for comparison, with the same intervals
+// but without them.
 func runPeakTraffic(changes bool) func(r *Rehearsal) error {
 	return func(r *Rehearsal) error {
 		began := time.Now()
-		for turn := 0; r.running(began); turn++ {
+		for turn := 0; r.withinDuration(began); turn++ {
 			next := time.Now().Add(actionInterval)
-			if err := r.act(peakActions[turn%len(peakActions)], changes); err != nil {
+			if err := r.perform(peakActions[turn%len(peakActions)], changes); err != nil {
 				return err
 			}
 			if turn%len(peakActions) == len(peakActions)-1 {
@@ -255,17 +258,17 @@
 			}
 			time.Sleep(time.Until(next))
 		}
-		r.Logf("no new requests; keys that were not served yet are retried")
+		r.Logf("no new requests; retrying those that were not served yet")
 		r.Load.FinishRetries()
 		if changes {
-			r.Logf("changes: %v", r.peak.Counts)
+			r.Logf("changes: %v", r.routeChanges.Counts)
 		}
 		return nil
 	}
 }
 
-// act carries out an action, unless it changes routes and that is not wanted.
-func (r *Rehearsal) act(one action, changes bool) error {
+// perform runs an action, unless it changes routes and changes is false.
+func (r *Rehearsal) perform(one action, changes bool) error {
 	if one.changesRoutes && !changes {
 		return nil
 	}
@@ -275,9 +278,9 @@
 
 func (r *Rehearsal) killPrimaryDuringBurst(changes bool) error {
 	burst := make(chan error, 1)
-	go func() { burst <- r.act(changeBurst, changes) }()
-	return errors.Join(r.act(killConfigStorePrimary, changes), <-burst)
+	go func() { burst <- r.perform(changeBurst, changes) }()
+	return errors.Join(r.perform(killConfigStorePrimary, changes), <-burst)
 }
 
-// IsLookup reports whether a kind of traffic is one of the lookups that backends send to one another.
+// IsLookup reports whether a kind of traffic is a lookup, which a backend sends to another service.
 func IsLookup(kind string) bool { return strings.HasPrefix(kind, "lookup") }
--- a/internal/rehearse/scenario/programs_test.go
+++ b/internal/rehearse/scenario/programs_test.go
@@ -17,8 +17,8 @@
 	"snowflow/internal/eventlog"
 )
 
-// exitCode is the exit code that an error of a command tells; -1 if the command did not run to its end.
-func exitCode(err error) int {
+// exitCodeOf returns the exit code of a command that ended with this error; -1 if the command did not run to its end.
+func exitCodeOf(err error) int {
 	if err == nil {
 		return 0
 	}
@@ -28,9 +28,9 @@
 	return -1
 }
 
-// TestBadStarts starts programs with invalid settings: all errors are reported at once, and the exit code is 2.
+// TestBadStarts starts programs with invalid settings. They must report all errors at once and end with exit code 2.
 func TestBadStarts(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	settings := filepath.Join(t.TempDir(), "env.json")
 	if err := os.WriteFile(settings, []byte(`{"name":"Core 1","listen":"localhost:70000","seeds":["127.0.0.1:1","here"],"voters":["a","a"],"colour":"blue"}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -38,37 +38,37 @@
 	for _, program := range []string{"registry", "configstore", "proxy"} {
 		t.Run(program, func(t *testing.T) {
 			output, err := exec.Command(filepath.Join(folder, program), "--env", settings, "--log", "loud").CombinedOutput()
-			if exitCode(err) != 2 {
+			if exitCodeOf(err) != 2 {
 				t.Errorf("%v\n%s", err, output)
 			}
 			if program != "proxy" && !strings.Contains(string(output), "voters: 2 voters; there must be three at least") {
-				t.Errorf("it accepts two voters\n%s", output)
+				t.Errorf("two voters are accepted\n%s", output)
 			}
 			for _, setting := range []string{"name:", "domain:", "listen:", "seeds:", "log:", "colour:"} {
 				if !strings.Contains(string(output), setting) {
-					t.Errorf("it does not report what is wrong with %s\n%s", setting, output)
+					t.Errorf("the error in setting %s is not reported\n%s", setting, output)
 				}
 			}
 		})
 	}
 }
 
-// TestBadRehearsals: what cannot be rehearsed ends with exit code 2 and the reason.
+// TestBadRehearsals runs rehearse with invalid options. It must end with exit code 2 and print the reason.
 func TestBadRehearsals(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	for _, arguments := range [][]string{{"run", "--scenario", "flood"}, {"run", "--layout", "moon"}, {"run", "--length", "soon"}, {"run", "--length", "-3s"},
 		{"run", "--binaries", "/nowhere"}, {"run", "--scenario", "versions", "--folder", t.TempDir(), "--subnet", "221", "--length", "1s"}} {
 		t.Run(strings.Join(arguments, " "), func(t *testing.T) {
 			output, err := exec.Command(filepath.Join(folder, "rehearse"), arguments...).CombinedOutput()
-			if exitCode(err) != 2 || len(output) == 0 {
+			if exitCodeOf(err) != 2 || len(output) == 0 {
 				t.Errorf("%v\n%s", err, output)
 			}
 		})
 	}
 }
 
-// start starts a program and kills it at the test's end, unless the test has waited for its end before.
-func start(t *testing.T, command *exec.Cmd) {
+// startProcess starts a program and kills it at the end of the test if it still runs.
+func startProcess(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
@@ -79,9 +79,10 @@
 	})
 }
 
-// TestStopTwice: a second signal changes nothing, and a successor that starts too early is told so and does not disturb the first.
+// TestStopTwice signals a draining proxy a second time and starts another process on its addresses. The signal must have no effect, and
+// the other process must fail with "address already in use" without disturbing the first.
 func TestStopTwice(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	arguments := []string{"--name", "proxy-1", "--domain", "north", "--listen", "127.232.0.1:7300", "--http", "127.232.0.1:7301", "--callers", "127.232.0.1:7302",
 		"--seeds", "127.232.0.1:7100,127.232.0.2:7100,127.232.0.3:7100"}
 	first := exec.Command(filepath.Join(folder, "proxy"), arguments...)
@@ -89,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	start(t, first)
+	startProcess(t, first)
 	lines := bufio.NewScanner(stderr)
 	awaitEvent := func(event int) {
 		t.Helper()
@@ -98,7 +99,7 @@
 				return
 			}
 		}
-		t.Fatalf("event %d never came: %v", event, lines.Err())
+		t.Fatalf("event %d was not logged: %v", event, lines.Err())
 	}
 	awaitEvent(eventlog.ProcessStarted)
 	for range 2 {
@@ -106,27 +107,27 @@
 	}
 	awaitEvent(eventlog.ProcessDraining)
 	output, err := exec.Command(filepath.Join(folder, "proxy"), arguments...).CombinedOutput()
-	if exitCode(err) != 1 || !strings.Contains(string(output), "address already in use") {
-		t.Errorf("the successor: %v\n%s", err, output)
+	if exitCodeOf(err) != 1 || !strings.Contains(string(output), "address already in use") {
+		t.Errorf("the second process: %v\n%s", err, output)
 	}
 	awaitEvent(eventlog.ProcessDrained)
 	for lines.Scan() {
 		continue
 	}
 	if err := first.Wait(); err != nil {
-		t.Errorf("the first one ended with %v", err)
+		t.Errorf("the first process ended with %v", err)
 	}
 }
 
-// TestIsolatedConfigStore: a configuration store that reaches no other rejects applies as certainly not executed, and invalid ones
-// for what is wrong with them.
+// TestIsolatedConfigStore applies desired states to a configuration store that cannot reach the others. It must reject a valid one as
+// certainly not applied, and invalid ones with their errors.
 func TestIsolatedConfigStore(t *testing.T) {
-	folder := binaries(t)
+	folder := buildBinaries(t)
 	isolated := exec.Command(filepath.Join(folder, "configstore"), "--name", "configstore-1", "--domain", "north", "--listen", "127.233.0.1:7200", "--http", "127.233.0.1:7201",
 		"--seeds", "127.233.0.1:7200,127.233.0.2:7200,127.233.0.3:7200", "--voters", "configstore-1,configstore-2,configstore-3", "--data", filepath.Join(t.TempDir(), "data"))
 	var log bytes.Buffer
 	isolated.Stderr = &log
-	start(t, isolated)
+	startProcess(t, isolated)
 	awaitPage(t, "http://127.233.0.1:7201/live", &log)
 	valid := `{"groups":[{"name":"field","services":[{"name":"one","paths":[{"method":"GET","prefix":"/a","class":"read"}]}]}]}`
 	for _, one := range []struct{ name, body, want string }{
@@ -155,7 +156,7 @@
 	}
 }
 
-// awaitPage waits until a page responds.
+// awaitPage waits until a URL responds.
 func awaitPage(t *testing.T, page string, log *bytes.Buffer) {
 	t.Helper()
 	for turn := 0; ; turn++ {
@@ -169,7 +170,7 @@
 	}
 }
 
-// TestSecondProcessIsRejected: a data folder belongs to one process.
+// TestSecondProcessIsRejected starts a second process on a data folder that is in use. It must fail.
 func TestSecondProcessIsRejected(t *testing.T) {
 	chosen := options(t, "steady", 231)
 	dataDir := filepath.Join(chosen.Dir, "data")
@@ -180,8 +181,8 @@
 	first := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.1")...)
 	var log bytes.Buffer
 	first.Stderr = &log
-	start(t, first)
-	awaitPage(t, "http://127.231.0.1:7101/live", &log) // it holds the folder's lock once its pages respond
+	startProcess(t, first)
+	awaitPage(t, "http://127.231.0.1:7101/live", &log) // once this responds, the process holds the folder's lock
 	output, err := exec.Command(filepath.Join(chosen.BinaryDir, "registry"), arguments("127.231.0.2")...).CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "in use by another process") {
 		t.Fatalf("%v\n%s", err, output)
