--- a/internal/rehearse/scenario/crashes.go
+++ b/internal/rehearse/scenario/crashes.go
@@ -47,7 +47,7 @@
 
 func killControlPlane(r *Rehearsal) error {
 	r.Wait(r.fractionOfDuration(0.4))
-	core := r.Fleet.Core()
+	core := r.Fleet.ControlPlane()
 	for _, process := range core {
 		process.Kill()
 	}
--- a/internal/rehearse/scenario/planned_stops.go
+++ b/internal/rehearse/scenario/planned_stops.go
@@ -133,7 +133,7 @@
 	var objections []string
 	for ; time.Since(began) < 30*time.Second; time.Sleep(100 * time.Millisecond) {
 		mesh, err := doctor.Gather(addresses, 5*time.Second)
-		if _, objections = doctor.Safe(mesh, names); err == nil && len(objections) == 0 {
+		if _, objections = doctor.StopObjections(mesh, names); err == nil && len(objections) == 0 {
 			r.Logf("%v can be stopped safely after %d ms", names, time.Since(began).Milliseconds())
 			return true
 		}
