--- a/internal/proxy/configclient/adopt.go
+++ b/internal/proxy/configclient/adopt.go
@@ -166,12 +166,12 @@
 	c.mu.Lock()
 	c.released, c.leaseExpiry = true, 0
 	c.mu.Unlock()
-	leader := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
-	if leader == "" {
+	primary := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
+	if primary == "" {
 		return
 	}
 	request := &wire.ConfigPollRequest{Proxy: c.options.Proxy, Incarnation: c.options.Incarnation, Release: true}
-	_ = c.resolver.Call(leader, wire.Kind_config_poll, request, &wire.ConfigPollResponse{}, timeout)
+	_ = c.resolver.Call(primary, wire.Kind_config_poll, request, &wire.ConfigPollResponse{}, timeout)
 }
 
 // reportLeaseExpiry reports once that the lease has expired, if the proxy needs one to serve.
--- a/internal/proxy/configclient/key_lease_search_test.go
+++ b/internal/proxy/configclient/key_lease_search_test.go
@@ -13,7 +13,8 @@
 // It checks that no request with that key runs if it is sent more than modelRevocationTicks after the revocation is acknowledged.
 //
 // Not covered: that no two stores have a lease at once and that a new primary knows every acknowledged version, which the searches of
-// package consensus and package replication check; the proxy beside the backend, because a request is sent before its key is checked.
+// package consensus and package replication check; the proxy on the backend's host, because the time limit counts until the request
+// is sent, which is before its key is checked.
 
 const (
 	modelStores = 2
--- a/internal/proxy/configclient/pending.go
+++ b/internal/proxy/configclient/pending.go
@@ -47,20 +47,20 @@
 	c.pending = pending
 }
 
-// AbandonSuperseded ends the pending poll if it was sent to a process other than the currently known primary. Otherwise the client
-// would wait for a process that is cut off until the poll's timeout, which allows for the transfer of long content. It must be called
+// AbandonSuperseded ends the pending poll if it was sent to a store other than the currently known primary. Otherwise the client
+// would wait for a store that is cut off until the poll's timeout, which allows for the transfer of long content. It must be called
 // regularly and doesn't block.
 func (c *Client) AbandonSuperseded() {
-	leader := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
+	primary := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
 	c.mu.Lock()
 	pending := c.pending
 	c.mu.Unlock()
-	if pending.target != "" && leader != "" && leader != pending.target && c.hasConfirmedVersion() {
+	if pending.target != "" && primary != "" && primary != pending.target && c.hasConfirmedVersion() {
 		pending.finished.Fire()
 	}
 }
 
-// hasConfirmedVersion reports whether a version of a primary has been adopted. Until then, polls go to other processes too.
+// hasConfirmedVersion reports whether a version of a primary has been adopted. Until then, polls go to other stores too.
 func (c *Client) hasConfirmedVersion() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/configclient/poll.go
+++ b/internal/proxy/configclient/poll.go
@@ -115,18 +115,18 @@
 // pollTarget returns the configuration store to poll, empty if none is known: usually the primary. If ServeStale is set and no version
 // of a primary has been adopted, every second poll goes to one of all configuration stores in turn instead.
 func (c *Client) pollTarget(current uint64) string {
-	leader := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
+	primary := c.resolver.PrimaryName(discovery.ConfigStoreGroup)
 	if current > 0 || !c.options.ServeStale {
-		return leader
+		return primary
 	}
 	c.pollsWithoutVersion++
-	if leader != "" && c.pollsWithoutVersion%2 == 1 {
-		return leader
+	if primary != "" && c.pollsWithoutVersion%2 == 1 {
+		return primary
 	}
 	if members := c.resolver.Members(discovery.ConfigStoreGroup); len(members) > 0 {
 		return members[c.pollsWithoutVersion/2%len(members)]
 	}
-	return leader
+	return primary
 }
 
 // ping reports whether a configuration store responds. The client sends it before the first poll after a failed one: without it, a
--- a/internal/proxy/session/batch.go
+++ b/internal/proxy/session/batch.go
@@ -139,14 +139,14 @@
 }
 
 // finish stores the response to a call and wakes its caller, unless the caller has timed out.
-func (b *batcher) finish(call *pendingCall, answer proto.Message) {
+func (b *batcher) finish(call *pendingCall, response proto.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if call.finished {
 		return
 	}
 	call.finished, call.err = true, nil
-	proto.Merge(call.response, answer)
+	proto.Merge(call.response, response)
 	call.done.Fire()
 }
 
--- a/internal/proxy/session/batch_sender.go
+++ b/internal/proxy/session/batch_sender.go
@@ -104,8 +104,8 @@
 		if index < len(outcomes) {
 			outcome = outcomes[index]
 		}
-		if answer := batchResponse(call.request, outcome.GetResult()); answer != nil {
-			b.finish(call, answer)
+		if response := batchResponse(call.request, outcome.GetResult()); response != nil {
+			b.finish(call, response)
 			continue
 		}
 		rejection = apierror.Refused.New("%s: %s", name, outcome.Error)
--- a/internal/proxy/session/leader_call.go
+++ b/internal/proxy/session/leader_call.go
@@ -82,12 +82,12 @@
 	sent := c.send(name, kind, request, response.ProtoReflect().New().Interface(), timeout)
 	for delay := leaderCheckDelay; ; delay = leaderCheckInterval {
 		sent.done.Wait(min(delay, max(deadline-c.host.Now(), 0)+monotonic.Millisecond))
-		answered, err := sent.result()
+		ended, err := sent.result()
 		switch {
-		case answered && err == nil:
+		case ended && err == nil:
 			proto.Merge(response, sent.response)
 			return nil
-		case answered:
+		case ended:
 			return err
 		case name != c.resolver.PrimaryName(registryGroup):
 			return apierror.Lost.New("%s doesn't lead any more", name)
@@ -98,12 +98,12 @@
 
 // sentMessage is a message in flight, and its response once that has arrived. Its sender may stop waiting for it.
 type sentMessage struct {
-	response proto.Message // must not be read before answered is set
+	response proto.Message // must not be read before ended is set
 	done     host.Signal
 
-	mu       sync.Mutex // guards the fields below
-	answered bool       // the call has ended, with a response or an error
-	err      error
+	mu    sync.Mutex // guards the fields below
+	ended bool       // the call has ended, with a response or an error
+	err   error
 }
 
 // send sends a message in a new task, which ends at the timeout at the latest.
@@ -112,7 +112,7 @@
 	c.host.Go(func() {
 		err := c.resolver.Call(name, kind, request, response, timeout)
 		sent.mu.Lock()
-		sent.err, sent.answered = err, true
+		sent.err, sent.ended = err, true
 		sent.mu.Unlock()
 		sent.done.Fire()
 	})
@@ -120,8 +120,8 @@
 }
 
 // result reports whether the call has ended, and its error.
-func (s *sentMessage) result() (answered bool, err error) {
+func (s *sentMessage) result() (ended bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answered, s.err
+	return s.ended, s.err
 }
--- a/internal/proxy/session/snapshot_test.go
+++ b/internal/proxy/session/snapshot_test.go
@@ -139,7 +139,7 @@
 }
 
 // runFaults executes a run of 400 steps. It returns the first violation, and the update counts of the clients that receive deltas.
-func runFaults(t *testing.T, seed uint64, unchecked bool) (wrong string, counts UpdateCounts) {
+func runFaults(t *testing.T, seed uint64, unchecked bool) (violation string, counts UpdateCounts) {
 	t.Helper()
 	runProcess(t, seed, func(_ *world.World, process *world.Host) {
 		run := &faultRun{
@@ -155,15 +155,15 @@
 			run.pairs = append(run.pairs, run.newPair())
 		}
 		for step := range 400 {
-			if found := run.step(); found != "" && wrong == "" {
-				wrong = fmt.Sprintf("step %d: %s", step, found)
+			if found := run.step(); found != "" && violation == "" {
+				violation = fmt.Sprintf("step %d: %s", step, found)
 			}
 		}
 		for _, pair := range run.pairs {
 			counts.add(pair.deltas.UpdateCounts())
 		}
 	})
-	return wrong, counts
+	return violation, counts
 }
 
 func (u *UpdateCounts) add(other UpdateCounts) {
@@ -186,7 +186,7 @@
 }
 
 // step makes one random change, delivers heartbeats, and makes some clients poll. It returns the first violation.
-func (f *faultRun) step() (wrong string) {
+func (f *faultRun) step() (violation string) {
 	f.process.Sleep(monotonic.Micros(f.random.Uint64N(uint64(300 * monotonic.Millisecond))))
 	f.change()
 	f.heartbeat()
@@ -194,11 +194,11 @@
 		if f.random.IntN(2) > 0 {
 			continue
 		}
-		if found := pair.poll(f.random, f.registries[f.random.IntN(4)/3], f.reordering); found != "" && wrong == "" {
-			wrong = found
+		if found := pair.poll(f.random, f.registries[f.random.IntN(4)/3], f.reordering); found != "" && violation == "" {
+			violation = found
 		}
 	}
-	return wrong
+	return violation
 }
 
 // change changes a session, or restarts a server or a client.
@@ -262,9 +262,9 @@
 func TestDeltasEqualSnapshots(t *testing.T) {
 	sum := UpdateCounts{}
 	for seed := range uint64(24) {
-		wrong, counts := runFaults(t, seed, false)
-		if wrong != "" {
-			t.Errorf("seed %d: %s", seed, wrong)
+		violation, counts := runFaults(t, seed, false)
+		if violation != "" {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		sum.add(counts)
 	}
@@ -277,8 +277,8 @@
 // TestUncheckedDeltasAreDetected: the checks of this test detect clients that apply deltas without checking base and digest.
 func TestUncheckedDeltasAreDetected(t *testing.T) {
 	for seed := range uint64(20) {
-		if wrong, _ := runFaults(t, seed, true); wrong != "" {
-			t.Logf("seed %d: %s", seed, wrong)
+		if violation, _ := runFaults(t, seed, true); violation != "" {
+			t.Logf("seed %d: %s", seed, violation)
 			return
 		}
 	}
