--- a/internal/proxy/admission/preconditions.go
+++ b/internal/proxy/admission/preconditions.go
@@ -42,7 +42,7 @@
 
 func (c *Controller) checkIncarnation(req *wire.ForwardRequest) *apierror.Error {
 	if req.ToIncarnation != c.options.Incarnation {
-		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "addressed to another incarnation of this proxy")
+		return apierror.New(apierror.BackendUnknown, apierror.NotRun, "the request is addressed to another incarnation of this proxy")
 	}
 	return nil
 }
--- a/internal/proxy/admission/serve.go
+++ b/internal/proxy/admission/serve.go
@@ -13,7 +13,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// reportedFaults maps the causes of faults that are reported to operators, and not only to the caller, to their events.
+// reportedFaults maps causes to events: a fault with one of these causes is reported to operators, and not only to the caller.
 var reportedFaults = map[apierror.Cause]int{
 	apierror.ResponseBroken:          eventlog.ResponseBroken,
 	apierror.BackendIdentityMismatch: eventlog.IdentityMismatch,
@@ -183,7 +183,7 @@
 		return fault
 	}
 	if !e.task.Start() {
-		return apierror.New(apierror.StoppedInFlight, apierror.NotRun, "abandoned before the request was sent")
+		return apierror.New(apierror.StoppedInFlight, apierror.NotRun, "this proxy is stopping and abandoned the request before it was sent")
 	}
 	return nil
 }
--- a/internal/proxy/upstream/transport.go
+++ b/internal/proxy/upstream/transport.go
@@ -132,7 +132,7 @@
 	_ = dialled.net.SetDeadline(earlierTime(deadline, time.Now().Add(dialTimeout)))
 	if err := dialled.identify(req.Backend); err != nil {
 		_ = dialled.net.Close()
-		return nil, apierror.New(apierror.BackendIdentityMismatch, apierror.NotRun, "%s: %v", req.Backend.Address, err)
+		return nil, apierror.New(apierror.BackendIdentityMismatch, apierror.NotRun, "identity check of %s: %v", req.Backend.Address, err)
 	}
 	return dialled, nil
 }
@@ -146,14 +146,14 @@
 
 // reuse returns an idle connection on which a request may be sent, or nil. It closes the unusable ones that it finds.
 func (t *Transport) reuse(req admission.BackendRequest) *backendConn {
-	maxIdleForOnce := t.dialect.MaxIdleForNonRetryable
-	if req.FreshConnection && maxIdleForOnce <= 0 {
+	maxIdle := t.dialect.MaxIdleForNonRetryable
+	if req.FreshConnection && maxIdle <= 0 {
 		return nil
 	}
 	instance, id := req.Backend.Instance, t.dialect.RequestID(req)
 	for conn := t.takeIdle(instance, id); conn != nil; conn = t.takeIdle(instance, id) {
 		conn.idleFor = time.Since(conn.idleSince)
-		freshEnough := !req.FreshConnection || conn.idleFor < maxIdleForOnce
+		freshEnough := !req.FreshConnection || conn.idleFor < maxIdle
 		if conn.reusable() && freshEnough && t.mayReuse(instance, conn.idleFor) {
 			return conn
 		}
