--- a/internal/proxy/admission/claim.go
+++ b/internal/proxy/admission/claim.go
@@ -110,8 +110,8 @@
 	return nil, apierror.New(apierror.ClaimUnreachable, apierror.MayHaveRun, "unknown claim outcome %q", reply.Outcome)
 }
 
-// claimUntilDeadline repeats the claim until the request's deadline. If the registry still can't be reached by then, and may have
-// granted the claim during this call or, if mayBeGranted is set, before it, the claim is released.
+// claimUntilDeadline repeats the claim until the request's deadline. mayBeGranted is set if an earlier call may have been granted
+// although its reply did not arrive. If the registry can't be reached by the deadline, a claim that it may have granted is released.
 func (c *Controller) claimUntilDeadline(req *wire.ForwardRequest, deadline monotonic.Micros, mayBeGranted bool) claimResult {
 	result := c.claim(req, deadline, deadline, func() {})
 	unreachable := result.fault != nil && result.fault.Cause == apierror.ClaimUnreachable
--- a/internal/proxy/admission/health.go
+++ b/internal/proxy/admission/health.go
@@ -41,8 +41,9 @@
 	return load
 }
 
-// neutralCauses are the causes of faults that say nothing about the backend's health: the backend was not called, or the request
-// had too little time left. A backend that takes far longer than usual is detected by its latency.
+// neutralCauses are the causes of faults that say nothing about the backend's health: the backend was not called, the request had
+// too little time left, or the response was too large or not for this request. A backend that takes far longer than usual is
+// detected by its latency.
 var neutralCauses = map[apierror.Cause]bool{
 	apierror.ResponseTimeout:    true,
 	apierror.ResponseTooLarge:   true,
--- a/internal/proxy/admission/permit.go
+++ b/internal/proxy/admission/permit.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// breakerWaitDivisor bounds the wait for a slot: the time for which the circuit breaker stays open is divided by it. A request
+	// breakerWaitDivisor bounds the wait for a slot to the time for which the circuit breaker stays open, divided by this. A request
 	// that was admitted while the breaker was closed must not reach the backend among the probes that follow the open state.
 	breakerWaitDivisor = 2
 	// claimSlotTimeout is how long a request keeps its slot while its claim is not answered. Claims usually take much less time.
--- a/internal/proxy/admission/uplink/uplink.go
+++ b/internal/proxy/admission/uplink/uplink.go
@@ -1,5 +1,6 @@
 // Package uplink admits requests with large responses as far as a host's network link has capacity for them. It tracks how long the
-// link is busy with the responses being sent and with those that are reserved by requests in flight. Callers pass the time.
+// link will be busy with the responses being sent and with those for which requests in flight have reserved capacity. Callers pass
+// the time.
 package uplink
 
 import (
@@ -9,8 +10,8 @@
 )
 
 const (
-	// largeResponse is the usual size in bytes of a route's responses from which its requests may be rejected. Smaller responses only
-	// count as traffic.
+	// largeResponse is a size in bytes. The requests of a route may be rejected only if its responses usually have at least this
+	// size; smaller responses only count as traffic.
 	largeResponse = 8 << 10
 	// sizeWindow is the number of responses over which a route's usual size is averaged; the newest ones have the most weight.
 	sizeWindow = 16
--- a/internal/proxy/localbackends/doc.go
+++ b/internal/proxy/localbackends/doc.go
@@ -7,11 +7,11 @@
 //   - leaving: it announced that it drains; it never becomes available again under the same instance id;
 //   - departed: it deregistered; the instance id can't be registered again while its entry or tombstone exists.
 //
-// An entry without a heartbeat for a minute is removed. If another instance takes over the address of an instance, the latter's
-// entry is replaced by a tombstone, which lasts as long, so that late reports of that instance are ignored.
+// An entry without a heartbeat for a minute is removed. If another instance registers with the same address, the entry of the
+// earlier instance is replaced by a tombstone, so that its late reports are ignored. The tombstone lasts a minute too.
 //
 // The proxy's session announces the backends to the registry; the function passed to [New] is called when that must happen at
-// once. Other proxies choose among the announced backends, but this package has the final say: it admits a request only to an
+// once. Other proxies choose among the announced backends, but this package decides: it admits a request only to an
 // available backend with a free slot ([Set.Admit]), and only if the backend's outlier detection admits it ([Set.Observe]).
 //
 // Nothing is persisted: after a restart of the proxy its backends register again.
--- a/internal/proxy/localbackends/outlier.go
+++ b/internal/proxy/localbackends/outlier.go
@@ -113,7 +113,7 @@
 // toThousandths encodes a ratio as the whole number that a message has for it.
 func toThousandths(ratio float64) uint32 { return uint32(min(ratio, maxRatio) * ratioScale) }
 
-// BackendHealth is the health of a backend as shown to operators.
+// BackendHealth is the health of a backend as shown to operators. The JSON keys are part of their API.
 type BackendHealth struct {
 	Service      string  `json:"service"`
 	Instance     string  `json:"instance"`
--- a/internal/proxy/replay/store.go
+++ b/internal/proxy/replay/store.go
@@ -43,8 +43,8 @@
 	return &Store{TTL: defaultTTL, clock: clock, entries: map[string]*entry{}}
 }
 
-// Put stores the response to the request with a scope and digest. A response that is too large isn't stored. A
-// stored response isn't replaced until it expires.
+// Put stores the response to the request with a scope and digest, unless it is too large. A stored response isn't replaced until it
+// expires.
 func (s *Store) Put(scope string, digest []byte, response *request.Response) {
 	if len(response.Body) > maxResponseBytes {
 		return
--- a/internal/proxy/singleton/singleton.go
+++ b/internal/proxy/singleton/singleton.go
@@ -17,7 +17,7 @@
 const (
 	// callTimeout bounds one call to the registry. It's long enough to outlast a failover of the registry.
 	callTimeout = 3 * monotonic.Second
-	// clockDriftDivisor is the divisor of a lease's length that gives the margin for clock drift, by which the backend stops earlier.
+	// clockDriftDivisor sets the margin for clock drift: the backend's lease ends earlier by its length divided by this.
 	clockDriftDivisor = 50
 	// ignoredExpiryFactor is the factor by which Client.IgnoreExpiry extends leases.
 	ignoredExpiryFactor = 2
@@ -60,7 +60,7 @@
 // Acquire requests or renews the lease on a role for a backend. length is the requested duration in microseconds. After an error, an
 // earlier lease remains valid until its original end.
 func (c *Client) Acquire(role, instance string, length monotonic.Micros) (Grant, error) {
-	if settings.CheckName(role) != nil {
+	if settings.CheckName(role) != nil { // the backends' API calls a role a duty
 		return Grant{}, apierror.Invalid.New("a duty's name is a lower-case letter, then up to 62 letters, digits or hyphens")
 	}
 	if !c.options.Available(instance) {
--- a/internal/proxy/tenantstats/tenantstats.go
+++ b/internal/proxy/tenantstats/tenantstats.go
@@ -1,4 +1,4 @@
-// Package tenantstats counts a proxy's requests by tenant, and requests that were rejected because they have no valid tenant by reason.
+// Package tenantstats counts a proxy's requests by tenant, and by reason those that were rejected because they have no valid tenant.
 // The size of its report is bounded: it lists the tenants with the most requests by name, and the sum of all others.
 package tenantstats
 
