--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -38,8 +38,8 @@
 	return attemptResult{fault: fault, retriable: retriable, lastBackend: a.lastBackend}
 }
 
-// failWithoutEvidence ends an attempt that must not be retried, and whose outcome counts neither for nor against its backend.
-func (a *attempt) failWithoutEvidence(fault *apierror.Error) attemptResult {
+// failNeutral ends an attempt that must not be retried, and whose outcome counts neither for nor against its backend.
+func (a *attempt) failNeutral(fault *apierror.Error) attemptResult {
 	a.permit.Done(breaker.Neutral)
 	return a.fail(fault, false)
 }
@@ -88,19 +88,19 @@
 func (f *Forwarder) run(a *attempt) attemptResult {
 	remaining := a.exchange.Deadline - f.config.Host.Now()
 	if remaining <= 0 {
-		return a.failWithoutEvidence(apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the deadline passed before the request was forwarded"))
+		return a.failNeutral(apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the deadline passed before the request was forwarded"))
 	}
 	message := f.newForwardRequest(a, remaining)
 	if !a.exchange.task.Start() {
-		return a.failWithoutEvidence(apierror.New(apierror.StoppedInFlight, apierror.NotRun, "the proxy stopped before the request was forwarded"))
+		return a.failNeutral(apierror.New(apierror.StoppedInFlight, apierror.NotRun, "the proxy stopped before the request was forwarded"))
 	}
 	if !a.exchange.cancellation.Begin(a.cancellable(message.Id)) {
-		return a.failWithoutEvidence(apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected"))
+		return a.failNeutral(apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected"))
 	}
 	response, err := f.send(a.candidate, message, remaining)
 	if a.exchange.cancellation.End() {
 		// The outcome of a cancelled attempt says nothing about the backend, and nobody waits for its response.
-		return a.failWithoutEvidence(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
+		return a.failNeutral(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
 	}
 	if err != nil {
 		return f.handleLostResponse(a, message, err)
--- a/internal/proxy/loadbalancer/silence.go
+++ b/internal/proxy/loadbalancer/silence.go
@@ -34,7 +34,7 @@
 	attempts int              // number of attempts in flight
 	since    monotonic.Micros // when the proxy last responded or the first attempt began
 	address  string
-	probed   bool // a health check is in flight
+	probing   bool // a health check is in flight
 }
 
 func newSilenceDetector(timeout monotonic.Micros) silenceDetector {
@@ -81,8 +81,8 @@
 func (d silenceDetector) beginProbes(now monotonic.Micros) (silent []*pendingResponses) {
 	for _, proxy := range slices.Sorted(maps.Keys(d.pending)) {
 		pending := d.pending[proxy]
-		if now-pending.since >= d.timeout && !pending.probed {
-			pending.probed = true
+		if now-pending.since >= d.timeout && !pending.probing {
+			pending.probing = true
 			silent = append(silent, pending)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // endProbe records the end of a health check. A proxy that passed it is slow but alive, so its silence timeout restarts.
 func (p *pendingResponses) endProbe(passed bool, now monotonic.Micros) {
-	p.probed = false
+	p.probing = false
 	if passed {
 		p.since = now
 	}
