--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -113,9 +113,9 @@
 	return f
 }
 
-// ProbeSilentPeers sends a health check to each peer proxy that has requests in flight and has not responded within
+// ProbeSilentProxies sends a health check to each peer proxy that has requests in flight and has not responded within
 // SilenceTimeout. A failed check closes its connection, so that those requests can be retried before their deadlines.
-func (f *Forwarder) ProbeSilentPeers() { f.balancer.ProbeSilentProxies() }
+func (f *Forwarder) ProbeSilentProxies() { f.balancer.ProbeSilentProxies() }
 
 // ProbeInterval returns the interval at which ProbeSilentPeers must be called, in microseconds.
 func (f *Forwarder) ProbeInterval() monotonic.Micros { return f.balancer.ProbeInterval() }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -180,7 +180,7 @@
 
 // Start starts the proxy's background tasks, which run until the process ends.
 func (p *Proxy) Start() {
-	p.clockWatch.Every(p.Forwarder.ProbeInterval(), p.Forwarder.ProbeSilentPeers)
+	p.clockWatch.Every(p.Forwarder.ProbeInterval(), p.Forwarder.ProbeSilentProxies)
 	p.clockWatch.Every(sweepInterval, p.LocalBackends.Sweep)
 	p.clockWatch.Every(configclient.SupersededCheckInterval, p.ConfigClient.AbandonSuperseded)
 	for _, task := range []func(){p.clockWatch.Run, p.ConfigClient.Run, p.Session.Run, p.Breakers.SendWrites} {
