--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -27,7 +27,7 @@
 type attemptResult struct {
 	response *request.Response
 	fault    *apierror.Error
-	// retriable is true if another attempt can't make the request run twice.
+	// retriable is true if another attempt is safe: the request hasn't run, or may run more than once.
 	retriable bool
 	// lastBackend is true if no other backend may be tried.
 	lastBackend bool
@@ -49,7 +49,7 @@
 	return attemptResult{fault: fault, lastBackend: true}
 }
 
-// attemptBackend makes one attempt and adds its backend to tried. It prefers a backend that hasn't been tried.
+// attemptBackend makes one attempt, at a backend that isn't in tried if there is one, and adds that backend to tried.
 func (f *Forwarder) attemptBackend(exchange *Exchange, tried map[string]bool) attemptResult {
 	snapshot, leaseValid := f.config.ConfigClient.Current()
 	if !leaseValid {
@@ -192,7 +192,7 @@
 	}
 	a.permit.Done(outcome)
 	f.balancer.ObserveOutcome(instance, outcome == breaker.Failure)
-	answer := &request.Response{
+	backendResponse := &request.Response{
 		Status:        response.Status,
 		Headers:       response.Headers,
 		Body:          response.Body,
@@ -200,7 +200,7 @@
 		ConfigVersion: exchange.Snapshot.Version,
 	}
 	if exchange.RunOnce && f.config.StoreResponse != nil {
-		f.config.StoreResponse(exchange.IdempotencyScope, exchange.Digest, answer)
+		f.config.StoreResponse(exchange.IdempotencyScope, exchange.Digest, backendResponse)
 	}
-	return attemptResult{response: answer, lastBackend: a.lastBackend}
+	return attemptResult{response: backendResponse, lastBackend: a.lastBackend}
 }
--- a/internal/proxy/forward/doc.go
+++ b/internal/proxy/forward/doc.go
@@ -7,10 +7,10 @@
 //     tenant, require an idempotency key, limit the body size, limit the requests in flight.
 //  2. Attempts, one after another (retries.go). Each is admitted by the service's breaker, gets a backend from the load
 //     balancer, and is sent to that backend's proxy (attempt.go). A request that is rejected before any backend saw it is
-//     redispatched to another backend at once. After other failures it is retried with a backoff, provided that a retry can't
-//     make it run twice, and that the route's number of attempts, the deadline and the service's retry budget allow it.
+//     redispatched to another backend at once. After other failures it is retried with a backoff if it hasn't run or may run more
+//     than once, and if the limit of attempts, the deadline and the service's retry budget allow it.
 //  3. The verdict, if the request failed (verdict.go). NotRun must hold for the idempotency key, not only for this request. A
-//     request with a key gets this verdict only after the registry has voided the key's attempts and fenced the key.
+//     request with a key gets this verdict only after the registry has found the key unclaimed and fenced it.
 //
 // If the caller disconnects, the attempt in flight is cancelled (cancellation.go).
 //
@@ -18,6 +18,6 @@
 // Retry-After jitter. All of it is lost when the process ends. The claims of idempotency keys must survive that; they are in the
 // registry's log, and the forwarder calls the registry's leader through Config.CallLeader.
 //
-// The ingress calls Forward, and a timer calls ProbeSilentPeers each ProbeInterval. The proxy's shutdown calls StopAccepting,
+// The ingress calls Forward, and a timer calls ProbeSilentProxies each ProbeInterval. The proxy's shutdown calls StopAccepting,
 // then Drain, then Abort for the requests that are still in flight, and Drain again until these have been answered.
 package forward
--- a/internal/proxy/forward/forwarder.go
+++ b/internal/proxy/forward/forwarder.go
@@ -113,11 +113,11 @@
 	return f
 }
 
-// ProbeSilentProxies sends a health check to each peer proxy that has requests in flight and has not responded within
+// ProbeSilentProxies sends a health check to each proxy that has requests in flight and has not responded within
 // SilenceTimeout. A failed check closes its connection, so that those requests can be retried before their deadlines.
 func (f *Forwarder) ProbeSilentProxies() { f.balancer.ProbeSilentProxies() }
 
-// ProbeInterval returns the interval at which ProbeSilentPeers must be called, in microseconds.
+// ProbeInterval returns the interval at which ProbeSilentProxies must be called, in microseconds.
 func (f *Forwarder) ProbeInterval() monotonic.Micros { return f.balancer.ProbeInterval() }
 
 // DisableRetryAfterJitter leaves Retry-After hints unchanged, so that the effect of the jitter can be measured. No program calls it.
@@ -208,9 +208,8 @@
 	return response, nil
 }
 
-// newExchange returns the exchange of a request whose route isn't resolved yet. Its deadline is provisional, until the resolve
-// policy sets the request's own: if the request fails before, the registry may have to confirm the verdict (confirmVerdict),
-// which may take up to voidTimeout.
+// newExchange returns the exchange of a request whose route isn't resolved yet. Until the resolve policy sets the deadline, it is
+// voidTimeout from now: if the request fails before that, confirmVerdict may need this time.
 func (f *Forwarder) newExchange(req *request.Request, task *shutdown.Task) *Exchange {
 	now := f.config.Host.Now()
 	return &Exchange{
--- a/internal/proxy/forward/retries.go
+++ b/internal/proxy/forward/retries.go
@@ -10,7 +10,7 @@
 const (
 	// minRetryTime is the time that must be left before the deadline after the backoff; with less there is no retry.
 	minRetryTime = 50 * monotonic.Millisecond
-	// newerConfigTimeout is how long to wait for a newer configuration after a rejection because of its version.
+	// newerConfigTimeout is how long to wait for a newer configuration after a rejection because of the configuration version.
 	newerConfigTimeout = 300 * monotonic.Millisecond
 )
 
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// resolveAgain resolves an exchange in the newest configuration, after a rejection because of its version or after a newer
-// version was adopted. It changes nothing if the request would then have another route or another class.
+// resolveAgain resolves an exchange in the newest configuration, after a rejection because of the configuration version or after a
+// newer version was adopted. It changes nothing if the request would then have another route or another class.
 func (f *Forwarder) resolveAgain(exchange *Exchange) {
 	f.config.ConfigClient.WaitForVersion(exchange.Snapshot.Version+1, newerConfigTimeout)
 	snapshot, leaseValid := f.config.ConfigClient.Current()
--- a/internal/proxy/forward/verdict.go
+++ b/internal/proxy/forward/verdict.go
@@ -46,7 +46,7 @@
 	return a.fail(apierror.New(apierror.ForwardLost, apierror.MayHaveRun, "%s: %v", proxy, cause), false)
 }
 
-// handleRejection ends an attempt that the backend's proxy rejected or that the backend failed.
+// handleRejection ends an attempt that the backend's proxy rejected, or that failed at the backend.
 func (f *Forwarder) handleRejection(a *attempt, response *wire.ForwardResponse, backendOnly bool) attemptResult {
 	fault := rejectionFault(response)
 	outcome := breaker.Neutral
@@ -78,8 +78,9 @@
 	}
 }
 
-// voidAttempt asks the registry to ensure that an attempt never runs. With fence the registry also rejects the key from now on for
-// every request that was read earlier. It returns the claim's state, or an empty string if the registry can't be reached in time.
+// voidAttempt asks the registry to ensure that an attempt never runs. With fence the registry also refuses the key from now on to every
+// request that was read earlier. It returns idempotency.Voided if both are ensured, idempotency.Claimed if an attempt has claimed
+// the key, or an empty string if the registry can't be reached in time.
 func (f *Forwarder) voidAttempt(exchange *Exchange, attempt string, fence bool) string {
 	timeout := min(max(exchange.Deadline-f.config.Host.Now(), minVoidTimeout), voidTimeout)
 	message := &wire.VoidClaimRequest{Scope: exchange.IdempotencyScope, Digest: exchange.Digest, Attempt: attempt, Fence: fence, FormerScope: exchange.FormerScope}
@@ -95,8 +96,8 @@
 }
 
 // confirmVerdict ensures that a verdict holds for the idempotency key, not only for one attempt. A request with a key gets the
-// verdict NotRun only after the registry has voided the key's claim and fenced the key, so that no request that was read earlier
-// can still run under it. It is called once per failed request, when no further attempt can follow.
+// verdict NotRun only after the registry has found the key unclaimed and fenced it, so that no request that was read earlier can
+// still run under it. It is called once per failed request, when no further attempt can follow.
 func (f *Forwarder) confirmVerdict(exchange *Exchange, fault *apierror.Error) *apierror.Error {
 	if exchange.MayHaveRun && fault.NotRun() {
 		return asMayHaveRun(fault)
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -31,8 +31,8 @@
 	lastRetryAt monotonic.Micros // when the last token was withdrawn
 }
 
-// NewBudget returns a budget whose buckets are empty until a service is first called. allowanceShare returns this proxy's
-// share of a mesh-wide allowance, 0 while the share is unknown.
+// NewBudget returns a budget without buckets. A service's bucket is created when it is first used, and filled at the first
+// withdrawal. allowanceShare returns this proxy's share of a mesh-wide allowance, 0 while the share is unknown.
 func NewBudget(clock monotonic.Clock, allowanceShare func(allowance uint32) float64) *Budget {
 	return &Budget{clock: clock, buckets: map[string]*tokenBucket{}, allowanceShare: allowanceShare}
 }
--- a/internal/proxy/retry/doc.go
+++ b/internal/proxy/retry/doc.go
@@ -9,6 +9,6 @@
 //   - Backoff returns the pause before a retry.
 //   - Jitter spreads the Retry-After hints of rejections, so that callers don't all return at once.
 //
-// The forwarder decides for each attempt whether a retry could make the request run twice; this package doesn't. Nothing is
+// The forwarder decides for each attempt whether another one is safe (AttemptResult.Retriable); this package doesn't. Nothing is
 // persisted, and nothing is shared between proxies.
 package retry
--- a/internal/proxy/retry/state.go
+++ b/internal/proxy/retry/state.go
@@ -38,7 +38,7 @@
 // AttemptResult is the outcome of one attempt.
 type AttemptResult struct {
 	Fault       *apierror.Error // nil if the backend responded
-	Retriable   bool            // another attempt can't make the request run twice
+	Retriable   bool            // another attempt is safe: the request hasn't run, or may run more than once
 	LastBackend bool            // no other backend was left to try
 }
 
