--- a/internal/proxy/breaker/records.go
+++ b/internal/proxy/breaker/records.go
@@ -11,7 +11,7 @@
 // becomes degraded.
 func (s *Set) ApplyPoll(records []*wire.BreakerRecord, leaderReached bool) {
 	if !leaderReached {
-		s.enterDegraded(apierror.Unreachable.New("poll"))
+		s.enterDegraded(apierror.Unreachable.New("the poll did not reach a registry leader"))
 		return
 	}
 	s.leaveDegraded()
--- a/internal/proxy/ingress/handler.go
+++ b/internal/proxy/ingress/handler.go
@@ -137,7 +137,7 @@
 	if tooLong := new(http.MaxBytesError); errors.As(err, &tooLong) {
 		cause = apierror.BodyTooLarge
 	}
-	return nil, apierror.New(cause, apierror.NotRun, "%v", err)
+	return nil, apierror.New(cause, apierror.NotRun, "the request body can't be read: %v", err)
 }
 
 // withoutMeshHeaders returns a copy of the headers without those that a backend must not get from a caller.
