--- a/internal/proxy/forward/authentication_test.go
+++ b/internal/proxy/forward/authentication_test.go
@@ -74,14 +74,14 @@
 		t.Run(name, func(t *testing.T) {
 			runForwardTest(t, func(ft *forwardTest) {
 				ft.config.snapshot = compileTenants(t, 7, twoTenants)
-				ft.config.limited, ft.config.keyLease, ft.config.stale = test.limited, test.lease, test.outOfContact
+				ft.config.limited, ft.config.keyLease, ft.config.outOfContact = test.limited, test.lease, test.outOfContact
 				if test.cause == 0 {
 					ft.replies = []reply{succeed}
 				}
 				response, fault := ft.forwarder.Forward(test.request)
 				ft.expectFault(response, fault, test.cause, apierror.NotRun)
 				if len(ft.attempts) != len(ft.replies) || len(ft.voids) > 0 {
-					t.Fatalf("%d attempts, %d voids", len(ft.attempts), len(ft.voids))
+					t.Fatalf("unexpected number of attempts (%d) or of requests to void a claim (%d)", len(ft.attempts), len(ft.voids))
 				}
 				if test.cause != 0 {
 					return
--- a/internal/proxy/forward/forwarder_test.go
+++ b/internal/proxy/forward/forwarder_test.go
@@ -39,13 +39,13 @@
 	// keyLease is the remaining lease on the tenant keys; limited is set if they need one.
 	keyLease monotonic.Micros
 	limited  bool
-	// stale is set while the proxy serves without contact to the configuration store.
-	stale bool
+	// outOfContact is set while the proxy serves without contact to the configuration store.
+	outOfContact bool
 }
 
 func (c *staticConfig) Current() (*config.Snapshot, bool)            { return c.snapshot, !c.expired }
 func (c *staticConfig) KeyLease() (monotonic.Micros, bool)           { return c.keyLease, c.limited }
-func (c *staticConfig) InContact() bool                              { return !c.expired && !c.stale }
+func (c *staticConfig) InContact() bool                              { return !c.expired && !c.outOfContact }
 func (c *staticConfig) WaitForVersion(uint64, monotonic.Micros) bool { return false }
 
 // staticSession has a fixed directory and records the last observation of the leader's clock.
@@ -195,7 +195,7 @@
 	case cause == 0 && fault != nil:
 		ft.t.Errorf("failed: %v", fault)
 	case cause == 0 && (response == nil || string(response.Body) != "done" || response.ConfigVersion != 7):
-		ft.t.Errorf("responded %+v", response)
+		ft.t.Errorf("unexpected response %+v", response)
 	case cause != 0 && (fault == nil || response != nil || fault.Cause != cause || fault.Verdict != verdict):
 		ft.t.Errorf("response %+v and fault %v, expected cause %d and verdict %s", response, fault, cause, verdict)
 	}
@@ -268,7 +268,7 @@
 			return err
 		}}
 		if response, fault := ft.forwarder.Forward(read()); fault != nil || response.Status != 500 {
-			t.Errorf("%+v, %v", response, fault)
+			t.Errorf("response %+v and fault %v, expected a response with status 500", response, fault)
 		}
 	})
 }
@@ -280,7 +280,7 @@
 		ft.voidOutcome = idempotency.Voided
 		ft.forwarder.Forward(submission())
 		if len(ft.attempts) != 2 {
-			t.Errorf("%d attempts", len(ft.attempts))
+			t.Errorf("%d attempts, expected 2", len(ft.attempts))
 			return
 		}
 		first, second := ft.attempts[0], ft.attempts[1]
@@ -288,10 +288,10 @@
 			t.Errorf("attempts %s (%d) and %s (%d)", first.Id, first.AttemptNumber, second.Id, second.AttemptNumber)
 		}
 		if first.Instance == second.Instance || first.Attempt == second.Attempt || first.Scope != second.Scope || second.Remaining >= first.Remaining {
-			t.Errorf("%v, then %v", first, second)
+			t.Errorf("unexpected instance, attempt, scope or remaining time: %v, then %v", first, second)
 		}
 		if !first.RunOnce || first.AtMostOnce || first.MayQueue || !second.MayQueue || first.ConfigVersion != 7 || len(first.Digest) == 0 {
-			t.Errorf("%v, then %v", first, second)
+			t.Errorf("unexpected flags, configuration version or digest: %v, then %v", first, second)
 		}
 	})
 }
@@ -302,7 +302,7 @@
 		ft.replies, ft.voidOutcome = []reply{reject(apierror.KeyFenced)}, idempotency.Voided
 		ft.forwarder.Forward(submission())
 		if ft.session.observed.GetEpoch() != 2 || ft.session.observed.GetTime() != 6 {
-			t.Errorf("observed %v", ft.session.observed)
+			t.Errorf("observed %v, expected epoch 2 and time 6", ft.session.observed)
 		}
 	})
 }
@@ -333,7 +333,7 @@
 				response, fault := ft.forwarder.Forward(test.request)
 				ft.expectFault(response, fault, test.cause, apierror.MayHaveRun)
 				if len(ft.cancelled) != test.cancelled {
-					t.Errorf("cancelled %v", ft.cancelled)
+					t.Errorf("cancelled attempts %v", ft.cancelled)
 				}
 			})
 		})
--- a/internal/proxy/ingress/handler_test.go
+++ b/internal/proxy/ingress/handler_test.go
@@ -177,9 +177,9 @@
 	incoming.Header.Set("Accept", "text/plain")
 	serve(forwarder, incoming)
 	if keys := forwarder.forwarded.TenantKeys; !slices.Equal(keys, []string{"key-1", "key-2"}) {
-		t.Errorf("keys %q", keys)
+		t.Errorf("tenant keys %q", keys)
 	}
 	if headers := forwarder.forwarded.Headers; len(headers) != 1 || headers[0].Name != "Accept" {
-		t.Errorf("headers %v", headers)
+		t.Errorf("forwarded headers %v", headers)
 	}
 }
