--- a/internal/proxy/breaker/status.go
+++ b/internal/proxy/breaker/status.go
@@ -13,8 +13,8 @@
 	Version uint64  `json:"serial"`
 	Local   string  `json:"local"` // the state of the local breaker
 	Control Control `json:"control,omitempty"`
-	Calls   uint64  `json:"calls"`
-	Failed  uint64  `json:"failed"`
+	Calls   uint64  `json:"calls"`  // calls counted since the proxy started
+	Failed  uint64  `json:"failed"` // failed ones among Calls
 	Window  int     `json:"window"` // number of calls in the window
 }
 
--- a/internal/proxy/cancellation/cancellation.go
+++ b/internal/proxy/cancellation/cancellation.go
@@ -43,7 +43,7 @@
 }
 
 // End records that the attempt has ended and reports whether the caller has disconnected.
-func (t *Tracker) End() (callerLeft bool) {
+func (t *Tracker) End() (callerDisconnected bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.current = nil
--- a/internal/proxy/loadbalancer/balancer.go
+++ b/internal/proxy/loadbalancer/balancer.go
@@ -182,9 +182,9 @@
 	b.loads.observe(instance, route, load, b.inFlight[instance]-1, b.host.Now())
 }
 
-// ObserveHealth records the health that a backend's proxy reported with a response. It returns true if faults of that backend
-// are attributed to the backend alone: it is ejected, and few enough backends of the service are ejected that its proxy rejects
-// most requests for it. Otherwise faults are attributed to the service and count for its circuit breaker.
+// ObserveHealth records the health that a backend's proxy reported with a response. It returns true if the backend is ejected and
+// its proxy therefore rejects most requests for it, as it does unless too many backends of the service are ejected. The backend's
+// faults are then attributed to it alone; otherwise they are attributed to the service and count for its circuit breaker.
 func (b *Balancer) ObserveHealth(directory *session.Directory, service, instance string, load *wire.Load) (backendOnly bool) {
 	if load == nil || load.LatencyRatio == 0 {
 		return false
--- a/internal/proxy/loadbalancer/load_reports.go
+++ b/internal/proxy/loadbalancer/load_reports.go
@@ -28,7 +28,7 @@
 	serviceTimeWeight = 0.25
 	// maxRoutesPerBackend is the largest number of routes whose service time is stored for one backend.
 	maxRoutesPerBackend = 256
-	// maxReportAge is the age at which a report is dropped: most backends that have been quiet for so long no longer exist.
+	// maxReportAge is the age at which a report is dropped: most backends that have not reported for so long no longer exist.
 	maxReportAge = monotonic.Minute
 )
 
--- a/internal/proxy/loadbalancer/outlier_test.go
+++ b/internal/proxy/loadbalancer/outlier_test.go
@@ -56,7 +56,7 @@
 			names = append(names, fmt.Sprintf("backend-%02d", index))
 		}
 		fleet.addBackends(names, 4, 3)
-		const meanServiceTime = 70000.0 // microseconds, of 20 to 120 ms
+		const meanServiceTime = 70000.0 // microseconds: the mean of 20 to 120 ms
 		rate := 0.6 * backendCount * 4 / meanServiceTime
 		for index := range r.callers {
 			fleet.addCaller(domainOf(index, 3), ms, float64(r.callers)/rate, func(balancer *Balancer) func() {
--- a/internal/proxy/loadbalancer/peer_health.go
+++ b/internal/proxy/loadbalancer/peer_health.go
@@ -43,10 +43,10 @@
 	return peerHealth{reports: map[string]*healthReport{}, statistics: map[string]*serviceStatistics{}}
 }
 
-// observe records a report. It returns true if the backend is ejected and not too many others are.
+// observe records a report. It returns true if the backend is ejected and not too many others are (see ObserveHealth).
 func (p peerHealth) observe(
 	candidates []session.Candidate, service, instance string, load *wire.Load, now monotonic.Micros,
-) (ejected bool) {
+) (backendOnly bool) {
 	report := p.reports[instance]
 	if report == nil {
 		report = &healthReport{}
--- a/internal/proxy/loadbalancer/silence.go
+++ b/internal/proxy/loadbalancer/silence.go
@@ -34,7 +34,7 @@
 	attempts int              // number of attempts in flight
 	since    monotonic.Micros // when the proxy last responded or the first attempt began
 	address  string
-	probing   bool // a health check is in flight
+	probing  bool // a health check is in flight
 }
 
 func newSilenceDetector(timeout monotonic.Micros) silenceDetector {
--- a/internal/proxy/loadbalancer/spread_test.go
+++ b/internal/proxy/loadbalancer/spread_test.go
@@ -60,7 +60,7 @@
 				fleet.directory.Candidates["forms"][index].Slots = 0
 			}
 		}
-		const meanServiceTime = 157500.0 // microseconds, of 15 to 300 ms at speed 1
+		const meanServiceTime = 157500.0 // microseconds: the mean of 15 to 300 ms, at speed 1
 		rate := r.utilisation * total * float64(r.slots) / meanServiceTime
 		weights, sum := r.weights()
 		for index := range r.callers {
--- a/internal/proxy/outlier/detector.go
+++ b/internal/proxy/outlier/detector.go
@@ -12,8 +12,8 @@
 	// smoothingWindow is the number of responses over which the fault rate and the latency ratio are smoothed. The newest
 	// response has the largest weight.
 	smoothingWindow = 8
-	// minFaultRate is the fault rate below which no backend is ejected. Four consecutive failures reach it. A lower rate, reached
-	// after three, repeatedly ejected backends that fail one request in twenty, as up to half of a service's backends may.
+	// minFaultRate is the fault rate below which no backend is ejected. Four consecutive failures reach it. A lower value, which
+	// three reach, repeatedly ejected backends that fail one request in twenty; up to half of a service's backends may fail so often.
 	minFaultRate = 0.4
 	// peerFaultFactor and peerFaultMargin define how far a backend's fault rate must exceed that of its peers. Faults that all
 	// backends share are faults of the service, which its circuit breaker handles.
