--- a/internal/proxy/forward/attempt.go
+++ b/internal/proxy/forward/attempt.go
@@ -27,7 +27,7 @@
 type attemptResult struct {
 	response *request.Response
 	fault    *apierror.Error
-	// retriable is true if another attempt can't make the request run twice.
+	// retriable is true if another attempt is safe: the request hasn't run, or may run more than once.
 	retriable bool
 	// lastBackend is true if no other backend may be tried.
 	lastBackend bool
@@ -38,8 +38,8 @@
 	return attemptResult{fault: fault, retriable: retriable, lastBackend: a.lastBackend}
 }
 
-// failWithoutEvidence ends an attempt that must not be retried, and whose outcome counts neither for nor against its backend.
-func (a *attempt) failWithoutEvidence(fault *apierror.Error) attemptResult {
+// failNeutral ends an attempt that must not be retried, and whose outcome counts neither for nor against its backend.
+func (a *attempt) failNeutral(fault *apierror.Error) attemptResult {
 	a.permit.Done(breaker.Neutral)
 	return a.fail(fault, false)
 }
@@ -49,7 +49,7 @@
 	return attemptResult{fault: fault, lastBackend: true}
 }
 
-// attemptBackend makes one attempt and adds its backend to tried. It prefers a backend that hasn't been tried.
+// attemptBackend makes one attempt, at a backend that isn't in tried if there is one, and adds that backend to tried.
 func (f *Forwarder) attemptBackend(exchange *Exchange, tried map[string]bool) attemptResult {
 	snapshot, leaseValid := f.config.ConfigClient.Current()
 	if !leaseValid {
@@ -88,19 +88,19 @@
 func (f *Forwarder) run(a *attempt) attemptResult {
 	remaining := a.exchange.Deadline - f.config.Host.Now()
 	if remaining <= 0 {
-		return a.failWithoutEvidence(apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the deadline passed before the request was forwarded"))
+		return a.failNeutral(apierror.New(apierror.DeadlineExceeded, apierror.NotRun, "the deadline passed before the request was forwarded"))
 	}
 	message := f.newForwardRequest(a, remaining)
 	if !a.exchange.task.Start() {
-		return a.failWithoutEvidence(apierror.New(apierror.StoppedInFlight, apierror.NotRun, "the proxy stopped before the request was forwarded"))
+		return a.failNeutral(apierror.New(apierror.StoppedInFlight, apierror.NotRun, "the proxy stopped before the request was forwarded"))
 	}
 	if !a.exchange.cancellation.Begin(a.cancellable(message.Id)) {
-		return a.failWithoutEvidence(apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected"))
+		return a.failNeutral(apierror.New(apierror.ClientClosed, apierror.NotRun, "the caller disconnected"))
 	}
 	response, err := f.send(a.candidate, message, remaining)
 	if a.exchange.cancellation.End() {
 		// The outcome of a cancelled attempt says nothing about the backend, and nobody waits for its response.
-		return a.failWithoutEvidence(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
+		return a.failNeutral(apierror.New(apierror.ClientClosed, apierror.MayHaveRun, "the caller disconnected"))
 	}
 	if err != nil {
 		return f.handleLostResponse(a, message, err)
@@ -192,7 +192,7 @@
 	}
 	a.permit.Done(outcome)
 	f.balancer.ObserveOutcome(instance, outcome == breaker.Failure)
-	answer := &request.Response{
+	backendResponse := &request.Response{
 		Status:        response.Status,
 		Headers:       response.Headers,
 		Body:          response.Body,
@@ -200,7 +200,7 @@
 		ConfigVersion: exchange.Snapshot.Version,
 	}
 	if exchange.RunOnce && f.config.StoreResponse != nil {
-		f.config.StoreResponse(exchange.IdempotencyScope, exchange.Digest, answer)
+		f.config.StoreResponse(exchange.IdempotencyScope, exchange.Digest, backendResponse)
 	}
-	return attemptResult{response: answer, lastBackend: a.lastBackend}
+	return attemptResult{response: backendResponse, lastBackend: a.lastBackend}
 }
