--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -28,7 +28,7 @@
 // runCommits is the commit loop, which runs until the process ends. At a primary it establishes backups, commits batches of
 // commands, sends the backups heartbeats and replaces those that are lost. At other members it rejects commands.
 func (m *Member) runCommits() {
-	wait := m.config.HeartbeatInterval
+	wait := m.config.ElectionInterval
 	for {
 		batch := slices.DeleteFunc(m.writes.TakeAll(wait), func(w *writeRequest) bool { return w == nil })
 		wait = m.commitStep(batch)
@@ -46,7 +46,7 @@
 	if !state.serving {
 		completeWrites(batch, ErrNotPrimary)
 		m.establishBackups(nil)
-		return m.config.HeartbeatInterval
+		return m.config.ElectionInterval
 	}
 	// Half a renewal interval of tolerance, because three renewals may take slightly less than the tick interval.
 	if len(batch) == 0 && now-m.commitTimes.tick >= tickInterval-m.config.renewInterval()/2 && m.hasTimers() {
--- a/internal/replication/config.go
+++ b/internal/replication/config.go
@@ -44,9 +44,9 @@
 	Zone func(name string) string
 	// LeaseDuration is how long a lease granted to a primary is valid. It must be the same at all members.
 	LeaseDuration monotonic.Micros
-	// HeartbeatInterval is the base interval of the election timeouts. CallTimeout is the timeout of a call that doesn't wait
+	// ElectionInterval is the base interval of the election timeouts. CallTimeout is the timeout of a call that doesn't wait
 	// for a disk.
-	HeartbeatInterval, CallTimeout monotonic.Micros
+	ElectionInterval, CallTimeout monotonic.Micros
 	// SlowSyncThreshold is how long a sync may take before a disk counts as slow. After three consecutive slow batches the
 	// primary transfers its leadership or replaces the backup.
 	SlowSyncThreshold monotonic.Micros
@@ -82,7 +82,7 @@
 // SetDefaults replaces zero values by the defaults and raises Replicas to its minimum.
 func (c *Config) SetDefaults() {
 	setDefault(&c.LeaseDuration, defaultLeaseDuration)
-	setDefault(&c.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefault(&c.ElectionInterval, defaultHeartbeatInterval)
 	setDefault(&c.CallTimeout, defaultCallTimeout)
 	setDefault(&c.SlowSyncThreshold, defaultSlowSyncThreshold)
 	setDefault(&c.VoterTimeout, defaultVoterTimeout)
--- a/internal/replication/election.go
+++ b/internal/replication/election.go
@@ -78,9 +78,9 @@
 	} else if timer.quorumAvailableSince == quorumUnavailable {
 		timer.quorumAvailableSince = now
 	}
-	availableForLong := m.host.Now()-timer.quorumAvailableSince >= m.config.HeartbeatInterval
+	availableForLong := m.host.Now()-timer.quorumAvailableSince >= m.config.ElectionInterval
 	mayCampaignEarly := value != nil && available && (backup || m.mayReclaim(value) || availableForLong)
-	if mayCampaignEarly || silence > m.electionTimeout(value, backup)+m.jitter(m.config.HeartbeatInterval) {
+	if mayCampaignEarly || silence > m.electionTimeout(value, backup)+m.jitter(m.config.ElectionInterval) {
 		m.campaign(value)
 	} else if value != nil && !available {
 		return max(wait, monotonic.Millisecond)
@@ -126,7 +126,7 @@
 	})
 	switch {
 	case !joined:
-		return m.config.HeartbeatInterval
+		return m.config.ElectionInterval
 	case leading:
 		return m.config.renewInterval()
 	case leaseRemaining > 0:
@@ -136,7 +136,7 @@
 	case silence < lease:
 		return min(lease-silence, lease) + monotonic.Millisecond // after a handover silence is negative
 	case silence > m.config.longSilence():
-		return m.config.HeartbeatInterval
+		return m.config.ElectionInterval
 	}
 	return m.config.silentPollInterval()
 }
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -46,7 +46,7 @@
 			return at <= now, at - now
 		}
 	}
-	return false, m.config.HeartbeatInterval
+	return false, m.config.ElectionInterval
 }
 
 // localVoterAvailableAt returns when this member's own voter may promise it a proposal, as a map with this member's name as its only
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -12,7 +12,7 @@
 func (c *Config) renewInterval() monotonic.Micros { return c.LeaseDuration / 3 }
 
 // pollInterval is how soon a process that has just started looks for a primary again.
-func (c *Config) pollInterval() monotonic.Micros { return c.HeartbeatInterval / 6 }
+func (c *Config) pollInterval() monotonic.Micros { return c.ElectionInterval / 6 }
 
 // silentPollInterval is how soon a member whose primary is silent checks again whether it may campaign.
 func (c *Config) silentPollInterval() monotonic.Micros { return 2 * c.pollInterval() }
@@ -24,16 +24,16 @@
 // joinInterval is how long a process without a register waits between two requests to be added to the voters. standbyInterval is
 // the same for a process with a register, for which it is less urgent. With the default settings both are below standbyTimeout.
 func (c *Config) joinInterval() monotonic.Micros    { return c.LeaseDuration / 2 }
-func (c *Config) standbyInterval() monotonic.Micros { return c.LeaseDuration - c.HeartbeatInterval }
+func (c *Config) standbyInterval() monotonic.Micros { return c.LeaseDuration - c.ElectionInterval }
 
 // backupElectionTimeout is how long the primary must be silent before a backup campaigns even if no quorum seems available.
 // voterElectionTimeout is the same for other voters, which leave the backups time to campaign first.
 func (c *Config) backupElectionTimeout() monotonic.Micros {
-	return c.LeaseDuration + c.HeartbeatInterval
+	return c.LeaseDuration + c.ElectionInterval
 }
 
 func (c *Config) voterElectionTimeout() monotonic.Micros {
-	return c.LeaseDuration + 3*c.HeartbeatInterval
+	return c.LeaseDuration + 3*c.ElectionInterval
 }
 
 // bootstrapElectionTimeout is the election timeout of an initial voter at the group's first start. It grows with the voter's rank
@@ -43,7 +43,7 @@
 }
 
 // maxCampaignJitter bounds the random part of the wait after a failed campaign.
-func (c *Config) maxCampaignJitter() monotonic.Micros { return 2 * c.HeartbeatInterval }
+func (c *Config) maxCampaignJitter() monotonic.Micros { return 2 * c.ElectionInterval }
 
 // coldStartTimeout is how long after its start a process that has not heard from a primary polls frequently. longSilence is how
 // long the primary must be silent before a member polls less often.
