--- a/internal/replication/commit.go
+++ b/internal/replication/commit.go
@@ -131,8 +131,8 @@
 	return err
 }
 
-// handleFailedBackups replaces backups that failed a batch. The state that the new backups receive includes the batch, so it is
-// acknowledged once they are in sync. Fewer than maxFailures consecutive failed heartbeats are ignored.
+// handleFailedBackups replaces backups that didn't store a batch. The state that the new backups receive includes the batch, so it
+// is acknowledged once they are in sync. Fewer than maxFailures consecutive failed heartbeats are ignored.
 func (m *Member) handleFailedBackups(state leadership, batch []*writeRequest, failed []*wire.MemberID, cause error) {
 	m.mu.Lock()
 	m.leadership.failures++
--- a/internal/replication/config.go
+++ b/internal/replication/config.go
@@ -71,7 +71,7 @@
 // Defaults of Config.
 const (
 	defaultLeaseDuration       = monotonic.Second
-	defaultHeartbeatInterval   = 150 * monotonic.Millisecond
+	defaultElectionInterval    = 150 * monotonic.Millisecond
 	defaultCallTimeout         = 400 * monotonic.Millisecond
 	defaultSlowSyncThreshold   = 300 * monotonic.Millisecond
 	defaultVoterTimeout        = 20 * monotonic.Second
@@ -82,7 +82,7 @@
 // SetDefaults replaces zero values by the defaults and raises Replicas to its minimum.
 func (c *Config) SetDefaults() {
 	setDefault(&c.LeaseDuration, defaultLeaseDuration)
-	setDefault(&c.ElectionInterval, defaultHeartbeatInterval)
+	setDefault(&c.ElectionInterval, defaultElectionInterval)
 	setDefault(&c.CallTimeout, defaultCallTimeout)
 	setDefault(&c.SlowSyncThreshold, defaultSlowSyncThreshold)
 	setDefault(&c.VoterTimeout, defaultVoterTimeout)
--- a/internal/replication/consensus/lease_search_test.go
+++ b/internal/replication/consensus/lease_search_test.go
@@ -8,8 +8,8 @@
 // Property: while a running process has a lease from the voter, the voter promises and grants nothing to another process. Any two
 // quorums share a voter (tested in package quorum), so no two processes then have leases from quorums at the same time.
 //
-// Not modelled: clock jumps (after a jump the wait can't end early), and the delay of reads. A read is instantaneous, which loses no
-// behaviour because an ended process never runs again.
+// Not modeled: clock jumps (after a jump the wait can't end early), and the delay of reads. A read is instantaneous, which loses no
+// behavior because an ended process never runs again.
 
 const (
 	modelMembers         = 2
--- a/internal/replication/consensus/membership_search_test.go
+++ b/internal/replication/consensus/membership_search_test.go
@@ -12,7 +12,7 @@
 // The membership search is a model checker for the rules of the register. It has four voters, of which three vote initially, and two
 // proposers. Their messages arrive in any order or not at all, the membership changes, and voters lose their disks.
 //
-// Not modelled: time, except for the lease duration after which a promise is no longer valid for an accept request; leases, which only
+// Not modeled: time, except for the lease duration after which a promise is no longer valid for an accept request; leases, which only
 // prevent further steps; and replicas.
 
 // All initial voters have accepted proposal 0. Proposal 0 and the odd ones belong to the first proposer (0), the others to the second (1).
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -20,9 +20,9 @@
 // While an epoch isn't in sync, the replicas of the previous epoch still have every acknowledged write, so any of them
 // may campaign.
 //
-// A primary serves only while a quorum grants it a lease, which it renews three times per lease duration (every third of it;
-// lease.go). The lease is counted from before it was requested. A restarted voter grants nothing until any lease that its
-// previous process granted has ended.
+// A primary serves only while a quorum grants it a lease (lease.go). It requests a renewal every third of the lease duration,
+// and counts the lease from before the request. A restarted voter grants nothing until any lease that its previous process
+// granted has ended.
 //
 // # Writes
 //
@@ -55,7 +55,7 @@
 //
 // # What is persisted
 //
-//	GROUP.register  wire.RegisterRecord, one per change, the last one is current; synced before each promise or acceptance
+//	GROUP.register  wire.RegisterRecord, one per change, the last one is current; synced before the promise, acceptance or grant
 //	GROUP.journal   wire.JournalRecord: a snapshot, then entries and watermarks; synced before each acknowledgement
 //
 // If the register file is corrupt, the process starts without a register. If the journal is corrupt, it starts an empty replica
@@ -97,10 +97,9 @@
 //
 // # Concurrency
 //
-// Three executors each run one command at a time: voterExecutor owns Member.voter, replicaExecutor owns the journal and
-// all changes of Member.replica, proposalExecutor runs this member's proposals. Commands of the proposal executor use
-// the other two; those never use the proposal executor. Member.mu and replica.mu guard memory only and are never held
-// while waiting.
+// Three executors each run one function at a time: voterExecutor owns Member.voter, replicaExecutor owns the journal and
+// all changes of Member.replica, proposalExecutor runs this member's proposals. A proposal uses the other two executors,
+// which never use the proposal executor. Member.mu and replica.mu guard memory only and are never held while waiting.
 //
 // # Determinism
 //
--- a/internal/replication/leadership.go
+++ b/internal/replication/leadership.go
@@ -31,7 +31,7 @@
 	backups   []*wire.MemberID
 	// lastResort is set if one of the backups had just failed and no other voter could take its place.
 	lastResort bool
-	// failures is the number of consecutive batches that at least one backup failed.
+	// failures is the number of consecutive batches and heartbeats that at least one backup didn't store.
 	failures  int
 	slowDisks slowDiskDetector
 	clock     primaryClock
--- a/internal/replication/membership/membership_test.go
+++ b/internal/replication/membership/membership_test.go
@@ -37,11 +37,11 @@
 			State{Voters: three, TargetSize: 3},
 			nil,
 		},
-		"a fourth standby": {
+		"a standby becomes the fourth voter": {
 			State{Voters: three, TargetSize: 4, Standbys: []string{"d"}},
 			four,
 		},
-		"one at a time": {
+		"two standbys become voters one at a time": {
 			State{Voters: three, TargetSize: 5, Standbys: []string{"d", "e"}},
 			four,
 		},
--- a/internal/replication/peers.go
+++ b/internal/replication/peers.go
@@ -9,8 +9,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// recordPeer records what a process reported. Because this process itself read the register, its voter may conclude from the
-// process IDs which of the processes that it granted a lease have ended.
+// recordPeer records what a process reported. The process ID answers a read by this process, so it can show this member's voter
+// that a process to which it granted a lease has ended.
 func (m *Member) recordPeer(name string, response *wire.RegisterReadResponse) {
 	m.observeRegister(response.Accepted, response.Value)
 	m.observeProposal(response.Promised)
--- a/internal/replication/proposer.go
+++ b/internal/replication/proposer.go
@@ -97,8 +97,8 @@
 	return value, accepted
 }
 
-// requestPromises sends prepare requests to those of this member's own voter and a configuration's voters that haven't been
-// contacted yet. It returns once a quorum, including this member's own voter, has promised, or once that voter has refused.
+// requestPromises sends prepare requests to this member's own voter and the voters of a configuration, except for those already
+// contacted. It returns once a quorum, including this member's own voter, has promised, or once that voter has refused.
 func (r *proposalRound) requestPromises(config quorum.Config, known uint64) {
 	m := r.member
 	var targets []string
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -89,8 +89,8 @@
 	gather(m, m.knownPeers(), m.config.refreshTimeout(), m.readRegister, nil)
 }
 
-// catchUpRegister reads the primary's register in the background if this member has not seen its newest value, which was accepted
-// under the proposal known.
+// catchUpRegister reads the primary's register in the background if this member has not seen the primary's newest value, which was
+// accepted under the proposal number known.
 func (m *Member) catchUpRegister(primary string, known uint64) {
 	m.mu.Lock()
 	behind := m.register.acceptedProposal < known
--- a/internal/replication/replica_search_test.go
+++ b/internal/replication/replica_search_test.go
@@ -321,7 +321,7 @@
 			states, violation := searchReplicas(defects, 9)
 			t.Logf("%d states: %s", states, violation)
 			if violation == "" {
-				t.Errorf("nothing was found in %d states", states)
+				t.Errorf("no violation was found in %d states", states)
 			}
 		})
 	}
--- a/internal/replication/replicate.go
+++ b/internal/replication/replicate.go
@@ -119,8 +119,8 @@
 	return !call.isFinished() && m.lastResponseAt(name) < began
 }
 
-// failures returns the backups that failed the batch, and the error of the last of them, or nil if there are none. All calls must
-// be finished.
+// failures returns the backups that didn't store the batch, and the error of the last of them, or nil if there are none. All calls
+// must be finished.
 func (r *replicateCalls) failures() (failed []*wire.MemberID, err error) {
 	for _, call := range r.calls {
 		if call.err != nil {
--- a/internal/replication/timing.go
+++ b/internal/replication/timing.go
@@ -2,7 +2,7 @@
 
 import "snowflow/internal/monotonic"
 
-// This file defines all intervals and timeouts that derive from Config.LeaseDuration and Config.HeartbeatInterval.
+// This file defines all intervals and timeouts that derive from Config.LeaseDuration and Config.ElectionInterval.
 
 // longAgo stands for the time of an event that never happened, early enough for every timeout counted from it to have passed.
 const longAgo = -monotonic.Minute
@@ -27,7 +27,7 @@
 func (c *Config) standbyInterval() monotonic.Micros { return c.LeaseDuration - c.ElectionInterval }
 
 // backupElectionTimeout is how long the primary must be silent before a backup campaigns even if no quorum seems available.
-// voterElectionTimeout is the same for other voters, which leave the backups time to campaign first.
+// voterElectionTimeout is the same for other voters. It is longer, so that the backups campaign first.
 func (c *Config) backupElectionTimeout() monotonic.Micros {
 	return c.LeaseDuration + c.ElectionInterval
 }
