--- a/internal/wal/disk.go
+++ b/internal/wal/disk.go
@@ -36,5 +36,5 @@
 	// any more.
 	ErrSyncFailed = errors.New("wal: a sync failed")
 	// ErrCorrupt means that a synced record is damaged. The content of the file can't be used.
-	ErrCorrupt = errors.New("wal: corrupt record before the synced end")
+	ErrCorrupt = errors.New("wal: a synced record is corrupt")
 )
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -17,7 +17,7 @@
 	headerSize     = 32
 )
 
-// MaxRecordSize is the maximum size of a payload in bytes. Open takes a record with a longer one for a bad record.
+// MaxRecordSize is the maximum size of a payload in bytes. Open treats a record with a longer payload as a bad record.
 const MaxRecordSize = 64 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
