--- a/internal/discovery/silent_targets_test.go
+++ b/internal/discovery/silent_targets_test.go
@@ -12,7 +12,7 @@
 
 const (
 	liveTargets = 3
-	goneTargets = 24 // the processes of the core machines that are replaced within weeks
+	goneTargets = 24 // the control plane's processes on machines that are replaced within weeks
 	targetSeeds = 30
 )
 
--- a/internal/registry/directory/departures_test.go
+++ b/internal/registry/directory/departures_test.go
@@ -38,7 +38,7 @@
 // TestDeparturesOutliveIncarnations checks that a departed instance is published as leaving for a minute, even if the next incarnation of
 // its proxy reports another condition, and also by a registry that knows only that incarnation. Other instances are not affected.
 func TestDeparturesOutliveIncarnations(t *testing.T) {
-	const next = 2 // incarnation
+	const nextIncarnation = 2
 	for _, test := range []struct {
 		name     string
 		instance string
@@ -60,7 +60,7 @@
 			fixture.announce(1, "first", wire.BackendLeaving)
 			time.now += test.wait
 			fixture.first.ExpireSessions()
-			fixture.announce(next, test.instance, "working")
+			fixture.announce(nextIncarnation, test.instance, "working")
 			for _, session := range fixture.first.DirectSessions() {
 				fixture.second.Observe(session, false)
 			}
--- a/internal/registry/directory/doc.go
+++ b/internal/registry/directory/doc.go
@@ -5,7 +5,7 @@
 // one again once every proxy has polled.
 //
 // A session ends if it was not received again for SessionTimeout. It is kept for a while after that, so that an outdated copy from
-// another registry does not restore it.
+// another registry does not restore it. A proxy is a member while its session has not ended.
 //
 // Polling proxies get the published part of the sessions: all of them, or only the changes since the version that they have. Each
 // incarnation of each registry numbers its versions independently. A version is identified by its number and by the source, which
--- a/internal/registry/leases/leases.go
+++ b/internal/registry/leases/leases.go
@@ -1,5 +1,5 @@
-// Package leases implements the registry's table of singleton leases. A singleton lease gives one process at a time a role, such as
-// the reconciliation of a service. The table is a deterministic state machine: the current time is an argument, the leader clock in
+// Package leases implements the registry's table of singleton leases. A singleton lease gives one backend instance at a time a role,
+// such as the reconciliation of a service. The table is a deterministic state machine: the current time is an argument, the leader clock in
 // microseconds, and every replica applies the same calls in the same order.
 package leases
 
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// The limits of a lease's duration. A lease must outlast a failover of the registry, but a lost process must not block its role for
+// The limits of a lease's duration. A lease must outlast a failover of the registry, but a lost instance must not block its role for
 // long.
 const (
 	minDuration = 3 * monotonic.Second
@@ -19,7 +19,7 @@
 
 // Table holds the leases by role. It is not safe for concurrent use; the state machine that owns it serializes the calls.
 //
-// Invariant: a role has one owner until its lease ends on the leader clock or the owner releases it.
+// Invariant: a role has one owner, an instance, until its lease ends on the leader clock or the owner releases it.
 type Table struct {
 	records map[string]*wire.SingletonLeaseRecord
 }
