--- a/internal/replication/handlers.go
+++ b/internal/replication/handlers.go
@@ -29,7 +29,7 @@
 }, Response proto.Message](m *Member, handlers host.Handlers, kind wire.Kind, answer func(RequestPointer) (Response, error)) {
 	host.Handle(handlers, kind, func(request RequestPointer) (response Response, err error) {
 		if request.GetTo() != m.config.Name {
-			return response, apierror.Refused.New("addressed to %s, this is %s", request.GetTo(), m.config.Name)
+			return response, apierror.Refused.New("message addressed to %s reached %s", request.GetTo(), m.config.Name)
 		}
 		return answer(request)
 	})
