--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -20,9 +20,9 @@
 // While an epoch isn't in sync, the replicas of the previous epoch still have every acknowledged write, so any of them
 // may campaign.
 //
-// A primary serves only while a quorum grants it a lease (lease.go). It requests a renewal every third of the lease duration,
-// and counts the lease from before the request. A restarted voter grants nothing until any lease that its previous process
-// granted has ended.
+// A primary serves only while a quorum grants it a lease, which it renews three times per lease duration (lease.go). It counts
+// the lease from before the request. A restarted voter grants nothing until any lease that its previous process granted has
+// ended.
 //
 // # Writes
 //
