--- a/internal/registry/idempotency/doc.go
+++ b/internal/registry/idempotency/doc.go
@@ -1,5 +1,6 @@
 // Package idempotency implements the registry's table of idempotency keys. A request with a key runs at most once: before a proxy sends
-// the request to a backend, it must be granted a claim on the key. The code calls the key the scope.
+// the request to a backend, it must be granted a claim on the key. The code calls the key together with its resource and tenant the
+// scope.
 //
 // A key is in one of two states:
 //
