--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -39,7 +39,7 @@
 	c.Outside.Go(func() {
 		started := c.Outside.Now()
 		request := &wire.ConfigApplyRequest{AnyVersion: true, Content: fmt.Appendf(nil, `{"groups":[{"name":"g","services":[{"name":"a","paths":[{"method":"GET","prefix":"/%d","class":"read"}]}]}]}`, started)}
-		a.err = c.Resolver.Call(c.Leader(), wire.Kind_config_apply, request, a.response, 30*monotonic.Second)
+		a.err = c.Resolver.Call(c.PrimaryName(), wire.Kind_config_apply, request, a.response, 30*monotonic.Second)
 		a.took, a.done = c.Outside.Now()-started, true
 	})
 	return a
@@ -49,7 +49,7 @@
 func (c *cluster) poll(request *wire.ConfigPollRequest) *wire.ConfigPollResponse {
 	response := &wire.ConfigPollResponse{}
 	c.Outside.Go(func() {
-		if err := c.Resolver.Call(c.Leader(), wire.Kind_config_poll, request, response, 5*monotonic.Second); err != nil {
+		if err := c.Resolver.Call(c.PrimaryName(), wire.Kind_config_poll, request, response, 5*monotonic.Second); err != nil {
 			c.t.Errorf("poll: %v", err)
 		}
 	})
@@ -114,11 +114,11 @@
 // be active.
 func TestAcknowledgementAfterTakeover(t *testing.T) {
 	c := newCluster(t, configstore.Timeouts{})
-	before := c.Leader()
+	before := c.PrimaryName()
 	c.World.Kill(c.World.Node(before))
 	for range 1000 {
 		c.Run(10 * monotonic.Millisecond)
-		if c.Leader() != before {
+		if c.PrimaryName() != before {
 			break
 		}
 	}
--- a/internal/configstore/storetest/storetest.go
+++ b/internal/configstore/storetest/storetest.go
@@ -79,5 +79,5 @@
 // Run runs the simulation for the given simulated time.
 func (c *Cluster) Run(duration monotonic.Micros) { c.World.Run(c.World.Now() + duration) }
 
-// Leader returns the name of the primary that the outside process knows, or an empty string.
-func (c *Cluster) Leader() string { return c.Resolver.PrimaryName(configstore.Group) }
+// PrimaryName returns the name of the primary that the outside process knows, or an empty string.
+func (c *Cluster) PrimaryName() string { return c.Resolver.PrimaryName(configstore.Group) }
