--- a/internal/config/changes/cost_test.go
+++ b/internal/config/changes/cost_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// BenchmarkTakeUp measures how a proxy adopts a change of one route: from a difference, from the full content, and from the full content
+// BenchmarkAdopt measures how a proxy adopts a change of one route: from a difference, from the full content, and from the full content
 // without sharing anything with the previous version.
-func BenchmarkTakeUp(b *testing.B) {
+func BenchmarkAdopt(b *testing.B) {
 	for _, routes := range []int{10, 100, 1000, 10000} {
 		base, next := stateWithRoutes(routes, 0), stateWithRoutes(routes, 1)
 		from := newSet(b, base)
