--- a/internal/configstore/archive/archive.go
+++ b/internal/configstore/archive/archive.go
@@ -69,8 +69,9 @@
 	}
 }
 
-// Write commits those of the given versions, oldest first, that the repository in a folder doesn't have yet, and returns when they are
-// written. A repository that can't be read, or whose newest commit doesn't match the versions, is removed and written anew.
+// Write commits those of the given versions that the repository in a folder doesn't have yet, and returns when they are written. The
+// versions are sorted, oldest first. A repository that can't be read, or whose newest commit doesn't match the versions, is removed and
+// written anew.
 func Write(folder string, versions []*wire.StoredConfig) error {
 	repository, committed, err := openRepository(folder, versions)
 	if err != nil {
@@ -83,7 +84,7 @@
 	}
 	for _, stored := range versions[committed:] {
 		if err := appendCommit(repository, stored); err != nil {
-			return fmt.Errorf("version %d: %w", stored.Version, err)
+			return fmt.Errorf("archive: version %d can't be committed: %w", stored.Version, err)
 		}
 	}
 	return nil
@@ -110,12 +111,12 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	index, found := slices.BinarySearchFunc(versions, latest.version, func(state *wire.StoredConfig, version uint64) int { return cmp.Compare(state.Version, version) })
+	index, found := slices.BinarySearchFunc(versions, latest.version, func(stored *wire.StoredConfig, version uint64) int { return cmp.Compare(stored.Version, version) })
 	if !found {
-		return nil, 0, fmt.Errorf("version %d of the newest commit isn't stored", latest.version)
+		return nil, 0, fmt.Errorf("archive: version %d of the newest commit isn't among the stored versions", latest.version)
 	}
 	if latest.content != string(config.Redact(versions[index].Content)) {
-		return nil, 0, fmt.Errorf("version %d differs from the stored one", latest.version)
+		return nil, 0, fmt.Errorf("archive: the newest commit's version %d differs from the stored one", latest.version)
 	}
 	return repository, index + 1, nil
 }
--- a/internal/configstore/archive/archive_test.go
+++ b/internal/configstore/archive/archive_test.go
@@ -70,7 +70,7 @@
 			a.Enqueue(testVersions(5))
 			<-a.writes
 			if contents := committedContents(t, folder); len(contents) != 5 || contents[0] != `{"note":"5"}` || contents[4] != `{"note":"1"}` {
-				t.Errorf("%q", contents)
+				t.Errorf("archived contents %q", contents)
 			}
 		})
 	}
@@ -81,25 +81,25 @@
 func TestGapsAndBoundedHistories(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "desired.git")
 	a := Open(folder, func(err error) { t.Error(err) })
-	state := func(version uint64) *wire.StoredConfig {
+	storedVersion := func(version uint64) *wire.StoredConfig {
 		return &wire.StoredConfig{Version: version, Content: []byte(fmt.Sprint(version)), Digest: "d"}
 	}
 	for _, step := range []struct {
 		stored []*wire.StoredConfig
 		wanted string
 	}{
-		{[]*wire.StoredConfig{state(7)}, "[7]"},
-		{[]*wire.StoredConfig{state(7), state(20), state(21)}, "[21 20 7]"},
-		{[]*wire.StoredConfig{state(20), state(21), state(400)}, "[400 21 20 7]"},
-		{[]*wire.StoredConfig{state(400)}, "[400 21 20 7]"},
-		{[]*wire.StoredConfig{state(500), state(600)}, "[600 500]"},
-		{[]*wire.StoredConfig{state(500), state(601)}, "[601 500]"},
-		{[]*wire.StoredConfig{state(2), state(3)}, "[3 2]"},
+		{[]*wire.StoredConfig{storedVersion(7)}, "[7]"},
+		{[]*wire.StoredConfig{storedVersion(7), storedVersion(20), storedVersion(21)}, "[21 20 7]"},
+		{[]*wire.StoredConfig{storedVersion(20), storedVersion(21), storedVersion(400)}, "[400 21 20 7]"},
+		{[]*wire.StoredConfig{storedVersion(400)}, "[400 21 20 7]"},
+		{[]*wire.StoredConfig{storedVersion(500), storedVersion(600)}, "[600 500]"},
+		{[]*wire.StoredConfig{storedVersion(500), storedVersion(601)}, "[601 500]"},
+		{[]*wire.StoredConfig{storedVersion(2), storedVersion(3)}, "[3 2]"},
 	} {
 		a.Enqueue(step.stored)
 		<-a.writes
 		if contents := fmt.Sprint(committedContents(t, folder)); contents != step.wanted {
-			t.Errorf("%s, wanted %s", contents, step.wanted)
+			t.Errorf("archived versions %s, wanted %s", contents, step.wanted)
 		}
 	}
 }
--- a/internal/configstore/compression_test.go
+++ b/internal/configstore/compression_test.go
@@ -31,11 +31,11 @@
 			cache.fillContent(compressed, stored, true)
 			cache.fillContent(again, stored, true)
 			if !bytes.Equal(plain.Content, content) || len(plain.Compressed) > 0 || len(compressed.Content) > 0 || &compressed.Compressed[0] != &again.Compressed[0] {
-				t.Errorf("%d bytes plain, %d compressed", len(plain.Content), len(compressed.Compressed))
+				t.Errorf("%d bytes uncompressed, %d compressed; want one form in each response, compressed once", len(plain.Content), len(compressed.Compressed))
 			}
 			decoded, err := io.ReadAll(flate.NewReader(bytes.NewReader(compressed.Compressed)))
 			if err != nil || !bytes.Equal(decoded, content) || len(compressed.Compressed) > len(content)/4 {
-				t.Errorf("%v, %d of %d bytes", err, len(compressed.Compressed), len(content))
+				t.Errorf("decoding error %v; %d bytes compressed from %d, want the same content and at most a quarter", err, len(compressed.Compressed), len(content))
 			}
 		})
 	}
@@ -43,7 +43,7 @@
 		short := &wire.ConfigPollResponse{}
 		cache.fillContent(short, &wire.StoredConfig{Version: 5, Content: []byte("{}")}, true)
 		if string(short.Content) != "{}" {
-			t.Error("a short content was compressed")
+			t.Error("short content was compressed")
 		}
 	})
 }
--- a/internal/configstore/delta/delta_test.go
+++ b/internal/configstore/delta/delta_test.go
@@ -70,14 +70,14 @@
 		corrupt := bytes.Clone(encoded)
 		corrupt[index] ^= 0x55
 		if decoded, err := delta.Decode(base, corrupt, maxSize); err == nil && !bytes.Equal(decoded, content) {
-			t.Errorf("byte %d: another content", index)
+			t.Errorf("byte %d changed: decoded other content", index)
 		}
 		if decoded, err := delta.Decode(base, encoded[:index], maxSize); err == nil && !bytes.Equal(decoded, content) && len(decoded) > 0 {
-			t.Errorf("cut at %d: another content", index)
+			t.Errorf("truncated at %d: decoded other content", index)
 		}
 	}
 	if decoded, err := delta.Decode(content, encoded, maxSize); err == nil && !bytes.Equal(decoded, content) {
-		t.Error("with another base: another content")
+		t.Error("with another base: decoded other content")
 	}
 	if _, err := delta.Decode(base, encoded, len(content)-1); !errors.Is(err, delta.ErrCorrupt) {
 		t.Errorf("content over the limit: %v", err)
--- a/internal/configstore/differences/differences_test.go
+++ b/internal/configstore/differences/differences_test.go
@@ -113,7 +113,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if content := fixture.cache.Difference(test.base, test.latest, test.digest); content != nil {
-				t.Errorf("a difference of %d bytes", len(content))
+				t.Errorf("got a difference of %d bytes, want none", len(content))
 			}
 		})
 	}
