--- a/internal/configstore/api/api_test.go
+++ b/internal/configstore/api/api_test.go
@@ -50,7 +50,7 @@
 	storeAddress = regexp.MustCompile(`machine-\d:store`)
 )
 
-// TestResponses compares responses of the HTTP interface with a golden transcript: status, headers and bodies byte by byte, except for
+// TestResponses compares responses of the HTTP interface with an approved transcript: status, headers and bodies byte by byte, except for
 // random request IDs and the primary's address. "request METHOD path=PATH" sends the input as the body, in which LONG is replaced by a
 // text that exceeds the size limit. "stop" kills all stores but one.
 func TestResponses(t *testing.T) { runTranscript(t, "testdata/responses") }
--- a/internal/configstore/api/deltas.go
+++ b/internal/configstore/api/deltas.go
@@ -32,8 +32,8 @@
 // encodeContent returns an apply request in the form in which it's sent to a primary: with its content as a delta from the recent
 // content or, with sendFull, only compressed, for a primary that doesn't have the recent content. Content is sent uncompressed if it's
 // short or if the primary is of an early build, which doesn't support deltas.
-func (s *forwardingStore) encodeContent(leader string, request *wire.ConfigApplyRequest, sendFull bool) *wire.ConfigApplyRequest {
-	if len(request.Content) < delta.MinContentSize || !s.resolver.AllSupportDeltas(leader) {
+func (s *forwardingStore) encodeContent(primary string, request *wire.ConfigApplyRequest, sendFull bool) *wire.ConfigApplyRequest {
+	if len(request.Content) < delta.MinContentSize || !s.resolver.AllSupportDeltas(primary) {
 		return request
 	}
 	baseDigest, base := s.recent.get()
--- a/internal/configstore/api/forwarding.go
+++ b/internal/configstore/api/forwarding.go
@@ -49,9 +49,9 @@
 	deadline := s.host.Now() + timeout
 	var err error = apierror.Unreachable.New("no primary postmaster is known")
 	for s.host.Now() < deadline {
-		if leader := s.resolver.PrimaryName(configstore.Group); leader != "" {
+		if primary := s.resolver.PrimaryName(configstore.Group); primary != "" {
 			response := &wire.ConfigReadResponse{}
-			if err = s.resolver.Call(leader, wire.Kind_config_read, request, response, deadline-s.host.Now()); err == nil {
+			if err = s.resolver.Call(primary, wire.Kind_config_read, request, response, deadline-s.host.Now()); err == nil {
 				return response, nil
 			}
 		}
@@ -66,9 +66,9 @@
 	deadline := s.host.Now() + timeout
 	probe := &wire.ConfigReadRequest{Version: math.MaxUint64}
 	for {
-		leader := s.resolver.PrimaryName(configstore.Group)
+		primary := s.resolver.PrimaryName(configstore.Group)
 		limit := max(minProbeTimeout, min(maxProbeTimeout, deadline-s.host.Now()))
-		if leader != "" && s.resolver.Call(leader, wire.Kind_config_read, probe, &wire.ConfigReadResponse{}, limit) == nil {
+		if primary != "" && s.resolver.Call(primary, wire.Kind_config_read, probe, &wire.ConfigReadResponse{}, limit) == nil {
 			return true
 		}
 		if s.host.Now() >= deadline {
@@ -90,12 +90,12 @@
 	sent, sendFull := false, false
 	var lastErr error = apierror.Unreachable.New("the deadline passed before the request could be sent")
 	for s.host.Now() < deadline {
-		leader := s.resolver.PrimaryName(configstore.Group)
-		if leader == "" {
+		primary := s.resolver.PrimaryName(configstore.Group)
+		if primary == "" {
 			s.waitBeforeRetry(deadline)
 			continue
 		}
-		response, err := s.applyAt(leader, request, sendFull, deadline)
+		response, err := s.applyAt(primary, request, sendFull, deadline)
 		if err != nil {
 			lastErr = err
 			sent = sent || !apierror.IsUnreachable(err)
@@ -129,11 +129,11 @@
 
 // applyAt sends an apply request to a primary. It waits for half of the remaining time, but at least for minApplyTimeout, so that there
 // is time to send it to the next primary if this one doesn't respond.
-func (s *forwardingStore) applyAt(leader string, request *wire.ConfigApplyRequest, sendFull bool, deadline monotonic.Micros) (*wire.ConfigApplyResponse, error) {
-	response, encoded := &wire.ConfigApplyResponse{}, s.encodeContent(leader, request, sendFull)
+func (s *forwardingStore) applyAt(primary string, request *wire.ConfigApplyRequest, sendFull bool, deadline monotonic.Micros) (*wire.ConfigApplyResponse, error) {
+	response, encoded := &wire.ConfigApplyResponse{}, s.encodeContent(primary, request, sendFull)
 	remaining := deadline - s.host.Now()
 	timeout := max(remaining/2, min(remaining, minApplyTimeout))
-	return response, s.resolver.Call(leader, wire.Kind_config_apply, encoded, response, timeout)
+	return response, s.resolver.Call(primary, wire.Kind_config_apply, encoded, response, timeout)
 }
 
 // Latest implements Store. The content is read as a delta from the recent content if possible. If it can't be decoded or doesn't match
--- a/internal/configstore/api/handler.go
+++ b/internal/configstore/api/handler.go
@@ -26,12 +26,12 @@
 	store    *forwardingStore
 	host     host.Host
 	resolver *discovery.Resolver
-	// parse is the parser for the dialect in which configurations are stored. It reports all errors.
+	// parse is the parser for the format in which configurations are stored. It reports all errors.
 	parse config.Parser
 }
 
 // New returns the handler of the HTTP interface. The handler metrics serves /metrics, and status returns the value that /local shows
-// as JSON. The function parse is the parser for the dialect in which configurations are stored; it reports all errors.
+// as JSON. The function parse is the parser for the format in which configurations are stored; it reports all errors.
 func New(host host.Host, resolver *discovery.Resolver, metrics http.Handler, status func() any, parse config.Parser) http.Handler {
 	h := &handler{store: &forwardingStore{host: host, resolver: resolver}, host: host, resolver: resolver, parse: parse}
 	router := chi.NewRouter()
--- a/internal/configstore/api/overview.go
+++ b/internal/configstore/api/overview.go
@@ -22,7 +22,7 @@
 	// ConfigStores and Registries are the status documents of the processes, by process name.
 	ConfigStores map[string]json.RawMessage `json:"postmasters"`
 	Registries   map[string]json.RawMessage `json:"sorters"`
-	// Missing holds, for each process that didn't respond, the reason, by group and process name.
+	// Missing maps each process that didn't respond, named by its group and its name, to the reason.
 	Missing   map[string]string   `json:"missing"`
 	Addresses []*wire.PeerAddress `json:"addresses"`
 }
