--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// beginWait records the commit time of a version that no apply has waited for yet, and returns the time from which the timeout of an
-// apply of the version is counted. With ServeStale this is the time at which the newest version was committed, as far as this process
-// knows, so that a repeated apply doesn't wait again; otherwise it's the current time.
+// beginWait sets committedVersion and committedAt if an apply waits for a version for the first time, and returns the time from which
+// the timeout of the wait is counted. With ServeStale this is committedAt, so that a repeated apply doesn't wait again; otherwise it's
+// the current time.
 func (s *Server) beginWait(version uint64) monotonic.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +104,8 @@
 }
 
 // waitForAdoption waits until allAdopted holds for a version, and reports whether it did before the timeout. While this process
-// doesn't serve as primary the wait continues, because another primary may grant leases that this process doesn't know of. When it
-// serves again, onPrimary has set acknowledgeFrom, which covers those leases.
+// doesn't serve as primary the result of allAdopted doesn't count, because another primary may grant leases that this process doesn't
+// know of. When it serves again, onPrimary has set acknowledgeFrom, which covers those leases.
 func (s *Server) waitForAdoption(version uint64) bool {
 	host := s.options.Host
 	started := host.Now()
--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -24,7 +24,7 @@
 // version.
 //
 // Leases aren't replicated. A primary that takes over doesn't know which leases its predecessor granted, so it acknowledges
-// nothing until none of them can have more than LeaseSlack left (Server.acknowledgeFrom). A planned handover sends the list of leases
+// nothing until each of them can have at most LeaseSlack left (Server.acknowledgeFrom). A planned handover sends the list of leases
 // to the next primary and avoids that wait; see exportLeases. If the clock may have jumped, acknowledgements are delayed in the same
 // way, because the process can't tell which leases have expired.
 //
--- a/internal/configstore/handover.go
+++ b/internal/configstore/handover.go
@@ -21,7 +21,7 @@
 
 // onPrimary is called when this process becomes primary, before it serves. Unless the leases were handed over, or this process was
 // primary in the preceding epoch, other processes may have granted leases that it doesn't know of; acknowledgements then wait until
-// these have expired, except for the lease slack.
+// each of these can have at most LeaseSlack left.
 func (s *Server) onPrimary(epoch uint64, _ monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -19,7 +19,7 @@
 	adoptedAt      monotonic.Micros
 	// adoptionTime is the time from the commit of adoptedVersion until adoptedAt, zero if unknown.
 	adoptionTime monotonic.Micros
-	// expiresAt is no earlier than the end of the lease on the proxy's own clock, which counts from before it sent the poll.
+	// expiresAt is no earlier than the time at which the proxy stops serving: the proxy counts the lease from before it sent the poll.
 	expiresAt monotonic.Micros
 	// released is never reset, because an incarnation that has released its lease doesn't serve again.
 	released bool
@@ -65,8 +65,8 @@
 	return true
 }
 
-// grantLease starts or extends the lease of the polling proxy. A released lease stays released: the same incarnation sent the poll
-// before it released the lease, and the poll has been waiting since.
+// grantLease starts or extends the lease of the polling proxy. A released lease stays released: a poll that finds it released was sent
+// by the same incarnation before the release, and has been waiting since.
 func (s *Server) grantLease(request *wire.ConfigPollRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 
 // allAdopted reports whether no proxy may serve a version older than the given one for longer than the lease slack. With ServeStale
 // it reports whether all proxies that polled within the last Timeouts.Lease have adopted the version. If not, wait is the time until
-// the last of the leases that prevent it has no more than the slack left. Expired leases are removed.
+// it can hold: until all leases that prevent it have at most the slack left. Expired leases are removed.
 func (s *Server) allAdopted(version uint64) (adopted bool, wait monotonic.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -33,8 +33,8 @@
 	mu sync.Mutex
 	// leases are the leases that this primary granted or that its predecessor handed over, by leaseKey.
 	leases map[string]*proxyLease
-	// acknowledgeFrom is the time from which no lease that this process doesn't know of has more than LeaseSlack left. Nothing is
-	// acknowledged before it.
+	// acknowledgeFrom is the time before which nothing is acknowledged: from then on, each lease that this process doesn't know of has
+	// at most LeaseSlack left.
 	acknowledgeFrom monotonic.Micros
 	// epoch is the epoch in which this process last became primary, zero if it never has.
 	epoch uint64
@@ -44,8 +44,8 @@
 	// latestVersion is the highest version that this process knows to be accepted, and latestAt when it learned of it.
 	latestVersion uint64
 	latestAt      monotonic.Micros
-	// inheritedLeases are the leases that the primary of inheritedEpoch handed over after it had granted its last one. It's nil if
-	// there was no handover or once onPrimary has used it.
+	// inheritedLeases holds the leases that the primary of inheritedEpoch handed over, after it had granted its last one. It's nil if
+	// there was no handover or if onPrimary has used it already.
 	inheritedLeases map[string]*proxyLease
 	inheritedEpoch  uint64
 }
--- a/internal/configstore/timeouts.go
+++ b/internal/configstore/timeouts.go
@@ -90,7 +90,7 @@
 	return t.Lease + acknowledgeMargin
 }
 
-// unknownLeasePeriod is how long a new primary must assume that leases that it doesn't know of have more than LeaseSlack left.
+// unknownLeasePeriod is how long a new primary must assume that there are leases with more than LeaseSlack left that it doesn't know of.
 func (t Timeouts) unknownLeasePeriod() monotonic.Micros { return t.Lease - t.LeaseSlack }
 
 // effectiveSlack is the remaining lease time up to which an apply doesn't wait for a proxy.
--- a/internal/configstore/versions/apply.go
+++ b/internal/configstore/versions/apply.go
@@ -11,7 +11,7 @@
 const (
 	// Accepted means that the configuration is stored or superseded by a newer version.
 	Accepted = "accepted"
-	// Conflict means that the expected version isn't the newest, that the request ID or the version number stands for another
+	// Conflict means that the expected version isn't the newest, that the request ID or the version number was used with other
 	// content, or that there is no higher version number. Nothing was changed.
 	Conflict = "conflict"
 	// Invalid means that the configuration has errors. Nothing was changed.
@@ -76,7 +76,7 @@
 
 // acceptVersion stores content under the number that the client chose, if that is above the newest. The same content under a claimed
 // number, and any content under a lower number that isn't claimed, is acknowledged without changing the newest version, so that applies
-// may be repeated and arrive in any order. Another content under a claimed number is rejected, so that the contents of two operators are
+// may be repeated and arrive in any order. Other content under a claimed number is rejected, so that the contents of two operators are
 // never both acknowledged under one number. A request ID is stored but not checked.
 func (s *Store) acceptVersion(request *wire.ConfigApplyRequest) *wire.ConfigApplyResponse {
 	digest := config.Digest(request.Content)
--- a/internal/configstore/versions/doc.go
+++ b/internal/configstore/versions/doc.go
@@ -2,7 +2,7 @@
 // the request IDs and version numbers that make applies idempotent.
 //
 // An apply is idempotent in one of two ways. If the client chooses the version number, the first apply claims the number for its
-// content. Later applies of the same content under that number are acknowledged and of another content rejected, for as long as the
-// claim is among the last maxClaimedVersions. If the store assigns the number, the apply may have a request ID: a repetition with the
+// content. For as long as the claim is among the last maxClaimedVersions, later applies under that number are acknowledged if they have
+// the same content, and rejected otherwise. If the store assigns the number, the apply may have a request ID: a repetition with the
 // same ID and content gets the same response for as long as that version is stored.
 package versions
--- a/internal/configstore/versions/store.go
+++ b/internal/configstore/versions/store.go
@@ -18,7 +18,7 @@
 // Invariants:
 //   - configs is in ascending order of versions, with gaps where clients chose the version numbers
 //   - a stored version never changes
-//   - the newest version is kept; if there are more than history versions, the oldest are removed
+//   - the newest version is always stored; unless history is zero, it's the maximum number of stored versions, and the oldest are removed
 //   - requests holds exactly the request IDs of configs
 //   - a version number stands for one content for as long as claimed holds it, whether or not that content was ever the newest
 type Store struct {
--- a/internal/configstore/versions/store_test.go
+++ b/internal/configstore/versions/store_test.go
@@ -12,7 +12,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestTranscripts compares the results of applies with golden transcripts. Each command is executed by two replicas: one that has
+// TestTranscripts compares the results of applies with approved transcripts. Each command is executed by two replicas: one that has
 // executed all earlier commands, and one that is restored from a snapshot of the first. Their results and snapshots must be the same.
 // The commands are
 //
