--- a/internal/config/changes/cost_test.go
+++ b/internal/config/changes/cost_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// BenchmarkAdopt measures how a proxy adopts a change of one route: from a difference, from the full content, and from the full content
-// without sharing anything with the previous version.
+// BenchmarkAdopt measures how a proxy adopts a change of one route: from a difference, from the full content, and, as "before", from the
+// full content without sharing anything with the previous version.
 func BenchmarkAdopt(b *testing.B) {
 	for _, routes := range []int{10, 100, 1000, 10000} {
 		base, next := stateWithRoutes(routes, 0), stateWithRoutes(routes, 1)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,8 +15,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestDesiredStates compares with approved transcripts: which configurations are accepted or rejected, how requests are resolved, and
-// which settings services inherit.
+// TestDesiredStates checks which configurations are accepted or rejected, how requests are resolved, and which settings services
+// inherit, by approved transcripts.
 func TestDesiredStates(t *testing.T) {
 	datadriven.RunTest(t, "testdata/desired", func(t *testing.T, data *datadriven.TestData) string {
 		state, text := parse(t, data)
--- a/internal/config/redact_test.go
+++ b/internal/config/redact_test.go
@@ -8,7 +8,8 @@
 	"snowflow/internal/config"
 )
 
-// TestRedact guards against showing tenants' keys to operators.
+// TestRedact guards against showing tenants' keys to operators. A case without an expected text only checks that the result is valid
+// JSON and that a digest replaces the key.
 func TestRedact(t *testing.T) {
 	digest, _ := config.DigestKey("secret-1")
 	shown := `"` + config.ShortDigest(digest[:]) + `"`
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// Limits on tenants, in bytes.
+// Maximum lengths of a tenant's name and keys, in bytes.
 const (
 	maxTenantName = 200
 	// MaxTenantKey is the maximum length of a tenant's key.
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// relinkServices replaces the unchanged routes to changed services, so that they use the new policies of these.
+// relinkServices replaces unchanged routes that use a changed service, so that they use its new policies.
 func (u *tableUpdate) relinkServices(changed map[string]bool) error {
 	if len(changed) == 0 {
 		return nil
--- a/internal/config/validate_policies.go
+++ b/internal/config/validate_policies.go
@@ -61,8 +61,8 @@
 	v.checkBytes(location+".answerBytes", limits.AnswerBytes, 1, maxBodyBytes)
 }
 
-// checkEffective checks constraints between fields. They apply to a service's effective policies, that is merged with those of its
-// group and the defaults.
+// checkEffective checks constraints between fields. They apply to a service's effective policies, which are merged from its own, its
+// group's and the defaults.
 func (v *validator) checkEffective(location string, group *wire.Group, service *wire.Service) {
 	breaker, limits := mergeBreaker(group, service), mergeLimits(group, service)
 	if breaker.GetProbeTenureMicros() < limits.GetCutoffMicros() {
--- a/internal/resourcepath/resourcepath_test.go
+++ b/internal/resourcepath/resourcepath_test.go
@@ -10,8 +10,8 @@
 	"snowflow/internal/resourcepath"
 )
 
-// TestSpellings compares with an approved transcript: targets as clients send them, and the canonical forms by which they are routed,
-// matched with their idempotency keys and forwarded.
+// TestSpellings compares the canonical forms of targets, by which requests are routed, matched with their idempotency keys and forwarded,
+// with an approved transcript.
 func TestSpellings(t *testing.T) {
 	datadriven.RunTest(t, "testdata/spellings", func(t *testing.T, data *datadriven.TestData) string {
 		var text strings.Builder
