--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestDesiredStates checks which configurations are accepted or rejected, how requests are resolved, and which settings services
-// inherit, by approved transcripts.
+// inherit. It compares them with approved transcripts.
 func TestDesiredStates(t *testing.T) {
 	datadriven.RunTest(t, "testdata/desired", func(t *testing.T, data *datadriven.TestData) string {
 		state, text := parse(t, data)
--- a/internal/configstore/apply.go
+++ b/internal/configstore/apply.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// beginWait sets committedVersion and committedAt if an apply waits for a version for the first time, and returns the time from which
-// the timeout of the wait is counted. With ServeStale this is committedAt, so that a repeated apply doesn't wait again; otherwise it's
-// the current time.
+// beginWait sets committedVersion and committedAt if no apply has waited for the version or a newer one yet, and returns the time from
+// which the timeout of the wait is counted. With ServeStale this is committedAt, so that a repeated apply doesn't wait again; otherwise
+// it's the current time.
 func (s *Server) beginWait(version uint64) monotonic.Micros {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configstore/leases.go
+++ b/internal/configstore/leases.go
@@ -19,7 +19,7 @@
 	adoptedAt      monotonic.Micros
 	// adoptionTime is the time from the commit of adoptedVersion until adoptedAt, zero if unknown.
 	adoptionTime monotonic.Micros
-	// expiresAt is no earlier than the time at which the proxy stops serving: the proxy counts the lease from before it sent the poll.
+	// expiresAt is no earlier than the end of the lease by the proxy's clock: the proxy counts the lease from before it sent the poll.
 	expiresAt monotonic.Micros
 	// released is never reset, because an incarnation that has released its lease doesn't serve again.
 	released bool
