--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,11 +35,11 @@
 	discoveryInterval = monotonic.Second
 	// replyTimeout is how long a graceful shutdown waits at most for unwritten replies to other processes.
 	replyTimeout = 200 * monotonic.Millisecond
-	// failureTimeout is how long after a failure the process is ended even if its main task is stuck.
+	// failureTimeout is the time after a failure at which the process exits even if its main task is stuck.
 	failureTimeout = 2 * time.Second
-	// signalQueue is the buffer size of the channels of signals and failures. One would be enough for stop signals and failures, of
-	// which only the first counts.
-	signalQueue = 4
+	// signalBufferSize is the buffer size of the channels of signals and failures. For stop signals and failures, one would be enough,
+	// because only the first counts.
+	signalBufferSize = 4
 )
 
 // Daemon is a program while it is assembled and while it runs. Run sets the exported fields except Drain before it calls build.
@@ -73,7 +73,7 @@
 	}
 	daemon := &Daemon{
 		Program: program, Settings: values, Events: events, Handlers: host.Handlers{}, MetricsRegistry: prometheus.NewRegistry(),
-		supervisor: suture.New(program, suture.Spec{}), failures: make(chan string, signalQueue), stopSignals: make(chan os.Signal, signalQueue),
+		supervisor: suture.New(program, suture.Spec{}), failures: make(chan string, signalBufferSize), stopSignals: make(chan os.Signal, signalBufferSize),
 	}
 	defer daemon.runCleanups()
 	daemon.Defer(events.Close)
@@ -91,13 +91,13 @@
 }
 
 // openDisk opens and locks the data folder. It returns nil if the program has none. The lock is held until the process ends, since
-// tasks may still write while the daemon stops.
+// tasks may still write while the daemon stops. Only the programs of platform/ set data-owner, which no Field declares.
 func openDisk(values settings.Values) (wal.Disk, error) {
 	path := values["data"]
 	if path == "" {
 		return nil, nil
 	}
-	// A write beyond the system's limit on file sizes then fails as on a full disk, instead of ending the process.
+	// With SIGXFSZ ignored, a write beyond the system's limit on file sizes fails as on a full disk, instead of ending the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	disk, err := folder.OpenShared(path, values["data-owner"], values.Duration("rehearse-sync").Duration())
 	if err != nil {
@@ -118,7 +118,8 @@
 	}
 }
 
-// newResolver sets Resolver. A process of the control plane advertises itself. One outside it, whose group is empty, does not.
+// newResolver sets Resolver. A process of the control plane advertises itself. One outside it, whose group is empty, does not. Only the
+// programs of platform/ set failure-domain, which no Field declares.
 func (d *Daemon) newResolver(group string, disk wal.Disk) {
 	if d.Settings["advertise"] == "" {
 		d.Settings["advertise"] = d.Settings["listen"]
@@ -227,7 +228,8 @@
 	}
 }
 
-// fail ends the process without a drain, because its state can no longer be trusted. It returns before the process has ended.
+// fail makes Run return the reason as an error, without a drain, because the process's state can no longer be trusted. It doesn't
+// wait for that; the process exits after failureTimeout at the latest.
 func (d *Daemon) fail(reason string) {
 	select {
 	case d.failures <- reason:
--- a/internal/daemon/governor.go
+++ b/internal/daemon/governor.go
@@ -15,8 +15,8 @@
 	highUsage = 0.6
 	// lowUsage is the share of the processors in use below which an interval counts as one of low usage.
 	lowUsage = 0.25
-	// lowUsagePeriods is the number of intervals of low usage in a row after which the number of processors is halved.
-	lowUsagePeriods = 50
+	// lowUsageIntervals is the number of intervals of low usage in a row after which the number of processors is halved.
+	lowUsageIntervals = 50
 )
 
 // governor determines how many processors (GOMAXPROCS) a daemon uses. Under ordinary load, most work of a proxy is short, and the
@@ -26,21 +26,21 @@
 // Invariant: 1 <= current <= limit.
 type governor struct {
 	limit, current int
-	lowPeriods     int // intervals of low usage in a row
+	lowIntervals   int // intervals of low usage in a row
 }
 
 // next returns the number of processors for the next interval. share is the share of the current processors that was in use in the
 // last interval.
 func (g *governor) next(share float64) int {
-	g.lowPeriods++
+	g.lowIntervals++
 	if share >= lowUsage {
-		g.lowPeriods = 0
+		g.lowIntervals = 0
 	}
 	if share > highUsage {
 		g.current = min(g.limit, 2*g.current)
 	}
-	if g.lowPeriods >= lowUsagePeriods {
-		g.current, g.lowPeriods = max(1, g.current/2), 0
+	if g.lowIntervals >= lowUsageIntervals {
+		g.current, g.lowIntervals = max(1, g.current/2), 0
 	}
 	return g.current
 }
--- a/internal/daemon/rehearsal.go
+++ b/internal/daemon/rehearsal.go
@@ -12,7 +12,7 @@
 // moveClockOnSignal moves the process's clock at each SIGUSR1 by the number of microseconds that a file holds, to simulate a faulty
 // clock in rehearsals.
 func (d *Daemon) moveClockOnSignal(path string) {
-	signals := make(chan os.Signal, signalQueue)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGUSR1)
 	go func() { // runs as long as the process
 		for range signals {
