--- a/internal/host/clockwatch/clockwatch_test.go
+++ b/internal/host/clockwatch/clockwatch_test.go
@@ -33,6 +33,6 @@
 		}
 	})
 	if counts[0] < 90 || counts[0] > 100 || !slices.Equal([]int{counts[0] / 2, counts[0] / 5}, counts[1:]) {
-		t.Errorf("in ten seconds the tasks ran %v times", counts)
+		t.Errorf("in ten seconds the tasks ran %v times, want 90 to 100, half as many and a fifth", counts)
 	}
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -32,7 +32,7 @@
 	Random() uint64
 	// Disk returns the process's data folder, or nil if it has none.
 	Disk() wal.Disk
-	// Report publishes the event that has the given number in eventlog.Catalogue.
+	// Report publishes the event with the given number in eventlog.Catalogue.
 	Report(number int, attributes eventlog.Attributes)
 	// Stop ends the process at once, for example after a failed sync. It may return before the process has ended.
 	Stop(reason string)
@@ -59,7 +59,7 @@
 	handlers[kind] = func(content []byte) (proto.Message, error) {
 		request := RequestPointer(new(Request))
 		if err := proto.Unmarshal(content, request); err != nil {
-			return nil, apierror.Invalid.Wrap(err, "decoding %s", kind)
+			return nil, apierror.Invalid.Wrap(err, "decoding a %s request", kind)
 		}
 		reply, err := handle(request)
 		if err != nil {
--- a/internal/host/machine/connection.go
+++ b/internal/host/machine/connection.go
@@ -101,7 +101,7 @@
 	encoded, err := frame.AppendMessage(nil, frame.Frame{Kind: kind, RequestID: pending.id}, request)
 	if err != nil {
 		c.cancel(pending.id)
-		return pending, apierror.Invalid.Wrap(err, "encoding %s", kind)
+		return pending, apierror.Invalid.Wrap(err, "encoding a %s request", kind)
 	}
 	c.writeLock.Lock()
 	err = socket.WriteWithin(c.socket, encoded, timeout)
@@ -115,18 +115,18 @@
 	return pending, nil
 }
 
-// decodeReply decodes the reply to a request of a kind. A reply of another kind means that the connection is faulty, so that it
-// is closed.
+// decodeReply decodes the reply to a request of a kind. It closes the connection after a reply of another kind, which means that the
+// connection is faulty.
 func (c *peerConnection) decodeReply(incoming frame.Frame, kind wire.Kind, message proto.Message) error {
 	if incoming.Flags&frame.Fault != 0 {
 		return apierror.Refused.New("%s: %s", c.key.address, incoming.Content)
 	}
 	if incoming.Kind != kind {
 		c.close()
-		return apierror.Lost.New("%s replied to %s with %s", c.key.address, kind, incoming.Kind)
+		return apierror.Lost.New("%s replied to a %s request with a %s reply", c.key.address, kind, incoming.Kind)
 	}
 	if err := proto.Unmarshal(incoming.Content, message); err != nil {
-		return apierror.Lost.Wrap(err, "decoding %s", kind)
+		return apierror.Lost.Wrap(err, "decoding the reply to a %s request", kind)
 	}
 	return nil
 }
--- a/internal/host/machine/counters_test.go
+++ b/internal/host/machine/counters_test.go
@@ -42,7 +42,7 @@
 	}
 	for kind := range wire.Kind_name {
 		if kind >= maxKinds {
-			t.Errorf("kind %d isn't counted", kind)
+			t.Errorf("kind %d is not below maxKinds, so it isn't counted", kind)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		t.Errorf("the call ended with %v", err)
 	}
 	if err := client.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 10*monotonic.Second); err != nil {
-		t.Errorf("the next call: %v", err)
+		t.Errorf("the next call failed with %v", err)
 	}
 }
 
--- a/internal/host/machine/machine.go
+++ b/internal/host/machine/machine.go
@@ -45,7 +45,7 @@
 // Disk returns the process's data folder, or nil if it has none.
 func (m *Machine) Disk() wal.Disk { return m.disk }
 
-// Report publishes the event that has the given number in eventlog.Catalogue.
+// Report publishes the event with the given number in eventlog.Catalogue.
 func (m *Machine) Report(number int, attributes eventlog.Attributes) {
 	m.events.Publish(number, attributes)
 }
--- a/internal/host/machine/peers.go
+++ b/internal/host/machine/peers.go
@@ -18,9 +18,10 @@
 const (
 	// maxFrameSize is the largest message between processes, in bytes.
 	maxFrameSize = 64 << 20
-	// readBufferSize is the size of a connection's read buffer, in bytes. Longer content is read without the buffer.
+	// readBufferSize is the size of a connection's read buffer, in bytes. The rest of longer content bypasses the buffer.
 	readBufferSize = 16 << 10
-	// defaultDialTimeout and minDialTimeout bound how long a dial may take.
+	// defaultDialTimeout is the time limit of a dial unless SetDialTimeout sets another one. A call with a shorter timeout shortens the
+	// limit of the dial that it starts, but not below minDialTimeout.
 	defaultDialTimeout = 2 * time.Second
 	minDialTimeout     = 50 * time.Millisecond
 	// repliesPollInterval is how often WaitForReplies checks for replies that are not written yet.
@@ -74,7 +75,7 @@
 // Call sends a request and waits for the reply, as host.Host specifies.
 func (p *Peers) Call(address string, kind wire.Kind, request, reply proto.Message, timeout monotonic.Micros) error {
 	if address == "" {
-		return apierror.Unreachable.New("no address")
+		return apierror.Unreachable.New("the address to call is empty")
 	}
 	started := p.machine.Now()
 	timer := time.NewTimer(timeout.Duration())
--- a/internal/host/machine/peers_test.go
+++ b/internal/host/machine/peers_test.go
@@ -33,8 +33,8 @@
 	return machine, listener.Addr().String(), events
 }
 
-// TestMalformedFramesCloseTheConnection sends bytes that are no frame, a frame with a flipped bit, one of an unknown kind and one
-// of a version that is not adjacent. The server must close the connection and publish an event for each.
+// TestMalformedFramesCloseTheConnection sends bytes that are no frame, a frame with a flipped bit, one of an unknown kind and one of a
+// wire version that isn't adjacent. The server must close the connection and publish an event for each.
 func TestMalformedFramesCloseTheConnection(t *testing.T) {
 	_, address, events := startServer(t, host.Handlers{wire.Kind_discover: nil})
 	valid := frame.Append(nil, frame.Frame{Kind: wire.Kind_forward, RequestID: 1, Content: []byte("abc")})
@@ -83,13 +83,13 @@
 	machine, address, _ := startServer(t, handlers)
 	defer close(release)
 	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, monotonic.Second); !apierror.IsRefused(err) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("a refused call failed with %v", err)
 	}
 	if err := machine.Call(address, wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, 20*monotonic.Millisecond); err == nil || apierror.IsRefused(err) || apierror.IsUnreachable(err) {
-		t.Errorf("lost: %v", err)
+		t.Errorf("a call without a reply failed with %v", err)
 	}
 	if err := machine.Call("127.0.0.1:1", wire.Kind_forward, &wire.ForwardRequest{}, &wire.ForwardResponse{}, monotonic.Second); !apierror.IsUnreachable(err) {
-		t.Errorf("unreachable: %v", err)
+		t.Errorf("a call to a closed port failed with %v", err)
 	}
 	// Each reply must reach its own request, whatever other requests are pending on the connection.
 	done := make(chan bool)
@@ -154,10 +154,10 @@
 	}()
 	<-started
 	if err := machine.Call(address, wire.Kind_discover, &wire.DiscoverRequest{}, &wire.DiscoverResponse{}, 100*monotonic.Millisecond); !apierror.IsLost(err) {
-		t.Errorf("the short call: %v", err)
+		t.Errorf("the call with the short timeout ended with %v", err)
 	}
 	close(timedOut)
 	if err := <-long; err != nil || len(response.Body) != 8<<20 {
-		t.Errorf("the long call: %v", err)
+		t.Errorf("the call with the long reply ended with %v", err)
 	}
 }
--- a/internal/host/machine/socket/socket.go
+++ b/internal/host/machine/socket/socket.go
@@ -25,13 +25,13 @@
 	readBuffer []byte
 	readCount  int
 	readErrno  syscall.Errno
-	readFunc   func(descriptor uintptr) bool // readOnce as a value, to save an allocation per read
+	readFunc   func(descriptor uintptr) bool // the method value readOnce, kept to save an allocation per read
 
 	writeLock  sync.Mutex // guards the write state below
 	unwritten  []byte
 	writeErrno syscall.Errno
 	noWait     bool                          // whether to return instead of waiting for buffer space
-	writeFunc  func(descriptor uintptr) bool // writeAll as a value, to save an allocation per write
+	writeFunc  func(descriptor uintptr) bool // the method value writeAll, kept to save an allocation per write
 }
 
 // Wrap returns a Conn to use in place of a TCP connection. Other connections are returned unchanged.
@@ -125,8 +125,8 @@
 	return written, err
 }
 
-// WriteWithin writes all of content within a timeout. It uses the write deadline, which must not be used for anything else, and sets
-// it only if the content does not fit into the system's buffer, to save the cost of a timer.
+// WriteWithin writes all of content within a timeout. It sets the write deadline, which must not be used for anything else, but only if
+// the content does not fit into the system's buffer, to save the cost of a timer.
 func (c *Conn) WriteWithin(content []byte, timeout time.Duration) error {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -170,7 +170,7 @@
 	return &net.OpError{Op: operation, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(operation, errno)}
 }
 
-// ReadFrom implements io.ReaderFrom by calls of Write. TCPConn's method would pass the descriptor to the kernel to copy.
+// ReadFrom implements io.ReaderFrom by calls of Write. The method of TCPConn would instead let the kernel copy between descriptors.
 func (c *Conn) ReadFrom(source io.Reader) (int64, error) {
 	return io.Copy(onlyWriter{c}, source)
 }
