--- a/internal/apierror/causes.go
+++ b/internal/apierror/causes.go
@@ -26,8 +26,8 @@
 	DeadlineExceeded        Cause = 306 // the request's deadline passed
 	ForwardUnreachable      Cause = 401 // the backend's proxy could not be reached
 	ForwardLost             Cause = 402 // the backend's proxy sent no response
-	VersionOlder            Cause = 403 // the request was resolved by an older configuration than the backend's proxy has
-	VersionNewer            Cause = 404 // the request was resolved by a newer configuration than the backend's proxy has
+	VersionOlder            Cause = 403 // the request was resolved with an older configuration than the backend's proxy has
+	VersionNewer            Cause = 404 // the request was resolved with a newer configuration than the backend's proxy has
 	BackendLeaving          Cause = 405 // the backend is shutting down
 	BackendUnknown          Cause = 406 // the backend's proxy does not have that backend
 	BackendDialFailed       Cause = 407 // the backend did not accept the connection
@@ -57,6 +57,7 @@
 // retrySoon is the usual value of retryAfter.
 const retrySoon = monotonic.Second
 
+// catalogue holds every cause.
 var catalogue = map[Cause]causeEntry{
 	MissingKey:              {"no_reference_key", 400, 0, false},
 	UnknownPath:             {"unknown_path", 404, 0, false},
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -130,6 +130,7 @@
 	}
 }
 
+// writers holds the method that writes a line at each level.
 var writers = map[log.Level]func(*log.Entry, string){
 	log.DebugLevel: (*log.Entry).Debug,
 	log.InfoLevel:  (*log.Entry).Info,
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -101,7 +101,7 @@
 func CheckDuration(value string) error {
 	duration, err := time.ParseDuration(value)
 	if err == nil && (duration <= 0 || duration > maxDuration) {
-		return fmt.Errorf("%s is not above 0 and at most 1h", value)
+		return fmt.Errorf("%s must be above 0 and at most 1h", value)
 	}
 	return err
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -12,13 +12,13 @@
 func CommonFields() []Field {
 	return []Field{
 		{Name: "name", Help: "this process's name, unique in its group", Check: CheckName},
-		{Name: "domain", Help: "the zone it runs in", Check: CheckName},
-		{Name: "listen", Help: "address for the mesh's other processes", Check: CheckAddress},
-		{Name: "advertise", Help: "address at which others reach listen; the same if left out", Check: CheckAddress, Optional: true},
-		{Name: "seeds", Help: "three addresses of other processes, with commas between; any process of the mesh will do", Check: CheckAddresses},
-		{Name: "rehearse-clock", Help: "file of microseconds by which SIGUSR1 moves this process's clock, to rehearse a faulty one; leave it out in production", Optional: true},
-		{Name: "processors", Help: "most processors to run on; as many as there are if left out", Check: CheckCount, Optional: true},
-		{Name: "clock", Help: "boottime goes on while the machine is suspended; monotonic costs less, for machines that never are", Default: "boottime", Check: CheckOneOf("boottime", "monotonic")},
+		{Name: "domain", Help: "the zone (failure domain) that this process runs in", Check: CheckName},
+		{Name: "listen", Help: "address on which other processes of the mesh reach this one", Check: CheckAddress},
+		{Name: "advertise", Help: "address that other processes are told to connect to; that of listen if left out", Check: CheckAddress, Optional: true},
+		{Name: "seeds", Help: "three comma-separated addresses of other processes, any of the mesh", Check: CheckAddresses},
+		{Name: "rehearse-clock", Help: "file with the number of microseconds by which SIGUSR1 moves this process's clock, to rehearse a faulty one; leave it out in production", Optional: true},
+		{Name: "processors", Help: "maximum number of processors to use; all of the machine's if left out", Check: CheckCount, Optional: true},
+		{Name: "clock", Help: "boottime includes the time while the machine is suspended; monotonic costs less, for machines that are never suspended", Default: "boottime", Check: CheckOneOf("boottime", "monotonic")},
 		{Name: "log", Help: "lowest level of events to log: debug, info, warn or error", Default: "info", Check: CheckLevel},
 	}
 }
@@ -26,7 +26,7 @@
 // ControlPlaneFields returns the settings of registries and configuration stores.
 func ControlPlaneFields() []Field {
 	return append(CommonFields(),
-		Field{Name: "voters", Help: "names of all processes of this group, the same everywhere, with commas between; where their number is even the first counts double", Check: CheckVoters},
+		Field{Name: "voters", Help: "comma-separated names of all processes of this group, the same everywhere; if their number is even, the first counts twice", Check: CheckVoters},
 		Field{Name: "data", Help: "data folder, for this process alone"},
 		Field{Name: "rehearse-sync", Help: "added to each sync, to rehearse a slow disk; leave it out in production", Check: CheckDuration, Optional: true},
 		Field{Name: "http", FormerName: "desk", Help: "HTTP address for status, metrics and operators", Check: CheckAddress},
@@ -38,8 +38,8 @@
 	return append(CommonFields(),
 		Field{Name: "callers", Help: "HTTP address for callers", Check: CheckAddress},
 		Field{Name: "balance", FormerName: "choice", FormerValues: map[string]string{"blind": BalanceUniform}, Default: BalanceNear,
-			Help: "near prefers backends of the own zone while the load stays even; uniform ignores zones", Check: CheckOneOf(BalanceNear, BalanceUniform)},
-		Field{Name: "far-penalty", Help: "microseconds that a request to another zone counts for in load balancing", Default: "20000", Check: CheckPenalty},
+			Help: "near prefers backends of the proxy's own zone while the load stays even; uniform ignores zones", Check: CheckOneOf(BalanceNear, BalanceUniform)},
+		Field{Name: "far-penalty", Help: "microseconds that load balancing adds to the expected response time of a backend in another zone", Default: "20000", Check: CheckPenalty},
 		Field{Name: "http", FormerName: "desk", Help: "HTTP address for this machine's backends, the platform and operators", Check: CheckAddress},
 		Field{Name: "grace", Help: "how long a planned stop may take", Default: "2.5s", Check: CheckDuration},
 	)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -51,7 +51,7 @@
 				t.Fatal(err)
 			}
 			if values["http"] != test.http || values["balance"] != test.balance {
-				t.Errorf("http %q, balance %q", values["http"], values["balance"])
+				t.Errorf("got http %q and balance %q", values["http"], values["balance"])
 			}
 			for _, former := range []string{"desk", "choice"} {
 				if _, present := values[former]; present {
@@ -107,10 +107,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := load(t, test.content, test.arguments...)
 			if test.want != nil && !errors.Is(err, test.want) {
-				t.Errorf("%v is not %v", err, test.want)
+				t.Errorf("the error %v does not wrap %v", err, test.want)
 			}
 			if err == nil || err.Error() != test.text {
-				t.Errorf("%v, want %s", err, test.text)
+				t.Errorf("the error is %v, want %s", err, test.text)
 			}
 		})
 	}
--- a/internal/snowctl/client.go
+++ b/internal/snowctl/client.go
@@ -20,7 +20,7 @@
 	proxyTimeout = 5 * time.Second
 )
 
-// apiClient sends requests to the admin addresses of configuration stores, one after the other until one responds.
+// apiClient sends requests to the admin addresses of configuration stores or of a proxy, one after the other until one responds.
 type apiClient struct {
 	addresses  string // comma-separated
 	httpClient *http.Client
