--- a/internal/docscheck/vocabulary_test.go
+++ b/internal/docscheck/vocabulary_test.go
@@ -14,7 +14,7 @@
 )
 
 // withdrawnWords are words that names must not contain: those of an earlier naming style, and everyday words for which the field has a
-// term. docs/glossary.md lists the terms. "trip" isn't among the words, since it is the term for a circuit breaker.
+// term. docs/glossary.md lists the terms. "trip" isn't among the words, since it is the term for the opening of a circuit breaker.
 const withdrawnWords = `carrier sorter postmaster clerk depot countersign strongbox parcel bulletin franking gazetteer office
 postmark postcode seal seals house mailround inspector friday wicket pigeonhole counterfoil rack purse passage desk hutch rota
 restante backdoor errand errands courier lastpost vigil letter tenure serial ask asks asked tell tells told beat beats ailing
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -52,20 +52,20 @@
 // knownFailures.
 func (run *Run) unlistedFailures(entries []Entry, name string, tests map[string]*outcome, knownFailures map[string]bool) []string {
 	folder, names := strings.TrimPrefix(name, run.module+"/"), slices.Sorted(maps.Keys(tests))
-	covered, failing := map[string]bool{}, 0
+	listed, failing := map[string]bool{}, 0
 	var unfinished, failures []string
 	for _, test := range names {
 		switch result := tests[test]; {
 		case test == "":
 		case result.action == "fail":
 			failing++
-			covered[test] = markListed(entries, folder, test, knownFailures)
+			listed[test] = markListed(entries, folder, test, knownFailures)
 		case result.action == "" || result.action == "run":
 			unfinished = append(unfinished, folder+"."+test+" did not end")
 		}
 	}
 	for _, test := range names {
-		if test != "" && tests[test].action == "fail" && !covered[test] && !failedOnlyInListedSubtests(test, tests, covered) {
+		if test != "" && tests[test].action == "fail" && !listed[test] && !failedOnlyInListedSubtests(test, tests, listed) {
 			failures = append(failures, folder+"."+test)
 		}
 	}
@@ -87,8 +87,8 @@
 	return listed
 }
 
-// packageFailure describes the failure of a package that its failing tests, whose number it gets, don't explain. It returns an empty
-// string if there is none.
+// packageFailure describes why a package failed or did not end. failing is the number of its failed tests. It returns an empty string if
+// they explain the failure, or if there was none.
 func packageFailure(result *outcome, failing int) string {
 	switch {
 	case result != nil && result.action == "fail" && (failing == 0 || !result.ended):
@@ -99,13 +99,13 @@
 	return ""
 }
 
-// failedOnlyInListedSubtests reports whether a test failed only because listed subtests did. A test with output of its own may have
-// failed for another reason.
-func failedOnlyInListedSubtests(test string, tests map[string]*outcome, covered map[string]bool) bool {
+// failedOnlyInListedSubtests reports whether a test failed only because subtests failed that are listed. A test with output of its own
+// may have failed for another reason.
+func failedOnlyInListedSubtests(test string, tests map[string]*outcome, listed map[string]bool) bool {
 	inSubtests := false
 	for other, result := range tests {
 		if strings.HasPrefix(other, test+"/") && result.action == "fail" {
-			if !covered[other] && !failedOnlyInListedSubtests(other, tests, covered) {
+			if !listed[other] && !failedOnlyInListedSubtests(other, tests, listed) {
 				return false
 			}
 			inSubtests = true
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -55,7 +55,7 @@
 			}
 			verdict := knownred.Judge(entries, run, failed)
 			if text := fmt.Sprintf("pass %v\n%s", verdict.Passed, verdict.Text); attempt > 0 && text != first {
-				t.Errorf("a different verdict on the same run: %s", text)
+				t.Errorf("a repetition gave a different verdict on the same run: %s", text)
 			} else {
 				first = text
 			}
@@ -171,7 +171,7 @@
 		step.change()
 		passed, output := checkout.ci(step.list)
 		if passed != step.passed {
-			t.Errorf("%s: passed is %v\n%s", step.name, passed, output)
+			t.Errorf("%s: .ci/run returned passed %v\n%s", step.name, passed, output)
 		}
 		for _, want := range step.want {
 			if !strings.Contains(output, want) {
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -10,8 +10,8 @@
 
 // Entry is one line of the list of tests that are known to fail. No field is empty.
 type Entry struct {
-	// Test is a Go test, written as the package's folder, a dot and the test's name, or another check: the path of a script or of a
-	// rehearsal day.
+	// Test is a Go test, written as the package's folder, a dot and the test's name, or another check: the path of a script, or of a
+	// file of deploy/days, which plans a rehearsal.
 	Test    string
 	Command string // how to run it, with the seed
 	Seen    string // what was seen
@@ -61,7 +61,7 @@
 	}
 	entry := Entry{Test: fields[0], Command: fields[1], Seen: fields[2], Issue: fields[3]}
 	if _, _, isGoTest := entry.goTest(); !isGoTest && (strings.ContainsAny(entry.Test, " \t") || !strings.Contains(entry.Test, "/")) {
-		return Entry{}, fmt.Errorf("%q is neither folder.TestName nor the path of a script or a day", entry.Test)
+		return Entry{}, fmt.Errorf("%q is neither folder.TestName nor the path of a script or of a file of deploy/days", entry.Test)
 	}
 	return entry, nil
 }
