--- a/internal/compatibility/archive_test.go
+++ b/internal/compatibility/archive_test.go
@@ -18,7 +18,7 @@
 // storedArchive is the path of the archive of configurations that an earlier build wrote.
 var storedArchive = filepath.Join("testdata", "folders", "archive")
 
-// archivedStates returns the accepted configurations, except the last omitted ones.
+// archivedStates returns the accepted configurations, oldest first, except the given number of newest ones.
 func archivedStates(omitted int) (states []*wire.StoredConfig) {
 	for _, version := range acceptedVersions[:len(acceptedVersions)-omitted] {
 		states = append(states, &wire.StoredConfig{Version: version, Content: configurationOf(version), Digest: config.Digest(configurationOf(version)), Request: requestOf(version)})
@@ -26,7 +26,7 @@
 	return states
 }
 
-// archived returns the contents in an archive, newest first, and the hashes of their commits.
+// archived returns the contents in an archive, newest first, and the hashes of their commits. Both are nil if there is no archive.
 func archived(t *testing.T, path string) (contents, hashes []string) {
 	t.Helper()
 	repository, err := git.PlainOpen(path)
--- a/internal/compatibility/cluster_test.go
+++ b/internal/compatibility/cluster_test.go
@@ -17,7 +17,7 @@
 	"snowflow/internal/wal"
 )
 
-// memberNames are the names of a group's members in the stored registers.
+// memberNames are the names of a group's members, as the stored folders contain them.
 var memberNames = []string{"member-1", "member-2", "member-3"}
 
 // folder contains a member's files by name, except the reserve file, which is a megabyte without content.
@@ -160,8 +160,8 @@
 	cluster.world.Run(cluster.world.Now() + duration)
 }
 
-// leader returns the process that serves as its group's leader, or nil if none does.
-func (cluster *cluster) leader() *process {
+// primary returns the process that serves as the group's primary, or nil if none does.
+func (cluster *cluster) primary() *process {
 	index := slices.IndexFunc(cluster.processes, func(proc *process) bool {
 		return proc.node.Up() && proc.member != nil && proc.member.Serving()
 	})
@@ -172,29 +172,29 @@
 }
 
 const (
-	// electionTimeout is how long a group may take until it has a leader that serves.
+	// electionTimeout is how long a group may take until it has a primary that serves.
 	electionTimeout = 30 * monotonic.Second
-	// taskTimeout is how long a task on the leader may take.
+	// taskTimeout is how long a task on the primary may take.
 	taskTimeout = 30 * monotonic.Second
 )
 
-// onLeader waits for a leader and runs a task on it, in simulated time. The world stops within a millisecond after the task's end.
-func (cluster *cluster) onLeader(t *testing.T, task func(leader *process) error) {
+// onPrimary waits for a primary and runs a task on it, in simulated time. It returns within a simulated millisecond after the task's end.
+func (cluster *cluster) onPrimary(t *testing.T, task func(primary *process) error) {
 	t.Helper()
-	for waited := monotonic.Micros(0); cluster.leader() == nil; waited += 50 * monotonic.Millisecond {
+	for waited := monotonic.Micros(0); cluster.primary() == nil; waited += 50 * monotonic.Millisecond {
 		if waited > electionTimeout {
-			t.Fatalf("no leader serves; panic: %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
+			t.Fatalf("no primary serves; panic: %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
 		cluster.advance(50 * monotonic.Millisecond)
 	}
-	leader, err, ended := cluster.leader(), error(nil), false
-	leader.nodeHost.Go(func() { err, ended = task(leader), true })
+	primary, err, ended := cluster.primary(), error(nil), false
+	primary.nodeHost.Go(func() { err, ended = task(primary), true })
 	for began := cluster.world.Now(); !ended; cluster.advance(monotonic.Millisecond) {
 		if cluster.world.Now()-began > taskTimeout || cluster.world.Panicked != nil {
 			t.Fatalf("the task does not end; panic: %v; stopped: %v", cluster.world.Panicked, cluster.stopped)
 		}
 	}
 	if err != nil {
-		t.Fatal(fmt.Errorf("%s: %w", leader.node.Name, err))
+		t.Fatal(fmt.Errorf("%s: %w", primary.node.Name, err))
 	}
 }
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -21,8 +21,8 @@
 
 var writeFolders = flag.Bool("write-data-folders", false, "replace the stored data folders by new ones that this build writes")
 
-// TestWriteDataFolders writes the data folders that the other tests open. The stored ones stay as the build before names changed wrote
-// them, so this test runs only by hand, with -write-data-folders, and fails if CI is set.
+// TestWriteDataFolders writes the data folders that the other tests open. The stored ones must stay as they were written, by a build from
+// before identifiers were renamed, so this test runs only by hand, with -write-data-folders, and fails if CI is set.
 func TestWriteDataFolders(t *testing.T) {
 	if !*writeFolders {
 		t.Skip("data folders are only written by hand, with -write-data-folders")
@@ -86,10 +86,10 @@
 
 // ---- writing the data folders ----
 
-// submitAll submits commands to the leader of the registry, one after the other.
-func submitAll(leader *process, commands ...*wire.RegistryCommand) error {
+// submitAll submits commands to the primary of the registry, each once the one before it is acknowledged.
+func submitAll(primary *process, commands ...*wire.RegistryCommand) error {
 	for _, command := range commands {
-		if err := leader.member.Submit(command, &wire.RegistryResult{}); err != nil {
+		if err := primary.member.Submit(command, &wire.RegistryResult{}); err != nil {
 			return err
 		}
 	}
@@ -109,29 +109,29 @@
 	return &wire.RegistryCommand{Breaker: &wire.BreakerWriteRequest{Service: service, Verb: "trip", ExpectedVersion: 1, Proxy: proxy, Incarnation: 7, Active: []string{"proxy-1", "proxy-2"}, Settings: breakerSettings}}
 }
 
-// writeRegistry submits the commands that the stored folders of the registry contain, with a change of leader in between. Every command
-// except the last is acknowledged before a change of leader or a snapshot.
+// writeRegistry submits the commands that the stored folders of the registry contain, with a change of primary in between. The last one is
+// in the last record of the journal.
 func writeRegistry(t *testing.T, started *cluster) {
-	started.onLeader(t, func(leader *process) error {
-		err := submitAll(leader, claimOf("order-1", "attempt-1", "proxy-1"), claimOf("order-2", "attempt-1", "proxy-2"),
+	started.onPrimary(t, func(primary *process) error {
+		err := submitAll(primary, claimOf("order-1", "attempt-1", "proxy-1"), claimOf("order-2", "attempt-1", "proxy-2"),
 			&wire.RegistryCommand{Complete: &wire.CompleteClaimRequest{Scope: "order-2", Attempt: "attempt-1"}},
 			&wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: "order-3", Attempt: "attempt-1"}},
 			&wire.RegistryCommand{Void: &wire.VoidClaimRequest{Scope: "order-4", Fence: true}},
 			tripReportOf("invoices", "proxy-1"), tripReportOf("invoices", "proxy-2"), tripReportOf("parts", "proxy-1"))
 		for number := range 12 {
 			if err == nil {
-				err = submitAll(leader, claimOf(fmt.Sprintf("early-%d", number), "attempt-1", "proxy-1"))
+				err = submitAll(primary, claimOf(fmt.Sprintf("early-%d", number), "attempt-1", "proxy-1"))
 			}
 		}
 		return err
 	})
-	started.onLeader(t, func(leader *process) error {
-		leader.member.TransferLeadership("a planned change of leader")
+	started.onPrimary(t, func(primary *process) error {
+		primary.member.TransferLeadership("a planned change of primary")
 		return nil
 	})
 	started.advance(3 * monotonic.Second)
-	started.onLeader(t, func(leader *process) error {
-		return submitAll(leader, &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: "nightly", Proxy: "proxy-3", Instance: "instance-1", Duration: int64(30 * monotonic.Second)}},
+	started.onPrimary(t, func(primary *process) error {
+		return submitAll(primary, &wire.RegistryCommand{Singleton: &wire.SingletonLeaseRequest{Role: "nightly", Proxy: "proxy-3", Instance: "instance-1", Duration: int64(30 * monotonic.Second)}},
 			claimOf("late-1", "attempt-1", "proxy-1"), claimOf("late-2", "attempt-1", "proxy-2"), claimOf("last", "attempt-1", "proxy-1"))
 	})
 }
@@ -161,13 +161,13 @@
 func readRegistry(t *testing.T, started *cluster) (acknowledged, last string) {
 	t.Helper()
 	var results []string
-	started.onLeader(t, func(leader *process) error {
-		for _, record := range leader.registry.Breakers() {
+	started.onPrimary(t, func(primary *process) error {
+		for _, record := range primary.registry.Breakers() {
 			results = append(results, "breaker "+encoded(record))
 		}
 		for _, query := range registryQueries {
 			result := &wire.RegistryResult{}
-			if err := leader.member.Submit(query, result); err != nil {
+			if err := primary.member.Submit(query, result); err != nil {
 				return err
 			}
 			results = append(results, encoded(result))
@@ -192,15 +192,15 @@
 
 func requestOf(version uint64) string { return fmt.Sprintf("request-%d", version) }
 
-func applyVersion(leader *process, request *wire.ConfigApplyRequest) error {
-	response, err := leader.configStore.Apply(request)
+func applyVersion(primary *process, request *wire.ConfigApplyRequest) error {
+	response, err := primary.configStore.Apply(request)
 	if err == nil && response.Outcome != "accepted" {
-		err = fmt.Errorf("%d: %s %v", request.Version, response.Outcome, response.Errors)
+		err = fmt.Errorf("the outcome of applying version %d is %s: %v", request.Version, response.Outcome, response.Errors)
 	}
 	return err
 }
 
-// writeConfigurations applies acceptedVersions, one of them as a delta, with a change of leader in between.
+// writeConfigurations applies acceptedVersions, one of them as a delta, with a change of primary in between.
 func writeConfigurations(t *testing.T, started *cluster) {
 	started.advance(10 * monotonic.Second)
 	for index, version := range acceptedVersions[:len(acceptedVersions)-1] {
@@ -213,18 +213,18 @@
 			}
 			request.Content, request.Delta, request.Base = nil, difference, config.Digest(base)
 		}
-		started.onLeader(t, func(leader *process) error { return applyVersion(leader, request) })
+		started.onPrimary(t, func(primary *process) error { return applyVersion(primary, request) })
 		if index == 3 {
-			started.onLeader(t, func(leader *process) error {
-				leader.member.TransferLeadership("a planned change of leader")
+			started.onPrimary(t, func(primary *process) error {
+				primary.member.TransferLeadership("a planned change of primary")
 				return nil
 			})
 			started.advance(3 * monotonic.Second)
 		}
 	}
 	last := acceptedVersions[len(acceptedVersions)-1]
-	started.onLeader(t, func(leader *process) error {
-		return applyVersion(leader, &wire.ConfigApplyRequest{Content: configurationOf(last), Request: requestOf(last), Version: last})
+	started.onPrimary(t, func(primary *process) error {
+		return applyVersion(primary, &wire.ConfigApplyRequest{Content: configurationOf(last), Request: requestOf(last), Version: last})
 	})
 }
 
@@ -233,9 +233,9 @@
 func readConfigurations(t *testing.T, started *cluster) (acknowledged, last string) {
 	t.Helper()
 	var results []string
-	started.onLeader(t, func(leader *process) error {
+	started.onPrimary(t, func(primary *process) error {
 		for _, version := range acceptedVersions {
-			response, err := leader.configStore.ReadVersions(&wire.ConfigReadRequest{Version: version})
+			response, err := primary.configStore.ReadVersions(&wire.ConfigReadRequest{Version: version})
 			if err != nil {
 				return err
 			}
@@ -244,7 +244,7 @@
 				return fmt.Errorf("version %d has the content %q", version, response.Versions[0].Content)
 			}
 		}
-		list, err := leader.configStore.ReadVersions(&wire.ConfigReadRequest{List: true})
+		list, err := primary.configStore.ReadVersions(&wire.ConfigReadRequest{List: true})
 		if err != nil {
 			return err
 		}
@@ -252,7 +252,7 @@
 			return fmt.Errorf("%d versions are listed", listed)
 		}
 		// The number of an acknowledged version can't be reused for another content, even after a restart.
-		response, err := leader.configStore.Apply(&wire.ConfigApplyRequest{Content: configuration("another"), Version: acceptedVersions[0]})
+		response, err := primary.configStore.Apply(&wire.ConfigApplyRequest{Content: configuration("another"), Version: acceptedVersions[0]})
 		if err != nil {
 			return err
 		}
