--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -37,11 +37,11 @@
 
 // ownBinaryDir returns the folder of this program, the default folder of the others.
 func ownBinaryDir() (string, error) {
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	return filepath.Dir(own), nil
+	return filepath.Dir(executable), nil
 }
 
 // isSubnet reports whether a number is valid as the second octet of a fleet's loopback addresses.
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	for _, plan := range plans {
 		runOptions := sweep.Options{Window: plan.Window, Timeout: options.timeout, Failures: plan.Dimension.Failures, Binaries: options.binaryDir, Base: options.subnet}
 		run := func(size sweep.Size, number int) (sweep.Run, error) {
-			return runInSubprocess(ctx, own, sweepRunRequest{size, runOptions, number})
+			return runInSubprocess(ctx, executable, sweepRunRequest{size, runOptions, number})
 		}
 		if err := sweep.Sweep(plan, run, logf); err != nil {
 			return err
@@ -117,7 +117,7 @@
 }
 
 // runInSubprocess measures one run in a separate process, which is killed if this one exits.
-func runInSubprocess(ctx context.Context, own string, request sweepRunRequest) (run sweep.Run, err error) {
+func runInSubprocess(ctx context.Context, executable string, request sweepRunRequest) (run sweep.Run, err error) {
 	if request.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
 		return run, err
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return run, err
 	}
-	command := exec.CommandContext(ctx, own, "hollow", string(content))
+	command := exec.CommandContext(ctx, executable, "hollow", string(content))
 	command.Stderr = os.Stderr
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	output, err := command.Output()
--- a/internal/compatibility/stored_test.go
+++ b/internal/compatibility/stored_test.go
@@ -265,9 +265,9 @@
 // ---- reading the data folders ----
 
 // TestStoredFolders opens copies of the stored folders with the current code: intact, with all files of one member truncated within the
-// last record, and with the journals of all members truncated within the last record. All acknowledged data must be read back. If a
-// journal was truncated, the last command may be missing, but never partly applied: replication doesn't tolerate a disk that loses part
-// of a synced record.
+// last record, and with the journals of all members truncated within the last record. All acknowledged data must be read back, except that
+// the last command may be missing if a journal was truncated, because replication doesn't tolerate a disk that loses part of a synced
+// record. It must never be partly applied.
 func TestStoredFolders(t *testing.T) {
 	for _, test := range []struct {
 		group storedGroup
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// AddReplicationGauges registers the gauges of a replication member.
+// AddReplicationGauges registers the gauges of a replication member. Metrics keep the names under which they were first published,
+// because operators' queries depend on them.
 func (d *Daemon) AddReplicationGauges(member *replication.Member) {
 	serving := func() float64 {
 		if member.Serving() {
--- a/internal/host/clockwatch/clockwatch.go
+++ b/internal/host/clockwatch/clockwatch.go
@@ -50,8 +50,8 @@
 	return watcher
 }
 
-// TrustClock makes the watcher ignore jumps. Only simulations use it, to prove that the invariant checkers detect the
-// consequences; no program does. It must be called before Run.
+// TrustClock makes the watcher ignore jumps ahead and steps back. Only simulations use it, to prove that the invariant checkers
+// detect the consequences; no program does. It must be called before Run.
 func (w *Watcher) TrustClock(trust bool) { w.trustClock = trust }
 
 // OnJump adds a callback. It is called after each jump ahead, with the time by which the clock advanced more than the watcher
--- a/internal/snowctl/doctor/doctor_test.go
+++ b/internal/snowctl/doctor/doctor_test.go
@@ -16,12 +16,12 @@
 	mesh := MeshStatus{ConfigStores: map[string]configstore.Status{}, Registries: map[string]registry.Status{}, QueriedAt: 1_000_000_000}
 	for _, number := range []string{"1", "2", "3"} {
 		core := replication.Status{Joined: true, Epoch: 4, BackupsInSync: true, Serving: number == "1", FreeBytes: 1 << 30, Release: "a", Wall: mesh.QueriedAt}
-		store, registry := configstore.Status{Core: core, Version: 3, Leases: []configstore.LeaseStatus{{Proxy: "carrier-1"}}}, registry.Status{Replication: core, LeaderTime: int64(monotonic.Minute)}
+		store, registry := configstore.Status{Core: core, Version: 3, Leases: []configstore.LeaseStatus{{Proxy: "proxy-1"}}}, registry.Status{Replication: core, LeaderTime: int64(monotonic.Minute)}
 		store.Core.Primary, store.Core.Backup = "postmaster-1", "postmaster-2"
 		registry.Replication.Primary, registry.Replication.Backup = "sorter-1", "sorter-2"
 		store.Core.Group, store.Core.Name, store.Core.Voters = "postmaster", "postmaster-"+number, []string{"postmaster-1", "postmaster-2", "postmaster-3"}
 		registry.Replication.Group, registry.Replication.Name, registry.Replication.Voters = "sorter", "sorter-"+number, []string{"sorter-1", "sorter-2", "sorter-3"}
-		registry.Proxies = []*wire.Session{{Proxy: "carrier-1", ConfigVersion: 3, Release: "a", Backends: []*wire.Backend{
+		registry.Proxies = []*wire.Session{{Proxy: "proxy-1", ConfigVersion: 3, Release: "a", Backends: []*wire.Backend{
 			{Service: "forms", Instance: "one", Condition: "working"}, {Service: "forms", Instance: "two", Condition: "alive"}}}}
 		mesh.ConfigStores[store.Core.Name], mesh.Registries[registry.Replication.Name] = store, registry
 	}
@@ -75,7 +75,7 @@
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) { status.Replication.SyncTime = int64(monotonic.Second) })
 		}},
 		{"carriers", Warning, "version 2", func(mesh MeshStatus) { mesh.Registries["sorter-1"].Proxies[0].ConfigVersion = 2 }},
-		{"leases", Warning, "carrier-1 has no lease", func(mesh MeshStatus) {
+		{"leases", Warning, "proxy-1 has no lease", func(mesh MeshStatus) {
 			store := mesh.ConfigStores["postmaster-1"]
 			store.Leases = nil
 			mesh.ConfigStores["postmaster-1"] = store
@@ -92,7 +92,7 @@
 		}},
 		{"guards", Warning, "too few proxies agree", func(mesh MeshStatus) {
 			changeRegistry(mesh, "sorter-1", func(status *registry.Status) {
-				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "carrier-1"}}}}
+				status.Breakers = []*wire.BreakerRecord{{Service: "forms", State: "closed", Reports: []*wire.TripReport{{Proxy: "proxy-1"}}}}
 			})
 		}},
 		{"backends", Warning, "stopped sending heartbeats", func(mesh MeshStatus) { mesh.Registries["sorter-1"].Proxies[0].Backends[0].Condition = "overdue" }},
