--- a/internal/rehearse/capacity/need.go
+++ b/internal/rehearse/capacity/need.go
@@ -83,8 +83,8 @@
 	return terms
 }
 
-// targetClaimRate returns the claims per second to extrapolate to: the target's for a shared process, otherwise the rate at which each
-// proxy of the base size claims as often as a proxy of the target.
+// targetClaimRate returns the claims per second to extrapolate to. For a process that serves all proxies, this is the target's rate. For a
+// proxy, it is the rate of a mesh of the base size whose proxies each claim as often as a proxy of the target.
 func targetClaimRate(shared bool) float64 {
 	if shared {
 		return Claims
--- a/internal/rehearse/hollow/incarnation.go
+++ b/internal/rehearse/hollow/incarnation.go
@@ -18,7 +18,7 @@
 )
 
 // incarnation is the host on which a proxy runs from one start to the next stop. Once ended is set, each of its goroutines exits at its
-// next wait. The proxy's code holds no lock while it waits, so that no lock remains held.
+// next wait. The proxy's code holds no lock while it waits, so no lock remains held.
 type incarnation struct {
 	*machine.Machine
 	ended   atomic.Bool
--- a/internal/rehearse/hollow/pool.go
+++ b/internal/rehearse/hollow/pool.go
@@ -33,7 +33,7 @@
 type Pool struct {
 	options     Options
 	lock        sync.Mutex                         // guards members and endedCounts
-	members     []*member                          // replaced and never modified, as currentMembers returns it to callers
+	members     []*member                          // replaced, never modified in place, as currentMembers returns it
 	endedCounts map[wire.Kind]machine.MessageCount // messages of ended incarnations
 }
 
@@ -102,7 +102,8 @@
 	incarnationHost.Go(func() {
 		for {
 			incarnationHost.Sleep(localbackends.HeartbeatInterval)
-			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working) // does not fail, as the backend stays registered while its proxy runs
+			// This does not fail, as the backend stays registered while its proxy runs.
+			_ = hollowProxy.LocalBackends.Heartbeat(instance, localbackends.Working)
 		}
 	})
 	hollowProxy.Start()
@@ -170,7 +171,7 @@
 	return totals
 }
 
-// Claim claims an idempotency key at the registry's leader on behalf of a proxy, as each proxy does before it forwards a request to its
+// Claim claims an idempotency key at the registry's primary on behalf of a proxy, as each proxy does before it forwards a request to its
 // backend.
 func (p *Pool) Claim(index int, scope string, timeout monotonic.Micros) (granted bool, err error) {
 	proxyMember := p.currentMembers()[index]
@@ -180,7 +181,7 @@
 	return response.Outcome == "granted", err
 }
 
-// TripBreaker reports a fault of a service on behalf of a proxy, for which the registry creates a shared record of the service's breaker.
+// TripBreaker sends a trip report for a service on behalf of a proxy, so that the registry creates a shared record of its breaker.
 func (p *Pool) TripBreaker(index, service int) error {
 	proxyMember := p.currentMembers()[index]
 	request := &wire.BreakerWriteRequest{Service: ServiceName(service), Verb: "trip", Proxy: proxyMember.name, Incarnation: proxyMember.proxy.Incarnation(), Settings: config.DefaultService(ServiceName(service)).BreakerSettings()}
--- a/internal/rehearse/sweep/operator.go
+++ b/internal/rehearse/sweep/operator.go
@@ -1,7 +1,6 @@
 package sweep
 
 import (
-	"errors"
 	"fmt"
 	"strconv"
 	"time"
@@ -39,7 +38,7 @@
 // callPrimary sends a request to the primary of a replication group and retries every 10 ms until it succeeds or timeout has passed. It
 // returns the last error.
 func (m *measurement) callPrimary(group string, timeout time.Duration, request func(name string, timeLeft monotonic.Micros) error) error {
-	deadline, err := time.Now().Add(timeout), errors.New("no primary is known")
+	deadline, err := time.Now().Add(timeout), fmt.Errorf("no primary of the group %q is known", group)
 	for time.Now().Before(deadline) {
 		if name := m.resolver.PrimaryName(group); name != "" {
 			if err = request(name, monotonic.FromDuration(time.Until(deadline))); err == nil {
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -14,19 +14,19 @@
 
 // Options configures how one run is measured.
 type Options struct {
-	Window   time.Duration // duration of the measured steady state
-	Timeout  time.Duration // limits each wait for a state, such as until all proxies are ready
-	Failures bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
-	Dir   string        // folder for the settings, data and logs of the control plane processes
+	Window    time.Duration // duration of the measured steady state
+	Timeout   time.Duration // limits each wait for a state, such as until all proxies are ready
+	Failures  bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
+	Dir       string        // folder for the settings, data and logs of the control plane processes
 	BinaryDir string        // folder of the programs
-	Subnet     int           // second octet of the fleet's loopback addresses
+	Subnet    int           // second octet of the fleet's loopback addresses
 }
 
 // startInterval is the time between the starts of two proxies before the window. After the window, all proxies are restarted at once.
 const startInterval = 10 * time.Millisecond
 
-// The name of the configuration store's replication group and the proxies' role in records. Both date from before the programs were
-// renamed.
+// configStoreGroup is the name of the configuration store's replication group, and proxyRole is the role of proxies in records. Both
+// values date from before the programs were renamed.
 const (
 	configStoreGroup = "postmaster"
 	proxyRole        = "carrier"
@@ -45,8 +45,8 @@
 	baselineResident float64 // resident bytes of this process before the proxies were started
 }
 
-// RunSize measures one run of a size. It starts the control plane as separate processes, and within this process the proxies, which
-// forward no requests. number is the position of the run among those of its size.
+// RunSize measures one run of a size. It starts the control plane as separate processes. The proxies run within this process and forward no
+// requests. number is the position of the run among those of its size.
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]RoleUsage{}}
 	controlPlane, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, ControlPlaneHosts: 3},
@@ -68,7 +68,7 @@
 		seeds = append(seeds, process.PeerAddress)
 	}
 	m.resolver = discovery.New(m.host, nil, seeds)
-	// At least two proxies call each service, because the registry defers the fault report of a service's only caller.
+	// Enough calls that at least two proxies call each service: the registry delays the trip report of a service's only caller.
 	calls := max(4, (2*size.Services+size.Proxies-1)/size.Proxies)
 	m.pool = hollow.NewPool(hollow.Options{Proxies: size.Proxies, Services: size.Services, CalledServices: calls, Zones: controlPlane.Layout.Zones, Seeds: seeds[1:4]})
 	defer m.pool.StopAll()
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// tripBreakers makes the registry create a shared breaker record for each service, by a fault report of one proxy that calls it, and
-// waits until the proxy with index 0 has received all records.
+// tripBreakers sends a trip report for each service on behalf of one proxy that calls it, so that the registry creates shared breaker
+// records for all services. It then waits until the proxy with index 0 has received all records.
 func (m *measurement) tripBreakers() error {
 	callers := map[int]int{}
 	for index := range m.size.Proxies {
@@ -155,7 +155,7 @@
 	}
 	complete := func() bool { return m.pool.BreakerCount(0) == len(callers) }
 	if reached := pollUntil(m.options.Timeout, complete); !reached {
-		return fmt.Errorf("the first proxy has received only %d of %d breaker records after %v", m.pool.BreakerCount(0), len(callers), m.options.Timeout)
+		return fmt.Errorf("proxy 0 has received only %d of %d breaker records after %v", m.pool.BreakerCount(0), len(callers), m.options.Timeout)
 	}
 	m.run.Breakers = len(callers)
 	return nil
--- a/internal/rehearse/sweep/size.go
+++ b/internal/rehearse/sweep/size.go
@@ -107,7 +107,7 @@
 	return coreBytes + proxies*proxyBytes + proxies*proxies*memberBytes + uint64(s.Routes)*routeBytes*(proxies+3*uint64(s.Changes))
 }
 
-// Bounds are the limits of the resources that a run may take.
+// Bounds are the limits of the resources that a run may use.
 type Bounds struct {
 	Memory uint64 // bytes
 	Files  uint64 // open files of this process
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -21,8 +21,8 @@
 	return folder
 }
 
-// testWindow is long enough for each proxy to send a poll and a leader discovery request. Polls are at most 1 s apart, leader discovery
-// requests 1.25 s.
+// testWindow is long enough for each proxy to send a poll and a discovery request. Polls are at most 1 s apart, discovery requests at
+// most 1.25 s.
 const testWindow = 2 * time.Second
 
 // TestTinySweep measures runs of five proxies without traffic against real control plane processes. It checks which values are recorded,
