--- a/internal/rehearse/fleet/settings.go
+++ b/internal/rehearse/fleet/settings.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// Values of the proxies' load balancing setting: the programs' default, the other one, and the former name of the other one.
+// Values of the proxies' load balancing setting. The default is near, and blind is the former name of uniform.
 const (
 	loadBalancingNear          = "near"
 	loadBalancingUniform       = "uniform"
@@ -16,8 +16,8 @@
 // seedCount is the maximum number of seed addresses in a process's settings.
 const seedCount = 3
 
-// processSettings is the content of a process's settings file. Because builds of several releases read it, it has the oldest names of
-// the settings, and leaves out settings that an earlier build may not know wherever possible.
+// processSettings is the content of a process's settings file. Since builds of several releases read it, it uses the oldest name of each
+// setting and, where possible, leaves out settings that an earlier build may not know.
 type processSettings struct {
 	Name      string   `json:"name"`
 	Domain    string   `json:"domain"`
@@ -65,7 +65,7 @@
 	return os.WriteFile(process.settingsFile(), content, 0o644)
 }
 
-// formerLoadBalancing returns the name under which all builds read a load balancing value. It is empty for the default.
+// formerLoadBalancing returns the name of a load balancing value that all builds know. It is empty for the default.
 func formerLoadBalancing(value string) string {
 	switch value {
 	case loadBalancingNear:
--- a/internal/rehearse/layout/layout.go
+++ b/internal/rehearse/layout/layout.go
@@ -41,7 +41,7 @@
 	ControlPlaneHosts int // each runs a registry and a configuration store
 	Services          []Service
 	Kinds             []Kind
-	DesiredState      string // name of the example configuration that is applied first
+	DesiredState      string // name of the example desired state that is applied first
 }
 
 // All holds the layouts by name.
--- a/internal/rehearse/scenario/breakers.go
+++ b/internal/rehearse/scenario/breakers.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// probingProxy returns the proxy that holds the first probe lease of a record.
+// probingProxy returns the proxy that holds the first probe lease of a record, or the fleet's first proxy if that proxy is unknown.
 func (r *Rehearsal) probingProxy(record *wire.BreakerRecord) *fleet.Process {
 	for _, process := range r.Fleet.Proxies {
 		if process.Name == record.ProbeLeases[0].Proxy {
@@ -116,11 +116,11 @@
 		victim.Signal(syscall.SIGCONT)
 	}},
 	{"the whole control plane is killed and started again", func(r *Rehearsal, _ *wire.BreakerRecord) {
-		core := r.Fleet.ControlPlane()
-		for _, process := range core {
+		controlPlane := r.Fleet.ControlPlane()
+		for _, process := range controlPlane {
 			process.Kill()
 		}
-		for _, process := range core {
+		for _, process := range controlPlane {
 			r.restartAfter(process, 0)
 		}
 	}},
--- a/internal/rehearse/scenario/catalog.go
+++ b/internal/rehearse/scenario/catalog.go
@@ -12,7 +12,7 @@
 type Scenario struct {
 	Name    string
 	Summary string
-	Rules   []int // numbers of the rules whose checkers must examine something; otherwise the rehearsal proves nothing
+	Rules   []int // numbers in docs/rules.md of the rules whose checkers must examine something; otherwise the rehearsal proves nothing
 	Run     func(r *Rehearsal) error
 	// Prepare runs on the ready fleet before traffic starts. May be nil.
 	Prepare func(r *Rehearsal) error
@@ -33,7 +33,7 @@
 		Rules: []int{1, 3, 6, 7, 10, 12}, Run: stepClocks},
 
 	Scenario{Name: "lose-disk", Summary: "kill each control plane primary and restart it with an empty disk", Rules: []int{1, 3, 7, 12}, Run: loseDisks},
-	Scenario{Name: "damage-disk", Summary: "corrupt a byte of each primary's log while it is down; it must install a new snapshot", Rules: []int{1, 3, 7, 12}, Run: corruptDisks},
+	Scenario{Name: "damage-disk", Summary: "corrupt a byte of each primary's record file while it is down; it must install a new snapshot", Rules: []int{1, 3, 7, 12}, Run: corruptDisks},
 	Scenario{Name: "full-disk", Summary: "fill the disk of each primary, then of a whole control plane host, for a while", Rules: []int{1, 3, 7, 12}, Run: fillDisks},
 	Scenario{Name: "slow-disk", Summary: "slow each sync of a control plane host's disk by 400 ms, as backup and as primary; then the disk recovers", Rules: []int{1, 3, 7, 12}, Run: slowDisks},
 
@@ -95,7 +95,7 @@
 	}
 	found, known := All[name]
 	if !known {
-		return Scenario{}, fmt.Errorf("no scenario %q; there are %v", name, Names())
+		return Scenario{}, fmt.Errorf("no scenario %q; known scenarios are %v", name, Names())
 	}
 	return found, nil
 }
--- a/internal/rehearse/scenario/comparison.go
+++ b/internal/rehearse/scenario/comparison.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Comparison compares one metric of one kind of traffic between runs with changes and runs without.
+// Comparison compares one metric of one kind of traffic between runs with route changes and runs without.
 type Comparison struct {
 	Kind     string    `json:"kind"`
 	Metric   string    `json:"figure"` // the metric's name
@@ -39,7 +39,7 @@
 	return 1 - float64(report.Kinds[kind][outcomeServed])/float64(max(1, all))
 }
 
-// Compare compares runs with changes to runs without, for the kinds of traffic that chosen accepts.
+// Compare compares runs with route changes to runs without, by each metric, for the kinds of traffic that chosen accepts.
 func Compare(baseline, changed []Report, chosen func(kind string) bool) (comparisons []Comparison) {
 	kinds := map[string]bool{}
 	for _, report := range slices.Concat(baseline, changed) {
--- a/internal/rehearse/scenario/crashes.go
+++ b/internal/rehearse/scenario/crashes.go
@@ -47,12 +47,12 @@
 
 func killControlPlane(r *Rehearsal) error {
 	r.Wait(r.fractionOfDuration(0.4))
-	core := r.Fleet.ControlPlane()
-	for _, process := range core {
+	controlPlane := r.Fleet.ControlPlane()
+	for _, process := range controlPlane {
 		process.Kill()
 	}
 	r.Wait(3 * time.Second)
-	for _, process := range core {
+	for _, process := range controlPlane {
 		r.restartAfter(process, 0)
 	}
 	r.awaitRecovery()
@@ -75,7 +75,8 @@
 }
 
 func freezeProcesses(r *Rehearsal) error {
-	pauses := []time.Duration{4 * time.Second, 8 * time.Second} // shorter and longer than the deadlines that other processes set for a frozen one
+	// Shorter and longer than the deadlines that other processes set for a frozen one.
+	pauses := []time.Duration{4 * time.Second, 8 * time.Second}
 	for turn, began := 0, time.Now(); r.withinDuration(began); turn++ {
 		victim := r.Fleet.Proxies[turn%len(r.Fleet.Proxies)]
 		switch turn % 3 {
--- a/internal/rehearse/scenario/disks.go
+++ b/internal/rehearse/scenario/disks.go
@@ -36,7 +36,7 @@
 		if err := victim.CorruptRecords(); err != nil {
 			return err
 		}
-		r.Logf("corrupted a byte of the log of %s", victim.Name)
+		r.Logf("corrupted a byte of the record file of %s", victim.Name)
 		r.restartAfter(victim, 2*time.Second)
 		r.Wait(r.fractionOfDuration(0.2))
 		logged, err := r.hasLogged(victim, eventlog.DiskCorrupted)
--- a/internal/rehearse/scenario/markers.go
+++ b/internal/rehearse/scenario/markers.go
@@ -1,6 +1,6 @@
 package scenario
 
-// Markers in the history. The invariants evaluate them by these values.
+// Markers in the history. Those that package invariants evaluates have the values of its Marker constants.
 const (
 	markerFaultsEnded      = "returned"   // all faults have ended; service must recover from here on
 	markerOverload         = "rush"       // the extra load begins
--- a/internal/rehearse/scenario/network.go
+++ b/internal/rehearse/scenario/network.go
@@ -62,9 +62,9 @@
 	}
 	r.Wait(r.fractionOfDuration(0.3))
 	r.Fleet.Relays.Heal()
-	for _, process := range r.Fleet.Proxies {
-		for _, core := range r.Fleet.Registries {
-			r.partition(process.Host, core.Host)
+	for _, proxy := range r.Fleet.Proxies {
+		for _, registry := range r.Fleet.Registries {
+			r.partition(proxy.Host, registry.Host)
 		}
 	}
 	r.Wait(r.fractionOfDuration(0.3))
--- a/internal/rehearse/scenario/peak_traffic.go
+++ b/internal/rehearse/scenario/peak_traffic.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// archivedRoutes is the number of routes without traffic, so that a change must leave many other routes unchanged.
+	// archivedRoutes is the number of routes without traffic, which changes of other routes must leave as they are.
 	archivedRoutes = 200
 	// keyRetryTimeout limits how long a request with an idempotency key is retried. It is less than the minute within which the mesh
 	// executes a key at most once.
--- a/internal/rehearse/scenario/planned_stops.go
+++ b/internal/rehearse/scenario/planned_stops.go
@@ -30,7 +30,7 @@
 // stopProcess begins a planned stop, and returns an error if the process does not exit by itself within plannedStopTimeout.
 func stopProcess(process *fleet.Process) error {
 	if !process.Stop(plannedStopTimeout) {
-		return fmt.Errorf("%s did not stop by itself", process.Name)
+		return fmt.Errorf("%s did not exit by itself within %v", process.Name, plannedStopTimeout)
 	}
 	return nil
 }
--- a/internal/rehearse/scenario/rehearsal.go
+++ b/internal/rehearse/scenario/rehearsal.go
@@ -35,7 +35,7 @@
 	Dir               string        // folder for the processes' settings, data and logs
 	BinaryDir         string        // folder of the programs
 	PreviousBinaryDir string        // folder of an earlier build's programs, for the versions scenario
-	Subnet            int           // second part of the fleet's loopback addresses, from 1 to 254
+	Subnet            int           // second octet of the fleet's loopback addresses, from 1 to 254
 	UseRelays         bool          // connect the processes through relays, which partitions, delays and byte counts need
 	LogLevel          string        // minimum level that the processes log; empty for info
 	LoadBalancing     string        // how proxies choose backends: near or uniform
@@ -260,10 +260,10 @@
 		for _, process := range group {
 			var status struct {
 				Core struct {
-					Answering bool `json:"answering"`
+					Serving bool `json:"answering"`
 				} `json:"core"`
 			}
-			if process.Running() && r.Operator.ReadJSON(process, "/local", &status) == nil && status.Core.Answering {
+			if process.Running() && r.Operator.ReadJSON(process, "/local", &status) == nil && status.Core.Serving {
 				return process
 			}
 		}
--- a/internal/rehearse/scenario/tenants.go
+++ b/internal/rehearse/scenario/tenants.go
@@ -22,7 +22,7 @@
 	rotationInterval = 500 * time.Millisecond
 	// tenantFreezeTime is longer than a proxy's lease on the configuration.
 	tenantFreezeTime = 6 * time.Second
-	// requestsPerUnknownKey and requestsPerMissingKey: one in this many requests has a key that no tenant has, or has no key.
+	// One in requestsPerUnknownKey requests has a key that no tenant has, and one in requestsPerMissingKey has no key.
 	requestsPerUnknownKey, requestsPerMissingKey = 20, 20
 	// keyMarker is a part of every key and occurs nowhere else, so that output can be searched for keys.
 	keyMarker = "marked-key"
@@ -33,8 +33,8 @@
 
 // tenants holds the tenants' keys, which the scenario's operator replaces.
 type tenants struct {
-	mu            sync.Mutex // guards all below
-	variant       int
+	mu            sync.Mutex                         // guards all below
+	variant       int                                // number of the newest desired state, which its note contains
 	rotating      [tenantCount]*invariants.KeyPeriod // each tenant's current key that is not permanent
 	revokedKeys   []string                           // in the order of revocation
 	onlyPermanent bool                               // whether callers only send permanent keys
@@ -46,13 +46,13 @@
 
 // prepareTenants adds tenants to the layout's desired state, and makes callers send their keys.
 func prepareTenants(r *Rehearsal) error {
-	present := &tenants{}
-	r.tenants = present
+	keys := &tenants{}
+	r.tenants = keys
 	for number := range tenantCount {
 		r.History.RecordKeyPeriod(&invariants.KeyPeriod{Key: permanentKey(number), Tenant: tenantName(number), Permanent: true})
-		present.rotating[number] = r.newKey(number)
+		keys.rotating[number] = r.newKey(number)
 	}
-	r.Load.TenantKey = present.pickKey
+	r.Load.TenantKey = keys.pickKey
 	return r.applyTenants()
 }
 
@@ -141,9 +141,9 @@
 func revokeKeys(r *Rehearsal) error {
 	for began, turn := time.Now(), 0; r.withinDuration(began); turn++ {
 		victim := randomItem(r.Fleet.Proxies)
-		disturbed := make(chan struct{})
+		disrupted := make(chan struct{})
 		go func() {
-			defer close(disturbed)
+			defer close(disrupted)
 			r.disruptProxy(victim, turn%2 == 0)
 		}()
 		for tenant := range tenantCount {
@@ -152,7 +152,7 @@
 				return err
 			}
 		}
-		<-disturbed
+		<-disrupted
 	}
 	if err := fleet.AwaitReady(r.Fleet.Proxies, readyTimeout); err != nil {
 		return err
--- a/internal/rehearse/scenario/watch.go
+++ b/internal/rehearse/scenario/watch.go
@@ -18,14 +18,15 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 	done     sync.WaitGroup
-	// localDecisions is whether, at the last reading, some proxy was down, not ready, or had breakers that only use local counts.
+	// localDecisions is whether, at the last reading, the breakers of some proxy may not have followed the shared records: it was
+	// unreachable, just started, not ready, or had breakers that only use local counts.
 	localDecisions bool
 }
 
 func (w *watcher) requestStop() { w.stopOnce.Do(func() { close(w.stop) }) }
 
-// Watch starts recording the breaker records of the registry's primary, for rule 10, and the proxies' active configurations, for
-// rule 6. Close stops it.
+// Watch starts recording the breaker records of the registry's primary and the proxies' active configurations, which the rules on
+// breakers (10) and on versions (6) check. Close stops it.
 func (r *Rehearsal) Watch() {
 	r.watcher.done.Add(1)
 	go func() {
@@ -54,8 +55,8 @@
 	}
 }
 
-// observeProxies records every proxy's status, and reports whether some proxy is down, not ready, or has breakers that only use local
-// counts.
+// observeProxies records every proxy's status, and reports whether the breakers of some proxy may not follow the shared records, as
+// watcher.localDecisions has it.
 func (r *Rehearsal) observeProxies() (localDecisions bool) {
 	for _, process := range r.Fleet.Proxies {
 		var status proxy.Status
--- a/internal/rehearse/standin/backend.go
+++ b/internal/rehearse/standin/backend.go
@@ -236,7 +236,7 @@
 }
 
 // splitRequestID splits a request ID into the caller's attempt ID and the number of the proxy's attempt, which the proxy appends
-// after a dot. Without one the number is 1.
+// after a dot. If there is none, the number is 1.
 func splitRequestID(id string) (attempt string, number int) {
 	position := strings.LastIndexByte(id, '.')
 	if position < 0 {
--- a/internal/rehearse/standin/operator.go
+++ b/internal/rehearse/standin/operator.go
@@ -141,7 +141,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: status %d: %s", path, response.StatusCode, content)
+		return fmt.Errorf("%s%s: status %d: %s", process.Name, path, response.StatusCode, content)
 	}
 	return json.Unmarshal(content, into)
 }
