--- a/internal/rehearse/sweep/sweep.go
+++ b/internal/rehearse/sweep/sweep.go
@@ -16,7 +16,7 @@
 	Sizes     []int // values of the dimension to measure
 	Runs      int   // number of runs of each size
 	Window    time.Duration
-	Results   string // directory of the records
+	Results   string // folder of the records
 }
 
 // Check returns an error if the plan is empty or one of its sizes is invalid or exceeds the bounds.
