--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -68,7 +68,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
 	for _, plan := range plans {
-		runOptions := sweep.Options{Window: plan.Window, Timeout: options.timeout, Failures: plan.Dimension.Failures, Binaries: options.binaryDir, Base: options.subnet}
+		runOptions := sweep.Options{Window: plan.Window, Timeout: options.timeout, Failures: plan.Dimension.Failures, BinaryDir: options.binaryDir, Subnet: options.subnet}
 		run := func(size sweep.Size, number int) (sweep.Run, error) {
 			return runInSubprocess(ctx, executable, sweepRunRequest{size, runOptions, number})
 		}
@@ -118,10 +118,10 @@
 
 // runInSubprocess measures one run in a separate process, which is killed if this one exits.
 func runInSubprocess(ctx context.Context, executable string, request sweepRunRequest) (run sweep.Run, err error) {
-	if request.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
+	if request.Options.Dir, err = os.MkdirTemp("", "rehearse"); err != nil {
 		return run, err
 	}
-	defer func() { _ = os.RemoveAll(request.Options.Folder) }()
+	defer func() { _ = os.RemoveAll(request.Options.Dir) }()
 	content, err := json.Marshal(request)
 	if err != nil {
 		return run, err
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -21,8 +21,8 @@
 	return folder
 }
 
-// testWindow is long enough for each proxy to send a poll and a leader discovery request. Polls are at most 1 s apart, leader discovery
-// requests 1.25 s.
+// testWindow is long enough for each proxy to send a poll and a discovery request. Polls are at most 1 s apart, discovery requests at
+// most 1.25 s.
 const testWindow = 2 * time.Second
 
 // TestTinySweep measures runs of five proxies without traffic against real control plane processes. It checks which values are recorded,
@@ -39,7 +39,7 @@
 	}{"calm": {withoutRestarts, false, 243}, "failures": {withRestarts, true, 244}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			options := Options{Window: testWindow, Timeout: time.Minute, Failures: testCase.failures, Folder: t.TempDir(), Binaries: binaries, Base: testCase.subnet}
+			options := Options{Window: testWindow, Timeout: time.Minute, Failures: testCase.failures, Dir: t.TempDir(), BinaryDir: binaries, Subnet: testCase.subnet}
 			run, err := RunSize(testCase.size, options, 1)
 			if err != nil {
 				t.Fatal(err)
