--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -19,7 +19,7 @@
 	Failures  bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
 	Dir       string        // folder for the settings, data and logs of the control plane processes
 	BinaryDir string        // folder of the programs
-	Subnet    int           // second octet of the fleet's loopback addresses
+	Base    int           // second octet of the fleet's loopback addresses
 }
 
 // startInterval is the time between the starts of two proxies before the window. After the window, all proxies are restarted at once.
@@ -50,7 +50,7 @@
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]RoleUsage{}}
 	controlPlane, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, ControlPlaneHosts: 3},
-		fleet.Options{Dir: options.Dir, BinaryDir: options.BinaryDir, Subnet: options.Subnet, LoadBalancing: "near", LogLevel: "warn"})
+		fleet.Options{Dir: options.Dir, BinaryDir: options.BinaryDir, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
 	if err != nil {
 		return run, err
 	}
