--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -118,10 +118,10 @@
 
 // runInSubprocess measures one run in a separate process, which is killed if this one exits.
 func runInSubprocess(ctx context.Context, executable string, request sweepRunRequest) (run sweep.Run, err error) {
-	if request.Options.Dir, err = os.MkdirTemp("", "rehearse"); err != nil {
+	if request.Options.Folder, err = os.MkdirTemp("", "rehearse"); err != nil {
 		return run, err
 	}
-	defer func() { _ = os.RemoveAll(request.Options.Dir) }()
+	defer func() { _ = os.RemoveAll(request.Options.Folder) }()
 	content, err := json.Marshal(request)
 	if err != nil {
 		return run, err
