--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -68,7 +68,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
 	for _, plan := range plans {
-		runOptions := sweep.Options{Window: plan.Window, Timeout: options.timeout, Failures: plan.Dimension.Failures, BinaryDir: options.binaryDir, Base: options.subnet}
+		runOptions := sweep.Options{Window: plan.Window, Timeout: options.timeout, Failures: plan.Dimension.Failures, Binaries: options.binaryDir, Base: options.subnet}
 		run := func(size sweep.Size, number int) (sweep.Run, error) {
 			return runInSubprocess(ctx, executable, sweepRunRequest{size, runOptions, number})
 		}
--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -18,7 +18,7 @@
 	Timeout   time.Duration // limits each wait for a state, such as until all proxies are ready
 	Failures  bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
 	Folder       string        // folder for the settings, data and logs of the control plane processes
-	BinaryDir string        // folder of the programs
+	Binaries string        // folder of the programs
 	Base    int           // second octet of the fleet's loopback addresses
 }
 
@@ -50,7 +50,7 @@
 func RunSize(size Size, options Options, number int) (Run, error) {
 	run := Run{Size: size, Number: number, LoadAverage: loadAverage(), Roles: map[string]RoleUsage{}}
 	controlPlane, err := fleet.New(layout.Layout{Name: "hollow", Zones: []string{"left", "middle", "right"}, ControlPlaneHosts: 3},
-		fleet.Options{Dir: options.Folder, BinaryDir: options.BinaryDir, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
+		fleet.Options{Dir: options.Folder, BinaryDir: options.Binaries, Subnet: options.Base, LoadBalancing: "near", LogLevel: "warn"})
 	if err != nil {
 		return run, err
 	}
--- a/internal/rehearse/sweep/sweep_test.go
+++ b/internal/rehearse/sweep/sweep_test.go
@@ -39,7 +39,7 @@
 	}{"calm": {withoutRestarts, false, 243}, "failures": {withRestarts, true, 244}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			options := Options{Window: testWindow, Timeout: time.Minute, Failures: testCase.failures, Folder: t.TempDir(), BinaryDir: binaries, Base: testCase.subnet}
+			options := Options{Window: testWindow, Timeout: time.Minute, Failures: testCase.failures, Folder: t.TempDir(), Binaries: binaries, Base: testCase.subnet}
 			run, err := RunSize(testCase.size, options, 1)
 			if err != nil {
 				t.Fatal(err)
