--- a/internal/rehearse/sweep/run.go
+++ b/internal/rehearse/sweep/run.go
@@ -14,12 +14,12 @@
 
 // Options configures how one run is measured.
 type Options struct {
-	Window    time.Duration // duration of the measured steady state
-	Timeout   time.Duration // limits each wait for a state, such as until all proxies are ready
-	Failures  bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
-	Folder       string        // folder for the settings, data and logs of the control plane processes
+	Window   time.Duration // duration of the measured steady state
+	Timeout  time.Duration // limits each wait for a state, such as until all proxies are ready
+	Failures bool          // whether to measure the recovery from failures of the primaries and a restart of all proxies after the window
+	Folder   string        // folder for the settings, data and logs of the control plane processes
 	Binaries string        // folder of the programs
-	Base    int           // second octet of the fleet's loopback addresses
+	Base     int           // second octet of the fleet's loopback addresses
 }
 
 // startInterval is the time between the starts of two proxies before the window. After the window, all proxies are restarted at once.
