--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -55,7 +55,7 @@
 			if err := checkValid(routeChanges.State); err != nil {
 				t.Error(err)
 			}
-			if err := routeChanges.ApplyEach(checkValid); err != nil || valid != routeChanges.KindCount()+1 || len(routeChanges.Counts) != routeChanges.KindCount() {
+			if err := routeChanges.ApplyEach(checkValid); err != nil || valid != routeChanges.CombinationCount()+1 || len(routeChanges.Counts) != routeChanges.CombinationCount() {
 				t.Error(err, valid, routeChanges.Counts)
 			}
 			for range 200 {
--- a/internal/simulation/scenario/peak_traffic_test.go
+++ b/internal/simulation/scenario/peak_traffic_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		t.Logf("seed %d: %d versions, changes %v", seed, busyMesh.latestVersion, busyMesh.routeWorkload.Counts)
-		if busyMesh.latestVersion < 60 || len(busyMesh.routeWorkload.Counts) < busyMesh.routeWorkload.KindCount() {
+		if busyMesh.latestVersion < 60 || len(busyMesh.routeWorkload.Counts) < busyMesh.routeWorkload.CombinationCount() {
 			t.Errorf("seed %d: only %d versions, changes %v", seed, busyMesh.latestVersion, busyMesh.routeWorkload.Counts)
 		}
 		for _, family := range slices.Concat(changingFamilies, lookupFamilies) {
--- a/internal/workload/route_changes.go
+++ b/internal/workload/route_changes.go
@@ -69,8 +69,8 @@
 	return &RouteChanges{State: state, Counts: map[string]int{}, families: families, rng: rng}
 }
 
-// KindCount returns the number of combinations of a family and a kind of change.
-func (c *RouteChanges) KindCount() int { return len(c.families) * len(routeChanges) }
+// CombinationCount returns the number of combinations of a family and a kind of change.
+func (c *RouteChanges) CombinationCount() int { return len(c.families) * len(routeChanges) }
 
 // Next returns a copy of State with a random change to a random family's routes. It does not modify State.
 func (c *RouteChanges) Next() *wire.DesiredState {
--- a/internal/workload/route_changes_test.go
+++ b/internal/workload/route_changes_test.go
@@ -62,8 +62,8 @@
 		checkState(t, state)
 		return nil
 	})
-	if err != nil || visited != changes.KindCount() || len(changes.Counts) != changes.KindCount() {
-		t.Errorf("%d states visited, %d of %d combinations counted, error %v", visited, len(changes.Counts), changes.KindCount(), err)
+	if err != nil || visited != changes.CombinationCount() || len(changes.Counts) != changes.CombinationCount() {
+		t.Errorf("%d states visited, %d of %d combinations counted, error %v", visited, len(changes.Counts), changes.CombinationCount(), err)
 	}
 }
 
