--- a/internal/invariants/breaker_rules.go
+++ b/internal/invariants/breaker_rules.go
@@ -13,7 +13,7 @@
 	// writeDelay bounds the time from the timestamp of a write to the first reading that shows it.
 	writeDelay = 1200 * monotonic.Millisecond
 	// leaseSweepSlack is how long after its expiry a probe lease may still be in the record: a periodic sweep removes expired leases,
-	// and the leader's clock may stand still during a failover.
+	// and the leader clock may stand still during a failover.
 	leaseSweepSlack = 3 * monotonic.Second
 )
 
@@ -110,7 +110,7 @@
 	}
 	leases := len(reading.ProbeLeases)
 	if reading.Budget+leases+reading.ProbeResults != reading.Permitted {
-		findings = append(findings, ruleViolation(ruleBreakers, "%s at %d: budget %d + leases %d + results %d is not %d",
+		findings = append(findings, ruleViolation(ruleBreakers, "%s at %d: budget %d + leases %d + results %d is not the %d permitted probes",
 			reading.Service, reading.At, reading.Budget, leases, reading.ProbeResults, reading.Permitted))
 	}
 	if reading.Granted-reading.Returned != leases+reading.ProbeResults {
@@ -132,9 +132,9 @@
 		findings = append(findings, ruleViolation(ruleBreakers, "%s stayed open for only %d of %d before it became half-open at %d",
 			after.Service, waited, before.Wait, after.At))
 	}
-	// The same by the observer's clock, in case the leader's clock was stepped. The first reading as open came after the write, which
-	// a slow disk may have delayed. So the wait is measured from the reading before it, which is at most writeDelay after the write's
-	// timestamp.
+	// The same by the observer's clock, in case the leader clock was stepped. The wait is measured from the last reading of the state
+	// before the open state, which is at most writeDelay after the timestamp of the write that opened the breaker. The first reading as
+	// open may come later, since a slow disk may delay the write.
 	if waited := after.At - before.previousSeenAt; before.previousSeenAt > 0 && waited < before.Wait-writeDelay {
 		findings = append(findings, ruleViolation(ruleBreakers, "%s was open for at most %d instead of %d before it became half-open at %d",
 			after.Service, waited, before.Wait, after.At))
--- a/internal/invariants/config_change_checks_test.go
+++ b/internal/invariants/config_change_checks_test.go
@@ -31,8 +31,8 @@
 	versions := func(applied []invariants.AppliedConfig, active ...invariants.ActiveConfig) *invariants.History {
 		return &invariants.History{AppliedConfigs: applied, ActiveConfigs: active}
 	}
-	counts := func(incarnation uint64, verdict string, calls uint64, window int) invariants.CallCounts {
-		return invariants.CallCounts{Proxy: "c", Incarnation: incarnation, Service: "s", BreakerState: verdict, Calls: calls, Window: window}
+	counts := func(incarnation uint64, state string, calls uint64, window int) invariants.CallCounts {
+		return invariants.CallCounts{Proxy: "c", Incarnation: incarnation, Service: "s", BreakerState: state, Calls: calls, Window: window}
 	}
 	counted := func(counts ...invariants.CallCounts) *invariants.History {
 		return &invariants.History{CallCounts: counts}
--- a/internal/invariants/history.go
+++ b/internal/invariants/history.go
@@ -30,7 +30,7 @@
 	// AllowedRoutes maps a kind of traffic and a service to the time at which the first configuration that routes this kind to this
 	// service was submitted.
 	AllowedRoutes map[string]map[string]monotonic.Micros
-	// RetryAllowance is how many retries a service may receive in a retry window beyond the share of its first attempts.
+	// RetryAllowance is how many retries a service may receive in a retry window in addition to maxRetryRatio of its first attempts.
 	RetryAllowance int
 }
 
--- a/internal/invariants/operator_calls.go
+++ b/internal/invariants/operator_calls.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		if slices.ContainsFunc(confirmed, call.sameContent) {
-			findings = append(findings, newFinding("version %d was both confirmed and rejected, with the same content, rejected by %s at %d",
+			findings = append(findings, newFinding("version %d was both confirmed and rejected with the same content; %s rejected it at %d",
 				call.Version, call.Endpoint, call.Ended))
 		}
 	}
--- a/internal/invariants/records.go
+++ b/internal/invariants/records.go
@@ -26,8 +26,8 @@
 	Instance       string           // the backend instance that responded
 	TransportError string           // the error of an attempt that ended without a response
 	RetryAfterSet  bool             // the response had a Retry-After header
-	// ReadByProxy is set if the proxy has certainly read the request and stopped, if at all, only by a planned stop. Such a request
-	// must get a response.
+	// ReadByProxy is set if the proxy has certainly read the request and, if it stopped, was stopped as planned. Such a request must
+	// get a response.
 	ReadByProxy bool
 	// TenantKey is the tenant key sent with the request, if any. Anonymous is set if the request's route requires none.
 	TenantKey string
@@ -133,8 +133,8 @@
 	Granted      int              // the probe leases granted in this half-open round
 	Returned     int              // those of them that were returned unused
 	Permitted    int              // the total number of probe slots
-	EnteredAt    monotonic.Micros // by the leader's clock
-	ExpiresAt    monotonic.Micros // by the leader's clock
+	EnteredAt    monotonic.Micros // by the leader clock
+	ExpiresAt    monotonic.Micros // by the leader clock
 	Wait         monotonic.Micros // how long the breaker must stay open
 	ProbeLease   monotonic.Micros // the duration of a probe lease
 	At           monotonic.Micros // by the observer's clock
