--- a/internal/simulation/world/call.go
+++ b/internal/simulation/world/call.go
@@ -19,8 +19,9 @@
 	bootPollInterval = 20 * monotonic.Millisecond
 )
 
-// connection models the real host's connection to an address: the time of the last response and the pending calls. As there, a
-// call that times out although nothing was received since it began closes the connection, so that its other calls fail too.
+// connection models the real host's connection to an address: the time of the last response and the pending calls. As on
+// the real host, a call that times out closes the connection if nothing was received since the call began. Its other pending calls
+// then fail too.
 type connection struct {
 	lastReceived monotonic.Micros
 	pending      []*pendingCall
