--- a/internal/simulation/world/events.go
+++ b/internal/simulation/world/events.go
@@ -74,6 +74,7 @@
 			}
 		}
 		w.Events++
+		// The factor is the 64-bit FNV prime.
 		w.digest = w.digest*1099511628211 ^ uint64(next.due) ^ next.sequence<<20
 		next.action()
 	}
