--- a/internal/rehearse/scenario/peak_traffic_test.go
+++ b/internal/rehearse/scenario/peak_traffic_test.go
@@ -185,7 +185,7 @@
 	if !strings.Contains(output, "~ route archive-7: cutoffMicros") || !strings.Contains(output, "0 added, 1 changed, 0 removed") || !strings.Contains(output, "nothing was applied") {
 		t.Errorf("preview: %s", output)
 	}
-	version := regexp.MustCompile(`it would follow version (\d+), and go to 4 nodes`).FindStringSubmatch(output)
+	version := regexp.MustCompile(`it would replace version (\d+) at 4 nodes; nothing was applied`).FindStringSubmatch(output)
 	if version == nil {
 		t.Fatalf("preview: %s", output)
 	}
