--- a/internal/simulation/scenario/adoption_delay_test.go
+++ b/internal/simulation/scenario/adoption_delay_test.go
@@ -10,17 +10,17 @@
 	"snowflow/internal/monotonic"
 )
 
-// maxAdoptionDelay is how long after its acknowledgement a version may take until each proxy in contact has adopted it.
+// maxAdoptionDelay is the maximum time from the acknowledgement of a version until every connected proxy has adopted it.
 const maxAdoptionDelay = 2 * monotonic.Second
 
-// acknowledgedVersion is a version with the time of its acknowledgement.
+// acknowledgedVersion is a configuration version and the time of its acknowledgement.
 type acknowledgedVersion struct {
 	version uint64
 	at      monotonic.Micros
 }
 
-// applyContinuously applies one version after another on any core machine, until the mesh no longer serves, and returns the acknowledged
-// ones.
+// applyContinuously applies one configuration version after another, each at a random core machine, until the mesh stops serving. The
+// list that it returns grows with each acknowledged version.
 func (m *Mesh) applyContinuously(pause monotonic.Micros) *[]acknowledgedVersion {
 	acknowledged := &[]acknowledgedVersion{}
 	m.External.Go(func() {
@@ -38,28 +38,29 @@
 	return acknowledged
 }
 
-// runAndMeasureAdoption runs the mesh, and returns how long after its acknowledgement the slowest proxy adopted a version.
+// runAndMeasureAdoption runs the mesh for a duration and returns the longest time that a proxy still lacked a version after its
+// acknowledgement.
 func (m *Mesh) runAndMeasureAdoption(duration monotonic.Micros, acknowledged *[]acknowledgedVersion) (slowest monotonic.Micros) {
-	end, pending := m.World.Now()+duration, map[string]int{}
+	end, nextIndex := m.World.Now()+duration, map[string]int{} // nextIndex: the first version that each proxy hasn't adopted yet
 	for m.World.Now() < end {
 		m.runFor(10 * monotonic.Millisecond)
 		for _, name := range m.proxyNames {
 			version, _ := m.proxies[name].ConfigClient.Version()
-			for next := pending[name]; next < len(*acknowledged); next++ {
-				waiting := (*acknowledged)[next]
-				if version < waiting.version {
-					slowest = max(slowest, m.World.Now()-waiting.at)
+			for index := nextIndex[name]; index < len(*acknowledged); index++ {
+				expected := (*acknowledged)[index]
+				if version < expected.version {
+					slowest = max(slowest, m.World.Now()-expected.at)
 					break
 				}
-				pending[name] = next + 1
+				nextIndex[name] = index + 1
 			}
 		}
 	}
 	return slowest
 }
 
-// TestAdoptionAfterLostPrimary guards against proxies in contact that adopt a version seconds late, because the poll that they sent to a
-// primary that was cut off hangs.
+// TestAdoptionAfterLostPrimary guards against connected proxies that adopt a version seconds late because the poll that they sent to a
+// partitioned primary hangs.
 func TestAdoptionAfterLostPrimary(t *testing.T) {
 	for _, size := range []struct{ cores, replicas int }{{3, 2}, {5, 3}} {
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
@@ -84,7 +85,7 @@
 					t.Errorf("a proxy adopted a version %d us after its acknowledgement", slowest)
 				}
 				if len(*acknowledged) < 20 {
-					t.Errorf("%d versions were acknowledged", len(*acknowledged))
+					t.Errorf("only %d versions were acknowledged", len(*acknowledged))
 				}
 				m.serving = false
 			})
--- a/internal/simulation/scenario/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -10,56 +10,56 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestCatchUp: a backup that was away is sent only the entries that it missed, and one whose disk was lost a snapshot. Both hold
-// everything that was acknowledged once they lead.
+// TestCatchUp checks that a backup that was down receives only the entries that it missed, and a backup that lost its disk receives a
+// snapshot. Both have everything that was acknowledged when they become primary.
 func TestCatchUp(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			mesh := newServingMeshWithSeed(t, seed, servingOn)
+			mesh := newServingMeshWithSeed(t, seed, serveStaleTimeouts)
 			version := uint64(100)
 			change := func(times int) {
 				for range times {
 					version++
 					if response, _, err := mesh.applyVersion(version, 10*monotonic.Second); err != nil || response.Version != version {
-						t.Fatalf("version %d: %v %v", version, response, err)
+						t.Fatalf("applying version %d: %v %v", version, response, err)
 					}
 				}
 			}
-			seen := func(number int, name string) int {
+			countLogged := func(number int, name string) int {
 				return strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %s %d {", name, number))
 			}
-			calm := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
+			settle := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
 			change(10)
 			for turn := range 6 {
 				primary := mesh.primary(configstore.Group)
 				backup := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
-				lost := turn == 3
-				if lost {
+				diskLost := turn == 3
+				if diskLost {
 					mesh.World.LoseDisk(backup)
 				} else {
 					mesh.World.Kill(backup)
 				}
 				change(5)
 				mesh.World.Start(backup)
-				calm()
-				// The backup that took its place is killed too, so that it is needed again.
-				second := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
-				entries, complete := seen(eventlog.ReplicaCaughtUp, backup.Name), seen(eventlog.SnapshotInstalled, backup.Name)
-				mesh.World.Kill(second)
-				calm()
+				settle()
+				// The backup that replaced it is killed too, so that the first one becomes a backup again.
+				replacement := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
+				caughtUpBefore, installedBefore := countLogged(eventlog.ReplicaCaughtUp, backup.Name), countLogged(eventlog.SnapshotInstalled, backup.Name)
+				mesh.World.Kill(replacement)
+				settle()
 				change(3)
-				caughtUp, installed := seen(eventlog.ReplicaCaughtUp, backup.Name)-entries, seen(eventlog.SnapshotInstalled, backup.Name)-complete
-				if lost && installed != 1 || !lost && (caughtUp != 1 || installed != 0) {
-					t.Errorf("turn %d: %s caught up %d times and was given everything %d times", turn, backup.Name, caughtUp, installed)
+				caughtUp, installed := countLogged(eventlog.ReplicaCaughtUp, backup.Name)-caughtUpBefore, countLogged(eventlog.SnapshotInstalled, backup.Name)-installedBefore
+				if diskLost && installed != 1 || !diskLost && (caughtUp != 1 || installed != 0) {
+					t.Errorf("turn %d: %s caught up with the entries %d times and installed a snapshot %d times", turn, backup.Name, caughtUp, installed)
 				}
-				mesh.World.Start(second)
-				calm()
+				mesh.World.Start(replacement)
+				settle()
 				mesh.World.Kill(primary)
-				calm()
+				settle()
 				change(1)
 				mesh.World.Start(primary)
-				calm()
+				settle()
 			}
 		})
 	}
--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -24,11 +24,11 @@
 	"snowflow/internal/transport/wire"
 )
 
-// manyRoutes is the number of routes that no request takes.
+// manyRoutes is the number of additional routes that no traffic matches.
 const manyRoutes = 400
 
-// desiredWithManyRoutes returns a desired state with many routes that no request takes besides those of Desired's services. alter may
-// change it, unless it is nil.
+// desiredWithManyRoutes returns a desired state with the routes of desiredWithRoutes and manyRoutes others. alter, unless nil, changes it
+// before it is encoded.
 func desiredWithManyRoutes(t testing.TB, alter func(state *wire.DesiredState)) []byte {
 	t.Helper()
 	state, faults := config.Parse(desiredWithRoutes(1))
@@ -52,74 +52,76 @@
 	return content
 }
 
-// moveOneRoute moves one route of many to another service.
+// moveOneRoute moves the route batch-47 to another service.
 func moveOneRoute(state *wire.DesiredState) { state.Routes[50].Split[0].Service = "households" }
 
-// configChangeScene is a mesh of eight proxies that have adopted desiredWithManyRoutes and serve traffic while it is changed.
-type configChangeScene struct {
+// configChangeFixture is a mesh of eight proxies that have adopted desiredWithManyRoutes and serve traffic while tests change it. The maps
+// by proxy hold the values before the change.
+type configChangeFixture struct {
 	t       *testing.T
 	mesh    *Mesh
-	events  map[int]int
-	before  map[string]*config.Snapshot
-	calls   map[string]uint64
-	budgets map[string]float64 // the retry budget of forms, by proxy
+	events  map[int]int                 // how often each event was reported
+	before  map[string]*config.Snapshot // the adopted snapshot, by proxy
+	calls   map[string]uint64           // the calls that the breakers have counted, by proxy
+	budgets map[string]float64          // the retry budget of forms, by proxy
 }
 
-func newConfigChangeScene(t *testing.T) *configChangeScene {
-	scene := &configChangeScene{t: t, mesh: Build(1, Topology{Cores: 3, Proxies: 8, Zones: 2, Backends: 3}, Defects{}), events: map[int]int{}, before: map[string]*config.Snapshot{}, calls: map[string]uint64{}, budgets: map[string]float64{}}
-	scene.mesh.World.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { scene.events[number]++ }
-	scene.apply(desiredWithManyRoutes(t, nil), 8*monotonic.Second)
-	scene.mesh.startTraffic(60)
-	scene.run(10 * monotonic.Second)
-	for name, instance := range scene.mesh.proxies {
-		scene.before[name], _ = instance.ConfigClient.Current()
-		scene.calls[name], scene.budgets[name] = scene.countedCalls(name), instance.RetryBudget.Balance("forms")
-	}
-	return scene
+func newConfigChangeFixture(t *testing.T) *configChangeFixture {
+	fixture := &configChangeFixture{t: t, mesh: Build(1, Topology{Cores: 3, Proxies: 8, Zones: 2, Backends: 3}, Defects{}), events: map[int]int{}, before: map[string]*config.Snapshot{}, calls: map[string]uint64{}, budgets: map[string]float64{}}
+	fixture.mesh.World.Trace = func(_ monotonic.Micros, _ string, number int, _ map[string]any) { fixture.events[number]++ }
+	fixture.apply(desiredWithManyRoutes(t, nil), 8*monotonic.Second)
+	fixture.mesh.startTraffic(60)
+	fixture.run(10 * monotonic.Second)
+	for name, instance := range fixture.mesh.proxies {
+		fixture.before[name], _ = instance.ConfigClient.Current()
+		fixture.calls[name], fixture.budgets[name] = fixture.countedCalls(name), instance.RetryBudget.Balance("forms")
+	}
+	return fixture
 }
 
-func (s *configChangeScene) run(duration monotonic.Micros) {
-	s.mesh.runFor(duration)
+func (f *configChangeFixture) run(duration monotonic.Micros) {
+	f.mesh.runFor(duration)
 }
 
-func (s *configChangeScene) apply(content []byte, within monotonic.Micros) {
-	s.t.Helper()
+func (f *configChangeFixture) apply(content []byte, within monotonic.Micros) {
+	f.t.Helper()
 	acknowledged := false
-	s.mesh.External.Go(func() {
-		response := s.mesh.applyDesired(content, true, 0, 20*monotonic.Second)
+	f.mesh.External.Go(func() {
+		response := f.mesh.applyDesired(content, true, 0, 20*monotonic.Second)
 		acknowledged = response != nil && response.Outcome == "accepted"
 	})
-	s.run(within)
+	f.run(within)
 	if !acknowledged {
-		s.t.Errorf("not acknowledged within %d", within)
+		f.t.Errorf("the change was not acknowledged within %d microseconds", within)
 	}
 }
 
-// countedCalls returns the number of calls that a proxy's breakers have counted in all.
-func (s *configChangeScene) countedCalls(name string) (calls uint64) {
-	for _, status := range s.mesh.proxies[name].Breakers.Statuses() {
+// countedCalls returns the total number of calls that a proxy's breakers have counted.
+func (f *configChangeFixture) countedCalls(name string) (calls uint64) {
+	for _, status := range f.mesh.proxies[name].Breakers.Statuses() {
 		calls += status.Calls
 	}
 	return calls
 }
 
-// changedVersion is the version of the first change of a scene.
+// changedVersion is the version of the first change that a test applies.
 const changedVersion = 2
 
-// checkAdopted checks that every proxy serves, under changedVersion, by a content with one route moved, and has kept the objects of everything else.
-func (s *configChangeScene) checkAdopted(content []byte) {
-	t := s.t
+// checkAdopted checks that every proxy has adopted a content that moves one route as changedVersion, and has kept the objects of all
+// other routes and of the services.
+func (f *configChangeFixture) checkAdopted(content []byte) {
+	t := f.t
 	t.Helper()
-	for _, name := range s.mesh.proxyNames {
-		snapshot, live := s.mesh.proxies[name].ConfigClient.Current()
+	for _, name := range f.mesh.proxyNames {
+		snapshot, live := f.mesh.proxies[name].ConfigClient.Current()
 		if !live || snapshot.Version != changedVersion || snapshot.Digest != config.Digest(content) {
-			t.Errorf("%s: version %d, live %v", name, snapshot.Version, live)
+			t.Errorf("%s: not the changed content: version %d, live %v", name, snapshot.Version, live)
 			continue
 		}
-		before := s.before[name]
+		before := f.before[name]
 		for service := range before.Services {
 			if snapshot.Services[service] != before.Services[service] {
-				t.Errorf("%s: service %s is another object", name, service)
+				t.Errorf("%s: service %s was replaced by a new object", name, service)
 			}
 		}
 		for number := range manyRoutes {
@@ -131,53 +133,54 @@
 		if found := snapshot.Lookup("h7.example", "GET", "/batches/47/1"); found == nil || found.Service != snapshot.Services["households"] {
 			t.Errorf("%s: the route leads to %v", name, found)
 		}
-		if now := s.countedCalls(name); now < s.calls[name] {
-			t.Errorf("%s: %d calls counted, %d before the change", name, now, s.calls[name])
+		if now := f.countedCalls(name); now < f.calls[name] {
+			t.Errorf("%s: %d calls counted, %d before the change", name, now, f.calls[name])
 		}
 		// Nothing is retried here, and first attempts refill the budget.
-		if budget, known := s.budgets[name]; known && (s.mesh.proxies[name].RetryBudget.Balance("forms") < budget || budget == 0) {
-			t.Errorf("%s: the budget holds %v, %v before the change", name, s.mesh.proxies[name].RetryBudget.Balance("forms"), budget)
+		if budget, known := f.budgets[name]; known && (f.mesh.proxies[name].RetryBudget.Balance("forms") < budget || budget == 0) {
+			t.Errorf("%s: the retry budget is %v, %v before the change", name, f.mesh.proxies[name].RetryBudget.Balance("forms"), budget)
 		}
 	}
 }
 
-// adoptionTotals counts, over all proxies, what they adopted and rejected, and the differences that the configuration stores computed.
+// adoptionTotals counts what all proxies have adopted and rejected, and the differences that the configuration stores have computed.
 type adoptionTotals struct{ differences, fullStates, rejected, computed uint64 }
 
-func (s *configChangeScene) adoptionTotals() (sum adoptionTotals) {
-	for _, name := range s.mesh.proxyNames {
-		adopted := s.mesh.proxies[name].ConfigClient.Stats()
+func (f *configChangeFixture) adoptionTotals() (sum adoptionTotals) {
+	for _, name := range f.mesh.proxyNames {
+		adopted := f.mesh.proxies[name].ConfigClient.Stats()
 		sum.differences, sum.fullStates, sum.rejected = sum.differences+adopted.Differences, sum.fullStates+adopted.FullStates, sum.rejected+adopted.Rejected
 	}
-	for _, store := range s.mesh.configStores {
+	for _, store := range f.mesh.configStores {
 		sum.computed += store.DifferencesComputed()
 	}
 	return sum
 }
 
-// TestChangesSentAsDifferences: eight proxies under traffic adopt a change of one route as a difference that was computed once.
+// TestChangesSentAsDifferences checks that eight proxies under traffic adopt a change of one route as a difference, and that the
+// difference is computed only once.
 func TestChangesSentAsDifferences(t *testing.T) {
-	scene := newConfigChangeScene(t)
-	defer scene.mesh.World.Close()
-	longest, complete := 0, len(desiredWithManyRoutes(t, nil))
-	scene.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
+	fixture := newConfigChangeFixture(t)
+	defer fixture.mesh.World.Close()
+	longest, fullSize := 0, len(desiredWithManyRoutes(t, nil))
+	fixture.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 		longest = max(longest, len(response.Difference), len(response.Content))
 	}
 	content := desiredWithManyRoutes(t, moveOneRoute)
-	scene.apply(content, 300*monotonic.Millisecond)
-	scene.checkAdopted(content)
-	if sum := scene.adoptionTotals(); sum.differences != 8 || sum.fullStates != 8 || sum.rejected != 0 || sum.computed != 1 {
-		t.Errorf("%+v", sum)
+	fixture.apply(content, 300*monotonic.Millisecond)
+	fixture.checkAdopted(content)
+	if sum := fixture.adoptionTotals(); sum.differences != 8 || sum.fullStates != 8 || sum.rejected != 0 || sum.computed != 1 {
+		t.Errorf("adoptions: %+v", sum)
 	}
-	if longest == 0 || longest > 300 || complete < 30000 {
-		t.Errorf("%d bytes were sent, of %d", longest, complete)
+	if longest == 0 || longest > 300 || fullSize < 30000 {
+		t.Errorf("at most %d bytes were sent in a response, the full state has %d", longest, fullSize)
 	}
 }
 
-// TestRefusedDifferences: a difference that is damaged, truncated or from another base changes nothing. The proxy reports it and
-// receives the full state by its next poll.
+// TestRefusedDifferences checks that a difference that is corrupt, truncated or computed from another base changes nothing. The proxy
+// reports it and receives the full state in response to its next poll.
 func TestRefusedDifferences(t *testing.T) {
-	for name, damage := range map[string]func(response *wire.ConfigPollResponse){
+	for name, corrupt := range map[string]func(response *wire.ConfigPollResponse){
 		"a bit": func(response *wire.ConfigPollResponse) { response.Difference[len(response.Difference)-2] ^= 1 },
 		"cut short": func(response *wire.ConfigPollResponse) {
 			response.Difference = response.Difference[:len(response.Difference)/2]
@@ -187,88 +190,88 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scene := newConfigChangeScene(t)
-			defer scene.mesh.World.Close()
-			scene.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
+			fixture := newConfigChangeFixture(t)
+			defer fixture.mesh.World.Close()
+			fixture.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 				if len(response.Difference) > 0 {
-					response.Difference = bytes.Clone(response.Difference) // the configuration store sends the same slice to others
-					damage(response)
+					response.Difference = bytes.Clone(response.Difference) // the configuration store sends the same slice to other proxies
+					corrupt(response)
 				}
 			}
 			content := desiredWithManyRoutes(t, moveOneRoute)
-			scene.apply(content, 300*monotonic.Millisecond)
-			scene.checkAdopted(content)
-			if sum := scene.adoptionTotals(); sum.differences != 0 || sum.fullStates != 16 || sum.rejected != 8 || scene.events[eventlog.DeltaRejected] != 8 {
-				t.Errorf("%+v, %d events", sum, scene.events[eventlog.DeltaRejected])
+			fixture.apply(content, 300*monotonic.Millisecond)
+			fixture.checkAdopted(content)
+			if sum := fixture.adoptionTotals(); sum.differences != 0 || sum.fullStates != 16 || sum.rejected != 8 || fixture.events[eventlog.DeltaRejected] != 8 {
+				t.Errorf("adoptions: %+v, %d rejection events", sum, fixture.events[eventlog.DeltaRejected])
 			}
 			// The next change is sent as a difference again.
-			scene.mesh.onDesiredPoll = nil
-			scene.apply(desiredWithManyRoutes(t, nil), 300*monotonic.Millisecond)
-			if sum := scene.adoptionTotals(); sum.differences != 8 || sum.fullStates != 16 {
-				t.Errorf("%+v", sum)
+			fixture.mesh.onDesiredPoll = nil
+			fixture.apply(desiredWithManyRoutes(t, nil), 300*monotonic.Millisecond)
+			if sum := fixture.adoptionTotals(); sum.differences != 8 || sum.fullStates != 16 {
+				t.Errorf("adoptions after the next change: %+v", sum)
 			}
 		})
 	}
 }
 
-// TestNoDifferenceSupport: if the configuration stores send no differences, proxies adopt the full state and keep the objects of what it
-// does not change.
+// TestNoDifferenceSupport checks that proxies adopt the full state if the configuration stores send no differences, and that they keep the
+// objects of everything that the state does not change.
 func TestNoDifferenceSupport(t *testing.T) {
-	scene := newConfigChangeScene(t)
-	defer scene.mesh.World.Close()
+	fixture := newConfigChangeFixture(t)
+	defer fixture.mesh.World.Close()
 	content := desiredWithManyRoutes(t, moveOneRoute)
-	scene.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
+	fixture.mesh.onDesiredPoll = func(_ *wire.ConfigPollRequest, response *wire.ConfigPollResponse) {
 		if len(response.Difference) > 0 {
 			response.Difference, response.Content = nil, content
 		}
 	}
-	scene.apply(content, 300*monotonic.Millisecond)
-	scene.checkAdopted(content)
-	if sum := scene.adoptionTotals(); sum.differences != 0 || sum.fullStates != 16 || sum.rejected != 0 {
-		t.Errorf("%+v", sum)
+	fixture.apply(content, 300*monotonic.Millisecond)
+	fixture.checkAdopted(content)
+	if sum := fixture.adoptionTotals(); sum.differences != 0 || sum.fullStates != 16 || sum.rejected != 0 {
+		t.Errorf("adoptions: %+v", sum)
 	}
 }
 
-// TestFullStateAfterRestarts: a restarted proxy receives the full state, and differences from then on. A new primary sends differences
-// from the versions that its replica holds.
+// TestFullStateAfterRestarts checks that a restarted proxy receives the full state first and differences from then on. A new primary sends
+// differences from the versions that its replica has stored.
 func TestFullStateAfterRestarts(t *testing.T) {
-	scene := newConfigChangeScene(t)
-	defer scene.mesh.World.Close()
-	mesh := scene.mesh
+	fixture := newConfigChangeFixture(t)
+	defer fixture.mesh.World.Close()
+	mesh := fixture.mesh
 	mesh.World.Kill(mesh.World.Node("carrier-3"))
 	mesh.World.Start(mesh.World.Node("carrier-3"))
 	primary := mesh.primary(configstore.Group)
 	mesh.World.Kill(primary)
-	scene.run(10 * monotonic.Second)
-	delete(scene.before, "carrier-3")
+	fixture.run(10 * monotonic.Second)
+	delete(fixture.before, "carrier-3")
 	snapshot, _ := mesh.proxies["carrier-3"].ConfigClient.Current()
 	if snapshot == nil || snapshot.Version != 1 {
 		t.Fatal("the proxy has not adopted the active version")
 	}
-	scene.before["carrier-3"], scene.calls["carrier-3"] = snapshot, 0
-	delete(scene.budgets, "carrier-3") // the budget starts again
+	fixture.before["carrier-3"], fixture.calls["carrier-3"] = snapshot, 0
+	delete(fixture.budgets, "carrier-3") // the budget was reset by the restart
 	content := desiredWithManyRoutes(t, moveOneRoute)
-	scene.apply(content, 8*monotonic.Second)
-	scene.checkAdopted(content)
-	if sum := scene.adoptionTotals(); sum.differences != 8 || sum.fullStates != 8 || sum.rejected != 0 {
-		t.Errorf("%+v, %s", sum, strings.Join(mesh.log, "\n"))
+	fixture.apply(content, 8*monotonic.Second)
+	fixture.checkAdopted(content)
+	if sum := fixture.adoptionTotals(); sum.differences != 8 || sum.fullStates != 8 || sum.rejected != 0 {
+		t.Errorf("adoptions: %+v, log:\n%s", sum, strings.Join(mesh.log, "\n"))
 	}
 }
 
-// submit sends a submission with an idempotency key through a proxy and returns the attempt once it has ended.
-func (s *configChangeScene) submit(caller int, key string) *invariants.Attempt {
-	attempt := s.startSubmission(caller, key)
-	for limit := s.mesh.World.Now() + 8*monotonic.Second; attempt.Ended == 0 && s.mesh.World.Now() < limit; {
-		s.run(10 * monotonic.Millisecond)
+// submit sends a submission with an idempotency key through the proxy with an index, and returns the attempt once it has ended.
+func (f *configChangeFixture) submit(caller int, key string) *invariants.Attempt {
+	attempt := f.startSubmission(caller, key)
+	for limit := f.mesh.World.Now() + 8*monotonic.Second; attempt.Ended == 0 && f.mesh.World.Now() < limit; {
+		f.run(10 * monotonic.Millisecond)
 	}
 	if attempt.Ended == 0 {
-		s.t.Errorf("%s has no end", attempt.ID)
+		f.t.Errorf("%s has not ended", attempt.ID)
 	}
 	return attempt
 }
 
-func (s *configChangeScene) startSubmission(caller int, key string) *invariants.Attempt {
-	mesh := s.mesh
+func (f *configChangeFixture) startSubmission(caller int, key string) *invariants.Attempt {
+	mesh := f.mesh
 	mesh.nextID++
 	attempt := &invariants.Attempt{ID: fmt.Sprintf("keyed-%d", mesh.nextID), Key: key, Kind: "submission", Proxy: mesh.proxyNames[caller], Method: "POST", Path: "/households/" + key, Sent: mesh.World.Now()}
 	mesh.History.RecordAttempt(attempt)
@@ -276,9 +279,9 @@
 	return attempt
 }
 
-// executed returns the services on which a key was executed.
-func (s *configChangeScene) executed(key string) (services []string) {
-	for _, run := range s.mesh.History.BackendRequests {
+// executed returns the services that executed a key, one entry per execution.
+func (f *configChangeFixture) executed(key string) (services []string) {
+	for _, run := range f.mesh.History.BackendRequests {
 		if run.Key == key && run.Executed {
 			services = append(services, run.Service)
 		}
@@ -286,96 +289,97 @@
 	return services
 }
 
-// TestKeysOutlastChanges: an attempt before a change of its route's service and one after it are one operation, whatever the outcome of
-// the first. Keys of a removed route stay claimed. A request in flight ends under the version that it began with.
+// TestKeysOutlastChanges checks that a request and its retries are executed once even if their route is moved to another service in
+// between, whatever the outcome of the first attempt. Keys of a removed route stay claimed. A request in flight ends under the version
+// that it began with.
 func TestKeysOutlastChanges(t *testing.T) {
-	scene := newConfigChangeScene(t)
-	mesh := scene.mesh
+	fixture := newConfigChangeFixture(t)
+	mesh := fixture.mesh
 	defer mesh.World.Close()
 	mesh.serving = false
-	scene.run(10 * monotonic.Second)
+	fixture.run(10 * monotonic.Second)
 	moved := func(state *wire.DesiredState) { state.Routes[1].Split[0].Service = "forms" }
 	removed := func(state *wire.DesiredState) { state.Routes = append(state.Routes[:1:1], state.Routes[2:]...) }
-	served := func(what string, attempt *invariants.Attempt, version uint64, key string) {
+	checkServed := func(what string, attempt *invariants.Attempt, version uint64, key string) {
 		t.Helper()
-		if attempt.RejectedByMesh || attempt.Status != 200 || attempt.Version != version || len(scene.executed(key)) != 1 || scene.executed(key)[0] != "households" {
-			t.Errorf("%s: %+v, ran on %v", what, attempt, scene.executed(key))
+		if attempt.RejectedByMesh || attempt.Status != 200 || attempt.Version != version || len(fixture.executed(key)) != 1 || fixture.executed(key)[0] != "households" {
+			t.Errorf("%s: %+v, executed by %v", what, attempt, fixture.executed(key))
 		}
 	}
 	began := mesh.World.Now()
-	served("before the change", scene.submit(0, "answered"), 1, "answered")
-	// The response to this one is lost.
+	checkServed("before the change", fixture.submit(0, "answered"), 1, "answered")
+	// The response to the next request is lost.
 	for _, backend := range mesh.liveBackends("households") {
 		backend.behavior = "losing"
 	}
-	if lost := scene.submit(1, "lost"); !lost.RejectedByMesh || lost.NotRun || len(scene.executed("lost")) != 1 {
-		t.Errorf("%+v, ran on %v", lost, scene.executed("lost"))
+	if lost := fixture.submit(1, "lost"); !lost.RejectedByMesh || lost.NotRun || len(fixture.executed("lost")) != 1 {
+		t.Errorf("lost response: %+v, executed by %v", lost, fixture.executed("lost"))
 	}
 	for _, backend := range mesh.liveBackends("") {
 		backend.behavior = ""
 	}
-	// This one is in flight during the change.
+	// The next request is in flight during the change.
 	mesh.workDuration = 2 * monotonic.Second
-	under := scene.startSubmission(2, "under")
-	scene.run(500 * monotonic.Millisecond)
-	scene.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
-	if under.Ended != 0 || len(scene.executed("under")) != 1 {
-		t.Fatalf("it is not in flight: %+v", under)
-	}
-	repeat := scene.startSubmission(5, "under")
-	scene.run(8 * monotonic.Second)
-	served("in flight", under, 1, "under")
+	inFlight := fixture.startSubmission(2, "under")
+	fixture.run(500 * monotonic.Millisecond)
+	fixture.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
+	if inFlight.Ended != 0 || len(fixture.executed("under")) != 1 {
+		t.Fatalf("the request is not in flight during the change: %+v", inFlight)
+	}
+	repeat := fixture.startSubmission(5, "under")
+	fixture.run(8 * monotonic.Second)
+	checkServed("in flight", inFlight, 1, "under")
 	if repeat.RejectedByMesh && repeat.NotRun {
-		t.Errorf("a repeat meanwhile: %+v", repeat)
+		t.Errorf("a retry while the request was in flight: %+v", repeat)
 	}
 	mesh.workDuration = 0
 	for caller := range 8 {
-		served("served before the change, repeated after it", scene.submit(caller, "answered"), 2, "answered")
-		served("in flight during the change, repeated after it", scene.submit(caller, "under"), 2, "under")
+		checkServed("served before the change, retried after it", fixture.submit(caller, "answered"), 2, "answered")
+		checkServed("in flight during the change, retried after it", fixture.submit(caller, "under"), 2, "under")
 	}
-	if fresh := scene.submit(3, "fresh"); fresh.Status != 200 || len(scene.executed("fresh")) != 1 || scene.executed("fresh")[0] != "forms" {
-		t.Errorf("a new key isn't run where the route leads now: %+v, ran on %v", fresh, scene.executed("fresh"))
+	if fresh := fixture.submit(3, "fresh"); fresh.Status != 200 || len(fixture.executed("fresh")) != 1 || fixture.executed("fresh")[0] != "forms" {
+		t.Errorf("a new key is not executed by the route's new service: %+v, executed by %v", fresh, fixture.executed("fresh"))
 	}
-	if again := scene.submit(4, "lost"); again.RejectedByMesh && again.NotRun || len(scene.executed("lost")) != 1 {
-		t.Errorf("%+v, ran on %v", again, scene.executed("lost"))
+	if again := fixture.submit(4, "lost"); again.RejectedByMesh && again.NotRun || len(fixture.executed("lost")) != 1 {
+		t.Errorf("retry after a lost response: %+v, executed by %v", again, fixture.executed("lost"))
 	}
-	// Without its route a key is not executed, and its rejection does not state that it has not run.
-	scene.apply(desiredWithManyRoutes(t, removed), 300*monotonic.Millisecond)
+	// Without its route a key is not executed, and the rejection does not claim that it never was.
+	fixture.apply(desiredWithManyRoutes(t, removed), 300*monotonic.Millisecond)
 	for _, key := range []string{"answered", "lost", "under", "fresh"} {
-		if rejected := scene.submit(6, key); !rejected.RejectedByMesh || rejected.NotRun || rejected.Cause != int(apierror.UnknownPath) {
-			t.Errorf("without a route: %+v", rejected)
+		if rejected := fixture.submit(6, key); !rejected.RejectedByMesh || rejected.NotRun || rejected.Cause != int(apierror.UnknownPath) {
+			t.Errorf("%s without a route: %+v", key, rejected)
 		}
 	}
-	scene.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
+	fixture.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
 	for key, first := range map[string]string{"answered": "households", "lost": "households", "under": "households", "fresh": "forms"} {
 		for caller := range 3 {
-			scene.submit(caller, key)
+			fixture.submit(caller, key)
 		}
-		if ran := scene.executed(key); len(ran) != 1 || ran[0] != first {
-			t.Errorf("%s ran on %v", key, ran)
+		if ran := fixture.executed(key); len(ran) != 1 || ran[0] != first {
+			t.Errorf("%s was executed by %v", key, ran)
 		}
 	}
 	if took := mesh.World.Now() - began; took > monotonic.Minute {
-		t.Errorf("the claims' time may have run out: %d", took)
+		t.Errorf("the test took %d microseconds, the claims may have expired", took)
 	}
 	if findings, seen := invariants.CheckRules(mesh.History, 1, 2, 3); len(findings) > 0 || seen[1] == 0 {
 		t.Error(findings, seen)
 	}
 }
 
-// TestOperatorsSeeChanges: the operators' API shows in what two versions differ, what a content would change, and which version each
-// node has.
+// TestOperatorsSeeChanges checks that the operators' API shows how two versions differ, what a submitted content would change, and which
+// version each proxy has adopted.
 func TestOperatorsSeeChanges(t *testing.T) {
-	scene := newConfigChangeScene(t)
-	mesh := scene.mesh
+	fixture := newConfigChangeFixture(t)
+	mesh := fixture.mesh
 	defer mesh.World.Close()
-	scene.apply(desiredWithManyRoutes(t, moveOneRoute), monotonic.Second)
-	pages := api.New(mesh.External, mesh.resolver, http.NotFoundHandler(), func() any { return nil }, config.Parse)
+	fixture.apply(desiredWithManyRoutes(t, moveOneRoute), monotonic.Second)
+	operatorAPI := api.New(mesh.External, mesh.resolver, http.NotFoundHandler(), func() any { return nil }, config.Parse)
 	call := func(method, path string, content []byte, into any) int {
 		t.Helper()
 		recorder := httptest.NewRecorder()
-		mesh.External.Go(func() { pages.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader(content))) })
-		scene.run(3 * monotonic.Second)
+		mesh.External.Go(func() { operatorAPI.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader(content))) })
+		fixture.run(3 * monotonic.Second)
 		if into != nil {
 			if err := json.Unmarshal(recorder.Body.Bytes(), into); err != nil {
 				t.Fatalf("%s: %v: %s", path, err, recorder.Body)
@@ -383,27 +387,27 @@
 		}
 		return recorder.Code
 	}
-	listed := api.Comparison{}
+	comparison := api.Comparison{}
 	moved := changes.Summary{Added: []changes.ResourceChange{}, Removed: []changes.ResourceChange{}, Changed: []changes.ResourceChange{{Kind: "route", Name: "batch-47", Fields: []string{"split"}}}}
-	if code := call("GET", "/changes?from=1&to=2", nil, &listed); code != 200 || !reflect.DeepEqual(listed.Summary, moved) || listed.To != 2 || listed.Proxies != 8 || listed.DifferenceBytes > 300 || listed.FullBytes < 30000 {
-		t.Errorf("%d %+v", code, listed)
+	if code := call("GET", "/changes?from=1&to=2", nil, &comparison); code != 200 || !reflect.DeepEqual(comparison.Summary, moved) || comparison.To != 2 || comparison.Proxies != 8 || comparison.DifferenceBytes > 300 || comparison.FullBytes < 30000 {
+		t.Errorf("comparison of two versions: status %d, %+v", code, comparison)
 	}
 	preview := api.Comparison{}
 	content := desiredWithManyRoutes(t, func(state *wire.DesiredState) { state.Routes = state.Routes[:manyRoutes] })
 	if code := call("POST", "/changes", content, &preview); code != 200 || preview.From != 2 || preview.To != 0 || len(preview.Summary.Changed) != 1 || len(preview.Summary.Removed) != 3 || preview.Proxies != 8 {
-		t.Errorf("%d %+v", code, preview)
+		t.Errorf("preview: status %d, %+v", code, preview)
 	}
 	if mesh.latestVersion != 2 {
 		t.Error("a preview was applied")
 	}
 	for path, expected := range map[string]int{"/changes?from=1&to=9": 404, "/changes?from=one": 400} {
 		if code := call("GET", path, nil, nil); code != expected {
-			t.Errorf("%s: %d", path, code)
+			t.Errorf("%s: status %d", path, code)
 		}
 	}
-	for _, broken := range []string{"{", strings.Replace(string(content), `"once"`, `"twice"`, 1), strings.Replace(string(content), `"forms"`, `"norms"`, 1)} {
-		if code := call("POST", "/changes", []byte(broken), nil); code != 400 {
-			t.Errorf("a broken content: %d", code)
+	for _, invalid := range []string{"{", strings.Replace(string(content), `"once"`, `"twice"`, 1), strings.Replace(string(content), `"forms"`, `"norms"`, 1)} {
+		if code := call("POST", "/changes", []byte(invalid), nil); code != 400 {
+			t.Errorf("an invalid content: status %d", code)
 		}
 	}
 	overview := api.Overview{}
@@ -418,11 +422,11 @@
 	}
 	progress, found := rollout.FromStatuses(statuses)
 	if !found || !progress.Done() || progress.Version != 2 || len(progress.Nodes) != 8 {
-		t.Errorf("%+v", progress)
+		t.Errorf("progress of the rollout: %+v", progress)
 	}
 	for _, node := range progress.Nodes {
 		if node.AdoptedVersion != 2 || node.AdoptionMicros <= 0 || node.AdoptionMicros > 20000 || node.AdoptedForMicros < 10000000 {
-			t.Errorf("%+v", node)
+			t.Errorf("progress of a proxy: %+v", node)
 		}
 	}
 }
--- a/internal/simulation/scenario/control_messages_test.go
+++ b/internal/simulation/scenario/control_messages_test.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/transport/wire"
 )
 
-// TestControlMessages counts the control messages of an idle proxy as the number of proxies doubles: each must not send more in a larger
-// mesh.
+// TestControlMessages counts the control messages that an idle proxy sends, in meshes of 4 to 32 proxies. A proxy must not send more of
+// them in a larger mesh.
 func TestControlMessages(t *testing.T) {
 	const seconds = 30
 	perProxy := func(proxyCount int) (calls, bytes, core float64) {
@@ -35,12 +35,12 @@
 		}
 		return calls, bytes, core
 	}
-	first, _, _ := perProxy(4)
+	baseline, _, _ := perProxy(4)
 	for _, proxyCount := range []int{4, 8, 16, 32} {
 		calls, bytes, core := perProxy(proxyCount)
-		t.Logf("%d proxies: %.2f calls and %.0f bytes a second for each; the core %.0f calls a second among itself", proxyCount, calls, bytes, core)
-		if calls == 0 || calls > 1.2*first {
-			t.Errorf("%d proxies: %.2f calls a second for each, %.2f with four", proxyCount, calls, first)
+		t.Logf("%d proxies: %.2f calls and %.0f bytes per second for each; %.0f calls per second by the core", proxyCount, calls, bytes, core)
+		if calls == 0 || calls > 1.2*baseline {
+			t.Errorf("%d proxies: %.2f calls per second for each, %.2f in a mesh of four proxies", proxyCount, calls, baseline)
 		}
 	}
 }
--- a/internal/simulation/scenario/control_plane_faults_test.go
+++ b/internal/simulation/scenario/control_plane_faults_test.go
@@ -24,13 +24,13 @@
 	runScenario(t, "many-changes-5", 1)
 }
 
-// TestControlPlaneChecksDetectDefects turns off one part of the control plane at a time: the scenario's checkers must detect it with some
-// seed.
+// TestControlPlaneChecksDetectDefects disables one part of the control plane at a time. The scenario's checkers must detect that with at
+// least one of the seeds.
 func TestControlPlaneChecksDetectDefects(t *testing.T) {
 	for name, test := range map[string]struct {
 		scenario string
 		defects  Defects
-		sees     func(finding invariants.Finding) bool
+		detects  func(finding invariants.Finding) bool
 	}{
 		"a primary that answers without a lease":              {"cut-off-5", Defects{NoPrimaryLease: true}, foundByOperatorCalls},
 		"a successor without what was confirmed":              {"many-changes-3", Defects{AnySuccessor: true}, foundByOperatorCalls},
@@ -43,7 +43,7 @@
 			t.Parallel()
 			for seed := uint64(1); seed <= 12; seed++ {
 				for _, finding := range Run(Scenarios[test.scenario], seed, test.defects).Findings {
-					if !finding.NothingExamined && test.sees(finding) {
+					if !finding.NothingExamined && test.detects(finding) {
 						t.Logf("seed %d: %s", seed, finding)
 						return
 					}
@@ -54,10 +54,10 @@
 	}
 }
 
-// foundByOperatorCalls reports whether a finding is of the check of operators' calls.
+// foundByOperatorCalls reports whether a finding comes from the check that operators' calls are linearizable.
 func foundByOperatorCalls(finding invariants.Finding) bool {
 	return finding.Check == invariants.OperatorCallsLinearizable.Name
 }
 
-// foundByRecoveryTime reports whether a finding is of the rule on the recovery time.
+// foundByRecoveryTime reports whether a finding comes from rule 12, which limits the recovery time.
 func foundByRecoveryTime(finding invariants.Finding) bool { return finding.Rule == 12 }
--- a/internal/simulation/scenario/defects_test.go
+++ b/internal/simulation/scenario/defects_test.go
@@ -6,14 +6,15 @@
 	"snowflow/internal/registry/breakerstore"
 )
 
-// TestRulesDetectDefects turns off one part of the mesh at a time: the rule that depends on it must be violated with some seed.
+// TestRulesDetectDefects disables one part of the mesh at a time. The rule that depends on it must report a violation with at least one of
+// the seeds.
 func TestRulesDetectDefects(t *testing.T) {
-	broken := []struct {
-		name     string
-		rule     int
-		scenario string
-		defects  Defects
-		first    uint64 // the first seed to try
+	tests := []struct {
+		name      string
+		rule      int
+		scenario  string
+		defects   Defects
+		firstSeed uint64
 	}{
 		{"no claims", 1, "backends", Defects{NoClaims: true}, 1},
 		{"no claims, so that not run is uncertain", 2, "backends", Defects{NoClaims: true}, 1},
@@ -37,12 +38,12 @@
 		{"calls while half open without a probe lease", 10, "trials", Defects{NoProbeLease: true}, 1},
 		{"a core that stays away", 12, "core", Defects{NoRecovery: true}, 1},
 	}
-	for _, test := range broken {
+	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := test.first; seed < test.first+12; seed++ {
+			for seed := test.firstSeed; seed < test.firstSeed+12; seed++ {
 				for _, finding := range Run(Scenarios[test.scenario], seed, test.defects).Findings {
-					// That a checker had nothing to examine does not count.
+					// A rule that had nothing to examine doesn't count.
 					if finding.Rule == test.rule && !finding.NothingExamined {
 						t.Logf("seed %d: %s", seed, finding)
 						return
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestRevocationChecksDetectDefects: without the lease on keys a proxy that is cut off goes on serving by keys that were taken away, and
-// the check finds it.
+// TestRevocationChecksDetectDefects checks that the check of the tenants' keys detects a missing key lease, without which a partitioned
+// proxy continues to accept revoked keys.
 func TestRevocationChecksDetectDefects(t *testing.T) {
 	for seed := range uint64(12) {
 		for _, finding := range Run(Scenarios["revocations"], seed+1, Defects{NoKeyLease: true}).Findings {
@@ -65,5 +66,5 @@
 			}
 		}
 	}
-	t.Error("not detected in 12 seeds")
+	t.Error("the defect was not detected in 12 seeds")
 }
--- a/internal/simulation/scenario/departure_restart_test.go
+++ b/internal/simulation/scenario/departure_restart_test.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// departureLimit is how long after its acknowledgement a departure may be unknown elsewhere: the users' platform allows 2 s.
+	// departureLimit is how long after the acknowledgement other proxies may still list a departed backend. The users' platform allows 2 s.
 	departureLimit = 2 * monotonic.Second
-	// departureWatch is how long the directories are watched: longer than a heartbeat keeps a backend in service.
+	// departureWatch is how long the directories are observed: longer than a heartbeat keeps a backend listed.
 	departureWatch = 12 * monotonic.Second
-	// departureTries bounds how often a backend says that it leaves, until that is acknowledged.
-	departureTries = 10
+	// departureAttempts is how often a backend announces its departure at most, until that is acknowledged.
+	departureAttempts = 10
 )
 
-// TestDepartureOutlivesProxy guards against the fault by which a proxy that was killed after it had acknowledged a departure took a late
-// heartbeat from before it as that of a backend in service: all proxies then sent requests to it again.
+// TestDepartureOutlivesProxy guards against a departed backend that receives requests again. A proxy acknowledged the departure and was
+// killed; after its restart it accepted a delayed heartbeat from before the departure, so all proxies listed the backend again.
 func TestDepartureOutlivesProxy(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// killPrimary also ends the registry's primary, once it has exchanged its sessions with the others.
+		// killPrimary also kills the registry's primary, after it has had time to exchange its sessions with the other registries.
 		killPrimary bool
-		drains      bool // the backend reports that it drains, and doesn't deregister
-		partitioned bool // the proxy can't reach the core at that moment
+		drains      bool // the backend reports that it is draining instead of deregistering
+		partitioned bool // the proxy can't reach the core when the backend departs
 	}{
 		{name: "deregisters"},
 		{name: "drains", drains: true},
@@ -42,19 +42,19 @@
 				mesh := Build(seed, topology, Defects{})
 				t.Cleanup(mesh.World.Close)
 				mesh.runFor(10 * monotonic.Second)
-				leaving := mesh.backends[mesh.World.Rand().IntN(len(mesh.backends))]
-				late := mesh.nextReport(leaving, localbackends.Working)
-				leaving.up = false // it sends no further heartbeats
+				departing := mesh.backends[mesh.World.Rand().IntN(len(mesh.backends))]
+				delayed := mesh.nextReport(departing, localbackends.Working)
+				departing.up = false // it sends no further heartbeats
 				if test.partitioned {
-					mesh.partitionFrom(leaving.proxy, mesh.coreMachines, monotonic.Second)
+					mesh.partitionFrom(departing.proxy, mesh.coreMachines, monotonic.Second)
 				}
-				for tries := 0; !mesh.acknowledgeDeparture(leaving, test.drains); tries++ {
-					if tries == departureTries {
-						t.Fatalf("seed %d: the departure is never acknowledged", seed)
+				for attempts := 0; !mesh.acknowledgeDeparture(departing, test.drains); attempts++ {
+					if attempts == departureAttempts {
+						t.Fatalf("seed %d: the departure was not acknowledged", seed)
 					}
 				}
 				acknowledged := mesh.World.Now()
-				node := mesh.World.Node(leaving.proxy)
+				node := mesh.World.Node(departing.proxy)
 				mesh.World.Kill(node)
 				mesh.runFor(300 * monotonic.Millisecond)
 				mesh.World.Start(node)
@@ -63,11 +63,11 @@
 					mesh.World.Kill(primary)
 					mesh.after(monotonic.Second, func() { mesh.World.Start(primary) })
 				}
-				mesh.deliverReport(leaving, late)
+				mesh.deliverReport(departing, delayed)
 				for mesh.World.Now() < acknowledged+departureWatch {
 					mesh.runFor(50 * monotonic.Millisecond)
-					if name := mesh.proxyThatLists(leaving); name != "" && mesh.World.Now() > acknowledged+departureLimit {
-						t.Fatalf("seed %d: %s lists %s %d ms after its departure was acknowledged", seed, name, leaving.instance, (mesh.World.Now()-acknowledged)/monotonic.Millisecond)
+					if name := mesh.proxyThatLists(departing); name != "" && mesh.World.Now() > acknowledged+departureLimit {
+						t.Fatalf("seed %d: %s lists %s %d ms after its departure was acknowledged", seed, name, departing.instance, (mesh.World.Now()-acknowledged)/monotonic.Millisecond)
 					}
 				}
 			})
@@ -75,13 +75,13 @@
 	}
 }
 
-// nextReport returns the next report of a backend.
+// nextReport returns the next report of a backend, with a new sequence number.
 func (m *Mesh) nextReport(backend *simulatedBackend, condition string) localbackends.Report {
 	backend.reportCount++
 	return localbackends.Report{Backend: backend.identity(), Slots: m.topology.Slots, Condition: condition, Sequence: backend.reportCount}
 }
 
-// acknowledgeDeparture has a backend leave, and reports whether the proxy beside it acknowledged that within a second.
+// acknowledgeDeparture has a backend announce its departure, and reports whether its local proxy acknowledged that within a second.
 func (m *Mesh) acknowledgeDeparture(backend *simulatedBackend, drains bool) bool {
 	departure := m.nextReport(backend, localbackends.Leaving)
 	return m.callProxy(backend.proxy, func() error {
@@ -92,12 +92,12 @@
 	})
 }
 
-// deliverReport delivers a report to the proxy beside a backend.
+// deliverReport delivers a report to a backend's local proxy.
 func (m *Mesh) deliverReport(backend *simulatedBackend, report localbackends.Report) {
 	m.callProxy(backend.proxy, func() error { return m.proxies[backend.proxy].ApplyReport(report) })
 }
 
-// callProxy runs work in a proxy's process, as a request to it would, and reports whether it succeeded within a second.
+// callProxy runs work in a proxy's process, like the handler of a request, and reports whether it succeeded within a second.
 func (m *Mesh) callProxy(name string, work func() error) (succeeded bool) {
 	ended := false
 	m.External.Go(func() {
@@ -110,7 +110,7 @@
 	return succeeded
 }
 
-// proxyThatLists returns a proxy whose directory has a backend among those that requests are sent to, or an empty string.
+// proxyThatLists returns the name of a proxy whose directory lists a backend as a candidate for requests, or an empty string.
 func (m *Mesh) proxyThatLists(backend *simulatedBackend) string {
 	for _, name := range m.proxyNames {
 		if !m.World.Node(name).Up() {
--- a/internal/simulation/scenario/drain_linger_test.go
+++ b/internal/simulation/scenario/drain_linger_test.go
@@ -7,8 +7,8 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestLingeringProxyKeepsBackends: while a proxy that stops as planned lingers, so that its callers can move elsewhere, the backend
-// beside it stays eligible for all proxies. Here it is the only one of its service.
+// TestLingeringProxyKeepsBackends checks that the local backend of a proxy in a planned stop remains eligible for all proxies while that
+// proxy lingers, so that its callers can move to other proxies. In this test it is the only backend of its service.
 func TestLingeringProxyKeepsBackends(t *testing.T) {
 	t.Parallel()
 	const linger = 2200 * monotonic.Millisecond
@@ -33,21 +33,21 @@
 	topology.Backends, topology.Slots, topology.DrainLinger = 1, 6, linger
 	mesh, _ := runMesh(t, Scenario{Name: "linger", Topology: topology, Duration: 24 * monotonic.Second, Rate: 60, FaultInterval: 8 * monotonic.Second,
 		InitialFaults: []fault{stop}, Faults: []fault{noFault}}, 1)
-	served, missing := 0, 0
+	forms, unserved := 0, 0
 	for _, attempt := range mesh.History.Attempts {
 		if attempt.Kind != "form" || attempt.Sent < stopped || attempt.Sent >= stopped+linger {
 			continue
 		}
-		served++
+		forms++
 		if attempt.RejectedByMesh && apierror.Cause(attempt.Cause) == apierror.NoBackend {
-			missing++
+			unserved++
 		}
 	}
-	t.Logf("stopped at %d, ended %d later; %d forms meanwhile, %d without a backend", stopped, ended-stopped, served, missing)
-	if served < 20 || missing > 0 {
-		t.Errorf("%d of %d forms found no backend while its proxy lingered", missing, served)
+	t.Logf("stop requested at %d, ended %d microseconds later; %d forms while the proxy lingered, %d without a backend", stopped, ended-stopped, forms, unserved)
+	if forms < 20 || unserved > 0 {
+		t.Errorf("%d of %d forms found no backend while the proxy lingered", unserved, forms)
 	}
 	if ended-stopped > linger+monotonic.Second {
-		t.Errorf("it ended %d microseconds after its stop was requested", ended-stopped)
+		t.Errorf("the proxy ended %d microseconds after its stop was requested", ended-stopped)
 	}
 }
--- a/internal/simulation/scenario/helpers_test.go
+++ b/internal/simulation/scenario/helpers_test.go
@@ -10,7 +10,7 @@
 	"snowflow/internal/monotonic"
 )
 
-// seeds returns the fixed seeds, or those that SNOWFLOW_SEEDS gives as a number or a range, for longer runs.
+// seeds returns the fixed seeds, or the seeds that the environment variable SNOWFLOW_SEEDS gives as a number or a range like 1-50.
 func seeds(t *testing.T, fixed ...uint64) []uint64 {
 	text := os.Getenv("SNOWFLOW_SEEDS")
 	if text == "" {
@@ -32,7 +32,7 @@
 	return all
 }
 
-// runScenario plays a scenario with each seed and reports the findings as errors. The log is printed on failures if SNOWFLOW_LOG is set.
+// runScenario runs a scenario with each seed and reports the findings as errors. If a run fails and SNOWFLOW_LOG is set, it prints the log.
 func runScenario(t *testing.T, name string, fixed ...uint64) {
 	for _, seed := range seeds(t, fixed...) {
 		t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// captureMesh plays a scenario with a seed and returns the mesh at its end.
+// captureMesh runs a scenario with a seed and returns the mesh after the run.
 func captureMesh(scenario Scenario, seed uint64, defects Defects) (*Mesh, Result) {
 	var mesh *Mesh
 	prepare := scenario.Prepare
@@ -63,7 +63,7 @@
 	return mesh, result
 }
 
-// runMesh does the same without defects and reports the findings as errors.
+// runMesh runs a scenario without defects, reports the findings as errors and returns the mesh after the run.
 func runMesh(t *testing.T, scenario Scenario, seed uint64) (*Mesh, Result) {
 	t.Helper()
 	mesh, result := captureMesh(scenario, seed, Defects{})
--- a/internal/simulation/scenario/missed_accept_test.go
+++ b/internal/simulation/scenario/missed_accept_test.go
@@ -54,7 +54,7 @@
 		}
 		isBackup := len(present) == replicas && slices.Contains(present[1:], survivor)
 		if isBackup {
-			m.loseAllReplicasBut(survivor, group, present)
+			m.loseAllReplicasExcept(survivor, group, present)
 			m.missesAccepts = nil
 			if took := m.runUntilPrimaries(maxRecovery); took >= maxRecovery {
 				t.Errorf("no primary of each group within %d us", maxRecovery)
@@ -74,8 +74,8 @@
 // maxRecovery is how long the core may take to serve again.
 const maxRecovery = 15 * monotonic.Second
 
-// loseAllReplicasBut loses the disks of a group's replicas but one, and the power of all other core machines at the same moment.
-func (m *Mesh) loseAllReplicasBut(survivor, group string, replicas []string) {
+// loseAllReplicasExcept loses the disks of a group's replicas but one, and the power of all other core machines at the same moment.
+func (m *Mesh) loseAllReplicasExcept(survivor, group string, replicas []string) {
 	for _, machine := range m.coreMachines {
 		stop := m.World.PowerLoss
 		if name := strings.Replace(machine, "core", group, 1); name != survivor && slices.Contains(replicas, name) {
--- a/internal/simulation/scenario/replacement_series_test.go
+++ b/internal/simulation/scenario/replacement_series_test.go
@@ -22,8 +22,8 @@
 	acknowledgementLimit = 4 * monotonic.Second
 	// checkInterval is the time between two checks of a quiet core.
 	checkInterval = 100 * monotonic.Millisecond
-	// seedCount is how many addresses of core machines a new machine is told.
-	seedCount = 3
+	// seedAddressCount is how many addresses of core machines a new machine is told.
+	seedAddressCount = 3
 )
 
 // replacementSeries is a core whose machines are lost for good one after another, each with an empty successor at another address.
@@ -98,7 +98,7 @@
 // currentAddresses returns addresses of configuration stores on some machines, as the platform names them to a new one. The oldest
 // machine is among them: the platform's list lags.
 func (s *replacementSeries) currentAddresses() (addresses []string) {
-	for _, machine := range s.mesh.coreMachines[:min(seedCount, len(s.mesh.coreMachines))] {
+	for _, machine := range s.mesh.coreMachines[:min(seedAddressCount, len(s.mesh.coreMachines))] {
 		for _, node := range s.mesh.coreNodes(machine) {
 			if s.mesh.configStores[node.Name] != nil {
 				addresses = append(addresses, node.Address)
--- a/internal/simulation/scenario/response_replay_test.go
+++ b/internal/simulation/scenario/response_replay_test.go
@@ -12,7 +12,7 @@
 func TestResponseOutlivesProxy(t *testing.T) {
 	for _, dies := range []string{"the proxy beside the backend", "the proxy that forwarded it"} {
 		for _, seed := range seeds(t, 1, 2, 3, 4) {
-			mesh := newServingMeshWithSeed(t, seed, servingOn)
+			mesh := newServingMeshWithSeed(t, seed, serveStaleTimeouts)
 			caller := mesh.proxyNames[0]
 			submission := func(id string) *request.Request {
 				return &request.Request{ID: id, Method: "POST", Target: "/households/1", IdempotencyKey: "k-1"}
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -15,7 +15,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-var servingOn = configstore.Timeouts{ServeStale: true, LongPoll: 2 * monotonic.Second}
+var serveStaleTimeouts = configstore.Timeouts{ServeStale: true, LongPoll: 2 * monotonic.Second}
 
 // newServingMesh returns a small mesh whose proxies have adopted a first desired state under version 10.
 func newServingMesh(t *testing.T, bounds configstore.Timeouts) *Mesh {
@@ -57,7 +57,7 @@
 // only until the lease has expired. A version that has been waited for is not delayed again.
 func TestServeOnAcknowledgement(t *testing.T) {
 	t.Parallel()
-	mesh := newServingMesh(t, servingOn)
+	mesh := newServingMesh(t, serveStaleTimeouts)
 	wait := configstore.DefaultTimeouts.AdoptionTimeout
 	raise := func(what string, version, inForce uint64, least, most monotonic.Micros, everywhere bool) {
 		t.Helper()
@@ -78,7 +78,7 @@
 	mesh.runFor(2 * monotonic.Second)
 	raise("it is back in another incarnation", 35, 35, 0, wait/4, true)
 	mesh.World.Kill(mesh.World.Node(mesh.proxyNames[2]))
-	mesh.runFor(configstore.DefaultLease + servingOn.LongPoll) // a long poll that it left behind counts until it is answered
+	mesh.runFor(configstore.DefaultLease + serveStaleTimeouts.LongPoll) // a long poll that it left behind counts until it is answered
 	raise("one long dead", 40, 40, 0, wait/4, true)
 	mesh.World.Kill(mesh.primary(configstore.Group))
 	raise("the primary just dead", 50, 50, 0, 8*monotonic.Second, false)
@@ -106,7 +106,7 @@
 // TestStoreDistinguishesRejectedAndUnknown: if no primary can be reached, the write has certainly not been accepted.
 func TestStoreDistinguishesRejectedAndUnknown(t *testing.T) {
 	t.Parallel()
-	mesh := newServingMesh(t, servingOn)
+	mesh := newServingMesh(t, serveStaleTimeouts)
 	read := func(timeout monotonic.Micros) (stored *wire.StoredConfig, err error) {
 		done := false
 		mesh.External.Go(func() {
@@ -179,7 +179,7 @@
 // TestServeOnDuringPartition: a proxy that is cut off from the core serves on beyond its lease by the state that it has, and forwards to
 // proxies with a newer state and accepts requests from them. If leases are required it rejects requests.
 func TestServeOnDuringPartition(t *testing.T) {
-	for name, bounds := range map[string]configstore.Timeouts{"serving on": servingOn, "by leases": {}} {
+	for name, bounds := range map[string]configstore.Timeouts{"serving on": serveStaleTimeouts, "by leases": {}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			mesh := newServingMesh(t, bounds)
@@ -237,8 +237,8 @@
 		majority bool
 		expected uint64
 	}{
-		"serving on, a majority is left":        {servingOn, true, 10},
-		"serving on, one replica alone is left": {servingOn, false, 0},
+		"serving on, a majority is left":        {serveStaleTimeouts, true, 10},
+		"serving on, one replica alone is left": {serveStaleTimeouts, false, 0},
 		"by leases, a majority is left":         {configstore.Timeouts{}, true, 0},
 		"by leases, one replica alone is left":  {configstore.Timeouts{}, false, 0},
 	} {
--- a/internal/simulation/scenario/singleton_test.go
+++ b/internal/simulation/scenario/singleton_test.go
@@ -16,9 +16,9 @@
 	from, until monotonic.Micros
 }
 
-// requestDuty has a backend request a singleton role again and again, and calls note with each belief. A belief is counted as
+// contendForRole has a backend request a singleton role again and again, and calls note with each belief. A belief is counted as
 // docs/interfaces.md says: from before the request was sent.
-func (m *Mesh) requestDuty(backend *simulatedBackend, note func(ownershipBelief)) {
+func (m *Mesh) contendForRole(backend *simulatedBackend, note func(ownershipBelief)) {
 	for m.serving && backend.up {
 		m.External.Sleep(500*monotonic.Millisecond + monotonic.Micros(m.World.Rand().Uint64N(uint64(monotonic.Second))))
 		requestedAt := m.World.Now()
@@ -41,14 +41,14 @@
 	}
 }
 
-// runDuties plays a scenario in which all backends want one singleton role, and returns their beliefs in the order of their start, and
+// runRoleContention plays a scenario in which all backends want one singleton role, and returns their beliefs in the order of their start, and
 // the findings.
-func runDuties(name string, seed uint64, defects Defects) (beliefs []ownershipBelief, findings []string) {
+func runRoleContention(name string, seed uint64, defects Defects) (beliefs []ownershipBelief, findings []string) {
 	scenario := Scenarios[name]
 	scenario.Prepare = func(mesh *Mesh) {
 		mesh.serving = true
 		for _, backend := range mesh.backends {
-			mesh.External.Go(func() { mesh.requestDuty(backend, func(fresh ownershipBelief) { beliefs = append(beliefs, fresh) }) })
+			mesh.External.Go(func() { mesh.contendForRole(backend, func(fresh ownershipBelief) { beliefs = append(beliefs, fresh) }) })
 		}
 	}
 	for _, finding := range Run(scenario, seed, defects).Findings {
@@ -75,7 +75,7 @@
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				beliefs, findings := runDuties(name, seed, Defects{})
+				beliefs, findings := runRoleContention(name, seed, Defects{})
 				for _, finding := range findings {
 					t.Error(finding)
 				}
@@ -96,7 +96,7 @@
 	t.Run("owners that ignore the end of their lease are detected", func(t *testing.T) {
 		t.Parallel()
 		for seed := uint64(1); seed <= 12; seed++ {
-			if beliefs, _ := runDuties("core", seed, Defects{IgnoreSingletonExpiry: true}); overlappingHolders(beliefs) != "" {
+			if beliefs, _ := runRoleContention("core", seed, Defects{IgnoreSingletonExpiry: true}); overlappingHolders(beliefs) != "" {
 				return
 			}
 		}
--- a/internal/simulation/scenario/stale_config_test.go
+++ b/internal/simulation/scenario/stale_config_test.go
@@ -13,12 +13,12 @@
 // the core's machines again. Zero means not at all.
 type staleness struct{ acknowledged, afterReturn monotonic.Micros }
 
-// isolatedProxy lets a proxy miss a version because it is cut off from the core, and come back. also, unless nil, is called at its
+// measureStaleness lets a proxy miss a version because it is cut off from the core, and come back. also, unless nil, is called at its
 // return.
-func isolatedProxy(t *testing.T, seed uint64, outage monotonic.Micros, also func(mesh *Mesh)) staleness {
+func measureStaleness(t *testing.T, seed uint64, outage monotonic.Micros, also func(mesh *Mesh)) staleness {
 	t.Helper()
 	topology := smallTopology
-	topology.Timeouts = servingOn
+	topology.Timeouts = serveStaleTimeouts
 	mesh := Build(seed, topology, Defects{})
 	defer mesh.World.Close()
 	mesh.runFor(3 * monotonic.Second)
@@ -73,7 +73,7 @@
 			t.Parallel()
 			highest := staleness{}
 			for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12) {
-				found := isolatedProxy(t, seed, outage, test.also)
+				found := measureStaleness(t, seed, outage, test.also)
 				highest = staleness{max(highest.acknowledged, found.acknowledged), max(highest.afterReturn, found.afterReturn)}
 				if found.afterReturn > test.most {
 					t.Errorf("seed %d: adopted %d microseconds after its return", seed, found.afterReturn)
@@ -94,7 +94,7 @@
 	older := 0
 	for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8) {
 		topology := smallTopology
-		topology.Timeouts = servingOn
+		topology.Timeouts = serveStaleTimeouts
 		mesh := Build(seed, topology, Defects{})
 		mesh.runFor(3 * monotonic.Second)
 		raise := func(version uint64) {
