--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -347,7 +347,7 @@
 	fixture.apply(desiredWithManyRoutes(t, removed), 300*monotonic.Millisecond)
 	for _, key := range []string{"answered", "lost", "under", "fresh"} {
 		if rejected := fixture.submit(6, key); !rejected.RejectedByMesh || rejected.NotRun || rejected.Cause != int(apierror.UnknownPath) {
-			t.Errorf("%s without a route: %+v", key, rejected)
+			t.Errorf("a key without a route: %+v", rejected)
 		}
 	}
 	fixture.apply(desiredWithManyRoutes(t, moved), 300*monotonic.Millisecond)
--- a/internal/simulation/scenario/member_replacement_test.go
+++ b/internal/simulation/scenario/member_replacement_test.go
@@ -8,8 +8,8 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestVotersApart: two of three core machines are in one zone. Once a fourth has come in another, the voters and the replicas are spread
-// over three zones, and the core survives the loss of the zone with two machines with everything acknowledged.
+// TestVotersApart starts with two of three core machines in one zone. After a fourth machine has started in a third zone, the voters and
+// replicas must be spread over the three zones, so that the loss of the zone with two machines loses nothing acknowledged.
 func TestVotersApart(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -22,30 +22,30 @@
 			mesh.startNewMachine()
 			mesh.runFor(20 * monotonic.Second)
 			for group, voters := range mesh.voters(t) {
-				stand := map[string]bool{}
+				zones := map[string]bool{}
 				for _, name := range voters {
-					stand[topology.Domains[slices.Index([]string{group + "-1", group + "-2", group + "-3", group + "-4"}, name)]] = true
+					zones[topology.Domains[slices.Index([]string{group + "-1", group + "-2", group + "-3", group + "-4"}, name)]] = true
 				}
-				if len(voters) != 3 || len(stand) != 3 {
-					t.Errorf("the %ss' voters are %v", group, voters)
+				if len(voters) != 3 || len(zones) != 3 {
+					t.Errorf("the voters of group %s are %v, not one in each zone", group, voters)
 				}
 			}
 			response, _, err := mesh.applyVersion(100, 10*monotonic.Second)
 			if err != nil || response.Version != 100 {
-				t.Fatalf("%v %v", response, err)
+				t.Fatalf("applying version 100: %v %v", response, err)
 			}
 			mesh.runFor(3 * monotonic.Second)
 			mesh.retire("core-1")
 			mesh.retire("core-2")
 			if response, _, err = mesh.applyVersion(101, 20*monotonic.Second); err != nil || response.Version != 101 {
-				t.Errorf("after the zone's loss: %v %v", response, err)
+				t.Errorf("applying version 101 after the loss of the zone: %v %v", response, err)
 			}
 		})
 	}
 }
 
-// TestLossAfterPlannedReplacement: a core machine is replaced as planned, and soon afterwards another is lost for good, again and again.
-// The core serves to the end, and nothing acknowledged is missing.
+// TestLossAfterPlannedReplacement replaces a core machine as planned and soon afterwards loses another one permanently, several times. The
+// core must serve to the end and lose nothing acknowledged.
 func TestLossAfterPlannedReplacement(t *testing.T) {
 	for _, test := range []struct{ cores, replicas int }{{3, 2}, {4, 2}, {5, 3}} {
 		for _, seed := range seeds(t, 1, 2, 3) {
@@ -57,7 +57,7 @@
 					InitialFaults: []fault{plannedReplacement, permanentLoss, plannedReplacement, permanentLoss}, Faults: []fault{permanentLoss, applyConfig}}, seed)
 				for group, voters := range mesh.voters(t) {
 					if expected := max(2*test.replicas-1, test.cores); len(voters) != expected {
-						t.Errorf("the %ss' voters are %v, not %d", group, voters, expected)
+						t.Errorf("the voters of group %s are %v, not %d of them", group, voters, expected)
 					}
 				}
 			})
--- a/internal/simulation/scenario/membership_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -14,10 +14,10 @@
 	"snowflow/internal/simulation/world"
 )
 
-// voters returns the voters that the core's processes know, by group, and reports processes that disagree.
+// voters returns the voters of each group, and reports an error for each process in use that knows other voters than the first one.
 func (m *Mesh) voters(t *testing.T) map[string][]string {
 	known := map[string][]string{}
-	note := func(group, name string, member *replication.Member) {
+	compare := func(group, name string, member *replication.Member) {
 		node := m.World.Node(name)
 		if m.retired[node.Machine] {
 			return
@@ -27,19 +27,19 @@
 			known[group] = voters
 		}
 		if !slices.Equal(known[group], voters) {
-			t.Errorf("%s knows the voters %v, another %v", name, voters, known[group])
+			t.Errorf("%s knows the voters %v, another process %v", name, voters, known[group])
 		}
 	}
 	for name, service := range m.registries {
-		note(registry.Group, name, service.Member)
+		compare(registry.Group, name, service.Member)
 	}
 	for name, service := range m.configStores {
-		note(configstore.Group, name, service.Member)
+		compare(configstore.Group, name, service.Member)
 	}
 	return known
 }
 
-// TestFourthMachine: a core of three becomes one of four once a fourth machine has started, whatever else fails.
+// TestFourthMachine checks that a core of three becomes a core of four voters once a fourth machine has started, whatever else fails.
 func TestFourthMachine(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -50,20 +50,20 @@
 				InitialFaults: []fault{addCoreMachine}, Faults: []fault{killPrimary, powerOffCoreMachine, freezePrimary, partitionCore, applyConfig}}, seed)
 			for group, voters := range mesh.voters(t) {
 				if len(voters) != 4 {
-					t.Errorf("the %ss' voters are %v", group, voters)
+					t.Errorf("the voters of group %s are %v, not four", group, voters)
 				}
 			}
 		})
 	}
 }
 
-// TestMachinesReplaced: the initial machines are retired one after another, and new ones start some seconds later or before. None of the
-// seed addresses is left at the end.
+// TestMachinesReplaced retires the initial core machines one after another and starts a new machine some seconds before or after each. At
+// the end only new machines vote, and none of the initial seed addresses is in use.
 func TestMachinesReplaced(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		expected     int
-		ahead, after monotonic.Micros
+		name                    string
+		voters                  int // the number of voters that is configured; zero for the default
+		retireAfter, startAfter monotonic.Micros
 	}{
 		{"then another comes", 0, 0, 2 * monotonic.Second},
 		{"after another came", 3, 4 * monotonic.Second, 0},
@@ -73,11 +73,11 @@
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := smallTopology
-				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.expected
-				// Three intervals between faults may take 72 s: a shorter run might end before the third.
-				exchange := replaceCoreMachine(test.ahead, test.after)
+				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.voters
+				// Three intervals between faults may take 72 s: a shorter run might end before the third replacement.
+				replacement := replaceCoreMachine(test.retireAfter, test.startAfter)
 				mesh, _ := runMesh(t, Scenario{Name: "replacement", Topology: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
-					InitialFaults: []fault{exchange, exchange, exchange}, Faults: []fault{applyConfig}}, seed)
+					InitialFaults: []fault{replacement, replacement, replacement}, Faults: []fault{applyConfig}}, seed)
 				if len(mesh.retired) != 3 {
 					t.Errorf("%d machines were replaced", len(mesh.retired))
 				}
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestAcknowledgedThenLost: right after an acknowledgement the primary and its disk are lost, in cores of three and four; with three
-// replicas among five, those of a backup too.
+// TestAcknowledgedThenLost loses the disk of the configuration store's primary right after an acknowledgement, in cores of three and four
+// machines. In a core of five with three replicas it loses a backup's disk too.
 func TestAcknowledgedThenLost(t *testing.T) {
 	for _, test := range []struct {
 		cores, replicas int
@@ -108,7 +108,7 @@
 				mesh, _ := runMesh(t, Scenario{Name: "lost", Topology: topology, Duration: 60 * monotonic.Second, Rate: 25, FaultInterval: 11 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: []fault{test.lose}, Faults: []fault{test.lose}}, seed)
 				joined := strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %d {", eventlog.VoterJoined))
-				// Each process joins once when it starts, and again when its disk was lost.
+				// Each process joins once at its start, and again after the loss of its disk.
 				if joined <= 2*test.cores {
 					t.Errorf("no disk was lost: %d joins", joined)
 				}
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestFailover: a primary dies at any time within its lease, and another serves within two and a half seconds.
+// TestFailover kills primaries at random times within their leases. Another process must serve as primary within 2.5 seconds.
 func TestFailover(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		t.Run(fmt.Sprint(cores), func(t *testing.T) {
@@ -133,14 +133,14 @@
 				for _, group := range coreGroups {
 					primary := mesh.primary(group)
 					if primary == nil {
-						t.Fatalf("no %s serves", group)
+						t.Fatalf("group %s has no primary", group)
 					}
 					mesh.World.Kill(primary)
-					died := mesh.World.Now()
-					for mesh.primary(group) == nil && mesh.World.Now()-died < 10*monotonic.Second {
+					killedAt := mesh.World.Now()
+					for mesh.primary(group) == nil && mesh.World.Now()-killedAt < 10*monotonic.Second {
 						mesh.runFor(10 * monotonic.Millisecond)
 					}
-					took := mesh.World.Now() - died
+					took := mesh.World.Now() - killedAt
 					longest, sum = max(longest, took), sum+took
 					mesh.World.Start(primary)
 				}
@@ -153,16 +153,16 @@
 	}
 }
 
-// TestPrimaryDiesDuringChange: whenever a primary has entered a joint configuration it dies within milliseconds, also with its disk if no
-// machine is gone. The next primary completes the membership change.
+// TestPrimaryDiesDuringChange ends a primary at most 3 ms after it has entered a joint configuration, also with the loss of its disk if no
+// other machine is lost. The next primary must complete the membership change.
 func TestPrimaryDiesDuringChange(t *testing.T) {
 	kill, power, disk := (*world.World).Kill, (*world.World).PowerLoss, (*world.World).LoseDisk
 	for _, test := range []struct {
-		name     string
-		changes  []fault
-		ends     []func(*world.World, *world.Node)
-		expected int // the expected number of voters
-		new      int // the number of the machine that must vote at the end
+		name    string
+		changes []fault
+		stops   []func(*world.World, *world.Node) // the ways in which a primary may end
+		voters  int                               // the number of voters that is configured
+		newest  int                               // the number of the machine that must be a voter at the end
 	}{
 		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
 		{"one is replaced", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
@@ -171,31 +171,31 @@
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
-				died := map[string]int{}
+				ended := map[string]int{} // the number of primaries that were ended, by group
 				topology := smallTopology
-				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.expected
-				mesh, _ := runMesh(t, Scenario{Name: "halfway", Topology: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
+				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.voters
+				mesh, _ := runMesh(t, Scenario{Name: "loss during a membership change", Topology: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: test.changes, Faults: []fault{applyConfig}, Prepare: func(mesh *Mesh) {
 						trace := mesh.World.Trace
 						mesh.World.Trace = func(at monotonic.Micros, name string, number int, fields map[string]any) {
 							trace(at, name, number, fields)
 							group := strings.SplitN(name, "-", 2)[0]
-							if joint, _ := fields["joint"].([]string); number != eventlog.MembershipChanged || len(joint) == 0 || died[group] >= len(test.changes) {
+							if joint, _ := fields["joint"].([]string); number != eventlog.MembershipChanged || len(joint) == 0 || ended[group] >= len(test.changes) {
 								return
 							}
-							died[group]++
-							end := pick(mesh, test.ends)
+							ended[group]++
+							stop := pick(mesh, test.stops)
 							mesh.after(mesh.randomDuration(0, 3*monotonic.Millisecond), func() {
 								mesh.restartAfter([]*world.Node{mesh.World.Node(name)}, mesh.randomDuration(200*monotonic.Millisecond, 3*monotonic.Second),
-									func(node *world.Node) { end(mesh.World, node) })
+									func(node *world.Node) { stop(mesh.World, node) })
 							})
 						}
 					}}, seed)
-				if died[registry.Group] != len(test.changes) || died[configstore.Group] != len(test.changes) {
-					t.Errorf("primaries that died during a change: %v", died)
+				if ended[registry.Group] != len(test.changes) || ended[configstore.Group] != len(test.changes) {
+					t.Errorf("primaries that ended during a change: %v", ended)
 				}
 				for group, voters := range mesh.voters(t) {
-					if name := fmt.Sprintf("%s-%d", group, test.new); !slices.Contains(voters, name) {
+					if name := fmt.Sprintf("%s-%d", group, test.newest); !slices.Contains(voters, name) {
 						t.Errorf("%s is not among the voters %v", name, voters)
 					}
 				}
--- a/internal/simulation/scenario/missed_accept_test.go
+++ b/internal/simulation/scenario/missed_accept_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/registry"
 )
 
-// replicaNames returns the names of the processes with a replica of a group, its primary's first.
+// replicaNames returns the names of the processes that hold a replica of a group, the primary first, or nil without a primary.
 func (m *Mesh) replicaNames(group string) []string {
 	primary := m.primary(group)
 	if primary == nil {
@@ -23,9 +23,9 @@
 	return append([]string{primary.Name}, m.configStores[primary.Name].Member.Backups()...)
 }
 
-// TestReplicaThatMissedItsRegister guards against an acknowledged configuration that is gone for good: the last replica has missed each
-// register value, which a quorum of others accepted, as many disks as are tolerated are lost while all else loses power, and nobody but
-// that replica may become primary. It knew no voters after its start, and asked nobody but a primary.
+// TestReplicaThatMissedItsRegister guards against the permanent loss of an acknowledged configuration. The last replica has missed every
+// register value, which a quorum of others accepted. Then as many disks as are tolerated are lost while all other machines lose power, so
+// only that replica may become primary. After its restart it knew no voters, and it asked only a primary for them.
 func TestReplicaThatMissedItsRegister(t *testing.T) {
 	for _, size := range []struct{ cores, replicas int }{{3, 2}, {4, 2}, {5, 3}} {
 		for _, group := range []string{configstore.Group, registry.Group} {
@@ -39,7 +39,8 @@
 	}
 }
 
-// runMissedRegister tries the core machines until one whose process misses the register is a backup, and has it be the last replica.
+// runMissedRegister runs the test with a process that misses all accept requests. It tries the core machines in turn until that process is
+// a backup, which becomes the last replica.
 func runMissedRegister(t *testing.T, group string, cores, replicas int, seed uint64) {
 	t.Helper()
 	for number := 1; number <= cores; number++ {
@@ -47,17 +48,17 @@
 		survivor := fmt.Sprintf("%s-%d", group, number)
 		m.missesAccepts = func(name string) bool { return name == survivor }
 		m.start(Scenario{Rate: 1})
-		present := m.replicaNames(group)
-		for step := 0; len(present) < replicas && step < maxSteps; step++ {
+		replicaSet := m.replicaNames(group)
+		for step := 0; len(replicaSet) < replicas && step < maxSteps; step++ {
 			m.runFor(100 * monotonic.Millisecond)
-			present = m.replicaNames(group)
+			replicaSet = m.replicaNames(group)
 		}
-		isBackup := len(present) == replicas && slices.Contains(present[1:], survivor)
+		isBackup := len(replicaSet) == replicas && slices.Contains(replicaSet[1:], survivor)
 		if isBackup {
-			m.loseAllReplicasExcept(survivor, group, present)
+			m.loseAllReplicasExcept(survivor, group, replicaSet)
 			m.missesAccepts = nil
 			if took := m.runUntilPrimaries(maxRecovery); took >= maxRecovery {
-				t.Errorf("no primary of each group within %d us", maxRecovery)
+				t.Errorf("a group has no primary after %d microseconds", maxRecovery)
 			}
 		}
 		m.World.Close()
@@ -65,16 +66,16 @@
 			return
 		}
 	}
-	t.Error("no process that misses the register is a backup")
+	t.Error("no process that misses the register became a backup")
 }
 
-// maxSteps is how often it is looked whether the group has all its replicas.
+// maxSteps is how many steps of 100 ms the group may take to have all its replicas.
 const maxSteps = 100
 
-// maxRecovery is how long the core may take to serve again.
+// maxRecovery is how long the core may take until both groups have a primary again.
 const maxRecovery = 15 * monotonic.Second
 
-// loseAllReplicasExcept loses the disks of a group's replicas but one, and the power of all other core machines at the same moment.
+// loseAllReplicasExcept loses the disks of all replicas of a group except one. All other core machines lose power at the same moment.
 func (m *Mesh) loseAllReplicasExcept(survivor, group string, replicas []string) {
 	for _, machine := range m.coreMachines {
 		stop := m.World.PowerLoss
--- a/internal/simulation/scenario/planned_stop_test.go
+++ b/internal/simulation/scenario/planned_stop_test.go
@@ -7,15 +7,15 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestPlannedStopsDelayNoApply: a proxy that stops as planned gives up its lease, and a primary that stops as planned transfers the
-// leases. So an apply right after either waits for nobody. After a kill it waits until the lease has expired.
+// TestPlannedStopsDelayNoApply checks that an apply right after the planned stop of a proxy or a primary is not delayed: the proxy gives up
+// its lease, and the primary transfers the leases to its successor. After a kill the apply waits until the lease has expired.
 func TestPlannedStopsDelayNoApply(t *testing.T) {
 	for name, injected := range map[string]struct {
 		fault   fault
 		delayed bool
 	}{
 		"a proxy's planned stop": {drainProxy, false},
-		"a configuration store's planned stop": {fault{"hand over", func(mesh *Mesh) {
+		"a configuration store's planned stop": {fault{"transfer the leadership and end the process", func(mesh *Mesh) {
 			node := mesh.primary(configstore.Group)
 			mesh.External.Go(func() {
 				_ = mesh.transactAt(node.Address, 5*monotonic.Second, func() { mesh.configStores[node.Name].Member.TransferLeadership("planned") })
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var longest monotonic.Micros
-			timed := fault{"apply and time it", func(mesh *Mesh) {
+			measuredApply := fault{"apply a desired state and measure the time", func(mesh *Mesh) {
 				began := mesh.World.Now()
 				mesh.External.Go(func() {
 					if accepted(mesh.applyDesired(Desired(0), true, 0, 30*monotonic.Second)) {
@@ -38,7 +38,7 @@
 			}}
 			both := fault{injected.fault.name, func(mesh *Mesh) {
 				injected.fault.inject(mesh)
-				mesh.after(2*monotonic.Second, func() { timed.inject(mesh) })
+				mesh.after(2*monotonic.Second, func() { measuredApply.inject(mesh) })
 			}}
 			runMesh(t, Scenario{Name: "planned", Topology: smallTopology, Duration: 20 * monotonic.Second, Rate: 20, FaultInterval: 10 * monotonic.Second,
 				InitialFaults: []fault{both}, Faults: []fault{noFault}}, 3)
