--- a/internal/simulation/scenario/proxy_faults_test.go
+++ b/internal/simulation/scenario/proxy_faults_test.go
@@ -16,7 +16,7 @@
 	frozen := fault{"freeze a proxy for long", func(mesh *Mesh) {
 		mesh.World.Freeze(mesh.World.Node(mesh.proxyNames[1]), 12*monotonic.Second)
 	}}
-	mesh, _ := runMesh(t, Scenario{Name: "frozen proxy", Topology: smallTopology, Duration: 40 * monotonic.Second, Rate: 40, FaultInterval: 6 * monotonic.Second,
+	mesh, _ := runMesh(t, Scenario{Name: "quiet", Topology: smallTopology, Duration: 40 * monotonic.Second, Rate: 40, FaultInterval: 6 * monotonic.Second,
 		InitialFaults: []fault{frozen}, Faults: []fault{noFault}}, 1)
 	longest, count := monotonic.Micros(0), 0
 	for _, attempt := range mesh.History.Attempts {
--- a/internal/simulation/scenario/replacement_series_test.go
+++ b/internal/simulation/scenario/replacement_series_test.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// seriesLease and seriesVoterTimeout are those of the users' platform.
+	// seriesLease and seriesVoterTimeout are the values of the users' platform.
 	seriesLease        = 600 * monotonic.Millisecond
 	seriesVoterTimeout = 2 * monotonic.Second
-	// successorDelay is how long after a loss an empty machine starts in place of the lost one.
+	// successorDelay is the time from the loss of a machine to the start of an empty successor.
 	successorDelay = monotonic.Second
-	// quietTime is how long after that start the core is quiet again: the users' platform takes 3 s and 4 s for it.
-	quietTime = 7 * monotonic.Second
-	// acknowledgementLimit is how long the users' platform waits until a quiet core acknowledges a change.
+	// settleTime is the time from that start until the core is expected to serve normally. The users' platform takes 3 s and 4 s for it.
+	settleTime = 7 * monotonic.Second
+	// acknowledgementLimit is how long the users' platform waits until a settled core acknowledges a change.
 	acknowledgementLimit = 4 * monotonic.Second
-	// checkInterval is the time between two checks of a quiet core.
+	// checkInterval is the time between two checks of a settled core.
 	checkInterval = 100 * monotonic.Millisecond
-	// seedAddressCount is how many addresses of core machines a new machine is told.
+	// seedAddressCount is the number of core machines whose addresses a new machine gets as seed addresses.
 	seedAddressCount = 3
 )
 
-// replacementSeries is a core whose machines are lost for good one after another, each with an empty successor at another address.
+// replacementSeries is a core whose machines are lost permanently one after another. Each gets an empty successor at another address.
 type replacementSeries struct {
 	t       *testing.T
 	seed    uint64
 	mesh    *Mesh
-	version uint64 // the newest acknowledged one
+	version uint64 // the newest acknowledged version
 }
 
-// TestReplacementsInSeries guards against the fault by which the acknowledged configuration didn't come back after the oldest core
-// machine was replaced five times and more, 8 to 15 s apart: a new machine asked a primary that was gone to let it vote, and members counted
-// on voters whose address they didn't know.
+// TestReplacementsInSeries guards against the loss of the acknowledged configuration after the oldest core machine was replaced at least
+// five times, 8 to 15 s apart: a new machine asked a former primary to be admitted as a voter, and members counted on voters whose
+// addresses they didn't know.
 func TestReplacementsInSeries(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6) {
@@ -49,8 +49,8 @@
 				for range count {
 					series.replaceOldest(interval)
 				}
-				series.mesh.runFor(quietTime)
-				series.replaceOldest(quietTime + successorDelay)
+				series.mesh.runFor(settleTime)
+				series.replaceOldest(settleTime + successorDelay)
 			})
 		}
 	}
@@ -69,13 +69,13 @@
 		mesh.World.Start(node)
 	}
 	series := &replacementSeries{t: t, seed: seed, mesh: mesh}
-	mesh.runFor(quietTime)
+	mesh.runFor(settleTime)
 	series.apply()
 	return series
 }
 
-// replaceOldest loses the oldest machine for good, starts its successor, and lets an interval pass in all. Once the core is quiet it
-// changes the configuration, and checks at each step what holds then.
+// replaceOldest loses the oldest machine permanently and starts its successor. Once the core has settled, it changes the configuration and
+// checks repeatedly that the voters are reachable, until an interval has passed since the loss.
 func (s *replacementSeries) replaceOldest(interval monotonic.Micros) {
 	s.t.Helper()
 	next := s.mesh.World.Now() + interval
@@ -86,7 +86,7 @@
 	for _, node := range s.mesh.coreNodes(s.mesh.addMachine(seeds)) {
 		s.mesh.World.Start(node)
 	}
-	s.mesh.runFor(quietTime)
+	s.mesh.runFor(settleTime)
 	s.apply()
 	s.checkReachable()
 	for s.mesh.World.Now() < next && !s.t.Failed() {
@@ -95,8 +95,8 @@
 	}
 }
 
-// currentAddresses returns addresses of configuration stores on some machines, as the platform names them to a new one. The oldest
-// machine is among them: the platform's list lags.
+// currentAddresses returns the seed addresses that the platform gives to a new machine: those of the configuration stores on the oldest
+// machines. They include the machine that is about to be lost, because the platform's list is not up to date.
 func (s *replacementSeries) currentAddresses() (addresses []string) {
 	for _, machine := range s.mesh.coreMachines[:min(seedAddressCount, len(s.mesh.coreMachines))] {
 		for _, node := range s.mesh.coreNodes(machine) {
@@ -108,8 +108,8 @@
 	return addresses
 }
 
-// checkReachable checks that each group has a primary and a quorum of voters that run, and that each current replica knows the address
-// of each of these, so that it could be elected after the next loss.
+// checkReachable checks that each group has a primary and a running quorum of voters, and that each current replica knows the addresses of
+// the running voters, so that it can be elected after the next loss.
 func (s *replacementSeries) checkReachable() {
 	s.t.Helper()
 	for _, group := range coreGroups {
@@ -135,7 +135,7 @@
 		}
 		running = append(running, voter)
 		if !slices.Contains(knownAddresses(s.mesh, replica, voter), node.Address) {
-			s.t.Errorf("seed %d: replica %s doesn't know the address of the voter %s", s.seed, replica, voter)
+			s.t.Errorf("seed %d: replica %s doesn't know the address of voter %s", s.seed, replica, voter)
 		}
 	}
 	if !replication.HasQuorum(voters, running) {
@@ -143,21 +143,21 @@
 	}
 }
 
-// knownAddresses returns the addresses of a process that a core process knows.
-func knownAddresses(mesh *Mesh, process, name string) (addresses []string) {
+// knownAddresses returns the addresses that a core process knows for another one.
+func knownAddresses(mesh *Mesh, process, other string) (addresses []string) {
 	for _, known := range mesh.resolvers[process].Peers() {
-		if known.Name == name {
+		if known.Name == other {
 			addresses = append(addresses, known.Address)
 		}
 	}
 	return addresses
 }
 
-// apply checks that the newest acknowledged version is still there, and changes the configuration, which must be acknowledged in time.
+// apply checks that the core still has the newest acknowledged version, and applies the next one, which must be acknowledged in time.
 func (s *replacementSeries) apply() {
 	s.t.Helper()
 	if newest := s.readBack(); newest != s.version {
-		s.t.Errorf("seed %d: version %d is read back, not %d", s.seed, newest, s.version)
+		s.t.Errorf("seed %d: the core has version %d, not %d", s.seed, newest, s.version)
 	}
 	response, took, err := s.mesh.applyVersion(s.version+1, acknowledgementLimit)
 	if err != nil || response.Version != s.version+1 {
@@ -167,7 +167,7 @@
 	s.version++
 }
 
-// readBack returns the newest version that the core has, zero if it has none or doesn't answer in time.
+// readBack returns the newest version that the core has, or zero if it has none or doesn't answer in time.
 func (s *replacementSeries) readBack() (version uint64) {
 	ended := false
 	s.mesh.External.Go(func() {
--- a/internal/simulation/scenario/routes_test.go
+++ b/internal/simulation/scenario/routes_test.go
@@ -11,7 +11,7 @@
 	"snowflow/internal/proxy/request"
 )
 
-// desiredWithRoutes returns a desired state whose services have no paths, only routes.
+// desiredWithRoutes returns a variant of a desired state in which the services have no paths and requests are matched by routes only.
 func desiredWithRoutes(variant int) []byte {
 	return []byte(fmt.Sprintf(`{"note":"variant %d","groups":[{"name":"field",
 "guard":{"windowCalls":30,"minimumCalls":8,"failureRate":0.5,"waitOpenMicros":2000000,"permittedHalfOpen":4,"probeTenureMicros":4000000},
@@ -23,8 +23,8 @@
 "split":[{"service":"forms","weight":3},{"service":"households","weight":%d}]}]}`, variant, variant%2))
 }
 
-// TestRoutes: a mesh with routes alone, among failures, serves requests that may run at most once and have no key. None may be executed
-// twice, none may be executed that was rejected as not run, and none may last longer than its route's deadline.
+// TestRoutes sends requests of the class "single", which may run at most once and have no idempotency key, to a mesh that has only routes,
+// during faults. None may be executed twice, be executed although it was rejected as not run, or last longer than its route's deadline.
 func TestRoutes(t *testing.T) {
 	for _, seed := range seeds(t, 1, 2, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -40,7 +40,7 @@
 					}
 				}
 			}}
-			frozen := map[string]monotonic.Micros{} // the end of each proxy's last freeze: a frozen proxy cannot respond in time
+			frozen := map[string]monotonic.Micros{} // the end of each proxy's latest freeze; a frozen proxy can't respond in time
 			freeze := fault{"freeze a proxy", func(mesh *Mesh) {
 				name, duration := pick(mesh, mesh.proxyNames), mesh.randomDuration(300*monotonic.Millisecond, 8*monotonic.Second)
 				frozen[name] = max(frozen[name], mesh.World.Now()+duration)
@@ -58,11 +58,11 @@
 				mesh.History.RecordAttempt(attempt)
 				_, _ = mesh.transactReply(attempt, func(instance *proxy.Proxy) (*request.Response, *apierror.Error, error) {
 					began := instance.Now()
-					response, fault := instance.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: instance.LeaderClock()})
+					response, rejection := instance.Forwarder.Forward(&request.Request{ID: attempt.ID, Host: "A.example:8080", Method: "POST", Target: attempt.Path, ReadAt: instance.LeaderClock()})
 					if instance.Now()-began > 1600*monotonic.Millisecond && frozen[caller] < attempt.Sent {
 						late++
 					}
-					return response, fault, nil
+					return response, rejection, nil
 				})
 			}
 			result := Run(Scenario{Name: "routes", Topology: smallTopology, Duration: 60 * monotonic.Second, Rate: 20, FaultInterval: 2 * monotonic.Second, DesiredState: desiredWithRoutes,
@@ -83,7 +83,7 @@
 			for _, finding := range result.Findings {
 				t.Error(finding)
 			}
-			executed, again, services := map[string]int{}, 0, map[string]int{}
+			executed, retries, services := map[string]int{}, 0, map[string]int{}
 			for _, run := range mesh.History.BackendRequests {
 				attempt := singles[run.AttemptID]
 				if attempt == nil {
@@ -94,7 +94,7 @@
 					executed[run.AttemptID]++
 				}
 				if run.AttemptNumber > 1 {
-					again++
+					retries++
 				}
 			}
 			counts := map[string]int{}
@@ -103,7 +103,7 @@
 					t.Errorf("%s was executed %d times", id, executed[id])
 				}
 				if attempt.RejectedByMesh && attempt.NotRun && executed[id] > 0 {
-					t.Errorf("%s was rejected as not run by cause %d, and was executed", id, attempt.Cause)
+					t.Errorf("%s was rejected as not run with cause %d, but was executed", id, attempt.Cause)
 				}
 				switch {
 				case attempt.TransportError != "":
@@ -119,9 +119,9 @@
 					t.Errorf("%s was rejected with cause %d", id, attempt.Cause)
 				}
 			}
-			t.Logf("%d single-attempt requests: %v; runs by service %v, %d of them at a retry", len(singles), counts, services, again)
-			if counts["served"] < 500 || counts["may have run"] == 0 || again == 0 || services["forms"] == 0 || services["households"] == 0 || late > 0 {
-				t.Errorf("%v, %d retries, services %v, %d late", counts, again, services, late)
+			t.Logf("%d single requests: %v; runs by service %v, %d of them in retries", len(singles), counts, services, retries)
+			if counts["served"] < 500 || counts["may have run"] == 0 || retries == 0 || services["forms"] == 0 || services["households"] == 0 || late > 0 {
+				t.Errorf("outcomes %v, %d retries, runs by service %v, %d past the deadline", counts, retries, services, late)
 			}
 		})
 	}
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -36,13 +36,13 @@
 
 func TestClosing(t *testing.T) { runScenario(t, "closing", 1) }
 
-// TestRevocations guards against requests that run by a key that was taken away from its tenant.
+// TestRevocations guards against requests that run with a revoked key of a tenant.
 func TestRevocations(t *testing.T) {
 	runScenario(t, "revocations", 1, 2, 3, 4)
 	runScenario(t, "revocations-4", 1, 2)
 }
 
-// TestClosingLosses guards against acknowledged configurations that are gone after as many disks as are tolerated were lost at once.
+// TestClosingLosses guards against the loss of acknowledged configurations when as many disks as the core tolerates are lost at once.
 func TestClosingLosses(t *testing.T) {
 	for _, name := range []string{"closing-losses-3", "closing-losses-4", "closing-losses-5"} {
 		runScenario(t, name, 1, 39)
@@ -51,8 +51,8 @@
 
 func TestGuards(t *testing.T) { runScenario(t, "guards", 1) }
 
-// TestReplay: the same seed gives the same run. The second scenario loses power with several files unsynced, which once drew random
-// numbers in the order of a map.
+// TestReplay checks that the same seed gives the same run. The scenario "acknowledged" guards against random numbers that are drawn in the
+// iteration order of a map when power is lost while several files are unsynced.
 func TestReplay(t *testing.T) {
 	for name, defects := range map[string]Defects{"everything": {}, "acknowledged": {NoSync: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 			for range 2 {
 				again := Run(Scenarios[name], 7, defects)
 				if first.Digest != again.Digest || first.Served != again.Served || first.Events != again.Events {
-					t.Fatalf("the same seed gave another run: %d events and %d served, then %d and %d", first.Events, first.Served, again.Events, again.Served)
+					t.Fatalf("the same seed gave two different runs: %d events and %d served, then %d and %d", first.Events, first.Served, again.Events, again.Served)
 				}
 			}
 		})
--- a/internal/simulation/scenario/singleton_test.go
+++ b/internal/simulation/scenario/singleton_test.go
@@ -10,15 +10,15 @@
 	"snowflow/internal/simulation/world"
 )
 
-// ownershipBelief is a period in which a backend believes that it owns a singleton role.
+// ownershipBelief is a period in which a backend assumes that it owns a singleton role.
 type ownershipBelief struct {
 	holder      string
 	from, until monotonic.Micros
 }
 
-// contendForRole has a backend request a singleton role again and again, and calls note with each belief. A belief is counted as
-// docs/interfaces.md says: from before the request was sent.
-func (m *Mesh) contendForRole(backend *simulatedBackend, note func(ownershipBelief)) {
+// contendForRole has a backend request a singleton role repeatedly, and calls record with each belief. As docs/interfaces.md says, the
+// remaining time of a grant is counted from before the request was sent.
+func (m *Mesh) contendForRole(backend *simulatedBackend, record func(ownershipBelief)) {
 	for m.serving && backend.up {
 		m.External.Sleep(500*monotonic.Millisecond + monotonic.Micros(m.World.Rand().Uint64N(uint64(monotonic.Second))))
 		requestedAt := m.World.Now()
@@ -33,22 +33,24 @@
 		if err != nil || json.Unmarshal(content, &grant) != nil || !grant.Granted || m.World.Now() >= requestedAt+grant.Remaining {
 			continue
 		}
-		note(ownershipBelief{holder: backend.instance, from: m.World.Now(), until: requestedAt + grant.Remaining})
+		record(ownershipBelief{holder: backend.instance, from: m.World.Now(), until: requestedAt + grant.Remaining})
 		if m.World.Rand().IntN(6) == 0 {
-			// Now and then an owner hangs without notice, and others want its role.
+			// In one of six cases the owner hangs without releasing the role, which the others request meanwhile.
 			m.External.Sleep(4*monotonic.Second + monotonic.Micros(m.World.Rand().Uint64N(uint64(6*monotonic.Second))))
 		}
 	}
 }
 
-// runRoleContention plays a scenario in which all backends want one singleton role, and returns their beliefs in the order of their start, and
-// the findings.
+// runRoleContention runs a scenario in which all backends request the same singleton role. It returns their beliefs in the order of their
+// start, and the findings.
 func runRoleContention(name string, seed uint64, defects Defects) (beliefs []ownershipBelief, findings []string) {
 	scenario := Scenarios[name]
 	scenario.Prepare = func(mesh *Mesh) {
 		mesh.serving = true
 		for _, backend := range mesh.backends {
-			mesh.External.Go(func() { mesh.contendForRole(backend, func(fresh ownershipBelief) { beliefs = append(beliefs, fresh) }) })
+			mesh.External.Go(func() {
+				mesh.contendForRole(backend, func(belief ownershipBelief) { beliefs = append(beliefs, belief) })
+			})
 		}
 	}
 	for _, finding := range Run(scenario, seed, defects).Findings {
@@ -57,7 +59,7 @@
 	return beliefs, findings
 }
 
-// overlappingHolders describes two backends' beliefs that overlap, or returns an empty text.
+// overlappingHolders describes two overlapping beliefs of different backends, or returns an empty string.
 func overlappingHolders(beliefs []ownershipBelief) string {
 	for index, belief := range beliefs {
 		for _, other := range beliefs[index+1:] {
@@ -69,7 +71,7 @@
 	return ""
 }
 
-// TestDuties: a singleton role has one owner at a time, whatever fails.
+// TestDuties checks that a singleton role (a "duty" in the backends' API) has at most one owner at a time, whatever fails.
 func TestDuties(t *testing.T) {
 	for _, name := range []string{"core", "everything"} {
 		for _, seed := range seeds(t, 1, 2) {
@@ -84,12 +86,12 @@
 					holders[belief.holder] = true
 				}
 				if len(holders) < 2 {
-					t.Errorf("%d grants to %d owners", len(beliefs), len(holders))
+					t.Errorf("%d grants to %d backends", len(beliefs), len(holders))
 				}
-				if both := overlappingHolders(beliefs); both != "" {
-					t.Error(both)
+				if overlap := overlappingHolders(beliefs); overlap != "" {
+					t.Error(overlap)
 				}
-				t.Logf("%d grants to %d owners", len(beliefs), len(holders))
+				t.Logf("%d grants to %d backends", len(beliefs), len(holders))
 			})
 		}
 	}
@@ -100,6 +102,6 @@
 				return
 			}
 		}
-		t.Error("owners that went on beyond their lease were not detected in 12 seeds")
+		t.Error("owners that ignore the end of their lease were not detected in 12 seeds")
 	})
 }
--- a/internal/simulation/scenario/slots_test.go
+++ b/internal/simulation/scenario/slots_test.go
@@ -7,14 +7,14 @@
 	"snowflow/internal/monotonic"
 )
 
-// TestClaimsUseNoSlots: the core is down for a while, at backends with few slots. Submissions that wait for their claims must not occupy
-// the slots.
+// TestClaimsUseNoSlots checks that submissions that wait for their claims while the core is down don't occupy slots of their backends, of
+// which there are few.
 func TestClaimsUseNoSlots(t *testing.T) {
 	t.Parallel()
-	off := fault{"power off the core", func(mesh *Mesh) {
+	powerOff := fault{"power off the core", func(mesh *Mesh) {
 		mesh.restartAfter(mesh.allCoreNodes(), 1500*monotonic.Millisecond, mesh.World.PowerLoss)
 	}}
-	mesh, result := runMesh(t, Scenario{Name: "few slots", Topology: smallTopology, Duration: 40 * monotonic.Second, Rate: 40, FaultInterval: 8 * monotonic.Second, InitialFaults: []fault{off}, Faults: []fault{noFault},
+	mesh, result := runMesh(t, Scenario{Name: "few slots", Topology: smallTopology, Duration: 40 * monotonic.Second, Rate: 40, FaultInterval: 8 * monotonic.Second, InitialFaults: []fault{powerOff}, Faults: []fault{noFault},
 		DesiredState: desiredWithFewSlots}, 1)
 	overloaded, longest := 0, monotonic.Micros(0)
 	for _, attempt := range mesh.History.Attempts {
@@ -23,14 +23,14 @@
 		}
 		longest = max(longest, attempt.Ended-attempt.Sent)
 	}
-	t.Logf("%d of %d served, %d rejected for want of a slot, the longest took %d microseconds", result.Served, result.Sent, overloaded, longest)
+	t.Logf("%d of %d served, %d rejected without a free slot, the longest took %d microseconds", result.Served, result.Sent, overloaded, longest)
 	if overloaded > 0 || longest < monotonic.Second {
-		t.Errorf("%d rejected for want of a slot, the longest took %d microseconds", overloaded, longest)
+		t.Errorf("%d rejected without a free slot, the longest took %d microseconds", overloaded, longest)
 	}
 }
 
-// TestSlots: backends that report how many requests they run at once never get more, also while claims take long, while some lose
-// responses, and while backends drain. Reads go on while nothing can be claimed.
+// TestSlots checks that backends never get more concurrent requests than the number of slots that they report, also while claims take long,
+// while some backends lose responses and while backends drain. Reads are still served while no key can be claimed.
 func TestSlots(t *testing.T) {
 	t.Parallel()
 	for name, scenario := range map[string]Scenario{
@@ -64,7 +64,7 @@
 			for _, finding := range result.Findings {
 				t.Error(finding)
 			}
-			forms, rejected, overloaded, most := 0, 0, 0, 0
+			forms, rejected, overloaded, maxInFlight := 0, 0, 0, 0
 			for _, attempt := range mesh.History.Attempts {
 				if attempt.Cause == int(apierror.Overloaded) {
 					overloaded++
@@ -77,14 +77,14 @@
 				}
 			}
 			for _, backend := range mesh.backends {
-				most = max(most, backend.maxInFlight)
+				maxInFlight = max(maxInFlight, backend.maxInFlight)
 			}
-			t.Logf("%d of %d served; %d rejected for want of a slot; %d of %d reads rejected; at most %d at a backend", result.Served, result.Sent, overloaded, rejected, forms, most)
-			if most != 3 {
-				t.Errorf("%d requests at a backend of 3 slots", most)
+			t.Logf("%d of %d served; %d rejected without a free slot; %d of %d reads rejected; at most %d concurrent requests at a backend", result.Served, result.Sent, overloaded, rejected, forms, maxInFlight)
+			if maxInFlight != 3 {
+				t.Errorf("at most %d concurrent requests at a backend with 3 slots", maxInFlight)
 			}
 			if name == "core" && rejected*50 > forms {
-				t.Errorf("%d of %d reads rejected while nothing could be claimed", rejected, forms)
+				t.Errorf("%d of %d reads rejected while no key could be claimed", rejected, forms)
 			}
 		})
 	}
--- a/internal/simulation/scenario/stale_config_test.go
+++ b/internal/simulation/scenario/stale_config_test.go
@@ -9,13 +9,13 @@
 	"snowflow/internal/simulation/world"
 )
 
-// staleness is how long a proxy serves by an older version than was acknowledged: since the acknowledgement, and since it could reach
-// the core's machines again. Zero means not at all.
-type staleness struct{ acknowledged, afterReturn monotonic.Micros }
+// staleness is how long a proxy serves by an older version than the acknowledged one: from the acknowledgement, and from the end of the
+// partition. Zero means not at all.
+type staleness struct{ sinceAcknowledgement, sinceHeal monotonic.Micros }
 
-// measureStaleness lets a proxy miss a version because it is cut off from the core, and come back. also, unless nil, is called at its
-// return.
-func measureStaleness(t *testing.T, seed uint64, outage monotonic.Micros, also func(mesh *Mesh)) staleness {
+// measureStaleness partitions a proxy from the core, applies a version that the proxy misses, and measures until it has adopted it. onHeal,
+// unless nil, is called when the partition ends.
+func measureStaleness(t *testing.T, seed uint64, duration monotonic.Micros, onHeal func(mesh *Mesh)) staleness {
 	t.Helper()
 	topology := smallTopology
 	topology.Timeouts = serveStaleTimeouts
@@ -23,46 +23,46 @@
 	defer mesh.World.Close()
 	mesh.runFor(3 * monotonic.Second)
 	if response, _, err := mesh.applyVersion(10, 20*monotonic.Second); err != nil || response.Outcome != versions.Accepted {
-		t.Fatalf("seed %d: %v %v", seed, response, err)
+		t.Fatalf("seed %d: applying version 10: %v %v", seed, response, err)
 	}
 	mesh.runFor(8 * monotonic.Second)
-	victim := mesh.proxyNames[1]
-	var acknowledged, returnedAt, adopted monotonic.Micros
+	isolated := mesh.proxyNames[1]
+	var acknowledged, healedAt, adopted monotonic.Micros
 	for _, core := range mesh.coreMachines {
-		mesh.partitionFor(victim, core, true, outage)
+		mesh.partitionFor(isolated, core, true, duration)
 	}
-	mesh.after(outage, func() {
-		returnedAt = mesh.World.Now()
-		if also != nil {
-			also(mesh)
+	mesh.after(duration, func() {
+		healedAt = mesh.World.Now()
+		if onHeal != nil {
+			onHeal(mesh)
 		}
 	})
 	if response, _, err := mesh.applyVersion(11, 10*monotonic.Second); err != nil || response.Outcome != versions.Accepted {
-		t.Fatalf("seed %d: %v %v", seed, response, err)
+		t.Fatalf("seed %d: applying version 11: %v %v", seed, response, err)
 	}
 	acknowledged = mesh.World.Now()
 	for limit := mesh.World.Now() + 2*monotonic.Minute; adopted == 0 && mesh.World.Now() < limit; {
 		mesh.runFor(monotonic.Millisecond)
-		if snapshot, live := mesh.proxies[victim].ConfigClient.Current(); !live {
-			t.Fatalf("seed %d: it does not serve on", seed)
+		if snapshot, live := mesh.proxies[isolated].ConfigClient.Current(); !live {
+			t.Fatalf("seed %d: the proxy stopped serving", seed)
 		} else if snapshot.Version == 11 {
 			adopted = mesh.World.Now()
 		}
 	}
-	if adopted == 0 || returnedAt == 0 {
-		t.Fatalf("seed %d: never adopted", seed)
+	if adopted == 0 || healedAt == 0 {
+		t.Fatalf("seed %d: the version was not adopted", seed)
 	}
-	return staleness{max(0, adopted-acknowledged), max(0, adopted-returnedAt)}
+	return staleness{max(0, adopted-acknowledged), max(0, adopted-healedAt)}
 }
 
-// TestStalenessIsBounded: if proxies serve on, one that is cut off serves by the version that it has until its first poll after its
-// return reaches a primary: at once if there is one, or after the failover if it has just died.
+// TestStalenessIsBounded checks, with proxies that keep serving without a lease, that a partitioned proxy serves by an old version until its
+// first poll after the partition reaches a primary: at once if there is one, or after the failover if the primary has just ended.
 func TestStalenessIsBounded(t *testing.T) {
 	t.Parallel()
-	const outage = 4 * monotonic.Second
+	const duration = 4 * monotonic.Second
 	for name, test := range map[string]struct {
-		also func(mesh *Mesh)
-		most monotonic.Micros // since its return
+		onHeal func(mesh *Mesh)
+		limit  monotonic.Micros // of staleness.sinceHeal
 	}{
 		"the primary lives": {nil, monotonic.Second},
 		"the primary dies at its return": {func(mesh *Mesh) {
@@ -73,37 +73,37 @@
 			t.Parallel()
 			highest := staleness{}
 			for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12) {
-				found := measureStaleness(t, seed, outage, test.also)
-				highest = staleness{max(highest.acknowledged, found.acknowledged), max(highest.afterReturn, found.afterReturn)}
-				if found.afterReturn > test.most {
-					t.Errorf("seed %d: adopted %d microseconds after its return", seed, found.afterReturn)
+				found := measureStaleness(t, seed, duration, test.onHeal)
+				highest = staleness{max(highest.sinceAcknowledgement, found.sinceAcknowledgement), max(highest.sinceHeal, found.sinceHeal)}
+				if found.sinceHeal > test.limit {
+					t.Errorf("seed %d: adopted %d microseconds after the end of the partition", seed, found.sinceHeal)
 				}
-				if found.acknowledged <= 2*monotonic.Second {
-					t.Errorf("seed %d: it was in time, so the test shows nothing", seed)
+				if found.sinceAcknowledgement <= 2*monotonic.Second {
+					t.Errorf("seed %d: the proxy adopted the version too early, so the test proves nothing", seed)
 				}
 			}
-			t.Logf("at worst adopted %d microseconds after the acknowledgement, %d after its return", highest.acknowledged, highest.afterReturn)
+			t.Logf("adopted at most %d microseconds after the acknowledgement, %d after the end of the partition", highest.sinceAcknowledgement, highest.sinceHeal)
 		})
 	}
 }
 
-// TestStaleReplicaIsNotServed: a proxy restarts while the primary can be reached and a configuration store process has only just come
-// back with an old replica. The proxy serves by no older version than the primary has.
+// TestStaleReplicaIsNotServed restarts a proxy together with a configuration store process whose replica is out of date, while a primary
+// can be reached. The proxy must not serve by an older version than the primary's.
 func TestStaleReplicaIsNotServed(t *testing.T) {
 	t.Parallel()
-	older := 0
+	staleCount := 0
 	for _, seed := range seeds(t, 1, 2, 3, 4, 5, 6, 7, 8) {
 		topology := smallTopology
 		topology.Timeouts = serveStaleTimeouts
 		mesh := Build(seed, topology, Defects{})
 		mesh.runFor(3 * monotonic.Second)
-		raise := func(version uint64) {
+		apply := func(version uint64) {
 			t.Helper()
 			if response, _, err := mesh.applyVersion(version, 20*monotonic.Second); err != nil || response.Outcome != versions.Accepted {
-				t.Fatalf("seed %d: %v %v", seed, response, err)
+				t.Fatalf("seed %d: applying a version: %v %v", seed, response, err)
 			}
 		}
-		raise(10)
+		apply(10)
 		mesh.runFor(8 * monotonic.Second)
 		primary := mesh.primary(configstore.Group)
 		for turn, name := range []string{"carrier-1", "carrier-2", "carrier-3", "carrier-4"} {
@@ -114,7 +114,7 @@
 				}
 			}
 			mesh.runFor(8 * monotonic.Second)
-			raise(uint64(20 + 10*turn))
+			apply(uint64(20 + 10*turn))
 			mesh.runFor(3 * monotonic.Second)
 			mesh.World.Kill(mesh.World.Node(name))
 			for _, node := range mesh.World.Nodes() {
@@ -125,14 +125,14 @@
 			for until := mesh.World.Now() + 3*monotonic.Second; mesh.World.Now() < until; {
 				mesh.runFor(5 * monotonic.Millisecond)
 				if snapshot, live := mesh.proxies[name].ConfigClient.Current(); live && snapshot.Version < uint64(20+10*turn) {
-					older++
-					t.Errorf("seed %d: %s serves by version %d, %d is in force", seed, name, snapshot.Version, 20+10*turn)
+					staleCount++
+					t.Errorf("seed %d: %s serves by version %d, the primary has %d", seed, name, snapshot.Version, 20+10*turn)
 					break
 				}
 			}
 			primary = mesh.primary(configstore.Group)
 			if primary == nil {
-				t.Fatalf("seed %d: nobody leads", seed)
+				t.Fatalf("seed %d: no primary", seed)
 			}
 		}
 		mesh.World.Close()
