--- a/internal/simulation/scenario/membership_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -62,7 +62,7 @@
 func TestMachinesReplaced(t *testing.T) {
 	for _, test := range []struct {
 		name                    string
-		voters                  int // the number of voters that is configured; zero for the default
+		voterCount              int // the number of voters that is configured; zero for the default
 		retireAfter, startAfter monotonic.Micros
 	}{
 		{"then another comes", 0, 0, 2 * monotonic.Second},
@@ -73,7 +73,7 @@
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
 				t.Parallel()
 				topology := smallTopology
-				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.voters
+				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.voterCount
 				// Three intervals between faults may take 72 s: a shorter run might end before the third replacement.
 				replacement := replaceCoreMachine(test.retireAfter, test.startAfter)
 				mesh, _ := runMesh(t, Scenario{Name: "replacement", Topology: topology, Duration: 80 * monotonic.Second, Rate: 25, FaultInterval: 16 * monotonic.Second, Rules: []int{1, 3, 7, 12},
@@ -158,11 +158,11 @@
 func TestPrimaryDiesDuringChange(t *testing.T) {
 	kill, power, disk := (*world.World).Kill, (*world.World).PowerLoss, (*world.World).LoseDisk
 	for _, test := range []struct {
-		name    string
-		changes []fault
-		stops   []func(*world.World, *world.Node) // the ways in which a primary may end
-		voters  int                               // the number of voters that is configured
-		newest  int                               // the number of the machine that must be a voter at the end
+		name       string
+		changes    []fault
+		stops      []func(*world.World, *world.Node) // the ways in which a primary may end
+		voterCount int                               // the number of voters that is configured
+		newest     int                               // the number of the machine that must be a voter at the end
 	}{
 		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
 		{"one is replaced", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
@@ -173,7 +173,7 @@
 				t.Parallel()
 				ended := map[string]int{} // the number of primaries that were ended, by group
 				topology := smallTopology
-				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.voters
+				topology.VoterTimeout, topology.Voters = 4*monotonic.Second, test.voterCount
 				mesh, _ := runMesh(t, Scenario{Name: "loss during a membership change", Topology: topology, Duration: 50 * monotonic.Second, Rate: 25, FaultInterval: 14 * monotonic.Second, Rules: []int{1, 3, 7, 12},
 					InitialFaults: test.changes, Faults: []fault{applyConfig}, Prepare: func(mesh *Mesh) {
 						trace := mesh.World.Trace
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -230,7 +230,7 @@
 	}
 }
 
-// TestServeOnWithoutPrimary checks that a proxy that starts without a primary, and may serve without a lease, adopts the version of a current
+// TestServeOnWithoutPrimary checks that a proxy that starts without a primary and may serve without a lease adopts the version of a current
 // replica whose process reaches a majority. A replica that is no longer a member or reaches only a minority isn't used, since the others
 // may have newer versions. With leases the proxy waits for a primary.
 func TestServeOnWithoutPrimary(t *testing.T) {
