--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -107,8 +107,8 @@
 // changedVersion is the version of the first change that a test applies.
 const changedVersion = 2
 
-// checkAdopted checks that every proxy has adopted a content that moves one route as changedVersion, and has kept the objects of all
-// other routes and of the services.
+// checkAdopted checks that every proxy has adopted, as changedVersion, a content in which moveOneRoute was applied, and has kept the objects
+// of all other routes and of the services.
 func (f *configChangeFixture) checkAdopted(content []byte) {
 	t := f.t
 	t.Helper()
@@ -131,7 +131,7 @@
 			}
 		}
 		if found := snapshot.Lookup("h7.example", "GET", "/batches/47/1"); found == nil || found.Service != snapshot.Services["households"] {
-			t.Errorf("%s: the route leads to %v", name, found)
+			t.Errorf("%s: batch-47 is routed by %v", name, found)
 		}
 		if now := f.countedCalls(name); now < f.calls[name] {
 			t.Errorf("%s: %d calls counted, %d before the change", name, now, f.calls[name])
--- a/internal/simulation/scenario/core_recovery_test.go
+++ b/internal/simulation/scenario/core_recovery_test.go
@@ -14,9 +14,9 @@
 	"snowflow/internal/transport/wire"
 )
 
-// countEvents counts how often the processes of a group reported an event, in the lines of the log from index from on.
-func (m *Mesh) countEvents(from int, group string, number int) (count int) {
-	for _, line := range m.log[from:] {
+// countEvents counts how often the processes of a group reported an event, from the line of the log with the index firstLine on.
+func (m *Mesh) countEvents(firstLine int, group string, number int) (count int) {
+	for _, line := range m.log[firstLine:] {
 		if fields := strings.SplitN(line, " ", 4); strings.HasPrefix(fields[1], group) && fields[2] == fmt.Sprint(number) {
 			count++
 		}
--- a/internal/simulation/scenario/departure_restart_test.go
+++ b/internal/simulation/scenario/departure_restart_test.go
@@ -15,7 +15,7 @@
 	departureLimit = 2 * monotonic.Second
 	// departureWatch is how long the directories are observed: longer than a heartbeat keeps a backend listed.
 	departureWatch = 12 * monotonic.Second
-	// departureAttempts is how often a backend announces its departure at most, until that is acknowledged.
+	// departureAttempts is how many times a backend may announce its departure until that is acknowledged.
 	departureAttempts = 10
 )
 
--- a/internal/simulation/scenario/membership_test.go
+++ b/internal/simulation/scenario/membership_test.go
@@ -156,7 +156,7 @@
 // TestPrimaryDiesDuringChange ends a primary at most 3 ms after it has entered a joint configuration, also with the loss of its disk if no
 // other machine is lost. The next primary must complete the membership change.
 func TestPrimaryDiesDuringChange(t *testing.T) {
-	kill, power, disk := (*world.World).Kill, (*world.World).PowerLoss, (*world.World).LoseDisk
+	kill, powerLoss, diskLoss := (*world.World).Kill, (*world.World).PowerLoss, (*world.World).LoseDisk
 	for _, test := range []struct {
 		name       string
 		changes    []fault
@@ -164,9 +164,9 @@
 		voterCount int                               // the number of voters that is configured
 		newest     int                               // the number of the machine that must be a voter at the end
 	}{
-		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, power, disk}, 4, 4},
-		{"one is replaced", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 3, 4},
-		{"a fourth comes, then one is replaced", []fault{addCoreMachine, replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, power}, 4, 5},
+		{"a fourth comes", []fault{addCoreMachine}, []func(*world.World, *world.Node){kill, powerLoss, diskLoss}, 4, 4},
+		{"one is replaced", []fault{replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, powerLoss}, 3, 4},
+		{"a fourth comes, then one is replaced", []fault{addCoreMachine, replaceCoreMachine(0, 2*monotonic.Second)}, []func(*world.World, *world.Node){kill, powerLoss}, 4, 5},
 	} {
 		for _, seed := range seeds(t, 1, 2) {
 			t.Run(fmt.Sprintf("%s/%d", test.name, seed), func(t *testing.T) {
--- a/internal/simulation/scenario/planned_stop_test.go
+++ b/internal/simulation/scenario/planned_stop_test.go
@@ -36,12 +36,12 @@
 					}
 				})
 			}}
-			both := fault{injected.fault.name, func(mesh *Mesh) {
+			faultThenApply := fault{injected.fault.name, func(mesh *Mesh) {
 				injected.fault.inject(mesh)
 				mesh.after(2*monotonic.Second, func() { measuredApply.inject(mesh) })
 			}}
 			runMesh(t, Scenario{Name: "planned", Topology: smallTopology, Duration: 20 * monotonic.Second, Rate: 20, FaultInterval: 10 * monotonic.Second,
-				InitialFaults: []fault{both}, Faults: []fault{noFault}}, 3)
+				InitialFaults: []fault{faultThenApply}, Faults: []fault{noFault}}, 3)
 			t.Logf("acknowledged after %d microseconds", longest)
 			if longest == 0 || longest > monotonic.Second != injected.delayed {
 				t.Errorf("acknowledged after %d microseconds", longest)
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -15,7 +15,7 @@
 	"snowflow/internal/transport/wire"
 )
 
-// serveStaleTimeouts let proxies keep serving by the state that they have when they lose contact with the core.
+// serveStaleTimeouts let proxies keep serving from the state that they have when they lose contact with the core.
 var serveStaleTimeouts = configstore.Timeouts{ServeStale: true, LongPoll: 2 * monotonic.Second}
 
 // newServingMesh returns a small mesh whose proxies have adopted a first desired state as version 10.
@@ -55,7 +55,7 @@
 }
 
 // TestServeOnAcknowledgement checks, with proxies that keep serving without a lease, that a killed proxy delays an apply only by about the
-// adoption timeout, and only until its lease has expired. Once an apply has waited for a version, later ones of it are not delayed.
+// adoption timeout, and only until its lease has expired. Once an apply has waited for a version, repeated applies of it don't wait.
 func TestServeOnAcknowledgement(t *testing.T) {
 	t.Parallel()
 	mesh := newServingMesh(t, serveStaleTimeouts)
@@ -95,12 +95,12 @@
 	mesh := newServingMesh(t, configstore.Timeouts{Lease: 5 * monotonic.Second, LeaseSlack: monotonic.Second})
 	mesh.World.Kill(mesh.World.Node(mesh.proxyNames[2]))
 	if response, took, err := mesh.applyVersion(20, 2*monotonic.Second); !errors.Is(err, api.ErrOutcomeUnknown) || took > 2100*monotonic.Millisecond {
-		t.Errorf("%v, %v after %d microseconds", response, err, took)
+		t.Errorf("applying version 20: %v, %v after %d microseconds", response, err, took)
 	}
 	response, took, err := mesh.applyVersion(15, 10*monotonic.Second)
 	t.Logf("acknowledged after another %d microseconds", took)
 	if err != nil || response.Version != 20 || !response.AdoptedEverywhere || took < monotonic.Second || took > 2500*monotonic.Millisecond {
-		t.Errorf("%v, %v after %d microseconds", response, err, took)
+		t.Errorf("applying version 15: %v, %v after %d microseconds", response, err, took)
 	}
 }
 
@@ -178,7 +178,7 @@
 	return response, failure
 }
 
-// TestServeOnDuringPartition checks that a proxy that is partitioned from the core keeps serving beyond its lease by the state that it has,
+// TestServeOnDuringPartition checks that a proxy that is partitioned from the core keeps serving beyond its lease from the state that it has,
 // and that it and proxies with a newer state still forward requests to each other. If leases are required it rejects requests.
 func TestServeOnDuringPartition(t *testing.T) {
 	for name, timeouts := range map[string]configstore.Timeouts{"serving on": serveStaleTimeouts, "by leases": {}} {
--- a/internal/simulation/scenario/stale_config_test.go
+++ b/internal/simulation/scenario/stale_config_test.go
@@ -9,7 +9,7 @@
 	"snowflow/internal/simulation/world"
 )
 
-// staleness is how long a proxy serves by an older version than the acknowledged one: from the acknowledgement, and from the end of the
+// staleness is how long a proxy serves from an older version than the acknowledged one: from the acknowledgement, and from the end of the
 // partition. Zero means not at all.
 type staleness struct{ sinceAcknowledgement, sinceHeal monotonic.Micros }
 
@@ -55,7 +55,7 @@
 	return staleness{max(0, adopted-acknowledged), max(0, adopted-healedAt)}
 }
 
-// TestStalenessIsBounded checks that a partitioned proxy that may serve without a lease serves by an old version until its first poll after
+// TestStalenessIsBounded checks that a partitioned proxy that may serve without a lease serves from an old version until its first poll after
 // the partition reaches a primary: at once if there is one, or after the failover if the primary has just ended.
 func TestStalenessIsBounded(t *testing.T) {
 	t.Parallel()
@@ -88,7 +88,7 @@
 }
 
 // TestStaleReplicaIsNotServed restarts a proxy together with a configuration store process whose replica is out of date, while a primary
-// can be reached. The proxy must not serve by an older version than the primary's.
+// can be reached. The proxy must not serve from an older version than the primary's.
 func TestStaleReplicaIsNotServed(t *testing.T) {
 	t.Parallel()
 	staleCount := 0
@@ -126,7 +126,7 @@
 				mesh.runFor(5 * monotonic.Millisecond)
 				if snapshot, live := mesh.proxies[name].ConfigClient.Current(); live && snapshot.Version < uint64(20+10*turn) {
 					staleCount++
-					t.Errorf("seed %d: %s serves by version %d, the primary has %d", seed, name, snapshot.Version, 20+10*turn)
+					t.Errorf("seed %d: %s serves from version %d, the primary has %d", seed, name, snapshot.Version, 20+10*turn)
 					break
 				}
 			}
