--- a/internal/simulation/scenario/config_changes_test.go
+++ b/internal/simulation/scenario/config_changes_test.go
@@ -107,8 +107,8 @@
 // changedVersion is the version of the first change that a test applies.
 const changedVersion = 2
 
-// checkAdopted checks that every proxy has adopted, as changedVersion, a content in which moveOneRoute was applied, and has kept the objects
-// of all other routes and of the services.
+// checkAdopted checks that every proxy has adopted a content changed by moveOneRoute as changedVersion, and has kept the objects of all
+// other routes and of the services.
 func (f *configChangeFixture) checkAdopted(content []byte) {
 	t := f.t
 	t.Helper()
--- a/internal/simulation/scenario/serve_on_test.go
+++ b/internal/simulation/scenario/serve_on_test.go
@@ -178,8 +178,8 @@
 	return response, failure
 }
 
-// TestServeOnDuringPartition checks that a proxy that is partitioned from the core keeps serving beyond its lease from the state that it has,
-// and that it and proxies with a newer state still forward requests to each other. If leases are required it rejects requests.
+// TestServeOnDuringPartition checks that a proxy that is partitioned from the core keeps serving beyond its lease from the state that it
+// has, and that it and proxies with a newer state still forward requests to each other. If leases are required it rejects requests.
 func TestServeOnDuringPartition(t *testing.T) {
 	for name, timeouts := range map[string]configstore.Timeouts{"serving on": serveStaleTimeouts, "by leases": {}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/scenario/stale_config_test.go
+++ b/internal/simulation/scenario/stale_config_test.go
@@ -55,8 +55,8 @@
 	return staleness{max(0, adopted-acknowledged), max(0, adopted-healedAt)}
 }
 
-// TestStalenessIsBounded checks that a partitioned proxy that may serve without a lease serves from an old version until its first poll after
-// the partition reaches a primary: at once if there is one, or after the failover if the primary has just ended.
+// TestStalenessIsBounded checks that a partitioned proxy that may serve without a lease serves from an old version until its first poll
+// after the partition reaches a primary: at once if there is one, or after the failover if the primary has just ended.
 func TestStalenessIsBounded(t *testing.T) {
 	t.Parallel()
 	const duration = 4 * monotonic.Second
