--- a/internal/simulation/scenario/peak_traffic_test.go
+++ b/internal/simulation/scenario/peak_traffic_test.go
@@ -45,7 +45,7 @@
 			}
 		}
 		t.Logf("seed %d: %d versions, changes %v", seed, changedMesh.latestVersion, changedMesh.routeWorkload.Counts)
-		if changedMesh.latestVersion < 60 || len(changedMesh.routeWorkload.Counts) < changedMesh.routeWorkload.KindCount() {
+		if changedMesh.latestVersion < 60 || len(changedMesh.routeWorkload.Counts) < changedMesh.routeWorkload.CombinationCount() {
 			t.Errorf("seed %d: only %d versions, changes %v", seed, changedMesh.latestVersion, changedMesh.routeWorkload.Counts)
 		}
 		for _, family := range slices.Concat(changingFamilies, lookupFamilies) {
