--- a/internal/simulation/scenario/catch_up_test.go
+++ b/internal/simulation/scenario/catch_up_test.go
@@ -29,7 +29,7 @@
 			countLogged := func(number int, name string) int {
 				return strings.Count(strings.Join(mesh.log, "\n"), fmt.Sprintf(" %s %d {", name, number))
 			}
-			settle := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
+			stabilize := func() { mesh.World.Run(mesh.World.Now() + 6*monotonic.Second) }
 			change(10)
 			for turn := range 6 {
 				primary := mesh.primary(configstore.Group)
@@ -42,24 +42,24 @@
 				}
 				change(5)
 				mesh.World.Start(backup)
-				settle()
+				stabilize()
 				// The backup that replaced it is killed too, so that the first one becomes a backup again.
 				replacement := mesh.World.Node(mesh.configStores[primary.Name].Member.Backups()[0])
 				caughtUpBefore, installedBefore := countLogged(eventlog.ReplicaCaughtUp, backup.Name), countLogged(eventlog.SnapshotInstalled, backup.Name)
 				mesh.World.Kill(replacement)
-				settle()
+				stabilize()
 				change(3)
 				caughtUp, installed := countLogged(eventlog.ReplicaCaughtUp, backup.Name)-caughtUpBefore, countLogged(eventlog.SnapshotInstalled, backup.Name)-installedBefore
 				if diskLost && installed != 1 || !diskLost && (caughtUp != 1 || installed != 0) {
 					t.Errorf("turn %d: %s caught up with the entries %d times and installed a snapshot %d times", turn, backup.Name, caughtUp, installed)
 				}
 				mesh.World.Start(replacement)
-				settle()
+				stabilize()
 				mesh.World.Kill(primary)
-				settle()
+				stabilize()
 				change(1)
 				mesh.World.Start(primary)
-				settle()
+				stabilize()
 			}
 		})
 	}
--- a/internal/simulation/scenario/replacement_series_test.go
+++ b/internal/simulation/scenario/replacement_series_test.go
@@ -16,11 +16,11 @@
 	seriesVoterTimeout = 2 * monotonic.Second
 	// successorDelay is the time from the loss of a machine to the start of an empty successor.
 	successorDelay = monotonic.Second
-	// settleTime is the time from that start until the core is expected to serve normally. The users' platform takes 3 s and 4 s for it.
-	settleTime = 7 * monotonic.Second
-	// acknowledgementLimit is how long the users' platform waits until a settled core acknowledges a change.
+	// stabilizationTime is the time from that start until the core is expected to serve normally. The users' platform takes 3 s and 4 s for it.
+	stabilizationTime = 7 * monotonic.Second
+	// acknowledgementLimit is how long the users' platform waits until a stable core acknowledges a change.
 	acknowledgementLimit = 4 * monotonic.Second
-	// checkInterval is the time between two checks of a settled core.
+	// checkInterval is the time between two checks of a stable core.
 	checkInterval = 100 * monotonic.Millisecond
 	// seedAddressCount is the number of core machines whose addresses a new machine gets as seed addresses.
 	seedAddressCount = 3
@@ -49,8 +49,8 @@
 				for range count {
 					series.replaceOldest(interval)
 				}
-				series.mesh.runFor(settleTime)
-				series.replaceOldest(settleTime + successorDelay)
+				series.mesh.runFor(stabilizationTime)
+				series.replaceOldest(stabilizationTime + successorDelay)
 			})
 		}
 	}
@@ -69,12 +69,12 @@
 		mesh.World.Start(node)
 	}
 	series := &replacementSeries{t: t, seed: seed, mesh: mesh}
-	mesh.runFor(settleTime)
+	mesh.runFor(stabilizationTime)
 	series.apply()
 	return series
 }
 
-// replaceOldest loses the oldest machine permanently and starts its successor. Once the core has settled, it changes the configuration and
+// replaceOldest loses the oldest machine permanently and starts its successor. Once the core is stable, it changes the configuration and
 // checks repeatedly that the voters are reachable, until an interval has passed since the loss.
 func (s *replacementSeries) replaceOldest(interval monotonic.Micros) {
 	s.t.Helper()
@@ -86,7 +86,7 @@
 	for _, node := range s.mesh.coreNodes(s.mesh.addMachine(seeds)) {
 		s.mesh.World.Start(node)
 	}
-	s.mesh.runFor(settleTime)
+	s.mesh.runFor(stabilizationTime)
 	s.apply()
 	s.checkReachable()
 	for s.mesh.World.Now() < next && !s.t.Failed() {
